--- /dev/null
+++ b/tests/characterization.rs
@@ -0,0 +1,213 @@
+//! Decisions stay the same, draw by draw: seeded event streams go through the module and all its actions, encoded by
+//! hand (variant number and fields, so that no name shows), are folded into one digest a stream.
+//!
+//! A digest that changes means that a decision changed. It is recorded anew only by a commit that means to change one.
+mod world;
+
+use bramblepath::*;
+use rstest::rstest;
+use world::{Scenario, World};
+
+const MS: Micros = 1_000;
+const SEC: Micros = 1_000_000;
+
+/// FNV-1a over the encoded actions.
+struct Digest(u64);
+
+impl Digest {
+    fn new() -> Digest {
+        Digest(0xcbf2_9ce4_8422_2325)
+    }
+
+    fn byte(&mut self, byte: u8) {
+        self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+    }
+
+    fn number(&mut self, number: u64) {
+        number.to_le_bytes().into_iter().for_each(|byte| self.byte(byte));
+    }
+
+    fn text(&mut self, text: &str) {
+        self.number(text.len() as u64);
+        text.bytes().for_each(|byte| self.byte(byte));
+    }
+
+    fn action(&mut self, action: &Action) {
+        match action {
+            Action::Send { id, worker, timeout, window } => {
+                self.byte(0);
+                self.number(*id);
+                self.text(worker);
+                self.number(*timeout);
+                self.byte(u8::from(window.is_some()));
+                self.number(window.unwrap_or(0));
+            }
+            Action::Cancel { id, attempt } => {
+                self.byte(1);
+                self.number(*id);
+                self.number(*attempt as u64);
+            }
+            Action::Refuse { id, retry_after } => {
+                self.byte(2);
+                self.number(*id);
+                self.number(*retry_after);
+            }
+            Action::Fail { id } => {
+                self.byte(3);
+                self.number(*id);
+            }
+            Action::Timer { delay, token } => {
+                self.byte(4);
+                self.number(*delay);
+                self.number(*token);
+            }
+            Action::Load { worker, function, count } => {
+                self.byte(5);
+                self.text(worker);
+                self.number(*function);
+                self.number(u64::from(*count));
+            }
+            Action::Drop { worker, function } => {
+                self.byte(6);
+                self.text(worker);
+                self.number(*function);
+            }
+            Action::Watch => self.byte(7),
+            Action::Log { text } => {
+                self.byte(8);
+                self.text(text);
+            }
+        }
+    }
+}
+
+fn settings(scenario: &Scenario) -> Settings {
+    let class = |effect, group, aim, worth| ClassSettings {
+        effect,
+        group,
+        window: 3 * SEC,
+        aim,
+        worth,
+        ..ClassSettings::default()
+    };
+    let tenant = |quota_per_s| TenantSettings { quota_per_s, ..TenantSettings::default() };
+    let group = if scenario.load_on_demand { Group::Zone } else { Group::Cell };
+    Settings {
+        gateways: scenario.front_ends,
+        index: scenario.hedging.then_some(scenario.front_ends / 2),
+        classes: vec![
+            class(Effect::Safe, Group::All, 400 * MS, 1.0),
+            class(Effect::Keyed, group, 800 * MS, 3.0),
+            class(Effect::Unsafe, Group::All, SEC, 2.0),
+        ],
+        tenants: if scenario.reports { vec![tenant(40.0), tenant(60.0)] } else { vec![] },
+        over_share_worth: 0.2,
+        kind_memory_mb: vec![4_000.0, 2_500.0],
+        keep: 8 * SEC,
+        load_on_absence: scenario.load_on_demand,
+        orders: true,
+        order_timeout: 10 * SEC,
+        load_window: if scenario.hedging { 5 * SEC } else { 0 },
+        load_free: 4.0,
+        load_share: 0.2,
+        max_attempts: if scenario.hedging { 6 } else { 3 },
+        may_cancel: scenario.hedging || scenario.load_on_demand,
+        second_copies: scenario.hedging,
+        max_retry_after: SEC,
+        cold_from: 0.25,
+        warm_within: 10 * SEC,
+        fall_multiple: 2.0,
+        fall_window: SEC,
+        ask_for_list: scenario.reports,
+        ..Settings::default()
+    }
+}
+
+/// How often each kind of action came, so that a stream that exercises nothing shows.
+#[derive(Debug, Default)]
+struct Counts {
+    sends: usize,
+    cancels: usize,
+    rejections: usize,
+    failures: usize,
+    loads: usize,
+    polls: usize,
+}
+
+impl Counts {
+    fn add(&mut self, action: &Action) {
+        match action {
+            Action::Send { .. } => self.sends += 1,
+            Action::Cancel { .. } => self.cancels += 1,
+            Action::Refuse { .. } => self.rejections += 1,
+            Action::Fail { .. } => self.failures += 1,
+            Action::Load { count: 0, .. } => self.polls += 1,
+            Action::Load { .. } => self.loads += 1,
+            _ => {}
+        }
+    }
+
+    fn exercises_the_module(&self) -> bool {
+        self.sends > 1_000 && self.rejections > 100 && self.failures > 20 && self.loads > 50
+    }
+}
+
+/// Plays a stream; the module is restarted at two thirds of it, and is on standby for a while.
+fn play(scenario: Scenario) -> (Digest, Counts) {
+    let mut world = World::new(scenario);
+    let mut controller = Controller::new(settings(&scenario), scenario.seed);
+    let mut digest = Digest::new();
+    let mut counts = Counts::default();
+    let mut actions = Vec::new();
+    for step in 0..scenario.events {
+        if step == scenario.events / 3 || step == scenario.events / 2 {
+            controller.stand_aside(step == scenario.events / 3);
+        }
+        if step == scenario.events * 2 / 3 {
+            controller = Controller::new(settings(&scenario), scenario.seed + 1);
+            world.announce_after_restart();
+        }
+        let (now, event) = world.next();
+        controller.handle(now, event, &mut actions);
+        for action in actions.drain(..) {
+            digest.number(now);
+            digest.action(&action);
+            counts.add(&action);
+            world.carry_out(&action);
+        }
+        if step % 500 == 0 {
+            (0..scenario.workers)
+                .for_each(|w| digest.byte(u8::from(controller.avoids(&format!("worker-{w}")))));
+        }
+    }
+    (digest, counts)
+}
+
+// Columns: front ends, workers, load on demand, reports, hedging and load budget, busy, digest.
+#[rstest]
+#[case::one_orders_only(1, 12, false, false, false, false, 0xf2e3_fc65_5030_bf90)]
+#[case::one_orders_only_reports(1, 12, false, true, true, false, 0xb901_b506_287d_24fa)]
+#[case::one_on_demand(1, 12, true, false, false, false, 0x9a54_9936_f1b4_f149)]
+#[case::one_on_demand_reports(1, 12, true, true, true, false, 0x49f9_afd1_a66f_19da)]
+#[case::eight_orders_only(8, 14, false, false, true, false, 0x765e_02bf_ac33_6d75)]
+#[case::eight_orders_only_reports(8, 14, false, true, false, false, 0xbf1f_5bdd_4be5_a76e)]
+#[case::eight_on_demand(8, 14, true, false, true, false, 0xe871_c250_79cd_45f4)]
+#[case::eight_on_demand_reports(8, 14, true, true, false, false, 0xbd19_1960_f428_57e2)]
+#[case::three_hundred_orders_only(300, 30, false, false, false, false, 0xd07d_14c9_2e81_0d16)]
+#[case::three_hundred_orders_only_reports(300, 30, false, true, true, false, 0x7688_057a_ae27_e692)]
+#[case::three_hundred_on_demand(300, 30, true, false, false, false, 0xe67a_171e_7016_fbe1)]
+#[case::three_hundred_on_demand_reports(300, 30, true, true, true, false, 0xe693_988c_3e2e_0653)]
+#[case::one_busy(1, 8, true, true, true, true, 0xbb25_8bac_8650_798b)]
+#[case::one_busy_orders_only(1, 8, false, false, false, true, 0x4df8_a3b4_0cfd_4fb1)]
+#[case::eight_busy(8, 8, true, true, true, true, 0xafed_f088_1f40_5804)]
+#[case::three_hundred_busy(300, 8, true, true, true, true, 0x7623_e376_d878_35a2)]
+fn decisions_of_a_stream_stay_the_same(
+    #[case] front_ends: u32, #[case] workers: usize, #[case] load_on_demand: bool, #[case] reports: bool,
+    #[case] hedging: bool, #[case] busy: bool, #[case] expected: u64,
+) {
+    let scenario =
+        Scenario { seed: 1, front_ends, workers, load_on_demand, reports, hedging, busy, events: 12_000 };
+    let (digest, counts) = play(scenario);
+    assert!(counts.exercises_the_module(), "{counts:?}");
+    assert_eq!(digest.0, expected, "digest {:#018x} of {counts:?}", digest.0);
+}
--- /dev/null
+++ b/tests/world/mod.rs
@@ -0,0 +1,482 @@
+//! A simulated deployment for the characterization test: clients, workers, faults and a clock, all drawn from one seed
+//! with integer arithmetic. It carries out the module's actions and feeds their results back as events.
+use bramblepath::*;
+use rand_pcg::rand_core::{RngCore, SeedableRng};
+use rand_pcg::Pcg64;
+use std::collections::{BTreeMap, BTreeSet};
+
+const MS: Micros = 1_000;
+const SEC: Micros = 1_000_000;
+const START: Micros = 1_000 * SEC;
+const FUNCTIONS: u64 = 60;
+/// Requests of a timed function come every second period.
+const TIMER_PERIOD: Micros = 5 * SEC;
+const TIMED_FUNCTION: FunctionId = 1_000;
+const LOAD_TIME: Micros = 400 * MS;
+const REPLICA_CAPACITY: u32 = 2;
+
+/// What a stream varies.
+#[derive(Clone, Copy)]
+pub struct Scenario {
+    pub seed: u64,
+    pub front_ends: u32,
+    pub workers: usize,
+    /// Whether workers load a missing function for a request.
+    pub load_on_demand: bool,
+    /// Whether workers send load reports, notes on replicas and queue depths.
+    pub reports: bool,
+    /// Whether hedged requests are allowed and loads are budgeted.
+    pub hedging: bool,
+    /// Whether requests come so often that most workers are busy.
+    pub busy: bool,
+    /// Events that are fed before the stream ends.
+    pub events: usize,
+}
+
+/// A simulated worker process.
+struct Worker {
+    up: bool,
+    silent_until: Micros,
+    slowdown: u64,
+    state: WorkerState,
+    started_at: Micros,
+    /// Loaded replicas by function, and when a load that is under way ends.
+    replicas: BTreeMap<FunctionId, u32>,
+    loading: BTreeMap<FunctionId, Micros>,
+    in_flight: u32,
+}
+
+/// An attempt that the module sent and that has not ended.
+struct OpenAttempt {
+    worker: usize,
+    sent_at: Micros,
+}
+
+struct OpenRequest {
+    function: FunctionId,
+    attempts: usize,
+    finished: bool,
+}
+
+/// The deployment and the events that are due.
+pub struct World {
+    scenario: Scenario,
+    random: Pcg64,
+    now: Micros,
+    sequence: u64,
+    due: BTreeMap<(Micros, u64), Event>,
+    workers: Vec<Worker>,
+    requests: BTreeMap<RequestId, OpenRequest>,
+    open: BTreeMap<(RequestId, usize), OpenAttempt>,
+    cancelled: BTreeSet<(RequestId, usize)>,
+    next_request: RequestId,
+    next_arrival: Micros,
+    next_fault: Micros,
+    load_slowdown: u64,
+    timer_periods: u64,
+}
+
+impl World {
+    pub fn new(scenario: Scenario) -> World {
+        let random = Pcg64::seed_from_u64(scenario.seed);
+        let mut world = World {
+            scenario,
+            random,
+            now: START,
+            sequence: 0,
+            due: BTreeMap::new(),
+            workers: Vec::new(),
+            requests: BTreeMap::new(),
+            open: BTreeMap::new(),
+            cancelled: BTreeSet::new(),
+            next_request: 1,
+            next_arrival: START + MS,
+            next_fault: START + 2 * SEC,
+            load_slowdown: 1,
+            timer_periods: 0,
+        };
+        for _ in 0..scenario.workers {
+            world.add_worker(0);
+        }
+        world.announce_all(START);
+        world
+    }
+
+    fn draw(&mut self, below: u64) -> u64 {
+        self.random.next_u64() % below.max(1)
+    }
+
+    fn chance(&mut self, one_in: u64) -> bool {
+        self.draw(one_in) == 0
+    }
+
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.sequence += 1;
+        self.due.insert((at, self.sequence), event);
+    }
+
+    fn add_worker(&mut self, started_at: Micros) {
+        self.workers.push(Worker {
+            up: true,
+            silent_until: 0,
+            slowdown: 1,
+            state: WorkerState::Ready,
+            started_at,
+            replicas: BTreeMap::new(),
+            loading: BTreeMap::new(),
+            in_flight: 0,
+        });
+    }
+
+    fn entry(&self, worker: usize) -> Entry {
+        Entry {
+            worker: format!("worker-{worker}"),
+            state: self.workers[worker].state,
+            started_at: self.workers[worker].started_at,
+            zone: (worker % 7 != 6).then_some(worker % 3),
+            kind: worker % 2,
+            cell: (worker % 5 != 4).then_some(worker as u64 / 2),
+        }
+    }
+
+    fn announce_all(&mut self, at: Micros) {
+        let listed = |w: &usize| self.workers[*w].state != WorkerState::Gone;
+        let entries = (0..self.workers.len()).filter(listed).map(|w| self.entry(w)).collect();
+        self.schedule(at, Event::Members { full: true, entries });
+    }
+
+    fn announce(&mut self, worker: usize, delay: Micros) {
+        let entries = vec![self.entry(worker)];
+        let at = self.now + delay;
+        self.schedule(at, Event::Members { full: false, entries });
+    }
+
+    /// The front end's process was replaced: nothing of before reaches the new one, and the list is sent anew.
+    pub fn announce_after_restart(&mut self) {
+        self.due.clear();
+        self.open.clear();
+        self.cancelled.clear();
+        self.requests.clear();
+        self.workers.iter_mut().for_each(|worker| worker.in_flight = 0);
+        self.announce_all(self.now + MS);
+    }
+
+    /// The next event and its time; arrivals and faults are drawn as the clock passes them.
+    pub fn next(&mut self) -> (Micros, Event) {
+        loop {
+            let first = self.due.keys().next().map_or(Micros::MAX, |key| key.0);
+            if self.next_arrival <= first && self.next_arrival <= self.next_fault {
+                self.now = self.now.max(self.next_arrival);
+                self.arrive();
+            } else if self.next_fault <= first {
+                self.now = self.now.max(self.next_fault);
+                self.inject_fault();
+            } else {
+                let ((at, _), event) = self.due.pop_first().expect("an event is due");
+                self.now = self.now.max(at);
+                if let Some(event) = self.deliver(event) {
+                    return (self.now, event);
+                }
+            }
+        }
+    }
+
+    /// Completes an event with what is known only when it happens; `None` where it does not happen any more.
+    fn deliver(&mut self, mut event: Event) -> Option<Event> {
+        match &mut event {
+            Event::Outcome { id, attempt, outcome, elapsed, closed, inflight, .. } => {
+                let open = self.open.remove(&(*id, *attempt))?;
+                self.workers[open.worker].in_flight -= 1;
+                self.cancelled.remove(&(*id, *attempt));
+                *elapsed = self.now - open.sent_at;
+                let request = self.requests.get_mut(id)?;
+                request.finished |= *outcome == Outcome::Ok;
+                *closed = request.finished;
+                if self.scenario.reports && matches!(outcome, Outcome::Ok | Outcome::Full) {
+                    *inflight = Some(f64::from(self.workers[open.worker].in_flight));
+                }
+                Some(event)
+            }
+            Event::Withdrawn { id } => {
+                let request = self.requests.get_mut(id)?;
+                let still_owed = !std::mem::replace(&mut request.finished, true);
+                still_owed.then_some(event)
+            }
+            _ => Some(event),
+        }
+    }
+
+    fn arrive(&mut self) {
+        let burst = (self.now / SEC) % 20 < 4;
+        let gap = match (self.scenario.busy, burst) {
+            (true, true) => 3,
+            (true, false) => 6,
+            (false, true) => 8,
+            (false, false) => 30,
+        };
+        self.next_arrival = self.now + 1 + self.draw(2 * gap * MS);
+        let id = self.next_request;
+        self.next_request += 1;
+        // Popularity is skewed; the first request of each timer period calls a function that nothing else calls.
+        let skewed = self.draw(FUNCTIONS) * self.draw(FUNCTIONS) / FUNCTIONS;
+        let period = self.now / TIMER_PERIOD;
+        let on_timer = std::mem::replace(&mut self.timer_periods, period) != period;
+        let function = if on_timer { TIMED_FUNCTION + period % 2 } else { skewed };
+        let class = self.draw(4) as usize; // 3 is beyond the settings' classes
+        let left = match self.draw(12) {
+            0 => self.draw(40 * MS),
+            1 => Micros::MAX,
+            _ => (200 + self.draw(2_800)) * MS,
+        };
+        let memory_mb = match self.draw(40) {
+            0 => f64::NAN,
+            1 => 0.0,
+            _ => 100.0 + (function * 37 % 500) as f64,
+        };
+        let event = Event::Request {
+            id,
+            class,
+            tenant: [None, Some(0), Some(1), Some(9)][self.draw(4) as usize],
+            function,
+            left,
+            memory_mb,
+            lanes: [REPLICA_CAPACITY, 1, 0][(function % 3) as usize],
+            load_time: if function % 4 == 0 { 0 } else { LOAD_TIME },
+            retry: self.draw(9) == 0,
+        };
+        self.requests.insert(id, OpenRequest { function, attempts: 0, finished: false });
+        let now = self.now;
+        if self.chance(200) {
+            self.schedule(now, event.clone()); // an id that is in use already
+        }
+        self.schedule(now, event);
+        if self.chance(25) {
+            let at = now + self.draw(SEC);
+            self.schedule(at, Event::Withdrawn { id });
+        }
+        if self.chance(150) {
+            let token = self.draw(5_000);
+            self.schedule(now, Event::Timer { token: token + 1 });
+        }
+    }
+
+    fn inject_fault(&mut self) {
+        self.next_fault = self.now + 300 * MS + self.draw(2 * SEC);
+        let worker = self.draw(self.workers.len() as u64) as usize;
+        let now = self.now;
+        let announce_delay = self.draw(600 * MS);
+        match self.draw(14) {
+            0 => self.workers[worker].up = false,
+            1 => self.workers[worker].silent_until = now + 2 * SEC,
+            2 => {
+                let zone = worker % 3;
+                for other in (0..self.workers.len()).filter(|other| other % 3 == zone) {
+                    self.workers[other].silent_until = now + 3 * SEC;
+                }
+            }
+            3 => self.workers[worker].slowdown = 8,
+            4 | 5 => self.workers[worker].slowdown = 1,
+            6 => {
+                self.workers[worker].state = WorkerState::Draining;
+                self.announce(worker, announce_delay);
+            }
+            7 => {
+                self.workers[worker].state = WorkerState::Gone;
+                self.workers[worker].up = false;
+                self.announce(worker, announce_delay);
+            }
+            8 if self.workers.len() < 3 * self.scenario.workers => {
+                self.add_worker(now);
+                self.announce(self.workers.len() - 1, announce_delay);
+            }
+            9 => self.load_slowdown = 6,
+            10 => self.load_slowdown = 1,
+            11 => self.announce_all(now + announce_delay),
+            // A front end that stands still: nothing reaches it for a while.
+            12 => {
+                let resumes = now + 500 * MS;
+                let held: Vec<_> = self.due.range(..(resumes, 0)).map(|(key, _)| *key).collect();
+                for key in held {
+                    let event = self.due.remove(&key).expect("listed above");
+                    self.due.insert((resumes, key.1), event);
+                }
+                self.next_arrival = self.next_arrival.max(resumes);
+            }
+            _ => self.restart(worker, announce_delay),
+        }
+        let stopped: Vec<usize> = (0..self.workers.len()).filter(|w| !self.workers[*w].up).collect();
+        if stopped.len() * 2 > self.workers.len() {
+            self.restart(stopped[0], announce_delay);
+        }
+    }
+
+    fn restart(&mut self, worker: usize, announce_delay: Micros) {
+        let now = self.now;
+        let process = &mut self.workers[worker];
+        process.up = true;
+        process.state = WorkerState::Ready;
+        process.started_at = now;
+        process.slowdown = 1;
+        process.silent_until = 0;
+        process.replicas.clear();
+        process.loading.clear();
+        self.announce(worker, announce_delay);
+    }
+
+    /// Carries out one action of the module.
+    pub fn carry_out(&mut self, action: &Action) {
+        match action {
+            Action::Send { id, worker, timeout, .. } => self.send(*id, index_of(worker), *timeout),
+            Action::Cancel { id, attempt } => self.cancel(*id, *attempt),
+            Action::Refuse { id, .. } | Action::Fail { id } => {
+                if let Some(request) = self.requests.get_mut(id) {
+                    request.finished = true;
+                }
+            }
+            Action::Timer { delay, token } => {
+                let at = self.now.saturating_add(*delay).min(Micros::MAX / 4);
+                self.schedule(at, Event::Timer { token: *token });
+            }
+            Action::Load { worker, function, count } => self.load(index_of(worker), *function, *count),
+            Action::Drop { worker, function } => {
+                self.workers[index_of(worker)].replicas.remove(function);
+            }
+            Action::Watch | Action::Log { .. } => {}
+        }
+    }
+
+    fn send(&mut self, id: RequestId, worker: usize, timeout: Micros) {
+        let now = self.now;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let (function, attempt) = (request.function, request.attempts);
+        request.attempts += 1;
+        self.open.insert((id, attempt), OpenAttempt { worker, sent_at: now });
+        self.workers[worker].in_flight += 1;
+        let (outcome, took, warm) = self.serve(worker, function, timeout);
+        let depth = self.workers[worker].in_flight.min(30);
+        let reports = self.scenario.reports && matches!(outcome, Outcome::Ok | Outcome::Full);
+        let event = Event::Outcome {
+            id,
+            attempt,
+            outcome,
+            elapsed: 0,
+            closed: false,
+            warm: warm.filter(|_| reports),
+            crowd: (reports && depth > 1).then_some(depth - 1),
+            inflight: None,
+        };
+        self.schedule(now + took.min(timeout), event);
+    }
+
+    fn serve(
+        &mut self, worker: usize, function: FunctionId, timeout: Micros,
+    ) -> (Outcome, Micros, Option<bool>) {
+        let now = self.now;
+        let fault = self.draw(120);
+        let service = (15 + self.draw(60)) * MS * self.workers[worker].slowdown;
+        let load = self.load_duration(worker, function);
+        let process = &mut self.workers[worker];
+        if !process.up {
+            return (Outcome::ConnectFailed, MS, None);
+        }
+        if process.silent_until > now {
+            return (if fault < 60 { Outcome::ConnectFailed } else { Outcome::Reset }, 250 * MS, None);
+        }
+        match fault {
+            0 => return (Outcome::Error, 5 * MS, None),
+            1 => return (Outcome::Reset, 20 * MS, None),
+            2 => return (Outcome::Timeout, timeout, None),
+            3 => return (Outcome::Moot, MS, None),
+            _ => {}
+        }
+        if process.in_flight > 12 {
+            return (Outcome::Full, 2 * MS, None);
+        }
+        let warm = load == 0;
+        if !warm && !self.scenario.load_on_demand {
+            return (Outcome::Miss, 2 * MS, None);
+        }
+        if !warm {
+            process.loading.insert(function, now + load);
+        }
+        let took = load + service;
+        let outcome = if took > timeout { Outcome::Timeout } else { Outcome::Ok };
+        (outcome, took, Some(warm))
+    }
+
+    /// How long until a replica of the function stands at the worker.
+    fn load_duration(&mut self, worker: usize, function: FunctionId) -> Micros {
+        let fresh = LOAD_TIME * self.load_slowdown + self.draw(100 * MS);
+        let now = self.now;
+        let process = &mut self.workers[worker];
+        if let Some(&ready_at) = process.loading.get(&function) {
+            if ready_at <= now {
+                process.loading.remove(&function);
+                *process.replicas.entry(function).or_default() += 1;
+            } else {
+                return ready_at - now;
+            }
+        }
+        if process.replicas.contains_key(&function) {
+            return 0;
+        }
+        fresh
+    }
+
+    fn cancel(&mut self, id: RequestId, attempt: usize) {
+        if self.open.contains_key(&(id, attempt)) && self.cancelled.insert((id, attempt)) {
+            let event = Event::Outcome {
+                id,
+                attempt,
+                outcome: Outcome::Cancelled,
+                elapsed: 0,
+                closed: false,
+                warm: None,
+                crowd: None,
+                inflight: None,
+            };
+            let at = self.now + 2 * MS;
+            self.schedule(at, event);
+        }
+    }
+
+    fn load(&mut self, worker: usize, function: FunctionId, count: u32) {
+        let now = self.now;
+        let fault = self.draw(60);
+        let load = self.load_duration(worker, function);
+        let process = &mut self.workers[worker];
+        let standing = process.replicas.get(&function).copied().unwrap_or(0);
+        let (outcome, elapsed) = if !process.up {
+            (Outcome::ConnectFailed, MS)
+        } else if process.silent_until > now {
+            (Outcome::Reset, 250 * MS)
+        } else if count == 0 {
+            (Outcome::Ok, 2 * MS)
+        } else if process.state != WorkerState::Ready {
+            (Outcome::Full, 2 * MS)
+        } else {
+            match fault {
+                0 => (Outcome::Error, load + 2 * MS),
+                1 => (Outcome::Full, 2 * MS),
+                2 => (Outcome::Timeout, 10 * SEC),
+                _ => (Outcome::Ok, load + 2 * MS),
+            }
+        };
+        let loads = outcome == Outcome::Ok && count > standing;
+        if loads {
+            process.replicas.insert(function, count);
+        }
+        let event = Event::Loaded {
+            worker: format!("worker-{worker}"),
+            function,
+            count: if loads { count } else { standing },
+            outcome,
+            elapsed,
+        };
+        self.schedule(now + elapsed, event);
+    }
+}
+
+fn index_of(worker: &str) -> usize {
+    worker["worker-".len()..].parse().expect("the world names its workers")
+}
