--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -2,7 +2,9 @@
 //! output. It translates and decides nothing.
 #![forbid(unsafe_code)]
 
-use bramblepath::json::{flag, number, object, part, position, span, text as word, whole as figure};
+use bramblepath::json::{
+    flag, number, object, part, position, span, text as word, whole as figure,
+};
 use bramblepath::*;
 use miniserde::json::{self, Number, Object, Value};
 use std::collections::BTreeMap;
@@ -43,11 +45,14 @@
         match (name.as_str(), frame) {
             ("FRAME", None) => {
                 let read = || Ok((micros(&fields, "moment")?, whole(&fields, "n")?));
-                frame = Some(read().map_err(|e: String| format!("line {}: FRAME: {e}", number + 1))?);
+                frame =
+                    Some(read().map_err(|e: String| format!("line {}: FRAME: {e}", number + 1))?);
             }
             ("COMMIT", Some((_, n))) => {
                 write_line(&mut reply, "READY", vec![("n", count(n))]);
-                let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
+                let sent = output
+                    .write_all(reply.as_bytes())
+                    .and_then(|()| output.flush());
                 sent.map_err(|e| format!("standard output: {e}"))?;
                 reply.clear();
                 frame = None;
@@ -71,7 +76,10 @@
 }
 
 fn write_line(reply: &mut String, name: &str, body: Vec<(&str, Value)>) {
-    let body: Object = body.into_iter().map(|(key, value)| (key.to_owned(), value)).collect();
+    let body: Object = body
+        .into_iter()
+        .map(|(key, value)| (key.to_owned(), value))
+        .collect();
     let mut outer = Object::new();
     outer.insert(name.to_owned(), Value::Object(body));
     reply.push_str(&json::to_string(&outer));
@@ -100,7 +108,9 @@
 }
 
 fn micros(fields: &Fields, key: &str) -> Res<Micros> {
-    number(fields, key).map(|_| span(fields, key)).ok_or_else(|| format!("'{key}' is not a number"))
+    number(fields, key)
+        .map(|_| span(fields, key))
+        .ok_or_else(|| format!("'{key}' is not a number"))
 }
 
 fn function(fields: &Fields) -> Res<FunctionId> {
@@ -123,15 +133,26 @@
 }
 
 fn event(
-    instances: &mut BTreeMap<u64, Instance>, gateway: u64, now: Micros, name: &str, fields: &Fields,
+    instances: &mut BTreeMap<u64, Instance>,
+    gateway: u64,
+    now: Micros,
+    name: &str,
+    fields: &Fields,
     actions: &mut Vec<Action>,
 ) -> Res<()> {
     match name {
         "SPAWN" => {
-            let settings = Settings::from_json(part(fields, "conf").ok_or("'conf' is not an object")?);
+            let settings =
+                Settings::from_json(part(fields, "conf").ok_or("'conf' is not an object")?);
             let controller = Controller::new(settings.clone(), whole(fields, "salt")?);
-            instances
-                .insert(gateway, Instance { controller, zones: ZoneNames::new(&settings.zones), settings });
+            instances.insert(
+                gateway,
+                Instance {
+                    controller,
+                    zones: ZoneNames::new(&settings.zones),
+                    settings,
+                },
+            );
             return Ok(());
         }
         "KILLED" => {
@@ -155,12 +176,20 @@
                 Some(Value::Array(elements)) => elements,
                 Some(_) => return Err("'elements' is not an array".into()),
             };
-            let entries = elements.iter().map(|e| entry(instance, e)).collect::<Res<Vec<_>>>()?;
-            Event::Members { full: mode != "changes", entries }
+            let entries = elements
+                .iter()
+                .map(|e| entry(instance, e))
+                .collect::<Res<Vec<_>>>()?;
+            Event::Members {
+                full: mode != "changes",
+                entries,
+            }
         }
         "JOB_IN" => Event::Request {
             id: whole(fields, "id")?,
-            class: instance.settings.class(word(fields, "qos").unwrap_or_default()),
+            class: instance
+                .settings
+                .class(word(fields, "qos").unwrap_or_default()),
             tenant: word(fields, "team").and_then(|name| instance.settings.tenant(name)),
             function: function(fields)?,
             left: micros(fields, "left")?,
@@ -184,12 +213,17 @@
                     2 | 3 => Some(false),
                     _ => None,
                 },
-                crowd: (note > 7 && matches!(outcome, Outcome::Ok | Outcome::Full)).then_some(crowd),
+                crowd: (note > 7 && matches!(outcome, Outcome::Ok | Outcome::Full))
+                    .then_some(crowd),
                 inflight: part(fields, "feedback").and_then(|f| number(f, "busy_reqs")),
             }
         }
-        "WITHDRAWN" => Event::Withdrawn { id: whole(fields, "id")? },
-        "ALARM" => Event::Timer { token: whole(fields, "ctx")? },
+        "WITHDRAWN" => Event::Withdrawn {
+            id: whole(fields, "id")?,
+        },
+        "ALARM" => Event::Timer {
+            token: whole(fields, "ctx")?,
+        },
         "WARMED" => Event::Loaded {
             worker: text(fields, "host")?.to_owned(),
             function: function(fields)?,
@@ -215,7 +249,9 @@
             _ => return Err("'mode' of a list entry is unknown".into()),
         },
         started_at: span(fields, "started-at"),
-        zone: instance.zones.position(word(fields, "az").unwrap_or_default()),
+        zone: instance
+            .zones
+            .position(word(fields, "az").unwrap_or_default()),
         kind: position(&instance.settings.kinds, word(fields, "kind")),
         cell: figure(fields, "cluster"),
     })
@@ -228,19 +264,44 @@
 fn translate(gateway: u64, action: Action) -> (&'static str, Vec<(&'static str, Value)>) {
     let ms = |t: Micros| Value::Number(Number::F64(t as f64 / 1000.0));
     let image = |f: FunctionId| ("image", Value::String(format!("{f:016x}")));
-    let (host, msg) = (|worker| ("host", Value::String(worker)), |text| ("msg", Value::String(text)));
+    let (host, msg) = (
+        |worker| ("host", Value::String(worker)),
+        |text| ("msg", Value::String(text)),
+    );
     let id = |id| ("id", count(id));
     let (name, mut fields) = match action {
-        Action::Send { id: of, worker, timeout, .. } => {
-            ("DELIVER", vec![id(of), host(worker), ("allow-for", ms(timeout))])
+        Action::Send {
+            id: of,
+            worker,
+            timeout,
+            ..
+        } => (
+            "DELIVER",
+            vec![id(of), host(worker), ("allow-for", ms(timeout))],
+        ),
+        Action::Cancel { id: of, attempt } => {
+            ("CALL_OFF", vec![id(of), ("hop", count(attempt as u64))])
         }
-        Action::Cancel { id: of, attempt } => ("CALL_OFF", vec![id(of), ("hop", count(attempt as u64))]),
-        Action::Refuse { id: of, retry_after } => ("SHED", vec![id(of), ("cool-down", ms(retry_after))]),
+        Action::Refuse {
+            id: of,
+            retry_after,
+        } => ("SHED", vec![id(of), ("cool-down", ms(retry_after))]),
         Action::Fail { id: of } => ("ABORT", vec![id(of)]),
-        Action::Timer { delay, token } => ("TIMER", vec![("offset", ms(delay)), ("ctx", count(token))]),
-        Action::Load { worker, function, count: copies } => {
-            ("START_COPY", vec![host(worker), image(function), ("copies", count(copies.into()))])
+        Action::Timer { delay, token } => {
+            ("TIMER", vec![("offset", ms(delay)), ("ctx", count(token))])
         }
+        Action::Load {
+            worker,
+            function,
+            count: copies,
+        } => (
+            "START_COPY",
+            vec![
+                host(worker),
+                image(function),
+                ("copies", count(copies.into())),
+            ],
+        ),
         Action::Drop { worker, function } => ("RELEASE_IDLE", vec![host(worker), image(function)]),
         Action::Watch => ("WATCH", vec![("on", Value::Bool(true))]),
         Action::Log { text } => ("JOURNAL_LINE", vec![msg(text)]),
--- a/benchlink/tests/wire.rs
+++ b/benchlink/tests/wire.rs
@@ -10,7 +10,11 @@
         .spawn()
         .expect("the adapter starts");
     // It may end before it has read everything; what it wrote is judged.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
+    let _ = child
+        .stdin
+        .take()
+        .expect("piped")
+        .write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
 
@@ -18,17 +22,30 @@
 fn end_of_input_ends_it_cleanly() {
     let out = talk("{\"FRAME\":{\"moment\":1,\"n\":4}}\n{\"COMMIT\":{}}\n");
     assert!(out.status.success());
-    assert_eq!(String::from_utf8_lossy(&out.stdout), "{\"READY\":{\"n\":4}}\n");
+    assert_eq!(
+        String::from_utf8_lossy(&out.stdout),
+        "{\"READY\":{\"n\":4}}\n"
+    );
 }
 
 #[test]
 fn what_is_not_the_protocol_ends_it_with_a_message_that_names_the_line() {
     let frame = "{\"FRAME\":{\"moment\":1,\"n\":1}}\n";
-    for bad in ["nonsense", "[]", "{}", "{\"ALARM\":{\"gateway\":0}}x", "{\"JOB_IN\":3}", "{\"WHAT\":{}}"] {
+    for bad in [
+        "nonsense",
+        "[]",
+        "{}",
+        "{\"ALARM\":{\"gateway\":0}}x",
+        "{\"JOB_IN\":3}",
+        "{\"WHAT\":{}}",
+    ] {
         let out = talk(&format!("{frame}{bad}\n"));
         let message = String::from_utf8_lossy(&out.stderr).into_owned();
         assert_eq!(out.status.code(), Some(1), "{bad}");
-        assert!(message.contains("line 2") && message.lines().count() == 1, "{bad}: {message}");
+        assert!(
+            message.contains("line 2") && message.lines().count() == 1,
+            "{bad}: {message}"
+        );
     }
 }
 
@@ -44,7 +61,11 @@
     );
     let out = talk(input);
     let reply = String::from_utf8_lossy(&out.stdout).into_owned();
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     let asked =
         "{\"START_COPY\":{\"copies\":0,\"gateway\":2,\"host\":\"h1\",\"image\":\"00000000000000ff\"}}";
     assert!(reply.contains(asked), "{reply}");
--- a/fleetlab/src/clock.rs
+++ b/fleetlab/src/clock.rs
@@ -15,13 +15,19 @@
     /// A clock that stands at 0 until it is told to go on.
     pub fn stopped() -> Clock {
         let start = Instant::now();
-        Clock { start, held: Mutex::new((Duration::ZERO, Some(start))) }
+        Clock {
+            start,
+            held: Mutex::new((Duration::ZERO, Some(start))),
+        }
     }
 
     /// Goes on.
     pub fn go_on(&self) {
         let mut held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
-        let stood = held.1.take().map_or(Duration::ZERO, |since| since.elapsed());
+        let stood = held
+            .1
+            .take()
+            .map_or(Duration::ZERO, |since| since.elapsed());
         held.0 += stood;
     }
 
@@ -34,7 +40,12 @@
     pub fn now(&self) -> (f64, bool) {
         let held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
         let at = held.1.unwrap_or_else(Instant::now);
-        (at.saturating_duration_since(self.start).saturating_sub(held.0).as_secs_f64(), held.1.is_some())
+        (
+            at.saturating_duration_since(self.start)
+                .saturating_sub(held.0)
+                .as_secs_f64(),
+            held.1.is_some(),
+        )
     }
 
     /// Stands still while `wait` lasts.
--- a/fleetlab/src/faults.rs
+++ b/fleetlab/src/faults.rs
@@ -42,8 +42,14 @@
 }
 
 /// The replies of a worker that spoils a call, equally likely.
-const SPOILT: [Reply; 6] =
-    [Reply::Twice, Reply::Full, Reply::Unavailable, Reply::Reset, Reply::HalfClose, Reply::Silent];
+const SPOILT: [Reply; 6] = [
+    Reply::Twice,
+    Reply::Full,
+    Reply::Unavailable,
+    Reply::Reset,
+    Reply::HalfClose,
+    Reply::Silent,
+];
 
 impl Reply {
     /// Whether the answer proves that the call never ran.
@@ -107,7 +113,11 @@
             "mute" => set(&mut self.mute, fault.front, true),
             "heal" => {
                 let cold = std::mem::take(&mut self.cold);
-                *self = Faults { slow: self.slow, cold, ..Faults::new(self.side.len(), self.holes.len()) };
+                *self = Faults {
+                    slow: self.slow,
+                    cold,
+                    ..Faults::new(self.side.len(), self.holes.len())
+                };
             }
             "cold" => {
                 set(&mut self.cold, fault.worker, true);
@@ -129,8 +139,9 @@
     pub fn datagram(&self, from: Option<usize>, to: usize, roll: f64) -> Datagram {
         let side = |i: usize| self.side.get(i).copied();
         let is = |which: &[bool], i: usize| which.get(i).copied().unwrap_or(false);
-        let lost =
-            |from: usize| side(from) != side(to) || is(&self.mute, from) || self.cut.contains(&(from, to));
+        let lost = |from: usize| {
+            side(from) != side(to) || is(&self.mute, from) || self.cut.contains(&(from, to))
+        };
         if from.is_some_and(lost) || is(&self.deaf, to) || roll < self.drop {
             Datagram::Drop
         } else if roll < self.drop + self.duplicate {
--- a/fleetlab/src/gateway.rs
+++ b/fleetlab/src/gateway.rs
@@ -48,7 +48,11 @@
                 break;
             }
             // While it stands still the run's time does not come nearer: look again soon.
-            let wait = if held { HELD } else { Duration::from_secs_f64(at - now) };
+            let wait = if held {
+                HELD
+            } else {
+                Duration::from_secs_f64(at - now)
+            };
             pause(wait);
         }
         tally.add(Count::Offered);
@@ -65,7 +69,8 @@
             flying.fetch_sub(1, Ordering::Relaxed);
         });
     }
-    let patience = Instant::now() + Duration::from_millis(load.wait_ms * u64::from(load.attempts) + 5000);
+    let patience =
+        Instant::now() + Duration::from_millis(load.wait_ms * u64::from(load.attempts) + 5000);
     while flying.load(Ordering::Relaxed) > 0 && Instant::now() < patience {
         pause(Duration::from_millis(20));
     }
@@ -104,7 +109,9 @@
             tally.add(Count::Retried);
         }
         let front = {
-            let f = fronts.read().unwrap_or_else(std::sync::PoisonError::into_inner);
+            let f = fronts
+                .read()
+                .unwrap_or_else(std::sync::PoisonError::into_inner);
             f[((pick * f.len() as f64) as usize).min(f.len() - 1)]
         };
         let harmless = match attempt(front, bytes(n, k, load).as_bytes(), load.wait_ms) {
@@ -129,7 +136,9 @@
 /// One attempt: the answer's status and wait told, or None if none came within the wait and a second.
 fn attempt(front: SocketAddr, bytes: &[u8], wait_ms: u64) -> Option<(u16, Option<u64>)> {
     let mut stream = TcpStream::connect(front).ok()?;
-    stream.set_read_timeout(Some(Duration::from_millis(wait_ms + 1000))).ok()?;
+    stream
+        .set_read_timeout(Some(Duration::from_millis(wait_ms + 1000)))
+        .ok()?;
     stream.write_all(bytes).ok()?;
     let mut carry = Vec::new();
     let m = crate::wire::read(&mut stream, &mut carry, false).ok()?;
--- a/fleetlab/src/lab.rs
+++ b/fleetlab/src/lab.rs
@@ -116,13 +116,23 @@
     let mut links = Vec::new();
     for w in 0..s.workers {
         let at = worker::start(w, s.work_ms, s.seed, faults.clone(), tally.clone()).map_err(io)?;
-        links.push(proxy::link(w, at, faults.clone(), s.seed ^ (w as u64) << 8, done.clone()).map_err(io)?);
+        links.push(
+            proxy::link(
+                w,
+                at,
+                faults.clone(),
+                s.seed ^ (w as u64) << 8,
+                done.clone(),
+            )
+            .map_err(io)?,
+        );
     }
     let real: Real = Arc::new(RwLock::new(vec![None; s.fronts]));
     let mut relays = Vec::new();
     for f in 0..s.fronts {
         let seed = s.seed ^ (f as u64) << 16;
-        relays.push(proxy::gossip(f, real.clone(), faults.clone(), seed, done.clone()).map_err(io)?);
+        relays
+            .push(proxy::gossip(f, real.clone(), faults.clone(), seed, done.clone()).map_err(io)?);
     }
     let endpoints = folder.join("endpoints.json");
     let mut lab = Lab {
@@ -141,8 +151,14 @@
         let front = lab.stands(lab.launch(f, None)?)?;
         lab.fronts.push(front);
     }
-    let joined_s = if s.fleet { Some(lab.joined(Duration::from_secs(10))?) } else { None };
-    let kserve = Arc::new(RwLock::new(lab.fronts.iter().map(|f| f.kserve).collect::<Vec<_>>()));
+    let joined_s = if s.fleet {
+        Some(lab.joined(Duration::from_secs(10))?)
+    } else {
+        None
+    };
+    let kserve = Arc::new(RwLock::new(
+        lab.fronts.iter().map(|f| f.kserve).collect::<Vec<_>>(),
+    ));
     let load = Load {
         rate_per_s: s.rate_per_s,
         seconds: s.seconds,
@@ -169,7 +185,8 @@
             std::thread::sleep(Duration::from_millis(5));
         }
         eprintln!("lab: {:.2} s: {}", tally.clock.now().0, fault.kind);
-        let with_it = |o: &&Fault| o.kind == fault.kind && o.kind == "restart" && o.at_s == fault.at_s;
+        let with_it =
+            |o: &&Fault| o.kind == fault.kind && o.kind == "restart" && o.at_s == fault.at_s;
         let together = ahead.iter().take_while(with_it).count().max(1);
         let fronts: Vec<usize> = ahead[..together].iter().filter_map(|o| o.front).collect();
         ahead = &ahead[together..];
@@ -198,7 +215,9 @@
             _ => {
                 faults.write().map_err(|_| "poisoned")?.apply(fault);
                 if let ("cold", Some(w)) = (fault.kind.as_str(), fault.worker) {
-                    let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis());
+                    let unix = SystemTime::now()
+                        .duration_since(UNIX_EPOCH)
+                        .map_or(0, |d| d.as_millis());
                     lab.started[w] = Some((tally.clock.real_s(), unix));
                     lab.list()?;
                 }
@@ -207,11 +226,17 @@
     }
     let last_fault = Instant::now();
     let agreed = match s.agree_within_s {
-        Some(within) => Some(until_agreed(&lab.running(), last_fault, Duration::from_secs_f64(within))?),
+        Some(within) => Some(until_agreed(
+            &lab.running(),
+            last_fault,
+            Duration::from_secs_f64(within),
+        )?),
         None => None,
     };
     let within = Duration::from_secs(s.seconds + 60);
-    driving.recv_timeout(within).map_err(|_| format!("the load did not end in {} s", within.as_secs()))?;
+    driving
+        .recv_timeout(within)
+        .map_err(|_| format!("the load did not end in {} s", within.as_secs()))?;
     if PANICKED.load(Ordering::Acquire) {
         return Err("a thread of the lab panicked: what it carried is lost".to_owned());
     }
@@ -221,7 +246,11 @@
         if !alive && !killed[f] {
             died.push(f);
         }
-        figures.push(if alive { fleet_figures(front.admin) } else { Vec::new() });
+        figures.push(if alive {
+            fleet_figures(front.admin)
+        } else {
+            Vec::new()
+        });
     }
     for front in &mut lab.fronts {
         front.child.end();
@@ -232,10 +261,25 @@
         age if age >= COLD.1 => f64::INFINITY, // it is warm, and there is no rule any more
         age => COLD.2 * (COLD.0 + (1.0 - COLD.0) * (age / COLD.1).max(0.0)) * quota,
     };
-    let started = lab.started.iter().enumerate().filter_map(|(w, at)| at.map(|at| (w, at.0)));
-    let cold = started.map(|(w, at)| (w, tally.worst(w, at, allowed))).collect();
+    let started = lab
+        .started
+        .iter()
+        .enumerate()
+        .filter_map(|(w, at)| at.map(|at| (w, at.0)));
+    let cold = started
+        .map(|(w, at)| (w, tally.worst(w, at, allowed)))
+        .collect();
     let wronged = lab.wronged()?;
-    Ok(Outcome { tally, figures, done, died, cold, agreed, wronged, joined_s })
+    Ok(Outcome {
+        tally,
+        figures,
+        done,
+        died,
+        cold,
+        agreed,
+        wronged,
+        joined_s,
+    })
 }
 
 impl Lab {
@@ -246,19 +290,28 @@
 
     /// Sends a signal to these front ends.
     fn signal(&self, fronts: &[usize], signal: Signal) -> Result<(), String> {
-        fronts.iter().try_for_each(|&f| self.fronts[f].child.signal(signal))
+        fronts
+            .iter()
+            .try_for_each(|&f| self.fronts[f].child.signal(signal))
     }
 
     /// The front ends that run, and where each tells its figures.
     fn running(&self) -> Vec<(usize, SocketAddr)> {
-        let held = self.fronts.iter().enumerate().filter(|(_, front)| front.child.is_held());
+        let held = self
+            .fronts
+            .iter()
+            .enumerate()
+            .filter(|(_, front)| front.child.is_held());
         held.map(|(f, front)| (f, front.admin)).collect()
     }
 
     /// Log lines that declare a front end down of which no fault is told: it ran, heard and was heard all the time.
     fn wronged(&self) -> Result<Vec<String>, String> {
         let faults = &self.scenario.faults;
-        let of_one = faults.iter().flat_map(|fault| [fault.front, fault.from, fault.to]).flatten();
+        let of_one = faults
+            .iter()
+            .flat_map(|fault| [fault.front, fault.from, fault.to])
+            .flatten();
         let of_parts = faults.iter().filter(|fault| fault.kind == "partition");
         if of_parts.count() > 0 {
             return Ok(Vec::new()); // all were cut from some
@@ -297,9 +350,16 @@
     fn settings(&self, f: usize) -> String {
         let s = &self.scenario;
         let numbered = s.numbered.unwrap_or(false);
-        let index = if numbered { format!("\"index\":{f},") } else { String::new() };
+        let index = if numbered {
+            format!("\"index\":{f},")
+        } else {
+            String::new()
+        };
         SETTINGS
-            .replace("$FRONTS", &(if numbered { s.fronts } else { 1 }).to_string())
+            .replace(
+                "$FRONTS",
+                &(if numbered { s.fronts } else { 1 }).to_string(),
+            )
             .replace("$INDEX", &index)
             .replace("$EFFECT", s.effect.as_deref().unwrap_or("retryable"))
             .replace("$QUOTA", &s.quota_per_s.unwrap_or(QUOTA).to_string())
@@ -309,9 +369,15 @@
     fn restart(&self, fronts: &[usize]) -> Result<Vec<(usize, Front)>, String> {
         let runs = |&o: &usize| self.fronts[o].child.is_held();
         let by = (0..self.fronts.len()).find(runs);
-        let starting = fronts.iter().filter(|f| !runs(f)).map(|&f| self.launch(f, by));
+        let starting = fronts
+            .iter()
+            .filter(|f| !runs(f))
+            .map(|&f| self.launch(f, by));
         let starting = starting.collect::<Result<Vec<_>, _>>()?;
-        starting.into_iter().map(|s| Ok((s.f, self.stands(s)?))).collect()
+        starting
+            .into_iter()
+            .map(|s| Ok((s.f, self.stands(s)?)))
+            .collect()
     }
 
     /// Starts front end `f`, joining by way of `by`'s relay (else the first's, unless it is the first).
@@ -332,7 +398,10 @@
         )?;
         let kserve = write(
             format!("kserve-{f}.json"),
-            format!(r#"{{"listen":"127.0.0.1:0","endpoints":"{}"}}"#, self.endpoints.display()),
+            format!(
+                r#"{{"listen":"127.0.0.1:0","endpoints":"{}"}}"#,
+                self.endpoints.display()
+            ),
         )?;
         let tmp = self.folder.join(format!("tmp-{f}"));
         std::fs::create_dir_all(&tmp).map_err(|e| e.to_string())?;
@@ -345,7 +414,9 @@
             .stderr(Stdio::piped());
         let known = self.fronts.get(f).and_then(|old| old.gossip);
         if s.fleet {
-            let seed = by.or((f > 0).then_some(0)).map(|b| format!(r#""{}""#, self.relays[b]));
+            let seed = by
+                .or((f > 0).then_some(0))
+                .map(|b| format!(r#""{}""#, self.relays[b]));
             let listen = known.map_or("127.0.0.1:0".to_owned(), |a| a.to_string());
             let fleet = write(
                 format!("fleet-{f}.json"),
@@ -360,10 +431,16 @@
             )?;
             command.env("WRENSEAM_FLEET", fleet);
         }
-        let mut child = command.spawn().map_err(|e| format!("{}: {e}", self.program.display()))?;
+        let mut child = command
+            .spawn()
+            .map_err(|e| format!("{}: {e}", self.program.display()))?;
         let log = child.stderr.take().ok_or("no log")?;
         let lines = follow(log, self.log(f));
-        Ok(Starting { f, child: Process::new(child), lines })
+        Ok(Starting {
+            f,
+            child: Process::new(child),
+            lines,
+        })
     }
 
     /// Waits until a front end listens everywhere.
@@ -374,13 +451,18 @@
         while admin.is_none() || front.is_none() || (self.scenario.fleet && gossip.is_none()) {
             let line = lines.recv_timeout(LISTENS).map_err(|e| match e {
                 RecvTimeoutError::Timeout => {
-                    format!("front end {f} says nothing and does not listen; it said last: {last_line}")
+                    format!(
+                        "front end {f} says nothing and does not listen; it said last: {last_line}"
+                    )
                 }
                 RecvTimeoutError::Disconnected => {
                     format!("front end {f} ended before it listened; it said last: {last_line}")
                 }
             })?;
-            let address = || line.rsplit_once(" listens on ").and_then(|(_, a)| a.parse().ok());
+            let address = || {
+                line.rsplit_once(" listens on ")
+                    .and_then(|(_, a)| a.parse().ok())
+            };
             if line.contains("the operators' door listens on") {
                 admin = address();
             } else if line.contains("KServe v2 listens on") {
@@ -406,13 +488,19 @@
         let since = Instant::now();
         let want = self.fronts.len() as u64 - 1;
         loop {
-            let counts = self.fronts.iter().map(|f| figure(&fleet_figures(f.admin), "peers"));
+            let counts = self
+                .fronts
+                .iter()
+                .map(|f| figure(&fleet_figures(f.admin), "peers"));
             let counts: Vec<Option<u64>> = counts.collect();
             if counts.iter().all(|&c| c == Some(want)) {
                 return Ok(since.elapsed().as_secs_f64());
             }
             if since.elapsed() > within {
-                return Err(format!("the fleet did not form in {} s: {counts:?} peers", within.as_secs()));
+                return Err(format!(
+                    "the fleet did not form in {} s: {counts:?} peers",
+                    within.as_secs()
+                ));
             }
             std::thread::sleep(Duration::from_millis(20));
         }
--- a/fleetlab/src/process.rs
+++ b/fleetlab/src/process.rs
@@ -30,7 +30,9 @@
 
     /// Whether it still runs.
     pub fn runs(&mut self) -> bool {
-        self.0.as_mut().is_some_and(|child| child.try_wait().ok().flatten().is_none())
+        self.0
+            .as_mut()
+            .is_some_and(|child| child.try_wait().ok().flatten().is_none())
     }
 
     /// Ends it at once, as a crash would.
@@ -63,7 +65,10 @@
                 break status;
             }
             if since.elapsed() > within {
-                return Err(format!("the process did not end in {} s after SIGTERM", within.as_secs()));
+                return Err(format!(
+                    "the process did not end in {} s after SIGTERM",
+                    within.as_secs()
+                ));
             }
             std::thread::sleep(Duration::from_millis(2));
         };
@@ -81,7 +86,13 @@
 pub fn follow(log: ChildStderr, file: PathBuf) -> Receiver<String> {
     let (told, lines) = channel();
     std::thread::spawn(move || {
-        let Ok(mut out) = std::fs::OpenOptions::new().create(true).append(true).open(file) else { return };
+        let Ok(mut out) = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(file)
+        else {
+            return;
+        };
         for line in BufReader::new(log).lines().map_while(Result::ok) {
             let _ = writeln!(out, "{line}");
             let _ = told.send(line); // nobody listens any more once it stands
--- a/fleetlab/src/proxy.rs
+++ b/fleetlab/src/proxy.rs
@@ -30,7 +30,11 @@
 /// # Errors
 /// No port can be bound.
 pub fn gossip(
-    to: usize, real: Real, faults: Arc<RwLock<Faults>>, seed: u64, done: Arc<Mutex<Done>>,
+    to: usize,
+    real: Real,
+    faults: Arc<RwLock<Faults>>,
+    seed: u64,
+    done: Arc<Mutex<Done>>,
 ) -> std::io::Result<SocketAddr> {
     let socket = Arc::new(UdpSocket::bind("127.0.0.1:0")?);
     let address = socket.local_addr()?;
@@ -39,11 +43,15 @@
         let mut buffer = vec![0u8; 64 * 1024];
         while let Ok((n, source)) = socket.recv_from(&mut buffer) {
             let (from, target) = {
-                let r = real.read().unwrap_or_else(std::sync::PoisonError::into_inner);
+                let r = real
+                    .read()
+                    .unwrap_or_else(std::sync::PoisonError::into_inner);
                 (r.iter().position(|a| *a == Some(source)), r[to])
             };
             let Some(target) = target else { continue };
-            let verdict = faults.read().map_or(Datagram::Pass, |f| f.datagram(from, to, rng.random::<f64>()));
+            let verdict = faults.read().map_or(Datagram::Pass, |f| {
+                f.datagram(from, to, rng.random::<f64>())
+            });
             let bytes = buffer[..n].to_vec();
             match verdict {
                 Datagram::Pass => bump(&done, |d| d.passed += 1),
@@ -76,15 +84,20 @@
 /// # Errors
 /// No port can be bound.
 pub fn link(
-    index: usize, worker: SocketAddr, faults: Arc<RwLock<Faults>>, seed: u64, done: Arc<Mutex<Done>>,
+    index: usize,
+    worker: SocketAddr,
+    faults: Arc<RwLock<Faults>>,
+    seed: u64,
+    done: Arc<Mutex<Done>>,
 ) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     go(move || {
         let mut rng = SmallRng::seed_from_u64(seed);
         for stream in listener.incoming().map_while(Result::ok) {
-            let verdict =
-                faults.read().map_or(Connection::Pass, |f| f.connection(index, rng.random::<f64>()));
+            let verdict = faults.read().map_or(Connection::Pass, |f| {
+                f.connection(index, rng.random::<f64>())
+            });
             match verdict {
                 Connection::Reset => {
                     bump(&done, |d| d.reset += 1);
@@ -101,7 +114,9 @@
                 }
                 Connection::Pass => {
                     bump(&done, |d| d.passed += 1);
-                    let Ok(back) = TcpStream::connect(worker) else { continue };
+                    let Ok(back) = TcpStream::connect(worker) else {
+                        continue;
+                    };
                     let dice = rng.random::<u64>();
                     pipe(stream, back, &faults, dice);
                 }
@@ -114,11 +129,15 @@
 /// Counts under the lock, never across a yield: a coroutine that blocks a worker thread on a lock held
 /// by one that waits for I/O stops them both.
 fn bump(done: &Mutex<Done>, f: impl FnOnce(&mut Done)) {
-    f(&mut done.lock().unwrap_or_else(std::sync::PoisonError::into_inner));
+    f(&mut done
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner));
 }
 
 fn pipe(a: TcpStream, b: TcpStream, faults: &Arc<RwLock<Faults>>, dice: u64) {
-    let (Ok(a2), Ok(b2)) = (a.try_clone(), b.try_clone()) else { return };
+    let (Ok(a2), Ok(b2)) = (a.try_clone(), b.try_clone()) else {
+        return;
+    };
     let (there, back) = (faults.clone(), faults.clone());
     go(move || copy(a, b2, &there, dice));
     go(move || copy(b, a2, &back, dice.wrapping_add(1)));
--- a/fleetlab/src/report.rs
+++ b/fleetlab/src/report.rs
@@ -110,8 +110,12 @@
         (Count::Retried, "retried", MAGENTA),
         (Count::Calls, "worker calls", BLACK),
     ];
-    let top =
-        series.iter().flat_map(|(c, _, _)| (0..seconds).map(|s| t.get(s, *c))).max().unwrap_or(1).max(1);
+    let top = series
+        .iter()
+        .flat_map(|(c, _, _)| (0..seconds).map(|s| t.get(s, *c)))
+        .max()
+        .unwrap_or(1)
+        .max(1);
     let root = SVGBackend::new(path, (900, 480)).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
@@ -123,11 +127,18 @@
     chart.configure_mesh().x_desc("s").y_desc("count").draw()?;
     for (c, name, colour) in series {
         chart
-            .draw_series(LineSeries::new((0..seconds).map(|s| (s as u32, t.get(s, c))), colour))?
+            .draw_series(LineSeries::new(
+                (0..seconds).map(|s| (s as u32, t.get(s, c))),
+                colour,
+            ))?
             .label(name)
             .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour));
     }
-    chart.configure_series_labels().border_style(BLACK).background_style(WHITE).draw()?;
+    chart
+        .configure_series_labels()
+        .border_style(BLACK)
+        .background_style(WHITE)
+        .draw()?;
     root.present()?;
     Ok(())
 }
--- a/fleetlab/src/scenario.rs
+++ b/fleetlab/src/scenario.rs
@@ -108,19 +108,43 @@
                 Err(format!("'{what}' is {n}, not within {low} to {high}"))
             }
         };
-        if let Some(effect) = self.effect.as_deref().filter(|e| !["retryable", "fragile"].contains(e)) {
+        if let Some(effect) = self
+            .effect
+            .as_deref()
+            .filter(|e| !["retryable", "fragile"].contains(e))
+        {
             return Err(format!("'effect' is {effect}, not retryable or fragile"));
         }
         within("fronts", self.fronts as f64, 1.0, MAX_FRONTS as f64)?;
         within("workers", self.workers as f64, 1.0, MAX_WORKERS as f64)?;
         within("seconds", self.seconds as f64, 1.0, MAX_SECONDS as f64)?;
         within("rate_per_s", self.rate_per_s, 0.0, MAX_RATE)?;
-        within("client_attempts", f64::from(self.client_attempts), 1.0, 10.0)?;
+        within(
+            "client_attempts",
+            f64::from(self.client_attempts),
+            1.0,
+            10.0,
+        )?;
         within("work_ms", self.work_ms as f64, 0.0, 60_000.0)?;
         within("wait_ms", self.wait_ms as f64, 1.0, 60_000.0)?;
-        within("probe_ms", self.probe_ms.unwrap_or(200) as f64, 10.0, 10_000.0)?;
-        within("suspect_ms", self.suspect_ms.unwrap_or(600) as f64, 10.0, 60_000.0)?;
-        within("agree_within_s", self.agree_within_s.unwrap_or(0.0), 0.0, 120.0)?;
+        within(
+            "probe_ms",
+            self.probe_ms.unwrap_or(200) as f64,
+            10.0,
+            10_000.0,
+        )?;
+        within(
+            "suspect_ms",
+            self.suspect_ms.unwrap_or(600) as f64,
+            10.0,
+            60_000.0,
+        )?;
+        within(
+            "agree_within_s",
+            self.agree_within_s.unwrap_or(0.0),
+            0.0,
+            120.0,
+        )?;
         within("quota_per_s", self.quota_per_s.unwrap_or(0.0), 0.0, 1e6)?;
         for f in &self.faults {
             within("at_s", f.at_s, 0.0, self.seconds as f64)?;
@@ -129,7 +153,11 @@
                 "slow" => within("factor", f.factor.unwrap_or(f64::NAN), 0.01, 1000.0)?,
                 "partition" => {
                     let grouped = f.groups.iter().flat_map(BTreeMap::values).flatten();
-                    f.fronts.iter().flatten().chain(grouped).try_for_each(|&i| front(i))?;
+                    f.fronts
+                        .iter()
+                        .flatten()
+                        .chain(grouped)
+                        .try_for_each(|&i| front(i))?;
                 }
                 "cut" => {
                     front(f.from.unwrap_or(usize::MAX))?;
@@ -139,9 +167,12 @@
                     within("ratio", f.ratio.unwrap_or(f64::NAN), 0.0, 1.0)?
                 }
                 "delay" => within("ms", f.ms.unwrap_or(u64::MAX) as f64, 0.0, 10_000.0)?,
-                "blackhole" | "cold" => {
-                    within("worker", f.worker.unwrap_or(usize::MAX) as f64, 0.0, self.workers as f64 - 1.0)?
-                }
+                "blackhole" | "cold" => within(
+                    "worker",
+                    f.worker.unwrap_or(usize::MAX) as f64,
+                    0.0,
+                    self.workers as f64 - 1.0,
+                )?,
                 "kill" | "restart" | "leave" | "stop" | "continue" | "deaf" | "mute" => {
                     front(f.front.unwrap_or(usize::MAX))?
                 }
--- a/fleetlab/src/tally.rs
+++ b/fleetlab/src/tally.rs
@@ -46,10 +46,14 @@
     /// Room for `seconds` seconds and a few more for what ends late.
     pub fn new(seconds: u64) -> Tally {
         let n = seconds as usize + 5;
-        let latency = (0..n).map(|_| Histogram::new_with_bounds(1, 60_000_000, 2).expect("bounds")).collect();
+        let latency = (0..n)
+            .map(|_| Histogram::new_with_bounds(1, 60_000_000, 2).expect("bounds"))
+            .collect();
         Tally {
             clock: Clock::stopped(),
-            counts: (0..n).map(|_| std::array::from_fn(|_| AtomicU64::new(0))).collect(),
+            counts: (0..n)
+                .map(|_| std::array::from_fn(|_| AtomicU64::new(0)))
+                .collect(),
             latency: Mutex::new(latency),
             ran: Mutex::default(),
             reached: Mutex::new(Vec::new()),
@@ -67,7 +71,10 @@
 
     /// A call of this request came whole to a worker; `runs` unless the worker answers that it never did.
     pub fn came(&self, request: u64, runs: bool) {
-        let mut ran = self.ran.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut ran = self
+            .ran
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         if ran.contains(&request) {
             self.add(Count::Repeats);
         }
@@ -79,30 +86,53 @@
     /// A call reached a worker that is watched; bounded by the load's own bounds.
     pub fn reach(&self, worker: usize) {
         let now = self.clock.real_s();
-        self.reached.lock().unwrap_or_else(std::sync::PoisonError::into_inner).push((now, worker));
+        self.reached
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
+            .push((now, worker));
     }
 
     /// The most calls that any second held at a worker, each counted as a part of what `allowed` gives at the
     /// age, s, of that second's end since `start`; 0 if none came.
     pub fn worst(&self, worker: usize, start: f64, allowed: impl Fn(f64) -> f64) -> f64 {
-        let reached = self.reached.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        let mut times: Vec<f64> = reached.iter().filter(|r| r.1 == worker).map(|r| r.0).collect();
+        let reached = self
+            .reached
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut times: Vec<f64> = reached
+            .iter()
+            .filter(|r| r.1 == worker)
+            .map(|r| r.0)
+            .collect();
         times.sort_by(f64::total_cmp);
-        let held = |end: usize| times[..=end].iter().rev().take_while(|&&t| t > times[end] - 1.0).count();
-        (0..times.len()).map(|n| held(n) as f64 / allowed(times[n] - start)).fold(0.0, f64::max)
+        let held = |end: usize| {
+            times[..=end]
+                .iter()
+                .rev()
+                .take_while(|&&t| t > times[end] - 1.0)
+                .count()
+        };
+        (0..times.len())
+            .map(|n| held(n) as f64 / allowed(times[n] - start))
+            .fold(0.0, f64::max)
     }
 
     /// A served request's latency, µs.
     pub fn served(&self, micros: u64) {
         self.add(Count::Served);
         let s = self.second();
-        let mut l = self.latency.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut l = self
+            .latency
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         let _ = l[s].record(micros.max(1));
     }
 
     /// How many of a kind in second `s`.
     pub fn get(&self, s: usize, what: Count) -> u64 {
-        self.counts.get(s).map_or(0, |c| c[what as usize].load(Ordering::Relaxed))
+        self.counts
+            .get(s)
+            .map_or(0, |c| c[what as usize].load(Ordering::Relaxed))
     }
 
     /// Seconds with room.
@@ -117,11 +147,17 @@
 
     /// Latency quantile `q` of second `s` (None for the whole run), ms.
     pub fn quantile_ms(&self, s: Option<usize>, q: f64) -> f64 {
-        let l = self.latency.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let l = self
+            .latency
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         let mut whole = Histogram::<u64>::new_with_bounds(1, 60_000_000, 2).expect("bounds");
         match s {
             Some(s) => whole.add(&l[s]).expect("same bounds"),
-            None => l.iter().try_for_each(|h| whole.add(h)).expect("same bounds"),
+            None => l
+                .iter()
+                .try_for_each(|h| whole.add(h))
+                .expect("same bounds"),
         }
         whole.value_at_quantile(q) as f64 / 1000.0
     }
--- a/fleetlab/src/views.rs
+++ b/fleetlab/src/views.rs
@@ -37,7 +37,9 @@
             _ => break,
         }
     }
-    let fleet = told.lines().filter_map(|line| line.strip_prefix("app.fleet."));
+    let fleet = told
+        .lines()
+        .filter_map(|line| line.strip_prefix("app.fleet."));
     fleet
         .filter_map(|line| {
             let (name, rest) = line.split_once(':')?;
@@ -55,11 +57,16 @@
         let figures = fleet_figures(admin);
         let counts = (figure(&figures, "peers"), figure(&figures, "peers_ready"));
         if counts != (Some(want), Some(want)) {
-            return Some(format!("front end {f} counts {counts:?} peers alive and ready, {want} run"));
+            return Some(format!(
+                "front end {f} counts {counts:?} peers alive and ready, {want} run"
+            ));
         }
         let digest = figure(&figures, "view_digest");
         if digest != *first.get_or_insert(digest) {
-            return Some(format!("front end {f} holds another view than front end {}", running[0].0));
+            return Some(format!(
+                "front end {f} holds another view than front end {}",
+                running[0].0
+            ));
         }
     }
     None
@@ -70,15 +77,23 @@
 /// # Errors
 /// They do not within `within` after it, with what differs.
 pub fn until_agreed(
-    running: &[(usize, SocketAddr)], since: Instant, within: Duration,
+    running: &[(usize, SocketAddr)],
+    since: Instant,
+    within: Duration,
 ) -> Result<Agreed, String> {
     loop {
         let asked = Instant::now();
         let Some(what) = disagreement(running) else {
-            return Ok(Agreed { after: asked.duration_since(since), fronts: running.len() });
+            return Ok(Agreed {
+                after: asked.duration_since(since),
+                fronts: running.len(),
+            });
         };
         if since.elapsed() > within {
-            return Err(format!("no agreement {:.1} s after the last fault: {what}", within.as_secs_f64()));
+            return Err(format!(
+                "no agreement {:.1} s after the last fault: {what}",
+                within.as_secs_f64()
+            ));
         }
         std::thread::sleep(Duration::from_millis(10));
     }
@@ -88,13 +103,24 @@
 ///
 /// # Errors
 /// A log cannot be read.
-pub fn declared_down(logs: &[impl AsRef<Path>], peers: &[SocketAddr]) -> Result<Vec<String>, String> {
+pub fn declared_down(
+    logs: &[impl AsRef<Path>],
+    peers: &[SocketAddr],
+) -> Result<Vec<String>, String> {
     let mut lines = Vec::new();
     for log in logs {
         let log = log.as_ref();
         let text = std::fs::read_to_string(log).map_err(|e| format!("{}: {e}", log.display()))?;
-        let about = |line: &&str| peers.iter().any(|peer| line.contains(&format!("fleet: peer {peer} down")));
-        lines.extend(text.lines().filter(about).map(|line| format!("{}: {line}", log.display())));
+        let about = |line: &&str| {
+            peers
+                .iter()
+                .any(|peer| line.contains(&format!("fleet: peer {peer} down")))
+        };
+        lines.extend(
+            text.lines()
+                .filter(about)
+                .map(|line| format!("{}: {line}", log.display())),
+        );
     }
     Ok(lines)
 }
--- a/fleetlab/src/wire.rs
+++ b/fleetlab/src/wire.rs
@@ -16,7 +16,11 @@
 ///
 /// # Errors
 /// The stream ends or fails, the message is garbled or larger than 1 MiB.
-pub fn read(stream: &mut impl Read, carry: &mut Vec<u8>, request: bool) -> std::io::Result<Message> {
+pub fn read(
+    stream: &mut impl Read,
+    carry: &mut Vec<u8>,
+    request: bool,
+) -> std::io::Result<Message> {
     let bad = |what: &str| std::io::Error::new(std::io::ErrorKind::InvalidData, what.to_owned());
     let mut chunk = [0u8; 16 * 1024];
     loop {
@@ -25,21 +29,36 @@
             headers
                 .iter()
                 .find(|h| h.name.eq_ignore_ascii_case(name))
-                .and_then(|h| std::str::from_utf8(h.value).ok()?.trim().parse::<u64>().ok())
+                .and_then(|h| {
+                    std::str::from_utf8(h.value)
+                        .ok()?
+                        .trim()
+                        .parse::<u64>()
+                        .ok()
+                })
         };
         let done = |n: usize, first: String, h: &[httparse::Header]| {
-            (n, first, field(h, "content-length").unwrap_or(0), field(h, "srv-wait-ms"))
+            (
+                n,
+                first,
+                field(h, "content-length").unwrap_or(0),
+                field(h, "srv-wait-ms"),
+            )
         };
         let parsed = if request {
             let mut r = httparse::Request::new(&mut headers);
             match r.parse(carry).map_err(|_| bad("garbled"))? {
-                httparse::Status::Complete(n) => Some(done(n, r.path.unwrap_or("").to_owned(), r.headers)),
+                httparse::Status::Complete(n) => {
+                    Some(done(n, r.path.unwrap_or("").to_owned(), r.headers))
+                }
                 httparse::Status::Partial => None,
             }
         } else {
             let mut r = httparse::Response::new(&mut headers);
             match r.parse(carry).map_err(|_| bad("garbled"))? {
-                httparse::Status::Complete(n) => Some(done(n, r.code.unwrap_or(0).to_string(), r.headers)),
+                httparse::Status::Complete(n) => {
+                    Some(done(n, r.code.unwrap_or(0).to_string(), r.headers))
+                }
                 httparse::Status::Partial => None,
             }
         };
@@ -57,7 +76,11 @@
             }
             let body = carry[n..n + length].to_vec();
             carry.drain(..n + length);
-            return Ok(Message { first, wait_ms, body });
+            return Ok(Message {
+                first,
+                wait_ms,
+                body,
+            });
         }
         if carry.len() > MAX {
             return Err(bad("too large"));
--- a/fleetlab/src/worker.rs
+++ b/fleetlab/src/worker.rs
@@ -20,7 +20,11 @@
 /// # Errors
 /// No port can be bound.
 pub fn start(
-    own: usize, work_ms: u64, seed: u64, faults: Arc<RwLock<Faults>>, tally: Arc<Tally>,
+    own: usize,
+    work_ms: u64,
+    seed: u64,
+    faults: Arc<RwLock<Faults>>,
+    tally: Arc<Tally>,
 ) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
@@ -28,7 +32,13 @@
         for (n, stream) in listener.incoming().map_while(Result::ok).enumerate() {
             let (faults, tally) = (faults.clone(), tally.clone());
             let rng = SmallRng::seed_from_u64(seed ^ (own as u64) << 32 ^ (n as u64) << 40);
-            let worker = Worker { own, work_ms, faults, tally, rng };
+            let worker = Worker {
+                own,
+                work_ms,
+                faults,
+                tally,
+                rng,
+            };
             go(move || worker.serve(stream));
         }
     });
@@ -63,7 +73,9 @@
         while let Ok(m) = crate::wire::read(&mut stream, &mut carry, true) {
             let written = if m.first == "/v2/repository/index" {
                 self.tally.add(Count::Probes);
-                stream.write_all(&ok(&format!(r#"[{{"name":"{FUNCTION}","state":"READY"}}]"#)))
+                stream.write_all(&ok(&format!(
+                    r#"[{{"name":"{FUNCTION}","state":"READY"}}]"#
+                )))
             } else if m.first.starts_with("/v2/repository/models/") {
                 self.tally.add(Count::Probes);
                 stream.write_all(&ok(r#"{"parameters":{"slots_up":1}}"#))
@@ -81,7 +93,10 @@
         self.tally.add(Count::Calls);
         let roll = self.rng.random::<f64>();
         let told = |f: &Faults| (f.slow, f.is_cold(self.own), f.reply(roll));
-        let (slow, cold, reply) = self.faults.read().map_or((1.0, false, Reply::Serve), |f| told(&f));
+        let (slow, cold, reply) = self
+            .faults
+            .read()
+            .map_or((1.0, false, Reply::Serve), |f| told(&f));
         if cold {
             self.tally.reach(self.own);
         }
@@ -89,16 +104,23 @@
             self.tally.came(request, !reply.never_ran());
         }
         if reply == Reply::Full {
-            return stream.write_all(b"HTTP/1.1 503 Full\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n");
+            return stream
+                .write_all(b"HTTP/1.1 503 Full\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n");
         }
-        pause(Duration::from_micros((self.work_ms as f64 * 1000.0 * slow) as u64));
+        pause(Duration::from_micros(
+            (self.work_ms as f64 * 1000.0 * slow) as u64,
+        ));
         let id = call_id(&call.body).unwrap_or_default();
         let served = ok(&format!(
             r#"{{"id":"{id}","parameters":{{"detail":"resident"}},"outputs":[{{"name":"body","shape":[1],"datatype":"BYTES","data":["done"]}}]}}"#
         ));
         match reply {
-            Reply::Twice => stream.write_all(&served).and_then(|()| stream.write_all(&served)),
-            Reply::Unavailable => stream.write_all(b"HTTP/1.1 503 Unavailable\r\nContent-Length: 0\r\n\r\n"),
+            Reply::Twice => stream
+                .write_all(&served)
+                .and_then(|()| stream.write_all(&served)),
+            Reply::Unavailable => {
+                stream.write_all(b"HTTP/1.1 503 Unavailable\r\nContent-Length: 0\r\n\r\n")
+            }
             Reply::Reset => Err(std::io::ErrorKind::ConnectionReset.into()),
             Reply::HalfClose => stream.shutdown(Shutdown::Write),
             Reply::Silent => Ok(()),
@@ -108,5 +130,9 @@
 }
 
 fn ok(body: &str) -> Vec<u8> {
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .into_bytes()
 }
--- a/fleetlab/tests/agreement.rs
+++ b/fleetlab/tests/agreement.rs
@@ -16,8 +16,16 @@
 const DEFAULT_TIMES: &str = r#""probe_ms":500,"suspect_ms":1500,"#;
 
 #[rstest]
-#[case::a_crash("crash-3", scenario(3, 3, 5.0, "", r#"{"at_s":0.5,"kind":"kill","front":1}"#), 2)]
-#[case::a_leave("leave-3", scenario(3, 3, 2.0, "", r#"{"at_s":0.5,"kind":"leave","front":0}"#), 2)]
+#[case::a_crash(
+    "crash-3",
+    scenario(3, 3, 5.0, "", r#"{"at_s":0.5,"kind":"kill","front":1}"#),
+    2
+)]
+#[case::a_leave(
+    "leave-3",
+    scenario(3, 3, 2.0, "", r#"{"at_s":0.5,"kind":"leave","front":0}"#),
+    2
+)]
 #[case::a_leave_and_a_return(
     "return-3",
     scenario(
@@ -31,7 +39,13 @@
 )]
 #[case::a_link_cut_one_way(
     "cut-3",
-    scenario(3, 4, 2.0, "", r#"{"at_s":0.5,"kind":"cut","from":0,"to":1},{"at_s":2.5,"kind":"heal"}"#),
+    scenario(
+        3,
+        4,
+        2.0,
+        "",
+        r#"{"at_s":0.5,"kind":"cut","from":0,"to":1},{"at_s":2.5,"kind":"heal"}"#
+    ),
     3
 )]
 #[case::groups_cut_and_restarts_in_each(
@@ -65,9 +79,17 @@
     scenario(12, 3, 1.0, DEFAULT_TIMES, r#"{"at_s":1,"kind":"leave","front":5}"#),
     11
 )]
-fn all_agree_soon_after_the_last_fault(#[case] name: &str, #[case] scenario: String, #[case] fronts: usize) {
+fn all_agree_soon_after_the_last_fault(
+    #[case] name: &str,
+    #[case] scenario: String,
+    #[case] fronts: usize,
+) {
     let run = lab(name, &scenario, "");
     assert_eq!(run.get("died"), 0.0, "a front end ended by itself");
     assert_eq!(run.agreed_fronts, Some(fronts));
-    assert_eq!(run.wronged, Some(0), "one that ran, heard and was heard was declared down");
+    assert_eq!(
+        run.wronged,
+        Some(0),
+        "one that ran, heard and was heard was declared down"
+    );
 }
--- a/fleetlab/tests/common/mod.rs
+++ b/fleetlab/tests/common/mod.rs
@@ -18,7 +18,11 @@
 
 impl Run {
     pub fn get(&self, name: &str) -> f64 {
-        self.totals.iter().find(|(n, _)| n == name).map(|(_, v)| *v).unwrap_or_else(|| panic!("no {name}"))
+        self.totals
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| *v)
+            .unwrap_or_else(|| panic!("no {name}"))
     }
 }
 
@@ -35,13 +39,20 @@
             None => return Ok(program),
         },
     };
-    let release = if folder.ends_with("release") { " --release" } else { "" };
-    Err(format!("{} {why}: first run `cargo build{release} --locked -p wrenseam`", program.display()))
+    let release = if folder.ends_with("release") {
+        " --release"
+    } else {
+        ""
+    };
+    Err(format!(
+        "{} {why}: first run `cargo build{release} --locked -p wrenseam`",
+        program.display()
+    ))
 }
 
 pub fn folder(name: &str) -> PathBuf {
-    let folder =
-        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("lab-{name}-{}", std::process::id()));
+    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("lab-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     folder
 }
@@ -57,27 +68,52 @@
     std::fs::write(&started, script).expect("written");
     std::fs::set_permissions(&started, PermissionsExt::from_mode(0o755)).expect("set");
     let mut lab = Command::new(exe);
-    lab.arg("run").arg(&file).arg("--out").arg(&folder).arg("--program").arg(&started);
+    lab.arg("run")
+        .arg(&file)
+        .arg("--out")
+        .arg(&folder)
+        .arg("--program")
+        .arg(&started);
     lab.output().expect("the lab runs")
 }
 
 pub fn lab(name: &str, scenario: &str, first: &str) -> Run {
     let out = run(name, scenario, first);
     let text = String::from_utf8_lossy(&out.stdout).into_owned();
-    assert!(out.status.success(), "{text}\n{}", String::from_utf8_lossy(&out.stderr));
-    let line = |tag: &str| text.lines().find_map(|l| l.strip_prefix(tag)).unwrap_or_else(|| panic!("{text}"));
+    assert!(
+        out.status.success(),
+        "{text}\n{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
+    let line = |tag: &str| {
+        text.lines()
+            .find_map(|l| l.strip_prefix(tag))
+            .unwrap_or_else(|| panic!("{text}"))
+    };
     let totals = line("TOTALS ")
         .split(' ')
         .filter_map(|kv| kv.split_once('='))
         .map(|(k, v)| (k.to_owned(), v.parse().expect("a figure")))
         .collect();
     let peers = line("PEERS ").split(',').map(|p| p.parse().ok()).collect();
-    let parts = line("COLD ").split(' ').filter_map(|kv| kv.split_once('=')).map(|(_, v)| v);
+    let parts = line("COLD ")
+        .split(' ')
+        .filter_map(|kv| kv.split_once('='))
+        .map(|(_, v)| v);
     let cold = parts.map(|v| v.parse().expect("a part")).collect();
-    let asked =
-        |tag: &str| text.lines().find_map(|l| l.strip_prefix(tag)).and_then(|l| l.rsplit(['=', ' ']).next());
+    let asked = |tag: &str| {
+        text.lines()
+            .find_map(|l| l.strip_prefix(tag))
+            .and_then(|l| l.rsplit(['=', ' ']).next())
+    };
     let agreed_fronts = asked("AGREED ").and_then(|n| n.parse().ok());
     let wronged = asked("WRONGED ").and_then(|n| n.parse().ok());
     eprintln!("{text}");
-    Run { totals, peers, cold, agreed_fronts, wronged }
+    Run {
+        totals,
+        peers,
+        cold,
+        agreed_fronts,
+        wronged,
+    }
 }
--- a/fleetlab/tests/faults.rs
+++ b/fleetlab/tests/faults.rs
@@ -21,7 +21,10 @@
 #[test]
 fn a_partition_cuts_between_sets_only_and_heals() {
     let mut f = Faults::new(4, 1);
-    f.apply(&Fault { fronts: Some(vec![0, 1]), ..fault("partition") });
+    f.apply(&Fault {
+        fronts: Some(vec![0, 1]),
+        ..fault("partition")
+    });
     assert_eq!(f.datagram(Some(0), 1, 0.5), Datagram::Pass);
     assert_eq!(f.datagram(Some(2), 3, 0.5), Datagram::Pass);
     assert_eq!(f.datagram(Some(0), 2, 0.5), Datagram::Drop);
@@ -33,14 +36,29 @@
 #[test]
 fn losses_copies_and_holds_follow_the_die() {
     let mut f = Faults::new(2, 2);
-    f.apply(&Fault { ratio: Some(0.2), ..fault("drop") });
-    f.apply(&Fault { ratio: Some(0.1), ..fault("duplicate") });
-    f.apply(&Fault { ms: Some(40), ..fault("delay") });
+    f.apply(&Fault {
+        ratio: Some(0.2),
+        ..fault("drop")
+    });
+    f.apply(&Fault {
+        ratio: Some(0.1),
+        ..fault("duplicate")
+    });
+    f.apply(&Fault {
+        ms: Some(40),
+        ..fault("delay")
+    });
     assert_eq!(f.datagram(None, 1, 0.1), Datagram::Drop);
     assert_eq!(f.datagram(None, 1, 0.25), Datagram::Twice);
     assert_eq!(f.datagram(None, 1, 0.5), Datagram::Hold(40));
-    f.apply(&Fault { ratio: Some(0.5), ..fault("reset") });
-    f.apply(&Fault { worker: Some(1), ..fault("blackhole") });
+    f.apply(&Fault {
+        ratio: Some(0.5),
+        ..fault("reset")
+    });
+    f.apply(&Fault {
+        worker: Some(1),
+        ..fault("blackhole")
+    });
     assert_eq!(f.connection(0, 0.4), Connection::Reset);
     assert_eq!(f.connection(0, 0.6), Connection::Pass);
     assert_eq!(f.connection(1, 0.9), Connection::BlackHole);
@@ -49,16 +67,35 @@
 #[test]
 fn named_groups_one_way_cuts_deaf_and_mute_front_ends() {
     let mut f = Faults::new(5, 1);
-    let groups = [("a".to_owned(), vec![0, 1]), ("b".to_owned(), vec![2])].into_iter().collect();
-    f.apply(&Fault { groups: Some(groups), ..fault("partition") });
-    let passes = |f: &Faults, from: usize, to: usize| f.datagram(Some(from), to, 0.5) == Datagram::Pass;
-    assert!(passes(&f, 0, 1) && passes(&f, 3, 4), "within a group, and among those in none");
+    let groups = [("a".to_owned(), vec![0, 1]), ("b".to_owned(), vec![2])]
+        .into_iter()
+        .collect();
+    f.apply(&Fault {
+        groups: Some(groups),
+        ..fault("partition")
+    });
+    let passes =
+        |f: &Faults, from: usize, to: usize| f.datagram(Some(from), to, 0.5) == Datagram::Pass;
+    assert!(
+        passes(&f, 0, 1) && passes(&f, 3, 4),
+        "within a group, and among those in none"
+    );
     assert!(!passes(&f, 0, 2) && !passes(&f, 2, 3) && !passes(&f, 4, 1));
     f.apply(&fault("heal"));
-    f.apply(&Fault { from: Some(0), to: Some(1), ..fault("cut") });
+    f.apply(&Fault {
+        from: Some(0),
+        to: Some(1),
+        ..fault("cut")
+    });
     assert!(!passes(&f, 0, 1) && passes(&f, 1, 0));
-    f.apply(&Fault { front: Some(2), ..fault("deaf") });
-    f.apply(&Fault { front: Some(3), ..fault("mute") });
+    f.apply(&Fault {
+        front: Some(2),
+        ..fault("deaf")
+    });
+    f.apply(&Fault {
+        front: Some(3),
+        ..fault("mute")
+    });
     assert!(!passes(&f, 0, 2) && passes(&f, 2, 0), "a deaf one is heard");
     assert!(!passes(&f, 3, 0) && passes(&f, 0, 3), "a mute one hears");
     f.apply(&fault("heal"));
--- a/scalelab/examples/hollow_front.rs
+++ b/scalelab/examples/hollow_front.rs
@@ -12,7 +12,10 @@
         match told {
             Ok(v) if v >= 1.0 && v <= bound => v,
             _ => {
-                eprintln!("hollow_front: word {} is to be a number from 1 to {bound}", n + 1);
+                eprintln!(
+                    "hollow_front: word {} is to be a number from 1 to {bound}",
+                    n + 1
+                );
                 std::process::exit(2);
             }
         }
--- a/scalelab/src/bursts.rs
+++ b/scalelab/src/bursts.rs
@@ -33,7 +33,11 @@
 
 fn columns(exact: &[&'static str], timed: &[&'static str]) -> Vec<Column> {
     let column = |exact| move |&name: &&'static str| Column { name, exact };
-    exact.iter().map(column(true)).chain(timed.iter().map(column(false))).collect()
+    exact
+        .iter()
+        .map(column(true))
+        .chain(timed.iter().map(column(false)))
+        .collect()
 }
 
 /// Starts so many front ends as the largest size says, each by itself, and adds up what the first of them did: all at
@@ -55,14 +59,25 @@
         let log = front.log.take().unwrap_or_default();
         for (s, each, rows) in &mut apart {
             for &(t, w, call) in &log {
-                *each.entry(((t - START) / SEC + i * *s, w, call)).or_default() += 1;
+                *each
+                    .entry(((t - START) / SEC + i * *s, w, call))
+                    .or_default() += 1;
             }
             if !sizes.contains(&(i + 1)) {
                 continue;
             }
-            let most = |call| each.iter().filter(|(k, _)| k.2 == call).map(|(_, &n)| n).max().unwrap_or(0);
+            let most = |call| {
+                each.iter()
+                    .filter(|(k, _)| k.2 == call)
+                    .map(|(_, &n)| n)
+                    .max()
+                    .unwrap_or(0)
+            };
             let of = |n: u64| n as f64 / (i + 1) as f64;
-            let exact = sum.map(of).into_iter().chain([most(true) as f64, most(false) as f64]);
+            let exact = sum
+                .map(of)
+                .into_iter()
+                .chain([most(true) as f64, most(false) as f64]);
             let timed = [of(list) / 1e6, rest as f64 / 1e3 / sum[0].max(1) as f64];
             rows.push((i + 1, exact.chain(timed).collect()));
         }
@@ -76,7 +91,10 @@
         "most orders at a worker in 1 s",
     ];
     let sweep = |(s, _, rows)| Sweep {
-        title: format!("front ends that start {s} s apart, first 10 s: {}", told(&shape)),
+        title: format!(
+            "front ends that start {s} s apart, first 10 s: {}",
+            told(&shape)
+        ),
         varied: "started",
         columns: columns(&exact, &["ms for the first list", "us/call"]),
         rows,
@@ -86,10 +104,15 @@
 
 fn zone(sizes: &[u64], seed: u64) -> Sweep {
     let play = |&n: &u64| {
-        let shape = Shape { workers: n as usize, ..base(seed) };
+        let shape = Shape {
+            workers: n as usize,
+            ..base(seed)
+        };
         let mut front = Front::new(&shape);
         front.run(41 * SEC);
-        let lost: Vec<usize> = (0..shape.workers).filter(|w| w % shape.zones == 0).collect();
+        let lost: Vec<usize> = (0..shape.workers)
+            .filter(|w| w % shape.zones == 0)
+            .collect();
         // Each step: what it counts, us a call, ms of the list's event, ms of the longest event else.
         let mut step = |change: &dyn Fn(&mut Front), span: u64| {
             let before = front.counts.clone();
@@ -100,7 +123,12 @@
             front.run(span * SEC);
             let calls = (front.counts.calls - before.calls).max(1) as f64;
             let us = front.spent.all() as f64 / 1e3 / calls;
-            (since(&front.counts, &before), us, list, front.spent.longest as f64 / 1e6)
+            (
+                since(&front.counts, &before),
+                us,
+                list,
+                front.spent.longest as f64 / 1e6,
+            )
         };
         let usual = step(&|_| {}, 5);
         let silent = step(&|f| f.lose(&lost), 5);
@@ -131,7 +159,10 @@
         (n, row)
     };
     Sweep {
-        title: format!("workers, a zone of seven lost for 25 s: {}", told(&base(seed))),
+        title: format!(
+            "workers, a zone of seven lost for 25 s: {}",
+            told(&base(seed))
+        ),
         varied: "workers",
         columns: columns(
             &[
@@ -158,7 +189,10 @@
 
 fn list(sizes: &[u64], seed: u64) -> Sweep {
     let play = |&n: &u64| {
-        let shape = Shape { workers: n as usize, ..base(seed) };
+        let shape = Shape {
+            workers: n as usize,
+            ..base(seed)
+        };
         let mut front = Front::new(&shape);
         let first = front.spent.members as f64 / 1e6;
         let holds = front.counts.held as f64 / 1e6;
@@ -187,13 +221,19 @@
         let calls = (front.counts.calls - calls).max(1) as f64;
         let after = front.spent.all() as f64 / 1e3 / calls;
         let allocated = (front.counts.allocated - allocated) as f64 / 1e3 / calls;
-        (n, vec![holds, allocated, first, anew, between, replaced, after])
+        (
+            n,
+            vec![holds, allocated, first, anew, between, replaced, after],
+        )
     };
     Sweep {
         title: format!("workers, the list read anew: {}", told(&base(seed))),
         varied: "workers",
         columns: columns(
-            &["MB held after the first", "KB allocated/call, 5 s after the replacement"],
+            &[
+                "MB held after the first",
+                "KB allocated/call, 5 s after the replacement",
+            ],
             &[
                 "ms for the first list",
                 "ms for the same anew",
--- a/scalelab/src/chart.rs
+++ b/scalelab/src/chart.rs
@@ -17,7 +17,11 @@
         .x_label_area_size(36)
         .y_label_area_size(60)
         .build_cartesian_2d(0.0..most * 1.02, 0.0..1.05f64)?;
-    chart.configure_mesh().x_desc(sweep.varied).y_desc("part of the column's largest").draw()?;
+    chart
+        .configure_mesh()
+        .x_desc(sweep.varied)
+        .y_desc("part of the column's largest")
+        .draw()?;
     for (i, column) in sweep.columns.iter().enumerate() {
         let points = sweep.points(i);
         let top = points.iter().map(|p| p.1.abs()).fold(0.0, f64::max);
@@ -25,9 +29,16 @@
             continue;
         }
         let colour = Palette99::pick(i).stroke_width(2);
-        let label = format!("{} (largest {})", column.name, crate::experiment::figure(top));
+        let label = format!(
+            "{} (largest {})",
+            column.name,
+            crate::experiment::figure(top)
+        );
         chart
-            .draw_series(LineSeries::new(points.into_iter().map(|(x, y)| (x, y / top)), colour))?
+            .draw_series(LineSeries::new(
+                points.into_iter().map(|(x, y)| (x, y / top)),
+                colour,
+            ))?
             .label(label)
             .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour));
     }
--- a/scalelab/src/experiment.rs
+++ b/scalelab/src/experiment.rs
@@ -33,12 +33,21 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Fault::Size { asked, bound } => {
-                write!(f, "size {asked} is not within 1 to {bound}, this test's bound")
+                write!(
+                    f,
+                    "size {asked} is not within 1 to {bound}, this test's bound"
+                )
             }
             Fault::Few { given, least } => {
-                write!(f, "{given} sizes given, a slope needs {least} different ones")
+                write!(
+                    f,
+                    "{given} sizes given, a slope needs {least} different ones"
+                )
             }
-            Fault::Unknown(name) => write!(f, "no experiment is named {name}; `scalelab list` names them"),
+            Fault::Unknown(name) => write!(
+                f,
+                "no experiment is named {name}; `scalelab list` names them"
+            ),
             Fault::Failed(why) => f.write_str(why),
         }
     }
@@ -55,14 +64,24 @@
     /// # Errors
     /// A size out of bounds, or fewer than [`LEAST`] different ones.
     pub fn sizes(&self, named: &[u64]) -> Result<Vec<u64>, Fault> {
-        let mut sizes = if named.is_empty() { self.sizes.to_vec() } else { named.to_vec() };
+        let mut sizes = if named.is_empty() {
+            self.sizes.to_vec()
+        } else {
+            named.to_vec()
+        };
         sizes.sort_unstable();
         sizes.dedup();
         if let Some(&asked) = sizes.iter().find(|&&s| s == 0 || s > self.bound) {
-            return Err(Fault::Size { asked, bound: self.bound });
+            return Err(Fault::Size {
+                asked,
+                bound: self.bound,
+            });
         }
         if sizes.len() < LEAST {
-            return Err(Fault::Few { given: sizes.len(), least: LEAST });
+            return Err(Fault::Few {
+                given: sizes.len(),
+                least: LEAST,
+            });
         }
         Ok(sizes)
     }
@@ -93,7 +112,10 @@
 impl Sweep {
     /// The points of a column.
     pub fn points(&self, column: usize) -> Vec<(f64, f64)> {
-        self.rows.iter().map(|(x, ys)| (*x as f64, ys[column])).collect()
+        self.rows
+            .iter()
+            .map(|(x, ys)| (*x as f64, ys[column]))
+            .collect()
     }
 
     /// The fit of a column; `None` as in [`Fit::of`].
@@ -104,7 +126,9 @@
     /// The table, and a line for each column's fit with its spread.
     pub fn markdown(&self) -> String {
         let mut md = format!("### {}\n\n| {} |", self.title, self.varied);
-        self.columns.iter().for_each(|c| md += &format!(" {} |", c.name));
+        self.columns
+            .iter()
+            .for_each(|c| md += &format!(" {} |", c.name));
         md += "\n| --- |";
         md += &" --- |".repeat(self.columns.len());
         for (x, ys) in &self.rows {
--- a/scalelab/src/fit.rs
+++ b/scalelab/src/fit.rs
@@ -34,7 +34,11 @@
         Some(Fit {
             slope,
             intercept,
-            slope_error: if points.len() > 2 { (rest / (n - 2.0) / sxx).sqrt() } else { 0.0 },
+            slope_error: if points.len() > 2 {
+                (rest / (n - 2.0) / sxx).sqrt()
+            } else {
+                0.0
+            },
             r2: if total > 0.0 { 1.0 - rest / total } else { 1.0 },
             residual: if size > 0.0 { widest / size } else { 0.0 },
             exponent: points
@@ -56,7 +60,10 @@
         return None;
     }
     let n = points.len() as f64;
-    let (mx, my) = (points.iter().map(|p| p.0).sum::<f64>() / n, points.iter().map(|p| p.1).sum::<f64>() / n);
+    let (mx, my) = (
+        points.iter().map(|p| p.0).sum::<f64>() / n,
+        points.iter().map(|p| p.1).sum::<f64>() / n,
+    );
     let sxx: f64 = points.iter().map(|p| (p.0 - mx).powi(2)).sum();
     let sxy: f64 = points.iter().map(|p| (p.0 - mx) * (p.1 - my)).sum();
     (sxx > 0.0).then(|| (sxy / sxx, my - sxy / sxx * mx))
--- a/scalelab/src/gossip.rs
+++ b/scalelab/src/gossip.rs
@@ -54,7 +54,10 @@
 ];
 
 fn columns(names: &[(&'static str, bool)]) -> Vec<Column> {
-    names.iter().map(|&(name, exact)| Column { name, exact }).collect()
+    names
+        .iter()
+        .map(|&(name, exact)| Column { name, exact })
+        .collect()
 }
 
 fn seconds(took: Option<u64>) -> f64 {
@@ -77,7 +80,10 @@
         }
         net.redraw = None;
         net.run(net.now + 3000 * MS);
-        let heard = net.fronts.iter().map(|f| f.news.edges.0 as f64 / f.news.edges.1.max(1) as f64);
+        let heard = net
+            .fronts
+            .iter()
+            .map(|f| f.news.edges.0 as f64 / f.news.edges.1.max(1) as f64);
         let heard = heard.fold(1.0, f64::min);
         net.step(4000);
         let step = net.until(60_000 * MS, |net| net.error().0 <= 0.05);
@@ -110,7 +116,12 @@
         ));
     }
     let title = format!("Gossip for each front end, {title} (probe 500 ms, no loss, seed {seed})");
-    Ok(Sweep { title, varied: "front ends", columns: columns(&COLUMNS), rows })
+    Ok(Sweep {
+        title,
+        varied: "front ends",
+        columns: columns(&COLUMNS),
+        rows,
+    })
 }
 
 /// Simulated seconds over which a steady state is measured.
@@ -138,12 +149,18 @@
 
 /// Loads these front ends with three times their capacity and lets the fleet see it: losing them is a step.
 fn load(net: &mut Net, which: fn(usize) -> bool) {
-    net.fronts.iter_mut().enumerate().filter(|(i, _)| which(*i)).for_each(|(_, f)| f.pressure = 3000);
+    net.fronts
+        .iter_mut()
+        .enumerate()
+        .filter(|(i, _)| which(*i))
+        .for_each(|(_, f)| f.pressure = 3000);
     net.run(net.now + 5000 * MS);
 }
 
 fn zone(net: &Net) -> Vec<usize> {
-    (0..net.fronts.len()).filter(|i| i % ZONES == ZONES - 1).collect()
+    (0..net.fronts.len())
+        .filter(|i| i % ZONES == ZONES - 1)
+        .collect()
 }
 
 /// Twelve in a hundred, as 79 of 660, at least one; not the seeds.
@@ -179,7 +196,12 @@
         lasts: 5_000 * MS,
         end: |net| some(net).into_iter().for_each(|i| net.start(i, 0)),
     },
-    Trouble { name: "1% lost", begin: |net| net.loss = 0.01, lasts: 30_000 * MS, end: |net| net.loss = 0.0 },
+    Trouble {
+        name: "1% lost",
+        begin: |net| net.loss = 0.01,
+        lasts: 30_000 * MS,
+        end: |net| net.loss = 0.0,
+    },
 ];
 
 const TROUBLE_COLUMNS: [(&str, bool); 10] = [
@@ -203,8 +225,16 @@
             let mut net = Net::settled(size as usize, Kind::Average, seed)?;
             rows.push((size, trouble.run(&mut net)));
         }
-        let title = format!("Gossip with the view: {} (probe 500 ms, seed {seed})", trouble.name);
-        sweeps.push(Sweep { title, varied: "front ends", columns: columns(&TROUBLE_COLUMNS), rows });
+        let title = format!(
+            "Gossip with the view: {} (probe 500 ms, seed {seed})",
+            trouble.name
+        );
+        sweeps.push(Sweep {
+            title,
+            varied: "front ends",
+            columns: columns(&TROUBLE_COLUMNS),
+            rows,
+        });
     }
     Ok(sweeps)
 }
@@ -253,10 +283,15 @@
                     net.disagreement(0).is_none(),
                 ];
                 for (since, holds) in since.iter_mut().zip(holds) {
-                    *since = if holds { since.or(Some(net.now - began)) } else { None };
+                    *since = if holds {
+                        since.or(Some(net.now - began))
+                    } else {
+                        None
+                    };
                 }
             }
-            let bytes = (net.tally.sent + net.tally.received - before) as f64 / net.fronts.len() as f64;
+            let bytes =
+                (net.tally.sent + net.tally.received - before) as f64 / net.fronts.len() as f64;
             self.most = self.most.max(bytes);
             self.above += f64::from(u8::from(bytes > 22_000.0));
         }
--- a/scalelab/src/hollow.rs
+++ b/scalelab/src/hollow.rs
@@ -71,11 +71,17 @@
             worth: 1.0,
             ..ClassSettings::default()
         };
-        let tenant = |_| TenantSettings { quota_per_s: self.quota / 5.0, ..TenantSettings::default() };
+        let tenant = |_| TenantSettings {
+            quota_per_s: self.quota / 5.0,
+            ..TenantSettings::default()
+        };
         Settings {
             gateways: self.front_ends,
             index: Some(0),
-            classes: vec![class(Effect::Safe, 400 * MS), class(Effect::Keyed, 400 * MS)],
+            classes: vec![
+                class(Effect::Safe, 400 * MS),
+                class(Effect::Keyed, 400 * MS),
+            ],
             longest_wait: 5 * SEC,
             tenants: (0..5).map(tenant).collect(),
             zones: (0..self.zones).map(|z| format!("z{z}")).collect(),
@@ -134,7 +140,9 @@
     }
 
     fn draw(&self, chance: f64) -> usize {
-        self.0.partition_point(|&s| s <= chance).min(self.0.len() - 1)
+        self.0
+            .partition_point(|&s| s <= chance)
+            .min(self.0.len() - 1)
     }
 
     pub fn part(&self, n: usize) -> f64 {
@@ -190,8 +198,20 @@
     Timer(u64),
     Call,
     Change,
-    End { id: RequestId, attempt: usize, outcome: Outcome, since: Micros, warm: Option<bool> },
-    Answer { worker: usize, function: FunctionId, count: u32, outcome: Outcome, since: Micros },
+    End {
+        id: RequestId,
+        attempt: usize,
+        outcome: Outcome,
+        since: Micros,
+        warm: Option<bool>,
+    },
+    Answer {
+        worker: usize,
+        function: FunctionId,
+        count: u32,
+        outcome: Outcome,
+        since: Micros,
+    },
 }
 
 #[derive(Clone, Copy)]
@@ -214,7 +234,11 @@
             Action::Refuse { id, .. } => Todo::Refuse(id),
             Action::Fail { id } => Todo::Fail(id),
             Action::Timer { delay, token } => Todo::Timer(delay, token),
-            Action::Load { worker, function, count } => Todo::Load(number(&worker), function, count),
+            Action::Load {
+                worker,
+                function,
+                count,
+            } => Todo::Load(number(&worker), function, count),
             Action::Drop { worker, function } => Todo::Drop(number(&worker), function),
             Action::Watch | Action::Log { .. } => Todo::Other,
         }
@@ -275,11 +299,20 @@
 
     /// The same for the front end of this number at this time.
     pub fn at(shape: &Shape, popularity: &Rc<Popularity>, index: u32, now: Micros) -> Front {
-        let seed = shape.seed.wrapping_mul(1_000_003).wrapping_add(u64::from(index));
+        let seed = shape
+            .seed
+            .wrapping_mul(1_000_003)
+            .wrapping_add(u64::from(index));
         let room = 256 + 4 * shape.workers; // never grows, as its growth would count as the module's
         let mut controller = Controller::default();
         let held = measure(|| {
-            controller = Controller::new(Settings { index: Some(index), ..shape.settings() }, seed);
+            controller = Controller::new(
+                Settings {
+                    index: Some(index),
+                    ..shape.settings()
+                },
+                seed,
+            );
         });
         let mut front = Front {
             controller,
@@ -335,8 +368,16 @@
     /// Tells the module of these workers.
     pub fn list(&mut self, full: bool, workers: &[usize], state: WorkerState, started_at: Micros) {
         let shape = self.shape.clone();
-        let entries = || workers.iter().map(|&n| shape.entry(n, state, started_at)).collect();
-        self.feed(|| Event::Members { full, entries: entries() });
+        let entries = || {
+            workers
+                .iter()
+                .map(|&n| shape.entry(n, state, started_at))
+                .collect()
+        };
+        self.feed(|| Event::Members {
+            full,
+            entries: entries(),
+        });
     }
 
     /// The workers whose machines are silent from now on, or no more.
@@ -360,7 +401,9 @@
     /// Lets this span pass.
     pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
-        while let Some((&(at, serial), &due)) = self.due.first_key_value().filter(|(k, _)| k.0 < end) {
+        while let Some((&(at, serial), &due)) =
+            self.due.first_key_value().filter(|(k, _)| k.0 < end)
+        {
             self.due.remove(&(at, serial));
             self.now = at;
             self.happen(due);
@@ -373,22 +416,53 @@
             Due::Timer(token) => self.feed(|| Event::Timer { token }),
             Due::Call => self.call(),
             Due::Change => self.change(),
-            Due::End { id, attempt, outcome, since, warm } => {
+            Due::End {
+                id,
+                attempt,
+                outcome,
+                since,
+                warm,
+            } => {
                 self.ends.remove(&(id, attempt));
                 let closed = outcome == Outcome::Ok;
-                let first = if closed { self.calls.remove(&id).filter(|c| c.first) } else { None };
+                let first = if closed {
+                    self.calls.remove(&id).filter(|c| c.first)
+                } else {
+                    None
+                };
                 self.waits.extend(first.map(|c| since - c.arrived));
                 let elapsed = self.now - since;
                 let (crowd, inflight) = (Some(0), Some(2.0));
-                self.feed(|| Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight });
+                self.feed(|| Event::Outcome {
+                    id,
+                    attempt,
+                    outcome,
+                    elapsed,
+                    closed,
+                    warm,
+                    crowd,
+                    inflight,
+                });
             }
-            Due::Answer { worker, function, count, outcome, since } => {
+            Due::Answer {
+                worker,
+                function,
+                count,
+                outcome,
+                since,
+            } => {
                 let elapsed = self.now - since;
                 if count > 0 {
                     let until = self.now + self.shape.keep;
                     self.warm.insert((function as usize, worker), until);
                 }
-                self.feed(|| Event::Loaded { worker: name(worker), function, count, outcome, elapsed });
+                self.feed(|| Event::Loaded {
+                    worker: name(worker),
+                    function,
+                    count,
+                    outcome,
+                    elapsed,
+                });
             }
         }
     }
@@ -402,7 +476,15 @@
         let id = self.counts.calls;
         let first = self.met.insert(n);
         self.counts.first += u64::from(first);
-        self.calls.insert(id, Call { function: n, arrived: self.now, first, attempts: 0 });
+        self.calls.insert(
+            id,
+            Call {
+                function: n,
+                arrived: self.now,
+                first,
+                attempts: 0,
+            },
+        );
         let (class, tenant) = ((mark % 2) as usize, Some((mark >> 8) as usize % 5));
         let (left, load_time) = (4 * SEC, self.shape.load);
         let (memory_mb, lanes, retry, function) = (500.0, 4, false, n as u64);
@@ -436,12 +518,19 @@
 
     /// Whether a copy stands there: ours, or by the calls of the others, which go where ours go.
     fn stands(&mut self, function: usize, worker: usize) -> bool {
-        if self.warm.get(&(function, worker)).is_some_and(|&t| t > self.now) {
+        if self
+            .warm
+            .get(&(function, worker))
+            .is_some_and(|&t| t > self.now)
+        {
             return true;
         }
         let peers = f64::from(self.shape.front_ends.saturating_sub(1));
-        let others =
-            if self.shape.others && !self.emptied.contains(&worker) { self.shape.calls * peers } else { 0.0 };
+        let others = if self.shape.others && !self.emptied.contains(&worker) {
+            self.shape.calls * peers
+        } else {
+            0.0
+        };
         let rate = others * self.popularity.part(function) * self.shape.keep as f64 / SEC as f64;
         self.chance() < 1.0 - (-rate).exp()
     }
@@ -468,7 +557,13 @@
             self.todo.extend(self.out.drain(..).map(Todo::from));
         });
         let s = &mut self.spent;
-        *[&mut s.request, &mut s.outcome, &mut s.timer, &mut s.members, &mut s.loaded][slot] += took;
+        *[
+            &mut s.request,
+            &mut s.outcome,
+            &mut s.timer,
+            &mut s.members,
+            &mut s.loaded,
+        ][slot] += took;
         self.spent.longest = self.spent.longest.max(took);
         self.counts.events += 1;
         self.counts.allocations += inside.count_total;
@@ -487,7 +582,13 @@
                 self.counts.cancels += 1;
                 if let Some(key) = self.ends.remove(&(id, attempt)) {
                     if let Some(Due::End { since, .. }) = self.due.remove(&key) {
-                        let end = Due::End { id, attempt, outcome: Outcome::Cancelled, since, warm: None };
+                        let end = Due::End {
+                            id,
+                            attempt,
+                            outcome: Outcome::Cancelled,
+                            since,
+                            warm: None,
+                        };
                         let key = self.plan(0, end);
                         self.ends.insert((id, attempt), key);
                     }
@@ -508,7 +609,9 @@
             Todo::Load(worker, function, wanted) => {
                 let since = self.now;
                 let f = function as usize;
-                self.log.iter_mut().for_each(|l| l.push((since, worker, false)));
+                self.log
+                    .iter_mut()
+                    .for_each(|l| l.push((since, worker, false)));
                 if wanted > 0 {
                     self.counts.orders += 1
                 } else {
@@ -516,13 +619,39 @@
                 }
                 if self.away.contains(&worker) {
                     let (count, outcome) = (0, Outcome::ConnectFailed);
-                    self.plan(AWAY, Due::Answer { worker, function, count, outcome, since });
+                    self.plan(
+                        AWAY,
+                        Due::Answer {
+                            worker,
+                            function,
+                            count,
+                            outcome,
+                            since,
+                        },
+                    );
                     return;
                 }
                 let stands = self.stands(f, worker);
-                let took = if wanted > 0 && !stands { self.shape.load } else { 0 } + MS;
-                let count = if wanted > 0 { wanted } else { u32::from(stands) };
-                self.plan(took, Due::Answer { worker, function, count, outcome: Outcome::Ok, since });
+                let took = if wanted > 0 && !stands {
+                    self.shape.load
+                } else {
+                    0
+                } + MS;
+                let count = if wanted > 0 {
+                    wanted
+                } else {
+                    u32::from(stands)
+                };
+                self.plan(
+                    took,
+                    Due::Answer {
+                        worker,
+                        function,
+                        count,
+                        outcome: Outcome::Ok,
+                        since,
+                    },
+                );
             }
             Todo::Drop(worker, function) => {
                 self.counts.drops += 1;
@@ -536,12 +665,20 @@
         self.counts.sends += 1;
         let now = self.now;
         self.log.iter_mut().for_each(|l| l.push((now, w, true)));
-        let Some(call) = self.calls.get_mut(&id) else { return };
+        let Some(call) = self.calls.get_mut(&id) else {
+            return;
+        };
         let (f, attempt, since) = (call.function, call.attempts, self.now);
         call.attempts += 1;
         if self.away.contains(&w) {
             self.counts.nobody += 1;
-            let end = Due::End { id, attempt, outcome: Outcome::ConnectFailed, since, warm: None };
+            let end = Due::End {
+                id,
+                attempt,
+                outcome: Outcome::ConnectFailed,
+                since,
+                warm: None,
+            };
             let key = self.plan(AWAY, end);
             self.ends.insert((id, attempt), key);
             return;
@@ -551,11 +688,24 @@
         self.counts.cold += u64::from(!stands);
         let service = (25.0 + 50.0 * self.chance()) as Micros * MS;
         let load = if stands { 0 } else { self.shape.load };
-        let (outcome, took) = if miss { (Outcome::Miss, MS) } else { (Outcome::Ok, MS + service + load) };
+        let (outcome, took) = if miss {
+            (Outcome::Miss, MS)
+        } else {
+            (Outcome::Ok, MS + service + load)
+        };
         if !miss {
             self.warm.insert((f, w), self.now + took + self.shape.keep);
         }
-        let key = self.plan(took, Due::End { id, attempt, outcome, since, warm: (!miss).then_some(stands) });
+        let key = self.plan(
+            took,
+            Due::End {
+                id,
+                attempt,
+                outcome,
+                since,
+                warm: (!miss).then_some(stands),
+            },
+        );
         self.ends.insert((id, attempt), key);
     }
 }
--- a/scalelab/src/links.rs
+++ b/scalelab/src/links.rs
@@ -74,7 +74,13 @@
 
 /// The functions' parts of all calls, by rank.
 pub fn shares(spread: Spread) -> Vec<f64> {
-    let weight = |rank: u64| if spread == Spread::Zipf { (rank as f64).powf(-ZIPF) } else { 1.0 };
+    let weight = |rank: u64| {
+        if spread == Spread::Zipf {
+            (rank as f64).powf(-ZIPF)
+        } else {
+            1.0
+        }
+    };
     let weights: Vec<f64> = (1..=FUNCTIONS).map(weight).collect();
     let all: f64 = weights.iter().sum();
     weights.into_iter().map(|w| w / all).collect()
@@ -94,7 +100,12 @@
 
 /// One client: calls at seeded Poisson times until `stop`.
 fn client(
-    to: std::net::SocketAddr, rate: f64, seed: u64, ranks: &[f64], load: Duration, stop: &AtomicBool,
+    to: std::net::SocketAddr,
+    rate: f64,
+    seed: u64,
+    ranks: &[f64],
+    load: Duration,
+    stop: &AtomicBool,
     answers: &Answers,
 ) {
     let mut chance = Pcg64::seed_from_u64(seed);
@@ -137,33 +148,60 @@
 }
 
 /// One row: so many workers, calls a second and descriptors.
-fn measure(workers: u64, rate: u64, sockets: usize, spread: Spread, seed: u64) -> Result<Vec<f64>, Fault> {
-    let work = Work { load: Duration::from_millis(100), call: Duration::from_millis(5) };
+fn measure(
+    workers: u64,
+    rate: u64,
+    sockets: usize,
+    spread: Spread,
+    seed: u64,
+) -> Result<Vec<f64>, Fault> {
+    let work = Work {
+        load: Duration::from_millis(100),
+        call: Duration::from_millis(5),
+    };
     let yard = Yard::start(workers, work)?;
-    let told = Told { known: (1, vec![event(1, true, &yard.list)]), sockets, seed, ..Told::default() };
+    let told = Told {
+        known: (1, vec![event(1, true, &yard.list)]),
+        sockets,
+        seed,
+        ..Told::default()
+    };
     let program = Program::start(&told)?;
-    let (stop, answers) = (Arc::new(AtomicBool::new(false)), Arc::new(Answers::default()));
+    let (stop, answers) = (
+        Arc::new(AtomicBool::new(false)),
+        Arc::new(Answers::default()),
+    );
     let parts = shares(spread);
     let (w, r) = (workers as f64, rate as f64);
     let (standing_worked, share_worked) = worked_out(w, r, KEPT_FOR, &parts, most(sockets));
     // Summed up, so that a number from 0 to 1 draws a function.
-    let ranks = parts.iter().scan(0.0, |sum, part| (*sum += part, Some(*sum)).1).collect::<Vec<f64>>();
+    let ranks = parts
+        .iter()
+        .scan(0.0, |sum, part| (*sum += part, Some(*sum)).1)
+        .collect::<Vec<f64>>();
     let ranks = Arc::new(ranks);
     for n in 0..CLIENTS {
-        let (stop, answers, ranks, to) = (stop.clone(), answers.clone(), ranks.clone(), program.kserve);
+        let (stop, answers, ranks, to) =
+            (stop.clone(), answers.clone(), ranks.clone(), program.kserve);
         let (each, seed) = (rate as f64 / CLIENTS as f64, seed << 16 | n);
         rig::thread(move || client(to, each, seed, &ranks, work.load, &stop, &answers))?;
     }
     std::thread::sleep(WARM);
     let counted = yard.tally.counts();
-    let (served, other) = (answers.served.load(Ordering::Relaxed), answers.other.load(Ordering::Relaxed));
+    let (served, other) = (
+        answers.served.load(Ordering::Relaxed),
+        answers.other.load(Ordering::Relaxed),
+    );
     rig::lock(&answers.times).clear();
     rig::lock(&yard.tally.called).clear();
     let (before, since) = (program.usage()?, Instant::now());
     let (mut descriptors, mut standing, mut looks) = (0, 0, 0);
     while since.elapsed() < ACROSS {
         descriptors = descriptors.max(program.usage()?.descriptors);
-        (standing, looks) = (standing + yard.tally.standing.load(Ordering::Relaxed), looks + 1);
+        (standing, looks) = (
+            standing + yard.tally.standing.load(Ordering::Relaxed),
+            looks + 1,
+        );
         std::thread::sleep(Duration::from_millis(100));
     }
     let after = program.usage()?;
@@ -215,21 +253,36 @@
     for sockets in [1_024, 16_384] {
         let row = |&w: &u64| Ok((w, measure(w, CALLS, sockets, Spread::Even, seed)?));
         let rows = sizes.iter().map(row).collect::<Result<_, Fault>>()?;
-        let title =
-            format!("Connections at {CALLS} calls/s, {FUNCTIONS} functions evenly, {sockets} descriptors");
-        sweeps.push(Sweep { title, varied: "workers", columns: columns(), rows });
+        let title = format!(
+            "Connections at {CALLS} calls/s, {FUNCTIONS} functions evenly, {sockets} descriptors"
+        );
+        sweeps.push(Sweep {
+            title,
+            varied: "workers",
+            columns: columns(),
+            rows,
+        });
     }
     Ok(sweeps)
 }
 
 fn by_calls(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, Fault> {
     let mut sweeps = Vec::new();
-    for (spread, told) in [(Spread::Even, "evenly"), (Spread::Zipf, "by Zipf with exponent 1.65")] {
+    for (spread, told) in [
+        (Spread::Even, "evenly"),
+        (Spread::Zipf, "by Zipf with exponent 1.65"),
+    ] {
         let row = |&r: &u64| Ok((r, measure(4_000, r, 1_024, spread, seed)?));
         let rows = sizes.iter().map(row).collect::<Result<_, Fault>>()?;
-        let title =
-            format!("Connections before 4,000 workers, {FUNCTIONS} functions {told}, 1,024 descriptors");
-        sweeps.push(Sweep { title, varied: "calls a second", columns: columns(), rows });
+        let title = format!(
+            "Connections before 4,000 workers, {FUNCTIONS} functions {told}, 1,024 descriptors"
+        );
+        sweeps.push(Sweep {
+            title,
+            varied: "calls a second",
+            columns: columns(),
+            rows,
+        });
     }
     Ok(sweeps)
 }
--- a/scalelab/src/main.rs
+++ b/scalelab/src/main.rs
@@ -35,12 +35,19 @@
 
 fn run(name: &str, sizes: &[u64], seed: u64, charts: Option<PathBuf>) -> Result<(), Fault> {
     let all = experiments();
-    let experiment = all.iter().find(|e| e.name == name).ok_or_else(|| Fault::Unknown(name.into()))?;
-    for (i, sweep) in (experiment.run)(&experiment.sizes(sizes)?, seed)?.iter().enumerate() {
+    let experiment = all
+        .iter()
+        .find(|e| e.name == name)
+        .ok_or_else(|| Fault::Unknown(name.into()))?;
+    for (i, sweep) in (experiment.run)(&experiment.sizes(sizes)?, seed)?
+        .iter()
+        .enumerate()
+    {
         println!("{}", sweep.markdown());
         if let Some(folder) = &charts {
             let path = folder.join(format!("{name}-{}.svg", i + 1));
-            chart::draw(sweep, &path).map_err(|e| Fault::Failed(format!("{}: {e}", path.display())))?;
+            chart::draw(sweep, &path)
+                .map_err(|e| Fault::Failed(format!("{}: {e}", path.display())))?;
         }
     }
     Ok(())
@@ -50,11 +57,19 @@
     let result = match Cli::parse().command {
         Order::List => {
             for e in experiments() {
-                println!("{}: {} Sizes {:?}, {} at the most.", e.name, e.about, e.sizes, e.bound);
+                println!(
+                    "{}: {} Sizes {:?}, {} at the most.",
+                    e.name, e.about, e.sizes, e.bound
+                );
             }
             Ok(())
         }
-        Order::Run { name, sizes, seed, charts } => run(&name, &sizes, seed, charts),
+        Order::Run {
+            name,
+            sizes,
+            seed,
+            charts,
+        } => run(&name, &sizes, seed, charts),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/scalelab/src/module.rs
+++ b/scalelab/src/module.rs
@@ -93,7 +93,10 @@
 
 /// What is held while one thing is varied: the size to plan with.
 pub fn base(seed: u64) -> Shape {
-    Shape { seed, ..Shape::default() }
+    Shape {
+        seed,
+        ..Shape::default()
+    }
 }
 
 /// The shape in words, for a title.
@@ -111,7 +114,11 @@
 
 /// Varies one thing of a shape; times are the median of so many plays, one at the least.
 pub fn sweep(
-    plays: usize, what: &'static str, sizes: &[u64], held: &Shape, vary: impl Fn(&mut Shape, u64),
+    plays: usize,
+    what: &'static str,
+    sizes: &[u64],
+    held: &Shape,
+    vary: impl Fn(&mut Shape, u64),
 ) -> Sweep {
     let rows = sizes.iter().map(|&n| {
         let mut shape = held.clone();
@@ -120,9 +127,17 @@
         all.sort_by(|a, b| a.1[0].total_cmp(&b.1[0]));
         let (exact, [us, timer]) = all[all.len() / 2];
         let (least, most) = (all[0].1[0], all[all.len() - 1].1[0]);
-        (n, exact.into_iter().chain([us, least, most, timer]).collect())
+        (
+            n,
+            exact.into_iter().chain([us, least, most, timer]).collect(),
+        )
     });
-    Sweep { title: format!("{what}: {}", told(held)), varied: what, columns: columns(), rows: rows.collect() }
+    Sweep {
+        title: format!("{what}: {}", told(held)),
+        varied: what,
+        columns: columns(),
+        rows: rows.collect(),
+    }
 }
 
 /// The columns of [`sweep`].
@@ -138,7 +153,11 @@
     ];
     let timed = ["us/call", "least", "most", "timers, us/s"];
     let column = |exact| move |name| Column { name, exact };
-    exact.into_iter().map(column(true)).chain(timed.into_iter().map(column(false))).collect()
+    exact
+        .into_iter()
+        .map(column(true))
+        .chain(timed.into_iter().map(column(false)))
+        .collect()
 }
 
 /// Plays a shape until it has come to its level, then for as many seconds as `MEASURED` says.
@@ -162,16 +181,33 @@
         second(c.questions, before.questions),
         second(c.refused + c.failed, before.refused + before.failed),
     ];
-    (exact, [s.all() as f64 / 1e3 / calls, s.timer as f64 / 1e3 / measured as f64])
+    (
+        exact,
+        [
+            s.all() as f64 / 1e3 / calls,
+            s.timer as f64 / 1e3 / measured as f64,
+        ],
+    )
 }
 
 fn hour(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, Fault> {
-    let exact = ["MB held", "functions met", "KB allocated/call", "orders/s"].map(|name| (name, true));
+    let exact =
+        ["MB held", "functions met", "KB allocated/call", "orders/s"].map(|name| (name, true));
     let columns = exact.into_iter().chain([("us/call", false)]);
-    let columns: Vec<_> = columns.map(|(name, exact)| Column { name, exact }).collect();
+    let columns: Vec<_> = columns
+        .map(|(name, exact)| Column { name, exact })
+        .collect();
     let shapes = [
-        Shape { changes: 0.1, ..base(seed) },
-        Shape { changes: 0.1, exponent: 1.0, offset: 0.0, ..base(seed) },
+        Shape {
+            changes: 0.1,
+            ..base(seed)
+        },
+        Shape {
+            changes: 0.1,
+            exponent: 1.0,
+            offset: 0.0,
+            ..base(seed)
+        },
     ];
     let play = |shape: &Shape| {
         let (mut front, mut minute) = (Front::new(shape), 0);
@@ -187,7 +223,10 @@
             let kb = (c.allocated - before.allocated) as f64 / 1e3 / calls;
             let orders = (c.orders - before.orders) as f64 / seconds;
             let us = front.spent.all() as f64 / 1e3 / calls;
-            (n, vec![c.held as f64 / 1e6, front.met() as f64, kb, orders, us])
+            (
+                n,
+                vec![c.held as f64 / 1e6, front.met() as f64, kb, orders, us],
+            )
         };
         let rows = sizes.iter().map(row).collect();
         Sweep {
--- a/scalelab/src/net.rs
+++ b/scalelab/src/net.rs
@@ -64,7 +64,10 @@
     }
 
     fn publish(&mut self, now: u64, own: u32, seeds: &[SocketAddr]) -> FleetNews {
-        let summary = Summary { pressure: own, ..Summary::default() };
+        let summary = Summary {
+            pressure: own,
+            ..Summary::default()
+        };
         match self {
             Program::Average(n) => n.publish(now, summary),
             Program::Summaries(s) => {
@@ -93,7 +96,11 @@
     fn outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         match self {
             Program::Average(n) => n.outbox(),
-            Program::Summaries(s) => s.outbox().into_iter().map(|out| (out.to, out.bytes)).collect(),
+            Program::Summaries(s) => s
+                .outbox()
+                .into_iter()
+                .map(|out| (out.to, out.bytes))
+                .collect(),
         }
     }
 }
@@ -276,7 +283,8 @@
     /// incarnation is smaller than the one before.
     pub fn start_set_back(&mut self, i: usize, after: u64) {
         let before = self.fronts[i].incarnation;
-        self.fronts[i].incarnation = before.saturating_sub(3_600_000_000 + self.now + after + 1_000_000);
+        self.fronts[i].incarnation =
+            before.saturating_sub(3_600_000_000 + self.now + after + 1_000_000);
         self.start(i, after);
     }
 
@@ -300,11 +308,17 @@
     /// what; `None`: all agree, and are right.
     pub fn disagreement(&self, side: u8) -> Option<String> {
         let on_side = (0..self.fronts.len()).filter(|&i| self.fronts[i].side == side);
-        let running: Vec<(usize, &Node)> = on_side.filter_map(|i| Some((i, self.node(i)?))).collect();
+        let running: Vec<(usize, &Node)> =
+            on_side.filter_map(|i| Some((i, self.node(i)?))).collect();
         let (first, node) = running.first()?;
         let digest = node.members().digest().0;
-        if let Some((other, _)) = running.iter().find(|(_, node)| node.members().digest().0 != digest) {
-            let wrong = self.wrong_in(*other, &running).or_else(|| self.wrong_in(*first, &running));
+        if let Some((other, _)) = running
+            .iter()
+            .find(|(_, node)| node.members().digest().0 != digest)
+        {
+            let wrong = self
+                .wrong_in(*other, &running)
+                .or_else(|| self.wrong_in(*first, &running));
             return Some(wrong.unwrap_or(format!("{other} has another digest than {first}")));
         }
         self.wrong_in(*first, &running)
@@ -313,23 +327,37 @@
     /// What front end `i` has wrong of those that run.
     fn wrong_in(&self, i: usize, running: &[(usize, &Node)]) -> Option<String> {
         let directory = self.node(i)?.members().directory();
-        let truth: Vec<&Record> = running.iter().map(|(_, node)| node.members().directory().own()).collect();
+        let truth: Vec<&Record> = running
+            .iter()
+            .map(|(_, node)| node.members().directory().own())
+            .collect();
         let alive: BTreeSet<PeerId> = directory.alive().collect();
         let others = || truth.iter().filter(|record| record.owner != addr(i));
         let should: BTreeSet<PeerId> = others().map(|record| record.id()).collect();
         if let Some(id) = alive.symmetric_difference(&should).next() {
-            let how = if alive.contains(id) { "wrongly alive" } else { "missing" };
+            let how = if alive.contains(id) {
+                "wrongly alive"
+            } else {
+                "missing"
+            };
             let (known, right) = (alive.len(), should.len());
-            return Some(format!("{i} has {} {how} ({known} alive, {right} right)", number(id.addr)));
+            return Some(format!(
+                "{i} has {} {how} ({known} alive, {right} right)",
+                number(id.addr)
+            ));
         }
-        let other = others().find(|record| directory.record(record.owner).as_ref() != Some(**record))?;
+        let other =
+            others().find(|record| directory.record(record.owner).as_ref() != Some(**record))?;
         Some(format!("{i} has another record of {}", number(other.owner)))
     }
 
     fn flush(&mut self, i: usize) {
-        let Some(program) = self.fronts[i].program.as_mut() else { return };
+        let Some(program) = self.fronts[i].program.as_mut() else {
+            return;
+        };
         let out = program.outbox();
-        out.into_iter().for_each(|(to, bytes)| self.send(i, to, bytes));
+        out.into_iter()
+            .for_each(|(to, bytes)| self.send(i, to, bytes));
     }
 
     /// Starts front end `i` in a new incarnation `after` microseconds from now.
@@ -347,7 +375,10 @@
         f.kind = kind;
         f.program = Some(match kind {
             Kind::Average => {
-                let swim = SwimSettings { extra_transmissions: EXTRA_TRANSMISSIONS, ..self.settings };
+                let swim = SwimSettings {
+                    extra_transmissions: EXTRA_TRANSMISSIONS,
+                    ..self.settings
+                };
                 let facts = Facts {
                     lifecycle: Lifecycle::Ready,
                     zone: format!("zone-{}", i % ZONES),
@@ -355,12 +386,20 @@
                     config_digest: 7,
                     ..Facts::default()
                 };
-                let settings = NodeSettings { swim, facts, seeds: self.seeds.clone(), summaries: true };
+                let settings = NodeSettings {
+                    swim,
+                    facts,
+                    seeds: self.seeds.clone(),
+                    summaries: true,
+                };
                 Program::Average(Box::new(Node::new(addr(i), f.incarnation, settings, seed)))
             }
-            Kind::Summaries => {
-                Program::Summaries(Box::new(Swim::new(addr(i), f.incarnation, self.settings, seed)))
-            }
+            Kind::Summaries => Program::Summaries(Box::new(Swim::new(
+                addr(i),
+                f.incarnation,
+                self.settings,
+                seed,
+            ))),
         });
         f.publish_at = at;
         f.news = FleetNews::default();
@@ -392,7 +431,9 @@
     /// Runs until the time is `until`, in simulated microseconds.
     pub fn run(&mut self, until: u64) {
         while self.queue.peek().is_some_and(|Reverse(e)| e.0 <= until) {
-            let Some(Reverse((at, _, i, bytes))) = self.queue.pop() else { break };
+            let Some(Reverse((at, _, i, bytes))) = self.queue.pop() else {
+                break;
+            };
             self.now = at;
             let f = &mut self.fronts[i];
             if bytes.is_empty() && at != f.wake_at {
@@ -404,7 +445,9 @@
                 }
                 continue;
             }
-            let Some(program) = f.program.as_mut() else { continue };
+            let Some(program) = f.program.as_mut() else {
+                continue;
+            };
             let began = Instant::now();
             if bytes.is_empty() {
                 program.tick(at);
@@ -421,7 +464,11 @@
             }
             for (at, event) in program.events() {
                 if let PeerEvent::Down(id) = event {
-                    self.downs.push(Down { at, by: i, of: number(id.addr) });
+                    self.downs.push(Down {
+                        at,
+                        by: i,
+                        of: number(id.addr),
+                    });
                 }
             }
             let out = program.outbox();
@@ -456,7 +503,11 @@
             }
             // Half a millisecond to two within a region, 20 to 30 between them.
             let far = (from % ZONES < 4) != (to % ZONES < 4);
-            let delay = if far { 20 * MS..30 * MS } else { MS / 2..2 * MS };
+            let delay = if far {
+                20 * MS..30 * MS
+            } else {
+                MS / 2..2 * MS
+            };
             let at = self.now + self.rng.random_range(delay);
             self.push(at, to, bytes.clone());
         }
@@ -464,8 +515,13 @@
 
     /// The true mean pressure, in thousandths, of the front ends that run on `side`, and how many they are.
     pub fn truth(&self, side: u8) -> (f64, usize) {
-        let up = self.fronts.iter().filter(|f| f.program.is_some() && f.side == side);
-        let (sum, n) = up.fold((0.0, 0), |(s, n), f| (s + f64::from(f.pressure.min(MAX_PRESSURE)), n + 1));
+        let up = self
+            .fronts
+            .iter()
+            .filter(|f| f.program.is_some() && f.side == side);
+        let (sum, n) = up.fold((0.0, 0), |(s, n), f| {
+            (s + f64::from(f.pressure.min(MAX_PRESSURE)), n + 1)
+        });
         (sum / n.max(1) as f64, n)
     }
 
@@ -476,8 +532,9 @@
             let t = truth[usize::from(f.side)];
             (f64::from(f.news.pressure) - t).abs() / t.max(1.0)
         });
-        let (most, sum, n) =
-            errors.fold((0.0, 0.0, 0.0), |(m, s, n), e| (f64::max(m, e), s + e * e, n + 1.0));
+        let (most, sum, n) = errors.fold((0.0, 0.0, 0.0), |(m, s, n), e| {
+            (f64::max(m, e), s + e * e, n + 1.0)
+        });
         (most, f64::sqrt(sum / f64::max(n, 1.0)))
     }
 
@@ -512,13 +569,18 @@
     pub fn settled(n: usize, kind: Kind, seed: u64) -> Result<Net, Fault> {
         let mut net = Net::new(n, kind, seed);
         net.until(180_000 * MS, |net| net.size_error() == 0.0)
-            .ok_or(Fault::Failed(format!("{n} front ends had not found each other within 180 s")))?;
+            .ok_or(Fault::Failed(format!(
+                "{n} front ends had not found each other within 180 s"
+            )))?;
         net.run(net.now + 10_000 * MS);
         Ok(net)
     }
 
     /// A step of the load: the front ends of one zone go to `to` thousandths.
     pub fn step(&mut self, to: u32) {
-        self.fronts.iter_mut().step_by(ZONES).for_each(|f| f.pressure = to);
+        self.fronts
+            .iter_mut()
+            .step_by(ZONES)
+            .for_each(|f| f.pressure = to);
     }
 }
--- a/scalelab/src/process.rs
+++ b/scalelab/src/process.rs
@@ -90,14 +90,21 @@
 pub fn part_of(times: &mut [f64], part: f64) -> f64 {
     times.sort_by(f64::total_cmp);
     let last = times.len().saturating_sub(1);
-    times.get((last as f64 * part).round() as usize).copied().unwrap_or(0.0)
+    times
+        .get((last as f64 * part).round() as usize)
+        .copied()
+        .unwrap_or(0.0)
 }
 
 /// Waits until a process has taken so many members.
 fn listed(program: &mut Program, workers: u64) -> Result<(), Fault> {
     let mut seen = 0;
     until("the whole list is taken", Duration::from_millis(10), || {
-        seen += program.news().lines().filter(|l| l.starts_with("member ")).count() as u64;
+        seen += program
+            .news()
+            .lines()
+            .filter(|l| l.starts_with("member "))
+            .count() as u64;
         seen >= workers
     })
 }
@@ -112,7 +119,11 @@
     let mut rows = Vec::new();
     for &workers in sizes {
         let board = Board::start(parts(&hollow(workers), PART))?;
-        let told = Told { board: Some(board.address), seed, ..Told::default() };
+        let told = Told {
+            board: Some(board.address),
+            seed,
+            ..Told::default()
+        };
         let mut program = Program::start(&told)?;
         listed(&mut program, workers)?;
         let (whole, started) = (program.since.elapsed(), program.usage()?);
@@ -139,15 +150,28 @@
         measured("ms of processor to there"),
     ];
     let title = "An idle process against the workers listed; 10 s each, nobody calls".to_owned();
-    Ok(vec![Sweep { title, varied: "workers", columns, rows }])
+    Ok(vec![Sweep {
+        title,
+        varied: "workers",
+        columns,
+        rows,
+    }])
 }
 
 /// The event in which worker `n` of a list gives way to a new one at its address.
 fn replaced(rev: u64, n: u64, workers: u64) -> String {
     let (round, place) = (n / workers, n % workers);
-    let address = format!("127.{}.{}.{}:8443", 1 + (place >> 16), (place >> 8) & 255, place & 255);
+    let address = format!(
+        "127.{}.{}.{}:8443",
+        1 + (place >> 16),
+        (place >> 8) & 255,
+        place & 255
+    );
     let id = |round: u64| place + round * 0x10_0000;
-    let now = [instance(id(round), &address, "gone"), instance(id(round + 1), &address, "ready")];
+    let now = [
+        instance(id(round), &address, "gone"),
+        instance(id(round + 1), &address, "ready"),
+    ];
     event(rev, false, &now)
 }
 
@@ -157,7 +181,11 @@
         let mut rows = Vec::new();
         for &rate in sizes {
             let board = Board::start(parts(&hollow(workers), PART))?;
-            let told = Told { board: Some(board.address), seed, ..Told::default() };
+            let told = Told {
+                board: Some(board.address),
+                seed,
+                ..Told::default()
+            };
             let mut program = Program::start(&told)?;
             listed(&mut program, workers)?;
             std::thread::sleep(SETTLE);
@@ -189,8 +217,15 @@
             exact("bytes/s"),
             measured("MiB grown in 10 s"),
         ];
-        let title = format!("List changes: one process, {workers} workers, each change an instance replaced");
-        sweeps.push(Sweep { title, varied: "changes a second", columns, rows });
+        let title = format!(
+            "List changes: one process, {workers} workers, each change an instance replaced"
+        );
+        sweeps.push(Sweep {
+            title,
+            varied: "changes a second",
+            columns,
+            rows,
+        });
     }
     Ok(sweeps)
 }
@@ -198,7 +233,10 @@
 /// The worker that shows in a log that what was told last has been taken.
 fn marker(n: u64) -> (String, String) {
     let id = 0xF000_0000 + n;
-    (instance(id, &format!("127.200.0.{n}:8443"), "ready"), format!("member s-{id:08x}: Ready"))
+    (
+        instance(id, &format!("127.200.0.{n}:8443"), "ready"),
+        format!("member s-{id:08x}: Ready"),
+    )
 }
 
 /// What it took to have the whole list again.
@@ -218,19 +256,37 @@
 pub fn told_anew(workers: u64, missed: u64, seed: u64) -> Result<Anew, Fault> {
     let mut list = hollow(workers);
     let board = Board::start(vec![(1, event(1, true, &list))])?;
-    let told = Told { board: Some(board.address), seed, ..Told::default() };
+    let told = Told {
+        board: Some(board.address),
+        seed,
+        ..Told::default()
+    };
     let mut program = Program::start(&told)?;
     listed(&mut program, workers)?;
     let (shown, says) = marker(1);
     list.push(shown);
     board.cut(vec![(1 + missed, event(1 + missed, true, &list))]);
-    until("the process has lost its board", Duration::from_millis(5), || board.turned_away() > 1)?;
-    let (bytes, calls, before, since) = (board.bytes(), board.calls(), program.usage()?, Instant::now());
+    until(
+        "the process has lost its board",
+        Duration::from_millis(5),
+        || board.turned_away() > 1,
+    )?;
+    let (bytes, calls, before, since) = (
+        board.bytes(),
+        board.calls(),
+        program.usage()?,
+        Instant::now(),
+    );
     board.up();
     program.says(&says)?;
     let (time, after) = (since.elapsed(), program.usage()?);
     let (bytes, calls) = (board.bytes() - bytes, board.calls() - calls);
-    Ok(Anew { bytes, calls, time, cpu: after.cpu - before.cpu })
+    Ok(Anew {
+        bytes,
+        calls,
+        time,
+        cpu: after.cpu - before.cpu,
+    })
 }
 
 fn anew(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, Fault> {
@@ -239,7 +295,12 @@
         let mut row = Vec::new();
         // One event missed, or five, so that the numbers show a gap.
         for missed in [1, 5] {
-            let Anew { bytes, calls, time, cpu } = told_anew(workers, missed, seed)?;
+            let Anew {
+                bytes,
+                calls,
+                time,
+                cpu,
+            } = told_anew(workers, missed, seed)?;
             row.extend([bytes as f64, calls as f64, ms(time), ms(cpu)]);
         }
         rows.push((workers, row));
@@ -255,7 +316,12 @@
         measured("ms of processor "),
     ];
     let title = "The whole list told anew after a cut board, one process".to_owned();
-    Ok(vec![Sweep { title, varied: "workers", columns, rows }])
+    Ok(vec![Sweep {
+        title,
+        varied: "workers",
+        columns,
+        rows,
+    }])
 }
 
 fn redial(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, Fault> {
@@ -336,8 +402,14 @@
 fn restart(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, Fault> {
     let mut sweeps = Vec::new();
     for (known, title) in [
-        (false, "Processes started at once; the board tells 4,000 workers; one core for all"),
-        (true, "Processes started at once; their configuration tells 4,000 workers; one core for all"),
+        (
+            false,
+            "Processes started at once; the board tells 4,000 workers; one core for all",
+        ),
+        (
+            true,
+            "Processes started at once; their configuration tells 4,000 workers; one core for all",
+        ),
     ] {
         let mut rows = Vec::new();
         for &processes in sizes {
@@ -347,11 +419,16 @@
                 board: Some(board.address),
                 index,
                 seed: seed + index as u64,
-                known: if known { (1, vec![list.clone()]) } else { (0, Vec::new()) },
+                known: if known {
+                    (1, vec![list.clone()])
+                } else {
+                    (0, Vec::new())
+                },
                 ..Told::default()
             };
-            let programs =
-                (0..processes as usize).map(|i| Program::spawn(&told(i))).collect::<Result<Vec<_>, _>>()?;
+            let programs = (0..processes as usize)
+                .map(|i| Program::spawn(&told(i)))
+                .collect::<Result<Vec<_>, _>>()?;
             let (done, times) = std::sync::mpsc::channel();
             let waits: Vec<_> = programs
                 .into_iter()
@@ -392,7 +469,12 @@
             measured("ms of processor each"),
             measured("most RSS of one, MiB"),
         ];
-        sweeps.push(Sweep { title: title.to_owned(), varied: "processes at once", columns, rows });
+        sweeps.push(Sweep {
+            title: title.to_owned(),
+            varied: "processes at once",
+            columns,
+            rows,
+        });
     }
     Ok(sweeps)
 }
@@ -411,8 +493,17 @@
         let socket = UdpSocket::bind("127.0.0.1:0").map_err(failed)?;
         let address = socket.local_addr().map_err(failed)?;
         let (to, datagrams, bytes) = (Arc::new(Mutex::new(None)), Arc::default(), Arc::default());
-        let relay = Relay { address, to, datagrams, bytes };
-        let (to, datagrams, bytes) = (relay.to.clone(), relay.datagrams.clone(), relay.bytes.clone());
+        let relay = Relay {
+            address,
+            to,
+            datagrams,
+            bytes,
+        };
+        let (to, datagrams, bytes) = (
+            relay.to.clone(),
+            relay.datagrams.clone(),
+            relay.bytes.clone(),
+        );
         rig::thread(move || {
             let mut buffer = [0u8; 65_536];
             while let Ok((n, _)) = socket.recv_from(&mut buffer) {
@@ -431,7 +522,9 @@
     let mut rows = Vec::new();
     for &processes in sizes {
         let list = event(1, true, &hollow(100));
-        let relays = (0..processes).map(|_| Relay::start()).collect::<Result<Vec<_>, _>>()?;
+        let relays = (0..processes)
+            .map(|_| Relay::start())
+            .collect::<Result<Vec<_>, _>>()?;
         let seeds = format!(r#""{}""#, relays[0].address);
         let mut programs = Vec::new();
         for (index, relay) in relays.iter().enumerate() {
@@ -441,7 +534,13 @@
                 if index == 0 { "" } else { &seeds }
             );
             let known = (1, vec![event(1, true, &[]), list.clone()]);
-            let told = Told { known, index, seed: seed + index as u64, fleet: Some(file), ..Told::default() };
+            let told = Told {
+                known,
+                index,
+                seed: seed + index as u64,
+                fleet: Some(file),
+                ..Told::default()
+            };
             programs.push(Program::spawn(&told)?);
         }
         let since = Instant::now();
@@ -451,19 +550,36 @@
         }
         let alive = |p: &Program| p.gauge("app.fleet.peers") == Some(processes - 1);
         for program in &programs {
-            until("all count all", Duration::from_millis(50), || alive(program))?;
+            until("all count all", Duration::from_millis(50), || {
+                alive(program)
+            })?;
         }
         let joined = since.elapsed();
         std::thread::sleep(Duration::from_secs(5));
         let count = || {
             let sum = |of: fn(&Relay) -> &AtomicU64| {
-                relays.iter().map(|r| of(r).load(Ordering::Relaxed)).sum::<u64>()
+                relays
+                    .iter()
+                    .map(|r| of(r).load(Ordering::Relaxed))
+                    .sum::<u64>()
             };
             (sum(|r| &r.datagrams), sum(|r| &r.bytes))
         };
-        let (sent, before) = (count(), programs.iter().map(Program::usage).collect::<Result<Vec<_>, _>>()?);
+        let (sent, before) = (
+            count(),
+            programs
+                .iter()
+                .map(Program::usage)
+                .collect::<Result<Vec<_>, _>>()?,
+        );
         std::thread::sleep(ACROSS);
-        let (then, after) = (count(), programs.iter().map(Program::usage).collect::<Result<Vec<_>, _>>()?);
+        let (then, after) = (
+            count(),
+            programs
+                .iter()
+                .map(Program::usage)
+                .collect::<Result<Vec<_>, _>>()?,
+        );
         let missing = programs.iter().filter(|p| !alive(p)).count();
         let time = (after[0].at - before[0].at).as_secs_f64() * processes as f64;
         let mut shares: Vec<f64> = before.iter().zip(&after).map(|(b, a)| a.share(b)).collect();
@@ -492,8 +608,14 @@
         measured("s until all counted all"),
         measured("processes that miss one at the end"),
     ];
-    let title = "A fleet of real processes on one core, all counted alive, 10 s; nobody calls".to_owned();
-    Ok(vec![Sweep { title, varied: "processes", columns, rows }])
+    let title =
+        "A fleet of real processes on one core, all counted alive, 10 s; nobody calls".to_owned();
+    Ok(vec![Sweep {
+        title,
+        varied: "processes",
+        columns,
+        rows,
+    }])
 }
 
 /// The parts of a cold start, ms.
@@ -509,28 +631,46 @@
 fn cold(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, Fault> {
     let mut rows = Vec::new();
     for &load in sizes {
-        let work = Work { load: Duration::from_millis(load), call: Duration::from_millis(5) };
+        let work = Work {
+            load: Duration::from_millis(load),
+            call: Duration::from_millis(5),
+        };
         let yard = Yard::start(1_000, work)?;
-        let told = Told { known: (1, vec![event(1, true, &yard.list)]), seed, ..Told::default() };
+        let told = Told {
+            known: (1, vec![event(1, true, &yard.list)]),
+            seed,
+            ..Told::default()
+        };
         let program = Program::start(&told)?;
         std::thread::sleep(Duration::from_millis(500));
         let (ended, parts) = std::sync::mpsc::channel();
         for caller in 0..CALLERS {
             let (tally, ended, to) = (yard.tally.clone(), ended.clone(), program.kserve);
             rig::thread(move || {
-                let Ok(mut stream) = rig::Caller::connect(to) else { return };
+                let Ok(mut stream) = rig::Caller::connect(to) else {
+                    return;
+                };
                 for n in 0..CALLS / CALLERS {
                     let function = (caller << 32 | n) + 1 + (seed << 40);
                     let sent = Instant::now();
                     let status = stream.call(function, work.load);
-                    let (end, seen) = (Instant::now(), rig::lock(&tally.seen).get(&function).copied());
-                    let part = seen.filter(|_| matches!(status, Ok(200))).map(|seen| Parts {
-                        whole: ms(end - sent),
-                        there: ms(seen.came.saturating_duration_since(sent)),
-                        new: seen.first,
-                        between: if seen.ordered { ms(seen.called - seen.came) - load as f64 } else { 0.0 },
-                        back: ms(end.saturating_duration_since(seen.answered)),
-                    });
+                    let (end, seen) = (
+                        Instant::now(),
+                        rig::lock(&tally.seen).get(&function).copied(),
+                    );
+                    let part = seen
+                        .filter(|_| matches!(status, Ok(200)))
+                        .map(|seen| Parts {
+                            whole: ms(end - sent),
+                            there: ms(seen.came.saturating_duration_since(sent)),
+                            new: seen.first,
+                            between: if seen.ordered {
+                                ms(seen.called - seen.came) - load as f64
+                            } else {
+                                0.0
+                            },
+                            back: ms(end.saturating_duration_since(seen.answered)),
+                        });
                     let _ = ended.send(part);
                 }
             })?;
@@ -542,7 +682,14 @@
             part_of(&mut served.iter().map(|p| f(p)).collect::<Vec<_>>(), part)
         };
         let there = |new: bool| {
-            part_of(&mut served.iter().filter(|p| p.new == new).map(|p| p.there).collect::<Vec<_>>(), 0.5)
+            part_of(
+                &mut served
+                    .iter()
+                    .filter(|p| p.new == new)
+                    .map(|p| p.there)
+                    .collect::<Vec<_>>(),
+                0.5,
+            )
         };
         let own = |p: &Parts| p.there + p.between + p.back;
         rows.push((
@@ -573,7 +720,13 @@
         measured("% by a new connection"),
         measured("not served"),
     ];
-    let title =
-        format!("A cold start on the wire: {CALLS} calls of new functions, {CALLERS} at a time, call 5 ms");
-    Ok(vec![Sweep { title, varied: "load, ms", columns, rows }])
+    let title = format!(
+        "A cold start on the wire: {CALLS} calls of new functions, {CALLERS} at a time, call 5 ms"
+    );
+    Ok(vec![Sweep {
+        title,
+        varied: "load, ms",
+        columns,
+        rows,
+    }])
 }
--- a/scalelab/src/rig.rs
+++ b/scalelab/src/rig.rs
@@ -16,7 +16,9 @@
 /// The class and tenant of all calls.
 pub const CLASS: &str = "tile-render";
 const STACK: usize = 128 * 1024;
-const ZONES: [&str; 7] = ["east-1", "east-2", "east-3", "east-4", "west-1", "west-2", "west-3"];
+const ZONES: [&str; 7] = [
+    "east-1", "east-2", "east-3", "east-4", "west-1", "west-2", "west-3",
+];
 
 /// Locks, whoever panicked with it.
 pub fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -29,7 +31,10 @@
 
 /// Starts a thread with a small stack.
 pub fn thread(run: impl FnOnce() + Send + 'static) -> Result<std::thread::JoinHandle<()>, Fault> {
-    std::thread::Builder::new().stack_size(STACK).spawn(run).map_err(failed)
+    std::thread::Builder::new()
+        .stack_size(STACK)
+        .spawn(run)
+        .map_err(failed)
 }
 
 /// Waits until `done`, looking every `step`.
@@ -67,14 +72,23 @@
 /// A list of workers at which nobody listens, for front ends that are not called.
 pub fn hollow(workers: u64) -> Vec<String> {
     (0..workers)
-        .map(|w| instance(w, &format!("127.{}.{}.{}:8443", 1 + (w >> 16), (w >> 8) & 255, w & 255), "ready"))
+        .map(|w| {
+            instance(
+                w,
+                &format!("127.{}.{}.{}:8443", 1 + (w >> 16), (w >> 8) & 255, w & 255),
+                "ready",
+            )
+        })
         .collect()
 }
 
 /// The list in events of at most `part` instances, numbered from 1.
 pub fn parts(list: &[String], part: usize) -> Vec<(u64, String)> {
     let number = |n: usize| n as u64 + 1;
-    list.chunks(part).enumerate().map(|(n, some)| (number(n), event(number(n), n == 0, some))).collect()
+    list.chunks(part)
+        .enumerate()
+        .map(|(n, some)| (number(n), event(number(n), n == 0, some)))
+        .collect()
 }
 
 /// What one front end is told at its start.
@@ -96,14 +110,24 @@
 impl Default for Told {
     fn default() -> Self {
         let (known, board, fleet) = ((0, Vec::new()), None, None);
-        Told { known, board, fronts: FRONTS, index: 0, sockets: 1024, fleet, seed: 1 }
+        Told {
+            known,
+            board,
+            fronts: FRONTS,
+            index: 0,
+            sockets: 1024,
+            fleet,
+            seed: 1,
+        }
     }
 }
 
 impl Told {
     fn config(&self) -> String {
         let (rev, notices) = &self.known;
-        let board = self.board.map_or(String::new(), |b| format!(r#""board":"{b}","#));
+        let board = self
+            .board
+            .map_or(String::new(), |b| format!(r#""board":"{b}","#));
         format!(
             r#"{{"name":"n{index}","listen":"127.0.0.1:0","seed":"{seed:x}",{board}"limits":{{"memory_mb":192,"sockets":{sockets}}},
             "known":{{"rev":{rev},"notices":[{notices}]}},
@@ -170,9 +194,15 @@
 /// It is not there: the text says how it is built.
 pub fn binary() -> Result<PathBuf, Fault> {
     let own = std::env::current_exe().map_err(failed)?;
-    let beside = own.ancestors().skip(1).take(2).map(|folder| folder.join("wrenseam")).find(|p| p.is_file());
+    let beside = own
+        .ancestors()
+        .skip(1)
+        .take(2)
+        .map(|folder| folder.join("wrenseam"))
+        .find(|p| p.is_file());
     beside.ok_or(Fault::Failed(
-        "no program `wrenseam` beside this one: build it by `cargo build --release -p wrenseam`".to_owned(),
+        "no program `wrenseam` beside this one: build it by `cargo build --release -p wrenseam`"
+            .to_owned(),
     ))
 }
 
@@ -204,19 +234,25 @@
             .env("NODE_LISTEN", "127.0.0.1:0")
             .env(
                 "WRENSEAM_KSERVE",
-                write("kserve.json", r#"{"listen":"127.0.0.1:0","admin":"127.0.0.1:0"}"#)?,
+                write(
+                    "kserve.json",
+                    r#"{"listen":"127.0.0.1:0","admin":"127.0.0.1:0"}"#,
+                )?,
             )
             .env("TMPDIR", &folder)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log);
         if let Some(fleet) = &told.fleet {
-            command.env("WRENSEAM_FLEET", write("fleet.json", fleet)?).env("NODE_ADMIN", "127.0.0.1:0");
+            command
+                .env("WRENSEAM_FLEET", write("fleet.json", fleet)?)
+                .env("NODE_ADMIN", "127.0.0.1:0");
         }
         // SAFETY: between fork and exec only prctl is called, which is safe to call there.
         unsafe {
             command.pre_exec(|| {
-                nix::sys::prctl::set_pdeathsig(nix::sys::signal::SIGKILL).map_err(std::io::Error::from)
+                nix::sys::prctl::set_pdeathsig(nix::sys::signal::SIGKILL)
+                    .map_err(std::io::Error::from)
             });
         }
         let since = Instant::now();
@@ -244,9 +280,14 @@
             let text = std::fs::read_to_string(&log).unwrap_or_default();
             let at = |what: &str| {
                 let line = text.lines().find(|l| l.contains(what))?;
-                line.rsplit_once(" listens on ")?.1.parse::<SocketAddr>().ok()
+                line.rsplit_once(" listens on ")?
+                    .1
+                    .parse::<SocketAddr>()
+                    .ok()
             };
-            let (Some(kserve), Some(admin)) = (at("KServe v2 listens"), at("administration listens")) else {
+            let (Some(kserve), Some(admin)) =
+                (at("KServe v2 listens"), at("administration listens"))
+            else {
                 return false;
             };
             (self.kserve, self.admin) = (kserve, admin);
@@ -262,7 +303,9 @@
     pub fn start(told: &Told) -> Result<Program, Fault> {
         let mut program = Program::spawn(told)?;
         program.listening()?;
-        until("a front end is ready", Duration::from_millis(5), || program.is_ready())?;
+        until("a front end is ready", Duration::from_millis(5), || {
+            program.is_ready()
+        })?;
         Ok(program)
     }
 
@@ -278,7 +321,9 @@
         stream.write_all(b"telemetry\n").ok()?;
         let mut text = String::new();
         stream.read_to_string(&mut text).ok()?;
-        let line = text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(':'))?;
+        let line = text
+            .lines()
+            .find_map(|l| l.strip_prefix(name)?.strip_prefix(':'))?;
         line.split('|').next()?.parse().ok()
     }
 
@@ -297,7 +342,10 @@
         let spent = |task: &Path| {
             let text = std::fs::read_to_string(task.join("schedstat")).ok()?;
             let name = std::fs::read_to_string(task.join("comm")).ok()?;
-            Some((name.trim() == "core", text.split_whitespace().next()?.parse::<u64>().ok()?))
+            Some((
+                name.trim() == "core",
+                text.split_whitespace().next()?.parse::<u64>().ok()?,
+            ))
         };
         let tasks: Vec<_> = tasks.flatten().filter_map(|t| spent(&t.path())).collect();
         let sum = |core: bool| tasks.iter().filter(|t| t.0 || !core).map(|t| t.1).sum();
@@ -315,7 +363,10 @@
     /// What its log says that was not read here before.
     pub fn news(&mut self) -> String {
         let text = std::fs::read(self.folder.join("log")).unwrap_or_default();
-        let whole = text.iter().rposition(|&b| b == b'\n').map_or(0, |end| end + 1);
+        let whole = text
+            .iter()
+            .rposition(|&b| b == b'\n')
+            .map_or(0, |end| end + 1);
         let news = String::from_utf8_lossy(&text[self.read.min(whole)..whole]).into_owned();
         self.read = whole;
         news
@@ -326,7 +377,9 @@
     /// # Errors
     /// It does not within [`PATIENCE`].
     pub fn says(&mut self, what: &str) -> Result<(), Fault> {
-        until(what, Duration::from_millis(10), || self.news().contains(what))
+        until(what, Duration::from_millis(10), || {
+            self.news().contains(what)
+        })
     }
 
     /// Its number.
@@ -345,7 +398,9 @@
 
 /// Whether the administration at this address says that clients are taken.
 pub fn ready(admin: SocketAddr) -> bool {
-    let Ok(mut stream) = TcpStream::connect(admin) else { return false };
+    let Ok(mut stream) = TcpStream::connect(admin) else {
+        return false;
+    };
     let _ = stream.set_read_timeout(Some(Duration::from_secs(5)));
     let asked = stream.write_all(b"GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     let mut head = [0; 12];
@@ -387,9 +442,18 @@
     pub fn start(events: Vec<(u64, String)>) -> Result<Board, Fault> {
         let listener = TcpListener::bind("127.0.0.1:0").map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?;
-        let events = events.into_iter().map(|(rev, text)| (rev, text.into())).collect();
-        let told = Mutex::new(News { events, ..News::default() });
-        let inside = Arc::new(Inside { told, ..Inside::default() });
+        let events = events
+            .into_iter()
+            .map(|(rev, text)| (rev, text.into()))
+            .collect();
+        let told = Mutex::new(News {
+            events,
+            ..News::default()
+        });
+        let inside = Arc::new(Inside {
+            told,
+            ..Inside::default()
+        });
         let of = inside.clone();
         thread(move || {
             for stream in listener.incoming().flatten() {
@@ -409,7 +473,10 @@
     /// Ends all connections and takes none until it is up again; from then on whoever is behind is told `instead`.
     pub fn cut(&self, instead: Vec<(u64, String)>) {
         let mut told = lock(&self.inside.told);
-        told.events = instead.into_iter().map(|(rev, text)| (rev, text.into())).collect();
+        told.events = instead
+            .into_iter()
+            .map(|(rev, text)| (rev, text.into()))
+            .collect();
         (told.cut, told.down) = (told.cut + 1, true);
         self.inside.changed.notify_all();
     }
@@ -530,8 +597,16 @@
             }
             got.extend_from_slice(&chunk[..n]);
             let text = String::from_utf8_lossy(&got);
-            let Some((head, rest)) = text.split_once("\r\n\r\n") else { continue };
-            let named = |l: &str| l.to_ascii_lowercase().strip_prefix("content-length:")?.trim().parse().ok();
+            let Some((head, rest)) = text.split_once("\r\n\r\n") else {
+                continue;
+            };
+            let named = |l: &str| {
+                l.to_ascii_lowercase()
+                    .strip_prefix("content-length:")?
+                    .trim()
+                    .parse()
+                    .ok()
+            };
             let length: usize = head.lines().find_map(named).unwrap_or(0);
             if rest.len() >= length {
                 let status = head.split_whitespace().nth(1).and_then(|s| s.parse().ok());
--- a/scalelab/src/seats.rs
+++ b/scalelab/src/seats.rs
@@ -76,8 +76,10 @@
 /// What was sent to the workers of `cold` since they started, in order.
 fn sent(fronts: &mut [Front], cold: &[usize], started: Micros) -> Vec<Micros> {
     let logs = fronts.iter_mut().filter_map(|f| f.log.take()).flatten();
-    let mut times: Vec<_> =
-        logs.filter(|(_, w, call)| *call && cold.contains(w)).map(|l| l.0 - started).collect();
+    let mut times: Vec<_> = logs
+        .filter(|(_, w, call)| *call && cold.contains(w))
+        .map(|l| l.0 - started)
+        .collect();
     times.sort_unstable();
     times
 }
@@ -85,7 +87,11 @@
 /// The most that any span of the rule's length held, as a part of what the rule allows at its end.
 fn worst(shape: &Shape, times: &[Micros]) -> f64 {
     let (set, mut begin, mut worst) = (shape.settings(), 0, 0.0f64);
-    for (n, &t) in times.iter().enumerate().take_while(|(_, &t)| t < set.warm_within) {
+    for (n, &t) in times
+        .iter()
+        .enumerate()
+        .take_while(|(_, &t)| t < set.warm_within)
+    {
         while times[begin] + set.fall_window <= t {
             begin += 1;
         }
@@ -98,8 +104,15 @@
 
 /// The first second after which two seconds held as much as this rate; [`SHOWN`] if none.
 fn reaches(times: &[Micros], rate: f64) -> f64 {
-    let within = |s: u64| times.iter().filter(|&&t| (s * SEC..(s + 2) * SEC).contains(&t)).count();
-    (0..SHOWN - 1).find(|&s| within(s) as f64 >= 2.0 * rate).unwrap_or(SHOWN) as f64
+    let within = |s: u64| {
+        times
+            .iter()
+            .filter(|&&t| (s * SEC..(s + 2) * SEC).contains(&t))
+            .count()
+    };
+    (0..SHOWN - 1)
+        .find(|&s| within(s) as f64 >= 2.0 * rate)
+        .unwrap_or(SHOWN) as f64
 }
 
 fn pressed(sizes: &[u64], seed: u64) -> Sweep {
@@ -113,7 +126,9 @@
             ..base(seed)
         };
         let popularity = Rc::new(Popularity::new(&shape));
-        let mut fronts: Vec<_> = (0..n as u32).map(|i| Front::at(&shape, &popularity, i, START)).collect();
+        let mut fronts: Vec<_> = (0..n as u32)
+            .map(|i| Front::at(&shape, &popularity, i, START))
+            .collect();
         for front in &mut fronts {
             front.list(false, &[0], WorkerState::Ready, START);
             front.log = Some(Vec::new());
@@ -122,7 +137,10 @@
         let (times, within) = (sent(&mut fronts, &[0], START), shape.settings().warm_within);
         let cold = times.iter().filter(|&&t| t < within).count() as f64;
         let rate = cold / (within / SEC) as f64 / CAPACITY;
-        (n, vec![worst(&shape, &times), rate, reaches(&times, 0.9 * CAPACITY)])
+        (
+            n,
+            vec![worst(&shape, &times), rate, reaches(&times, 0.9 * CAPACITY)],
+        )
     };
     Sweep {
         title: format!(
@@ -149,7 +167,9 @@
             ..base(seed)
         };
         let popularity = Rc::new(Popularity::new(&shape));
-        let mut fronts: Vec<_> = (0..n as u32).map(|i| Front::at(&shape, &popularity, i, START)).collect();
+        let mut fronts: Vec<_> = (0..n as u32)
+            .map(|i| Front::at(&shape, &popularity, i, START))
+            .collect();
         let zone: Vec<usize> = (0..WORKERS).filter(|w| w % shape.zones == 0).collect();
         for front in &mut fronts {
             front.run(20 * SEC);
@@ -168,10 +188,20 @@
             front.run(SHOWN * SEC);
             refused += front.counts.refused + front.counts.failed - before;
         }
-        let (times, within) = (sent(&mut fronts, &zone, started), shape.settings().warm_within);
+        let (times, within) = (
+            sent(&mut fronts, &zone, started),
+            shape.settings().warm_within,
+        );
         let cold = times.iter().filter(|&&t| t < within).count() as f64 / (within / SEC) as f64;
-        let after = times.iter().filter(|&&t| t >= within).count() as f64 / (SHOWN - within / SEC) as f64;
-        let row = vec![usual, cold / usual, after / usual, reaches(&times, 0.9 * usual), refused as f64];
+        let after =
+            times.iter().filter(|&&t| t >= within).count() as f64 / (SHOWN - within / SEC) as f64;
+        let row = vec![
+            usual,
+            cold / usual,
+            after / usual,
+            reaches(&times, 0.9 * usual),
+            refused as f64,
+        ];
         (n, row)
     };
     Sweep {
@@ -186,7 +216,10 @@
 
 /// First calls of a front end's first seconds, where one zone may be silent.
 fn first(
-    what: &'static str, sizes: &[u64], held: &Shape, vary: impl Fn(&mut Shape, u64),
+    what: &'static str,
+    sizes: &[u64],
+    held: &Shape,
+    vary: impl Fn(&mut Shape, u64),
     (seconds, silent): (u64, bool),
 ) -> Sweep {
     let row = |&n: &u64| {
@@ -194,7 +227,9 @@
         vary(&mut shape, n);
         let mut front = Front::new(&shape);
         if silent {
-            let zone: Vec<usize> = (0..shape.workers).filter(|w| w % shape.zones == 0).collect();
+            let zone: Vec<usize> = (0..shape.workers)
+                .filter(|w| w % shape.zones == 0)
+                .collect();
             front.lose(&zone);
         }
         front.run(seconds * SEC);
--- a/scalelab/src/yard.rs
+++ b/scalelab/src/yard.rs
@@ -56,7 +56,8 @@
 impl Tally {
     /// Its counts now: accepts, calls, orders, questions.
     pub fn counts(&self) -> [u64; 4] {
-        [&self.accepts, &self.calls, &self.orders, &self.questions].map(|c| c.load(Ordering::Relaxed))
+        [&self.accepts, &self.calls, &self.orders, &self.questions]
+            .map(|c| c.load(Ordering::Relaxed))
     }
 }
 
@@ -81,17 +82,37 @@
         for id in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0").map_err(|e| failed(&e))?;
             listener.set_nonblocking(true).map_err(|e| failed(&e))?;
-            list.push(instance(id, &listener.local_addr().map_err(|e| failed(&e))?.to_string(), "ready"));
-            epoll.add(&listener, EpollEvent::new(EpollFlags::EPOLLIN, id)).map_err(|e| failed(&e))?;
+            list.push(instance(
+                id,
+                &listener.local_addr().map_err(|e| failed(&e))?.to_string(),
+                "ready",
+            ));
+            epoll
+                .add(&listener, EpollEvent::new(EpollFlags::EPOLLIN, id))
+                .map_err(|e| failed(&e))?;
             listeners.push((listener, HashMap::new()));
         }
         let (tally, stop) = (Arc::new(Tally::default()), Arc::new(AtomicBool::new(false)));
         let next = count;
         let (links, due, answers) = (HashMap::new(), BinaryHeap::new(), BTreeMap::new());
-        let mut inside = Inside { epoll, listeners, links, next, work, due, answers, tally: tally.clone() };
+        let mut inside = Inside {
+            epoll,
+            listeners,
+            links,
+            next,
+            work,
+            due,
+            answers,
+            tally: tally.clone(),
+        };
         let of = stop.clone();
         let thread = Some(thread(move || inside.run(&of))?);
-        Ok(Yard { list, tally, stop, thread })
+        Ok(Yard {
+            list,
+            tally,
+            stop,
+            thread,
+        })
     }
 }
 
@@ -138,11 +159,17 @@
     fn run(&mut self, stop: &AtomicBool) {
         let mut events = vec![EpollEvent::empty(); 256];
         while !stop.load(Ordering::Relaxed) {
-            let next = self.due.peek().map(|Reverse((at, _))| at.saturating_duration_since(Instant::now()));
+            let next = self
+                .due
+                .peek()
+                .map(|Reverse((at, _))| at.saturating_duration_since(Instant::now()));
             let wait = next.map_or(LOOK, |n| n.min(LOOK));
             // Rounded up to whole milliseconds, as the kernel counts.
             let wait = wait.as_micros().div_ceil(1000) as u16;
-            let count = self.epoll.wait(&mut events, EpollTimeout::from(wait)).unwrap_or(0); // a signal came
+            let count = self
+                .epoll
+                .wait(&mut events, EpollTimeout::from(wait))
+                .unwrap_or(0); // a signal came
             for event in events[..count].iter().map(EpollEvent::data) {
                 match self.listeners.get(event as usize) {
                     Some(_) => self.accept(event as usize),
@@ -151,7 +178,9 @@
             }
             let now = Instant::now();
             while self.due.peek().is_some_and(|Reverse((at, _))| *at <= now) {
-                let Some(Reverse((_, n))) = self.due.pop() else { break };
+                let Some(Reverse((_, n))) = self.due.pop() else {
+                    break;
+                };
                 if let Some(answer) = self.answers.remove(&n) {
                     self.answer(answer);
                 }
@@ -167,7 +196,15 @@
             if ready && self.epoll.add(&stream, event).is_ok() {
                 self.tally.accepts.fetch_add(1, Ordering::Relaxed);
                 self.tally.standing.fetch_add(1, Ordering::Relaxed);
-                self.links.insert(self.next, Link { stream, worker, got: Vec::new(), first: true });
+                self.links.insert(
+                    self.next,
+                    Link {
+                        stream,
+                        worker,
+                        got: Vec::new(),
+                        first: true,
+                    },
+                );
             }
         }
     }
@@ -179,7 +216,9 @@
     }
 
     fn read(&mut self, number: u64) {
-        let Some(link) = self.links.get_mut(&number) else { return };
+        let Some(link) = self.links.get_mut(&number) else {
+            return;
+        };
         let mut chunk = [0u8; 4096];
         loop {
             match link.stream.read(&mut chunk) {
@@ -190,7 +229,9 @@
             }
         }
         while let Some(link) = self.links.get_mut(&number) {
-            let Some(head) = link.got.first_chunk::<HEADER>() else { break };
+            let Some(head) = link.got.first_chunk::<HEADER>() else {
+                break;
+            };
             let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
             let body = u32::from_be_bytes([head[4], head[5], head[6], head[7]]) as usize;
             let all = HEADER + fields + body + 4;
@@ -207,8 +248,13 @@
     fn frame(&mut self, link: u64, worker: usize, first: bool, frame: &[u8], fields: usize) {
         let id = u64::from_be_bytes(frame[8..HEADER].try_into().expect("eight bytes"));
         let text = String::from_utf8_lossy(&frame[HEADER..HEADER + fields]).into_owned();
-        let field = |name: &str| text.split(',').find_map(|f| f.strip_prefix(name)?.strip_prefix('='));
-        let function = field("path").and_then(|p| u64::from_str_radix(p, 16).ok()).unwrap_or(id);
+        let field = |name: &str| {
+            text.split(',')
+                .find_map(|f| f.strip_prefix(name)?.strip_prefix('='))
+        };
+        let function = field("path")
+            .and_then(|p| u64::from_str_radix(p, 16).ok())
+            .unwrap_or(id);
         let copies = field("slots_up").and_then(|n| n.parse::<u32>().ok());
         let (came, held) = (Instant::now(), &mut self.listeners[worker].1);
         let call = frame[1] == 2;
@@ -242,15 +288,40 @@
         };
         let at = stands.max(came) + if call { self.work.call } else { Duration::ZERO };
         let body = &frame[HEADER + fields..frame.len() - 4];
-        let bytes = if call { reply(id, detail, body) } else { reply(id, "slots_up=1", &[]) };
-        let seen = Seen { came, called: came, answered: came, first, ordered: !call };
+        let bytes = if call {
+            reply(id, detail, body)
+        } else {
+            reply(id, "slots_up=1", &[])
+        };
+        let seen = Seen {
+            came,
+            called: came,
+            answered: came,
+            first,
+            ordered: !call,
+        };
         let n = self.answers.last_key_value().map_or(0, |(n, _)| n + 1);
-        self.answers.insert(n, Answer { link, bytes, function, seen, call });
+        self.answers.insert(
+            n,
+            Answer {
+                link,
+                bytes,
+                function,
+                seen,
+                call,
+            },
+        );
         self.due.push(Reverse((at, n)));
     }
 
     fn answer(&mut self, answer: Answer) {
-        let Answer { link, bytes, function, seen, call } = answer;
+        let Answer {
+            link,
+            bytes,
+            function,
+            seen,
+            call,
+        } = answer;
         let answered = Instant::now();
         {
             let mut all = lock(&self.tally.seen);
@@ -264,7 +335,11 @@
 
     fn write(&mut self, number: u64, bytes: &[u8]) {
         // What does not go at once is a peer that does not read: frames here are small.
-        if self.links.get_mut(&number).is_some_and(|l| l.stream.write_all(bytes).is_err()) {
+        if self
+            .links
+            .get_mut(&number)
+            .is_some_and(|l| l.stream.write_all(bytes).is_err())
+        {
             self.end(number);
         }
     }
--- a/scalelab/tests/agreement.rs
+++ b/scalelab/tests/agreement.rs
@@ -62,7 +62,12 @@
 impl Play {
     fn new(n: usize, seed: u64) -> Play {
         let net = Net::settled(n, Kind::Average, seed).expect("all find all");
-        Play { troubled_at: vec![0; n], net, updates: 0, checked: 0 }
+        Play {
+            troubled_at: vec![0; n],
+            net,
+            updates: 0,
+            checked: 0,
+        }
     }
 
     fn size(&self) -> usize {
@@ -78,7 +83,11 @@
 
     /// How many run though they hear nothing, are not heard, or stand still.
     fn bad(&self) -> usize {
-        self.net.fronts.iter().filter(|front| front.deaf || front.mute || front.stopped).count()
+        self.net
+            .fronts
+            .iter()
+            .filter(|front| front.deaf || front.mute || front.stopped)
+            .count()
     }
 
     fn run(&mut self, span: u64) {
@@ -98,8 +107,15 @@
     fn check_downs(&mut self) {
         for down in &self.net.downs[self.checked..] {
             let since = down.at.saturating_sub(self.troubled_at[down.of]);
-            let excused = self.in_trouble(down.of) || since < TROUBLED_FOR && self.troubled_at[down.of] > 0;
-            assert!(excused, "{} declared {} down at {} ms", down.by, down.of, down.at / MS);
+            let excused =
+                self.in_trouble(down.of) || since < TROUBLED_FOR && self.troubled_at[down.of] > 0;
+            assert!(
+                excused,
+                "{} declared {} down at {} ms",
+                down.by,
+                down.of,
+                down.at / MS
+            );
         }
         self.checked = self.net.downs.len();
     }
@@ -147,7 +163,9 @@
         self.updates += 1;
         let (version, value) = (self.updates, format!("value {}", self.updates));
         self.net.update(i, |facts| {
-            facts.entries.insert("fact".to_owned(), Entry { version, value });
+            facts
+                .entries
+                .insert("fact".to_owned(), Entry { version, value });
         });
     }
 
--- a/scalelab/tests/agreement_bounds.rs
+++ b/scalelab/tests/agreement_bounds.rs
@@ -10,7 +10,8 @@
 
 fn settled(n: usize, seed: u64) -> Net {
     let mut net = Net::settled(n, Kind::Average, seed).expect("all find all");
-    net.until(10 * S, |net| net.disagreement(0).is_none()).expect("all agree");
+    net.until(10 * S, |net| net.disagreement(0).is_none())
+        .expect("all agree");
     net
 }
 
@@ -21,17 +22,27 @@
 
 /// Who was declared down, but for those who were in trouble themselves.
 fn wronged(net: &Net, troubled: &[usize]) -> BTreeSet<usize> {
-    net.downs.iter().map(|down| down.of).filter(|of| !troubled.contains(of)).collect()
+    net.downs
+        .iter()
+        .map(|down| down.of)
+        .filter(|of| !troubled.contains(of))
+        .collect()
 }
 
 #[rstest]
-fn a_leave_is_known_to_all_and_is_no_failure(#[values(3, 12)] n: usize, #[values(1, 2, 3)] seed: u64) {
+fn a_leave_is_known_to_all_and_is_no_failure(
+    #[values(3, 12)] n: usize,
+    #[values(1, 2, 3)] seed: u64,
+) {
     let mut net = settled(n, seed);
     net.downs.clear();
     net.leave(n - 1);
     let took = agreed(&mut net, S);
     assert_eq!(net.downs, []);
-    eprintln!("{n} front ends: a leave known to all after {} ms", took / MS);
+    eprintln!(
+        "{n} front ends: a leave known to all after {} ms",
+        took / MS
+    );
 }
 
 #[rstest]
@@ -44,19 +55,30 @@
             .all(|i| net.fronts[i].news.by_lifecycle[Lifecycle::Draining as usize] == 1)
     });
     assert!(counted.is_some());
-    assert!((0..12).filter(|&i| i != 5).all(|i| net.fronts[i].news.ready() == 10));
+    assert!((0..12)
+        .filter(|&i| i != 5)
+        .all(|i| net.fronts[i].news.ready() == 10));
 }
 
 #[rstest]
 #[case::forty(40, 2 * S)]
 #[case::a_hundred(100, 3 * S)]
 fn a_change_of_a_record_is_known_to_all(
-    #[case] n: usize, #[case] within: u64, #[values(1, 2, 3)] seed: u64, #[values(0.0, 0.05)] loss: f64,
+    #[case] n: usize,
+    #[case] within: u64,
+    #[values(1, 2, 3)] seed: u64,
+    #[values(0.0, 0.05)] loss: f64,
 ) {
     let mut net = settled(n, seed);
     net.loss = loss;
     net.update(7, |facts| {
-        facts.entries.insert("fact".to_owned(), Entry { version: 1, value: "new".to_owned() });
+        facts.entries.insert(
+            "fact".to_owned(),
+            Entry {
+                version: 1,
+                value: "new".to_owned(),
+            },
+        );
     });
     agreed(&mut net, within);
 }
@@ -67,7 +89,10 @@
 fn a_cut_heals(#[values(12, 40)] n: usize, #[values(1, 2, 3)] seed: u64) {
     let mut net = settled(n, seed);
     let side = |i: usize| u8::from(i % 2 == 1);
-    net.fronts.iter_mut().enumerate().for_each(|(i, front)| front.side = side(i));
+    net.fronts
+        .iter_mut()
+        .enumerate()
+        .for_each(|(i, front)| front.side = side(i));
     net.run(net.now + 40 * S);
     for i in [2, 3] {
         net.kill(i);
@@ -77,7 +102,11 @@
     net.downs.clear();
     net.fronts.iter_mut().for_each(|front| front.side = 0);
     let took = agreed(&mut net, 2 * S);
-    let same_side: Vec<_> = net.downs.iter().filter(|down| side(down.by) == side(down.of)).collect();
+    let same_side: Vec<_> = net
+        .downs
+        .iter()
+        .filter(|down| side(down.by) == side(down.of))
+        .collect();
     assert!(same_side.is_empty(), "{same_side:?}");
     eprintln!("{n} front ends: all agree {} ms after the heal", took / MS);
 }
@@ -85,7 +114,10 @@
 #[rstest]
 #[case::one(1)]
 #[case::a_third(13)]
-fn crashed_ones_are_counted_out(#[case] crashed: usize, #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
+fn crashed_ones_are_counted_out(
+    #[case] crashed: usize,
+    #[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64,
+) {
     let mut net = settled(40, seed);
     (0..crashed).for_each(|i| net.kill(3 * i));
     net.downs.clear();
@@ -120,8 +152,10 @@
 /// A front end that is deaf, mute or stopped has nobody else declared down, not by itself either, and finds back.
 #[rstest]
 fn a_bad_observer_has_nobody_declared_down(
-    #[values(deaf, mute, stopped)] fault: fn(&mut Net, usize, bool), #[values(1, 3)] bad: usize,
-    #[values(2, 10)] lasts_s: u64, #[values(1, 2, 3)] seed: u64,
+    #[values(deaf, mute, stopped)] fault: fn(&mut Net, usize, bool),
+    #[values(1, 3)] bad: usize,
+    #[values(2, 10)] lasts_s: u64,
+    #[values(1, 2, 3)] seed: u64,
 ) {
     let mut net = settled(12, seed);
     net.downs.clear();
@@ -135,7 +169,10 @@
 
 /// A restart wins over the incarnation before it whatever the clock says, while that counts alive and afterwards.
 #[rstest]
-fn a_restart_with_the_clock_set_back_wins(#[values(100, 10_000)] down_ms: u64, #[values(3, 12)] n: usize) {
+fn a_restart_with_the_clock_set_back_wins(
+    #[values(100, 10_000)] down_ms: u64,
+    #[values(3, 12)] n: usize,
+) {
     let mut net = settled(n, 4);
     net.kill(2);
     net.run(net.now + down_ms * MS);
@@ -157,7 +194,11 @@
         (0..12).filter(|&i| i != 1 && i != 7 && holds(i)).collect()
     };
     net.run(net.now + stopped_s * S);
-    assert_eq!(holders(&net), Vec::<usize>::new(), "all but the stopped one have noticed");
+    assert_eq!(
+        holders(&net),
+        Vec::<usize>::new(),
+        "all but the stopped one have noticed"
+    );
     net.stop(1, false);
     for _ in 0..100 {
         net.run(net.now + 100 * MS);
@@ -170,7 +211,10 @@
 #[test]
 fn the_budget_of_bytes_holds_in_the_worst_second() {
     let mut net = settled(98, 6);
-    net.fronts.iter_mut().enumerate().for_each(|(i, front)| front.side = u8::from(i % 7 >= 4));
+    net.fronts
+        .iter_mut()
+        .enumerate()
+        .for_each(|(i, front)| front.side = u8::from(i % 7 >= 4));
     net.run(net.now + 60 * S);
     net.fronts.iter_mut().for_each(|front| front.side = 0);
     for _ in 0..10 {
--- a/scalelab/tests/gossip.rs
+++ b/scalelab/tests/gossip.rs
@@ -32,32 +32,60 @@
 #[case::more(60, Kind::Average, true)]
 #[case::many(100, Kind::Average, true)]
 #[case::before_the_view(60, Kind::Summaries, false)]
-fn a_front_end_sends_and_receives_under_11_kb(#[case] n: usize, #[case] kind: Kind, #[case] holds: bool) {
+fn a_front_end_sends_and_receives_under_11_kb(
+    #[case] n: usize,
+    #[case] kind: Kind,
+    #[case] holds: bool,
+) {
     let t = steady(n, kind, 1);
-    assert_eq!(each(t, n) <= 11_000, holds, "{} bytes/s each: {t:?}", each(t, n));
-    assert_eq!(t.sent, t.swim + t.members + t.summaries + t.average + t.records);
+    assert_eq!(
+        each(t, n) <= 11_000,
+        holds,
+        "{} bytes/s each: {t:?}",
+        each(t, n)
+    );
+    assert_eq!(
+        t.sent,
+        t.swim + t.members + t.summaries + t.average + t.records
+    );
     assert_eq!(t.summaries == 0, kind == Kind::Average, "{t:?}");
 }
 
 #[test]
 fn bytes_are_the_same_every_run_and_do_not_grow_with_the_fleet() {
-    let (some, again, more) =
-        (steady(60, Kind::Average, 2), steady(60, Kind::Average, 2), steady(120, Kind::Average, 2));
-    assert_eq!((some.datagrams, some.sent, some.received), (again.datagrams, again.sent, again.received));
+    let (some, again, more) = (
+        steady(60, Kind::Average, 2),
+        steady(60, Kind::Average, 2),
+        steady(120, Kind::Average, 2),
+    );
+    assert_eq!(
+        (some.datagrams, some.sent, some.received),
+        (again.datagrams, again.sent, again.received)
+    );
     // Twice the fleet: under a tenth more. A front end of a full graph would send twice as much.
-    assert!(each(more, 120) * 10 < each(some, 60) * 11, "{} and {}", each(some, 60), each(more, 120));
+    assert!(
+        each(more, 120) * 10 < each(some, 60) * 11,
+        "{} and {}",
+        each(some, 60),
+        each(more, 120)
+    );
 }
 
 #[rstest]
 fn a_step_is_seen_by_all_within_3_s(
-    #[values(3, 10, 30, 100)] n: usize, #[values((0.0, 0.0), (0.01, 0.05))] (loss, twice): (f64, f64),
+    #[values(3, 10, 30, 100)] n: usize,
+    #[values((0.0, 0.0), (0.01, 0.05))] (loss, twice): (f64, f64),
 ) {
     let mut net = settled(n, Kind::Average, 3);
     (net.loss, net.twice) = (loss, twice);
     for to in [4000, 100] {
         net.step(to);
         let took = net.until(3 * S, |net| net.error().0 <= 0.05);
-        assert!(took.is_some(), "{n} front ends, step to {to}: still off by {:?}", net.error());
+        assert!(
+            took.is_some(),
+            "{n} front ends, step to {to}: still off by {:?}",
+            net.error()
+        );
     }
 }
 
@@ -67,7 +95,9 @@
 #[case::as_by_chance(75, 0.05, 0.02)]
 #[case::wild(300, 0.25, 0.06)]
 fn loads_that_change_each_period_do_not_shake_the_mean(
-    #[case] more: u32, #[case] worst: f64, #[case] rms: f64,
+    #[case] more: u32,
+    #[case] worst: f64,
+    #[case] rms: f64,
 ) {
     let mut net = settled(100, Kind::Average, 4);
     net.redraw = Some(more);
@@ -79,11 +109,17 @@
         most = most.max(w);
         square += r * r / 20.0;
     }
-    assert!(most <= worst && f64::sqrt(square) <= rms, "worst {most}, rms {}", f64::sqrt(square));
+    assert!(
+        most <= worst && f64::sqrt(square) <= rms,
+        "worst {most}, rms {}",
+        f64::sqrt(square)
+    );
 }
 
 fn zone(net: &Net) -> Vec<usize> {
-    (0..net.fronts.len()).filter(|i| i % ZONES == ZONES - 1).collect()
+    (0..net.fronts.len())
+        .filter(|i| i % ZONES == ZONES - 1)
+        .collect()
 }
 
 /// The zone that goes carries three times its capacity: the mean falls by some half as it goes.
@@ -91,7 +127,9 @@
 fn a_zone_lost_and_back_is_seen(#[values(14, 35, 70)] n: usize, #[values(0.0, 0.01)] loss: f64) {
     let mut net = settled(n, Kind::Average, 5);
     net.loss = loss;
-    zone(&net).into_iter().for_each(|i| net.fronts[i].pressure = 3000);
+    zone(&net)
+        .into_iter()
+        .for_each(|i| net.fronts[i].pressure = 3000);
     net.run(net.now + 5 * S);
     zone(&net).into_iter().for_each(|i| net.kill(i));
     let mean = net.until(3 * S, |net| net.error().0 <= 0.05);
@@ -99,23 +137,49 @@
     let size = net.until(10 * S, |net| net.size_error() <= 0.05);
     assert!(size.is_some(), "size off by {}", net.size_error());
     zone(&net).into_iter().for_each(|i| net.start(i, 0));
-    let back = net.until(10 * S, |net| net.size_error() <= 0.05 && net.error().0 <= 0.05);
-    assert!(back.is_some(), "off by {:?}, {}", net.error(), net.size_error());
+    let back = net.until(10 * S, |net| {
+        net.size_error() <= 0.05 && net.error().0 <= 0.05
+    });
+    assert!(
+        back.is_some(),
+        "off by {:?}, {}",
+        net.error(),
+        net.size_error()
+    );
 }
 
 /// Two minutes: longer than SWIM remembers a peer that is down.
 #[rstest]
 fn regions_cut_for_long_go_by_their_own_and_find_each_other(#[values(14, 42)] n: usize) {
     let mut net = settled(n, Kind::Average, 6);
-    for (i, f) in net.fronts.iter_mut().enumerate().filter(|(i, _)| i % ZONES >= 4) {
+    for (i, f) in net
+        .fronts
+        .iter_mut()
+        .enumerate()
+        .filter(|(i, _)| i % ZONES >= 4)
+    {
         (f.pressure, f.side) = (2000 + i as u32, 1);
     }
-    let cut = net.until(40 * S, |net| net.size_error() <= 0.05 && net.error().0 <= 0.05);
-    assert!(cut.is_some(), "cut: off by {:?}, {}", net.error(), net.size_error());
+    let cut = net.until(40 * S, |net| {
+        net.size_error() <= 0.05 && net.error().0 <= 0.05
+    });
+    assert!(
+        cut.is_some(),
+        "cut: off by {:?}, {}",
+        net.error(),
+        net.size_error()
+    );
     net.run(net.now + 120 * S);
     net.fronts.iter_mut().for_each(|f| f.side = 0);
-    let healed = net.until(30 * S, |net| net.size_error() <= 0.05 && net.error().0 <= 0.05);
-    assert!(healed.is_some(), "healed: off by {:?}, {}", net.error(), net.size_error());
+    let healed = net.until(30 * S, |net| {
+        net.size_error() <= 0.05 && net.error().0 <= 0.05
+    });
+    assert!(
+        healed.is_some(),
+        "healed: off by {:?}, {}",
+        net.error(),
+        net.size_error()
+    );
 }
 
 /// One answer holds some 60 members: who starts into a larger fleet asks on until its list is full.
@@ -133,7 +197,10 @@
 #[test]
 fn news_of_many_members_are_spread_over_time() {
     let mut net = settled(98, Kind::Average, 12);
-    net.fronts.iter_mut().enumerate().for_each(|(i, f)| f.side = u8::from(i % ZONES >= 4));
+    net.fronts
+        .iter_mut()
+        .enumerate()
+        .for_each(|(i, f)| f.side = u8::from(i % ZONES >= 4));
     net.run(net.now + 60 * S);
     net.fronts.iter_mut().for_each(|f| f.side = 0);
     let mut most = 0;
@@ -149,7 +216,9 @@
 /// Twelve in a hundred, as 79 of 660; those that are down a second are never declared so.
 #[rstest]
 fn restarts_at_once_or_spread_leave_no_error(
-    #[values(20, 60)] n: usize, #[values(1, 5)] down_s: u64, #[values(0, 2)] apart_s: u64,
+    #[values(20, 60)] n: usize,
+    #[values(1, 5)] down_s: u64,
+    #[values(0, 2)] apart_s: u64,
 ) {
     let mut net = settled(n, Kind::Average, 7);
     for i in 2..2 + (n * 12).div_ceil(100) {
@@ -159,8 +228,15 @@
         net.run(net.now + apart_s * S);
     }
     net.run(net.now + down_s * S);
-    let back = net.until(10 * S, |net| net.size_error() == 0.0 && net.error().0 <= 0.05);
-    assert!(back.is_some(), "off by {:?}, {}", net.error(), net.size_error());
+    let back = net.until(10 * S, |net| {
+        net.size_error() == 0.0 && net.error().0 <= 0.05
+    });
+    assert!(
+        back.is_some(),
+        "off by {:?}, {}",
+        net.error(),
+        net.size_error()
+    );
 }
 
 /// A front end that lies in each exchange: all together and each alone stay within what docs/fleet-view.md says.
@@ -186,16 +262,30 @@
     for _ in 0..30 {
         net.run(net.now + S);
         let honest = || {
-            net.fronts.iter().enumerate().filter(|(i, _)| *i != 5).map(|(_, f)| f64::from(f.news.pressure))
+            net.fronts
+                .iter()
+                .enumerate()
+                .filter(|(i, _)| *i != 5)
+                .map(|(_, f)| f64::from(f.news.pressure))
         };
         let mean = honest().sum::<f64>() / (N - 1) as f64;
-        assert!((mean - truth).abs() <= reach * 1.05, "mean {mean}, truth {truth}, reach {reach}");
+        assert!(
+            (mean - truth).abs() <= reach * 1.05,
+            "mean {mean}, truth {truth}, reach {reach}"
+        );
         let furthest = honest().map(|p| (p - truth).abs()).fold(0.0, f64::max);
-        assert!(furthest <= 3.0 * reach, "furthest {furthest}, reach {reach}");
+        assert!(
+            furthest <= 3.0 * reach,
+            "furthest {furthest}, reach {reach}"
+        );
     }
     // And it leaves nothing behind.
     net.tamper = None;
-    assert!(net.until(5 * S, |net| net.error().0 <= 0.05).is_some(), "{:?}", net.error());
+    assert!(
+        net.until(5 * S, |net| net.error().0 <= 0.05).is_some(),
+        "{:?}",
+        net.error()
+    );
 }
 
 /// The loads differ by the program, so a mean over one kind alone would be far off.
@@ -208,10 +298,20 @@
         net.start_as(i, S, Kind::Summaries);
         net.fronts[i].pressure = 3000;
     });
-    let mixed = net.until(20 * S, |net| net.size_error() == 0.0 && net.error().0 <= 0.05);
-    assert!(mixed.is_some(), "mixed: off by {:?}, {}", net.error(), net.size_error());
+    let mixed = net.until(20 * S, |net| {
+        net.size_error() == 0.0 && net.error().0 <= 0.05
+    });
+    assert!(
+        mixed.is_some(),
+        "mixed: off by {:?}, {}",
+        net.error(),
+        net.size_error()
+    );
     assert!((0..20).all(|i| net.fronts[i].news.mixed != old(i)));
-    assert!(net.fronts[1].news.dropped.foreign > 0, "the view's datagrams are foreign to it");
+    assert!(
+        net.fronts[1].news.dropped.foreign > 0,
+        "the view's datagrams are foreign to it"
+    );
     (0..20).filter(|&i| old(i)).for_each(|i| {
         net.kill(i);
         net.start_as(i, S, Kind::Average);
@@ -220,7 +320,12 @@
     let new = net.until(20 * S, |net| {
         net.size_error() == 0.0 && net.error().0 <= 0.05 && net.fronts.iter().all(|f| !f.news.mixed)
     });
-    assert!(new.is_some(), "replaced: off by {:?}, {}", net.error(), net.size_error());
+    assert!(
+        new.is_some(),
+        "replaced: off by {:?}, {}",
+        net.error(),
+        net.size_error()
+    );
     net.tally = Tally::default();
     net.run(net.now + 5 * S);
     assert_eq!(net.tally.summaries, 0);
@@ -237,7 +342,8 @@
         let each = (0..seeds).map(|seed| {
             let mut net = settled(n, kind, seed);
             net.kill(n - 1);
-            net.until(20 * S, |net| net.size_error() == 0.0).unwrap_or(20 * S)
+            net.until(20 * S, |net| net.size_error() == 0.0)
+                .unwrap_or(20 * S)
         });
         let mut each: Vec<u64> = each.collect();
         each.sort_unstable();
@@ -259,8 +365,18 @@
     let before: Vec<_> = net.fronts.iter().map(|f| f.news).collect();
     let c = CLUSTER.to_be_bytes();
     let header = [b'w', b'F', AVERAGE_VERSION, c[0], c[1], c[2], c[3]];
-    let from = wrenseam::fleet::PeerId { addr: addr(500), incarnation: u64::MAX };
-    let stranger = Exchange { answer: false, from, seq: 1, flow: i32::MAX, estimate: 0 }.encode(&header);
+    let from = wrenseam::fleet::PeerId {
+        addr: addr(500),
+        incarnation: u64::MAX,
+    };
+    let stranger = Exchange {
+        answer: false,
+        from,
+        seq: 1,
+        flow: i32::MAX,
+        estimate: 0,
+    }
+    .encode(&header);
     let mut garbled = stranger.clone();
     garbled[20] ^= 1;
     let mut foreign = stranger.clone();
@@ -270,7 +386,15 @@
     let mut records = stranger.clone();
     records[2] = RECORDS_VERSION;
     for i in 0..10 {
-        for bytes in [&stranger, &garbled, &foreign, &newer, &records, &vec![b'w'; 1401], &header.to_vec()] {
+        for bytes in [
+            &stranger,
+            &garbled,
+            &foreign,
+            &newer,
+            &records,
+            &vec![b'w'; 1401],
+            &header.to_vec(),
+        ] {
             net.inject(i, bytes);
         }
     }
@@ -278,9 +402,24 @@
     for (f, before) in net.fronts.iter().zip(before) {
         let counts = |n: &FleetNews| {
             let (d, v) = (n.dropped, n.average_dropped);
-            [d.oversized, d.foreign, d.garbled, v.garbled, v.stale, v.stranger, n.records.garbled]
+            [
+                d.oversized,
+                d.foreign,
+                d.garbled,
+                v.garbled,
+                v.stale,
+                v.stranger,
+                n.records.garbled,
+            ]
         };
-        let more: Vec<_> = counts(&f.news).iter().zip(counts(&before)).map(|(a, b)| a - b).collect();
-        assert_eq!((more, f.news.pressure), (vec![1, 2, 0, 2, 0, 1, 1], before.pressure));
+        let more: Vec<_> = counts(&f.news)
+            .iter()
+            .zip(counts(&before))
+            .map(|(a, b)| a - b)
+            .collect();
+        assert_eq!(
+            (more, f.news.pressure),
+            (vec![1, 2, 0, 2, 0, 1, 1], before.pressure)
+        );
     }
 }
--- a/scalelab/tests/lab.rs
+++ b/scalelab/tests/lab.rs
@@ -2,8 +2,13 @@
 use rstest::rstest;
 use scalelab::{chart, Column, Experiment, Fault, Fit, Sweep};
 
-const NONE: Experiment =
-    Experiment { name: "none", about: "Nothing.", sizes: &[1, 2, 3, 4], bound: 100, run: |_, _| Ok(vec![]) };
+const NONE: Experiment = Experiment {
+    name: "none",
+    about: "Nothing.",
+    sizes: &[1, 2, 3, 4],
+    bound: 100,
+    run: |_, _| Ok(vec![]),
+};
 
 #[rstest]
 #[case::flat(&[(1., 5.), (10., 5.), (100., 5.), (1000., 5.)], 0.0, 5.0, 1.0, Some(0.0))]
@@ -11,14 +16,23 @@
 #[case::offset(&[(0., 10.), (10., 30.), (20., 50.)], 2.0, 10.0, 1.0, None)]
 #[case::square(&[(1., 1.), (2., 4.), (4., 16.), (8., 64.)], 9.26087, -13.47826, 0.96213, Some(2.0))]
 fn a_fit_gives_the_line_and_the_exponent(
-    #[case] points: &[(f64, f64)], #[case] slope: f64, #[case] intercept: f64, #[case] r2: f64,
+    #[case] points: &[(f64, f64)],
+    #[case] slope: f64,
+    #[case] intercept: f64,
+    #[case] r2: f64,
     #[case] exponent: Option<f64>,
 ) {
     let fit = Fit::of(points).expect("two sizes or more");
     let near = |a: f64, b: f64| (a - b).abs() < 1e-3;
-    assert!(near(fit.slope, slope) && near(fit.intercept, intercept) && near(fit.r2, r2), "{fit:?}");
+    assert!(
+        near(fit.slope, slope) && near(fit.intercept, intercept) && near(fit.r2, r2),
+        "{fit:?}"
+    );
     assert_eq!(fit.exponent.is_some(), exponent.is_some(), "{fit:?}");
-    assert!(near(fit.exponent.unwrap_or(0.0), exponent.unwrap_or(0.0)), "{fit:?}");
+    assert!(
+        near(fit.exponent.unwrap_or(0.0), exponent.unwrap_or(0.0)),
+        "{fit:?}"
+    );
 }
 
 #[rstest]
@@ -41,15 +55,34 @@
 
 #[test]
 fn a_sweep_prints_its_table_fits_and_chart() {
-    let columns = vec![Column { name: "bytes", exact: true }, Column { name: "us", exact: false }];
+    let columns = vec![
+        Column {
+            name: "bytes",
+            exact: true,
+        },
+        Column {
+            name: "us",
+            exact: false,
+        },
+    ];
     let rows = (1..=4u64).map(|x| (x, vec![7.0, x as f64])).collect();
-    let sweep = Sweep { title: "Seven".into(), varied: "x", columns, rows };
+    let sweep = Sweep {
+        title: "Seven".into(),
+        varied: "x",
+        columns,
+        rows,
+    };
     let md = sweep.markdown();
     assert!(md.contains("| 4 | 7.00 | 4.00 |"), "{md}");
-    assert!(md.contains("| bytes (exact) | 0 |") && md.contains("| us | 1.00 |"), "{md}");
+    assert!(
+        md.contains("| bytes (exact) | 0 |") && md.contains("| us | 1.00 |"),
+        "{md}"
+    );
     let path = std::env::temp_dir().join(format!("scalelab-{}.svg", std::process::id()));
     chart::draw(&sweep, &path).expect("drawn");
-    assert!(std::fs::read_to_string(&path).expect("written").contains("bytes (largest 7.00)"));
+    assert!(std::fs::read_to_string(&path)
+        .expect("written")
+        .contains("bytes (largest 7.00)"));
     std::fs::remove_file(path).expect("removed");
 }
 
@@ -57,7 +90,13 @@
 #[rstest]
 #[case::unknown(&["run", "no-such"], "no experiment is named no-such")]
 fn the_command_says_what_is_wrong_and_ends(#[case] words: &[&str], #[case] told: &str) {
-    let out = std::process::Command::new(env!("CARGO_BIN_EXE_scalelab")).args(words).output().expect("runs");
+    let out = std::process::Command::new(env!("CARGO_BIN_EXE_scalelab"))
+        .args(words)
+        .output()
+        .expect("runs");
     assert_eq!(out.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&out.stderr).contains(told), "{out:?}");
+    assert!(
+        String::from_utf8_lossy(&out.stderr).contains(told),
+        "{out:?}"
+    );
 }
--- a/scalelab/tests/module.rs
+++ b/scalelab/tests/module.rs
@@ -6,11 +6,21 @@
 
 /// Small enough for seconds without optimisation.
 fn small() -> Shape {
-    Shape { workers: 200, functions: 300, calls: 20.0, keep: 2 * SEC, ..Shape::default() }
+    Shape {
+        workers: 200,
+        functions: 300,
+        calls: 20.0,
+        keep: 2 * SEC,
+        ..Shape::default()
+    }
 }
 
 fn column(sweep: &Sweep, name: &str) -> usize {
-    sweep.columns.iter().position(|c| c.name == name && c.exact).expect("an exact column of this name")
+    sweep
+        .columns
+        .iter()
+        .position(|c| c.name == name && c.exact)
+        .expect("an exact column of this name")
 }
 
 #[rstest]
@@ -19,7 +29,10 @@
 #[case::with_list_changes(Shape { changes: 2.0, ..small() })]
 fn counts_and_bytes_are_the_same_every_run(#[case] shape: Shape) {
     assert_eq!(play(&shape).0, play(&shape).0);
-    let other = Shape { seed: 2, ..shape.clone() };
+    let other = Shape {
+        seed: 2,
+        ..shape.clone()
+    };
     assert_ne!(play(&shape).0, play(&other).0, "another seed, other calls");
 }
 
@@ -33,7 +46,10 @@
 #[case::allocated_by_zones("KB allocated/call", 0.05, |s: &mut Shape, n| s.zones = n as usize, &[1, 2, 4, 7])]
 #[case::held_by_keep("MB held", 0.0632, |s: &mut Shape, n| s.keep = n * SEC, &[1, 2, 4, 8])]
 fn slopes_are_no_steeper_than_they_were(
-    #[case] figure: &str, #[case] most: f64, #[case] vary: fn(&mut Shape, u64), #[case] sizes: &[u64],
+    #[case] figure: &str,
+    #[case] most: f64,
+    #[case] vary: fn(&mut Shape, u64),
+    #[case] sizes: &[u64],
 ) {
     let table = sweep(1, "size", sizes, &small(), vary);
     let fit = table.fit(column(&table, figure)).expect("four sizes");
@@ -43,7 +59,10 @@
 /// What a front end that has just started asks for, and the whole of what all of them send to a cold worker.
 #[test]
 fn what_a_cold_worker_is_sent_does_not_grow_with_the_front_ends() {
-    let pressed = seats::EXPERIMENTS.iter().find(|e| e.name == "seats-pressed").expect("an experiment");
+    let pressed = seats::EXPERIMENTS
+        .iter()
+        .find(|e| e.name == "seats-pressed")
+        .expect("an experiment");
     let tables = (pressed.run)(&[2, 4, 8, 16], 1).expect("runs");
     let most = tables[0].points(column(&tables[0], "most, as part of the rule"));
     assert!(most.iter().all(|p| p.1 > 0.0 && p.1 <= 1.0), "{most:?}");
@@ -61,10 +80,18 @@
 
 #[test]
 fn a_size_beyond_the_bound_is_said_and_ends_it() {
-    let all = module::EXPERIMENTS.iter().chain(seats::EXPERIMENTS).chain(bursts::EXPERIMENTS);
+    let all = module::EXPERIMENTS
+        .iter()
+        .chain(seats::EXPERIMENTS)
+        .chain(bursts::EXPERIMENTS);
     for e in all {
         let (asked, bound) = (e.bound + 1, e.bound);
-        assert_eq!(e.sizes(&[1, 2, 3, asked]), Err(Fault::Size { asked, bound }), "{}", e.name);
+        assert_eq!(
+            e.sizes(&[1, 2, 3, asked]),
+            Err(Fault::Size { asked, bound }),
+            "{}",
+            e.name
+        );
         assert_eq!(e.sizes(&[]).map(|s| s.len() >= 4), Ok(true), "{}", e.name);
     }
     let out = std::process::Command::new(env!("CARGO_BIN_EXE_scalelab"))
@@ -73,5 +100,8 @@
         .expect("runs");
     assert_eq!((out.status.code(), out.stdout.len()), (Some(2), 0));
     let said = String::from_utf8_lossy(&out.stderr);
-    assert!(said.contains("size 20001 is not within 1 to 20000"), "{said}");
+    assert!(
+        said.contains("size 20001 is not within 1 to 20000"),
+        "{said}"
+    );
 }
--- a/scalelab/tests/processes.rs
+++ b/scalelab/tests/processes.rs
@@ -16,11 +16,21 @@
     static BUILT: Once = Once::new();
     BUILT.call_once(|| {
         let mut cargo = Command::new(env!("CARGO"));
-        cargo.args(["build", "--quiet", "--locked", "--workspace", "--bin", "wrenseam"]);
+        cargo.args([
+            "build",
+            "--quiet",
+            "--locked",
+            "--workspace",
+            "--bin",
+            "wrenseam",
+        ]);
         if !cfg!(debug_assertions) {
             cargo.arg("--release");
         }
-        assert!(cargo.status().expect("cargo runs").success(), "the program is built");
+        assert!(
+            cargo.status().expect("cargo runs").success(),
+            "the program is built"
+        );
     });
 }
 
@@ -31,9 +41,15 @@
 fn a_start_reads_the_list_once(#[case] count: u64, #[case] bytes: u64) {
     built();
     let board = Board::start(vec![(1, event(1, true, &hollow(count)))]).expect("a board");
-    let told = Told { board: Some(board.address), ..Told::default() };
+    let told = Told {
+        board: Some(board.address),
+        ..Told::default()
+    };
     let _program = Program::start(&told).expect("it starts");
-    assert_eq!((board.bytes(), board.events(), board.calls()), (bytes, 1, 1));
+    assert_eq!(
+        (board.bytes(), board.events(), board.calls()),
+        (bytes, 1, 1)
+    );
 }
 
 /// A gap in the numbers has the whole list read twice, as what lies between might have been lost on its way: this is what
@@ -41,7 +57,10 @@
 #[rstest]
 #[case::nothing_between(1, 1)]
 #[case::a_gap(5, 2)]
-fn a_list_told_anew_is_read_again_where_numbers_show_a_gap(#[case] missed: u64, #[case] calls: u64) {
+fn a_list_told_anew_is_read_again_where_numbers_show_a_gap(
+    #[case] missed: u64,
+    #[case] calls: u64,
+) {
     built();
     let told = process::told_anew(20, missed, 1).expect("it has the list");
     assert_eq!((told.calls, told.bytes), (calls, calls * 3_200), "{told:?}");
@@ -51,9 +70,21 @@
 #[test]
 fn calls_in_turn_open_a_connection_for_each_worker_they_reach() {
     built();
-    let yard = Yard::start(40, Work { load: Duration::ZERO, call: Duration::ZERO }).expect("workers");
-    let (tally, told) =
-        (&yard.tally, Told { known: (1, vec![event(1, true, &yard.list)]), ..Told::default() });
+    let yard = Yard::start(
+        40,
+        Work {
+            load: Duration::ZERO,
+            call: Duration::ZERO,
+        },
+    )
+    .expect("workers");
+    let (tally, told) = (
+        &yard.tally,
+        Told {
+            known: (1, vec![event(1, true, &yard.list)]),
+            ..Told::default()
+        },
+    );
     let program = Program::start(&told).expect("it starts");
     let mut caller = Caller::connect(program.kserve).expect("a connection");
     let mut call = |function| caller.call(function, Duration::ZERO).ok();
@@ -61,9 +92,18 @@
     let reached = || lock(&tally.reached).len() as u64;
     let accepts = || tally.accepts.load(Ordering::Relaxed);
     // What was asked of a worker may still be on its way there.
-    until("each connection has carried something", SOON, || accepts() == reached()).expect("one a worker");
-    let (called, calls) = (lock(&tally.called).len(), tally.calls.load(Ordering::Relaxed));
-    assert!((10..=30).contains(&called), "30 functions have places of their own among 40 workers: {called}");
+    until("each connection has carried something", SOON, || {
+        accepts() == reached()
+    })
+    .expect("one a worker");
+    let (called, calls) = (
+        lock(&tally.called).len(),
+        tally.calls.load(Ordering::Relaxed),
+    );
+    assert!(
+        (10..=30).contains(&called),
+        "30 functions have places of their own among 40 workers: {called}"
+    );
     assert!(calls == 60 && reached() >= called as u64, "{calls} calls");
 }
 
@@ -72,27 +112,55 @@
 #[case::few_functions_have_most_calls(Spread::Zipf, f64::INFINITY, 132.0, 0.0411)]
 #[case::bounded(Spread::Even, 396.0, 396.0, 0.901)]
 fn the_model_of_connections_follows_the_worked_numbers(
-    #[case] spread: Spread, #[case] most: f64, #[case] standing: f64, #[case] paid: f64,
+    #[case] spread: Spread,
+    #[case] most: f64,
+    #[case] standing: f64,
+    #[case] paid: f64,
 ) {
     let told = links::worked_out(4_000.0, 152.0, 12.5, &links::shares(spread), most);
-    assert!((told.0 - standing).abs() < 0.1 && (told.1 - paid).abs() < 1e-4, "{told:?}");
+    assert!(
+        (told.0 - standing).abs() < 0.1 && (told.1 - paid).abs() < 1e-4,
+        "{told:?}"
+    );
 }
 
 /// Every experiment of real processes refuses what is beyond its bound.
 #[test]
 fn sizes_beyond_the_bound_are_refused() {
-    let names =
-        ["idle", "changes", "anew", "redial", "restart", "fleet", "cold", "links-workers", "links-calls"];
+    let names = [
+        "idle",
+        "changes",
+        "anew",
+        "redial",
+        "restart",
+        "fleet",
+        "cold",
+        "links-workers",
+        "links-calls",
+    ];
     for name in names {
         let all = experiments();
         let one = all.iter().find(|e| e.name == name).expect("it is there");
         let beyond = one.sizes(&[1, 2, 3, one.bound + 1]);
-        assert_eq!(beyond, Err(Fault::Size { asked: one.bound + 1, bound: one.bound }), "{name}");
+        assert_eq!(
+            beyond,
+            Err(Fault::Size {
+                asked: one.bound + 1,
+                bound: one.bound
+            }),
+            "{name}"
+        );
     }
     let words = ["run", "fleet", "--sizes", "1,2,3,100000"];
-    let out = Command::new(env!("CARGO_BIN_EXE_scalelab")).args(words).output().expect("runs");
+    let out = Command::new(env!("CARGO_BIN_EXE_scalelab"))
+        .args(words)
+        .output()
+        .expect("runs");
     assert_eq!(out.status.code(), Some(2));
-    assert!(String::from_utf8_lossy(&out.stderr).contains("size 100000 is not within"), "{out:?}");
+    assert!(
+        String::from_utf8_lossy(&out.stderr).contains("size 100000 is not within"),
+        "{out:?}"
+    );
 }
 
 /// Processes that were started end with who started them, also where that one is killed.
@@ -108,10 +176,22 @@
     let mut child = String::new();
     until("it has started a process", SOON, || {
         let all = std::fs::read_dir("/proc").expect("proc").flatten();
-        let stat = |name: &str| std::fs::read_to_string(format!("/proc/{name}/stat")).unwrap_or_default();
-        let parent = |text: &str| text.rsplit_once(") ")?.1.split(' ').nth(1)?.parse::<u32>().ok();
-        let of = |name: &String| parent(&stat(name)) == Some(id) && stat(name).contains("(wrenseam)");
-        child = all.filter_map(|e| e.file_name().into_string().ok()).find(of).unwrap_or_default();
+        let stat =
+            |name: &str| std::fs::read_to_string(format!("/proc/{name}/stat")).unwrap_or_default();
+        let parent = |text: &str| {
+            text.rsplit_once(") ")?
+                .1
+                .split(' ')
+                .nth(1)?
+                .parse::<u32>()
+                .ok()
+        };
+        let of =
+            |name: &String| parent(&stat(name)) == Some(id) && stat(name).contains("(wrenseam)");
+        child = all
+            .filter_map(|e| e.file_name().into_string().ok())
+            .find(of)
+            .unwrap_or_default();
         !child.is_empty()
     })
     .expect("a process");
--- a/src/cold.rs
+++ b/src/cold.rs
@@ -65,7 +65,11 @@
     pub(crate) fn new(set: &Settings) -> Rule {
         let told = |v: f64| if v.is_finite() { v.max(0.0) } else { 0.0 };
         let gateways = set.gateways.max(1);
-        let index = if gateways == 1 { Some(0) } else { set.index.filter(|&i| i < gateways) };
+        let index = if gateways == 1 {
+            Some(0)
+        } else {
+            set.index.filter(|&i| i < gateways)
+        };
         Rule {
             from: told(set.cold_from).min(1.0),
             within: set.warm_within,
@@ -110,15 +114,21 @@
     }
 
     fn seats(&self, all: f64) -> f64 {
-        (all / self.part()).floor().clamp(1.0, f64::from(self.gateways))
+        (all / self.part())
+            .floor()
+            .clamp(1.0, f64::from(self.gateways))
     }
 
     /// The allowance `age` after a worker's start, where a warm one can do `calls` a second and the dearest class
     /// weighs `depth` calls; `None` once it is warm. The seats go on in turn, as many at a time as the worker
     /// bears at the turn's begin: who sends seldom wastes no more than a turn, and each has its own.
     pub(crate) fn allowance(&self, age: Micros, calls: f64, depth: f64) -> Option<Allowance> {
-        let (now, turn) = (self.share(1, age.saturating_add(1))?, TURN * self.window.max(1));
-        let begin = |n: u64| self.seats(self.all(self.share(1, n * turn + 1).unwrap_or(1.0), calls));
+        let (now, turn) = (
+            self.share(1, age.saturating_add(1))?,
+            TURN * self.window.max(1),
+        );
+        let begin =
+            |n: u64| self.seats(self.all(self.share(1, n * turn + 1).unwrap_or(1.0), calls));
         // Within the time that is told for warming up there are few turns, unless the settings are odd.
         let (turns, gateways) = ((age / turn).min(1_000), self.gateways);
         let first = (0..turns).map(begin).sum::<f64>() as u64 % u64::from(gateways);
@@ -126,7 +136,13 @@
         let each = all / seats / (self.part() / 2.0);
         let depth = depth.max(each * LEAST);
         let rate = (each - depth).max(each * LEAST) / self.window.max(1) as f64;
-        Some(Allowance { first: first as u32, seats: seats as u32, gateways, rate, depth })
+        Some(Allowance {
+            first: first as u32,
+            seats: seats as u32,
+            gateways,
+            rate,
+            depth,
+        })
     }
 
     /// The place of this front end in the order of those that may send to a worker: by the draw of all numbers where
@@ -156,8 +172,14 @@
 
     /// Whether this front end has one of the seats.
     pub(crate) fn seated(&self, allowance: &Allowance) -> bool {
-        let Allowance { first, seats, gateways, .. } = *allowance;
-        self.rank.is_some_and(|r| (r + gateways - first) % gateways < seats)
+        let Allowance {
+            first,
+            seats,
+            gateways,
+            ..
+        } = *allowance;
+        self.rank
+            .is_some_and(|r| (r + gateways - first) % gateways < seats)
     }
 
     /// Our place in the worker's order, once drawn.
@@ -175,7 +197,11 @@
         let seated = self.seated(allowance);
         self.stored = if seated { self.holds(now) } else { 0.0 };
         self.at = now;
-        (self.rate, self.depth) = if seated { (allowance.rate, allowance.depth) } else { (0.0, 0.0) };
+        (self.rate, self.depth) = if seated {
+            (allowance.rate, allowance.depth)
+        } else {
+            (0.0, 0.0)
+        };
     }
 
     /// Whether a call of this weight may be sent now. It is not rounded to the times at which allowances are
