--- a/src/control.rs
+++ b/src/control.rs
@@ -82,7 +82,10 @@
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         if self.ticks == 0 {
             self.ticks = 1;
-            out.push(Action::Timer { delay: TICK, token: 0 });
+            out.push(Action::Timer {
+                delay: TICK,
+                token: 0,
+            });
             out.extend(self.set.ask_for_list.then_some(Action::Watch));
         }
         let now = now.min(u64::MAX / 4);
@@ -98,7 +101,11 @@
             Event::Withdrawn { id } => self.withdrawn(id, out),
             Event::Timer { token: 0 } => {
                 self.tick(now, out);
-                let delay = if self.requests.is_empty() { SURVEY } else { TICK };
+                let delay = if self.requests.is_empty() {
+                    SURVEY
+                } else {
+                    TICK
+                };
                 out.push(Action::Timer { delay, token: 0 });
             }
             Event::Timer { token } => {
@@ -107,8 +114,17 @@
                     self.finish(id, out);
                 }
             }
-            Event::Loaded { worker, function, count, outcome, elapsed } => {
-                let known = (self.worker_ids.get(&worker), self.function_ids.get(&function));
+            Event::Loaded {
+                worker,
+                function,
+                count,
+                outcome,
+                elapsed,
+            } => {
+                let known = (
+                    self.worker_ids.get(&worker),
+                    self.function_ids.get(&function),
+                );
                 if let (Some(&w), Some(&f)) = known {
                     self.loaded(now, w, f, (count, outcome, elapsed), out);
                 }
@@ -123,7 +139,8 @@
         for w in started {
             // A new process: past health says nothing, it holds no copy, and nothing is saved up for it.
             let worker = &mut self.workers[w];
-            (worker.dead, worker.slow, worker.health, worker.errors) = (false, false, 1.0, (0.0, 0));
+            (worker.dead, worker.slow, worker.health, worker.errors) =
+                (false, false, 1.0, (0.0, 0));
             (worker.report, worker.trials) = (None, 0);
             worker.cold.started();
             self.zones.back(worker.entry.zone);
@@ -146,7 +163,11 @@
     /// class: that pair stays away, others are served. Else (full, or draining before the list tells) all do.
     fn turned_away(&mut self, w: usize, pair: (Option<usize>, usize), now: Micros) {
         let picks = self.reports && !self.crowded(w, now);
-        let (key, span) = if picks { (pair, AWAY) } else { (WHOLE, (FULL_WAIT, AWAY.0)) };
+        let (key, span) = if picks {
+            (pair, AWAY)
+        } else {
+            (WHOLE, (FULL_WAIT, AWAY.0))
+        };
         let block = self.workers[w].blocks.entry(key).or_default();
         block.1 = (block.1 * 2).clamp(span.0, span.1);
         block.0 = now + block.1;
@@ -164,10 +185,14 @@
     /// most of the fleet looks bad: then the judgement is at fault, not the fleet.
     pub(crate) fn usable(&self, w: usize, class: usize, now: Micros) -> bool {
         let worker = &self.workers[w];
-        let broke = self.cold_share(w, now).is_some() && !worker.cold.admits(now, self.weight(class));
+        let broke =
+            self.cold_share(w, now).is_some() && !worker.cold.admits(now, self.weight(class));
         let safe = self.set.classes[class].effect == Effect::Safe;
-        let trial =
-            safe && !worker.dead && !self.zone_lost(w) && worker.out.is_empty() && now >= worker.next_trial;
+        let trial = safe
+            && !worker.dead
+            && !self.zone_lost(w)
+            && worker.out.is_empty()
+            && now >= worker.next_trial;
         worker.ready() && !broke && (!self.suspect(w) || trial)
     }
 
@@ -189,7 +214,17 @@
     // ---- requests
 
     fn request(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        let Event::Request { id, class, tenant, function, left, memory_mb, lanes, load_time, retry } = event
+        let Event::Request {
+            id,
+            class,
+            tenant,
+            function,
+            left,
+            memory_mb,
+            lanes,
+            load_time,
+            retry,
+        } = event
         else {
             return;
         };
@@ -198,7 +233,12 @@
         let (f, new) = self.slot(function);
         if new {
             let (service, load_time) = (self.class_service[class], load_time.min(LONGEST) as f64);
-            self.functions[f] = Function { id: function, service, load_time, ..Function::default() };
+            self.functions[f] = Function {
+                id: function,
+                service,
+                load_time,
+                ..Function::default()
+            };
         }
         self.latest = f;
         let told = &mut self.functions[f];
@@ -221,14 +261,33 @@
         let ends = now + left.saturating_sub(END_MARGIN);
         let tenant = tenant.filter(|&t| t < self.tenant_rate.len());
         tenant.into_iter().for_each(|t| self.tenant_rate[t] += 1.0);
-        let (function, arrived, [lost, done, risk], errors, attempts) = (f, now, [false; 3], 0, Vec::new());
-        let r = Request { function, class, tenant, arrived, ends, retry, lost, done, risk, errors, attempts };
+        let (function, arrived, [lost, done, risk], errors, attempts) =
+            (f, now, [false; 3], 0, Vec::new());
+        let r = Request {
+            function,
+            class,
+            tenant,
+            arrived,
+            ends,
+            retry,
+            lost,
+            done,
+            risk,
+            errors,
+            attempts,
+        };
         self.requests.insert(id, r);
-        if left <= END_MARGIN || self.hopeless(id, left, now) || self.overloaded(class, tenant, left, f) {
+        if left <= END_MARGIN
+            || self.hopeless(id, left, now)
+            || self.overloaded(class, tenant, left, f)
+        {
             return self.finish(id, out);
         }
         // Rule 1: whatever else happens, this timer ends the request in time.
-        out.push(Action::Timer { delay: ends - now, token: id << 1 | 1 });
+        out.push(Action::Timer {
+            delay: ends - now,
+            token: id << 1 | 1,
+        });
         if self.virtual_loss(f, now) {
             self.functions[f].last_lost = now;
             self.add_copy(f, now, None, out);
@@ -241,19 +300,27 @@
     /// time. Not acted on while little is out or the pace is not known yet.
     fn overloaded(&self, class: usize, tenant: Option<usize>, left: Micros, f: usize) -> bool {
         // What workers report tells of all gateways; else all are taken to have as much out as we have.
-        let held = self.backlog * f64::from(self.set.gateways.max(1)) / self.ready.len().max(1) as f64;
+        let held =
+            self.backlog * f64::from(self.set.gateways.max(1)) / self.ready.len().max(1) as f64;
         if if self.reports { self.mean_held } else { held } < CROWD || self.ticks < 100 {
             return false;
         }
         // What waits for loads is out too, but is no queue: answers of calls that found a copy tell.
-        let wait = (self.backlog / self.served_rate.max(0.1) * SEC as f64).min(QUEUED * self.answer_time);
+        let wait =
+            (self.backlog / self.served_rate.max(0.1) * SEC as f64).min(QUEUED * self.answer_time);
         let doomed = (left as f64) < self.functions[f].service; // its client leaves first: work for nothing
         let over = tenant.is_some_and(|t| self.over_share(t));
         let told = &self.set.classes[..self.set.classes.len() - 1];
         let density = |c: usize| self.set.classes[c].worth / self.class_service[c];
-        let worse = (0..told.len()).filter(|&c| density(c) < density(class) / 1.2).count();
+        let worse = (0..told.len())
+            .filter(|&c| density(c) < density(class) / 1.2)
+            .count();
         let rank = worse as f64 / (told.len() as f64 - 1.0).max(1.0);
-        let bound = if over { REFUSE.0 } else { REFUSE.1 + (REFUSE.2 - REFUSE.1) * rank };
+        let bound = if over {
+            REFUSE.0
+        } else {
+            REFUSE.1 + (REFUSE.2 - REFUSE.1) * rank
+        };
         doomed || wait > bound * self.mean_aim()
     }
 
@@ -267,14 +334,17 @@
         }
         let least = self.least_star.min(z_star);
         let z = self.free_workers(f, now).len();
-        let Some(p) = virtual_loss_chance(d, z, lambda, theta, z_star, least) else { return false };
+        let Some(p) = virtual_loss_chance(d, z, lambda, theta, z_star, least) else {
+            return false;
+        };
         (self.random() as f64) < p * 2f64.powi(32)
     }
 
     fn free_workers(&self, f: usize, now: Micros) -> Vec<usize> {
         let function = &self.functions[f];
         let free = |(&w, c): (&usize, &Copy)| {
-            let ok = c.warm(now) && c.free(now, function.lanes) && self.usable(w, function.class, now);
+            let ok =
+                c.warm(now) && c.free(now, function.lanes) && self.usable(w, function.class, now);
             (ok && !self.crowded(w, now)).then_some(w)
         };
         function.at.iter().filter_map(free).collect()
@@ -287,15 +357,25 @@
         if blocked((r.tenant, r.class)) || blocked(WHOLE) {
             return false;
         }
-        if r.attempts.iter().any(|a| a.worker == w && (a.open || a.may_have_run)) {
+        if r.attempts
+            .iter()
+            .any(|a| a.worker == w && (a.open || a.may_have_run))
+        {
             return false;
         }
-        may_repeat(r, &self.set.classes[r.class], Placement::of(&self.workers[w].entry), now)
+        may_repeat(
+            r,
+            &self.set.classes[r.class],
+            Placement::of(&self.workers[w].entry),
+            now,
+        )
     }
 
     /// Sends a request, or leaves it held until a copy is due, or ends it if nothing more can be done.
     fn place(&mut self, now: Micros, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.done) else { return };
+        let Some(r) = self.requests.get(&id).filter(|r| !r.done) else {
+            return;
+        };
         let (f, class, lost, retry) = (r.function, r.class, r.lost, r.retry);
         if r.attempts.iter().any(|a| a.open) {
             return;
@@ -321,9 +401,19 @@
         if let Some(w) = self.pick(&free) {
             // Exception, while several gateways share the workers: others' requests in flight take lanes too.
             // If they are as many as ours of late, all lanes that we know of are taken: a loss we cannot see.
-            let (service, lanes) = (self.functions[f].service, f64::from(self.functions[f].lanes));
-            let known = self.functions[f].at.values().filter(|c| c.warm(now)).count() as f64;
-            if self.set.gateways > 1 && !(lost || retry) && self.fleet_calls(f, service) > known * lanes {
+            let (service, lanes) = (
+                self.functions[f].service,
+                f64::from(self.functions[f].lanes),
+            );
+            let known = self.functions[f]
+                .at
+                .values()
+                .filter(|c| c.warm(now))
+                .count() as f64;
+            if self.set.gateways > 1
+                && !(lost || retry)
+                && self.fleet_calls(f, service) > known * lanes
+            {
                 self.functions[f].last_lost = now;
                 self.add_copy(f, now, Some(id), out);
             }
@@ -337,9 +427,16 @@
         let at = &self.functions[f].at;
         let fits = |w: &usize| self.usable(*w, class, now) && self.allowed(id, *w, now);
         // Ties go to the least held by all accounts: at size ours are mostly none.
-        let load =
-            |w: usize, c: &Copy| (c.ours, (self.held_at(w, now) * self.workers[w].health * 16.0) as u64);
-        let warm = at.iter().filter(|(w, c)| c.warm(now) && fits(w)).map(|(&w, c)| (load(w, c), w));
+        let load = |w: usize, c: &Copy| {
+            (
+                c.ours,
+                (self.held_at(w, now) * self.workers[w].health * 16.0) as u64,
+            )
+        };
+        let warm = at
+            .iter()
+            .filter(|(w, c)| c.warm(now) && fits(w))
+            .map(|(&w, c)| (load(w, c), w));
         if let Some((_, w)) = warm.min() {
             if fresh {
                 self.add_copy(f, now, Some(id), out);
@@ -372,7 +469,9 @@
         let waiting = self.functions[f].held.len() as u32;
         let function = &self.functions[f];
         let pending = function.at.values().filter(|c| c.loading()).count() as u32;
-        if waiting > pending * function.lanes.max(2) && !self.add_copy(f, now, Some(id), out) && pending == 0
+        if waiting > pending * function.lanes.max(2)
+            && !self.add_copy(f, now, Some(id), out)
+            && pending == 0
         {
             // No order may be given (ration, cap or site): where calls load by themselves, this one does.
             let may = self.set.load_on_absence && f64::from(self.loads_out) < self.load_cap;
@@ -407,7 +506,9 @@
                 && self.allowed(id, *w, now)
         };
         let homes = places.into_iter().filter(fits).take(most);
-        homes.filter(|w| g.at.get(w).is_none_or(|c| !c.warm(now) && c.ours < g.lanes)).collect()
+        homes
+            .filter(|w| g.at.get(w).is_none_or(|c| !c.warm(now) && c.ours < g.lanes))
+            .collect()
     }
 
     /// How many places calls of a function are spread over: more, the more calls of all gateways its workers
@@ -423,36 +524,70 @@
     fn send(&mut self, now: Micros, id: RequestId, w: usize, out: &mut Vec<Action>) {
         let r = &self.requests[&id];
         let function = &self.functions[r.function];
-        let unknown = function.at.get(&w).is_none_or(|c| !c.warm(now) && !c.holding());
+        let unknown = function
+            .at
+            .get(&w)
+            .is_none_or(|c| !c.warm(now) && !c.holding());
         let cold = unknown && self.set.load_on_absence;
-        let load = if unknown { function.load_time.max(DEFAULT_SPAN as f64) } else { 0.0 };
+        let load = if unknown {
+            function.load_time.max(DEFAULT_SPAN as f64)
+        } else {
+            0.0
+        };
         let expected = function.service.max(10.0 * MS as f64) + load;
         let (timeout, class) = (r.ends.saturating_sub(now).max(MS), r.class);
         let window = repeat_window(r, &self.set.classes[class], now);
         self.sent(now, id, w, cold, expected);
         let weight = self.cold_share(w, now).map(|_| self.weight(class));
         let worker = &mut self.workers[w];
-        weight.into_iter().for_each(|weight| worker.cold.spend(now, weight));
+        weight
+            .into_iter()
+            .for_each(|weight| worker.cold.spend(now, weight));
         worker.next_trial = now + TRIAL_GAP;
-        out.push(Action::Send { id, worker: worker.entry.worker.clone(), timeout, window });
+        out.push(Action::Send {
+            id,
+            worker: worker.entry.worker.clone(),
+            timeout,
+            window,
+        });
     }
 
     /// The one final answer: refused where nothing can have run, failed otherwise. What is still out is
     /// called off, so that workers that can stop do.
     fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.done) else { return };
+        let Some(r) = self.requests.get(&id).filter(|r| !r.done) else {
+            return;
+        };
         let ran = r.attempts.iter().any(|a| a.may_have_run);
         let retry_after = self.set.max_retry_after / 2;
-        out.push(if ran { Action::Fail { id } } else { Action::Refuse { id, retry_after } });
+        out.push(if ran {
+            Action::Fail { id }
+        } else {
+            Action::Refuse { id, retry_after }
+        });
         self.close(id, out);
     }
 
     fn outcome(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        let Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight } = event else {
+        let Event::Outcome {
+            id,
+            attempt,
+            outcome,
+            elapsed,
+            closed,
+            warm,
+            crowd,
+            inflight,
+        } = event
+        else {
+            return;
+        };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(a) = r.attempts.get_mut(attempt).filter(|a| a.open) else {
             return;
         };
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let Some(a) = r.attempts.get_mut(attempt).filter(|a| a.open) else { return };
         a.open = false;
         (a.may_have_run, a.missed) = (!never_ran(outcome), outcome == Outcome::Miss);
         r.errors += u32::from(outcome == Outcome::Error);
@@ -467,7 +602,9 @@
         if self.workers[w].ready() && !fresh_process {
             match outcome {
                 Outcome::Ok => {
-                    self.workers[w].blocks.retain(|&key, _| key != pair && key != WHOLE);
+                    self.workers[w]
+                        .blocks
+                        .retain(|&key, _| key != pair && key != WHOLE);
                     (c.count, c.expires, c.seen) = (c.count.max(1), c.expires.max(until), now);
                 }
                 Outcome::Miss => c.count = 0,
@@ -508,7 +645,15 @@
 
     /// One running figure of how a worker does against what was expected: slow answers, errors, time-outs,
     /// resets, rejections and silence raise it, whatever their cause.
-    fn judge(&mut self, now: Micros, f: usize, a: &Attempt, outcome: Outcome, elapsed: Micros, loaded: bool) {
+    fn judge(
+        &mut self,
+        now: Micros,
+        f: usize,
+        a: &Attempt,
+        outcome: Outcome,
+        elapsed: Micros,
+        loaded: bool,
+    ) {
         let (w, class, mut sample) = (a.worker, self.functions[f].class, None);
         match outcome {
             Outcome::ConnectFailed | Outcome::Reset => {
@@ -520,7 +665,11 @@
             _ => {}
         }
         // Where a copy was not known and stood all the same, no load was in the way.
-        let expected = if a.cold && !loaded { self.functions[f].service } else { a.expected };
+        let expected = if a.cold && !loaded {
+            self.functions[f].service
+        } else {
+            a.expected
+        };
         let expected = expected.max(10.0 * MS as f64);
         match outcome {
             Outcome::Ok => {
@@ -534,7 +683,8 @@
                         // Of a fleet that reports no load, the time an answer took stands for what is held.
                         let worker = &mut self.workers[w];
                         let before = worker.report.map_or(1.0, |r| r.1);
-                        worker.report = Some((now, (before + ratio.min(BAD)) / 2.0, worker.out.len()));
+                        worker.report =
+                            Some((now, (before + ratio.min(BAD)) / 2.0, worker.out.len()));
                     }
                     self.paces[class].took(now, e);
                     self.answer_time += ANSWERS * (e - self.answer_time);
@@ -581,7 +731,11 @@
     fn tick(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.ticks = self.ticks.saturating_add(1);
         if now >= self.surveyed + SURVEY {
-            let past = if self.surveyed == 0 { SURVEY } else { now - self.surveyed };
+            let past = if self.surveyed == 0 {
+                SURVEY
+            } else {
+                now - self.surveyed
+            };
             self.surveyed = now;
             self.survey(now, past, out);
         }
@@ -592,7 +746,11 @@
     /// Figures of the fleet over the span since the last time, silence, trials, renewals.
     fn survey(&mut self, now: Micros, past: Micros, out: &mut Vec<Action>) {
         let window = self.set.load_window;
-        while self.taken.front().is_some_and(|&t| t + window.max(SPANS.1) < now) {
+        while self
+            .taken
+            .front()
+            .is_some_and(|&t| t + window.max(SPANS.1) < now)
+        {
             self.taken.pop_front();
         }
         let ready = std::mem::take(&mut self.ready);
@@ -601,10 +759,14 @@
         let mut bad = 0;
         for &w in &ready {
             let worker = &mut self.workers[w];
-            worker.health += (past as f64 / HEALTH_FADE.max(self.fade)).min(1.0) * (1.0 - worker.health);
+            worker.health +=
+                (past as f64 / HEALTH_FADE.max(self.fade)).min(1.0) * (1.0 - worker.health);
             worker.slow = worker.health > SLOW * self.median_health || worker.fails();
             if let Some(&(sent, id, n)) = worker.out.first() {
-                let expected = self.requests.get(&id).map_or(0.0, |r| r.attempts[n].expected);
+                let expected = self
+                    .requests
+                    .get(&id)
+                    .map_or(0.0, |r| r.attempts[n].expected);
                 let quiet = now.saturating_sub(sent.max(worker.heard).max(self.woke)) as f64;
                 // Only answers to calls count: a stalled worker may still answer orders.
                 if quiet > SILENT * expected.max(50.0 * MS as f64) {
@@ -616,7 +778,11 @@
         self.distrust = bad * 2 > ready.len();
         if now >= self.logged + 10 * SEC && (bad * 10 > ready.len() || self.load_cap < 2.0) {
             self.logged = now;
-            let text = format!("{bad} of {} workers look bad; load cap {:.0}", ready.len(), self.load_cap);
+            let text = format!(
+                "{bad} of {} workers look bad; load cap {:.0}",
+                ready.len(),
+                self.load_cap
+            );
             out.push(Action::Log { text });
         }
         self.trials(now, &ready, out);
@@ -649,8 +815,18 @@
                 continue;
             }
             self.workers[w].next_trial = now + self.trial_gap(w);
-            let quiet = |f: &usize| self.functions[*f].at.get(&w).is_none_or(|c| c.order.is_none());
-            let held = self.workers[w].holds.iter().copied().chain([self.latest]).filter(quiet);
+            let quiet = |f: &usize| {
+                self.functions[*f]
+                    .at
+                    .get(&w)
+                    .is_none_or(|c| c.order.is_none())
+            };
+            let held = self.workers[w]
+                .holds
+                .iter()
+                .copied()
+                .chain([self.latest])
+                .filter(quiet);
             let warm = |f: usize| self.functions[f].at.get(&w).is_some_and(|c| c.warm(now));
             let known = held.filter(|&f| self.functions.get(f).is_some_and(|g| g.last_call > 0));
             if let Some(f) = known.max_by_key(|&f| (warm(f), self.functions[f].last_call)) {
@@ -665,9 +841,13 @@
     /// forbidden (it is called off first, and placed again when that is confirmed).
     fn second_attempts(&mut self, now: Micros, out: &mut Vec<Action>) {
         let lossy = self.last_reset > 0 && now < self.last_reset + HEDGE.0;
-        let hedge = self.set.second_copies && (lossy || self.answer_time < HEDGE.1 * self.mean_aim());
+        let hedge =
+            self.set.second_copies && (lossy || self.answer_time < HEDGE.1 * self.mean_aim());
         let overdue = |(&id, r): (&RequestId, &Request)| {
-            let a = r.attempts.last().filter(|a| a.open && !r.done && !a.called_off)?;
+            let a = r
+                .attempts
+                .last()
+                .filter(|a| a.open && !r.done && !a.called_off)?;
             let only = r.attempts.iter().filter(|a| a.open).count() == 1;
             let worker = &self.workers[a.worker];
             let aim = self.set.classes[r.class].aim as f64;
@@ -679,7 +859,8 @@
             let waited = now.saturating_sub(a.sent.max(self.woke)) as f64;
             let late = waited > patience.min(SILENT * a.expected);
             let limit = (r.attempts.len() as u32) < self.set.max_attempts;
-            (only && late && limit && self.set.classes[r.class].effect != Effect::Unsafe).then_some(id)
+            (only && late && limit && self.set.classes[r.class].effect != Effect::Unsafe)
+                .then_some(id)
         };
         let ids: Vec<RequestId> = self.requests.iter().filter_map(overdue).collect();
         for id in ids {
@@ -690,7 +871,9 @@
                 continue;
             }
             if self.set.second_copies {
-                self.pick(&free).into_iter().for_each(|w| self.send(now, id, w, out));
+                self.pick(&free)
+                    .into_iter()
+                    .for_each(|w| self.send(now, id, w, out));
             } else if let Some(r) = self.requests.get_mut(&id).filter(|_| self.set.may_cancel) {
                 let attempt = r.attempts.len() - 1;
                 r.attempts[attempt].called_off = true;
@@ -702,13 +885,19 @@
 
     /// Places the held requests of one function, or all, again.
     fn retry_held(&mut self, only: Option<usize>, now: Micros, out: &mut Vec<Action>) {
-        self.held(only).into_iter().for_each(|id| self.place(now, id, out));
+        self.held(only)
+            .into_iter()
+            .for_each(|id| self.place(now, id, out));
     }
 
     /// Learns before loading: asks ready workers whether the function stands there. True while answers are
     /// awaited. Guards against a (re)started gateway loading what others have loaded already.
     fn ask(&mut self, f: usize, now: Micros, out: &mut Vec<Action>) -> bool {
-        let most = if self.set.gateways > 1 { PLACES_ASKED } else { usize::MAX };
+        let most = if self.set.gateways > 1 {
+            PLACES_ASKED
+        } else {
+            usize::MAX
+        };
         let places = self.places(f);
         let open = |&w: &usize| self.set.orders && self.workers[w].ready() && !self.suspect(w);
         let places: Vec<usize> = places.into_iter().filter(open).take(most).collect();
@@ -738,20 +927,42 @@
         if window == 0 {
             return false;
         }
-        while self.ordered.front().is_some_and(|&t| t + window + END_MARGIN < now) {
+        while self
+            .ordered
+            .front()
+            .is_some_and(|&t| t + window + END_MARGIN < now)
+        {
             self.ordered.pop_front();
         }
-        let taken = self.taken.iter().rev().take_while(|&&t| t + window > now + END_MARGIN).count();
+        let taken = self
+            .taken
+            .iter()
+            .rev()
+            .take_while(|&&t| t + window > now + END_MARGIN)
+            .count();
         let allowed = self.set.load_free + self.set.load_share * taken as f64;
         (self.ordered.len() + 1) as f64 > if spare { allowed / 2.0 } else { allowed }
     }
 
     /// A loss's answer: one more copy, unless our loads are at their cap or one is on its way already.
-    fn add_copy(&mut self, f: usize, now: Micros, lost: Option<RequestId>, out: &mut Vec<Action>) -> bool {
+    fn add_copy(
+        &mut self,
+        f: usize,
+        now: Micros,
+        lost: Option<RequestId>,
+        out: &mut Vec<Action>,
+    ) -> bool {
         let ahead = lost.is_none();
-        let cap = if ahead { self.load_cap / 2.0 } else { self.load_cap };
+        let cap = if ahead {
+            self.load_cap / 2.0
+        } else {
+            self.load_cap
+        };
         let function = &self.functions[f];
-        let pending = function.at.values().any(|c| c.holding() || c.cold_sends > 0);
+        let pending = function
+            .at
+            .values()
+            .any(|c| c.holding() || c.cold_sends > 0);
         // Exception, while several gateways share the workers: each answers the same losses, and together
         // they would load more copies than memory holds and unload each other's. So calls in flight, taken
         // over all gateways, bound the copies that we know of.
@@ -759,13 +970,23 @@
         let bound = 1.0 + (COPIES_PER_CALL * self.fleet_calls(f, function.service)).round();
         let enough = self.set.gateways > 1 && known >= bound;
         let full = f64::from(self.loads_out) + 1.0 > cap || enough;
-        if !self.set.orders || full || (pending && function.held.is_empty()) || self.rationed(now, ahead) {
+        if !self.set.orders
+            || full
+            || (pending && function.held.is_empty())
+            || self.rationed(now, ahead)
+        {
             return false;
         }
-        let Some(w) = self.target(f, now, lost) else { return false };
+        let Some(w) = self.target(f, now, lost) else {
+            return false;
+        };
         self.make_room(f, w, now, out);
         let c = self.copy(f, w);
-        let count = if c.warm(now) { (c.count + 1).min(16) } else { 1 };
+        let count = if c.warm(now) {
+            (c.count + 1).min(16)
+        } else {
+            1
+        };
         self.hold(f, w, count, now, out);
         true
     }
@@ -802,7 +1023,11 @@
             };
             let gives = |w: usize| self.workers[w].holds.iter().any(|g| yields(g, w));
             let fits = |w: &&usize| self.room(f, **w, now) >= 0.0 || gives(**w);
-            let first = if self.many() { None } else { fitting.iter().find(fits) };
+            let first = if self.many() {
+                None
+            } else {
+                fitting.iter().find(fits)
+            };
             return first.or(fitting.first()).copied();
         }
         let mut others: Vec<usize> = (0..self.functions.len()).filter(|&g| g != f).collect();
@@ -824,20 +1049,34 @@
     /// Drops the least recently lost idle copies at a worker while our own account shows its memory short.
     fn make_room(&mut self, f: usize, w: usize, now: Micros, out: &mut Vec<Action>) {
         // Exception at size: what lies idle by our account is in use by others; the worker's own is better.
-        let mut room = if self.many() { 0.0 } else { self.room(f, w, now) };
-        let mut others: Vec<usize> = self.workers[w].holds.iter().copied().filter(|&g| g != f).collect();
+        let mut room = if self.many() {
+            0.0
+        } else {
+            self.room(f, w, now)
+        };
+        let mut others: Vec<usize> = self.workers[w]
+            .holds
+            .iter()
+            .copied()
+            .filter(|&g| g != f)
+            .collect();
         others.sort_by_key(|&g| self.functions[g].last_lost);
         for g in others {
             if room >= 0.0 {
                 return;
             }
             let function = &mut self.functions[g];
-            let Some(c) = function.at.get_mut(&w) else { continue };
+            let Some(c) = function.at.get_mut(&w) else {
+                continue;
+            };
             if c.warm(now) && c.ours == 0 && c.order.is_none() {
                 room += function.memory * f64::from(c.count);
                 c.count = 0;
                 let worker = self.workers[w].entry.worker.clone();
-                out.push(Action::Drop { worker, function: function.id });
+                out.push(Action::Drop {
+                    worker,
+                    function: function.id,
+                });
             }
         }
     }
@@ -848,15 +1087,25 @@
         let lead = (keep as f64 * (1.0 - RENEW_AT)) as Micros;
         for f in 0..self.functions.len() {
             let function = &self.functions[f];
-            let over = now > function.last_call + (keep as f64 * RENEW_FOR) as Micros || function.steady > 0;
+            let over = now > function.last_call + (keep as f64 * RENEW_FOR) as Micros
+                || function.steady > 0;
             if over || !self.set.orders {
                 continue;
             }
-            let warm =
-                |&(&w, c): &(&usize, &Copy)| c.warm(now) && self.workers[w].ready() && !self.workers[w].dead;
-            let last = function.at.iter().filter(warm).max_by_key(|(_, c)| c.expires);
+            let warm = |&(&w, c): &(&usize, &Copy)| {
+                c.warm(now) && self.workers[w].ready() && !self.workers[w].dead
+            };
+            let last = function
+                .at
+                .iter()
+                .filter(warm)
+                .max_by_key(|(_, c)| c.expires);
             let Some((&w, c)) = last else { continue };
-            if c.ours == 0 && c.order.is_none() && c.expires < now + lead && !self.rationed(now, true) {
+            if c.ours == 0
+                && c.order.is_none()
+                && c.expires < now + lead
+                && !self.rationed(now, true)
+            {
                 self.hold(f, w, 1, now, out);
             }
         }
@@ -867,7 +1116,10 @@
     fn foresee(&mut self, now: Micros, out: &mut Vec<Action>) {
         for f in 0..self.functions.len() {
             let g = &self.functions[f];
-            let (due, lead) = (g.fired + g.period, (FORESEEN.0 * g.load_time) as Micros + FORESEEN.1);
+            let (due, lead) = (
+                g.fired + g.period,
+                (FORESEEN.0 * g.load_time) as Micros + FORESEEN.1,
+            );
             let soon = now + lead >= due && now < due + FIRING;
             let idle = g.held.is_empty() && g.at.values().all(|c| c.ours == 0 && !c.loading());
             if g.steady == 0 || !idle || !self.set.orders {
@@ -885,9 +1137,13 @@
                 continue;
             }
             let g = &self.functions[f];
-            let warm = |(&w, c): (&usize, &Copy)| (c.warm(now) && self.usable(w, g.class, now)).then_some(w);
+            let warm = |(&w, c): (&usize, &Copy)| {
+                (c.warm(now) && self.usable(w, g.class, now)).then_some(w)
+            };
             let known = g.at.iter().find_map(warm);
-            let Some(w) = known.or_else(|| self.target(f, now, None)) else { continue };
+            let Some(w) = known.or_else(|| self.target(f, now, None)) else {
+                continue;
+            };
             known.is_none().then(|| self.make_room(f, w, now, out));
             self.functions[f].foreseen = self.functions[f].fired;
             self.hold(f, w, 1, now, out);
@@ -897,10 +1153,17 @@
     /// The answer to a hold or a question. Guards the shared store: loads slow everywhere, or two that fail
     /// within a short time, lower our cap on loads in flight; good ones raise it slowly.
     fn loaded(
-        &mut self, now: Micros, w: usize, f: usize, reply: (u32, Outcome, Micros), out: &mut Vec<Action>,
+        &mut self,
+        now: Micros,
+        w: usize,
+        f: usize,
+        reply: (u32, Outcome, Micros),
+        out: &mut Vec<Action>,
     ) {
         let (keep, (count, outcome, elapsed)) = (self.belief(f), reply);
-        let Some(c) = self.functions[f].at.get_mut(&w) else { return };
+        let Some(c) = self.functions[f].at.get_mut(&w) else {
+            return;
+        };
         let Some(order) = c.order.take() else { return };
         let (Order::Ask(since) | Order::Hold(since)) = order;
         let stood = c.count > 0;
@@ -912,7 +1175,12 @@
             Outcome::Ok | Outcome::Full | Outcome::Error if ready && !old => {
                 c.count = count;
                 // A question does not restart the idle time: what it finds may be about to lapse.
-                let sure = now + if matches!(order, Order::Hold(_)) { keep } else { keep / 2 };
+                let sure = now
+                    + if matches!(order, Order::Hold(_)) {
+                        keep
+                    } else {
+                        keep / 2
+                    };
                 c.seen = sure.saturating_sub(keep);
                 c.expires = if count > 0 { c.expires.max(sure) } else { 0 };
                 self.workers[w].revive(SLOW);
@@ -943,7 +1211,11 @@
                 function.foreseen = 0; // to be tried again in time
             }
             if outcome == Outcome::Ok && !stood && took > 20.0 * MS as f64 {
-                let usual = if function.load_time > 0.0 { function.load_time } else { took };
+                let usual = if function.load_time > 0.0 {
+                    function.load_time
+                } else {
+                    took
+                };
                 let slow = took > LOAD_SLOW * usual;
                 self.workers[w].load_pace = (now, took / usual);
                 if !slow {
@@ -952,7 +1224,11 @@
                     self.load_cap *= 0.7;
                 }
                 let function = &mut self.functions[f];
-                function.load_time = if slow { usual } else { usual + ALPHA * (took - usual) };
+                function.load_time = if slow {
+                    usual
+                } else {
+                    usual + ALPHA * (took - usual)
+                };
             } else if matches!(outcome, Outcome::Error | Outcome::Timeout) && !unknown {
                 // One in a hundred fails by chance: a second one soon after tells of the store.
                 if now < self.load_failed + PACE_KEPT {
--- a/src/figures.rs
+++ b/src/figures.rs
@@ -39,7 +39,11 @@
     pub(crate) fn accounts(&mut self, now: Micros, ready: &[usize]) {
         let told = self.class_service.len() - 1;
         let mean = self.class_service[..told].iter().sum::<f64>() / told.max(1) as f64;
-        let n = if self.many() { 0.0 } else { f64::from(self.set.gateways.max(1)) };
+        let n = if self.many() {
+            0.0
+        } else {
+            f64::from(self.set.gateways.max(1))
+        };
         let seen = (self.work_rate * n).max(1.0) * SEC as f64 / mean.max(1.0);
         let calls = self.cold.capacity(self.most_listed, seen);
         let depth = (0..told).map(|c| self.weight(c)).fold(1.0, f64::max);
@@ -49,16 +53,24 @@
                 continue;
             }
             let age = now.saturating_sub(started_at);
-            let Some(allowance) = self.cold.allowance(age, calls, depth) else { continue };
+            let Some(allowance) = self.cold.allowance(age, calls, depth) else {
+                continue;
+            };
             let chance = self.random();
             let worker = &mut self.workers[w];
-            worker.cold.place(|| self.cold.rank(&worker.entry.worker, chance));
+            worker
+                .cold
+                .place(|| self.cold.rank(&worker.entry.worker, chance));
             worker.cold.allow(now, &allowance);
         }
     }
 
     pub(crate) fn keep(&self) -> Micros {
-        let keep = if self.set.keep > 0 { self.set.keep } else { 5 * DEFAULT_SPAN };
+        let keep = if self.set.keep > 0 {
+            self.set.keep
+        } else {
+            5 * DEFAULT_SPAN
+        };
         (keep as f64 * KEEP_USED) as Micros
     }
 
@@ -72,8 +84,17 @@
     /// come several times to each copy within it and so restart its idle time.
     pub(crate) fn belief(&self, f: usize) -> Micros {
         let keep = self.keep() as f64;
-        let copies = self.functions[f].at.values().filter(|c| c.count > 0).count().max(1) as f64;
-        let each = if self.set.gateways > 1 { self.fleet_calls(f, keep) / copies } else { 0.0 };
+        let copies = self.functions[f]
+            .at
+            .values()
+            .filter(|c| c.count > 0)
+            .count()
+            .max(1) as f64;
+        let each = if self.set.gateways > 1 {
+            self.fleet_calls(f, keep) / copies
+        } else {
+            0.0
+        };
         (keep * (each / 4.0).clamp(1.0, BELIEVED)) as Micros
     }
 
@@ -85,7 +106,9 @@
             .workers
             .iter()
             .filter(told)
-            .fold((0, 0), |(all, slow), w| (all + 1, slow + usize::from(w.load_pace.1 > LOAD_SLOW)));
+            .fold((0, 0), |(all, slow), w| {
+                (all + 1, slow + usize::from(w.load_pace.1 > LOAD_SLOW))
+            });
         slow * 4 > all * 3
     }
 
@@ -101,7 +124,12 @@
 
     /// Memory in MB that one more copy would leave at a worker, by our own account.
     pub(crate) fn room(&self, f: usize, w: usize, now: Micros) -> f64 {
-        let machine = self.set.kind_memory_mb.get(self.workers[w].entry.kind).copied().unwrap_or(0.0);
+        let machine = self
+            .set
+            .kind_memory_mb
+            .get(self.workers[w].entry.kind)
+            .copied()
+            .unwrap_or(0.0);
         let used = self.memory_used(w, now) + self.functions[f].memory;
         if machine > 0.0 {
             machine * MEMORY_FULL - used
@@ -113,27 +141,56 @@
     /// Whether a tenant has more of our traffic than its part of the shares, by more than chance would give:
     /// gateways carry uneven traffic, so its rate here tells nothing of its rate at all of them.
     pub(crate) fn over_share(&self, t: usize) -> bool {
-        let quotas: f64 = self.set.tenants.iter().map(|t| t.quota_per_s.max(0.0)).sum();
-        let (part, all) = (self.set.tenants[t].quota_per_s / quotas, self.tenant_rate.iter().sum::<f64>());
+        let quotas: f64 = self
+            .set
+            .tenants
+            .iter()
+            .map(|t| t.quota_per_s.max(0.0))
+            .sum();
+        let (part, all) = (
+            self.set.tenants[t].quota_per_s / quotas,
+            self.tenant_rate.iter().sum::<f64>(),
+        );
         part > 0.0 && self.tenant_rate[t] > part * all + 2.0 * (all * part * (1.0 - part)).sqrt()
     }
 
     /// The running figures of the fleet, over the span since the last time.
     pub(crate) fn figures(&mut self, now: Micros, past: Micros, ready: &[usize]) {
         let n = ready.len().max(1) as f64;
-        let busy = ready.iter().filter(|&&w| !self.workers[w].out.is_empty()).count() as f64 / n;
+        let busy = ready
+            .iter()
+            .filter(|&&w| !self.workers[w].out.is_empty())
+            .count() as f64
+            / n;
         // Rates over about thirty calls: fewer are noise. What is out is a count where calls are many.
-        let calls = self.taken.iter().rev().take_while(|&&t| t + SPANS.1 > now).count() as f64;
-        let span = (CALLS_COUNTED / calls.max(1.0) * SPANS.1 as f64).clamp(SPANS.0 as f64, SPANS.1 as f64);
+        let calls = self
+            .taken
+            .iter()
+            .rev()
+            .take_while(|&&t| t + SPANS.1 > now)
+            .count() as f64;
+        let span =
+            (CALLS_COUNTED / calls.max(1.0) * SPANS.1 as f64).clamp(SPANS.0 as f64, SPANS.1 as f64);
         let part = (past as f64 / span).min(1.0);
         self.fade = (n / calls.max(1.0) * SPANS.1 as f64).clamp(REPORT_FADE.0, REPORT_FADE.1);
         self.busy += (4.0 * part).min(1.0) * (busy - self.busy);
         // Each worker counts once, by its last report: a mean of reports would follow where we send most.
         let last = |w: &Worker| w.report.filter(|r| now < r.0 + REPORT_KEPT).map(|r| r.1);
-        let held: Vec<f64> = ready.iter().filter_map(|&w| last(&self.workers[w])).collect();
-        self.mean_held = if held.is_empty() { CROWD } else { held.iter().sum::<f64>() / held.len() as f64 };
-        let capacity: f64 = ready.iter().map(|&w| self.cold_share(w, now).unwrap_or(1.0)).sum();
-        self.work_rate += part * (self.work_done / capacity.max(1.0) / past as f64 - self.work_rate);
+        let held: Vec<f64> = ready
+            .iter()
+            .filter_map(|&w| last(&self.workers[w]))
+            .collect();
+        self.mean_held = if held.is_empty() {
+            CROWD
+        } else {
+            held.iter().sum::<f64>() / held.len() as f64
+        };
+        let capacity: f64 = ready
+            .iter()
+            .map(|&w| self.cold_share(w, now).unwrap_or(1.0))
+            .sum();
+        self.work_rate +=
+            part * (self.work_done / capacity.max(1.0) / past as f64 - self.work_rate);
         // Guards against taking a rise in traffic, or the start, for a queue: a rate that lags is too low.
         self.surveys += 1.0;
         let seen = (self.surveys * SURVEY as f64).min(SPANS.1 as f64);
@@ -149,7 +206,11 @@
         let kinds = &self.set.kind_memory_mb;
         self.instances = kinds.iter().sum::<f64>() / kinds.len().max(1) as f64 / memory.max(1.0);
         let theta = theta(self.busy, self.instances);
-        let stars = self.functions.iter().map(|g| self.counts(g, now)).map(|(d, l)| (d as f64 - l) / theta);
+        let stars = self
+            .functions
+            .iter()
+            .map(|g| self.counts(g, now))
+            .map(|(d, l)| (d as f64 - l) / theta);
         self.least_star = stars.filter(|&z| z >= 1.0).fold(f64::INFINITY, f64::min);
         let young = |r: &&Request| {
             let out = r.attempts.last().is_some_and(|a| a.open && !a.cold);
@@ -160,6 +221,10 @@
         self.backlog += few * (self.requests.values().filter(young).count() as f64 - self.backlog);
         let mut healths: Vec<f64> = ready.iter().map(|&w| self.workers[w].health).collect();
         healths.sort_by(f64::total_cmp);
-        self.median_health = healths.get(healths.len() / 2).copied().unwrap_or(1.0).max(1.0);
+        self.median_health = healths
+            .get(healths.len() / 2)
+            .copied()
+            .unwrap_or(1.0)
+            .max(1.0);
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -65,7 +65,12 @@
     /// Nothing may grow with all that a gateway has ever seen.
     #[test]
     fn functions_long_unused_and_closed_requests_are_forgotten() {
-        let set = Settings { orders: true, gateways: 200, keep: 1_000_000, ..Settings::default() };
+        let set = Settings {
+            orders: true,
+            gateways: 200,
+            keep: 1_000_000,
+            ..Settings::default()
+        };
         let (mut c, mut out, mut now) = (Controller::new(set, 1), Vec::new(), 1_000_000);
         for id in 0..2_000 {
             now += 20_000;
@@ -73,7 +78,17 @@
             let (function, left, retry) = (id, 100_000, false);
             c.handle(
                 now,
-                Event::Request { id, class, tenant, function, left, memory_mb, lanes, load_time, retry },
+                Event::Request {
+                    id,
+                    class,
+                    tenant,
+                    function,
+                    left,
+                    memory_mb,
+                    lanes,
+                    load_time,
+                    retry,
+                },
                 &mut out,
             );
             c.handle(now, Event::Timer { token: 0 }, &mut out);
@@ -84,43 +99,110 @@
             }
         }
         // Four keep-alives of 0.9 s at fifty calls a second are 180 functions.
-        assert!(c.function_ids.len() < 250 && c.functions.len() < 250, "{} functions", c.functions.len());
+        assert!(
+            c.function_ids.len() < 250 && c.functions.len() < 250,
+            "{} functions",
+            c.functions.len()
+        );
         assert!(c.requests.len() < 10, "{} requests", c.requests.len());
     }
 
     /// Workers are replaced by new ones all day long: the places of those that are gone are used again.
     #[test]
     fn workers_that_are_gone_leave_their_places() {
-        let (mut c, mut out) =
-            (Controller::new(Settings { orders: true, ..Settings::default() }, 1), Vec::new());
+        let (mut c, mut out) = (
+            Controller::new(
+                Settings {
+                    orders: true,
+                    ..Settings::default()
+                },
+                1,
+            ),
+            Vec::new(),
+        );
         for n in 0..200u64 {
             let entry = |n: u64, state| {
                 let worker = format!("w{n}");
-                Entry { worker, state, started_at: 0, zone: Some(0), kind: 0, cell: Some(0) }
+                Entry {
+                    worker,
+                    state,
+                    started_at: 0,
+                    zone: Some(0),
+                    kind: 0,
+                    cell: Some(0),
+                }
             };
-            let entries = vec![entry(n, WorkerState::Ready), entry(n.wrapping_sub(3), WorkerState::Gone)];
-            c.handle(n * 1_000_000, Event::Members { full: false, entries }, &mut out);
+            let entries = vec![
+                entry(n, WorkerState::Ready),
+                entry(n.wrapping_sub(3), WorkerState::Gone),
+            ];
+            c.handle(
+                n * 1_000_000,
+                Event::Members {
+                    full: false,
+                    entries,
+                },
+                &mut out,
+            );
             let (id, class, tenant, memory_mb, lanes, load_time) = (n, 0, None, 1.0, 1, 0);
             let (function, left, retry) = (7, 900_000, false);
             c.handle(
                 n * 1_000_000 + 1,
-                Event::Request { id, class, tenant, function, left, memory_mb, lanes, load_time, retry },
+                Event::Request {
+                    id,
+                    class,
+                    tenant,
+                    function,
+                    left,
+                    memory_mb,
+                    lanes,
+                    load_time,
+                    retry,
+                },
                 &mut out,
             );
             while let Some(action) = out.pop() {
-                if let Action::Load { worker, function, count } = action {
+                if let Action::Load {
+                    worker,
+                    function,
+                    count,
+                } = action
+                {
                     let (outcome, elapsed) = (Outcome::Ok, 1_000);
-                    let answer = Event::Loaded { worker, function, count, outcome, elapsed };
+                    let answer = Event::Loaded {
+                        worker,
+                        function,
+                        count,
+                        outcome,
+                        elapsed,
+                    };
                     c.handle(n * 1_000_000 + 1_000, answer, &mut out);
                 } else if let Action::Send { id, .. } = action {
                     let (attempt, outcome, elapsed, closed) = (0, Outcome::Ok, 1_000, true);
                     let (warm, crowd, inflight) = (None, None, None);
-                    let end = Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight };
+                    let end = Event::Outcome {
+                        id,
+                        attempt,
+                        outcome,
+                        elapsed,
+                        closed,
+                        warm,
+                        crowd,
+                        inflight,
+                    };
                     c.handle(n * 1_000_000 + 2_000, end, &mut out);
                 }
             }
-            c.handle(n * 1_000_000 + 990_000, Event::Withdrawn { id }, &mut Vec::new());
+            c.handle(
+                n * 1_000_000 + 990_000,
+                Event::Withdrawn { id },
+                &mut Vec::new(),
+            );
         }
-        assert!(c.workers.len() < 10 && c.worker_ids.len() < 10, "{} workers", c.workers.len());
+        assert!(
+            c.workers.len() < 10 && c.worker_ids.len() < 10,
+            "{} workers",
+            c.workers.len()
+        );
     }
 }
--- a/src/prospect.rs
+++ b/src/prospect.rs
@@ -26,7 +26,11 @@
 
 impl Pace {
     pub(crate) fn took(&mut self, now: Micros, elapsed: f64) {
-        let answers = if now > self.last + KEPT { 0 } else { self.answers };
+        let answers = if now > self.last + KEPT {
+            0
+        } else {
+            self.answers
+        };
         self.answers = (answers + 1).min(COUNTED.1);
         self.mean += (elapsed - self.mean) / f64::from(self.answers);
         self.last = now;
@@ -54,7 +58,9 @@
     /// function whose calls were in time all the same has its calls sent for as long as they are.
     pub(crate) fn hopeless(&mut self, id: RequestId, left: Micros, now: Micros) -> bool {
         let many = self.many();
-        let Some(r) = self.requests.get_mut(&id) else { return false };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return false;
+        };
         let pace = &mut self.paces[r.class];
         // Few gateways see for themselves whether workers are crowded; where they are not, a try costs nobody.
         if !many || !pace.beyond(now, left) {
@@ -66,7 +72,9 @@
 
     /// The end of a call that may have been sent against the mean, once.
     pub(crate) fn risked(&mut self, id: RequestId, in_time: bool) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         let quick = &mut self.functions[r.function].quick;
         match (std::mem::take(&mut r.risk), in_time) {
             (false, _) => {}
--- a/src/repeat.rs
+++ b/src/repeat.rs
@@ -16,7 +16,10 @@
 
 impl Placement {
     pub(crate) fn of(entry: &Entry) -> Self {
-        Placement { zone: entry.zone, cell: entry.cell }
+        Placement {
+            zone: entry.zone,
+            cell: entry.cell,
+        }
     }
 
     /// Whether two workers share their memory of keys. Workers whose zone or cell is not told share none.
@@ -32,12 +35,19 @@
 /// Whether an outcome proves that its attempt never ran.
 #[must_use]
 pub fn never_ran(outcome: Outcome) -> bool {
-    matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss)
+    matches!(
+        outcome,
+        Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss
+    )
 }
 
 /// For how long from `now` a further attempt may be begun; `None` if no time bounds it: nothing may have run, or the
 /// class is safe to repeat.
-pub(crate) fn repeat_window(request: &Request, class: &ClassSettings, now: Micros) -> Option<Micros> {
+pub(crate) fn repeat_window(
+    request: &Request,
+    class: &ClassSettings,
+    now: Micros,
+) -> Option<Micros> {
     let first = earlier(request).next()?;
     match class.effect {
         Effect::Safe => None,
@@ -47,7 +57,12 @@
 }
 
 /// Whether a further attempt may go to a worker that stands there.
-pub(crate) fn may_repeat(request: &Request, class: &ClassSettings, to: Placement, now: Micros) -> bool {
+pub(crate) fn may_repeat(
+    request: &Request,
+    class: &ClassSettings,
+    to: Placement,
+    now: Micros,
+) -> bool {
     let shared = || earlier(request).all(|a| a.placement.shares_keys(to, class.group));
     repeat_window(request, class, now).is_none_or(|left| left > 0 && shared())
 }
--- a/src/scout.rs
+++ b/src/scout.rs
@@ -28,7 +28,8 @@
             return Scout::Ask;
         }
         let (class, all) = (self.functions[f].class, self.places(f));
-        let open = |&w: &usize| self.usable(w, class, now) && !self.suspect(w) && self.allowed(id, w, now);
+        let open =
+            |&w: &usize| self.usable(w, class, now) && !self.suspect(w) && self.allowed(id, w, now);
         let places: Vec<usize> = all.into_iter().filter(open).take(SCOUTED).collect();
         for w in places {
             let c = self.copy(f, w);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -31,17 +31,30 @@
             name: text(t, "name").unwrap_or_default().to_owned(),
             quota_per_s: number(t, "quota-per-s").unwrap_or(0.0),
         };
-        let advice = if flag(limits, "retry-after") { span(limits, "max-retry-after") } else { 0 };
+        let advice = if flag(limits, "retry-after") {
+            span(limits, "max-retry-after")
+        } else {
+            0
+        };
         Settings {
             gateways: count(conf, "balancers"),
-            index: number(conf, "index").filter(|i| (0.0..4e9).contains(i)).map(|i| i as u32),
+            index: number(conf, "index")
+                .filter(|i| (0.0..4e9).contains(i))
+                .map(|i| i as u32),
             classes: items("classes").map(class).collect(),
-            longest_wait: items("classes").map(|c| span(c, "give-up")).max().unwrap_or(0).min(3_600_000_000),
+            longest_wait: items("classes")
+                .map(|c| span(c, "give-up"))
+                .max()
+                .unwrap_or(0)
+                .min(3_600_000_000),
             tenants: items("tenants").map(tenant).collect(),
             zones: names(list(conf, "failure-domains")),
             kinds: names(list(conf, "flavors")),
             over_share_worth: number(conf, "over-share-worth").unwrap_or(0.0),
-            kind_memory_mb: list(family, "machine-mb").iter().map(|m| as_number(m).unwrap_or(0.0)).collect(),
+            kind_memory_mb: list(family, "machine-mb")
+                .iter()
+                .map(|m| as_number(m).unwrap_or(0.0))
+                .collect(),
             keep: span(family, "keep"),
             load_on_absence: text(family, "when-absent") == Some("load"),
             orders: flag(family, "orders"),
@@ -76,7 +89,11 @@
             }
         };
         part("", conf, &TOP);
-        for (of, known) in [("limits", &LIMITS[..]), ("rules", &RULES), ("family-info", &FAMILY)] {
+        for (of, known) in [
+            ("limits", &LIMITS[..]),
+            ("rules", &RULES),
+            ("family-info", &FAMILY),
+        ] {
             match conf.get(of) {
                 Some(Value::Object(fields)) => part(&format!("{of}."), fields, known),
                 Some(_) => part("", conf, &[(of, Kind::Part)]),
@@ -87,12 +104,17 @@
             for (n, item) in list(conf, of).iter().enumerate() {
                 match item {
                     Value::Object(fields) => part(&format!("{of}[{n}]."), fields, known),
-                    _ => part(of, &Object::from_iter([(String::new(), item.clone())]), &[("", Kind::Part)]),
+                    _ => part(
+                        of,
+                        &Object::from_iter([(String::new(), item.clone())]),
+                        &[("", Kind::Part)],
+                    ),
                 }
             }
         }
         for class in list(conf, "classes").iter().filter_map(object) {
-            let effect = text(class, "effect").filter(|e| !["retryable", "dedup", "fragile"].contains(e));
+            let effect =
+                text(class, "effect").filter(|e| !["retryable", "dedup", "fragile"].contains(e));
             faults.extend(effect.map(|e| format!("effect '{e}' is not known: never to run twice")));
         }
         faults
@@ -100,7 +122,10 @@
 
     /// Position of a class by its name; the list's length where it is not known.
     pub fn class(&self, name: &str) -> usize {
-        self.classes.iter().position(|c| c.name == name).unwrap_or(self.classes.len())
+        self.classes
+            .iter()
+            .position(|c| c.name == name)
+            .unwrap_or(self.classes.len())
     }
 
     /// Position of a tenant by its name.
@@ -110,7 +135,12 @@
 }
 
 fn names(values: &[Value]) -> Vec<String> {
-    let name = |v: &Value| object(v).map_or(as_text(v), |o| text(o, "name")).unwrap_or_default().to_owned();
+    let name = |v: &Value| {
+        object(v)
+            .map_or(as_text(v), |o| text(o, "name"))
+            .unwrap_or_default()
+            .to_owned()
+    };
     values.iter().map(name).collect()
 }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -75,7 +75,11 @@
     pub(crate) fn fires(&mut self, now: Micros) {
         let (gap, first) = (now - self.fired, self.period == 0);
         if self.fired > 0 {
-            self.steady = if gap.abs_diff(self.period) < gap / 16 { 2 } else { u8::from(first) };
+            self.steady = if gap.abs_diff(self.period) < gap / 16 {
+                2
+            } else {
+                u8::from(first)
+            };
             self.period = gap;
         }
         self.fired = now;
@@ -83,7 +87,11 @@
 
     /// An order or a question came back; `unknown` if a worker may not know the function at all.
     pub(crate) fn erred(&mut self, unknown: bool, now: Micros) {
-        self.errors = if unknown { (self.errors.0 + 1, now) } else { (0, 0) };
+        self.errors = if unknown {
+            (self.errors.0 + 1, now)
+        } else {
+            (0, 0)
+        };
     }
 }
 
@@ -181,8 +189,13 @@
     /// It answered with an error, or not in time. Errors in a row put its next trial off ever longer: it looks idle.
     pub(crate) fn erred(&mut self, error: bool, now: Micros) {
         if error {
-            self.errors = (self.errors.0 + ERRED * (1.0 - self.errors.0), self.errors.1 + 1);
-            self.next_trial = self.next_trial.max(now + (TRIAL_GAP << (self.errors.1 - 1).min(TRIALS)));
+            self.errors = (
+                self.errors.0 + ERRED * (1.0 - self.errors.0),
+                self.errors.1 + 1,
+            );
+            self.next_trial = self
+                .next_trial
+                .max(now + (TRIAL_GAP << (self.errors.1 - 1).min(TRIALS)));
         }
     }
 
@@ -213,7 +226,11 @@
 
     /// Lanes not taken by our requests, nor by others' where a recent note told of them.
     pub(crate) fn free(&self, now: Micros, lanes: u32) -> bool {
-        let others = if now < self.others.0 + NOTED { self.others.1 } else { 0 };
+        let others = if now < self.others.0 + NOTED {
+            self.others.1
+        } else {
+            0
+        };
         self.ours + others < self.count.saturating_mul(lanes)
     }
 
@@ -288,7 +305,9 @@
     /// Whether the module keeps calls away from this worker now, as it holds it for dead: for the front end's
     /// figures. Workers it does not know are not avoided by choice.
     pub fn avoids(&self, worker: &str) -> bool {
-        self.worker_ids.get(worker).is_some_and(|&w| self.workers[w].dead)
+        self.worker_ids
+            .get(worker)
+            .is_some_and(|&w| self.workers[w].dead)
     }
 
     /// A gateway that knows nothing yet; `seed` starts its random numbers.
@@ -296,18 +315,38 @@
         // An unknown class is taken for an unsafe one without an aim or worth; absurd figures are clamped.
         let (effect, group, window, worth) = (Effect::Unsafe, Group::Cell, 0, 0.0);
         let name = String::new();
-        settings.classes.push(ClassSettings { name, effect, group, window, aim: LONGEST, worth });
+        settings.classes.push(ClassSettings {
+            name,
+            effect,
+            group,
+            window,
+            aim: LONGEST,
+            worth,
+        });
         for c in &mut settings.classes {
-            c.aim = if c.aim > 0 { c.aim.min(LONGEST) } else { LONGEST };
+            c.aim = if c.aim > 0 {
+                c.aim.min(LONGEST)
+            } else {
+                LONGEST
+            };
             c.window = c.window.min(LONGEST);
         }
         settings.max_attempts = settings.max_attempts.wrapping_sub(1).saturating_add(1); // 0: no limit
-        let spans = [&mut settings.load_window, &mut settings.fall_window, &mut settings.keep];
+        let spans = [
+            &mut settings.load_window,
+            &mut settings.fall_window,
+            &mut settings.keep,
+        ];
         spans.into_iter().for_each(|s| *s = (*s).min(LONGEST));
-        let most_loads = (LOAD_CAP.3 / f64::from(settings.gateways.max(1))).clamp(LOAD_CAP.1, LOAD_CAP.2);
+        let most_loads =
+            (LOAD_CAP.3 / f64::from(settings.gateways.max(1))).clamp(LOAD_CAP.1, LOAD_CAP.2);
         Controller {
             rng: Some(Pcg32::seed_from_u64(seed)),
-            class_service: settings.classes.iter().map(|c| c.aim.min(DEFAULT_SPAN) as f64 / 4.0).collect(),
+            class_service: settings
+                .classes
+                .iter()
+                .map(|c| c.aim.min(DEFAULT_SPAN) as f64 / 4.0)
+                .collect(),
             tenant_rate: vec![0.0; settings.tenants.len()],
             paces: vec![Pace::default(); settings.classes.len()],
             mean_held: CROWD,
@@ -324,7 +363,9 @@
     /// Forgets all copies at a worker: its process died, restarted or left.
     pub(crate) fn void(&mut self, w: usize) {
         for f in std::mem::take(&mut self.workers[w].holds) {
-            let Some(c) = self.functions[f].at.get_mut(&w) else { continue };
+            let Some(c) = self.functions[f].at.get_mut(&w) else {
+                continue;
+            };
             (c.count, c.expires, c.asked) = (0, 0, None);
             if c.in_use() {
                 self.workers[w].holds.insert(f);
@@ -357,7 +398,8 @@
     pub(crate) fn forget(&mut self, before: Micros) {
         for f in 0..self.functions.len() {
             let g = &self.functions[f];
-            let used = !g.held.is_empty() || g.at.values().any(Copy::in_use) || g.last_call > before;
+            let used =
+                !g.held.is_empty() || g.at.values().any(Copy::in_use) || g.last_call > before;
             if used || self.function_ids.get(&g.id) != Some(&f) {
                 continue;
             }
@@ -380,24 +422,35 @@
     }
 
     pub(crate) fn pick(&mut self, from: &[usize]) -> Option<usize> {
-        from.get(((self.random() * from.len() as u64) >> 32) as usize).copied()
+        from.get(((self.random() * from.len() as u64) >> 32) as usize)
+            .copied()
     }
 
     pub(crate) fn order(&self, f: usize, w: usize, count: u32) -> Action {
-        Action::Load { worker: self.workers[w].entry.worker.clone(), function: self.functions[f].id, count }
+        Action::Load {
+            worker: self.workers[w].entry.worker.clone(),
+            function: self.functions[f].id,
+            count,
+        }
     }
 
     /// A place for a new worker: that of one that is gone, once nothing refers to it, so that nothing grows
     /// with the workers there ever were.
     fn seat(&mut self, e: Entry, now: Micros, from: &mut usize) -> usize {
-        let named = |w: usize| self.requests.values().any(|r| r.attempts.iter().any(|a| a.worker == w));
+        let named = |w: usize| {
+            self.requests
+                .values()
+                .any(|r| r.attempts.iter().any(|a| a.worker == w))
+        };
         let left = |&w: &usize| {
             let (worker, functions) = (&self.workers[w], &self.functions);
             let used = |f: &usize| functions[*f].at.get(&w).is_some_and(Copy::in_use);
             let quiet = worker.out.is_empty() && !worker.holds.iter().any(used);
             worker.entry.state == WorkerState::Gone && quiet && !named(w)
         };
-        let w = (*from..self.workers.len()).find(left).unwrap_or(self.workers.len());
+        let w = (*from..self.workers.len())
+            .find(left)
+            .unwrap_or(self.workers.len());
         *from = w + 1;
         let id = e.worker.clone();
         if w < self.workers.len() {
@@ -414,7 +467,10 @@
 
     /// Takes over news of the list. Returns the workers whose process is new, and those that hold nothing now.
     pub(crate) fn listed(
-        &mut self, now: Micros, full: bool, entries: Vec<Entry>,
+        &mut self,
+        now: Micros,
+        full: bool,
+        entries: Vec<Entry>,
     ) -> (Vec<usize>, Vec<usize>) {
         let (mut seen, mut started, mut emptied) = (BTreeSet::new(), Vec::new(), Vec::new());
         let mut free = 0; // places before are taken: ten thousand new workers do not each look at all
@@ -430,7 +486,11 @@
             seen.insert(w);
             let known = &mut self.workers[w].entry;
             let restarted = e.started_at != known.started_at && e.started_at != 0;
-            let started_at = if restarted { e.started_at } else { known.started_at };
+            let started_at = if restarted {
+                e.started_at
+            } else {
+                known.started_at
+            };
             let gone = e.state == WorkerState::Gone;
             *known = Entry { started_at, ..e };
             started.extend(restarted.then_some(w));
@@ -440,8 +500,14 @@
             self.workers[w].entry.state = WorkerState::Gone;
             emptied.push(w);
         }
-        self.ready = (0..self.workers.len()).filter(|&w| self.workers[w].ready()).collect();
-        let listed = self.workers.iter().filter(|w| w.entry.state != WorkerState::Gone).count();
+        self.ready = (0..self.workers.len())
+            .filter(|&w| self.workers[w].ready())
+            .collect();
+        let listed = self
+            .workers
+            .iter()
+            .filter(|w| w.entry.state != WorkerState::Gone)
+            .count();
         self.most_listed = self.most_listed.max(listed);
         (started, emptied)
     }
@@ -458,7 +524,14 @@
         self.workers[w].holds.iter().map(held).sum()
     }
 
-    pub(crate) fn hold(&mut self, f: usize, w: usize, count: u32, now: Micros, out: &mut Vec<Action>) {
+    pub(crate) fn hold(
+        &mut self,
+        f: usize,
+        w: usize,
+        count: u32,
+        now: Micros,
+        out: &mut Vec<Action>,
+    ) {
         self.copy(f, w).order = Some(Order::Hold(now));
         self.ordered.push_back(now);
         self.workers[w].orders_out += 1;
@@ -469,17 +542,25 @@
     /// Has the copies of a function unloaded that lie idle, wherever they are believed.
     pub(crate) fn drop_idle(&mut self, f: usize, now: Micros, out: &mut Vec<Action>) {
         let function = &mut self.functions[f];
-        for (&w, c) in function.at.iter_mut().filter(|(_, c)| c.warm(now) && c.ours == 0 && c.order.is_none())
+        for (&w, c) in function
+            .at
+            .iter_mut()
+            .filter(|(_, c)| c.warm(now) && c.ours == 0 && c.order.is_none())
         {
             c.count = 0;
             let worker = self.workers[w].entry.worker.clone();
-            out.push(Action::Drop { worker, function: function.id });
+            out.push(Action::Drop {
+                worker,
+                function: function.id,
+            });
         }
     }
 
     /// Records an attempt that goes out; `cold` if it is to load the function, `expected` its likely time.
     pub(crate) fn sent(&mut self, now: Micros, id: RequestId, w: usize, cold: bool, expected: f64) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         let function = &mut self.functions[r.function];
         function.held.retain(|&h| h != id);
         let c = function.at.entry(w).or_default();
@@ -555,7 +636,9 @@
     /// Ends a request's record, or leaves it until its attempts have ended; those still out are called off.
     pub(crate) fn close(&mut self, id: RequestId, out: &mut Vec<Action>) {
         self.risked(id, false);
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(r) = self.requests.get_mut(&id) else {
+            return;
+        };
         r.done = true;
         self.functions[r.function].held.retain(|&h| h != id);
         for (n, a) in r.attempts.iter_mut().enumerate() {
@@ -573,8 +656,12 @@
     pub(crate) fn held(&mut self, only: Option<usize>) -> Vec<RequestId> {
         let functions = &self.functions;
         self.waiting.retain(|&f| !functions[f].held.is_empty());
-        let of = self.waiting.iter().filter(|&&f| only.is_none_or(|o| o == f));
-        of.flat_map(|&f| functions[f].held.iter().copied()).collect()
+        let of = self
+            .waiting
+            .iter()
+            .filter(|&&f| only.is_none_or(|o| o == f));
+        of.flat_map(|&f| functions[f].held.iter().copied())
+            .collect()
     }
 
     /// Ready workers believed warm for a function, and our requests in flight for it.
--- a/src/virtual_loss.rs
+++ b/src/virtual_loss.rs
@@ -19,7 +19,12 @@
 /// requests out; `star` is its z*, `least_star` the smallest of all functions. `None` where there is none by the
 /// design, and no chance is drawn: theta or z* under 1, or nowhere warm.
 pub fn virtual_loss_chance(
-    warm: usize, free: usize, in_flight: f64, theta: f64, star: f64, least_star: f64,
+    warm: usize,
+    free: usize,
+    in_flight: f64,
+    theta: f64,
+    star: f64,
+    least_star: f64,
 ) -> Option<f64> {
     if !has_virtual_losses(warm, theta, star) {
         return None;
--- a/src/zone_names.rs
+++ b/src/zone_names.rs
@@ -12,7 +12,9 @@
 impl ZoneNames {
     /// The zones that the settings name stand at their positions there.
     pub fn new(settings: &[String]) -> Self {
-        ZoneNames { known: settings.to_vec() }
+        ZoneNames {
+            known: settings.to_vec(),
+        }
     }
 
     /// The position of a zone; a name not heard before gets the next one. `None` for a name that is empty or one too
--- a/src/zones.rs
+++ b/src/zones.rs
@@ -26,11 +26,22 @@
 
 impl Zones {
     /// A worker of the zone took no connection, or had its own cut off, after so long.
-    pub(crate) fn mute(&mut self, zone: Option<usize>, worker: usize, now: Micros, elapsed: Micros) {
+    pub(crate) fn mute(
+        &mut self,
+        zone: Option<usize>,
+        worker: usize,
+        now: Micros,
+        elapsed: Micros,
+    ) {
         if elapsed < MUTE {
             return; // refused or reset by a machine that is there
         }
-        let others = self.0.iter().filter(|(&z, _)| z != zone).map(|(_, other)| other.heard).max();
+        let others = self
+            .0
+            .iter()
+            .filter(|(&z, _)| z != zone)
+            .map(|(_, other)| other.heard)
+            .max();
         let z = self.0.entry(zone).or_default();
         z.mute.retain(|_, &mut at| at + KEPT > now);
         z.mute.insert(worker, now);
@@ -60,7 +71,9 @@
 
     /// Whether a worker of a lost zone may be asked now: one at a time for the whole of it.
     pub(crate) fn may_ask(&mut self, zone: Option<usize>, now: Micros, gap: Micros) -> bool {
-        let Some(z) = self.0.get_mut(&zone).filter(|z| now >= z.next_trial) else { return false };
+        let Some(z) = self.0.get_mut(&zone).filter(|z| now >= z.next_trial) else {
+            return false;
+        };
         z.next_trial = now + gap;
         true
     }
@@ -86,7 +99,9 @@
         zones.heard(Some(1), 10 * SEC + 400_000);
         zones.mute(Some(0), 2, 10 * SEC + 500_000, 250_000);
         assert!(zones.lost(Some(0)) && !zones.lost(Some(1)));
-        assert!(zones.may_ask(Some(0), 11 * SEC, SEC) && !zones.may_ask(Some(0), 11 * SEC + 1, SEC));
+        assert!(
+            zones.may_ask(Some(0), 11 * SEC, SEC) && !zones.may_ask(Some(0), 11 * SEC + 1, SEC)
+        );
         zones.heard(Some(0), 12 * SEC);
         assert!(!zones.lost(Some(0)));
     }
@@ -106,6 +121,9 @@
         for (n, w) in (0..8).enumerate() {
             zones.mute(Some(w % 2), w, (20 + n as Micros) * SEC, 250_000);
         }
-        assert!(!zones.lost(Some(0)) && !zones.lost(Some(1)), "nothing answers: it may be us");
+        assert!(
+            !zones.lost(Some(0)) && !zones.lost(Some(1)),
+            "nothing answers: it may be us"
+        );
     }
 }
--- a/tests/characterization.rs
+++ b/tests/characterization.rs
@@ -24,7 +24,10 @@
     }
 
     fn number(&mut self, number: u64) {
-        number.to_le_bytes().into_iter().for_each(|byte| self.byte(byte));
+        number
+            .to_le_bytes()
+            .into_iter()
+            .for_each(|byte| self.byte(byte));
     }
 
     fn text(&mut self, text: &str) {
@@ -34,7 +37,12 @@
 
     fn action(&mut self, action: &Action) {
         match action {
-            Action::Send { id, worker, timeout, window } => {
+            Action::Send {
+                id,
+                worker,
+                timeout,
+                window,
+            } => {
                 self.byte(0);
                 self.number(*id);
                 self.text(worker);
@@ -61,7 +69,11 @@
                 self.number(*delay);
                 self.number(*token);
             }
-            Action::Load { worker, function, count } => {
+            Action::Load {
+                worker,
+                function,
+                count,
+            } => {
                 self.byte(5);
                 self.text(worker);
                 self.number(*function);
@@ -90,8 +102,15 @@
         worth,
         ..ClassSettings::default()
     };
-    let tenant = |quota_per_s| TenantSettings { quota_per_s, ..TenantSettings::default() };
-    let group = if scenario.load_on_demand { Group::Zone } else { Group::Cell };
+    let tenant = |quota_per_s| TenantSettings {
+        quota_per_s,
+        ..TenantSettings::default()
+    };
+    let group = if scenario.load_on_demand {
+        Group::Zone
+    } else {
+        Group::Cell
+    };
     Settings {
         gateways: scenario.front_ends,
         index: scenario.hedging.then_some(scenario.front_ends / 2),
@@ -100,7 +119,11 @@
             class(Effect::Keyed, group, 800 * MS, 3.0),
             class(Effect::Unsafe, Group::All, SEC, 2.0),
         ],
-        tenants: if scenario.reports { vec![tenant(40.0), tenant(60.0)] } else { vec![] },
+        tenants: if scenario.reports {
+            vec![tenant(40.0), tenant(60.0)]
+        } else {
+            vec![]
+        },
         over_share_worth: 0.2,
         kind_memory_mb: vec![4_000.0, 2_500.0],
         keep: 8 * SEC,
@@ -202,12 +225,29 @@
 #[case::eight_busy(8, 8, true, true, true, true, 0xafed_f088_1f40_5804)]
 #[case::three_hundred_busy(300, 8, true, true, true, true, 0x7623_e376_d878_35a2)]
 fn decisions_of_a_stream_stay_the_same(
-    #[case] front_ends: u32, #[case] workers: usize, #[case] load_on_demand: bool, #[case] reports: bool,
-    #[case] hedging: bool, #[case] busy: bool, #[case] expected: u64,
+    #[case] front_ends: u32,
+    #[case] workers: usize,
+    #[case] load_on_demand: bool,
+    #[case] reports: bool,
+    #[case] hedging: bool,
+    #[case] busy: bool,
+    #[case] expected: u64,
 ) {
-    let scenario =
-        Scenario { seed: 1, front_ends, workers, load_on_demand, reports, hedging, busy, events: 12_000 };
+    let scenario = Scenario {
+        seed: 1,
+        front_ends,
+        workers,
+        load_on_demand,
+        reports,
+        hedging,
+        busy,
+        events: 12_000,
+    };
     let (digest, counts) = play(scenario);
     assert!(counts.exercises_the_module(), "{counts:?}");
-    assert_eq!(digest.0, expected, "digest {:#018x} of {counts:?}", digest.0);
+    assert_eq!(
+        digest.0, expected,
+        "digest {:#018x} of {counts:?}",
+        digest.0
+    );
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -26,11 +26,20 @@
 }
 
 fn rules(gateways: u32) -> Settings {
-    let class = |effect, aim| ClassSettings { aim, ..class(effect, Group::All) };
+    let class = |effect, aim| ClassSettings {
+        aim,
+        ..class(effect, Group::All)
+    };
     Settings {
         gateways,
-        classes: vec![class(Effect::Safe, 400 * MS), class(Effect::Unsafe, 500 * MS)],
-        tenants: vec![TenantSettings { quota_per_s: TOLD, ..TenantSettings::default() }],
+        classes: vec![
+            class(Effect::Safe, 400 * MS),
+            class(Effect::Unsafe, 500 * MS),
+        ],
+        tenants: vec![TenantSettings {
+            quota_per_s: TOLD,
+            ..TenantSettings::default()
+        }],
         ..settings()
     }
 }
@@ -61,21 +70,33 @@
     }
 
     fn draw(&mut self, below: u64) -> u64 {
-        self.seed = self.seed.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.seed = self
+            .seed
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         (self.seed >> 33) % below
     }
 
     fn start(&mut self, i: usize, numbered: bool) {
         let seed = self.draw(1 << 30);
         let index = numbered.then_some(i as u32);
-        self.gateways[i] = Some(Controller::new(Settings { index, ..self.set.clone() }, seed));
+        self.gateways[i] = Some(Controller::new(
+            Settings {
+                index,
+                ..self.set.clone()
+            },
+            seed,
+        ));
         self.told[i] = false;
         self.due.retain(|_, (g, ..)| *g != i);
     }
 
     fn feed(&mut self, i: usize, now: Micros, event: Event) {
         let mut out = Vec::new();
-        self.gateways[i].as_mut().unwrap().handle(now, event, &mut out);
+        self.gateways[i]
+            .as_mut()
+            .unwrap()
+            .handle(now, event, &mut out);
         while let Some(action) = out.pop() {
             match action {
                 Action::Send { id, worker, .. } => {
@@ -89,13 +110,18 @@
                         }
                         () => Outcome::Ok,
                     };
-                    self.due.insert((now + 60 * MS, self.calls), (i, id, *n, outcome));
+                    self.due
+                        .insert((now + 60 * MS, self.calls), (i, id, *n, outcome));
                     *n += 1;
                     if worker == "w0" && now >= START {
                         self.sent.push((now, 1.0, self.told[i]));
                     }
                 }
-                Action::Load { worker, function, count } => {
+                Action::Load {
+                    worker,
+                    function,
+                    count,
+                } => {
                     let (mut outcome, mut stands, elapsed) = (Outcome::Ok, count.max(1), MS);
                     if worker == "w0" && self.down > 0 && now >= self.down {
                         if now < START {
@@ -106,8 +132,17 @@
                             stands = 0;
                         }
                     }
-                    let answer = Event::Loaded { worker, function, count: stands, outcome, elapsed };
-                    self.gateways[i].as_mut().unwrap().handle(now + MS, answer, &mut out);
+                    let answer = Event::Loaded {
+                        worker,
+                        function,
+                        count: stands,
+                        outcome,
+                        elapsed,
+                    };
+                    self.gateways[i]
+                        .as_mut()
+                        .unwrap()
+                        .handle(now + MS, answer, &mut out);
                 }
                 _ => {}
             }
@@ -122,7 +157,16 @@
             self.due.remove(&key);
             let (elapsed, closed) = (60 * MS, outcome == Outcome::Ok);
             let (warm, crowd, inflight) = (Some(true), None, None);
-            let end = Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight };
+            let end = Event::Outcome {
+                id,
+                attempt,
+                outcome,
+                elapsed,
+                closed,
+                warm,
+                crowd,
+                inflight,
+            };
             self.feed(i, now, end);
         }
     }
@@ -131,8 +175,17 @@
         self.calls += 1;
         let (id, function, class) = (self.calls << 20 | i as u64, self.draw(20), i % 2);
         let (tenant, left, memory_mb, lanes, load_time) = (Some(0), 800 * MS, 500.0, 4, 400 * MS);
-        let call =
-            Event::Request { id, class, tenant, function, left, memory_mb, lanes, load_time, retry: false };
+        let call = Event::Request {
+            id,
+            class,
+            tenant,
+            function,
+            left,
+            memory_mb,
+            lanes,
+            load_time,
+            retry: false,
+        };
         self.feed(i, now, call);
     }
 
@@ -144,7 +197,8 @@
             while self.sent[first].0 + set.fall_window <= now {
                 first += 1;
             }
-            let share = set.cold_from + (1.0 - set.cold_from) * (now - START) as f64 / set.warm_within as f64;
+            let share = set.cold_from
+                + (1.0 - set.cold_from) * (now - START) as f64 / set.warm_within as f64;
             let n = set.fall_multiple * share.min(1.0) * TOLD * SMALL;
             let span = &self.sent[first..=at];
             let held = span.len() as f64 / (n + 2.0 * n.sqrt() + 2.0);
@@ -168,14 +222,26 @@
         for step in from / (50 * MS)..span / (50 * MS) {
             let now = START + step * 50 * MS;
             if fall > 0 && now == START + fall {
-                (0..n).filter(|i| i % 10 < 7).for_each(|i| self.start(i, numbered));
+                (0..n)
+                    .filter(|i| i % 10 < 7)
+                    .for_each(|i| self.start(i, numbered));
             }
             self.answers(now);
             for i in 0..n {
                 if !self.told[i] && self.lists[i] <= now {
                     self.told[i] = true;
-                    let entries = vec![Entry { started_at: START, ..entry(0) }];
-                    self.feed(i, now, Event::Members { full: true, entries });
+                    let entries = vec![Entry {
+                        started_at: START,
+                        ..entry(0)
+                    }];
+                    self.feed(
+                        i,
+                        now,
+                        Event::Members {
+                            full: true,
+                            entries,
+                        },
+                    );
                 }
                 self.feed(i, now, Event::Timer { token: 0 });
                 if (step + i as u64).is_multiple_of(2) {
@@ -194,7 +260,8 @@
                 held -= self.sent[first].1;
                 first += 1;
             }
-            let share = set.cold_from + (1.0 - set.cold_from) * (at - START) as f64 / set.warm_within as f64;
+            let share = set.cold_from
+                + (1.0 - set.cold_from) * (at - START) as f64 / set.warm_within as f64;
             worst = worst.max(held / (set.fall_multiple * share * TOLD * SMALL));
         }
         worst
@@ -206,14 +273,28 @@
 /// Seen on the full fleet: 57 calls in a second from 48 front ends, each of which had saved up one or two, at a worker that could do 18.
 #[test]
 fn what_all_gateways_send_to_a_cold_worker_stays_within_the_rule_at_any_size() {
-    for (gateways, seeds) in [(1, 8), (3, 8), (20, 4), (30, 4), (300, 2), (350, 2), (1024, 1)] {
+    for (gateways, seeds) in [
+        (1, 8),
+        (3, 8),
+        (20, 4),
+        (30, 4),
+        (300, 2),
+        (350, 2),
+        (1024, 1),
+    ] {
         for seed in 0..seeds {
             let mut fleet = Fleet::new(rules(gateways), true, 3 * SEC, seed);
             let span = if gateways > 100 { 5 * SEC } else { 8 * SEC };
             fleet.play(span, 2 * SEC, true);
             let (worst, sent) = (fleet.worst(), fleet.sent.len());
-            assert!(worst <= 1.0, "{gateways} gateways, seed {seed}: {worst:.2} of what the rule allows");
-            assert!(sent >= 4, "{gateways} gateways, seed {seed}: {sent} calls, it must get going");
+            assert!(
+                worst <= 1.0,
+                "{gateways} gateways, seed {seed}: {worst:.2} of what the rule allows"
+            );
+            assert!(
+                sent >= 4,
+                "{gateways} gateways, seed {seed}: {sent} calls, it must get going"
+            );
         }
     }
 }
@@ -246,12 +327,26 @@
     ] {
         let mut sent = 0;
         for i in 0..30 {
-            let mut rig =
-                Rig { c: Controller::new(Settings { index: Some(i), ..set.clone() }, 5), now: START };
+            let mut rig = Rig {
+                c: Controller::new(
+                    Settings {
+                        index: Some(i),
+                        ..set.clone()
+                    },
+                    5,
+                ),
+                now: START,
+            };
             // A start told for a time ahead, and the same worker starting anew every 300 ms.
             for n in 0..10 {
-                let entries = vec![Entry { started_at: START + n * 300 * MS + SEC, ..entry(0) }];
-                rig.feed(Event::Members { full: true, entries });
+                let entries = vec![Entry {
+                    started_at: START + n * 300 * MS + SEC,
+                    ..entry(0)
+                }];
+                rig.feed(Event::Members {
+                    full: true,
+                    entries,
+                });
                 sent += sends(&rig.pass(300 * MS)).len();
                 let out = rig.request(n, SAFE, 7);
                 sent += sends(&out).len();
@@ -260,7 +355,10 @@
                 }
             }
         }
-        assert!(sent <= 6, "{sent} calls in 3 s to a worker that starts again and again");
+        assert!(
+            sent <= 6,
+            "{sent} calls in 3 s to a worker that starts again and again"
+        );
     }
 }
 
@@ -274,7 +372,10 @@
         let n = gateways as usize;
         for i in 0..n {
             let seed = fleet.draw(1 << 30);
-            let set = Settings { index: Some(i as u32), ..fleet.set.clone() };
+            let set = Settings {
+                index: Some(i as u32),
+                ..fleet.set.clone()
+            };
             fleet.gateways.push(Some(Controller::new(set, seed)));
             fleet.told.push(false);
             fleet.lists.push(START);
@@ -293,8 +394,14 @@
             fleet.play_from((step - 1) * SEC, step * SEC, 0, true);
         }
         let (worst, sent) = (fleet.worst(), fleet.sent.len());
-        assert!(worst <= 1.0, "{gateways} gateways: {worst:.2} of what the rule allows");
-        assert!(sent >= 4, "{gateways} gateways: {sent} calls, it must get going");
+        assert!(
+            worst <= 1.0,
+            "{gateways} gateways: {worst:.2} of what the rule allows"
+        );
+        assert!(
+            sent >= 4,
+            "{gateways} gateways: {sent} calls, it must get going"
+        );
     }
 }
 
@@ -303,7 +410,14 @@
 /// than the rule and chance allow, no more than two thirds of that may come from those that were told.
 #[test]
 fn a_restart_that_is_told_late_is_no_fall_by_those_that_were_told() {
-    for (gateways, load) in [(20, 0.9), (30, 0.9), (300, 0.9), (20, 3.0), (30, 3.0), (300, 3.0)] {
+    for (gateways, load) in [
+        (20, 0.9),
+        (30, 0.9),
+        (300, 0.9),
+        (20, 3.0),
+        (30, 3.0),
+        (300, 3.0),
+    ] {
         for seed in 0..3 {
             let mut fleet = Fleet::new(rules(gateways), true, 7 * SEC, seed);
             let (n, all) = (gateways as usize, (0..10).map(entry).collect::<Vec<_>>());
@@ -316,11 +430,28 @@
                 fleet.answers(now);
                 for i in 0..n {
                     if step == 0 {
-                        fleet.feed(i, now, Event::Members { full: true, entries: all.clone() });
+                        fleet.feed(
+                            i,
+                            now,
+                            Event::Members {
+                                full: true,
+                                entries: all.clone(),
+                            },
+                        );
                     } else if !fleet.told[i] && fleet.lists[i] <= now {
                         fleet.told[i] = true;
-                        let entries = vec![Entry { started_at: START, ..entry(0) }];
-                        fleet.feed(i, now, Event::Members { full: false, entries });
+                        let entries = vec![Entry {
+                            started_at: START,
+                            ..entry(0)
+                        }];
+                        fleet.feed(
+                            i,
+                            now,
+                            Event::Members {
+                                full: false,
+                                entries,
+                            },
+                        );
                     }
                     fleet.feed(i, now, Event::Timer { token: 0 });
                 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,7 +9,14 @@
 pub const UNSAFE: usize = 2;
 
 pub fn class(effect: Effect, group: Group) -> ClassSettings {
-    ClassSettings { effect, group, window: 3 * SEC, aim: SEC, worth: 1.0, ..ClassSettings::default() }
+    ClassSettings {
+        effect,
+        group,
+        window: 3 * SEC,
+        aim: SEC,
+        worth: 1.0,
+        ..ClassSettings::default()
+    }
 }
 
 /// One gateway before workers where only an order loads; tests change what they need.
@@ -62,8 +69,14 @@
 impl Rig {
     /// A controller that has been told of `n` warm workers, `w0` ...
     pub fn new(settings: Settings, n: usize) -> Self {
-        let mut rig = Rig { c: Controller::new(settings, 11), now: 100 * SEC };
-        rig.feed(Event::Members { full: true, entries: (0..n).map(entry).collect() });
+        let mut rig = Rig {
+            c: Controller::new(settings, 11),
+            now: 100 * SEC,
+        };
+        rig.feed(Event::Members {
+            full: true,
+            entries: (0..n).map(entry).collect(),
+        });
         rig
     }
 
@@ -98,14 +111,41 @@
         })
     }
 
-    pub fn outcome(&mut self, id: u64, attempt: usize, outcome: Outcome, elapsed: Micros) -> Vec<Action> {
+    pub fn outcome(
+        &mut self,
+        id: u64,
+        attempt: usize,
+        outcome: Outcome,
+        elapsed: Micros,
+    ) -> Vec<Action> {
         let closed = outcome == Outcome::Ok;
         let (warm, crowd, inflight) = (None, None, None);
-        self.feed(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight })
+        self.feed(Event::Outcome {
+            id,
+            attempt,
+            outcome,
+            elapsed,
+            closed,
+            warm,
+            crowd,
+            inflight,
+        })
     }
 
-    pub fn loaded(&mut self, worker: &str, function: u64, count: u32, outcome: Outcome) -> Vec<Action> {
-        self.feed(Event::Loaded { worker: worker.into(), function, count, outcome, elapsed: 2 * MS })
+    pub fn loaded(
+        &mut self,
+        worker: &str,
+        function: u64,
+        count: u32,
+        outcome: Outcome,
+    ) -> Vec<Action> {
+        self.feed(Event::Loaded {
+            worker: worker.into(),
+            function,
+            count,
+            outcome,
+            elapsed: 2 * MS,
+        })
     }
 
     /// Makes the function believed warm at these workers, by answers to the questions of a first request.
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -19,7 +19,11 @@
 #[case::no_instance(0.5, 0.0, 0.0)]
 #[case::very_many(0.5, 1e12, 1.0)]
 fn theta_by_hand(#[case] busy: f64, #[case] instances: f64, #[case] want: f64) {
-    assert!((theta(busy, instances) - want).abs() < 1e-9, "{}", theta(busy, instances));
+    assert!(
+        (theta(busy, instances) - want).abs() < 1e-9,
+        "{}",
+        theta(busy, instances)
+    );
 }
 
 /// "probability (min z*/z*) 1(Z <= z*) q(Z), capped at 1, only while theta >= 1, D > 0 and z* >= 1",
@@ -47,7 +51,8 @@
 #[case::at_the_cap((4, 2, 2.0, 1.0, 2.0, 2.0), Some(1.0))] // 3/4 x 4/3
 #[case::beyond_the_cap((4, 2, 2.0, 1.0, 2.0, 3.0), Some(1.0))]
 fn the_chance_of_a_virtual_loss_by_hand(
-    #[case] row: (usize, usize, f64, f64, f64, f64), #[case] want: Option<f64>,
+    #[case] row: (usize, usize, f64, f64, f64, f64),
+    #[case] want: Option<f64>,
 ) {
     let (warm, free, in_flight, theta, star, least) = row;
     let got = virtual_loss_chance(warm, free, in_flight, theta, star, least);
@@ -129,7 +134,11 @@
     let out = rig.request(100, SAFE, F);
     let sent = sends(&out);
     assert_eq!(sent.len(), usize::from(!want.sent_to.is_empty()), "{out:?}");
-    assert!(sent.iter().all(|worker| want.sent_to.contains(&worker.as_str())), "{out:?}");
+    assert!(
+        sent.iter()
+            .all(|worker| want.sent_to.contains(&worker.as_str())),
+        "{out:?}"
+    );
     assert_eq!(loads(&out, 1).len(), want.new_copies, "{out:?}");
     assert_eq!(!loads(&out, 0).is_empty(), want.asked, "{out:?}");
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -32,7 +32,10 @@
     let first = sends(&rig.request(2, SAFE, 7)).remove(0);
     let out = rig.pass(5 * SEC / 2);
     assert!(out.contains(&Action::Cancel { id: 2, attempt: 0 }));
-    assert!(sends(&out).is_empty(), "two attempts at once are forbidden here");
+    assert!(
+        sends(&out).is_empty(),
+        "two attempts at once are forbidden here"
+    );
     let again = sends(&rig.outcome(2, 0, Outcome::Cancelled, 2 * SEC));
     assert_eq!(again.len(), 1);
     assert_ne!(again[0], first);
@@ -46,13 +49,21 @@
     rig.warm(7, 1, &["w0", "w1", "w2"]);
     rig.request(2, SAFE, 7);
     assert_eq!(sends(&rig.pass(5 * SEC / 2)).len(), 1);
-    assert!(rig.outcome(2, 1, Outcome::Ok, 50 * MS).contains(&Action::Cancel { id: 2, attempt: 0 }));
+    assert!(rig
+        .outcome(2, 1, Outcome::Ok, 50 * MS)
+        .contains(&Action::Cancel { id: 2, attempt: 0 }));
 }
 
 /// An answer that never comes is made up for while it can still be in time.
 #[test]
 fn where_connections_break_an_overdue_attempt_soon_gets_a_second_copy() {
-    let mut rig = Rig::new(Settings { second_copies: true, ..settings() }, 3);
+    let mut rig = Rig::new(
+        Settings {
+            second_copies: true,
+            ..settings()
+        },
+        3,
+    );
     rig.warm(7, 1, &["w0", "w1", "w2"]);
     for id in 10..110 {
         rig.request(id, SAFE, 7);
@@ -91,16 +102,34 @@
     for id in 2..202 {
         let to = sends(&rig.request(id, UNSAFE, 7)).remove(0);
         late += usize::from(id > 102 && to == "w0");
-        rig.outcome(id, 0, if to == "w0" { Outcome::Error } else { Outcome::Ok }, 50 * MS);
+        rig.outcome(
+            id,
+            0,
+            if to == "w0" {
+                Outcome::Error
+            } else {
+                Outcome::Ok
+            },
+            50 * MS,
+        );
         rig.pass(20 * MS);
     }
-    assert!(late <= 5, "{late} of the last 100 calls went to the failing worker");
+    assert!(
+        late <= 5,
+        "{late} of the last 100 calls went to the failing worker"
+    );
 }
 
 /// A call that no worker can use ends after two errors, and no worker is accused of it.
 #[test]
 fn errors_of_a_function_never_served_end_its_call_and_accuse_nobody() {
-    let mut rig = Rig::new(Settings { load_on_absence: true, ..settings() }, 4);
+    let mut rig = Rig::new(
+        Settings {
+            load_on_absence: true,
+            ..settings()
+        },
+        4,
+    );
     rig.warm(7, 1, &["w0", "w1", "w2", "w3"]);
     for id in 2..30 {
         let mut out = rig.request(id, SAFE, 1_000 + id);
@@ -109,11 +138,14 @@
         }
         assert_eq!(sends(&out).len(), 1);
         assert_eq!(sends(&rig.outcome(id, 0, Outcome::Error, MS)).len(), 1);
-        assert!(rig.outcome(id, 1, Outcome::Error, MS).contains(&Action::Fail { id }));
+        assert!(rig
+            .outcome(id, 1, Outcome::Error, MS)
+            .contains(&Action::Fail { id }));
     }
     rig.pass(100 * MS);
-    let used: std::collections::BTreeSet<String> =
-        (50..90).flat_map(|id| sends(&rig.request(id, SAFE, 7))).collect();
+    let used: std::collections::BTreeSet<String> = (50..90)
+        .flat_map(|id| sends(&rig.request(id, SAFE, 7)))
+        .collect();
     assert_eq!(used.len(), 4, "{used:?}");
 }
 
@@ -134,14 +166,23 @@
         out.extend(rig.loaded(&w, 9, 0, Outcome::Timeout));
     }
     out.extend(rig.pass(SEC));
-    assert!(!loads(&out, 1).is_empty(), "a fleet that all looks dead is still tried");
+    assert!(
+        !loads(&out, 1).is_empty(),
+        "a fleet that all looks dead is still tried"
+    );
 }
 
 #[test]
 fn a_restart_voids_copies_and_clears_suspicion() {
     let mut rig = Rig::new(settings(), 1);
     rig.warm(7, 1, &["w0"]);
-    rig.feed(Event::Members { full: false, entries: vec![Entry { started_at: rig.now, ..entry(0) }] });
+    rig.feed(Event::Members {
+        full: false,
+        entries: vec![Entry {
+            started_at: rig.now,
+            ..entry(0)
+        }],
+    });
     assert!(sends(&rig.request(2, SAFE, 7)).is_empty());
 }
 
@@ -166,7 +207,10 @@
     });
     rig.now = u64::MAX;
     rig.feed(Event::Timer { token: 0 });
-    assert!(matches!(rig.request(8, SAFE, 1)[..], [Action::Timer { .. }, ..]));
+    assert!(matches!(
+        rig.request(8, SAFE, 1)[..],
+        [Action::Timer { .. }, ..]
+    ));
 }
 
 /// How many loads are out at once after twelve that ended like this, by their number and worker.
@@ -175,7 +219,14 @@
 }
 
 fn ordered_by_one_of(gateways: u32, end: impl Fn(u64, &str) -> (Outcome, Micros)) -> usize {
-    let mut rig = Rig::new(Settings { gateways, load_on_absence: gateways > 1, ..settings() }, 8);
+    let mut rig = Rig::new(
+        Settings {
+            gateways,
+            load_on_absence: gateways > 1,
+            ..settings()
+        },
+        8,
+    );
     for id in 0..12 {
         let mut out = rig.request(id, SAFE, id);
         for w in loads(&out, 0) {
@@ -184,7 +235,13 @@
         for worker in loads(&out, 1) {
             let (outcome, elapsed) = end(id, &worker);
             let count = u32::from(outcome == Outcome::Ok);
-            rig.feed(Event::Loaded { worker, function: id, count, outcome, elapsed });
+            rig.feed(Event::Loaded {
+                worker,
+                function: id,
+                count,
+                outcome,
+                elapsed,
+            });
         }
     }
     let mut orders = 0;
@@ -217,9 +274,21 @@
 #[test]
 fn loads_slow_at_two_of_eight_workers_or_one_that_failed_lower_nothing() {
     let usual = ordered_at_once(|_, _| (Outcome::Ok, 400 * MS));
-    let slow = |w: &str| if ["w0", "w1"].contains(&w) { 2 * SEC } else { 400 * MS };
+    let slow = |w: &str| {
+        if ["w0", "w1"].contains(&w) {
+            2 * SEC
+        } else {
+            400 * MS
+        }
+    };
     assert!(ordered_at_once(|_, w| (Outcome::Ok, slow(w))) + 3 > usual);
-    let chance = |id: u64| if id == 11 { Outcome::Error } else { Outcome::Ok };
+    let chance = |id: u64| {
+        if id == 11 {
+            Outcome::Error
+        } else {
+            Outcome::Ok
+        }
+    };
     assert!(ordered_at_once(|id, _| (chance(id), 400 * MS)) + 2 >= usual);
 }
 
@@ -290,7 +359,8 @@
             load_time: 0,
             retry: false,
         });
-        out.iter().any(|a| matches!(a, Action::Refuse { id: 999, .. }))
+        out.iter()
+            .any(|a| matches!(a, Action::Refuse { id: 999, .. }))
     };
     assert!(short(12));
     assert!(!short(1));
@@ -305,7 +375,10 @@
     assert_eq!(sends(&rig.request(2, SAFE, 7)).len(), 1);
     rig.now += 3 * SEC;
     let out = rig.outcome(2, 0, Outcome::Timeout, 3 * SEC);
-    assert!(sends(&out).is_empty() && out.contains(&Action::Fail { id: 2 }), "{out:?}");
+    assert!(
+        sends(&out).is_empty() && out.contains(&Action::Fail { id: 2 }),
+        "{out:?}"
+    );
 }
 
 /// Seen in the simulator: losses of a function called now and then made every gateway add a copy, and together
@@ -313,10 +386,18 @@
 #[test]
 fn a_seldom_called_function_gets_no_copy_for_each_loss() {
     let added = |gateways| {
-        let mut rig = Rig::new(Settings { gateways, ..settings() }, 4);
+        let mut rig = Rig::new(
+            Settings {
+                gateways,
+                ..settings()
+            },
+            4,
+        );
         rig.warm(7, 1, &["w0", "w1"]);
         // Both lanes are taken by calls that stay out: the third call is a loss.
-        (2..5).flat_map(|id| loads(&rig.request(id, SAFE, 7), 1)).count()
+        (2..5)
+            .flat_map(|id| loads(&rig.request(id, SAFE, 7), 1))
+            .count()
     };
     assert_eq!((added(1), added(5)), (1, 0));
 }
@@ -324,12 +405,25 @@
 /// Seen in overload: every request was turned away six times over, which kept full workers full.
 #[test]
 fn a_request_turned_away_three_times_is_refused() {
-    let mut rig = Rig::new(Settings { max_attempts: 6, ..settings() }, 6);
+    let mut rig = Rig::new(
+        Settings {
+            max_attempts: 6,
+            ..settings()
+        },
+        6,
+    );
     rig.warm(7, 1, &["w0", "w1", "w2", "w3", "w4", "w5"]);
     rig.request(2, SAFE, 7);
-    let first = (0..3).flat_map(|n| rig.outcome(2, n, Outcome::Full, MS)).collect::<Vec<_>>();
+    let first = (0..3)
+        .flat_map(|n| rig.outcome(2, n, Outcome::Full, MS))
+        .collect::<Vec<_>>();
     assert_eq!(sends(&first).len(), 2);
-    assert!(first.iter().any(|a| matches!(a, Action::Refuse { id: 2, .. })), "{first:?}");
+    assert!(
+        first
+            .iter()
+            .any(|a| matches!(a, Action::Refuse { id: 2, .. })),
+        "{first:?}"
+    );
 }
 
 /// Seen on sockets: requests waited for a load to the end of their life and were refused when no client could
@@ -338,9 +432,17 @@
 fn a_request_with_no_attempt_is_refused_before_half_its_life() {
     let mut rig = Rig::new(settings(), 2);
     let asked = loads(&rig.request(1, SAFE, 7), 0);
-    asked.iter().for_each(|w| drop(rig.loaded(w, 7, 0, Outcome::Ok)));
-    assert!(rig.pass(1_200 * MS).iter().all(|a| !matches!(a, Action::Refuse { .. })));
-    assert!(rig.pass(280 * MS).iter().any(|a| matches!(a, Action::Refuse { id: 1, .. })));
+    asked
+        .iter()
+        .for_each(|w| drop(rig.loaded(w, 7, 0, Outcome::Ok)));
+    assert!(rig
+        .pass(1_200 * MS)
+        .iter()
+        .all(|a| !matches!(a, Action::Refuse { .. })));
+    assert!(rig
+        .pass(280 * MS)
+        .iter()
+        .any(|a| matches!(a, Action::Refuse { id: 1, .. })));
 }
 
 /// Seen on sockets: with a handful of gateways, calls queued at workers that held half as much again as others.
@@ -348,7 +450,14 @@
 fn few_gateways_pass_over_a_worker_that_holds_more_than_the_mean() {
     let kept = |gateways, most: f64| {
         let load_on_absence = gateways < 16; // where calls load, few gateways ask before
-        let mut rig = Rig::new(Settings { gateways, load_on_absence, ..settings() }, 4);
+        let mut rig = Rig::new(
+            Settings {
+                gateways,
+                load_on_absence,
+                ..settings()
+            },
+            4,
+        );
         rig.warm(7, 1, &["w0", "w1", "w2", "w3"]);
         let mut calls = 0;
         for id in 10..210 {
@@ -356,7 +465,16 @@
             let inflight = Some(if worker == "w0" { most } else { 4.0 });
             let (attempt, outcome, elapsed, closed) = (0, Outcome::Ok, 50 * MS, true);
             let (warm, crowd) = (Some(true), None);
-            rig.feed(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight });
+            rig.feed(Event::Outcome {
+                id,
+                attempt,
+                outcome,
+                elapsed,
+                closed,
+                warm,
+                crowd,
+                inflight,
+            });
             rig.pass(100 * MS);
             calls += usize::from(worker == "w0");
         }
@@ -364,7 +482,10 @@
     };
     // An even share would be 50.
     let (few, many, even) = (kept(4, 5.5), kept(200, 5.5), kept(4, 4.0));
-    assert!(few < 40 && many >= 40 && even >= 40, "{few}, {many} and {even}");
+    assert!(
+        few < 40 && many >= 40 && even >= 40,
+        "{few}, {many} and {even}"
+    );
 }
 
 /// Seen on sockets: one in four answers of some workers never came. Such calls were given up in the end and told
@@ -389,7 +510,10 @@
         calls
     };
     let (early, late) = (calls_to_w0(10 * MS), calls_to_w0(900 * MS));
-    assert!(late * 3 < early * 2, "{early} where calls were given up early, {late} where late");
+    assert!(
+        late * 3 < early * 2,
+        "{early} where calls were given up early, {late} where late"
+    );
 }
 
 /// Seen on sockets: clients called functions that no worker knows. Each order to load one failed at once and was
@@ -397,13 +521,29 @@
 #[test]
 fn a_function_that_no_worker_knows_costs_no_loads() {
     let (load_window, load_free, load_share) = (5 * SEC, 4.0, 0.15);
-    let mut rig = Rig::new(Settings { load_window, load_free, load_share, ..settings() }, 4);
+    let mut rig = Rig::new(
+        Settings {
+            load_window,
+            load_free,
+            load_share,
+            ..settings()
+        },
+        4,
+    );
     let mut orders = 0;
     for stranger in 100..105 {
         let asked = loads(&rig.request(stranger, SAFE, stranger), 0);
-        let mut out: Vec<Action> =
-            asked.iter().flat_map(|w| rig.loaded(w, stranger, 0, Outcome::Error)).collect();
-        assert!(out.contains(&Action::Refuse { id: stranger, retry_after: SEC / 2 }), "{out:?}");
+        let mut out: Vec<Action> = asked
+            .iter()
+            .flat_map(|w| rig.loaded(w, stranger, 0, Outcome::Error))
+            .collect();
+        assert!(
+            out.contains(&Action::Refuse {
+                id: stranger,
+                retry_after: SEC / 2
+            }),
+            "{out:?}"
+        );
         while let Some(worker) = loads(&std::mem::take(&mut out), 1).pop() {
             (out, orders) = (rig.loaded(&worker, stranger, 0, Outcome::Error), orders + 1);
         }
@@ -413,7 +553,10 @@
     // Four functions that workers know are all loaded at once.
     let known = |function| {
         let asked = loads(&rig.request(function, SAFE, function), 0);
-        asked.iter().flat_map(|w| loads(&rig.loaded(w, function, 0, Outcome::Ok), 1)).count()
+        asked
+            .iter()
+            .flat_map(|w| loads(&rig.loaded(w, function, 0, Outcome::Ok), 1))
+            .count()
     };
     assert_eq!((1..5).map(known).sum::<usize>(), 4);
 }
@@ -424,12 +567,23 @@
 fn calls_of_strangers_or_taken_back_earn_no_loads() {
     let ordered = |calls: fn(&mut Rig)| {
         let (load_window, load_free, load_share) = (5 * SEC, 1.0, 0.1);
-        let mut rig = Rig::new(Settings { load_window, load_free, load_share, ..settings() }, 4);
+        let mut rig = Rig::new(
+            Settings {
+                load_window,
+                load_free,
+                load_share,
+                ..settings()
+            },
+            4,
+        );
         rig.warm(7, 1, &["w0"]);
         calls(&mut rig);
         let load = |function| {
             let asked = loads(&rig.request(function, SAFE, function), 0);
-            asked.iter().flat_map(|w| loads(&rig.loaded(w, function, 0, Outcome::Ok), 1)).count()
+            asked
+                .iter()
+                .flat_map(|w| loads(&rig.loaded(w, function, 0, Outcome::Ok), 1))
+                .count()
         };
         (500..504).map(load).sum::<usize>()
     };
@@ -449,10 +603,15 @@
     let strange = |rig: &mut Rig| {
         for id in 10..50 {
             let asked = loads(&rig.request(id, SAFE, id), 0);
-            asked.iter().for_each(|w| drop(rig.loaded(w, id, 0, Outcome::Error)));
+            asked
+                .iter()
+                .for_each(|w| drop(rig.loaded(w, id, 0, Outcome::Error)));
         }
     };
-    assert_eq!((ordered(served), ordered(taken_back), ordered(strange)), (4, 1, 1));
+    assert_eq!(
+        (ordered(served), ordered(taken_back), ordered(strange)),
+        (4, 1, 1)
+    );
 }
 
 /// Seen on sockets: answers that never came were made up for after nine times the expected time, just past the
@@ -460,7 +619,13 @@
 #[test]
 fn a_silent_attempt_gets_a_second_in_time_while_answers_are_quick() {
     let sent_after = |answers_take: Micros, wait: Micros| {
-        let mut rig = Rig::new(Settings { second_copies: true, ..settings() }, 3);
+        let mut rig = Rig::new(
+            Settings {
+                second_copies: true,
+                ..settings()
+            },
+            3,
+        );
         rig.warm(7, 1, &["w0", "w1", "w2"]);
         for id in 10..110 {
             rig.request(id, SAFE, 7);
@@ -469,7 +634,13 @@
         assert_eq!(sends(&rig.request(200, SAFE, 7)).len(), 1);
         sends(&rig.pass(wait)).len()
     };
-    assert_eq!((sent_after(100 * MS, 460 * MS), sent_after(100 * MS, 600 * MS)), (0, 1));
+    assert_eq!(
+        (
+            sent_after(100 * MS, 460 * MS),
+            sent_after(100 * MS, 600 * MS)
+        ),
+        (0, 1)
+    );
     assert_eq!(sent_after(300 * MS, 2 * SEC), 0);
 }
 
@@ -483,7 +654,10 @@
     for round in 0..200 {
         // Three at once, as many as there are lanes.
         let ids = 10 + 3 * round..13 + 3 * round;
-        let at: Vec<String> = ids.clone().flat_map(|id| sends(&rig.request(id, SAFE, 7))).collect();
+        let at: Vec<String> = ids
+            .clone()
+            .flat_map(|id| sends(&rig.request(id, SAFE, 7)))
+            .collect();
         for (id, worker) in ids.zip(at) {
             calls += usize::from(worker == "w0");
             if worker == "w0" && calls % 3 == 0 {
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -49,7 +49,10 @@
     }
     // 600 draws over three: 200 each, give or take four standard deviations.
     assert_eq!(seen[3], 0);
-    assert!(seen[..3].iter().all(|n| (154..=246).contains(n)), "{seen:?}");
+    assert!(
+        seen[..3].iter().all(|n| (154..=246).contains(n)),
+        "{seen:?}"
+    );
 }
 
 #[test]
@@ -105,7 +108,14 @@
         (set.gateways, set.load_on_absence) = (3, true);
         let mut c = Controller::new(set, seed);
         let mut out = Vec::new();
-        c.handle(SEC, Event::Members { full: true, entries: (0..9).map(entry).collect() }, &mut out);
+        c.handle(
+            SEC,
+            Event::Members {
+                full: true,
+                entries: (0..9).map(entry).collect(),
+            },
+            &mut out,
+        );
         let mut rig = Rig { c, now: SEC };
         rig.request(1, SAFE, 7);
         let replies = (0..9).flat_map(|w| rig.loaded(&format!("w{w}"), 7, 0, Outcome::Ok));
@@ -127,8 +137,17 @@
     rig.warm(7, 3, &["w0"]);
     rig.request(4, SAFE, 7);
     let out = rig.request(5, SAFE, 7);
-    assert!(out.contains(&Action::Drop { worker: "w1".into(), function: 1 }), "{out:?}");
-    assert!(!out.contains(&Action::Drop { worker: "w1".into(), function: 2 }));
+    assert!(
+        out.contains(&Action::Drop {
+            worker: "w1".into(),
+            function: 1
+        }),
+        "{out:?}"
+    );
+    assert!(!out.contains(&Action::Drop {
+        worker: "w1".into(),
+        function: 2
+    }));
 }
 
 #[test]
@@ -204,8 +223,13 @@
         }
         rig.outcome(n as u64, 0, Outcome::Ok, 50 * MS);
         let (early, late) = (rig.pass(gap - SEC), rig.pass(SEC));
-        loads(&late, 1).iter().for_each(|w| drop(rig.loaded(w, 7, 1, Outcome::Ok)));
-        let drops = early.iter().filter(|a| matches!(a, Action::Drop { .. })).count();
+        loads(&late, 1)
+            .iter()
+            .for_each(|w| drop(rig.loaded(w, 7, 1, Outcome::Ok)));
+        let drops = early
+            .iter()
+            .filter(|a| matches!(a, Action::Drop { .. }))
+            .count();
         (loads(&late, 1).len(), loads(&early, 1).len(), drops)
     };
     gaps.iter().enumerate().map(after).collect()
@@ -216,7 +240,17 @@
 #[test]
 fn a_call_on_a_timer_finds_a_copy_held_ahead_and_none_is_kept_in_between() {
     let even = fire(&[10 * SEC; 5]);
-    assert!(even[2..].iter().all(|&(ahead, else_, drops)| (ahead, else_, drops) == (1, 0, 1)), "{even:?}");
+    assert!(
+        even[2..]
+            .iter()
+            .all(|&(ahead, else_, drops)| (ahead, else_, drops) == (1, 0, 1)),
+        "{even:?}"
+    );
     let uneven = fire(&[10 * SEC, 7 * SEC, 12 * SEC, 9 * SEC, 6 * SEC, 10 * SEC]);
-    assert!(uneven[2..].iter().all(|&(ahead, _, drops)| (ahead, drops) == (0, 0)), "{uneven:?}");
+    assert!(
+        uneven[2..]
+            .iter()
+            .all(|&(ahead, _, drops)| (ahead, drops) == (0, 0)),
+        "{uneven:?}"
+    );
 }
--- a/tests/misses.rs
+++ b/tests/misses.rs
@@ -5,7 +5,11 @@
 use rstest::rstest;
 
 fn few() -> Settings {
-    Settings { gateways: 4, max_attempts: 6, ..settings() }
+    Settings {
+        gateways: 4,
+        max_attempts: 6,
+        ..settings()
+    }
 }
 
 /// A call of a function that stands nowhere asks the first two places itself, and then a load is ordered; calls that come
@@ -16,7 +20,10 @@
 fn a_call_that_meets_misses_leads_to_one_load_and_is_sent_there(#[case] class: usize) {
     let mut rig = Rig::new(few(), 6);
     let first = rig.request(1, class, 7);
-    assert!(loads(&first, 0).is_empty(), "{first:?}: the call asks, not an order");
+    assert!(
+        loads(&first, 0).is_empty(),
+        "{first:?}: the call asks, not an order"
+    );
     assert_eq!(sends(&first).len(), 1);
     assert!(sends(&rig.request(2, class, 7)).is_empty(), "one call asks");
     let second = rig.outcome(1, 0, Outcome::Miss, 2 * MS);
@@ -25,7 +32,9 @@
     let ordered = rig.outcome(1, 1, Outcome::Miss, 2 * MS);
     let at = loads(&ordered, 1);
     assert_eq!((sends(&ordered).len(), at.len()), (0, 1), "{ordered:?}");
-    assert!(sends(&rig.request(3, class, 7)).is_empty() && loads(&rig.pass(100 * MS), 1).is_empty());
+    assert!(
+        sends(&rig.request(3, class, 7)).is_empty() && loads(&rig.pass(100 * MS), 1).is_empty()
+    );
     let done = rig.loaded(&at[0], 7, 1, Outcome::Ok);
     let mut to = sends(&done);
     for (id, attempt) in [(1, 2), (2, 0), (3, 0)] {
@@ -53,25 +62,44 @@
     rig.request(1, UNSAFE, 7);
     assert_eq!(sends(&rig.outcome(1, 0, Outcome::Miss, 2 * MS)).len(), 1);
     let out = rig.outcome(1, 1, outcome, 50 * MS);
-    assert!(sends(&out).is_empty() && out.contains(&Action::Fail { id: 1 }), "{out:?}");
+    assert!(
+        sends(&out).is_empty() && out.contains(&Action::Fail { id: 1 }),
+        "{out:?}"
+    );
 }
 
 /// What only met misses is given up in time for its client to try again, and as refused: nothing ran.
 #[test]
 fn a_call_that_only_met_misses_is_refused_before_half_its_life() {
-    let mut rig = Rig::new(Settings { load_window: 5 * SEC, ..few() }, 6); // no load may be ordered
+    let mut rig = Rig::new(
+        Settings {
+            load_window: 5 * SEC,
+            ..few()
+        },
+        6,
+    ); // no load may be ordered
     rig.request(1, UNSAFE, 7);
     rig.outcome(1, 0, Outcome::Miss, 2 * MS);
     rig.outcome(1, 1, Outcome::Miss, 2 * MS);
     let out = rig.pass(1_500 * MS);
-    assert!(out.iter().any(|a| matches!(a, Action::Refuse { id: 1, .. })), "{out:?}");
+    assert!(
+        out.iter()
+            .any(|a| matches!(a, Action::Refuse { id: 1, .. })),
+        "{out:?}"
+    );
 }
 
 /// A worker that fails fast looks idle: two errors in a row take it out of the choice for calls that must not be lost,
 /// and it is tried again by repeatable ones.
 #[test]
 fn a_worker_that_fails_fast_is_left_and_tried_again() {
-    let mut rig = Rig::new(Settings { load_on_absence: true, ..few() }, 6);
+    let mut rig = Rig::new(
+        Settings {
+            load_on_absence: true,
+            ..few()
+        },
+        6,
+    );
     rig.warm(7, 1, &["w0", "w1", "w2", "w3", "w4", "w5"]);
     let (mut failed, mut unsafe_failed, mut tried) = (0, 0, 0);
     for id in 10..800 {
@@ -83,14 +111,25 @@
             failed += usize::from(bad);
             unsafe_failed += usize::from(bad && class == UNSAFE);
             tried += usize::from(bad && id > 400);
-            let outcome = if bad && !failed.is_multiple_of(3) { Outcome::Error } else { Outcome::Ok };
-            let elapsed = if outcome == Outcome::Error { 2 * MS } else { 50 * MS };
+            let outcome = if bad && !failed.is_multiple_of(3) {
+                Outcome::Error
+            } else {
+                Outcome::Ok
+            };
+            let elapsed = if outcome == Outcome::Error {
+                2 * MS
+            } else {
+                50 * MS
+            };
             to = sends(&rig.outcome(id, attempt, outcome, elapsed));
             attempt += 1;
         }
         rig.pass(40 * MS);
     }
-    assert!(failed <= 12 && unsafe_failed <= 1, "{failed} calls failed, {unsafe_failed} that must run once");
+    assert!(
+        failed <= 12 && unsafe_failed <= 1,
+        "{failed} calls failed, {unsafe_failed} that must run once"
+    );
     assert!(tried > 0, "it is tried again");
 }
 
@@ -99,8 +138,16 @@
 #[rstest]
 #[case::served(true, 3)]
 #[case::never_served(false, 2)]
-fn calls_made_before_a_function_was_served_earn_loads_once_it_is(#[case] served: bool, #[case] most: usize) {
-    let set = Settings { load_window: 5 * SEC, load_free: 2.0, load_share: 0.1, ..few() };
+fn calls_made_before_a_function_was_served_earn_loads_once_it_is(
+    #[case] served: bool,
+    #[case] most: usize,
+) {
+    let set = Settings {
+        load_window: 5 * SEC,
+        load_free: 2.0,
+        load_share: 0.1,
+        ..few()
+    };
     let mut rig = Rig::new(set, 6);
     let mut orders = 0;
     for id in 1..=12 {
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -74,17 +74,36 @@
                     }
                 }
             }
-            Event::Request { id, class, left, .. } => {
+            Event::Request {
+                id, class, left, ..
+            } => {
                 let (sent, answered, client_knows) = (vec![], false, false);
-                let r = Known { class: *class, ends: now + left, sent, answered, client_knows };
+                let r = Known {
+                    class: *class,
+                    ends: now + left,
+                    sent,
+                    answered,
+                    client_knows,
+                };
                 self.requests.insert(*id, r);
                 self.taken.push(now);
             }
-            Event::Outcome { id, attempt, outcome, closed, .. } => {
+            Event::Outcome {
+                id,
+                attempt,
+                outcome,
+                closed,
+                ..
+            } => {
                 let r = self.requests.get_mut(id).unwrap();
                 let s = &mut r.sent[*attempt];
                 s.open = false;
-                let never = [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot, Outcome::Miss];
+                let never = [
+                    Outcome::Full,
+                    Outcome::ConnectFailed,
+                    Outcome::Moot,
+                    Outcome::Miss,
+                ];
                 s.ran = !never.contains(outcome);
                 r.client_knows |= closed;
             }
@@ -114,18 +133,28 @@
                         breach("2 sent again");
                     }
                 }
-                r.sent.push(Sent { worker: worker.clone(), at: now, open: true, ran: true });
+                r.sent.push(Sent {
+                    worker: worker.clone(),
+                    at: now,
+                    open: true,
+                    ran: true,
+                });
                 if self.unready.get(worker).is_some_and(|t| now > t + SEC) {
                     breach("3 sent to a draining worker");
                 }
                 let set = &self.set;
-                if let Some(&t) = self.started.get(worker).filter(|&&t| now < t + set.warm_within) {
+                if let Some(&t) = self
+                    .started
+                    .get(worker)
+                    .filter(|&&t| now < t + set.warm_within)
+                {
                     self.to_cold.push((worker.clone(), now, t));
                     // One of the gateways alone may not go beyond what all may send.
-                    let share =
-                        set.cold_from + (1.0 - set.cold_from) * (now - t) as f64 / set.warm_within as f64;
+                    let share = set.cold_from
+                        + (1.0 - set.cold_from) * (now - t) as f64 / set.warm_within as f64;
                     let quotas: f64 = set.tenants.iter().map(|t| t.quota_per_s).sum();
-                    let most = set.fall_multiple * share * quotas / 6.0 * set.fall_window as f64 / SEC as f64;
+                    let most = set.fall_multiple * share * quotas / 6.0 * set.fall_window as f64
+                        / SEC as f64;
                     let of = |c: &&(String, Micros, Micros)| {
                         c.0 == *worker && c.1 + set.fall_window > now && c.2 == t
                     };
@@ -183,7 +212,13 @@
     let mut over: BTreeSet<u64> = BTreeSet::new();
     let mut serial = 0;
     let start = 100 * SEC;
-    due.insert((start, 0), Event::Members { full: true, entries: (0..6).map(entry).collect() });
+    due.insert(
+        (start, 0),
+        Event::Members {
+            full: true,
+            entries: (0..6).map(entry).collect(),
+        },
+    );
     let mut at = start;
     for id in 1..400u64 {
         at += draw(40) * MS;
@@ -191,7 +226,17 @@
         let (class, left) = (draw(3) as usize, (20 + draw(3000)) * MS);
         let (function, retry, memory_mb) = (draw(12), draw(8) == 0, 300.0);
         let (tenant, lanes, load_time) = (None, 1 + draw(2) as u32, 0);
-        let r = Event::Request { id, class, tenant, function, left, memory_mb, lanes, load_time, retry };
+        let r = Event::Request {
+            id,
+            class,
+            tenant,
+            function,
+            left,
+            memory_mb,
+            lanes,
+            load_time,
+            retry,
+        };
         due.insert((at, serial), r);
         if draw(15) == 0 {
             serial += 1;
@@ -199,18 +244,41 @@
         }
         if draw(10) == 0 {
             use WorkerState::*;
-            let state = [Draining, Gone].get(draw(6) as usize).copied().unwrap_or(Ready);
-            let started_at = if state == WorkerState::Ready && draw(2) == 0 { at } else { 0 };
-            let e = Entry { state, started_at, ..entry(draw(6) as usize) };
+            let state = [Draining, Gone]
+                .get(draw(6) as usize)
+                .copied()
+                .unwrap_or(Ready);
+            let started_at = if state == WorkerState::Ready && draw(2) == 0 {
+                at
+            } else {
+                0
+            };
+            let e = Entry {
+                state,
+                started_at,
+                ..entry(draw(6) as usize)
+            };
             serial += 1;
-            due.insert((at + 1, serial), Event::Members { full: false, entries: vec![e] });
+            due.insert(
+                (at + 1, serial),
+                Event::Members {
+                    full: false,
+                    entries: vec![e],
+                },
+            );
         }
     }
     let last = at + 20 * SEC;
     let mut out = Vec::new();
     while let Some(((now, _), mut event)) = due.pop_first().filter(|((t, _), _)| *t < last) {
         let now = heard(now, stalls);
-        if let Event::Outcome { id, outcome, closed, .. } = &mut event {
+        if let Event::Outcome {
+            id,
+            outcome,
+            closed,
+            ..
+        } = &mut event
+        {
             *closed = *outcome == Outcome::Ok || over.contains(id);
             if *outcome == Outcome::Ok {
                 over.insert(*id);
@@ -242,15 +310,36 @@
                         Outcome::Timeout,
                     ];
                     let outcome = all.get(draw(24) as usize).copied().unwrap_or(Outcome::Ok);
-                    let took = if outcome == Outcome::Timeout { timeout } else { draw(600) * MS + 1 };
+                    let took = if outcome == Outcome::Timeout {
+                        timeout
+                    } else {
+                        draw(600) * MS + 1
+                    };
                     let (elapsed, closed) = (took.min(timeout), false);
-                    let outcome = if took > timeout { Outcome::Timeout } else { outcome };
+                    let outcome = if took > timeout {
+                        Outcome::Timeout
+                    } else {
+                        outcome
+                    };
                     let (attempt, warm, crowd, inflight) = (*n, None, None, Some(draw(9) as f64));
                     *n += 1;
-                    let e = Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight };
+                    let e = Event::Outcome {
+                        id,
+                        attempt,
+                        outcome,
+                        elapsed,
+                        closed,
+                        warm,
+                        crowd,
+                        inflight,
+                    };
                     due.insert((now + elapsed.max(1), serial), e);
                 }
-                Action::Load { worker, function, count } => {
+                Action::Load {
+                    worker,
+                    function,
+                    count,
+                } => {
                     let (outcome, count) = match draw(6) {
                         0 => (Outcome::Full, 0),
                         1 => (Outcome::Error, 0),
@@ -258,7 +347,13 @@
                         _ => (Outcome::Ok, count.max(draw(2) as u32)),
                     };
                     let elapsed = (2 + draw(700)) * MS;
-                    let e = Event::Loaded { worker, function, count, outcome, elapsed };
+                    let e = Event::Loaded {
+                        worker,
+                        function,
+                        count,
+                        outcome,
+                        elapsed,
+                    };
                     due.insert((now + elapsed, serial), e);
                 }
                 Action::Refuse { id, .. } | Action::Fail { id } => {
@@ -275,7 +370,10 @@
 fn sites() -> Vec<Settings> {
     let mut a = settings();
     (a.gateways, a.index) = (3, Some(1));
-    a.tenants = vec![TenantSettings { quota_per_s: 100.0, ..TenantSettings::default() }];
+    a.tenants = vec![TenantSettings {
+        quota_per_s: 100.0,
+        ..TenantSettings::default()
+    }];
     let mut b = a.clone();
     (b.load_on_absence, b.second_copies) = (true, true);
     (b.load_window, b.load_free, b.load_share) = (5 * SEC, 4.0, 0.2);
@@ -292,7 +390,11 @@
         for seed in 0..40 {
             let stalls = seed % 2 == 1; // every other gateway stands still now and then
             let checker = stream(seed, set.clone(), stalls);
-            assert!(checker.breaches.is_empty(), "site {n}, seed {seed}: {:?}", checker.breaches);
+            assert!(
+                checker.breaches.is_empty(),
+                "site {n}, seed {seed}: {:?}",
+                checker.breaches
+            );
             // One of two hundred gateways may send next to nothing to a fleet that restarts all the time.
             let least = if set.gateways > 100 {
                 0
@@ -302,7 +404,10 @@
                 31
             };
             let sent: usize = checker.requests.values().map(|r| r.sent.len()).sum();
-            assert!(sent >= least, "site {n}, seed {seed}: only {sent} attempts were made");
+            assert!(
+                sent >= least,
+                "site {n}, seed {seed}: only {sent} attempts were made"
+            );
         }
     }
 }
@@ -313,14 +418,19 @@
     let mut draw = |low: u64, high: u64| low + u64::from(rng.next_u32()) % (high - low + 1);
     let mut set = settings();
     (set.gateways, set.index) = (draw(2, 6) as u32, Some(draw(0, 1) as u32));
-    set.tenants = vec![TenantSettings { quota_per_s: draw(30, 700) as f64, ..TenantSettings::default() }];
+    set.tenants = vec![TenantSettings {
+        quota_per_s: draw(30, 700) as f64,
+        ..TenantSettings::default()
+    }];
     (set.load_on_absence, set.second_copies) = (draw(0, 1) == 0, draw(0, 1) == 0);
     (set.load_window, set.load_free, set.load_share) =
         (5 * SEC, draw(3, 4) as f64, draw(15, 20) as f64 / 100.0);
     (set.max_attempts, set.keep) = (draw(3, 6) as u32, draw(8, 16) * SEC);
     (set.cold_from, set.warm_within) = (draw(15, 45) as f64 / 100.0, draw(6, 17) * SEC);
     (set.fall_multiple, set.fall_window) = (draw(2, 3) as f64, draw(500, 1_500) * MS);
-    set.classes.iter_mut().for_each(|c| (c.aim, c.worth) = (draw(400, 1_500) * MS, draw(1, 3) as f64));
+    set.classes
+        .iter_mut()
+        .for_each(|c| (c.aim, c.worth) = (draw(400, 1_500) * MS, draw(1, 3) as f64));
     set
 }
 
@@ -329,9 +439,16 @@
     for seed in 0..120 {
         let (set, stalls) = (drawn(seed), seed % 3 == 1);
         let checker = stream(seed, set.clone(), stalls);
-        assert!(checker.breaches.is_empty(), "seed {seed}, {set:?}: {:?}", checker.breaches);
+        assert!(
+            checker.breaches.is_empty(),
+            "seed {seed}, {set:?}: {:?}",
+            checker.breaches
+        );
         let sent: usize = checker.requests.values().map(|r| r.sent.len()).sum();
-        assert!(sent >= 11, "seed {seed}, {set:?}: only {sent} attempts were made");
+        assert!(
+            sent >= 11,
+            "seed {seed}, {set:?}: only {sent} attempts were made"
+        );
     }
 }
 
@@ -351,22 +468,58 @@
     };
     checker.event(0, &request(1, UNSAFE));
     checker.event(0, &request(2, SAFE));
-    let gone = Entry { state: WorkerState::Gone, ..entry(0) };
-    checker.event(0, &Event::Members { full: false, entries: vec![gone] });
-    let send = |id, w: &str| Action::Send { id, worker: w.into(), timeout: 0, window: None };
+    let gone = Entry {
+        state: WorkerState::Gone,
+        ..entry(0)
+    };
+    checker.event(
+        0,
+        &Event::Members {
+            full: false,
+            entries: vec![gone],
+        },
+    );
+    let send = |id, w: &str| Action::Send {
+        id,
+        worker: w.into(),
+        timeout: 0,
+        window: None,
+    };
     checker.action(1, &send(1, "w1"));
     checker.action(2, &send(1, "w2"));
-    checker.action(3, &Action::Refuse { id: 1, retry_after: 0 });
+    checker.action(
+        3,
+        &Action::Refuse {
+            id: 1,
+            retry_after: 0,
+        },
+    );
     checker.action(4, &Action::Fail { id: 1 });
     checker.action(5, &send(1, "w3"));
     checker.action(2 * SEC, &send(2, "w0"));
     for _ in 0..6 {
-        checker.action(10 * SEC, &Action::Load { worker: "w1".into(), function: 1, count: 1 });
+        checker.action(
+            10 * SEC,
+            &Action::Load {
+                worker: "w1".into(),
+                function: 1,
+                count: 1,
+            },
+        );
     }
     checker.end(20 * SEC);
-    for what in
-        ["2 sent again", "2 refused", "1 answered twice", "1 sent after", "3 sent", "5 too many", "lost"]
-    {
-        assert!(checker.breaches.iter().any(|b| b.contains(what)), "not caught: {what}");
+    for what in [
+        "2 sent again",
+        "2 refused",
+        "1 answered twice",
+        "1 sent after",
+        "3 sent",
+        "5 too many",
+        "lost",
+    ] {
+        assert!(
+            checker.breaches.iter().any(|b| b.contains(what)),
+            "not caught: {what}"
+        );
     }
 }
--- a/tests/prospect.rs
+++ b/tests/prospect.rs
@@ -6,7 +6,11 @@
 
 /// One of so many gateways, whose classes state this aim, before workers enough that a call in hand is no crowd.
 fn rig(gateways: u32, aim: Micros) -> Rig {
-    let mut set = Settings { gateways, load_on_absence: true, ..settings() };
+    let mut set = Settings {
+        gateways,
+        load_on_absence: true,
+        ..settings()
+    };
     set.classes.iter_mut().for_each(|c| c.aim = aim);
     Rig::new(set, gateways.max(6) as usize)
 }
@@ -15,7 +19,12 @@
 fn settle(rig: &mut Rig, mut out: Vec<Action>) -> Vec<Action> {
     let mut n = 0;
     while n < out.len() {
-        if let Action::Load { worker, function, count } = out[n].clone() {
+        if let Action::Load {
+            worker,
+            function,
+            count,
+        } = out[n].clone()
+        {
             out.extend(rig.loaded(&worker, function, count.max(1), Outcome::Ok));
         }
         n += 1;
@@ -30,18 +39,42 @@
     for _ in 0..n {
         let (id, class, tenant, memory_mb, lanes, load_time) = (rig.now, SAFE, None, 500.0, 8, 0);
         let retry = false;
-        let call = Event::Request { id, class, tenant, function, left, memory_mb, lanes, load_time, retry };
+        let call = Event::Request {
+            id,
+            class,
+            tenant,
+            function,
+            left,
+            memory_mb,
+            lanes,
+            load_time,
+            retry,
+        };
         let out = rig.feed(call);
         let out = settle(rig, out);
-        let advised = |a: &Action| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0);
+        let advised =
+            |a: &Action| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0);
         refused += usize::from(out.iter().any(advised));
         let sent = !sends(&out).is_empty();
         let out = rig.pass(if sent { took.min(left) } else { 20 * MS });
         settle(rig, out);
-        let (outcome, closed) = if took < left { (Outcome::Ok, true) } else { (Outcome::Timeout, false) };
+        let (outcome, closed) = if took < left {
+            (Outcome::Ok, true)
+        } else {
+            (Outcome::Timeout, false)
+        };
         let (attempt, elapsed, warm, crowd, inflight) = (0, took.min(left), Some(true), None, None);
         if sent {
-            rig.feed(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight });
+            rig.feed(Event::Outcome {
+                id,
+                attempt,
+                outcome,
+                elapsed,
+                closed,
+                warm,
+                crowd,
+                inflight,
+            });
             served += usize::from(closed);
         }
     }
@@ -55,15 +88,23 @@
     let mut rig = rig(gateways, 400 * MS);
     assert_eq!(calls(&mut rig, 20, 7, 3 * SEC, 120 * MS), (20, 0));
     let (served, refused) = calls(&mut rig, 40, 7, 47 * MS, 120 * MS);
-    assert!(served == 0 && refused >= 38, "{refused} of 40 refused; one in two seconds may be tried");
-    assert_eq!(calls(&mut rig, 20, 7, 180 * MS, 120 * MS), (20, 0), "what can end is sent");
+    assert!(
+        served == 0 && refused >= 38,
+        "{refused} of 40 refused; one in two seconds may be tried"
+    );
+    assert_eq!(
+        calls(&mut rig, 20, 7, 180 * MS, 120 * MS),
+        (20, 0),
+        "what can end is sent"
+    );
 }
 
 /// All of a customer's deadlines are under 300 ms and its work is short: it is served from the first call on, whether the
 /// settings state an aim or not, and again soon after a spell in which answers came too late.
 #[rstest]
 fn short_deadlines_are_served_where_the_work_is_short(
-    #[values(1, 4, 300)] gateways: u32, #[values(0, 60 * MS, 30 * SEC)] aim: Micros,
+    #[values(1, 4, 300)] gateways: u32,
+    #[values(0, 60 * MS, 30 * SEC)] aim: Micros,
     #[values(60 * MS, 290 * MS)] left: Micros,
 ) {
     let mut rig = rig(gateways, aim);
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -11,7 +11,11 @@
 type Place = (Option<usize>, Option<u64>);
 
 fn entry_at(n: usize, (zone, cell): Place) -> Entry {
-    Entry { zone, cell, ..entry(n) }
+    Entry {
+        zone,
+        cell,
+        ..entry(n)
+    }
 }
 
 /// Two workers that hold function 7, and a keyed class whose repeats are dropped in this group.
@@ -20,7 +24,10 @@
     set.classes[KEYED].group = group;
     let mut rig = Rig::new(set, 0);
     let entries = (0..2).map(|n| entry_at(n, places[n])).collect();
-    rig.feed(Event::Members { full: true, entries });
+    rig.feed(Event::Members {
+        full: true,
+        entries,
+    });
     rig.warm(7, 1, &["w0", "w1"]);
     rig
 }
@@ -48,7 +55,9 @@
 #[case::cells_not_told(Group::Cell, [(Some(0), None), (Some(0), None)], false)]
 #[case::all_whatever_is_told(Group::All, [(None, None), (Some(0), Some(1))], true)]
 fn a_keyed_request_is_repeated_only_where_its_key_is_known(
-    #[case] group: Group, #[case] places: [Place; 2], #[case] repeated: bool,
+    #[case] group: Group,
+    #[case] places: [Place; 2],
+    #[case] repeated: bool,
 ) {
     let mut rig = keyed_rig(group, places);
     assert_eq!(sends(&keyed_request(&mut rig, 2 * SEC)).len(), 1);
@@ -57,7 +66,10 @@
     // What provably never ran is tried again wherever workers stand.
     let mut rig = keyed_rig(group, places);
     keyed_request(&mut rig, 2 * SEC);
-    assert_eq!(sends(&rig.outcome(2, 0, Outcome::ConnectFailed, 50 * MS)).len(), 1);
+    assert_eq!(
+        sends(&rig.outcome(2, 0, Outcome::ConnectFailed, 50 * MS)).len(),
+        1
+    );
 }
 
 /// The key is known where the worker stood when the attempt was sent, not where the list has it later: it is told anew
@@ -69,12 +81,22 @@
     let mut rig = keyed_rig(group, [(Some(0), Some(0)), (Some(1), Some(1))]);
     let first = sends(&keyed_request(&mut rig, 2 * SEC))[0].clone();
     let moved = usize::from(first == "w1");
-    let other = if moved == 0 { to } else { (to.0.map(|z| 1 - z.min(1)), to.1.map(|c| 1 - c.min(1))) };
-    rig.feed(Event::Members { full: false, entries: vec![entry_at(moved, other)] });
+    let other = if moved == 0 {
+        to
+    } else {
+        (to.0.map(|z| 1 - z.min(1)), to.1.map(|c| 1 - c.min(1)))
+    };
+    rig.feed(Event::Members {
+        full: false,
+        entries: vec![entry_at(moved, other)],
+    });
     let mut later = rig.outcome(2, 0, Outcome::Reset, 50 * MS);
     later.extend(rig.pass(SEC));
     assert_eq!(sends(&later), Vec::<String>::new(), "{later:?}");
-    assert!(!later.iter().any(|a| matches!(a, Action::Refuse { .. })), "it may have run: {later:?}");
+    assert!(
+        !later.iter().any(|a| matches!(a, Action::Refuse { .. })),
+        "it may have run: {later:?}"
+    );
 }
 
 /// A repeat says for how long it may still be written: workers drop it only so long after the first attempt. A first
@@ -85,7 +107,9 @@
 #[case::safe_that_may_have_run(SAFE, Outcome::Reset, false)]
 #[case::unsafe_that_never_ran(UNSAFE, Outcome::ConnectFailed, false)]
 fn a_repeat_is_written_within_the_window(
-    #[case] class: usize, #[case] outcome: Outcome, #[case] bounded: bool,
+    #[case] class: usize,
+    #[case] outcome: Outcome,
+    #[case] bounded: bool,
     #[values(0, 500, 1_900)] passed: u64,
 ) {
     let mut rig = keyed_rig(Group::All, [(Some(0), Some(0)); 2]);
@@ -95,7 +119,11 @@
             _ => None,
         })
     };
-    assert_eq!(window(&rig.request(2, class, 7)), Some(None), "a first attempt");
+    assert_eq!(
+        window(&rig.request(2, class, 7)),
+        Some(None),
+        "a first attempt"
+    );
     rig.now += passed * MS;
     let again = window(&rig.outcome(2, 0, outcome, passed * MS)).expect("sent again");
     match again {
@@ -112,10 +140,15 @@
 #[test]
 fn zones_that_the_settings_do_not_name_are_told_apart() {
     let mut names = ZoneNames::new(&["east".to_owned(), "west".to_owned()]);
-    let told: Vec<_> = ["west", "north", "south", "north", ""].iter().map(|n| names.position(n)).collect();
+    let told: Vec<_> = ["west", "north", "south", "north", ""]
+        .iter()
+        .map(|n| names.position(n))
+        .collect();
     assert_eq!(told, [Some(1), Some(2), Some(3), Some(2), None]);
     // Names without end take no memory without end.
-    let numbered: Vec<_> = (0..2_000).map(|n| names.position(&format!("zone-{n}"))).collect();
+    let numbered: Vec<_> = (0..2_000)
+        .map(|n| names.position(&format!("zone-{n}")))
+        .collect();
     assert_eq!(numbered[1_999], None);
     assert_eq!(names.position("south"), Some(3));
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -21,13 +21,21 @@
 
 #[test]
 fn rule_2_an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() {
-    for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
+    for outcome in [
+        Outcome::Error,
+        Outcome::Timeout,
+        Outcome::Reset,
+        Outcome::Cancelled,
+    ] {
         let mut rig = Rig::new(settings(), 3);
         rig.warm(7, 1, &["w0", "w1", "w2"]);
         rig.request(2, UNSAFE, 7);
         let out = rig.outcome(2, 0, outcome, 50 * MS);
         assert!(sends(&out).is_empty());
-        assert!(out.contains(&Action::Fail { id: 2 }), "{outcome:?}: {out:?}");
+        assert!(
+            out.contains(&Action::Fail { id: 2 }),
+            "{outcome:?}: {out:?}"
+        );
     }
 }
 
@@ -73,10 +81,15 @@
     for state in [WorkerState::Draining, WorkerState::Gone] {
         let mut rig = Rig::new(settings(), 2);
         rig.warm(7, 1, &["w0"]);
-        rig.feed(Event::Members { full: false, entries: vec![Entry { state, ..entry(0) }] });
+        rig.feed(Event::Members {
+            full: false,
+            entries: vec![Entry { state, ..entry(0) }],
+        });
         let mut out = rig.request(2, SAFE, 7);
         out.extend(rig.pass(4 * SEC));
-        assert!(!sends(&out).contains(&"w0".to_string()) && !loads(&out, 1).contains(&"w0".to_string()));
+        assert!(
+            !sends(&out).contains(&"w0".to_string()) && !loads(&out, 1).contains(&"w0".to_string())
+        );
     }
 }
 
@@ -84,7 +97,13 @@
 fn rule_4_a_cold_worker_gets_a_part_of_what_warm_ones_get() {
     let mut rig = Rig::new(settings(), 3);
     rig.warm(7, 1, &["w0", "w1", "w2"]);
-    rig.feed(Event::Members { full: false, entries: vec![Entry { started_at: rig.now, ..entry(2) }] });
+    rig.feed(Event::Members {
+        full: false,
+        entries: vec![Entry {
+            started_at: rig.now,
+            ..entry(2)
+        }],
+    });
     rig.loaded("w2", 7, 1, Outcome::Ok);
     let mut to_cold = 0;
     let mut id = 10;
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -4,9 +4,16 @@
 use common::*;
 
 fn many(gateways: u32) -> Settings {
-    let tenant = |quota_per_s| TenantSettings { quota_per_s, ..TenantSettings::default() };
+    let tenant = |quota_per_s| TenantSettings {
+        quota_per_s,
+        ..TenantSettings::default()
+    };
     let tenants = vec![tenant(60.0), tenant(40.0)];
-    Settings { gateways, tenants, ..settings() }
+    Settings {
+        gateways,
+        tenants,
+        ..settings()
+    }
 }
 
 fn call(rig: &mut Rig, id: u64, function: u64, tenant: usize) -> Vec<Action> {
@@ -23,9 +30,24 @@
     })
 }
 
-fn answer(rig: &mut Rig, id: u64, outcome: Outcome, elapsed: Micros, inflight: Option<f64>) -> Vec<Action> {
+fn answer(
+    rig: &mut Rig,
+    id: u64,
+    outcome: Outcome,
+    elapsed: Micros,
+    inflight: Option<f64>,
+) -> Vec<Action> {
     let closed = outcome == Outcome::Ok;
-    rig.feed(Event::Outcome { id, attempt: 0, outcome, elapsed, closed, warm: None, crowd: None, inflight })
+    rig.feed(Event::Outcome {
+        id,
+        attempt: 0,
+        outcome,
+        elapsed,
+        closed,
+        warm: None,
+        crowd: None,
+        inflight,
+    })
 }
 
 /// Makes `function` believed warm at all of the workers that are asked about it.
@@ -42,11 +64,17 @@
 fn a_start_asks_a_few_places_and_not_the_fleet() {
     let mut rig = Rig::new(many(200), 60);
     let asked = loads(&call(&mut rig, 1, 7, 0), 0).len();
-    assert!((1..=8).contains(&asked), "{asked} questions for one function");
+    assert!(
+        (1..=8).contains(&asked),
+        "{asked} questions for one function"
+    );
 }
 
 fn refusals(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count()
+    actions
+        .iter()
+        .filter(|a| matches!(a, Action::Refuse { .. }))
+        .count()
 }
 
 /// Feeds calls at these times from the start, each answered after `took`; returns how many were refused.
@@ -56,7 +84,10 @@
 
 /// The same at one of so many gateways, and each call has a time of its own.
 fn play_at(
-    gateways: u32, calls: &[(Micros, usize)], took: impl Fn(usize) -> Micros, inflight: Option<f64>,
+    gateways: u32,
+    calls: &[(Micros, usize)],
+    took: impl Fn(usize) -> Micros,
+    inflight: Option<f64>,
 ) -> usize {
     let mut rig = Rig::new(many(gateways), 6);
     warm_all(&mut rig, 1, 7);
@@ -84,7 +115,9 @@
 /// Four calls within half a second are no overload of two hundred gateways, only chance at one of them.
 #[test]
 fn a_few_calls_at_once_at_one_of_many_gateways_refuse_nothing() {
-    let calls: Vec<_> = (0..48u64).map(|n| (n / 4 * 2 * SEC + n % 4 * 110 * MS, 0)).collect();
+    let calls: Vec<_> = (0..48u64)
+        .map(|n| (n / 4 * 2 * SEC + n % 4 * 110 * MS, 0))
+        .collect();
     assert_eq!(play(&calls, 500 * MS, None), 0);
 }
 
@@ -99,17 +132,28 @@
 fn the_first_seconds_and_a_rise_in_traffic_are_no_overload() {
     let start: Vec<_> = (0..200u64).map(|n| (n * 20 * MS, share(n))).collect();
     assert_eq!(play_at(3, &start, |_| 700 * MS, None), 0);
-    let rise: Vec<_> = (0..500u64).map(|n| ((n * 100).min(20_000 + n * 20) * MS / 2, share(n))).collect();
+    let rise: Vec<_> = (0..500u64)
+        .map(|n| ((n * 100).min(20_000 + n * 20) * MS / 2, share(n)))
+        .collect();
     assert_eq!(play_at(3, &rise, |_| 280 * MS, None), 0);
     let queue: Vec<_> = (0..400u64).map(|n| (n * 20 * MS, share(n))).collect();
-    assert!(play_at(3, &queue, |n| (200 + 10 * n as u64) * MS, None) > 0, "a queue that grows is one");
+    assert!(
+        play_at(3, &queue, |n| (200 + 10 * n as u64) * MS, None) > 0,
+        "a queue that grows is one"
+    );
 }
 
 /// Seen on sockets: copies vanished, calls waited for loads, and what found a copy was refused for it.
 #[test]
 fn calls_that_wait_for_loads_are_no_queue() {
     let calls: Vec<_> = (0..190u64).map(|n| (n * 20 * MS, share(n))).collect();
-    let took = |n: usize| if n.is_multiple_of(2) && n > 100 { 1_900 * MS } else { 100 * MS };
+    let took = |n: usize| {
+        if n.is_multiple_of(2) && n > 100 {
+            1_900 * MS
+        } else {
+            100 * MS
+        }
+    };
     assert_eq!(play_at(3, &calls, took, None), 0);
 }
 
@@ -117,7 +161,10 @@
 fn where_workers_report_room_a_slow_spell_at_one_gateway_refuses_nothing() {
     let calls: Vec<_> = (0..80u64).map(|n| (n * 250 * MS, 0)).collect();
     assert_eq!(play(&calls, 1600 * MS, Some(1.0)), 0);
-    assert!(play(&calls, 1600 * MS, Some(20.0)) > 0, "where they report crowds it does");
+    assert!(
+        play(&calls, 1600 * MS, Some(20.0)) > 0,
+        "where they report crowds it does"
+    );
 }
 
 /// Half of a thin stream is no proof that a tenant whose share is 40% goes beyond it at all gateways.
@@ -126,7 +173,9 @@
     let calls: Vec<_> = (0..60u64).map(|n| (n * 500 * MS, n as usize % 2)).collect();
     assert_eq!(play(&calls, 700 * MS, None), 0);
     // Nine in ten of the calls are proof.
-    let calls: Vec<_> = (0..60u64).map(|n| (n * 500 * MS, usize::from(n % 10 > 0))).collect();
+    let calls: Vec<_> = (0..60u64)
+        .map(|n| (n * 500 * MS, usize::from(n % 10 > 0)))
+        .collect();
     assert!(play(&calls, 700 * MS, None) > 0);
 }
 
@@ -149,7 +198,10 @@
         held.len()
     };
     let (few, hundreds) = (workers(2), workers(200));
-    assert!(hundreds >= few + 5, "{few} workers for two gateways, {hundreds} for two hundred");
+    assert!(
+        hundreds >= few + 5,
+        "{few} workers for two gateways, {hundreds} for two hundred"
+    );
 }
 
 #[test]
@@ -163,7 +215,10 @@
     call(&mut rig, 3, 7, 0);
     answer(&mut rig, 3, Outcome::Full, 50 * MS, Some(1.0));
     rig.pass(2 * SEC);
-    assert!(sends(&call(&mut rig, 4, 7, 0)).is_empty(), "its tenant was turned away two seconds ago");
+    assert!(
+        sends(&call(&mut rig, 4, 7, 0)).is_empty(),
+        "its tenant was turned away two seconds ago"
+    );
     assert_eq!(sends(&call(&mut rig, 5, 7, 1)), ["w0"]);
 }
 
@@ -221,7 +276,9 @@
     let mut rig = Rig::new(set, 4);
     warm_all(&mut rig, 1, 7);
     rig.pass(SEC);
-    let sent: Vec<u64> = (10..14).filter(|&id| !sends(&call(&mut rig, id, 7, 0)).is_empty()).collect();
+    let sent: Vec<u64> = (10..14)
+        .filter(|&id| !sends(&call(&mut rig, id, 7, 0)).is_empty())
+        .collect();
     assert_eq!(sent.len(), 4);
     rig.now += 2900 * MS; // it stands still; then everything comes at once, the timer first
     let woken = rig.feed(Event::Timer { token: 0 });
@@ -252,7 +309,10 @@
     rig.outcome(2, 0, Outcome::Timeout, 900 * MS);
     for id in 10..40 {
         rig.pass(SEC / 8);
-        assert!(!sends(&rig.request(id, UNSAFE, 7)).contains(&silent), "call {id}");
+        assert!(
+            !sends(&rig.request(id, UNSAFE, 7)).contains(&silent),
+            "call {id}"
+        );
         answer(&mut rig, id, Outcome::Ok, 50 * MS, None);
     }
 }
@@ -263,11 +323,23 @@
 fn first_calls_of_a_hundred_gateways_meet_at_one_worker_without_a_question() {
     let mut met = std::collections::BTreeSet::new();
     for seed in 0..100 {
-        let c = Controller::new(Settings { load_on_absence: true, ..many(100) }, seed);
+        let c = Controller::new(
+            Settings {
+                load_on_absence: true,
+                ..many(100)
+            },
+            seed,
+        );
         let mut rig = Rig { c, now: 100 * SEC };
-        rig.feed(Event::Members { full: true, entries: (0..60).map(entry).collect() });
+        rig.feed(Event::Members {
+            full: true,
+            entries: (0..60).map(entry).collect(),
+        });
         let out = call(&mut rig, 1, 7, 0);
-        assert!(loads(&out, 0).is_empty() && loads(&out, 1).is_empty(), "{out:?}");
+        assert!(
+            loads(&out, 0).is_empty() && loads(&out, 1).is_empty(),
+            "{out:?}"
+        );
         met.extend(sends(&out));
     }
     assert_eq!(met.len(), 1, "{met:?}");
@@ -276,7 +348,13 @@
 /// What a first call found standing is a sample of its worker's health like any other: most are such at size.
 #[test]
 fn a_first_call_that_finds_a_copy_standing_judges_its_worker() {
-    let mut rig = Rig::new(Settings { load_on_absence: true, ..many(100) }, 4);
+    let mut rig = Rig::new(
+        Settings {
+            load_on_absence: true,
+            ..many(100)
+        },
+        4,
+    );
     let mut first = Vec::new();
     for function in 1..80 {
         let to = sends(&call(&mut rig, function, function, 0)).remove(0);
@@ -285,12 +363,24 @@
         let elapsed = if slow { 2 * SEC } else { 50 * MS };
         let (outcome, warm) = (Outcome::Ok, Some(true));
         let (id, attempt, closed, crowd, inflight) = (function, 0, true, None, None);
-        rig.feed(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight });
+        rig.feed(Event::Outcome {
+            id,
+            attempt,
+            outcome,
+            elapsed,
+            closed,
+            warm,
+            crowd,
+            inflight,
+        });
         rig.pass(100 * MS);
     }
     let slow_ones = |part: &[bool]| part.iter().filter(|&&slow| slow).count();
     let (early, late) = (slow_ones(&first[..20]), slow_ones(&first[20..]));
-    assert!(early == 1 && late < 3, "{early} of 20 calls, then {late} of 59");
+    assert!(
+        early == 1 && late < 3,
+        "{early} of 20 calls, then {late} of 59"
+    );
 }
 
 /// What workers hold of a function when our calls come tells how many of the common places its calls need.
@@ -298,13 +388,28 @@
 #[test]
 fn calls_of_a_crowded_function_spread_over_more_of_the_common_places() {
     let spread = |held: Option<u32>| {
-        let mut rig = Rig::new(Settings { load_on_absence: true, ..many(100) }, 40);
+        let mut rig = Rig::new(
+            Settings {
+                load_on_absence: true,
+                ..many(100)
+            },
+            40,
+        );
         let mut met = std::collections::BTreeSet::new();
         for id in 1..60 {
             met.extend(sends(&call(&mut rig, id, 7, 0)));
             let (attempt, outcome, elapsed, closed) = (0, Outcome::Ok, 50 * MS, true);
             let (warm, crowd, inflight) = (Some(true), held, None);
-            rig.feed(Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight });
+            rig.feed(Event::Outcome {
+                id,
+                attempt,
+                outcome,
+                elapsed,
+                closed,
+                warm,
+                crowd,
+                inflight,
+            });
             rig.pass(600 * MS);
         }
         met.len()
@@ -318,7 +423,13 @@
 /// never tried there is as good again as soon as one of it answers. Guards a third of each gateway's calls.
 #[test]
 fn two_mute_workers_take_their_zone_out_of_the_choice_until_one_answers() {
-    let mut rig = Rig::new(Settings { load_on_absence: true, ..many(100) }, 20);
+    let mut rig = Rig::new(
+        Settings {
+            load_on_absence: true,
+            ..many(100)
+        },
+        20,
+    );
     let zone = |w: &str| w[1..].parse::<usize>().unwrap() % 2;
     let (mut id, mut mute) = (0, std::collections::BTreeSet::new());
     let mut first = |rig: &mut Rig| {
@@ -342,7 +453,10 @@
         answer(&mut rig, id, Outcome::Ok, 50 * MS, None);
     }
     let asked = loads(&rig.pass(3 * SEC), 0);
-    assert!((1..=4).contains(&asked.len()), "{asked:?}: the zone is asked, not each of its workers");
+    assert!(
+        (1..=4).contains(&asked.len()),
+        "{asked:?}: the zone is asked, not each of its workers"
+    );
     let known = asked[0].clone();
     for function in 1..40 {
         rig.loaded(&known, function, 0, Outcome::Ok);
@@ -355,9 +469,18 @@
 #[test]
 fn questions_to_a_suspect_come_ever_more_seldom_and_out_of_step() {
     let asked = |seed: u64| {
-        let c = Controller::new(Settings { load_on_absence: true, ..many(100) }, seed);
+        let c = Controller::new(
+            Settings {
+                load_on_absence: true,
+                ..many(100)
+            },
+            seed,
+        );
         let mut rig = Rig { c, now: 100 * SEC };
-        rig.feed(Event::Members { full: true, entries: vec![entry(0), entry(1), entry(2)] });
+        rig.feed(Event::Members {
+            full: true,
+            entries: vec![entry(0), entry(1), entry(2)],
+        });
         let dead = sends(&call(&mut rig, 1, 7, 0)).remove(0);
         rig.outcome(1, 0, Outcome::ConnectFailed, 2 * MS);
         let mut times = Vec::new();
@@ -370,7 +493,10 @@
         times
     };
     let all: Vec<Vec<i32>> = (0..20).map(asked).collect();
-    assert!(all.iter().all(|t| (2..=6).contains(&t.len())), "in 16 s: {all:?}");
+    assert!(
+        all.iter().all(|t| (2..=6).contains(&t.len())),
+        "in 16 s: {all:?}"
+    );
     let second: std::collections::BTreeSet<i32> = all.iter().map(|t| t[1]).collect();
     assert!(second.len() > 8, "in step: {second:?}");
 }
@@ -379,7 +505,11 @@
 #[test]
 fn at_size_nothing_is_unloaded_for_a_copy_of_ones_own() {
     let drops = |gateways: u32| {
-        let set = Settings { load_on_absence: true, kind_memory_mb: vec![1500.0], ..many(gateways) };
+        let set = Settings {
+            load_on_absence: true,
+            kind_memory_mb: vec![1500.0],
+            ..many(gateways)
+        };
         let mut rig = Rig::new(set, 2);
         let mut all = Vec::new();
         for function in 1..20u64 {
@@ -403,7 +533,9 @@
             all.extend(rig.pass(100 * MS));
         }
         assert!(!loads(&all, 1).is_empty(), "the test must order copies");
-        all.iter().filter(|a| matches!(a, Action::Drop { .. })).count()
+        all.iter()
+            .filter(|a| matches!(a, Action::Drop { .. }))
+            .count()
     };
     assert!(drops(16) > 0, "the test must want room");
     assert_eq!(drops(100), 0);
@@ -413,7 +545,13 @@
 /// is not tried in a loop, and what stands there is known still when it answers again.
 #[test]
 fn a_worker_that_refuses_connections_is_left_and_found_again_with_its_copies() {
-    let mut rig = Rig::new(Settings { load_on_absence: true, ..many(100) }, 20);
+    let mut rig = Rig::new(
+        Settings {
+            load_on_absence: true,
+            ..many(100)
+        },
+        20,
+    );
     let home = sends(&call(&mut rig, 1, 7, 0)).remove(0);
     answer(&mut rig, 1, Outcome::Ok, 50 * MS, None);
     let (mut tried, mut asked) = (0, Vec::new());
@@ -432,7 +570,10 @@
             rig.loaded(&w, 7, 0, Outcome::ConnectFailed);
         }
     }
-    assert!(tried <= 2 && (1..=6).contains(&asked.len()), "{tried} calls and {asked:?} in 8 s");
+    assert!(
+        tried <= 2 && (1..=6).contains(&asked.len()),
+        "{tried} calls and {asked:?} in 8 s"
+    );
     while loads(&rig.pass(20 * MS), 0) != [home.as_str()] {}
     rig.loaded(&home, 7, 1, Outcome::Ok);
     let back = (100..140).any(|id| {
@@ -447,14 +588,22 @@
 /// however many members there are, and sends nothing.
 #[test]
 fn an_idle_gateway_before_a_large_fleet_wakes_seldom_and_asks_nothing() {
-    let mut rig = Rig::new(Settings { load_on_absence: true, ..many(100) }, 60);
+    let mut rig = Rig::new(
+        Settings {
+            load_on_absence: true,
+            ..many(100)
+        },
+        60,
+    );
     call(&mut rig, 1, 7, 0);
     answer(&mut rig, 1, Outcome::Ok, 50 * MS, None);
     rig.pass(30 * SEC); // the last copy is renewed no more
     let (end, mut wakes) = (rig.now + 10 * SEC, 0);
     while rig.now < end {
         let out = rig.feed(Event::Timer { token: 0 });
-        let [Action::Timer { delay, .. }] = out[..] else { panic!("{out:?}") };
+        let [Action::Timer { delay, .. }] = out[..] else {
+            panic!("{out:?}")
+        };
         rig.now += delay;
         wakes += 1;
     }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -33,13 +33,19 @@
 
     /// When a copy stands at a worker that may be loading it already.
     fn load(&mut self, place: &(String, u64)) -> Micros {
-        *self.loading.entry(place.clone()).or_insert(self.rig.now + LOAD) - self.rig.now
+        *self
+            .loading
+            .entry(place.clone())
+            .or_insert(self.rig.now + LOAD)
+            - self.rig.now
     }
 
     fn act(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Timer { delay, token } if token != 0 => self.after(delay, Event::Timer { token }),
+                Action::Timer { delay, token } if token != 0 => {
+                    self.after(delay, Event::Timer { token })
+                }
                 Action::Send { id, worker, .. } => {
                     let attempt = *self.attempts.entry(id).and_modify(|n| *n += 1).or_insert(0);
                     let place = (worker, self.calls[&id]);
@@ -53,18 +59,44 @@
                     };
                     let (closed, warm) = (outcome == Outcome::Ok, Some(warm));
                     let (crowd, inflight) = (None, None);
-                    let end = Event::Outcome { id, attempt, outcome, elapsed, closed, warm, crowd, inflight };
+                    let end = Event::Outcome {
+                        id,
+                        attempt,
+                        outcome,
+                        elapsed,
+                        closed,
+                        warm,
+                        crowd,
+                        inflight,
+                    };
                     self.after(elapsed, end);
                 }
-                Action::Load { worker, function, count } => {
+                Action::Load {
+                    worker,
+                    function,
+                    count,
+                } => {
                     let place = (worker.clone(), function);
                     let stood = self.stands.contains(&place);
-                    let elapsed = if stood || count == 0 { 2 * MS } else { self.load(&place) };
+                    let elapsed = if stood || count == 0 {
+                        2 * MS
+                    } else {
+                        self.load(&place)
+                    };
                     if count > 0 {
                         self.orders.push(self.rig.now);
                     }
                     let (count, outcome) = (u32::from(stood || count > 0), Outcome::Ok);
-                    self.after(elapsed, Event::Loaded { worker, function, count, outcome, elapsed });
+                    self.after(
+                        elapsed,
+                        Event::Loaded {
+                            worker,
+                            function,
+                            count,
+                            outcome,
+                            elapsed,
+                        },
+                    );
                 }
                 Action::Drop { worker, function } => drop(self.stands.remove(&(worker, function))),
                 Action::Refuse { id, .. } | Action::Fail { id } => {
@@ -79,10 +111,16 @@
         while self.rig.now < until {
             let tick = self.rig.now + 20 * MS;
             while let Some((&key, _)) = self.due.first_key_value().filter(|(k, _)| k.0 <= tick) {
-                let Some(event) = self.due.remove(&key) else { break };
+                let Some(event) = self.due.remove(&key) else {
+                    break;
+                };
                 self.rig.now = key.0;
-                let ready: Vec<_> =
-                    self.loading.iter().filter(|(_, &at)| at <= key.0).map(|(p, _)| p.clone()).collect();
+                let ready: Vec<_> = self
+                    .loading
+                    .iter()
+                    .filter(|(_, &at)| at <= key.0)
+                    .map(|(p, _)| p.clone())
+                    .collect();
                 for place in ready {
                     self.loading.remove(&place);
                     self.stands.insert(place);
@@ -90,7 +128,9 @@
                 match &event {
                     Event::Request { id, .. } if !self.calls.contains_key(id) => {}
                     Event::Request { .. } => self.taken.push(key.0),
-                    Event::Outcome { id, closed: true, .. } if !self.ends.contains_key(id) => {
+                    Event::Outcome {
+                        id, closed: true, ..
+                    } if !self.ends.contains_key(id) => {
                         self.ends.entry(*id).or_default().push(true);
                     }
                     _ => {}
@@ -108,7 +148,8 @@
 /// Each call ends once, orders keep the ration, and service is back once each function has been loaded again.
 #[rstest]
 fn all_copies_void_at_once_on_a_quiet_day(
-    #[values(true, false)] absent_loads: bool, #[values(1, 4, 300)] gateways: u32,
+    #[values(true, false)] absent_loads: bool,
+    #[values(1, 4, 300)] gateways: u32,
     #[values((3.0, 0.2, 5), (6.0, 0.3, 3), (0.0, 0.0, 0))] ration: (f64, f64, u64),
     #[values(SAFE, KEYED, UNSAFE)] class: usize,
 ) {
@@ -142,8 +183,17 @@
         world.calls.insert(id, function);
         let (memory_mb, lanes, load_time) = (500.0, 2, LOAD);
         let (tenant, left, retry) = (None, 3 * SEC, false);
-        let request =
-            Event::Request { id, class, tenant, function, left, memory_mb, lanes, load_time, retry };
+        let request = Event::Request {
+            id,
+            class,
+            tenant,
+            function,
+            left,
+            memory_mb,
+            lanes,
+            load_time,
+            retry,
+        };
         world.after(id * 100 * MS, request);
     }
     world.run(start + 20 * SEC);
@@ -151,16 +201,27 @@
     let void = world.rig.now;
     world.run(start + 45 * SEC);
     for id in 1..=calls {
-        assert_eq!(world.ends.get(&id).map(Vec::len), Some(1), "call {id} ends once");
+        assert_eq!(
+            world.ends.get(&id).map(Vec::len),
+            Some(1),
+            "call {id} ends once"
+        );
     }
     for (n, &at) in world.orders.iter().enumerate().filter(|_| window > 0) {
         let within = |t: &&Micros| **t + window * SEC > at && **t <= at;
         let given = world.orders[..=n].iter().filter(within).count() as f64;
         let taken = world.taken.iter().filter(within).count() as f64;
-        assert!(given <= load_free + load_share * taken, "{given} orders for {taken} calls");
+        assert!(
+            given <= load_free + load_share * taken,
+            "{given} orders for {taken} calls"
+        );
     }
     let back = |id: &&u64| start + **id * 100 * MS > void + 6 * SEC;
     let late: Vec<u64> = (1..=calls).filter(|id| back(&id)).collect();
     let served = late.iter().filter(|id| world.ends[id][0]).count();
-    assert!(served * 10 >= late.len() * 9, "{served} of {} are served again", late.len());
+    assert!(
+        served * 10 >= late.len() * 9,
+        "{served} of {} are served again",
+        late.len()
+    );
 }
--- a/tests/world/mod.rs
+++ b/tests/world/mod.rs
@@ -141,14 +141,29 @@
 
     fn announce_all(&mut self, at: Micros) {
         let listed = |w: &usize| self.workers[*w].state != WorkerState::Gone;
-        let entries = (0..self.workers.len()).filter(listed).map(|w| self.entry(w)).collect();
-        self.schedule(at, Event::Members { full: true, entries });
+        let entries = (0..self.workers.len())
+            .filter(listed)
+            .map(|w| self.entry(w))
+            .collect();
+        self.schedule(
+            at,
+            Event::Members {
+                full: true,
+                entries,
+            },
+        );
     }
 
     fn announce(&mut self, worker: usize, delay: Micros) {
         let entries = vec![self.entry(worker)];
         let at = self.now + delay;
-        self.schedule(at, Event::Members { full: false, entries });
+        self.schedule(
+            at,
+            Event::Members {
+                full: false,
+                entries,
+            },
+        );
     }
 
     /// The front end's process was replaced: nothing of before reaches the new one, and the list is sent anew.
@@ -157,7 +172,9 @@
         self.open.clear();
         self.cancelled.clear();
         self.requests.clear();
-        self.workers.iter_mut().for_each(|worker| worker.in_flight = 0);
+        self.workers
+            .iter_mut()
+            .for_each(|worker| worker.in_flight = 0);
         self.announce_all(self.now + MS);
     }
 
@@ -184,7 +201,15 @@
     /// Completes an event with what is known only when it happens; `None` where it does not happen any more.
     fn deliver(&mut self, mut event: Event) -> Option<Event> {
         match &mut event {
-            Event::Outcome { id, attempt, outcome, elapsed, closed, inflight, .. } => {
+            Event::Outcome {
+                id,
+                attempt,
+                outcome,
+                elapsed,
+                closed,
+                inflight,
+                ..
+            } => {
                 let open = self.open.remove(&(*id, *attempt))?;
                 self.workers[open.worker].in_flight -= 1;
                 self.cancelled.remove(&(*id, *attempt));
@@ -221,7 +246,11 @@
         let skewed = self.draw(FUNCTIONS) * self.draw(FUNCTIONS) / FUNCTIONS;
         let period = self.now / TIMER_PERIOD;
         let on_timer = std::mem::replace(&mut self.timer_periods, period) != period;
-        let function = if on_timer { TIMED_FUNCTION + period % 2 } else { skewed };
+        let function = if on_timer {
+            TIMED_FUNCTION + period % 2
+        } else {
+            skewed
+        };
         let class = self.draw(4) as usize; // 3 is beyond the settings' classes
         let left = match self.draw(12) {
             0 => self.draw(40 * MS),
@@ -244,7 +273,14 @@
             load_time: if function % 4 == 0 { 0 } else { LOAD_TIME },
             retry: self.draw(9) == 0,
         };
-        self.requests.insert(id, OpenRequest { function, attempts: 0, finished: false });
+        self.requests.insert(
+            id,
+            OpenRequest {
+                function,
+                attempts: 0,
+                finished: false,
+            },
+        );
         let now = self.now;
         if self.chance(200) {
             self.schedule(now, event.clone()); // an id that is in use already
@@ -295,7 +331,11 @@
             // A front end that stands still: nothing reaches it for a while.
             12 => {
                 let resumes = now + 500 * MS;
-                let held: Vec<_> = self.due.range(..(resumes, 0)).map(|(key, _)| *key).collect();
+                let held: Vec<_> = self
+                    .due
+                    .range(..(resumes, 0))
+                    .map(|(key, _)| *key)
+                    .collect();
                 for key in held {
                     let event = self.due.remove(&key).expect("listed above");
                     self.due.insert((resumes, key.1), event);
@@ -304,7 +344,9 @@
             }
             _ => self.restart(worker, announce_delay),
         }
-        let stopped: Vec<usize> = (0..self.workers.len()).filter(|w| !self.workers[*w].up).collect();
+        let stopped: Vec<usize> = (0..self.workers.len())
+            .filter(|w| !self.workers[*w].up)
+            .collect();
         if stopped.len() * 2 > self.workers.len() {
             self.restart(stopped[0], announce_delay);
         }
@@ -326,7 +368,12 @@
     /// Carries out one action of the module.
     pub fn carry_out(&mut self, action: &Action) {
         match action {
-            Action::Send { id, worker, timeout, .. } => self.send(*id, index_of(worker), *timeout),
+            Action::Send {
+                id,
+                worker,
+                timeout,
+                ..
+            } => self.send(*id, index_of(worker), *timeout),
             Action::Cancel { id, attempt } => self.cancel(*id, *attempt),
             Action::Refuse { id, .. } | Action::Fail { id } => {
                 if let Some(request) = self.requests.get_mut(id) {
@@ -337,7 +384,11 @@
                 let at = self.now.saturating_add(*delay).min(Micros::MAX / 4);
                 self.schedule(at, Event::Timer { token: *token });
             }
-            Action::Load { worker, function, count } => self.load(index_of(worker), *function, *count),
+            Action::Load {
+                worker,
+                function,
+                count,
+            } => self.load(index_of(worker), *function, *count),
             Action::Drop { worker, function } => {
                 self.workers[index_of(worker)].replicas.remove(function);
             }
@@ -347,10 +398,18 @@
 
     fn send(&mut self, id: RequestId, worker: usize, timeout: Micros) {
         let now = self.now;
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         let (function, attempt) = (request.function, request.attempts);
         request.attempts += 1;
-        self.open.insert((id, attempt), OpenAttempt { worker, sent_at: now });
+        self.open.insert(
+            (id, attempt),
+            OpenAttempt {
+                worker,
+                sent_at: now,
+            },
+        );
         self.workers[worker].in_flight += 1;
         let (outcome, took, warm) = self.serve(worker, function, timeout);
         let depth = self.workers[worker].in_flight.min(30);
@@ -369,7 +428,10 @@
     }
 
     fn serve(
-        &mut self, worker: usize, function: FunctionId, timeout: Micros,
+        &mut self,
+        worker: usize,
+        function: FunctionId,
+        timeout: Micros,
     ) -> (Outcome, Micros, Option<bool>) {
         let now = self.now;
         let fault = self.draw(120);
@@ -380,7 +442,15 @@
             return (Outcome::ConnectFailed, MS, None);
         }
         if process.silent_until > now {
-            return (if fault < 60 { Outcome::ConnectFailed } else { Outcome::Reset }, 250 * MS, None);
+            return (
+                if fault < 60 {
+                    Outcome::ConnectFailed
+                } else {
+                    Outcome::Reset
+                },
+                250 * MS,
+                None,
+            );
         }
         match fault {
             0 => return (Outcome::Error, 5 * MS, None),
@@ -400,7 +470,11 @@
             process.loading.insert(function, now + load);
         }
         let took = load + service;
-        let outcome = if took > timeout { Outcome::Timeout } else { Outcome::Ok };
+        let outcome = if took > timeout {
+            Outcome::Timeout
+        } else {
+            Outcome::Ok
+        };
         (outcome, took, Some(warm))
     }
 
@@ -478,5 +552,7 @@
 }
 
 fn index_of(worker: &str) -> usize {
-    worker["worker-".len()..].parse().expect("the world names its workers")
+    worker["worker-".len()..]
+        .parse()
+        .expect("the world names its workers")
 }
--- a/wrenseam/examples/large_fleet.rs
+++ b/wrenseam/examples/large_fleet.rs
@@ -15,7 +15,10 @@
 const CLASS: &str = "tile-render";
 
 fn thread(run: impl FnOnce() + Send + 'static) {
-    std::thread::Builder::new().stack_size(128 * 1024).spawn(run).expect("a thread");
+    std::thread::Builder::new()
+        .stack_size(128 * 1024)
+        .spawn(run)
+        .expect("a thread");
 }
 
 /// Answers every call and order that comes on a connection, until it ends.
@@ -29,7 +32,11 @@
             return;
         }
         let id = u64::from_be_bytes(head[8..].try_into().expect("eight bytes"));
-        let told = if head[1] == 6 { "slots_up=1" } else { "detail=resident" };
+        let told = if head[1] == 6 {
+            "slots_up=1"
+        } else {
+            "detail=resident"
+        };
         if matches!(head[1], 2 | 6) {
             std::thread::sleep(Duration::from_millis(5));
             let mut answer = encode(200, id, told, &rest[fields..fields + body]);
@@ -57,12 +64,16 @@
 
 /// Calls of ever other functions on one kept connection, until the time is over.
 fn client(to: SocketAddr, seed: u64, until: Instant, answered: &AtomicUsize, served: &AtomicUsize) {
-    let Ok(mut stream) = TcpStream::connect(to) else { return };
+    let Ok(mut stream) = TcpStream::connect(to) else {
+        return;
+    };
     let Ok(read) = stream.try_clone() else { return };
     let mut read = BufReader::new(read);
     let mut n = seed;
     while Instant::now() < until {
-        n = n.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        n = n
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         let body = format!(
             r#"{{"id":"{n:016x}","parameters":{{"class":"{CLASS}","tenant":"acme","wait_ms":2000,"memory_mb":500,"lanes":4,"load_ms":600}},"inputs":[]}}"#
         );
@@ -98,7 +109,9 @@
 }
 
 fn main() {
-    let mut sizes = std::env::args().skip(1).filter_map(|a| a.parse::<usize>().ok());
+    let mut sizes = std::env::args()
+        .skip(1)
+        .filter_map(|a| a.parse::<usize>().ok());
     let (workers, peers) = (sizes.next().unwrap_or(700), sizes.next().unwrap_or(350));
     let folder = std::env::temp_dir().join(format!("large-fleet-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -134,7 +147,11 @@
         format!(r#"{{"listen":"127.0.0.1:0","seeds":[],"cluster":"large","expected":{peers}}}"#),
     );
     let program = std::env::current_exe().expect("own path");
-    let program = program.ancestors().nth(2).expect("examples/..").join("wrenseam");
+    let program = program
+        .ancestors()
+        .nth(2)
+        .expect("examples/..")
+        .join("wrenseam");
     let mut child = Command::new(&program)
         .env("NODE_CONFIG", config)
         .env("NODE_LISTEN", "127.0.0.1:0")
@@ -143,11 +160,16 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program, built in release before");
-    let mut lines = BufReader::new(child.stderr.take().expect("its log")).lines().map_while(Result::ok);
+    let mut lines = BufReader::new(child.stderr.take().expect("its log"))
+        .lines()
+        .map_while(Result::ok);
     let (mut front, mut gossip) = (None, None);
     while front.is_none() || gossip.is_none() {
         let line = lines.next().expect("it listens");
-        let at = || line.rsplit_once(" listens on ").and_then(|(_, a)| a.parse::<SocketAddr>().ok());
+        let at = || {
+            line.rsplit_once(" listens on ")
+                .and_then(|(_, a)| a.parse::<SocketAddr>().ok())
+        };
         front = front.or(at().filter(|_| line.contains("KServe v2")));
         gossip = gossip.or(at().filter(|_| line.contains("gossip")));
     }
@@ -161,8 +183,14 @@
         let (core, news) = mpsc::channel();
         let mut file = wrenseam::config::Fleet::read(&fleet.display().to_string()).expect("read");
         file.seeds = vec![gossip];
-        wrenseam::gossip::start(&file, n as u64, core, Arc::new(Shared::default()), 64 * 1024)
-            .expect("a peer");
+        wrenseam::gossip::start(
+            &file,
+            n as u64,
+            core,
+            Arc::new(Shared::default()),
+            64 * 1024,
+        )
+        .expect("a peer");
         held.push(news);
     }
     let until = Instant::now() + Duration::from_secs(SECONDS);
@@ -177,11 +205,13 @@
         let status = std::fs::read_to_string(format!("{own}/status")).unwrap_or_default();
         let figure = |name: &str| {
             let line = status.lines().find_map(|l| l.strip_prefix(name));
-            line.and_then(|l| l.split_whitespace().next()?.parse::<usize>().ok()).unwrap_or(0)
+            line.and_then(|l| l.split_whitespace().next()?.parse::<usize>().ok())
+                .unwrap_or(0)
         };
         memory = memory.max(figure("VmRSS:"));
         threads = threads.max(figure("Threads:"));
-        descriptors = descriptors.max(std::fs::read_dir(format!("{own}/fd")).map_or(0, Iterator::count));
+        descriptors =
+            descriptors.max(std::fs::read_dir(format!("{own}/fd")).map_or(0, Iterator::count));
         std::thread::sleep(Duration::from_millis(20));
     }
     let ended = child.try_wait().ok().flatten();
--- a/wrenseam/src/cli.rs
+++ b/wrenseam/src/cli.rs
@@ -32,24 +32,36 @@
 
 /// Reads the files; what they say in one line, or what is wrong.
 pub fn check(
-    config: &std::path::Path, kserve: Option<&std::path::Path>, fleet: Option<&std::path::Path>,
+    config: &std::path::Path,
+    kserve: Option<&std::path::Path>,
+    fleet: Option<&std::path::Path>,
 ) -> Result<String, String> {
     let config = Config::from_files(config, kserve)?;
-    let fleet = fleet.map(|f| crate::config::Fleet::read(&f.to_string_lossy())).transpose()?;
+    let fleet = fleet
+        .map(|f| crate::config::Fleet::read(&f.to_string_lossy()))
+        .transpose()?;
     if let Some(unknown) = fleet
         .iter()
         .flat_map(|f| &f.shed_order)
         .find(|n| config.settings.class(n) >= config.settings.classes.len())
     {
-        return Err(format!("the fleet's shed_order names {unknown}, which is no class of the settings"));
+        return Err(format!(
+            "the fleet's shed_order names {unknown}, which is no class of the settings"
+        ));
     }
     let (classes, tenants) = (config.settings.classes.len(), config.settings.tenants.len());
     let listen = config.listen;
-    let door = config.admin.map_or(String::new(), |a| format!(", the operators' door at {a}"));
-    let fleet =
-        fleet.map_or(String::new(), |f| format!(", gossip at {} with {} seeds", f.listen, f.seeds.len()));
-    let faults: String =
-        config.faults.iter().map(|why| format!("\nsettings: {why}; taken as not stated")).collect();
+    let door = config
+        .admin
+        .map_or(String::new(), |a| format!(", the operators' door at {a}"));
+    let fleet = fleet.map_or(String::new(), |f| {
+        format!(", gossip at {} with {} seeds", f.listen, f.seeds.len())
+    });
+    let faults: String = config
+        .faults
+        .iter()
+        .map(|why| format!("\nsettings: {why}; taken as not stated"))
+        .collect();
     Ok(format!(
         "{} would listen on {listen}{door}{fleet}, with {classes} classes and {tenants} tenants{faults}",
         config.name
--- a/wrenseam/src/config.rs
+++ b/wrenseam/src/config.rs
@@ -83,20 +83,28 @@
         let mut seeds = Vec::new();
         for seed in list(&fields, "seeds") {
             let seed = as_text(seed).ok_or(format!("{path}: 'seeds' holds HOST:PORT texts"))?;
-            seeds.push(seed.parse().map_err(|_| format!("{path}: seed is not HOST:PORT: {seed}"))?);
+            seeds.push(
+                seed.parse()
+                    .map_err(|_| format!("{path}: seed is not HOST:PORT: {seed}"))?,
+            );
         }
         let figure = |key: &str, other: f64, low: f64, high: f64| -> Read<f64> {
             let n = number(&fields, key).unwrap_or(other);
             if n.is_finite() && (low..=high).contains(&n) {
                 Ok(n)
             } else {
-                Err(format!("{path}: '{key}' is {n}, not within {low} to {high}"))
+                Err(format!(
+                    "{path}: '{key}' is {n}, not within {low} to {high}"
+                ))
             }
         };
         let mut shed_order = Vec::new();
         for class in list(&fields, "shed_order") {
-            shed_order
-                .push(as_text(class).ok_or(format!("{path}: 'shed_order' holds class names"))?.to_owned());
+            shed_order.push(
+                as_text(class)
+                    .ok_or(format!("{path}: 'shed_order' holds class names"))?
+                    .to_owned(),
+            );
         }
         let summaries = match fields.get("summaries") {
             None => true,
@@ -105,7 +113,10 @@
         };
         let zone = text(&fields, "zone").unwrap_or("").to_owned();
         if zone.len() > MAX_NAME_BYTES {
-            return Err(format!("{path}: 'zone' has {} bytes, {MAX_NAME_BYTES} allowed", zone.len()));
+            return Err(format!(
+                "{path}: 'zone' has {} bytes, {MAX_NAME_BYTES} allowed",
+                zone.len()
+            ));
         }
         Ok(Fleet {
             zone,
@@ -149,7 +160,10 @@
 }
 
 fn address(fields: &Object, key: &str) -> Read<Option<SocketAddr>> {
-    let parse = |t: &str| t.parse().map_err(|_| format!("'{key}' is not HOST:PORT: {t}"));
+    let parse = |t: &str| {
+        t.parse()
+            .map_err(|_| format!("'{key}' is not HOST:PORT: {t}"))
+    };
     fields.get(key).and_then(as_text).map(parse).transpose()
 }
 
@@ -158,10 +172,15 @@
     pub fn from_environment() -> Read<Config> {
         let variable = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
         let path = variable("NODE_CONFIG").ok_or("NODE_CONFIG names no file")?;
-        let mut config = Config::read(&file(&path)?, variable("NODE_LISTEN"), variable("NODE_NAME"))?;
+        let mut config = Config::read(
+            &file(&path)?,
+            variable("NODE_LISTEN"),
+            variable("NODE_NAME"),
+        )?;
         if let Some(admin) = variable("NODE_ADMIN") {
-            let admin: SocketAddr =
-                admin.parse().map_err(|_| format!("NODE_ADMIN is not HOST:PORT: {admin}"))?;
+            let admin: SocketAddr = admin
+                .parse()
+                .map_err(|_| format!("NODE_ADMIN is not HOST:PORT: {admin}"))?;
             if admin.port() != 0 && admin == config.listen {
                 return Err(format!(
                     "NODE_ADMIN is the clients' address {admin}: the door needs one of its own"
@@ -183,7 +202,9 @@
     /// Reads these files, whatever the environment says.
     pub fn from_files(config: &Path, kserve: Option<&Path>) -> Read<Config> {
         let mut read = Config::read(&file(&config.to_string_lossy())?, None, None)?;
-        read.kserve = kserve.map(|path| Kserve::read(&path.to_string_lossy())).transpose()?;
+        read.kserve = kserve
+            .map(|path| Kserve::read(&path.to_string_lossy()))
+            .transpose()?;
         Ok(read)
     }
 
@@ -201,30 +222,45 @@
     fn read(fields: &Object, listen: Option<String>, name: Option<String>) -> Read<Config> {
         let empty = Object::new();
         let part = |key: &str| part(fields, key).unwrap_or(&empty);
-        let (settings, faults) = (Settings::from_json(part("settings")), Settings::faults(part("settings")));
+        let (settings, faults) = (
+            Settings::from_json(part("settings")),
+            Settings::faults(part("settings")),
+        );
         if settings.classes.is_empty() {
             return Err("the settings name no classes: every request would fail".to_owned());
         }
         let limit = |key: &str, other: f64| number(part("limits"), key).unwrap_or(other) as u64;
         let listen = match listen {
-            Some(l) => Some(l.parse().map_err(|_| format!("NODE_LISTEN is not HOST:PORT: {l}"))?),
+            Some(l) => Some(
+                l.parse()
+                    .map_err(|_| format!("NODE_LISTEN is not HOST:PORT: {l}"))?,
+            ),
             None => address(fields, "listen")?,
         };
         let admin = address(fields, "admin")?;
         // Both would listen by SO_REUSEPORT, and clients and callers would be shared between them.
         if let Some(same) = admin.filter(|a| a.port() != 0 && Some(*a) == listen) {
-            return Err(format!("'admin' is the clients' address {same}: the door needs one of its own"));
+            return Err(format!(
+                "'admin' is the clients' address {same}: the door needs one of its own"
+            ));
         }
         let seed = text(fields, "seed").unwrap_or("0");
         let settings_digest = crc32fast::hash(json::to_string(part("settings")).as_bytes());
         Ok(Config {
             settings_digest: u64::from(settings_digest),
-            name: name.or(text(fields, "name").map(str::to_owned)).unwrap_or_default(),
+            name: name
+                .or(text(fields, "name").map(str::to_owned))
+                .unwrap_or_default(),
             listen: listen.ok_or("no address to listen on")?,
             board: address(fields, "board")?,
             known: part("known").clone(),
-            seed: u64::from_str_radix(seed, 16).map_err(|_| format!("'seed' is not hex: {seed}"))?,
-            limits: Limits::new(limit("memory_mb", 192.0), limit("sockets", 1024.0), &settings),
+            seed: u64::from_str_radix(seed, 16)
+                .map_err(|_| format!("'seed' is not hex: {seed}"))?,
+            limits: Limits::new(
+                limit("memory_mb", 192.0),
+                limit("sockets", 1024.0),
+                &settings,
+            ),
             settings,
             faults,
             kserve: None,
@@ -239,13 +275,19 @@
         let fields = file(path)?;
         let endpoints = match text(&fields, "endpoints") {
             Some(beside) => {
-                let folder = std::path::Path::new(path).parent().unwrap_or(std::path::Path::new("."));
+                let folder = std::path::Path::new(path)
+                    .parent()
+                    .unwrap_or(std::path::Path::new("."));
                 Some(file(&folder.join(beside).to_string_lossy())?)
             }
             None => None,
         };
         let listen = address(&fields, "listen")?.ok_or(format!("{path}: no 'listen'"))?;
-        Ok(Kserve { listen, admin: address(&fields, "admin")?, endpoints })
+        Ok(Kserve {
+            listen,
+            admin: address(&fields, "admin")?,
+            endpoints,
+        })
     }
 }
 
--- a/wrenseam/src/core/attempts.rs
+++ b/wrenseam/src/core/attempts.rs
@@ -18,14 +18,23 @@
     /// of it as its next event.
     pub(super) fn end(&mut self, key: AttemptKey, report: Report) {
         let (id, attempt) = (key.request, key.attempt);
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let Some(out) = open.attempts.get_mut(attempt).filter(|a| a.open) else { return };
+        let Some(open) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(out) = open.attempts.get_mut(attempt).filter(|a| a.open) else {
+            return;
+        };
         out.open = false;
         if out.carried && matches!(report.outcome, Outcome::ConnectFailed | Outcome::Moot) {
             self.tally.unsent();
         }
         let elapsed = self.clock.now().saturating_sub(out.sent);
-        let Report { outcome, warm, crowd, payload } = report;
+        let Report {
+            outcome,
+            warm,
+            crowd,
+            payload,
+        } = report;
         if let (Outcome::Ok, Some(payload)) = (outcome, payload) {
             self.answer(id, Answer::Served(payload));
         }
@@ -45,8 +54,12 @@
     /// Calls an attempt off. While its request is owed an answer it stays open until its worker has been told: what the
     /// module sends in its place must not be out beside it.
     pub(super) fn cancel(&mut self, key: AttemptKey) {
-        let Some(open) = self.requests.get(&key.request) else { return };
-        let Some(attempt) = open.attempts.get(key.attempt).filter(|a| a.open) else { return };
+        let Some(open) = self.requests.get(&key.request) else {
+            return;
+        };
+        let Some(attempt) = open.attempts.get(key.attempt).filter(|a| a.open) else {
+            return;
+        };
         let owed = !open.answered;
         let peer = self.peers.get_mut(&attempt.worker);
         let outcome = match peer.map_or(GiveUp::Unknown, |p| p.cancel(key)) {
@@ -59,31 +72,53 @@
     }
 
     pub(super) fn send(
-        &mut self, now: Micros, id: u64, worker: String, (timeout, whole_by): (Micros, Option<Instant>),
+        &mut self,
+        now: Micros,
+        id: u64,
+        worker: String,
+        (timeout, whole_by): (Micros, Option<Instant>),
     ) {
         let room = self.room(&worker);
-        let Some(open) = self.requests.get_mut(&id) else { return };
-        let key = AttemptKey { request: id, attempt: open.attempts.len() };
+        let Some(open) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let key = AttemptKey {
+            request: id,
+            attempt: open.attempts.len(),
+        };
         let request = open.request.clone();
         let left = self.left(now, &request);
-        let budget = if timeout == 0 { left } else { timeout.min(left) };
-        let Some(open) = self.requests.get_mut(&id) else { return };
+        let budget = if timeout == 0 {
+            left
+        } else {
+            timeout.min(left)
+        };
+        let Some(open) = self.requests.get_mut(&id) else {
+            return;
+        };
         let extra = !open.attempts.is_empty();
         // The fleet's retry budget: an extra attempt that it refuses is moot, as one to a worker that is not.
         let allowed = self.gate.as_mut().is_none_or(|g| g.attempt(now, extra));
-        open.attempts.push(Attempt { worker: worker.clone(), sent: now, open: true, carried: false });
+        open.attempts.push(Attempt {
+            worker: worker.clone(),
+            sent: now,
+            open: true,
+            carried: false,
+        });
         let ready = |p: &&mut Peer| p.member.state == WorkerState::Ready;
         match self.peers.get_mut(&worker).filter(ready) {
             // Nothing ran, and this worker is left alone for a while.
             Some(_) if !room => self.end(key, Report::bare(Outcome::Full)),
             // (A client that left is known to its front before it is told here.)
             Some(peer) if !open.request.gone.load(Ordering::Acquire) && budget > 0 && allowed => {
-                peer.transport.send(key, &open.request, Terms { budget, whole_by });
+                peer.transport
+                    .send(key, &open.request, Terms { budget, whole_by });
                 if let Some(attempt) = open.attempts.last_mut() {
                     attempt.carried = true;
                 }
                 self.tally.sent();
-                self.timers.set(now.saturating_add(budget), Due::Attempt(key));
+                self.timers
+                    .set(now.saturating_add(budget), Due::Attempt(key));
             }
             _ => {
                 self.end(key, Report::bare(Outcome::Moot));
--- a/wrenseam/src/core/clock.rs
+++ b/wrenseam/src/core/clock.rs
@@ -12,8 +12,13 @@
 impl Clock {
     /// Starts now.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
-        Clock { unix, start: Instant::now() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_micros() as Micros);
+        Clock {
+            unix,
+            start: Instant::now(),
+        }
     }
 
     /// An instant on this clock.
--- a/wrenseam/src/core/fleet.rs
+++ b/wrenseam/src/core/fleet.rs
@@ -61,8 +61,8 @@
         let in_flight = in_flight.min(u32::MAX as usize) as u32;
         Summary {
             in_flight,
-            pressure: (u64::from(in_flight) * 1000 / u64::from(self.capacity)).min(u64::from(u32::MAX))
-                as u32,
+            pressure: (u64::from(in_flight) * 1000 / u64::from(self.capacity))
+                .min(u64::from(u32::MAX)) as u32,
             firsts: spent.firsts,
             extras: spent.extras,
             denied: spent.denied,
@@ -97,7 +97,11 @@
         let _ = writeln!(out, "app.fleet.peers:{}|g", n.alive);
         let _ = writeln!(out, "app.fleet.size:{}|g", self.size.estimate());
         let _ = writeln!(out, "app.fleet.pressure:{}|g", n.pressure);
-        let _ = writeln!(out, "app.fleet.refusing_permille:{}|g", (self.shed.refusing() * 1000.0) as u64);
+        let _ = writeln!(
+            out,
+            "app.fleet.refusing_permille:{}|g",
+            (self.shed.refusing() * 1000.0) as u64
+        );
         let _ = writeln!(out, "app.fleet.extra_attempts:{}|c", self.extras_total);
         let _ = writeln!(out, "app.fleet.extra_denied:{}|c", self.denied_total);
         let _ = writeln!(out, "app.fleet.shed:{}|c", self.shed_total);
@@ -112,8 +116,11 @@
         let _ = writeln!(out, "app.fleet.view_stood_ms:{}|g", n.digest_stood / 1000);
         let _ = writeln!(out, "app.fleet.doubt_factor:{}|g", n.doubt_factor);
         for kind in TrafficKind::ALL {
-            let (name, sent, held) =
-                (kind.name(), n.bytes_sent[kind as usize], n.bytes_held_back[kind as usize]);
+            let (name, sent, held) = (
+                kind.name(),
+                n.bytes_sent[kind as usize],
+                n.bytes_held_back[kind as usize],
+            );
             let _ = writeln!(out, "app.fleet.bytes_{name}:{sent}|c");
             let _ = writeln!(out, "app.fleet.held_back_{name}:{held}|c");
         }
