--- a/wrenseam/src/watch.rs
+++ b/wrenseam/src/watch.rs
@@ -95,7 +95,9 @@
             kept
         });
         self.settle();
-        let Some((&owed, tries)) = self.owed.iter_mut().next() else { return self.last };
+        let Some((&owed, tries)) = self.owed.iter_mut().next() else {
+            return self.last;
+        };
         *tries += 1;
         owed.saturating_sub(1)
     }
@@ -115,10 +117,23 @@
         let told = event.and_then(|e| instances(&e));
         let Some(number) = number else {
             // Without a number it has no place in the order: taken as the newest once it comes so again.
-            self.once_more(None, &format!("an event without a number: {}", id.unwrap_or("none")))?;
+            self.once_more(
+                None,
+                &format!("an event without a number: {}", id.unwrap_or("none")),
+            )?;
             self.again = None;
-            let Ok(Told { full, members, faults }) = told else { return Ok(None) };
-            return Ok(Some(News { full: full && faults.is_empty(), members }));
+            let Ok(Told {
+                full,
+                members,
+                faults,
+            }) = told
+            else {
+                return Ok(None);
+            };
+            return Ok(Some(News {
+                full: full && faults.is_empty(),
+                members,
+            }));
         };
         if number <= self.last && !self.owed.contains_key(&number) {
             self.lower(number, told);
@@ -127,7 +142,10 @@
         (self.call.level, self.call.list) = (true, None);
         if number > self.last + 1 && self.last > 0 {
             // What lies between may have been lost on its way; if it comes so again there is nothing between.
-            self.once_more(Some(number), &format!("event {number} came after {}", self.last))?;
+            self.once_more(
+                Some(number),
+                &format!("event {number} came after {}", self.last),
+            )?;
         }
         let bad = match &told {
             Ok(told) => told.faults.first().cloned(),
@@ -165,11 +183,17 @@
             self.anew = true;
             return Err(format!("it counts lower than event {}", self.last));
         };
-        note!("board: it counts anew, event {last} where {} was the last; its list holds", self.last);
+        note!(
+            "board: it counts anew, event {last} where {} was the last; its list holds",
+            self.last
+        );
         (self.last, self.again) = (last, None);
         self.owed.clear();
         self.settle();
-        Ok(Some(News { full: true, members: list.into_values().collect() }))
+        Ok(Some(News {
+            full: true,
+            members: list.into_values().collect(),
+        }))
     }
 
     /// Asks for an event once more; the second time it is taken as it is.
@@ -202,7 +226,11 @@
 
     /// What an event changes, as far as later ones have not told otherwise.
     fn apply(&mut self, number: u64, told: Told) -> Option<News> {
-        let Told { full, members, faults } = told;
+        let Told {
+            full,
+            members,
+            faults,
+        } = told;
         let whole = faults.is_empty();
         if whole {
             self.owed.remove(&number);
@@ -211,16 +239,24 @@
         }
         // While part of a list cannot be read nobody is taken for gone that it does not name.
         let full = full && whole;
-        let mut news = News { full, members: Vec::new() };
+        let mut news = News {
+            full,
+            members: Vec::new(),
+        };
         for member in members {
             match self.since.get(&member.id) {
-                Some((at, later)) if *at > number => news.members.extend(full.then(|| later.clone())),
+                Some((at, later)) if *at > number => {
+                    news.members.extend(full.then(|| later.clone()))
+                }
                 _ => news.members.push(member),
             }
         }
         if full {
             let named: Vec<String> = news.members.iter().map(|m| m.id.clone()).collect();
-            let later = self.since.iter().filter(|(id, l)| l.0 > number && !named.contains(id));
+            let later = self
+                .since
+                .iter()
+                .filter(|(id, l)| l.0 > number && !named.contains(id));
             news.members.extend(later.map(|(_, l)| l.1.clone()));
         }
         if !self.owed.is_empty() {
@@ -259,8 +295,15 @@
             format!(r#"{{"instanceId":"{id}","hostPort":"127.0.0.1:9","lifecycle":"{state}"}}"#)
         };
         let all: Vec<String> = instances.split_whitespace().map(one).collect();
-        let rev = if number == "-" { String::new() } else { format!(r#""rev":{number},"#) };
-        format!(r#"{{{rev}"pool":{{"reset":{full},"instances":[{}]}}}}"#, all.join(","))
+        let rev = if number == "-" {
+            String::new()
+        } else {
+            format!(r#""rev":{number},"#)
+        };
+        format!(
+            r#"{{{rev}"pool":{{"reset":{full},"instances":[{}]}}}}"#,
+            all.join(",")
+        )
     }
 
     /// Plays steps on a watch that has seen event 5, a call begun; what the list comes to, and each call's number.
@@ -271,7 +314,9 @@
             event("1", true, "a:r b:r"),
             event("5", false, "c:r")
         ));
-        let Ok(Value::Object(known)) = known else { panic!("an object") };
+        let Ok(Value::Object(known)) = known else {
+            panic!("an object")
+        };
         let (mut watch, first) = Watch::new(&known);
         let mut list: BTreeMap<String, WorkerState> = BTreeMap::new();
         let mut take = |news: News| {
@@ -289,7 +334,9 @@
                 "garbage" => watch.event(Some("6"), "{\"rev\":6,"),
                 event_ => {
                     let (number, rest) = event_.split_once(' ').expect("N instances");
-                    let (full, rest) = rest.strip_prefix("list ").map_or((false, rest), |r| (true, r));
+                    let (full, rest) = rest
+                        .strip_prefix("list ")
+                        .map_or((false, rest), |r| (true, r));
                     let id = Some(number).filter(|n| *n != "-");
                     watch.event(id, &event(number, full, rest))
                 }
@@ -299,8 +346,10 @@
                 Err(_) => calls.push(watch.ask()),
             }
         }
-        let list: Vec<String> =
-            list.iter().map(|(id, s)| format!("{id}:{}", format!("{s:?}").to_lowercase())).collect();
+        let list: Vec<String> = list
+            .iter()
+            .map(|(id, s)| format!("{id}:{}", format!("{s:?}").to_lowercase()))
+            .collect();
         (list.join(" "), calls)
     }
 
@@ -338,9 +387,18 @@
     #[test]
     fn an_event_without_an_id_is_not_lost() {
         let (mut watch, _) = Watch::new(&Object::new());
-        assert!(watch.event(Some("1"), &event("1", true, "a:r")).expect("sound").is_some());
-        assert!(watch.event(None, &event("2", false, "a:d")).expect("sound").is_some());
-        assert!(watch.event(Some("x"), &event("3", false, "a:g")).expect("sound").is_some());
+        assert!(watch
+            .event(Some("1"), &event("1", true, "a:r"))
+            .expect("sound")
+            .is_some());
+        assert!(watch
+            .event(None, &event("2", false, "a:d"))
+            .expect("sound")
+            .is_some());
+        assert!(watch
+            .event(Some("x"), &event("3", false, "a:g"))
+            .expect("sound")
+            .is_some());
         assert_eq!(watch.last(), 3);
     }
 }
--- a/wrenseam/src/worker/frames/codec.rs
+++ b/wrenseam/src/worker/frames/codec.rs
@@ -46,7 +46,10 @@
 impl Frame {
     /// The value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
-        self.fields.split(',').find_map(|pair| pair.split_once('=').filter(|p| p.0 == name)).map(|p| p.1)
+        self.fields
+            .split(',')
+            .find_map(|pair| pair.split_once('=').filter(|p| p.0 == name))
+            .map(|p| p.1)
     }
 }
 
@@ -67,8 +70,12 @@
         if self.got.len() < HEADER {
             ring.take(HEADER - self.got.len(), &mut self.got);
         }
-        let [mark, code, f0, f1, b0, b1, b2, b3, id @ ..] = &self.got[..] else { return Ok(None) };
-        let Some(id) = id.first_chunk::<8>() else { return Ok(None) };
+        let [mark, code, f0, f1, b0, b1, b2, b3, id @ ..] = &self.got[..] else {
+            return Ok(None);
+        };
+        let Some(id) = id.first_chunk::<8>() else {
+            return Ok(None);
+        };
         if *mark != FROM_WORKER {
             return Err(format!("mark {mark}"));
         }
@@ -89,7 +96,12 @@
             return Err("check sum".to_owned());
         }
         let fields_text = String::from_utf8_lossy(&content[..fields]).into_owned();
-        Ok(Some(Frame { code, id, fields: fields_text, body: content[fields..].to_vec() }))
+        Ok(Some(Frame {
+            code,
+            id,
+            fields: fields_text,
+            body: content[fields..].to_vec(),
+        }))
     }
 }
 
@@ -107,7 +119,11 @@
 
 /// A call, whose answer is waited for as the terms say.
 pub(super) fn call(request: &Request, terms: Terms) -> Vec<u8> {
-    let (class, function, budget) = (&request.class, request.function, (terms.budget / 1000).max(1));
+    let (class, function, budget) = (
+        &request.class,
+        request.function,
+        (terms.budget / 1000).max(1),
+    );
     let mut fields = format!("queue={class},path={function:016x},budget={budget}");
     if let Some(token) = &request.token {
         fields.push_str(",uniq=");
@@ -118,7 +134,12 @@
 
 /// An order to hold copies; none only asks how many stand.
 pub(super) fn hold(id: u64, function: FunctionId, copies: u32) -> Vec<u8> {
-    encode(HOLD, id, &format!("path={function:016x},slots_up={copies}"), &[])
+    encode(
+        HOLD,
+        id,
+        &format!("path={function:016x},slots_up={copies}"),
+        &[],
+    )
 }
 
 /// An order to unload idle copies, owed no answer.
--- a/wrenseam/src/worker/frames/connection.rs
+++ b/wrenseam/src/worker/frames/connection.rs
@@ -83,13 +83,19 @@
 pub(super) fn break_up(state: &State, reports: &Reports) {
     state.broken.store(true, Ordering::Release);
     let open = {
-        let Ok(mut table) = state.table.lock() else { return };
+        let Ok(mut table) = state.table.lock() else {
+            return;
+        };
         table.broken = true;
         std::mem::take(&mut table.open)
     };
     let written = state.progress.end();
     for exchange in open.into_values() {
-        let outcome = if exchange.end <= written { Outcome::Reset } else { Outcome::ConnectFailed };
+        let outcome = if exchange.end <= written {
+            Outcome::Reset
+        } else {
+            Outcome::ConnectFailed
+        };
         if exchange.ticket.end() {
             report(reports, state, exchange.what, outcome);
         }
--- a/wrenseam/src/worker/frames/mod.rs
+++ b/wrenseam/src/worker/frames/mod.rs
@@ -62,7 +62,14 @@
     /// No connection is opened before it is needed.
     pub fn new(address: SocketAddr, limits: Arc<Limits>, reports: Reports) -> Self {
         let calls = Arc::new(DirectCalls);
-        Frames { address, limits, reports, calls, links: Vec::new(), pulsed: None }
+        Frames {
+            address,
+            limits,
+            reports,
+            calls,
+            links: Vec::new(),
+            pulsed: None,
+        }
     }
 
     /// Makes these system calls in place of the machine's.
@@ -90,28 +97,44 @@
     /// exchange under it that comes late, or twice, would be taken for the second's.
     fn link(&mut self, id: Option<u64>) -> &mut Link {
         let fresh = |l: &Link| id.is_none_or(|id| !l.carried.contains_key(&id));
-        let at = self.links.iter().position(|l| self.usable(l) && fresh(l)).unwrap_or_else(|| {
-            let (commands, queue) = channel();
-            let state = Arc::new(State::default());
-            let (address, limits) = (self.address, self.limits.clone());
-            let (reports, of, calls) = (self.reports.clone(), state.clone(), self.calls.clone());
-            let write = move || Writer::run(address, queue, of, limits, reports, calls);
-            let started = spawn(self.limits.stack, write);
-            if let Err(e) = started {
-                note!("worker {address}: no coroutine: {e}"); // the commands' timers end them
-            }
-            let (used, asked, mute) = (Instant::now(), None, Duration::ZERO);
-            let (tickets, carried) = (HashMap::new(), HashMap::new());
-            self.links.push(Link { commands, state, used, asked, mute, tickets, carried });
-            self.links.len() - 1
-        });
+        let at = self
+            .links
+            .iter()
+            .position(|l| self.usable(l) && fresh(l))
+            .unwrap_or_else(|| {
+                let (commands, queue) = channel();
+                let state = Arc::new(State::default());
+                let (address, limits) = (self.address, self.limits.clone());
+                let (reports, of, calls) =
+                    (self.reports.clone(), state.clone(), self.calls.clone());
+                let write = move || Writer::run(address, queue, of, limits, reports, calls);
+                let started = spawn(self.limits.stack, write);
+                if let Err(e) = started {
+                    note!("worker {address}: no coroutine: {e}"); // the commands' timers end them
+                }
+                let (used, asked, mute) = (Instant::now(), None, Duration::ZERO);
+                let (tickets, carried) = (HashMap::new(), HashMap::new());
+                self.links.push(Link {
+                    commands,
+                    state,
+                    used,
+                    asked,
+                    mute,
+                    tickets,
+                    carried,
+                });
+                self.links.len() - 1
+            });
         self.links[at].used = Instant::now();
         &mut self.links[at]
     }
 
     fn give_up(&mut self, what: What) -> GiveUp {
-        let Some((link, ticket)) =
-            self.links.iter_mut().find_map(|l| Some((l.tickets.remove(&what)?, l))).map(|(t, l)| (l, t))
+        let Some((link, ticket)) = self
+            .links
+            .iter_mut()
+            .find_map(|l| Some((l.tickets.remove(&what)?, l)))
+            .map(|(t, l)| (l, t))
         else {
             return GiveUp::Unknown;
         };
@@ -143,7 +166,17 @@
         let what = What::Attempt(key);
         // Its id may come again as long as its client waits, and answers to it a little longer.
         let until = request.read_at + Duration::from_micros(request.wait) + self.limits.late_answer;
-        self.open(Opening { what, id, function, frame, bound: true, ticket }, Some(until));
+        self.open(
+            Opening {
+                what,
+                id,
+                function,
+                frame,
+                bound: true,
+                ticket,
+            },
+            Some(until),
+        );
     }
 
     fn cancel(&mut self, key: AttemptKey) -> GiveUp {
@@ -164,10 +197,22 @@
         let frame = codec::hold(id, function, copies);
         // Guards the ration: it counts an order when it arrives, and several that a late connection held back would
         // arrive in one span.
-        let ticket =
-            Ticket::new(Arc::default(), Instant::now() + self.limits.connect + self.limits.write_check);
+        let ticket = Ticket::new(
+            Arc::default(),
+            Instant::now() + self.limits.connect + self.limits.write_check,
+        );
         let what = What::Order(order);
-        self.open(Opening { what, id, function, frame, bound: copies > 0, ticket }, None);
+        self.open(
+            Opening {
+                what,
+                id,
+                function,
+                frame,
+                bound: copies > 0,
+                ticket,
+            },
+            None,
+        );
     }
 
     fn unload(&mut self, function: FunctionId) {
@@ -176,7 +221,9 @@
     }
 
     fn retire(&mut self) {
-        self.links.iter().for_each(|l| l.state.retired.store(true, Ordering::Release));
+        self.links
+            .iter()
+            .for_each(|l| l.state.retired.store(true, Ordering::Release));
     }
 
     /// Guards calls from a connection that stays open and carries nothing any more: what is open there would
@@ -189,11 +236,22 @@
         }
         let (limits, now) = (self.limits.clone(), Instant::now());
         let looked = Duration::from_micros(2 * limits.link_check);
-        let looked = self.pulsed.replace(now).map_or(Duration::ZERO, |last| (now - last).min(looked));
-        for link in self.links.iter_mut().filter(|l| !l.state.broken.load(Ordering::Acquire)) {
-            let Ok(table) = link.state.table.lock() else { continue };
+        let looked = self
+            .pulsed
+            .replace(now)
+            .map_or(Duration::ZERO, |last| (now - last).min(looked));
+        for link in self
+            .links
+            .iter_mut()
+            .filter(|l| !l.state.broken.load(Ordering::Acquire))
+        {
+            let Ok(table) = link.state.table.lock() else {
+                continue;
+            };
             let open = || table.open.values().filter(|e| e.what != What::Probe);
-            let oldest = open().min_by_key(|e| e.since).map(|e| (e.since, e.function));
+            let oldest = open()
+                .min_by_key(|e| e.since)
+                .map(|e| (e.since, e.function));
             let heard = table.heard;
             let new = open().any(|e| heard.is_none_or(|h| e.since > h));
             drop(table);
@@ -214,7 +272,14 @@
                         link.state.load.fetch_add(1, Ordering::AcqRel);
                         let frame = codec::hold(id, function, 0);
                         let ticket = Ticket::new(Arc::default(), now + limits.write_stall);
-                        let opening = Opening { what, id, function, frame, bound: false, ticket };
+                        let opening = Opening {
+                            what,
+                            id,
+                            function,
+                            frame,
+                            bound: false,
+                            ticket,
+                        };
                         link.state.asking.store(false, Ordering::Release);
                         (link.asked, link.mute) = (Some(now), Duration::ZERO);
                         let _ = link.commands.send(Command::Open(opening));
@@ -232,22 +297,35 @@
             l.tickets.retain(|_, t| Arc::strong_count(t) > 1);
             l.carried.retain(|_, until| *until > now);
             let quiet = l.state.load.load(Ordering::Acquire) == 0;
-            let old = quiet && l.quiet_since().elapsed() > idle || l.state.retired.load(Ordering::Acquire);
+            let old = quiet && l.quiet_since().elapsed() > idle
+                || l.state.retired.load(Ordering::Acquire);
             !(l.state.broken.load(Ordering::Acquire) || quiet && old)
         });
     }
 
     fn connections(&self) -> (usize, bool) {
-        let standing = self.links.iter().filter(|l| !l.state.broken.load(Ordering::Acquire)).count();
+        let standing = self
+            .links
+            .iter()
+            .filter(|l| !l.state.broken.load(Ordering::Acquire))
+            .count();
         (standing, !self.links.iter().any(|l| self.usable(l)))
     }
 
     fn idle_since(&self) -> Option<Instant> {
-        self.links.iter().filter(|l| Frames::idle(l)).map(Link::quiet_since).min()
+        self.links
+            .iter()
+            .filter(|l| Frames::idle(l))
+            .map(Link::quiet_since)
+            .min()
     }
 
     fn close_idle(&mut self) {
-        let idle = self.links.iter().enumerate().filter(|(_, l)| Frames::idle(l));
+        let idle = self
+            .links
+            .iter()
+            .enumerate()
+            .filter(|(_, l)| Frames::idle(l));
         if let Some((at, _)) = idle.min_by_key(|(_, l)| l.quiet_since()) {
             self.links.swap_remove(at); // dropping the sender lets the writer close
         }
--- a/wrenseam/src/worker/frames/reader.rs
+++ b/wrenseam/src/worker/frames/reader.rs
@@ -14,10 +14,15 @@
 
 /// Reads answers until the connection ends.
 pub(super) fn read_answers(
-    mut stream: TcpStream, state: &State, reports: &Reports, limits: &Limits,
+    mut stream: TcpStream,
+    state: &State,
+    reports: &Reports,
+    limits: &Limits,
 ) -> Result<(), String> {
     let (mut ring, mut decoder) = (Ring::new(limits.worker_ring), Decoder::default());
-    stream.set_read_timeout(Some(limits.frame_stall)).map_err(|e| e.to_string())?;
+    stream
+        .set_read_timeout(Some(limits.frame_stall))
+        .map_err(|e| e.to_string())?;
     let end = loop {
         let asked = Instant::now();
         match receive(&mut ring, &mut stream) {
@@ -50,7 +55,11 @@
 }
 
 fn answers(
-    decoder: &mut Decoder, ring: &mut Ring, state: &State, reports: &Reports, most: usize,
+    decoder: &mut Decoder,
+    ring: &mut Ring,
+    state: &State,
+    reports: &Reports,
+    most: usize,
 ) -> Result<(), String> {
     while let Some(frame) = decoder.next(ring, most)? {
         let outcome = outcome(frame.code).ok_or_else(|| format!("code {}", frame.code))?;
@@ -62,7 +71,11 @@
             let mut table = state.table.lock().map_err(|_| "poisoned")?;
             table.heard = Some(Instant::now());
             // Guards against an answer to a frame that is not wholly out: the rest of it would follow, and might run.
-            if table.open.get(&frame.id).is_some_and(|e| e.end > state.progress.bytes()) {
+            if table
+                .open
+                .get(&frame.id)
+                .is_some_and(|e| e.end > state.progress.bytes())
+            {
                 return Err("an answer to what was not written".to_owned());
             }
             table.open.remove(&frame.id)
@@ -84,7 +97,15 @@
                 let told = matches!(outcome, Outcome::Ok | Outcome::Full);
                 let crowd = if told { number("company") } else { None };
                 let payload = (outcome == Outcome::Ok).then_some(Payload::Bytes(frame.body));
-                reports.ended(key, Report { outcome, warm, crowd, payload });
+                reports.ended(
+                    key,
+                    Report {
+                        outcome,
+                        warm,
+                        crowd,
+                        payload,
+                    },
+                );
             }
         }
     }
--- a/wrenseam/src/worker/frames/send_queue.rs
+++ b/wrenseam/src/worker/frames/send_queue.rs
@@ -57,13 +57,21 @@
     pub fn join(&mut self, frame: QueuedFrame) -> u64 {
         let begin = self.queued;
         self.queued += frame.len as u64;
-        self.pieces.push_back(Piece { begin, end: self.queued, frame, claimed: false });
+        self.pieces.push_back(Piece {
+            begin,
+            end: self.queued,
+            frame,
+            claimed: false,
+        });
         self.queued
     }
 
     /// Where an exchange's frame ends in the stream.
     pub fn end(&self, id: u64) -> Option<u64> {
-        self.pieces.iter().find(|p| p.frame.id == Some(id)).map(|p| p.end)
+        self.pieces
+            .iter()
+            .find(|p| p.frame.id == Some(id))
+            .map(|p| p.end)
     }
 
     /// So many bytes have been written in all: whole frames leave, what was not begun waits again. Tells the attempts
@@ -73,7 +81,11 @@
         while let Some(whole) = self.pieces.pop_front_if(|p| p.end <= written) {
             confirmed.extend(whole.frame.confirms);
         }
-        for p in self.pieces.iter_mut().filter(|p| p.claimed && p.begin >= written) {
+        for p in self
+            .pieces
+            .iter_mut()
+            .filter(|p| p.claimed && p.begin >= written)
+        {
             p.claimed = false;
             if let Some(ticket) = &p.frame.ticket {
                 ticket.release();
@@ -84,13 +96,17 @@
 
     /// The attempts that were to be given up by what is still queued.
     pub fn take_confirmations(&mut self) -> impl Iterator<Item = AttemptKey> + use<> {
-        std::mem::take(&mut self.pieces).into_iter().filter_map(|p| p.frame.confirms)
+        std::mem::take(&mut self.pieces)
+            .into_iter()
+            .filter_map(|p| p.frame.confirms)
     }
 
     /// Whether the frame that has been written in part must not come whole any more.
     pub fn is_overdue(&self, written: u64, now: Instant) -> bool {
         let begun = self.pieces.front().filter(|p| p.begin < written);
-        begun.and_then(|p| p.frame.ticket.as_ref()).is_some_and(|ticket| ticket.is_overdue(now))
+        begun
+            .and_then(|p| p.frame.ticket.as_ref())
+            .is_some_and(|ticket| ticket.is_overdue(now))
     }
 
     /// Begins what may be written next: all, or (`one`) the first frame alone. What is no longer wanted is to be
@@ -113,7 +129,10 @@
                 cuts.push(self.cut(at, written, go == Begin::Void));
             }
         }
-        let to = at.checked_sub(1).and_then(|last| self.pieces.get(last)).map_or(written, |p| p.end);
+        let to = at
+            .checked_sub(1)
+            .and_then(|last| self.pieces.get(last))
+            .map_or(written, |p| p.end);
         ((to - written) as usize, cuts)
     }
 
@@ -133,12 +152,24 @@
     }
 
     fn cut(&mut self, at: usize, written: u64, ends: bool) -> Cut {
-        let Some(p) = self.pieces.remove(at) else { return Cut { at: 0, len: 0, id: None, ends: false } };
+        let Some(p) = self.pieces.remove(at) else {
+            return Cut {
+                at: 0,
+                len: 0,
+                id: None,
+                ends: false,
+            };
+        };
         let len = p.end - p.begin;
         for behind in self.pieces.iter_mut().skip(at) {
             (behind.begin, behind.end) = (behind.begin - len, behind.end - len);
         }
         self.queued -= len;
-        Cut { at: (p.begin - written) as usize, len: len as usize, id: p.frame.id, ends }
+        Cut {
+            at: (p.begin - written) as usize,
+            len: len as usize,
+            id: p.frame.id,
+            ends,
+        }
     }
 }
--- a/wrenseam/src/worker/frames/writer.rs
+++ b/wrenseam/src/worker/frames/writer.rs
@@ -41,18 +41,34 @@
 
 impl Writer {
     pub(super) fn run(
-        address: SocketAddr, queue: Receiver<Command>, state: Arc<State>, limits: Arc<Limits>,
-        reports: Reports, calls: Arc<dyn SystemCalls>,
+        address: SocketAddr,
+        queue: Receiver<Command>,
+        state: Arc<State>,
+        limits: Arc<Limits>,
+        reports: Reports,
+        calls: Arc<dyn SystemCalls>,
     ) {
         let ring = Ring::new(limits.worker_ring);
         let (waiting, line) = (VecDeque::new(), SendQueue::default());
-        let mut writer = Writer { address, state, reports, limits, calls, waiting, line, ring };
+        let mut writer = Writer {
+            address,
+            state,
+            reports,
+            limits,
+            calls,
+            waiting,
+            line,
+            ring,
+        };
         if let Err(why) = writer.connection(&queue) {
             note!("worker {address}: connection ended: {why}");
         }
         break_up(&writer.state, &writer.reports);
         // A connection that has ended gives up whatever was open on it.
-        writer.line.take_confirmations().for_each(|key| writer.given_up(key));
+        writer
+            .line
+            .take_confirmations()
+            .for_each(|key| writer.given_up(key));
         // What is or comes still in the queue was never written. The core lets go of the queue at its sweep.
         for command in std::mem::take(&mut writer.waiting) {
             writer.refuse(command);
@@ -73,10 +89,17 @@
     fn connection(&mut self, queue: &Receiver<Command>) -> Result<(), String> {
         let address = self.address;
         let text = |e: std::io::Error| e.to_string();
-        let stream = self.calls.connect(&address, self.limits.connect).map_err(text)?;
+        let stream = self
+            .calls
+            .connect(&address, self.limits.connect)
+            .map_err(text)?;
         stream.set_nodelay(true).map_err(text)?;
         let reader = stream.try_clone().map_err(text)?;
-        let (state, reports, limits) = (self.state.clone(), self.reports.clone(), self.limits.clone());
+        let (state, reports, limits) = (
+            self.state.clone(),
+            self.reports.clone(),
+            self.limits.clone(),
+        );
         spawn(self.limits.stack, move || {
             if let Err(why) = read_answers(reader, &state, &reports, &limits) {
                 note!("worker {address}: connection closed: {why}");
@@ -96,7 +119,13 @@
     }
 
     fn take(&mut self, command: Command) {
-        if matches!(command, Command::Open(Opening { what: What::Probe, .. })) {
+        if matches!(
+            command,
+            Command::Open(Opening {
+                what: What::Probe,
+                ..
+            })
+        ) {
             self.state.asking.store(true, Ordering::Release);
         }
         self.waiting.push_back(command);
@@ -122,8 +151,16 @@
                 Command::Close(asked) => Some(*asked),
                 _ => None,
             };
-            if self.waiting.iter().filter_map(close).any(|asked| self.mute(asked, stream)) {
-                note!("worker {}: connection closed: no word from it", self.address);
+            if self
+                .waiting
+                .iter()
+                .filter_map(close)
+                .any(|asked| self.mute(asked, stream))
+            {
+                note!(
+                    "worker {}: connection closed: no word from it",
+                    self.address
+                );
                 return Err("given up".to_owned());
             }
             self.waiting.retain(|c| close(c).is_none());
@@ -160,7 +197,9 @@
                     pause(nap);
                     stalled += nap;
                     if self.line.is_overdue(written, Instant::now()) {
-                        return Err("a repeat was not written while its worker would drop it".to_owned());
+                        return Err(
+                            "a repeat was not written while its worker would drop it".to_owned()
+                        );
                     }
                     if stalled >= self.limits.write_stall {
                         return Err("nothing could be written for long".to_owned());
@@ -176,7 +215,9 @@
         if cuts.is_empty() {
             return;
         }
-        let Ok(mut table) = self.state.table.lock() else { return };
+        let Ok(mut table) = self.state.table.lock() else {
+            return;
+        };
         let mut ended = Vec::new();
         for Cut { at, len, id, ends } in cuts {
             self.ring.cut(at, len);
@@ -187,7 +228,9 @@
             exchange.end = self.line.end(id).unwrap_or(exchange.end); // those behind have moved up
         }
         drop(table);
-        ended.into_iter().for_each(|what| report(&self.reports, &self.state, what, outcome));
+        ended
+            .into_iter()
+            .for_each(|what| report(&self.reports, &self.state, what, outcome));
     }
 
     /// After a drain: takes back what waits and what lies unbegun in the ring.
@@ -195,7 +238,12 @@
         let mut kept = VecDeque::new();
         for command in std::mem::take(&mut self.waiting) {
             match command {
-                Command::Open(Opening { what, bound: true, ticket, .. }) => {
+                Command::Open(Opening {
+                    what,
+                    bound: true,
+                    ticket,
+                    ..
+                }) => {
                     if ticket.end() {
                         report(&self.reports, &self.state, what, Outcome::Moot);
                     }
@@ -224,7 +272,9 @@
                 }
                 return Ok(());
             }
-            let Some(command) = self.waiting.pop_front() else { return Ok(()) };
+            let Some(command) = self.waiting.pop_front() else {
+                return Ok(());
+            };
             match command {
                 Command::Open(opening) => self.join(opening)?,
                 Command::Plain(frame) => self.plain(&frame, None),
@@ -248,7 +298,11 @@
 
     /// Queues a frame that is owed no answer. Once it is written, `confirms` has been given up.
     fn plain(&mut self, frame: &[u8], confirms: Option<AttemptKey>) {
-        self.line.join(QueuedFrame { len: frame.len(), confirms, ..QueuedFrame::default() });
+        self.line.join(QueuedFrame {
+            len: frame.len(),
+            confirms,
+            ..QueuedFrame::default()
+        });
         self.ring.push(frame);
     }
 
@@ -257,8 +311,17 @@
     }
 
     fn join(&mut self, opening: Opening) -> Result<(), String> {
-        let Opening { what, id, function, frame, bound, ticket } = opening;
-        let Ok(mut table) = self.state.table.lock() else { return Err("poisoned".to_owned()) };
+        let Opening {
+            what,
+            id,
+            function,
+            frame,
+            bound,
+            ticket,
+        } = opening;
+        let Ok(mut table) = self.state.table.lock() else {
+            return Err("poisoned".to_owned());
+        };
         if table.broken || table.open.contains_key(&id) {
             // Two exchanges under one id could not be told apart: the later one is not sent.
             drop(table);
@@ -275,7 +338,16 @@
             ticket: ticket_too,
             confirms: None,
         });
-        table.open.insert(id, Exchange { what, end, since: Instant::now(), function, ticket });
+        table.open.insert(
+            id,
+            Exchange {
+                what,
+                end,
+                since: Instant::now(),
+                function,
+                ticket,
+            },
+        );
         self.ring.push(&frame);
         Ok(())
     }
@@ -284,7 +356,11 @@
     fn give_up(&mut self, what: What) -> Option<GivenUp> {
         let id = {
             let table = self.state.table.lock().ok()?;
-            table.open.iter().find(|(_, e)| e.what == what).map(|(&id, _)| id)?
+            table
+                .open
+                .iter()
+                .find(|(_, e)| e.what == what)
+                .map(|(&id, _)| id)?
         };
         let written = self.state.progress.bytes();
         let cuts = self.line.cut_where(written, |p| p.id == Some(id));
@@ -294,7 +370,10 @@
             return Some(GivenUp::Written(id));
         }
         // Whoever gave it up has ended it.
-        self.cut(cuts.into_iter().map(|c| Cut { ends: false, ..c }).collect(), Outcome::Moot);
+        self.cut(
+            cuts.into_iter().map(|c| Cut { ends: false, ..c }).collect(),
+            Outcome::Moot,
+        );
         Some(GivenUp::Cut)
     }
 }
--- a/wrenseam/src/worker/kserve/lane.rs
+++ b/wrenseam/src/worker/kserve/lane.rs
@@ -121,14 +121,20 @@
             What::Order(..) | What::Unload => Named::None,
         };
         if named == Named::Another {
-            note!("worker {}: answer lost: one to another call came", self.address);
+            note!(
+                "worker {}: answer lost: one to another call came",
+                self.address
+            );
             return Err(Outcome::Reset); // nothing is known of this one
         }
         // Only an answer that names its call leaves the connection to another. Were a second one to come late, the next
         // call would else take it for its own, and its own would reach the call after it: a refusal among them proves
         // of the wrong call that it never ran.
         if reusable && reply.status == 200 && named == Named::This {
-            self.stream = Some(Kept { stream, since: Instant::now() });
+            self.stream = Some(Kept {
+                stream,
+                since: Instant::now(),
+            });
         }
         Ok(reply)
     }
@@ -170,7 +176,8 @@
     }
 
     fn write(&self, stream: &TcpStream, job: &Job) -> Result<(), Outcome> {
-        let (mut ring, mut rest, mut stalled) = (Ring::new(job.bytes.len()), &job.bytes[..], Duration::ZERO);
+        let (mut ring, mut rest, mut stalled) =
+            (Ring::new(job.bytes.len()), &job.bytes[..], Duration::ZERO);
         let nap = self.limits.write_check / 10;
         rest = &rest[ring.push(rest)..];
         debug_assert!(rest.is_empty());
@@ -222,7 +229,14 @@
                 if whole {
                     let reusable = !known.close && !known.chunked && ring.is_empty();
                     let (status, retry_after) = (known.status, known.retry_after);
-                    return Ok((Reply { status, body, retry_after }, reusable));
+                    return Ok((
+                        Reply {
+                            status,
+                            body,
+                            retry_after,
+                        },
+                        reusable,
+                    ));
                 }
                 if body.len() > self.limits.answer {
                     return Err("the answer is too long".to_owned());
@@ -240,7 +254,9 @@
                     return Err("the head is too long".to_owned());
                 }
             }
-            if told.is_some() && (!ring.is_empty() || told.as_ref().is_some_and(|t| t.length == Some(0))) {
+            if told.is_some()
+                && (!ring.is_empty() || told.as_ref().is_some_and(|t| t.length == Some(0)))
+            {
                 continue;
             }
             match receive(&mut ring, stream)? {
--- a/wrenseam/src/worker/kserve/messages.rs
+++ b/wrenseam/src/worker/kserve/messages.rs
@@ -64,7 +64,10 @@
 
 /// The body of an order to hold copies.
 pub(super) fn hold(copies: u32) -> String {
-    let told = map(vec![("slots_up", Value::Number(Number::U64(copies.into())))]);
+    let told = map(vec![(
+        "slots_up",
+        Value::Number(Number::U64(copies.into())),
+    )]);
     json::to_string(&map(vec![("parameters", told)]))
 }
 
@@ -107,7 +110,12 @@
 /// Which call an answer names, as seen from the call with this id.
 pub(super) fn named(reply: &Reply, wire_id: u64) -> Named {
     let whole = fields(&reply.body);
-    match whole.as_ref().and_then(object).and_then(|answer| text(answer, "id")).and_then(hex_id) {
+    match whole
+        .as_ref()
+        .and_then(object)
+        .and_then(|answer| text(answer, "id"))
+        .and_then(hex_id)
+    {
         Some(id) if id == wire_id => Named::This,
         Some(_) => Named::Another,
         None => Named::None,
@@ -129,7 +137,9 @@
         Some("booted" | "rode") => Some(false),
         _ => None,
     };
-    let crowd = told.and_then(|t| bramblepath::json::whole(t, "company")).map(|n| n.min(1 << 16) as u32);
+    let crowd = told
+        .and_then(|t| bramblepath::json::whole(t, "company"))
+        .map(|n| n.min(1 << 16) as u32);
     let mut outcome = outcome(&reply);
     let payload = match outcome {
         Outcome::Ok if foreign => answer.and_then(unwrap_answer).map(Payload::Bytes),
@@ -139,21 +149,46 @@
     if outcome == Outcome::Ok && payload.is_none() {
         outcome = Outcome::Error; // it ran, but what it said cannot be passed on
     }
-    Report { outcome, warm, crowd, payload }
+    Report {
+        outcome,
+        warm,
+        crowd,
+        payload,
+    }
 }
 
 pub(super) fn order_report(reply: &Reply, function: FunctionId, copies: u32) -> (Outcome, u32) {
     let (outcome, whole_body) = (outcome(reply), fields(&reply.body));
     let copies_told = |o: &Object| whole(o, "slots_up").map(|n| n.min(1 << 16) as u32);
     if copies > 0 {
-        let told =
-            whole_body.as_ref().and_then(object).and_then(|o| part(o, "parameters").and_then(copies_told));
-        let stand = if outcome == Outcome::Ok { told.unwrap_or(copies) } else { told.unwrap_or(0) };
-        return (if outcome == Outcome::Miss { Outcome::Error } else { outcome }, stand);
+        let told = whole_body
+            .as_ref()
+            .and_then(object)
+            .and_then(|o| part(o, "parameters").and_then(copies_told));
+        let stand = if outcome == Outcome::Ok {
+            told.unwrap_or(copies)
+        } else {
+            told.unwrap_or(0)
+        };
+        return (
+            if outcome == Outcome::Miss {
+                Outcome::Error
+            } else {
+                outcome
+            },
+            stand,
+        );
     }
     let name = format!("{function:016x}");
     let Some(Value::Array(models)) = &whole_body else {
-        return (if outcome == Outcome::Ok { Outcome::Error } else { outcome }, 0);
+        return (
+            if outcome == Outcome::Ok {
+                Outcome::Error
+            } else {
+                outcome
+            },
+            0,
+        );
     };
     let ready = |m: &&Object| text(m, "name") == Some(&name) && text(m, "state") == Some("READY");
     let stand = models
--- a/wrenseam/src/worker/kserve/mod.rs
+++ b/wrenseam/src/worker/kserve/mod.rs
@@ -74,7 +74,16 @@
     pub fn new(address: SocketAddr, limits: Arc<Limits>, reports: Reports) -> Self {
         let (jobs, queue) = channel();
         let (state, calls) = (Arc::default(), Arc::new(DirectCalls));
-        Kserve { address, limits, reports, calls, state, jobs, queue, out: Vec::new() }
+        Kserve {
+            address,
+            limits,
+            reports,
+            calls,
+            state,
+            jobs,
+            queue,
+            out: Vec::new(),
+        }
     }
 
     /// Makes these system calls in place of the machine's.
@@ -94,7 +103,14 @@
         self.start(what, bytes, bound, self.limits.order, ticket);
     }
 
-    fn start(&mut self, what: What, bytes: Vec<u8>, bound: bool, budget: Micros, ticket: Arc<Ticket>) {
+    fn start(
+        &mut self,
+        what: What,
+        bytes: Vec<u8>,
+        bound: bool,
+        budget: Micros,
+        ticket: Arc<Ticket>,
+    ) {
         let cancelled = Arc::new(AtomicBool::new(false));
         if let What::Attempt(key, _) = what {
             self.out.retain(|(_, _, flag)| Arc::strong_count(flag) > 1);
@@ -103,13 +119,33 @@
         let epoch = self.state.epoch.load(Ordering::Acquire);
         let until = Instant::now() + Duration::from_micros(budget);
         let load = self.state.load.fetch_add(1, Ordering::AcqRel) + 1;
-        let _ = self.jobs.send(Job { what, bytes, ticket, cancelled, epoch, bound, until }); // its timer ends it at last
+        let _ = self.jobs.send(Job {
+            what,
+            bytes,
+            ticket,
+            cancelled,
+            epoch,
+            bound,
+            until,
+        }); // its timer ends it at last
         let lanes = self.state.lanes.load(Ordering::Acquire);
         if load > lanes && lanes < self.limits.lanes_per_worker {
             self.state.lanes.fetch_add(1, Ordering::AcqRel);
-            let (address, limits, reports) = (self.address, self.limits.clone(), self.reports.clone());
-            let (state, queue, calls) = (self.state.clone(), self.queue.clone(), self.calls.clone());
-            let lane = move || Lane { address, limits, reports, calls, state, stream: None }.run(&queue);
+            let (address, limits, reports) =
+                (self.address, self.limits.clone(), self.reports.clone());
+            let (state, queue, calls) =
+                (self.state.clone(), self.queue.clone(), self.calls.clone());
+            let lane = move || {
+                Lane {
+                    address,
+                    limits,
+                    reports,
+                    calls,
+                    state,
+                    stream: None,
+                }
+                .run(&queue)
+            };
             if let Err(e) = spawn(self.limits.stack, lane) {
                 self.state.lanes.fetch_sub(1, Ordering::AcqRel);
                 note!("worker {}: no coroutine: {e}", self.address);
@@ -133,11 +169,20 @@
         let path = format!("/v2/models/{:016x}/infer", request.function);
         let (bytes, wrapped) = match &request.payload {
             Payload::Json(body) => (self.post(&path, budget, body), false),
-            Payload::Bytes(body) => (self.post(&path, budget, &wrap_call(request, body, budget)), true),
+            Payload::Bytes(body) => (
+                self.post(&path, budget, &wrap_call(request, body, budget)),
+                true,
+            ),
         };
         let ticket = Ticket::call(request, terms, Instant::now());
         self.start(
-            What::Attempt(key, Call { wire_id: request.wire_id, wrapped }),
+            What::Attempt(
+                key,
+                Call {
+                    wire_id: request.wire_id,
+                    wrapped,
+                },
+            ),
             bytes,
             true,
             budget,
@@ -146,7 +191,9 @@
     }
 
     fn cancel(&mut self, key: AttemptKey) -> GiveUp {
-        let Some(at) = self.out.iter().position(|o| o.0 == key) else { return GiveUp::Unknown };
+        let Some(at) = self.out.iter().position(|o| o.0 == key) else {
+            return GiveUp::Unknown;
+        };
         let (_, ticket, cancelled) = self.out.swap_remove(at);
         cancelled.store(true, Ordering::Release);
         if ticket.take_back() {
@@ -168,7 +215,11 @@
             let path = format!("/v2/repository/models/{function:016x}/load");
             self.post(&path, self.limits.order, body.as_bytes())
         } else {
-            self.post("/v2/repository/index", self.limits.order, b"{\"ready\":true}")
+            self.post(
+                "/v2/repository/index",
+                self.limits.order,
+                b"{\"ready\":true}",
+            )
         };
         self.start_order(What::Order(order, function, copies), bytes, copies > 0);
     }
--- a/wrenseam/src/worker/mod.rs
+++ b/wrenseam/src/worker/mod.rs
@@ -53,7 +53,10 @@
 impl Terms {
     /// A first attempt, or one that nothing but its budget bounds.
     pub fn within(budget: Micros) -> Self {
-        Terms { budget, whole_by: None }
+        Terms {
+            budget,
+            whole_by: None,
+        }
     }
 }
 
@@ -91,7 +94,10 @@
 
 /// The transport for a worker's speech.
 pub fn transport(
-    speech: Speech, address: SocketAddr, limits: &Arc<Limits>, reports: &Reports,
+    speech: Speech,
+    address: SocketAddr,
+    limits: &Arc<Limits>,
+    reports: &Reports,
     calls: &Arc<dyn SystemCalls>,
 ) -> Box<dyn Transport> {
     let (limits, reports, calls) = (limits.clone(), reports.clone(), calls.clone());
--- a/wrenseam/src/worker/ticket.rs
+++ b/wrenseam/src/worker/ticket.rs
@@ -57,15 +57,27 @@
         let whole_by = terms.whole_by;
         let until = now + Duration::from_micros(terms.budget);
         let until = whole_by.map_or(until, |by| by.min(until));
-        Ticket::seen(request.gone.clone(), request.client_probe.clone(), (until, whole_by))
+        Ticket::seen(
+            request.gone.clone(),
+            request.client_probe.clone(),
+            (until, whole_by),
+        )
     }
 
     fn seen(
-        gone: Arc<AtomicBool>, client_probe: Option<Arc<dyn ClientProbe>>,
+        gone: Arc<AtomicBool>,
+        client_probe: Option<Arc<dyn ClientProbe>>,
         (until, whole_by): (Instant, Option<Instant>),
     ) -> Arc<Ticket> {
         let (state, looks) = (AtomicU8::new(WAITS), AtomicU32::new(0));
-        Arc::new(Ticket { state, gone, client_probe, looks, until, whole_by })
+        Arc::new(Ticket {
+            state,
+            gone,
+            client_probe,
+            looks,
+            until,
+            whole_by,
+        })
     }
 
     /// Whether what is not written whole by now must not be any more.
@@ -74,22 +86,36 @@
     }
 
     fn turn(&self, from: u8, to: u8) -> bool {
-        self.state.compare_exchange(from, to, Ordering::AcqRel, Ordering::Acquire).is_ok()
+        self.state
+            .compare_exchange(from, to, Ordering::AcqRel, Ordering::Acquire)
+            .is_ok()
     }
 
     /// The writer is about to write its first byte.
     pub fn begin(&self, now: Instant) -> Begin {
-        let waits = self.state.load(Ordering::Acquire) == WAITS && !self.gone.load(Ordering::Acquire);
+        let waits =
+            self.state.load(Ordering::Acquire) == WAITS && !self.gone.load(Ordering::Acquire);
         // Guards workers from calls for nobody while the reader has had no turn: the process stood still, or input of
         // others came at full speed.
-        match self.client_probe.as_ref().filter(|_| waits).map_or(ClientState::Here, |s| s.presence()) {
+        match self
+            .client_probe
+            .as_ref()
+            .filter(|_| waits)
+            .map_or(ClientState::Here, |s| s.presence())
+        {
             ClientState::Here => {}
             ClientState::Left => self.gone.store(true, Ordering::Release),
-            ClientState::Unread if self.looks.fetch_add(1, Ordering::AcqRel) < LOOKS => return Begin::Unread,
+            ClientState::Unread if self.looks.fetch_add(1, Ordering::AcqRel) < LOOKS => {
+                return Begin::Unread
+            }
             ClientState::Unread => {}
         }
         if self.gone.load(Ordering::Acquire) || now > self.until {
-            return if self.turn(WAITS, BACK) { Begin::Void } else { Begin::Back };
+            return if self.turn(WAITS, BACK) {
+                Begin::Void
+            } else {
+                Begin::Back
+            };
         }
         if self.turn(WAITS, BEGUN) {
             Begin::Go
--- a/wrenseam/tests/broken_connections.rs
+++ b/wrenseam/tests/broken_connections.rs
@@ -66,7 +66,9 @@
 }
 
 fn abort(stream: TcpStream) {
-    socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set");
+    socket2::SockRef::from(&stream)
+        .set_linger(Some(Duration::ZERO))
+        .expect("set");
     drop(stream); // sends a reset
 }
 
@@ -82,11 +84,19 @@
 fn held_call() -> Held {
     let (written, is_written) = channel();
     let (let_go, go_on) = may::sync::mpmc::channel();
-    let (mut transport, reports, listener) =
-        transport_with(Arc::new(HeldWrites { written: Mutex::new(written), go_on }));
+    let (mut transport, reports, listener) = transport_with(Arc::new(HeldWrites {
+        written: Mutex::new(written),
+        go_on,
+    }));
     transport.send(FIRST, &request(9), Terms::within(LONG));
     let stream = listener.accept().expect("a connection").0;
-    Held { transport, reports, is_written, let_go, stream }
+    Held {
+        transport,
+        reports,
+        is_written,
+        let_go,
+        stream,
+    }
 }
 
 /// A transport that makes these calls, what it reports, and where its worker listens.
@@ -96,23 +106,41 @@
     let address = listener.local_addr().expect("bound");
     let (queue, reports) = channel::<Message>();
     let plain = Limits::new(192, 1024, &Settings::default());
-    let limits = Arc::new(Limits { connect: Duration::from_secs(20), ..plain });
-    (Frames::new(address, limits, Reports(queue)).with_calls(calls), reports, listener)
+    let limits = Arc::new(Limits {
+        connect: Duration::from_secs(20),
+        ..plain
+    });
+    (
+        Frames::new(address, limits, Reports(queue)).with_calls(calls),
+        reports,
+        listener,
+    )
 }
 
 /// The worker has read the frame whole and ends its connection while the write that carried it has not returned: the
 /// call may have run, and is not reported as one that never did.
 #[rstest]
 fn a_frame_whose_write_has_not_returned_may_have_run(#[values("close", "reset")] end: &str) {
-    let Held { transport: _transport, reports, is_written, let_go, mut stream } = held_call();
+    let Held {
+        transport: _transport,
+        reports,
+        is_written,
+        let_go,
+        mut stream,
+    } = held_call();
     assert_eq!(frame(&mut stream), (9, 2), "it has come whole");
-    is_written.recv_timeout(Duration::from_secs(20)).expect("written");
+    is_written
+        .recv_timeout(Duration::from_secs(20))
+        .expect("written");
     match end {
         "reset" => abort(stream),
         _ => drop(stream),
     }
     if let Ok(Message::Ended(_, report)) = reports.recv_timeout(HELD) {
-        panic!("{:?} was told while the write had not returned", report.outcome);
+        panic!(
+            "{:?} was told while the write had not returned",
+            report.outcome
+        );
     }
     let_go.send(()).expect("the write waits");
     assert_eq!(outcome(&reports), (0, Outcome::Reset));
@@ -131,7 +159,10 @@
     });
     let during = progress.write(|| {
         ending.send(()).expect("the other waits");
-        assert!(total.recv_timeout(HELD).is_err(), "it ended in the middle of a write");
+        assert!(
+            total.recv_timeout(HELD).is_err(),
+            "it ended in the middle of a write"
+        );
         Ok(10)
     });
     assert_eq!(during.expect("written"), 10);
@@ -144,14 +175,26 @@
 /// request may follow at once, and where two must not be out together the first is over by then.
 #[test]
 fn an_attempt_is_called_off_once_its_worker_has_been_told() {
-    let Held { mut transport, reports, is_written, let_go, mut stream } = held_call();
+    let Held {
+        mut transport,
+        reports,
+        is_written,
+        let_go,
+        mut stream,
+    } = held_call();
     assert_eq!(frame(&mut stream), (9, 2));
     is_written.recv().expect("written");
     assert_eq!(transport.cancel(FIRST), GiveUp::Pending);
-    assert!(reports.try_recv().is_err(), "the writer has not even got to it");
+    assert!(
+        reports.try_recv().is_err(),
+        "the writer has not even got to it"
+    );
     let_go.send(()).expect("the write waits");
     is_written.recv().expect("the give-up is written");
-    assert!(reports.try_recv().is_err(), "told before its write returned");
+    assert!(
+        reports.try_recv().is_err(),
+        "told before its write returned"
+    );
     let_go.send(()).expect("the write waits");
     assert_eq!(outcome(&reports), (0, Outcome::Cancelled));
     assert_eq!(frame(&mut stream), (9, 3));
@@ -163,17 +206,23 @@
 #[test]
 fn a_call_that_is_turned_away_in_the_middle_never_comes_whole() {
     let allowed = Arc::new(AtomicUsize::new(30));
-    let (mut transport, reports, listener) =
-        transport_with(Arc::new(ShortWrites { allowed: allowed.clone() }));
+    let (mut transport, reports, listener) = transport_with(Arc::new(ShortWrites {
+        allowed: allowed.clone(),
+    }));
     transport.send(FIRST, &request(9), Terms::within(LONG));
     let mut stream = listener.accept().expect("a connection").0;
     stream.read_exact(&mut [0; 30]).expect("the beginning");
     say(&mut stream, 203, 9, "", b"");
     assert_eq!(outcome(&reports), (0, Outcome::ConnectFailed));
     allowed.store(usize::MAX / 2, Ordering::Release);
-    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("set");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .expect("set");
     let rest = stream.read(&mut [0; 1024]);
-    assert!(!matches!(rest, Ok(n) if n > 0), "the rest followed: {rest:?}");
+    assert!(
+        !matches!(rest, Ok(n) if n > 0),
+        "the rest followed: {rest:?}"
+    );
 }
 
 /// A code that was spoilt on its way reads as one that proves that nothing ran: the check covers fields and body alone.
--- a/wrenseam/tests/cli.rs
+++ b/wrenseam/tests/cli.rs
@@ -5,7 +5,9 @@
 const CLASS: &str = r#""settings":{"classes":[{"name":"tile-render"}]}"#;
 
 fn settings(more: &str) -> String {
-    format!(r#"{{"listen":"127.0.0.1:0","settings":{{"classes":[{{"name":"tile-render"}}],{more}}}}}"#)
+    format!(
+        r#"{{"listen":"127.0.0.1:0","settings":{{"classes":[{{"name":"tile-render"}}],{more}}}}}"#
+    )
 }
 
 #[rstest]
@@ -26,18 +28,26 @@
 #[case::no_object(settings(r#""family-info":7"#), true, "'family-info' is no object")]
 #[case::no_list(settings(r#""tenants":{}"#), true, "'tenants' is no list")]
 #[case::a_class_that_is_none(settings(r#""tenants":[7]"#), true, "'tenants' is no object")]
-#[case::a_mark_in_words(settings(r#""limits":{"may-cancel":"yes"}"#), true, "'limits.may-cancel' is neither")]
+#[case::a_mark_in_words(
+    settings(r#""limits":{"may-cancel":"yes"}"#),
+    true,
+    "'limits.may-cancel' is neither"
+)]
 #[case::an_unknown_effect(
     r#"{"listen":"127.0.0.1:0","settings":{"classes":[{"name":"c","effect":"idempotent"}]}}"#.to_owned(),
     true,
     "effect 'idempotent' is not known: never to run twice"
 )]
 fn check_says_what_is_wrong(#[case] text: String, #[case] sound: bool, #[case] said: &str) {
-    let name =
-        format!("wrenseam-check-{}-{said}.json", std::process::id()).replace(['/', ':', '\'', ' '], "-");
+    let name = format!("wrenseam-check-{}-{said}.json", std::process::id())
+        .replace(['/', ':', '\'', ' '], "-");
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, text).expect("written");
-    let run = Command::new(env!("CARGO_BIN_EXE_wrenseam")).arg("check").arg(&path).output().expect("run");
+    let run = Command::new(env!("CARGO_BIN_EXE_wrenseam"))
+        .arg("check")
+        .arg(&path)
+        .output()
+        .expect("run");
     std::fs::remove_file(&path).expect("removed");
     let all = String::from_utf8_lossy(&[run.stdout, run.stderr].concat()).into_owned();
     assert!(run.status.success() == sound && all.contains(said), "{all}");
@@ -58,6 +68,9 @@
         .expect("run");
     let all = String::from_utf8_lossy(&[run.stdout, run.stderr].concat()).into_owned();
     assert!(run.status.success(), "{all}");
-    assert!(all.contains("front-1 would listen on 127.0.0.1:8443"), "{all}");
+    assert!(
+        all.contains("front-1 would listen on 127.0.0.1:8443"),
+        "{all}"
+    );
     assert!(!all.contains("taken as not stated"), "{all}");
 }
--- a/wrenseam/tests/closing.rs
+++ b/wrenseam/tests/closing.rs
@@ -27,7 +27,11 @@
         core,
         limits: limits.clone(),
         budget: Budget::new(limits.held_bytes),
-        seats: Seats::new(limits.client_connections, shared.draining.clone(), shared.clients.clone()),
+        seats: Seats::new(
+            limits.client_connections,
+            shared.draining.clone(),
+            shared.clients.clone(),
+        ),
         unsent: Arc::default(),
         shared,
         closing: Arc::new(AtomicBool::new(true)),
@@ -38,8 +42,17 @@
     let address = socket.local_addr().expect("bound");
     // Nobody accepts here: the close comes first, every time.
     let mut clients: Vec<TcpStream> = (0..20).map(|_| connect(address)).collect();
-    clients.iter_mut().for_each(|c| c.write_all(b"here").expect("written"));
-    close(&Listener { socket, front: "test", serve: greet }, &doors);
+    clients
+        .iter_mut()
+        .for_each(|c| c.write_all(b"here").expect("written"));
+    close(
+        &Listener {
+            socket,
+            front: "test",
+            serve: greet,
+        },
+        &doors,
+    );
     for client in &mut clients {
         let mut got = [0; 4];
         client.read_exact(&mut got).expect("an answer");
@@ -54,7 +67,11 @@
 fn input_behind_the_close_brings_no_reset() {
     let stage = Stage::new(Speech::Platform);
     let mut stream = connect(stage.front);
-    let mut bytes = fastcgi(1, &[("SCRIPT_NAME", "/healthz"), ("HTTP_REQ_KEY", FUNCTION)], b"");
+    let mut bytes = fastcgi(
+        1,
+        &[("SCRIPT_NAME", "/healthz"), ("HTTP_REQ_KEY", FUNCTION)],
+        b"",
+    );
     bytes[10] = 0; // flags of BEGIN_REQUEST: the connection is not kept
     stream.write_all(&bytes).expect("written");
     let (head, _, _) = fastcgi_answer(&mut stream).expect("an answer");
@@ -72,7 +89,8 @@
 fn a_planned_end_closes_kept_connections_in_order() {
     let mut stage = Stage::new(Speech::Platform);
     let mut kept = connect(stage.front);
-    kept.write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b"")).expect("written");
+    kept.write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""))
+        .expect("written");
     fastcgi_answer(&mut kept).expect("an answer");
     let mut open = connect(stage.front);
     let params = [
--- a/wrenseam/tests/codecs.rs
+++ b/wrenseam/tests/codecs.rs
@@ -9,7 +9,24 @@
 use wrenseam::worker::frames::Decoder;
 
 fn answer(code: u8, body: &[u8]) -> Vec<u8> {
-    let mut frame = vec![127, code, 0, 0, 0, 0, 0, body.len() as u8, 0, 0, 0, 0, 0, 0, 0, 9];
+    let mut frame = vec![
+        127,
+        code,
+        0,
+        0,
+        0,
+        0,
+        0,
+        body.len() as u8,
+        0,
+        0,
+        0,
+        0,
+        0,
+        0,
+        0,
+        9,
+    ];
     frame.extend(body);
     frame.extend(crc32fast::hash(body).to_be_bytes());
     frame
@@ -46,10 +63,19 @@
 #[test]
 fn events_of_the_board_are_read() {
     let mut events = Events::default();
-    let text = ": comment\nid: 7\r\ndata: {\"a\":\r\ndata: 1}\r\n\r\n: more\n\nid:8\ndata:x\n\ndata:y\n\n";
-    let found: Vec<_> = text.bytes().map(|b| events.byte(b)).filter(|s| *s != Said::Nothing).collect();
+    let text =
+        ": comment\nid: 7\r\ndata: {\"a\":\r\ndata: 1}\r\n\r\n: more\n\nid:8\ndata:x\n\ndata:y\n\n";
+    let found: Vec<_> = text
+        .bytes()
+        .map(|b| events.byte(b))
+        .filter(|s| *s != Said::Nothing)
+        .collect();
     let event = |id: Option<&str>, data: &str| Said::Event(id.map(str::to_owned), data.to_owned());
-    let (first, second, third) = (event(Some("7"), "{\"a\":\n1}"), event(Some("8"), "x"), event(None, "y"));
+    let (first, second, third) = (
+        event(Some("7"), "{\"a\":\n1}"),
+        event(Some("8"), "x"),
+        event(None, "y"),
+    );
     assert_eq!(found, [Said::Comment, first, Said::Comment, second, third]);
 }
 
@@ -57,19 +83,37 @@
 #[test]
 fn repeated_lines_are_counted() {
     let line = wrenseam::log::Line::new();
-    let written = (0..1_000).filter_map(|_| line.admit(7, format_args!("x"))).count();
+    let written = (0..1_000)
+        .filter_map(|_| line.admit(7, format_args!("x")))
+        .count();
     assert_eq!(written, 5);
-    assert_eq!(line.admit(8, format_args!("x")), Some("x (995 more such lines were left out)".to_owned()));
+    assert_eq!(
+        line.admit(8, format_args!("x")),
+        Some("x (995 more such lines were left out)".to_owned())
+    );
 }
 
 #[test]
 fn chunks_are_undone() {
     let mut chunked = Chunked::default();
-    let coded: Vec<Coded> =
-        b"3\r\nabc\r\n1;x=y\r\nd\r\n0\r\n".iter().map(|&b| chunked.byte(b).expect("sound")).collect();
-    let content: Vec<u8> =
-        coded.iter().filter_map(|c| if let Coded::Byte(b) = c { Some(*b) } else { None }).collect();
-    assert_eq!((content, coded.last()), (b"abcd".to_vec(), Some(&Coded::End)));
+    let coded: Vec<Coded> = b"3\r\nabc\r\n1;x=y\r\nd\r\n0\r\n"
+        .iter()
+        .map(|&b| chunked.byte(b).expect("sound"))
+        .collect();
+    let content: Vec<u8> = coded
+        .iter()
+        .filter_map(|c| {
+            if let Coded::Byte(b) = c {
+                Some(*b)
+            } else {
+                None
+            }
+        })
+        .collect();
+    assert_eq!(
+        (content, coded.last()),
+        (b"abcd".to_vec(), Some(&Coded::End))
+    );
     let mut broken = Chunked::default();
     assert!(b"zz\r\n".iter().any(|&b| broken.byte(b).is_err()));
 }
--- a/wrenseam/tests/common/mod.rs
+++ b/wrenseam/tests/common/mod.rs
@@ -99,12 +99,13 @@
         let orders: Arc<AtomicU8> = Arc::default();
         static RUNS: AtomicU64 = AtomicU64::new(0);
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
-        let folder =
-            std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{run}", std::process::id()));
+        let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
+            .join(format!("{}-{run}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder for the files");
         let (seen, calls) = channel();
-        let workers: Vec<SocketAddr> =
-            (0..4).map(|n| worker(speech, n / 2, seen.clone(), orders.clone())).collect();
+        let workers: Vec<SocketAddr> = (0..4)
+            .map(|n| worker(speech, n / 2, seen.clone(), orders.clone()))
+            .collect();
         let hall = |n: usize| if n < 2 { "hall-a" } else { "hall-b" };
         let (mut notices, mut localities) = (Vec::new(), Vec::new());
         for (n, address) in workers.iter().enumerate() {
@@ -134,14 +135,20 @@
             told.replacen(from, to, 1)
         });
         let boards = [board(), board()];
-        let config = write("config.json", told.replace("BOARD", &boards[0].0.to_string()));
+        let config = write(
+            "config.json",
+            told.replace("BOARD", &boards[0].0.to_string()),
+        );
         write(
             "endpoints.json",
-            format!(r#"{{"resources":[{{"cluster_name":"tile-workers","endpoints":[{endpoints}]}}]}}"#),
+            format!(
+                r#"{{"resources":[{{"cluster_name":"tile-workers","endpoints":[{endpoints}]}}]}}"#
+            ),
         );
         let kserve = write(
             "kserve.json",
-            r#"{"listen":"127.0.0.1:0","admin":"127.0.0.1:0","endpoints":"endpoints.json"}"#.to_owned(),
+            r#"{"listen":"127.0.0.1:0","admin":"127.0.0.1:0","endpoints":"endpoints.json"}"#
+                .to_owned(),
         );
         let mut child = Command::new(env!("CARGO_BIN_EXE_wrenseam"))
             .env("NODE_CONFIG", &config)
@@ -161,10 +168,23 @@
         let (front, kserve, admin, door) = (listens(), listens(), listens(), listens());
         // The rest of the log is read, so that it cannot fill up, and shown with a failed test.
         std::thread::spawn(move || {
-            lines.map_while(Result::ok).for_each(|line| eprintln!("  program: {line}"))
+            lines
+                .map_while(Result::ok)
+                .for_each(|line| eprintln!("  program: {line}"))
         });
         let (board, config) = (Cell::new(0), (config, told));
-        let stage = Stage { child, front, kserve, admin, door, calls, boards, board, config, orders };
+        let stage = Stage {
+            child,
+            front,
+            kserve,
+            admin,
+            door,
+            calls,
+            boards,
+            board,
+            config,
+            orders,
+        };
         while !get(stage.admin, "/healthz").starts_with("HTTP/1.1 200") {
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -184,7 +204,11 @@
 
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().expect("kill runs").success());
+        assert!(Command::new("kill")
+            .args([name, &pid])
+            .status()
+            .expect("kill runs")
+            .success());
     }
 
     /// Names the other board in the configuration, or leaves no readable one, and has it read again.
@@ -193,7 +217,9 @@
             "{".to_owned()
         } else {
             self.board.set(1 - self.board.get());
-            self.config.1.replace("BOARD", &self.boards[self.board.get()].0.to_string())
+            self.config
+                .1
+                .replace("BOARD", &self.boards[self.board.get()].0.to_string())
         };
         std::fs::write(&self.config.0, text).expect("written");
         self.signal("-HUP");
@@ -201,7 +227,9 @@
 
     /// Answers the next call, of this class, at any worker; false if none comes within a second.
     pub fn answered(&self, class: &str) -> bool {
-        let Ok(call) = self.calls.recv_timeout(Duration::from_secs(1)) else { return false };
+        let Ok(call) = self.calls.recv_timeout(Duration::from_secs(1)) else {
+            return false;
+        };
         assert_eq!(call.class, class);
         call.answer(&["ok", "DONE"]);
         true
@@ -236,8 +264,16 @@
 
     /// Runs a scenario through one front; what clients and workers saw, line by line.
     pub fn play(&self, front: Speech, scenario: &str) -> Vec<String> {
-        let address = if front == Speech::Platform { self.front } else { self.kserve };
-        let mut client = Client { speech: front, stream: connect(address), last: 0 };
+        let address = if front == Speech::Platform {
+            self.front
+        } else {
+            self.kserve
+        };
+        let mut client = Client {
+            speech: front,
+            stream: connect(address),
+            last: 0,
+        };
         let (mut last, mut seen): (Option<Call>, Vec<String>) = (None, Vec::new());
         let (mut told, mut silent): (Option<TcpStream>, Vec<TcpStream>) = (None, Vec::new());
         for line in scenario.lines().map(str::trim).filter(|l| !l.is_empty()) {
@@ -250,14 +286,23 @@
                 ["client", "open", n] => {
                     let n: usize = n.parse().expect("a number");
                     silent.extend((0..n).map(|_| connect(address)));
-                    client = Client { speech: front, stream: connect(address), last: 0 };
+                    client = Client {
+                        speech: front,
+                        stream: connect(address),
+                        last: 0,
+                    };
                 }
                 ["client", "expect", "closed"] => client.closed(&context),
                 ["client", "flood"] => flood(front, address),
                 ["client", "abort"] if front == Speech::Platform => {
-                    client.stream.write_all(&record(2, client.last, &[])).expect("written");
+                    client
+                        .stream
+                        .write_all(&record(2, client.last, &[]))
+                        .expect("written");
+                }
+                ["client", "close" | "abort"] => {
+                    client.stream.shutdown(Shutdown::Both).expect("open")
                 }
-                ["client", "close" | "abort"] => client.stream.shutdown(Shutdown::Both).expect("open"),
                 ["client", "expect", "nothing"] => client.nothing(&context),
                 ["client", "expect", ref wanted @ ..] => {
                     let got = client.answer(&context);
@@ -265,13 +310,23 @@
                     seen.push(format!("client {got}"));
                 }
                 ["worker", "expect", "nothing"] => {
-                    assert!(self.calls.recv_timeout(QUIET).is_err(), "{context}: a call came");
+                    assert!(
+                        self.calls.recv_timeout(QUIET).is_err(),
+                        "{context}: a call came"
+                    );
                 }
                 ["orders", what] => {
-                    let what = ["answer", "hold", "load"].iter().position(|w| *w == what).expect("a word");
+                    let what = ["answer", "hold", "load"]
+                        .iter()
+                        .position(|w| *w == what)
+                        .expect("a word");
                     self.orders.store(what as u8, Ordering::Release);
                 }
-                ["worker", "hush"] => last.as_ref().expect(&context).hush.store(true, Ordering::Release),
+                ["worker", "hush"] => last
+                    .as_ref()
+                    .expect(&context)
+                    .hush
+                    .store(true, Ordering::Release),
                 ["worker", "expect", "closed"] => last.as_ref().expect(&context).closed(&context),
                 ["worker", "expect", class, key, body, ref hall @ ..] => {
                     let call = self.calls.recv_timeout(PATIENCE).expect(&context);
@@ -283,9 +338,15 @@
                     seen.push(format!("worker {}", got.join(" ")));
                     last = Some(call);
                 }
-                ["worker", "send", ref answer @ ..] => last.as_ref().expect(&context).answer(answer),
+                ["worker", "send", ref answer @ ..] => {
+                    last.as_ref().expect(&context).answer(answer)
+                }
                 ["worker", "close"] => {
-                    last.as_ref().expect(&context).stream.shutdown(Shutdown::Both).expect("open");
+                    last.as_ref()
+                        .expect(&context)
+                        .stream
+                        .shutdown(Shutdown::Both)
+                        .expect("open");
                 }
                 ["board", "expect", last] => {
                     let calls = &self.boards[self.board.get()].1;
@@ -297,9 +358,13 @@
                     let event = format!(
                         r#"{{"instanceId":"{worker}","hostPort":"127.0.0.1:9","zone":"hall-a","machineType":"std","cell":0,"lifecycle":"{state}","startedAtMs":0}}"#
                     );
-                    let event = format!(r#"{{"rev":{id},"pool":{{"reset":false,"instances":[{event}]}}}}"#);
+                    let event =
+                        format!(r#"{{"rev":{id},"pool":{{"reset":false,"instances":[{event}]}}}}"#);
                     let event = format!("id: {id}\ndata: {event}\n\n");
-                    told.as_ref().expect(&context).write_all(event.as_bytes()).expect("written");
+                    told.as_ref()
+                        .expect(&context)
+                        .write_all(event.as_bytes())
+                        .expect("written");
                 }
                 ["board", "chatter"] => {
                     let mut to = told.as_ref().expect(&context).try_clone().expect("cloned");
@@ -309,11 +374,17 @@
                         }
                     });
                 }
-                ["board", "close"] => told.as_ref().expect(&context).shutdown(Shutdown::Both).expect("open"),
+                ["board", "close"] => told
+                    .as_ref()
+                    .expect(&context)
+                    .shutdown(Shutdown::Both)
+                    .expect("open"),
                 ["list", "expect", worker, state] => self.listed(worker, state, &context),
                 ["program", "reload", ref how @ ..] => self.reload(how == ["broken"]),
                 ["program", "term"] => self.signal("-TERM"),
-                ["wait", ms] => std::thread::sleep(Duration::from_millis(ms.parse().expect("a number"))),
+                ["wait", ms] => {
+                    std::thread::sleep(Duration::from_millis(ms.parse().expect("a number")))
+                }
                 _ => panic!("no such step: {line}"),
             }
         }
@@ -346,7 +417,11 @@
 /// An HTTP answer to a GET, whole.
 pub fn get(address: SocketAddr, path: &str) -> String {
     let mut stream = connect(address);
-    write!(stream, "GET {path} HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n").expect("written");
+    write!(
+        stream,
+        "GET {path} HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n"
+    )
+    .expect("written");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
     answer
@@ -375,12 +450,25 @@
 /// The text that a body carries: of a v2 JSON body its first tensor's, else the bytes.
 fn content(body: &[u8]) -> String {
     let plain = String::from_utf8_lossy(body).into_owned();
-    let Ok(json) = parse(&plain) else { return plain };
-    let Some(fields) = object(&json) else { return plain };
-    let tensors =
-        if fields.contains_key("inputs") { list(fields, "inputs") } else { list(fields, "outputs") };
-    let Some(tensor) = tensors.first().and_then(object) else { return plain };
-    let data = list(tensor, "data").first().and_then(bramblepath::json::as_text).expect("data").to_owned();
+    let Ok(json) = parse(&plain) else {
+        return plain;
+    };
+    let Some(fields) = object(&json) else {
+        return plain;
+    };
+    let tensors = if fields.contains_key("inputs") {
+        list(fields, "inputs")
+    } else {
+        list(fields, "outputs")
+    };
+    let Some(tensor) = tensors.first().and_then(object) else {
+        return plain;
+    };
+    let data = list(tensor, "data")
+        .first()
+        .and_then(bramblepath::json::as_text)
+        .expect("data")
+        .to_owned();
     let coded = part(tensor, "parameters").and_then(|p| text(p, "content_type")) == Some("base64");
     if coded {
         String::from_utf8(STANDARD.decode(data).expect("base64")).expect("text")
@@ -417,7 +505,12 @@
 /// A whole FastCGI request with these parameters.
 pub fn fastcgi(id: u16, params: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let pair = |(name, value): &(&str, &str)| {
-        [&[name.len() as u8, value.len() as u8], name.as_bytes(), value.as_bytes()].concat()
+        [
+            &[name.len() as u8, value.len() as u8],
+            name.as_bytes(),
+            value.as_bytes(),
+        ]
+        .concat()
     };
     let params: Vec<u8> = params.iter().flat_map(pair).collect();
     let mut out = record(1, id, &[0, 1, 1, 0, 0, 0, 0, 0]);
@@ -435,7 +528,10 @@
     let mut out = Vec::new();
     loop {
         let header = exactly(stream, 8)?;
-        let content = exactly(stream, usize::from(u16::from_be_bytes([header[4], header[5]])))?;
+        let content = exactly(
+            stream,
+            usize::from(u16::from_be_bytes([header[4], header[5]])),
+        )?;
         exactly(stream, header[6].into())?;
         match header[1] {
             6 => out.extend(content),
@@ -472,7 +568,11 @@
                 fastcgi(self.last, &params, body.as_bytes())
             }
             Speech::Kserve => {
-                let token = if key == "-" { String::new() } else { format!(r#""token":"{key}","#) };
+                let token = if key == "-" {
+                    String::new()
+                } else {
+                    format!(r#""token":"{key}","#)
+                };
                 let body = format!(
                     r#"{{"id":"{wire}","parameters":{{"class":"{class}","tenant":"acme","wait_ms":{wait},{token}"memory_mb":512,"lanes":4,"load_ms":640}},"inputs":[{{"name":"body","shape":[1],"datatype":"BYTES","data":["{body}"]}}]}}"#
                 );
@@ -488,9 +588,13 @@
     fn part(&mut self) {
         let bytes = match self.speech {
             Speech::Platform => fastcgi(1, &[("SCRIPT_NAME", "/v1/tile-render")], b"half"),
-            Speech::Kserve => b"POST /v2/models/7f3a9c21e0b4d655/infer HTTP/1.1\r\nHost: t\r\n".to_vec(),
+            Speech::Kserve => {
+                b"POST /v2/models/7f3a9c21e0b4d655/infer HTTP/1.1\r\nHost: t\r\n".to_vec()
+            }
         };
-        self.stream.write_all(&bytes[..bytes.len() - 8]).expect("written");
+        self.stream
+            .write_all(&bytes[..bytes.len() - 8])
+            .expect("written");
     }
 
     /// Sends a body until the connection takes no more of it, at most 60 MB.
@@ -508,7 +612,11 @@
         let mut rest = Vec::new();
         match self.stream.read_to_end(&mut rest) {
             Ok(_) => {}
-            Err(e) => assert_eq!(e.kind(), std::io::ErrorKind::ConnectionReset, "{context}: still open"),
+            Err(e) => assert_eq!(
+                e.kind(),
+                std::io::ErrorKind::ConnectionReset,
+                "{context}: still open"
+            ),
         }
     }
 
@@ -518,13 +626,19 @@
             Speech::Platform => {
                 let (head, body, status) = fastcgi_answer(&mut self.stream).expect(context);
                 let refused = head.contains("Status: 503") || status == 2;
-                assert!(!refused || status == 2 || head.contains("Srv-Wait-Ms: "), "{context}: no advice");
+                assert!(
+                    !refused || status == 2 || head.contains("Srv-Wait-Ms: "),
+                    "{context}: no advice"
+                );
                 (head, body, refused)
             }
             Speech::Kserve => {
                 let (head, body) = message(&mut self.stream).expect(context);
                 let refused = head.starts_with("HTTP/1.1 503");
-                assert!(!refused || head.contains("Retry-After: "), "{context}: no advice");
+                assert!(
+                    !refused || head.contains("Retry-After: "),
+                    "{context}: no advice"
+                );
                 (head, body, refused)
             }
         };
@@ -532,7 +646,10 @@
             return format!("served {}", content(&body));
         }
         if self.speech == Speech::Kserve {
-            assert!(String::from_utf8_lossy(&body).starts_with(r#"{"error":""#), "{context}: {body:?}");
+            assert!(
+                String::from_utf8_lossy(&body).starts_with(r#"{"error":""#),
+                "{context}: {body:?}"
+            );
         }
         if refused { "refused" } else { "failed" }.to_owned()
     }
@@ -567,8 +684,14 @@
     let (seen, calls) = channel();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
-            let Ok((head, _)) = message(&mut stream) else { continue };
-            let last = head.lines().find_map(|l| l.strip_prefix("Last-Event-ID: ")).expect("told").to_owned();
+            let Ok((head, _)) = message(&mut stream) else {
+                continue;
+            };
+            let last = head
+                .lines()
+                .find_map(|l| l.strip_prefix("Last-Event-ID: "))
+                .expect("told")
+                .to_owned();
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
             let _ = seen.send((last, stream));
         }
@@ -604,12 +727,19 @@
         let length = usize::from(u16::from_be_bytes([header[2], header[3]]));
         let body = u32::from_be_bytes(header[4..8].try_into().expect("four")) as usize;
         let id = u64::from_be_bytes(header[8..].try_into().expect("eight"));
-        let Ok(content) = exactly(&mut stream, length + body + 4) else { return };
+        let Ok(content) = exactly(&mut stream, length + body + 4) else {
+            return;
+        };
         let (content_part, check) = content.split_at(length + body);
-        assert_eq!((header[0], check), (126, &crc32fast::hash(content_part).to_be_bytes()[..]));
+        assert_eq!(
+            (header[0], check),
+            (126, &crc32fast::hash(content_part).to_be_bytes()[..])
+        );
         let fields = String::from_utf8_lossy(&content_part[..length]).into_owned();
         let field = |name: &str| {
-            let found = fields.split(',').find_map(|p| p.strip_prefix(name)?.strip_prefix('='));
+            let found = fields
+                .split(',')
+                .find_map(|p| p.strip_prefix(name)?.strip_prefix('='));
             found.unwrap_or("-").to_owned()
         };
         match header[1] {
@@ -631,8 +761,11 @@
             }
             2 => {
                 assert_eq!(field("path"), FUNCTION);
-                let (class, key, body) =
-                    (field("queue"), field("uniq"), self::content(&content_part[length..]));
+                let (class, key, body) = (
+                    field("queue"),
+                    field("uniq"),
+                    self::content(&content_part[length..]),
+                );
                 let stream = stream.try_clone().expect("cloned");
                 let _ = seen.send(Call {
                     speech: Speech::Platform,
@@ -655,7 +788,11 @@
         let target = head.split(' ').nth(1).expect("a target").to_owned();
         let mut say = |body: &str| {
             let length = body.len();
-            write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}").expect("written");
+            write!(
+                stream,
+                "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}"
+            )
+            .expect("written");
         };
         if target.starts_with("/v2/repository/") {
             stands(orders, target != "/v2/repository/index");
@@ -692,7 +829,10 @@
         while !matches!(self.stream.peek(&mut [0]), Ok(0) | Err(_)) {
             std::thread::sleep(Duration::from_millis(10));
         }
-        assert!(since.elapsed() < PATIENCE, "{context}: it was open for long");
+        assert!(
+            since.elapsed() < PATIENCE,
+            "{context}: it was open for long"
+        );
     }
 
     fn answer(&self, answer: &[&str]) {
@@ -710,14 +850,29 @@
                 let data = format!(
                     r#"{{"parameters":{{"detail":"resident"}},"outputs":[{{"name":"body","shape":[1],"datatype":"BYTES","data":["{body}"]}}]}}"#
                 );
-                let body = if code == 200 { &data } else { r#"{"error":"no"}"# };
-                let told = if code == 203 { "Retry-After: 1\r\n" } else { "" };
-                format!("HTTP/1.1 {status}\r\n{told}Content-Length: {}\r\n\r\n{body}", body.len())
-                    .into_bytes()
+                let body = if code == 200 {
+                    &data
+                } else {
+                    r#"{"error":"no"}"#
+                };
+                let told = if code == 203 {
+                    "Retry-After: 1\r\n"
+                } else {
+                    ""
+                };
+                format!(
+                    "HTTP/1.1 {status}\r\n{told}Content-Length: {}\r\n\r\n{body}",
+                    body.len()
+                )
+                .into_bytes()
             }
         };
         let (half, last) = (*answer == ["half"], bytes.len() - 1);
-        let mut part = if half || *answer == ["stall"] { bytes[..last - 7].to_vec() } else { bytes };
+        let mut part = if half || *answer == ["stall"] {
+            bytes[..last - 7].to_vec()
+        } else {
+            bytes
+        };
         if *answer == ["spoilt"] {
             part[last] ^= 1;
         }
@@ -749,7 +904,10 @@
         let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("fleet-{}-{run}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder for the files");
-        let mut fleet = Fleet { nodes: Vec::new(), folder };
+        let mut fleet = Fleet {
+            nodes: Vec::new(),
+            folder,
+        };
         for i in 0..n {
             let seed = fleet.nodes.first().map(|n: &Node| n.gossip);
             let node = fleet.start(i, "127.0.0.1:0".parse().expect("an address"), seed);
@@ -784,15 +942,26 @@
         let (mut gossip, mut door) = (None, None);
         while gossip.is_none() || door.is_none() {
             let line = lines.next().expect("a line of the log").expect("text");
-            let address = || line.rsplit_once(" listens on ").map(|(_, a)| a.parse().expect("an address"));
+            let address = || {
+                line.rsplit_once(" listens on ")
+                    .map(|(_, a)| a.parse().expect("an address"))
+            };
             if line.contains("gossip listens on") {
                 gossip = address();
             } else if line.contains("the operators' door listens on") {
                 door = address();
             }
         }
-        std::thread::spawn(move || lines.map_while(Result::ok).for_each(|line| eprintln!("  f{i}: {line}")));
-        Node { child, door: door.expect("read"), gossip: gossip.expect("read") }
+        std::thread::spawn(move || {
+            lines
+                .map_while(Result::ok)
+                .for_each(|line| eprintln!("  f{i}: {line}"))
+        });
+        Node {
+            child,
+            door: door.expect("read"),
+            gossip: gossip.expect("read"),
+        }
     }
 
     /// Ends process `i` at once, as a crash would.
--- a/wrenseam/tests/descriptors.rs
+++ b/wrenseam/tests/descriptors.rs
@@ -16,7 +16,9 @@
     std::thread::spawn(move || {
         let (mut open, since) = (VecDeque::new(), Instant::now());
         while !stop.load(Ordering::Acquire) && since.elapsed() < Duration::from_secs(30) {
-            let Ok(stream) = TcpStream::connect_timeout(&front, Duration::from_secs(1)) else { continue };
+            let Ok(stream) = TcpStream::connect_timeout(&front, Duration::from_secs(1)) else {
+                continue;
+            };
             dialled.fetch_add(1, Ordering::AcqRel);
             open.push_back(stream);
             if open.len() > most {
@@ -42,7 +44,8 @@
     ];
     let mut stream = connect(stage.front);
     let sent = stream.write_all(&fastcgi(1, &params, b"x")).is_ok();
-    sent && stage.answered("tile-render") && fastcgi_answer(&mut stream).is_ok_and(|a| a.0.contains(" 200 "))
+    sent && stage.answered("tile-render")
+        && fastcgi_answer(&mut stream).is_ok_and(|a| a.0.contains(" 200 "))
 }
 
 #[rstest]
@@ -51,12 +54,29 @@
 #[case::at_1024(1024)]
 fn clients_that_fill_the_descriptors_leave_some_for_board_and_workers(#[case] sockets: usize) {
     // The board's address is bound and nobody listens there: it is down, and nobody else can take its port.
-    let board = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    board.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("bound");
-    let address = board.local_addr().expect("bound").as_socket().expect("an address");
+    let board =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    board
+        .bind(
+            &"127.0.0.1:0"
+                .parse::<SocketAddr>()
+                .expect("an address")
+                .into(),
+        )
+        .expect("bound");
+    let address = board
+        .local_addr()
+        .expect("bound")
+        .as_socket()
+        .expect("an address");
     let limit = format!(r#""sockets":{sockets}"#);
-    let stage =
-        Stage::with(Speech::Platform, &[(r#""sockets":256"#, &limit), ("BOARD", &address.to_string())]);
+    let stage = Stage::with(
+        Speech::Platform,
+        &[
+            (r#""sockets":256"#, &limit),
+            ("BOARD", &address.to_string()),
+        ],
+    );
     let (stop, dialled): (Arc<AtomicBool>, Arc<AtomicUsize>) = Default::default();
     for _ in 0..2 {
         dial(stage.front, sockets, stop.clone(), dialled.clone());
@@ -72,16 +92,28 @@
     // One that the program gave up while it stood in the queue says nothing: the next is taken.
     let asks = |mut call: TcpStream| {
         let mut head = [0; 64];
-        call.read(&mut head).is_ok_and(|n| head[..n].starts_with(b"GET /board/poll")).then_some(call)
+        call.read(&mut head)
+            .is_ok_and(|n| head[..n].starts_with(b"GET /board/poll"))
+            .then_some(call)
     };
-    let _call = board.incoming().map_while(Result::ok).find_map(asks).expect("called");
+    let _call = board
+        .incoming()
+        .map_while(Result::ok)
+        .find_map(asks)
+        .expect("called");
     let called = back.elapsed();
-    assert!(called < Duration::from_secs(2), "called {called:?} after it was back");
+    assert!(
+        called < Duration::from_secs(2),
+        "called {called:?} after it was back"
+    );
     // Nothing was sent to any worker yet: the connection is new.
     let since = Instant::now();
     let mut tries = 1;
     while !served(&stage, tries) {
-        assert!(since.elapsed() < Duration::from_secs(10), "no call came to a worker");
+        assert!(
+            since.elapsed() < Duration::from_secs(10),
+            "no call came to a worker"
+        );
         most = most.max(descriptors(stage.pid()));
         tries += 1;
     }
--- a/wrenseam/tests/door.rs
+++ b/wrenseam/tests/door.rs
@@ -8,7 +8,9 @@
 
 fn health(stage: &Stage) -> String {
     let mut stream = connect(stage.front);
-    stream.write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b"")).expect("written");
+    stream
+        .write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""))
+        .expect("written");
     fastcgi_answer(&mut stream).expect("an answer").0
 }
 
@@ -49,13 +51,19 @@
 fn a_drain_closes_idle_client_connections() {
     let stage = Stage::new(Speech::Platform);
     let mut kept = connect(stage.front);
-    kept.write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b"")).expect("written");
+    kept.write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""))
+        .expect("written");
     fastcgi_answer(&mut kept).expect("an answer");
     assert!(door(stage.door, "evacuate\n").starts_with("YES"));
     let since = Instant::now();
-    kept.set_read_timeout(Some(Duration::from_secs(3))).expect("a time-out");
+    kept.set_read_timeout(Some(Duration::from_secs(3)))
+        .expect("a time-out");
     assert_eq!(kept.read(&mut [0; 16]).unwrap_or(1), 0, "closed");
-    assert!(since.elapsed() < Duration::from_millis(1_500), "closed after {:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_millis(1_500),
+        "closed after {:?}",
+        since.elapsed()
+    );
 }
 
 /// Callers that never finish a line, or send too much, hold up nobody; they are closed without a word.
@@ -67,12 +75,18 @@
     let _ = long.write_all(&[b'x'; 300]);
     let since = Instant::now();
     assert!(door(stage.door, "readyz\n").starts_with("YES"));
-    assert!(since.elapsed() < Duration::from_millis(500), "answered after {:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_millis(500),
+        "answered after {:?}",
+        since.elapsed()
+    );
     let mut told = String::new();
     let _ = long.read_to_string(&mut told);
     assert_eq!(told, "");
     for mut caller in silent {
-        caller.set_read_timeout(Some(Duration::from_secs(3))).expect("a time-out");
+        caller
+            .set_read_timeout(Some(Duration::from_secs(3)))
+            .expect("a time-out");
         assert_eq!(caller.read(&mut [0; 16]).unwrap_or(1), 0, "closed");
     }
 }
@@ -100,7 +114,10 @@
 fn telemetry_tells_what_was_done() {
     let stage = Stage::new(Speech::Platform);
     let before = door(stage.door, "telemetry\n");
-    assert!(before.contains("app.downstream_requests.tile-render.completed:0|c\n"), "{before}");
+    assert!(
+        before.contains("app.downstream_requests.tile-render.completed:0|c\n"),
+        "{before}"
+    );
     stage.play(
         Speech::Platform,
         "
--- a/wrenseam/tests/eviction.rs
+++ b/wrenseam/tests/eviction.rs
@@ -38,7 +38,8 @@
             );
             let length = body.len();
             let path = format!("/v2/models/{FUNCTION}/infer");
-            format!("POST {path} HTTP/1.1\r\nHost: t\r\nContent-Length: {length}\r\n\r\n{body}").into_bytes()
+            format!("POST {path} HTTP/1.1\r\nHost: t\r\nContent-Length: {length}\r\n\r\n{body}")
+                .into_bytes()
         }
     }
 }
@@ -69,26 +70,53 @@
 /// first, and looks for a connection to end: the one with the request is read and answered, and ended is one on which
 /// nothing lies. A client whose connection closes sends its request once more, as the platform's clients do.
 #[rstest]
-fn a_request_that_crosses_an_eviction_runs_once(#[values(Speech::Platform, Speech::Kserve)] front: Speech) {
+fn a_request_that_crosses_an_eviction_runs_once(
+    #[values(Speech::Platform, Speech::Kserve)] front: Speech,
+) {
     let unsafe_class = (r#""effect":"retryable""#, r#""effect":"fragile""#);
-    let stage = Stage::with(Speech::Platform, &[(r#""sockets":256"#, r#""sockets":64"#), unsafe_class]);
-    let address = if front == Speech::Platform { stage.front } else { stage.kserve };
-    let mut held: Vec<TcpStream> = (0..CONNECTIONS).map(|n| proven(front, address, n as u16 + 1)).collect();
+    let stage = Stage::with(
+        Speech::Platform,
+        &[(r#""sockets":256"#, r#""sockets":64"#), unsafe_class],
+    );
+    let address = if front == Speech::Platform {
+        stage.front
+    } else {
+        stage.kserve
+    };
+    let mut held: Vec<TcpStream> = (0..CONNECTIONS)
+        .map(|n| proven(front, address, n as u16 + 1))
+        .collect();
     assert_eq!(stage.calls_come(), []);
     stage.signal("-STOP");
     let mut newcomer = connect(address);
-    held[0].write_all(&request(front, CROSSING, 900)).expect("written");
+    held[0]
+        .write_all(&request(front, CROSSING, 900))
+        .expect("written");
     stage.signal("-CONT");
     let answered = is_answered(front, &mut held[0]);
     if !answered {
         held[0] = connect(address);
-        held[0].write_all(&request(front, CROSSING, 900)).expect("written");
+        held[0]
+            .write_all(&request(front, CROSSING, 900))
+            .expect("written");
         assert!(is_answered(front, &mut held[0]), "at the second try");
     }
-    assert_eq!(stage.calls_come(), [u64::from(CROSSING)], "calls at workers");
-    assert!(answered, "its connection was closed under a request that had been read");
-    newcomer.write_all(&request(front, 101, 1)).expect("written");
-    assert!(is_answered(front, &mut newcomer), "room was made for the newcomer");
+    assert_eq!(
+        stage.calls_come(),
+        [u64::from(CROSSING)],
+        "calls at workers"
+    );
+    assert!(
+        answered,
+        "its connection was closed under a request that had been read"
+    );
+    newcomer
+        .write_all(&request(front, 101, 1))
+        .expect("written");
+    assert!(
+        is_answered(front, &mut newcomer),
+        "room was made for the newcomer"
+    );
 }
 
 /// An answer is on its way before its request stops being owed. In the other order a connection that closes once
@@ -102,8 +130,14 @@
     let queued = AtomicBool::new(false);
     occupant.answered(true, || {
         assert!(!occupant.is_idle(), "idle before its answer is queued");
-        let drained = Limits { client_idle: Duration::ZERO, ..limits() };
-        assert!(!occupant.outstayed(&drained), "to be closed before its answer is queued");
+        let drained = Limits {
+            client_idle: Duration::ZERO,
+            ..limits()
+        };
+        assert!(
+            !occupant.outstayed(&drained),
+            "to be closed before its answer is queued"
+        );
         queued.store(true, Ordering::Release);
     });
     assert!(queued.load(Ordering::Acquire) && occupant.is_idle());
--- a/wrenseam/tests/fleet_average.rs
+++ b/wrenseam/tests/fleet_average.rs
@@ -15,7 +15,10 @@
 }
 
 fn peer(i: usize) -> PeerId {
-    PeerId { addr: addr(i), incarnation: 5 }
+    PeerId {
+        addr: addr(i),
+        incarnation: 5,
+    }
 }
 
 /// However large the fleet, and whoever is in it: each edge is held by both ends and asked over by one.
@@ -24,7 +27,10 @@
     let all = || (0..n).map(|i| addr(i * 7));
     let of: Vec<_> = (0..n).map(|i| neighbours(addr(i * 7), all())).collect();
     for (i, mine) in of.iter().enumerate() {
-        assert!(mine.len() <= 2 * RINGS && mine.values().filter(|asks| **asks).count() <= RINGS, "{mine:?}");
+        assert!(
+            mine.len() <= 2 * RINGS && mine.values().filter(|asks| **asks).count() <= RINGS,
+            "{mine:?}"
+        );
         assert!(!mine.is_empty() && !mine.contains_key(&addr(i * 7)));
         for (j, theirs) in of.iter().enumerate().filter(|(j, _)| *j != i) {
             let (here, there) = (mine.get(&addr(j * 7)), theirs.get(&addr(i * 7)));
@@ -40,8 +46,17 @@
 #[case::v4("10.1.2.3:7946", 39)]
 #[case::v6("[fd00::7]:9", 51)]
 fn an_exchange_round_trips_and_any_flipped_bit_is_caught(#[case] addr: &str, #[case] long: usize) {
-    let from = PeerId { addr: addr.parse().expect("an address"), incarnation: u64::MAX - 2 };
-    let x = Exchange { answer: true, from, seq: 77, flow: -4_000_000, estimate: 123 };
+    let from = PeerId {
+        addr: addr.parse().expect("an address"),
+        incarnation: u64::MAX - 2,
+    };
+    let x = Exchange {
+        answer: true,
+        from,
+        seq: 77,
+        flow: -4_000_000,
+        estimate: 123,
+    };
     let good = x.encode(&HEADER);
     assert_eq!((Exchange::decode(&good), good.len()), (Some(x), long));
     for bit in 0..8 * good.len() {
@@ -83,7 +98,9 @@
                     break;
                 }
                 for (to, bytes) in out {
-                    let to = (0..self.averages.len()).find(|&i| addr(i) == to).expect("a member");
+                    let to = (0..self.averages.len())
+                        .find(|&i| addr(i) == to)
+                        .expect("a member");
                     for _ in 0..way(&Exchange::decode(&bytes).expect("ours")) {
                         self.averages[to].datagram(self.now, &bytes);
                     }
@@ -105,7 +122,8 @@
 #[case::all_twice(|_, _| 2)]
 #[case::a_third_lost_a_third_twice(|_, chance| chance as usize % 3)]
 fn no_fault_of_the_net_makes_or_takes_pressure(
-    #[values(2, 3, 9)] n: usize, #[case] way: fn(Exchange, u32) -> usize,
+    #[values(2, 3, 9)] n: usize,
+    #[case] way: fn(Exchange, u32) -> usize,
 ) {
     let (mut wire, mut rng) = (Wire::new(n), SmallRng::seed_from_u64(1));
     wire.run(10_000, &mut |x| way(*x, rng.random()));
@@ -127,7 +145,10 @@
     // Nothing of the sixth is heard: the others' mean is 0 to 4000, though it is still a member.
     assert_eq!(wire.told()[..5], [2000; 5]);
     if back {
-        let incarnation = PeerId { incarnation: 6, ..peer(5) };
+        let incarnation = PeerId {
+            incarnation: 6,
+            ..peer(5)
+        };
         wire.averages[5] = Average::new(incarnation, 7, 500 * MS, 50);
         wire.averages[5].members(wire.now, (0..6).map(addr));
         wire.run(5_000, &mut |_| 1);
@@ -152,7 +173,8 @@
     AverageDropped { garbled: 0, stale: 0, stranger: 1 }
 )]
 fn what_cannot_be_taken_is_counted_and_moves_nothing(
-    #[case] bad: fn(Exchange) -> Vec<u8>, #[case] want: AverageDropped,
+    #[case] bad: fn(Exchange) -> Vec<u8>,
+    #[case] want: AverageDropped,
 ) {
     let mut wire = Wire::new(2);
     let mut last = None;
@@ -163,14 +185,24 @@
     let last = last.expect("asks went");
     let to = usize::from(last.from == peer(0));
     let before = wire.averages[to].dropped;
-    wire.averages[to].datagram(wire.now, &bad(Exchange { flow: 4_000_000, estimate: 0, ..last }));
+    wire.averages[to].datagram(
+        wire.now,
+        &bad(Exchange {
+            flow: 4_000_000,
+            estimate: 0,
+            ..last
+        }),
+    );
     let after = wire.averages[to].dropped;
     let more = AverageDropped {
         garbled: after.garbled - before.garbled,
         stale: after.stale - before.stale,
         stranger: after.stranger - before.stranger,
     };
-    assert_eq!((more, wire.told(), wire.averages[to].outbox().len()), (want, vec![500, 500], 0));
+    assert_eq!(
+        (more, wire.told(), wire.averages[to].outbox().len()),
+        (want, vec![500, 500], 0)
+    );
 }
 
 /// A neighbour's claims of flow and estimate count up to the clamp, whatever they are.
@@ -187,23 +219,44 @@
     });
     let last = last.expect("asks went");
     let to = usize::from(last.from == peer(0));
-    let lie = Exchange { seq: last.seq.wrapping_add(1), flow, estimate, ..last };
+    let lie = Exchange {
+        seq: last.seq.wrapping_add(1),
+        flow,
+        estimate,
+        ..last
+    };
     wire.averages[to].datagram(wire.now, &lie.encode(&HEADER));
     let answer = Exchange::decode(&wire.averages[to].outbox()[0].1).expect("an answer");
     assert!(answer.flow.unsigned_abs() <= MAX_FLOW * 1000, "{answer:?}");
-    assert!((0..=most as i32 * 1000).contains(&answer.estimate), "{answer:?}");
+    assert!(
+        (0..=most as i32 * 1000).contains(&answer.estimate),
+        "{answer:?}"
+    );
 }
 
 /// A summary from a front end of before: what it claims counts up to the clamp, for its part of the mean.
 #[rstest]
 #[case(4, u32::MAX, 1600)]
 #[case(4, 500, 100)]
-fn a_claim_in_a_summary_counts_up_to_the_clamp(#[case] peers: u16, #[case] claim: u32, #[case] want: u32) {
+fn a_claim_in_a_summary_counts_up_to_the_clamp(
+    #[case] peers: u16,
+    #[case] claim: u32,
+    #[case] want: u32,
+) {
     let mut held = Summaries::new(8, 1_000_000);
     for p in 0..peers {
         let origin = Some(SocketAddr::from(([10, 0, 0, 1], p)));
         let pressure = if p == 0 { claim } else { 0 };
-        held.offer(0, addr(9), Summary { origin, seq: 1, pressure, ..Summary::default() });
+        held.offer(
+            0,
+            addr(9),
+            Summary {
+                origin,
+                seq: 1,
+                pressure,
+                ..Summary::default()
+            },
+        );
     }
     assert_eq!(held.pressure(0, 0), want);
 }
@@ -213,8 +266,11 @@
 #[case::off(r#","summaries":false"#, Ok(false))]
 #[case::no_flag(r#","summaries":"no""#, Err("'summaries' is neither true nor false"))]
 fn the_key_for_summaries_is_checked(#[case] more: &str, #[case] want: Result<bool, &str>) {
-    let path =
-        std::env::temp_dir().join(format!("wrenseam-fleet-{}-{}.json", std::process::id(), more.len()));
+    let path = std::env::temp_dir().join(format!(
+        "wrenseam-fleet-{}-{}.json",
+        std::process::id(),
+        more.len()
+    ));
     std::fs::write(&path, format!(r#"{{"listen":"127.0.0.1:0"{more}}}"#)).expect("written");
     let read = Fleet::read(&path.to_string_lossy()).map(|f| f.summaries);
     std::fs::remove_file(&path).expect("removed");
--- a/wrenseam/tests/fleet_budget.rs
+++ b/wrenseam/tests/fleet_budget.rs
@@ -10,12 +10,24 @@
 #[case::a_fifth_of_a_hundred(0.2, 0.0, 100, 20)]
 #[case::floor_alone_for_one(0.2, 1.0, 0, 10)]
 #[case::floor_and_ratio(0.1, 1.0, 50, 15)]
-fn extras_stop_at_the_bound(#[case] ratio: f64, #[case] floor: f64, #[case] firsts: u32, #[case] want: u32) {
+fn extras_stop_at_the_bound(
+    #[case] ratio: f64,
+    #[case] floor: f64,
+    #[case] firsts: u32,
+    #[case] want: u32,
+) {
     let mut b = RetryBudget::new(ratio, floor, 10 * S);
     (0..firsts).for_each(|_| b.first(S));
     let let_through = (0..1000).filter(|_| b.extra(S, 1)).count() as u32;
     assert_eq!(let_through, want);
-    assert_eq!(b.spent(S), Spent { firsts, extras: want, denied: 1000 - want });
+    assert_eq!(
+        b.spent(S),
+        Spent {
+            firsts,
+            extras: want,
+            denied: 1000 - want
+        }
+    );
 }
 
 #[rstest]
@@ -37,7 +49,14 @@
     b.first(11 * S);
     b.first(11 * S);
     assert!(b.extra(11 * S, 1));
-    assert_eq!(b.spent(11 * S), Spent { firsts: 2, extras: 1, denied: 1 });
+    assert_eq!(
+        b.spent(11 * S),
+        Spent {
+            firsts: 2,
+            extras: 1,
+            denied: 1
+        }
+    );
 }
 
 #[rstest]
--- a/wrenseam/tests/fleet_gate.rs
+++ b/wrenseam/tests/fleet_gate.rs
@@ -31,9 +31,20 @@
 #[case::one_of_three(2, 1, 100 + 10 + 10)]
 #[case::one_of_thirty(29, 1, 100 + 10 + 1)]
 #[case::cut_off_but_expected_three(0, 3, 100 + 10 + 10)]
-fn a_storm_stays_within_the_budget(#[case] peers: usize, #[case] expected: usize, #[case] want: u32) {
+fn a_storm_stays_within_the_budget(
+    #[case] peers: usize,
+    #[case] expected: usize,
+    #[case] want: u32,
+) {
     let mut gate = Gate::new(&fleet(0.1, 3.0, expected), &Settings::default(), 1);
-    gate.news(0, FleetNews { alive: peers, by_lifecycle: [0, peers, 0, 0], ..FleetNews::default() });
+    gate.news(
+        0,
+        FleetNews {
+            alive: peers,
+            by_lifecycle: [0, peers, 0, 0],
+            ..FleetNews::default()
+        },
+    );
     let mut sent = 0;
     for request in 0..100u64 {
         for try_ in 0..5 {
@@ -42,5 +53,8 @@
     }
     assert_eq!(sent, want);
     let s = gate.summary(1_000_000, 0);
-    assert_eq!((s.firsts, s.extras + s.firsts, s.denied), (100, want, 500 - want));
+    assert_eq!(
+        (s.firsts, s.extras + s.firsts, s.denied),
+        (100, want, 500 - want)
+    );
 }
--- a/wrenseam/tests/fleet_records.rs
+++ b/wrenseam/tests/fleet_records.rs
@@ -18,19 +18,35 @@
 }
 
 fn id(i: usize, incarnation: u64) -> PeerId {
-    PeerId { addr: addr(i), incarnation }
+    PeerId {
+        addr: addr(i),
+        incarnation,
+    }
 }
 
 /// A record of member `i` whose content depends on `content` alone.
 fn record(i: usize, incarnation: u64, version: u32, content: u64) -> Record {
-    let facts = Facts { lifecycle: Lifecycle::Ready, config_digest: content, ..Facts::default() };
-    Record { owner: addr(i), stamp: Stamp { incarnation, version }, facts }
+    let facts = Facts {
+        lifecycle: Lifecycle::Ready,
+        config_digest: content,
+        ..Facts::default()
+    };
+    Record {
+        owner: addr(i),
+        stamp: Stamp {
+            incarnation,
+            version,
+        },
+        facts,
+    }
 }
 
 /// Member 0 at (5, 3) with content 1, which holds member 1 at (5, 3) with content 1, in this liveness.
 fn directory(liveness: Option<Liveness>) -> Directory {
     let mut directory = Directory::new(record(0, 5, 3, 1));
-    let Some(liveness) = liveness else { return directory };
+    let Some(liveness) = liveness else {
+        return directory;
+    };
     directory.up(0, id(1, 5));
     assert!(directory.offer(record(1, 5, 3, 1)));
     if liveness == Liveness::Left {
@@ -78,12 +94,26 @@
 #[case::ours_held_as_down(None, (0, 5, 3, Down, 1), Outbid)]
 #[case::ours_before_held_as_down(None, (0, 4, 3, Down, 1), Behind)]
 fn which_claim_wins(
-    #[case] held: Option<Liveness>, #[case] claim: (usize, u64, u32, Liveness, u64), #[case] want: Verdict,
+    #[case] held: Option<Liveness>,
+    #[case] claim: (usize, u64, u32, Liveness, u64),
+    #[case] want: Verdict,
 ) {
     let (owner, incarnation, version, liveness, content) = claim;
-    let checksum = if content == 0 { 0 } else { record(owner, 5, 3, content).facts.checksum() };
+    let checksum = if content == 0 {
+        0
+    } else {
+        record(owner, 5, 3, content).facts.checksum()
+    };
     // The tie of equal stamps goes by checksum, whichever is larger.
-    let claim = Claim { owner: addr(owner), stamp: Stamp { incarnation, version }, liveness, checksum };
+    let claim = Claim {
+        owner: addr(owner),
+        stamp: Stamp {
+            incarnation,
+            version,
+        },
+        liveness,
+        checksum,
+    };
     assert_eq!(directory(held).weigh(&claim), want);
 }
 
@@ -108,11 +138,15 @@
 #[test]
 fn any_order_of_deliveries_ends_the_same() {
     let mut rng = SmallRng::seed_from_u64(1);
-    let all: Vec<Record> = (0..24).map(|n| record(1, 5 + n / 8, 1 + (n % 8) as u32, n)).collect();
+    let all: Vec<Record> = (0..24)
+        .map(|n| record(1, 5 + n / 8, 1 + (n % 8) as u32, n))
+        .collect();
     let want = directory_with(&all);
     for _ in 0..200 {
-        let order: Vec<Record> =
-            (0..60).map(|_| all[rng.random_range(0..all.len())].clone()).chain(all.last().cloned()).collect();
+        let order: Vec<Record> = (0..60)
+            .map(|_| all[rng.random_range(0..all.len())].clone())
+            .chain(all.last().cloned())
+            .collect();
         assert_eq!(directory_with(&order), want);
     }
 }
@@ -120,7 +154,10 @@
 fn directory_with(order: &[Record]) -> (u64, Option<Record>) {
     let mut directory = directory(None);
     for record in order {
-        if directory.claim(addr(1)).is_none_or(|held| held.stamp.incarnation < record.stamp.incarnation) {
+        if directory
+            .claim(addr(1))
+            .is_none_or(|held| held.stamp.incarnation < record.stamp.incarnation)
+        {
             directory.up(0, record.id());
         }
         directory.offer(record.clone());
@@ -141,8 +178,19 @@
 }
 
 fn with_entries(count: usize, value: usize) -> Facts {
-    let entry = |n: usize| (format!("name-{n:02}"), Entry { version: 1, value: "x".repeat(value) });
-    Facts { entries: (0..count).map(entry).collect(), ..Facts::default() }
+    let entry = |n: usize| {
+        (
+            format!("name-{n:02}"),
+            Entry {
+                version: 1,
+                value: "x".repeat(value),
+            },
+        )
+    };
+    Facts {
+        entries: (0..count).map(entry).collect(),
+        ..Facts::default()
+    }
 }
 
 #[rstest]
@@ -153,7 +201,14 @@
 #[case::a_long_zone(Facts { zone: "z".repeat(65), ..Facts::default() }, Some(RecordError::NameTooLong(65)))]
 #[case::a_value_of_any_text(Facts { zone: "zona-ñ".to_owned(), ..Facts::default() }, None)]
 fn a_record_is_bounded(#[case] facts: Facts, #[case] want: Option<RecordError>) {
-    let record = Record { owner: addr(1), stamp: Stamp { incarnation: 5, version: 3 }, facts };
+    let record = Record {
+        owner: addr(1),
+        stamp: Stamp {
+            incarnation: 5,
+            version: 3,
+        },
+        facts,
+    };
     match (record.encode(), want) {
         (Ok(bytes), None) => {
             assert!(bytes.len() <= MAX_RECORD_BYTES);
@@ -171,24 +226,57 @@
 #[case::an_endless_incarnation(|b: &mut Vec<u8>| b[7] = 0xff, RecordError::IncarnationOutOfRange(0xff00_0000_0000_0005))]
 #[case::no_text(|b: &mut Vec<u8>| b[30] = 0xff, RecordError::NotText)]
 fn what_is_no_record_is_refused(#[case] spoil: fn(&mut Vec<u8>), #[case] want: RecordError) {
-    let facts = Facts { zone: "z".to_owned(), ..Facts::default() };
-    let record = Record { owner: addr(1), stamp: Stamp { incarnation: 5, version: 3 }, facts };
+    let facts = Facts {
+        zone: "z".to_owned(),
+        ..Facts::default()
+    };
+    let record = Record {
+        owner: addr(1),
+        stamp: Stamp {
+            incarnation: 5,
+            version: 3,
+        },
+        facts,
+    };
     let mut bytes = record.encode().expect("small");
     spoil(&mut bytes);
     assert_eq!(Record::decode(&bytes), Err(want));
 }
 
 fn messages() -> Vec<Message> {
-    let claim =
-        Claim { owner: addr(3), stamp: Stamp { incarnation: 5, version: 3 }, liveness: Left, checksum: 9 };
-    let present = Message::Present { record: Box::new(record(1, 5, 3, 1)), origin: addr(2) };
+    let claim = Claim {
+        owner: addr(3),
+        stamp: Stamp {
+            incarnation: 5,
+            version: 3,
+        },
+        liveness: Left,
+        checksum: 9,
+    };
+    let present = Message::Present {
+        record: Box::new(record(1, 5, 3, 1)),
+        origin: addr(2),
+    };
     vec![
         Message::Digest([7; 16]),
-        Message::Hashes { parts: 0x8001, hashes: vec![1, u32::MAX] },
-        Message::Claims { unmatched: vec![4], claims: vec![claim; 3] },
-        Message::Records { news: true, records: vec![record(1, 5, 3, 1), record(2, 5, 3, 2)] },
+        Message::Hashes {
+            parts: 0x8001,
+            hashes: vec![1, u32::MAX],
+        },
+        Message::Claims {
+            unmatched: vec![4],
+            claims: vec![claim; 3],
+        },
+        Message::Records {
+            news: true,
+            records: vec![record(1, 5, 3, 1), record(2, 5, 3, 2)],
+        },
         Message::Wanted(vec![addr(1), "[fd00::7]:9".parse().expect("an address")]),
-        Message::Inquiry { about: id(1, 5), gone: true, origin: addr(2) },
+        Message::Inquiry {
+            about: id(1, 5),
+            gone: true,
+            origin: addr(2),
+        },
         present,
     ]
 }
@@ -197,13 +285,20 @@
 fn datagrams_round_trip_and_any_flipped_bit_is_caught() {
     let header = header(RECORDS_VERSION, CLUSTER);
     for message in messages() {
-        let envelope = Envelope { from: id(4, 5), message };
+        let envelope = Envelope {
+            from: id(4, 5),
+            message,
+        };
         let good = envelope.encode(&header).expect("small");
         assert_eq!(Envelope::decode(&good), Ok(envelope));
         for bit in 0..8 * good.len() {
             let mut bad = good.clone();
             bad[bit / 8] ^= 1 << (bit % 8);
-            assert_eq!(Envelope::decode(&bad), Err(MessageError::Checksum), "bit {bit}");
+            assert_eq!(
+                Envelope::decode(&bad),
+                Err(MessageError::Checksum),
+                "bit {bit}"
+            );
         }
         (0..good.len()).for_each(|cut| assert!(Envelope::decode(&good[..cut]).is_err()));
     }
@@ -222,12 +317,20 @@
 }
 
 fn members() -> Members {
-    let facts = Facts { lifecycle: Lifecycle::Ready, ..Facts::default() };
+    let facts = Facts {
+        lifecycle: Lifecycle::Ready,
+        ..Facts::default()
+    };
     Members::new(id(0, 5), facts, settings(), 1)
 }
 
 /// Hands `members` a message of member `from`; what it answers, with whom to.
-fn tell(members: &mut Members, now: u64, from: PeerId, message: Message) -> Vec<(SocketAddr, Message)> {
+fn tell(
+    members: &mut Members,
+    now: u64,
+    from: PeerId,
+    message: Message,
+) -> Vec<(SocketAddr, Message)> {
     let header = header(RECORDS_VERSION, CLUSTER);
     let bytes = Envelope { from, message }.encode(&header).expect("small");
     members.datagram(now, &bytes);
@@ -236,11 +339,15 @@
 
 fn answers(members: &mut Members) -> Vec<(SocketAddr, Message)> {
     let out = members.outbox().into_iter();
-    out.filter_map(|out| Some((out.to, Envelope::decode(&out.bytes).ok()?.message))).collect()
+    out.filter_map(|out| Some((out.to, Envelope::decode(&out.bytes).ok()?.message)))
+        .collect()
 }
 
 fn news(record: Record) -> Message {
-    Message::Records { news: true, records: vec![record] }
+    Message::Records {
+        news: true,
+        records: vec![record],
+    }
 }
 
 /// Our own stamp after what others say of us: always larger than theirs, and unchanged by what is past.
@@ -259,7 +366,13 @@
     tell(&mut members, MS, id(1, 5), said);
     let own = members.directory().own().clone();
     assert_eq!((own.stamp.incarnation, own.stamp.version), want);
-    assert_eq!(own.facts, Facts { lifecycle: Lifecycle::Ready, ..Facts::default() });
+    assert_eq!(
+        own.facts,
+        Facts {
+            lifecycle: Lifecycle::Ready,
+            ..Facts::default()
+        }
+    );
 }
 
 /// What follows from each message about member 1, known alive at incarnation 5: its liveness, and its incarnation.
@@ -274,24 +387,45 @@
 fn which_state_follows(#[case] said: Option<Message>, #[case] want: Option<(u64, Liveness)>) {
     let mut members = members();
     tell(&mut members, MS, id(2, 5), news(record(1, 5, 1, 1)));
-    said.into_iter().for_each(|said| drop(tell(&mut members, 2 * MS, id(2, 5), said)));
-    let held = members.directory().claim(addr(1)).map(|claim| (claim.stamp.incarnation, claim.liveness));
+    said.into_iter()
+        .for_each(|said| drop(tell(&mut members, 2 * MS, id(2, 5), said)));
+    let held = members
+        .directory()
+        .claim(addr(1))
+        .map(|claim| (claim.stamp.incarnation, claim.liveness));
     assert_eq!(held, want);
-    let downs = members.events().into_iter().filter(|(_, event)| matches!(event, PeerEvent::Down(_)));
+    let downs = members
+        .events()
+        .into_iter()
+        .filter(|(_, event)| matches!(event, PeerEvent::Down(_)));
     assert_eq!(downs.count(), 0);
 }
 
 fn leaving(i: usize, incarnation: u64) -> Record {
-    let facts = Facts { lifecycle: Lifecycle::Leaving, ..Facts::default() };
-    Record { facts, ..record(i, incarnation, 9, 1) }
+    let facts = Facts {
+        lifecycle: Lifecycle::Leaving,
+        ..Facts::default()
+    };
+    Record {
+        facts,
+        ..record(i, incarnation, 9, 1)
+    }
 }
 
 fn claims(i: usize, incarnation: u64, liveness: Liveness) -> Message {
-    let stamp = Stamp { incarnation, version: 1 };
+    let stamp = Stamp {
+        incarnation,
+        version: 1,
+    };
     let checksum = record(i, incarnation, 1, 1).facts.checksum();
     Message::Claims {
         unmatched: Vec::new(),
-        claims: vec![Claim { owner: addr(i), stamp, liveness, checksum }],
+        claims: vec![Claim {
+            owner: addr(i),
+            stamp,
+            liveness,
+            checksum,
+        }],
     }
 }
 
@@ -318,17 +452,44 @@
     let mut members = members();
     tell(&mut members, MS, id(1, 5), news(record(1, 5, 1, 1)));
     let told = tell(&mut members, 2 * MS, id(2, 5), claims(1, 5, Down));
-    let inquiry = Message::Inquiry { about: id(1, 5), gone: true, origin: addr(0) };
+    let inquiry = Message::Inquiry {
+        about: id(1, 5),
+        gone: true,
+        origin: addr(0),
+    };
     assert!(told.contains(&(addr(1), inquiry)), "{told:?}");
-    let of_another = Message::Inquiry { about: id(1, 5), gone: false, origin: addr(2) };
-    assert_eq!(tell(&mut members, 3 * MS, id(2, 5), of_another.clone()), [(addr(1), of_another.clone())]);
+    let of_another = Message::Inquiry {
+        about: id(1, 5),
+        gone: false,
+        origin: addr(2),
+    };
+    assert_eq!(
+        tell(&mut members, 3 * MS, id(2, 5), of_another.clone()),
+        [(addr(1), of_another.clone())]
+    );
     assert_eq!(tell(&mut members, 4 * MS, id(3, 5), of_another), []);
     let own = Box::new(members.directory().own().clone());
-    let of_us = Message::Inquiry { about: id(0, 5), gone: false, origin: addr(2) };
-    let present = Message::Present { record: own, origin: addr(2) };
-    assert_eq!(tell(&mut members, 5 * MS, id(2, 5), of_us), [(addr(2), present)]);
-    let passed = Message::Present { record: Box::new(record(1, 5, 1, 1)), origin: addr(2) };
-    assert_eq!(tell(&mut members, 6 * MS, id(1, 5), passed.clone()), [(addr(2), passed.clone())]);
+    let of_us = Message::Inquiry {
+        about: id(0, 5),
+        gone: false,
+        origin: addr(2),
+    };
+    let present = Message::Present {
+        record: own,
+        origin: addr(2),
+    };
+    assert_eq!(
+        tell(&mut members, 5 * MS, id(2, 5), of_us),
+        [(addr(2), present)]
+    );
+    let passed = Message::Present {
+        record: Box::new(record(1, 5, 1, 1)),
+        origin: addr(2),
+    };
+    assert_eq!(
+        tell(&mut members, 6 * MS, id(1, 5), passed.clone()),
+        [(addr(2), passed.clone())]
+    );
     assert_eq!(tell(&mut members, 7 * MS, id(3, 5), passed), []);
 }
 
@@ -338,14 +499,29 @@
     let mut members = members();
     tell(&mut members, MS, id(1, 5), news(record(1, 5, 1, 1)));
     let same = members.directory().part_digests();
-    assert_eq!(tell(&mut members, 2 * MS, id(1, 5), Message::Digest(same)), []);
+    assert_eq!(
+        tell(&mut members, 2 * MS, id(1, 5), Message::Digest(same)),
+        []
+    );
     // A digest that lies costs one answer of bounded size, and claims of what is held just so none.
     let told = tell(&mut members, 3 * MS, id(1, 5), Message::Digest([1; 16]));
-    assert!(matches!(&told[..], [(_, Message::Hashes { .. })]), "{told:?}");
-    assert_eq!(tell(&mut members, 4 * MS, id(1, 5), claims(1, 5, Alive)), []);
-    let hashes = Message::Hashes { parts: u16::MAX, hashes: vec![1, 2, 3] };
+    assert!(
+        matches!(&told[..], [(_, Message::Hashes { .. })]),
+        "{told:?}"
+    );
+    assert_eq!(
+        tell(&mut members, 4 * MS, id(1, 5), claims(1, 5, Alive)),
+        []
+    );
+    let hashes = Message::Hashes {
+        parts: u16::MAX,
+        hashes: vec![1, 2, 3],
+    };
     let told = tell(&mut members, 5 * MS, id(1, 5), hashes);
-    assert!(matches!(&told[..], [(_, Message::Claims { .. })]), "{told:?}");
+    assert!(
+        matches!(&told[..], [(_, Message::Claims { .. })]),
+        "{told:?}"
+    );
 }
 
 #[rstest]
@@ -369,7 +545,13 @@
     let digest = members.directory().digest();
     members.datagram(2 * MS, &bytes);
     let (dropped, counts) = (members.swim().dropped, members.counts);
-    let got = [dropped.oversized, dropped.foreign, dropped.garbled, counts.garbled, counts.stranger];
+    let got = [
+        dropped.oversized,
+        dropped.foreign,
+        dropped.garbled,
+        counts.garbled,
+        counts.stranger,
+    ];
     assert_eq!((got, members.directory().digest()), (want, digest));
 }
 
@@ -397,7 +579,9 @@
 #[case::too_many(GONE_HELD + 100, 1000 * MS, GONE_HELD)]
 #[case::long_ago(10, GONE_FOR, 0)]
 fn the_gone_are_forgotten_in_bounded_time_and_number(
-    #[case] gone: usize, #[case] after: u64, #[case] held: usize,
+    #[case] gone: usize,
+    #[case] after: u64,
+    #[case] held: usize,
 ) {
     let mut directory = Directory::new(record(0, 5, 1, 1));
     for i in 1..=gone {
@@ -405,7 +589,9 @@
         directory.gone(i as u64, id(i, 5));
     }
     let forgotten = directory.forget_gone(after + gone as u64);
-    let left = (1..=gone).filter(|&i| directory.claim(addr(i)).is_some()).count();
+    let left = (1..=gone)
+        .filter(|&i| directory.claim(addr(i)).is_some())
+        .count();
     assert_eq!((left, forgotten.len()), (held, gone - held));
     // Those gone longest go first.
     assert!(held == 0 || directory.claim(addr(gone)).is_some());
--- a/wrenseam/tests/fleet_shed.rs
+++ b/wrenseam/tests/fleet_shed.rs
@@ -21,7 +21,15 @@
             refused[class] += 1.0;
         }
     }
-    (0..3).map(|c| if asked[c] > 0.0 { refused[c] / asked[c] } else { 0.0 }).collect()
+    (0..3)
+        .map(|c| {
+            if asked[c] > 0.0 {
+                refused[c] / asked[c]
+            } else {
+                0.0
+            }
+        })
+        .collect()
 }
 
 #[rstest]
@@ -47,7 +55,10 @@
 
 #[test]
 fn front_ends_told_the_same_pressure_refuse_alike() {
-    let shares: Vec<f64> = (0..3).map(|seed| play(1250, &[0, 1], 4000, seed)[1]).collect();
-    let spread = shares.iter().cloned().fold(0.0, f64::max) - shares.iter().cloned().fold(1.0, f64::min);
+    let shares: Vec<f64> = (0..3)
+        .map(|seed| play(1250, &[0, 1], 4000, seed)[1])
+        .collect();
+    let spread =
+        shares.iter().cloned().fold(0.0, f64::max) - shares.iter().cloned().fold(1.0, f64::min);
     assert!(spread < 0.05, "{shares:?}");
 }
--- a/wrenseam/tests/fleet_summary.rs
+++ b/wrenseam/tests/fleet_summary.rs
@@ -26,7 +26,10 @@
     s.healthy = 12;
     s.denied = 3;
     assert_eq!(Summary::decode(&s.encode()), Ok(s));
-    let v6 = Summary { origin: Some("[::1]:9".parse().expect("v6")), ..s };
+    let v6 = Summary {
+        origin: Some("[::1]:9".parse().expect("v6")),
+        ..s
+    };
     assert_eq!(Summary::decode(&v6.encode()), Ok(v6));
 }
 
@@ -54,8 +57,10 @@
 #[case::ours(&[(0, 1)], &[Offered::Foreign])]
 fn order_and_repeats(#[case] offers: &[(u16, u64)], #[case] want: &[Offered]) {
     let mut held = Summaries::new(8, 1_000_000);
-    let got: Vec<Offered> =
-        offers.iter().map(|&(p, seq)| held.offer(0, at(7000), of(7000 + p, seq, 0))).collect();
+    let got: Vec<Offered> = offers
+        .iter()
+        .map(|&(p, seq)| held.offer(0, at(7000), of(7000 + p, seq, 0)))
+        .collect();
     assert_eq!(got, want);
 }
 
@@ -69,7 +74,11 @@
     held.offer(0, at(7000), of(7004, 1, 0));
     // Five front ends, one says zero: the mean falls by a fifth, no more.
     assert_eq!(held.pressure(0, 2000), 1600);
-    assert_eq!(held.pressure(2_000_000, 2000), 2000, "only our own is fresh");
+    assert_eq!(
+        held.pressure(2_000_000, 2000),
+        2000,
+        "only our own is fresh"
+    );
 }
 
 #[test]
--- a/wrenseam/tests/fleet_swim.rs
+++ b/wrenseam/tests/fleet_swim.rs
@@ -39,11 +39,20 @@
 
 impl Net {
     fn new(n: usize, loss: f64, dup: f64, seed: u64) -> Net {
-        let mut swims: Vec<Swim> =
-            (0..n).map(|i| Swim::new(addr(i), 1, settings(), seed + i as u64)).collect();
+        let mut swims: Vec<Swim> = (0..n)
+            .map(|i| Swim::new(addr(i), 1, settings(), seed + i as u64))
+            .collect();
         (1..n).for_each(|i| swims[i].join(0, addr(0)));
         let rng = SmallRng::seed_from_u64(seed);
-        Net { swims, flight: Vec::new(), rng, loss, dup, dead: Vec::new(), dead_at: Micros::MAX }
+        Net {
+            swims,
+            flight: Vec::new(),
+            rng,
+            loss,
+            dup,
+            dead: Vec::new(),
+            dead_at: Micros::MAX,
+        }
     }
 
     fn run(&mut self, until: Micros) -> Vec<(Micros, usize, PeerEvent)> {
@@ -58,13 +67,20 @@
                     continue;
                 }
                 if now % (200 * MS) == 0 {
-                    let s = Summary { pressure: 1000 + i as u32, ..Summary::default() };
+                    let s = Summary {
+                        pressure: 1000 + i as u32,
+                        ..Summary::default()
+                    };
                     self.swims[i].publish(now, s);
                 }
                 self.swims[i].tick(now);
                 for out in self.swims[i].outbox() {
                     let (to, bytes) = ((out.to.port() - 7000) as usize, out.bytes);
-                    let copies = if self.rng.random::<f64>() < self.dup { 2 } else { 1 };
+                    let copies = if self.rng.random::<f64>() < self.dup {
+                        2
+                    } else {
+                        1
+                    };
                     for _ in 0..copies {
                         if self.rng.random::<f64>() >= self.loss {
                             let at = now + self.rng.random_range(1..20) * MS;
@@ -96,7 +112,11 @@
         assert_eq!(s.alive(), 4, "front end {i}");
         assert_eq!(s.summaries(3000 * MS).len(), 4, "front end {i}");
         // Pressures 1000 to 1004, all heard: their mean.
-        assert_eq!(s.pressure(3000 * MS, 1000 + i as u32), 1002, "front end {i}");
+        assert_eq!(
+            s.pressure(3000 * MS, 1000 + i as u32),
+            1002,
+            "front end {i}"
+        );
     }
 }
 
@@ -107,9 +127,14 @@
     net.dead_at = 2000 * MS;
     let seen = net.run(4000 * MS);
     for i in 0..4 {
-        let down = seen
-            .iter()
-            .find(|(_, at, e)| *at == i && *e == PeerEvent::Down(PeerId { addr: addr(4), incarnation: 1 }));
+        let down = seen.iter().find(|(_, at, e)| {
+            *at == i
+                && *e
+                    == PeerEvent::Down(PeerId {
+                        addr: addr(4),
+                        incarnation: 1,
+                    })
+        });
         let (when, _, _) = down.unwrap_or_else(|| panic!("front end {i} never noticed: {seen:?}"));
         // Probe period, round trip and suspicion, and the news spread to all: well under a second here.
         assert!(*when - 2000 * MS < 1000 * MS, "front end {i} at {when}");
--- a/wrenseam/tests/fronts.rs
+++ b/wrenseam/tests/fronts.rs
@@ -36,7 +36,10 @@
 #[case::stops_midway("worker send stall\nworker expect closed\nworker expect tile-render - x\nworker send ok X\nclient expect served X")]
 fn useless_worker_connections_end(#[values(Platform, Kserve)] workers: Speech, #[case] then: &str) {
     let stage = Stage::new(workers);
-    stage.play(Platform, &format!("client send tile-render - x 700\nworker expect tile-render - x\n{then}"));
+    stage.play(
+        Platform,
+        &format!("client send tile-render - x 700\nworker expect tile-render - x\n{then}"),
+    );
 }
 
 /// A connection that stays open and mute ends too; one on which a call only takes long does not.
@@ -52,8 +55,10 @@
 #[test]
 fn the_same_mix_ends_alike_on_every_path() {
     let stages = [Platform, Kserve].map(Stage::new);
-    let seen: Vec<Vec<String>> =
-        stages.iter().flat_map(|stage| [Platform, Kserve].map(|front| stage.play(front, MIX))).collect();
+    let seen: Vec<Vec<String>> = stages
+        .iter()
+        .flat_map(|stage| [Platform, Kserve].map(|front| stage.play(front, MIX)))
+        .collect();
     assert_eq!(seen[0].len(), 11);
     for other in &seen[1..] {
         assert_eq!(&seen[0], other);
@@ -140,7 +145,8 @@
     worker expect nothing"
 )]
 fn scenario(
-    #[case] lines: &str, #[values(Platform, Kserve)] front: Speech,
+    #[case] lines: &str,
+    #[values(Platform, Kserve)] front: Speech,
     #[values(Platform, Kserve)] workers: Speech,
 ) {
     Stage::new(workers).play(front, lines);
@@ -152,6 +158,10 @@
 #[test]
 fn an_ending_process_refuses_what_comes_late() {
     let stage = Stage::new(Platform);
-    let begin = "client send tile-render - x 3000\nworker expect tile-render - x\nprogram term\nwait 900";
-    stage.play(Platform, &format!("{begin}\nclient send tile-render - y 3000\nclient expect refused"));
+    let begin =
+        "client send tile-render - x 3000\nworker expect tile-render - x\nprogram term\nwait 900";
+    stage.play(
+        Platform,
+        &format!("{begin}\nclient send tile-render - y 3000\nclient expect refused"),
+    );
 }
--- a/wrenseam/tests/kserve_proofs.rs
+++ b/wrenseam/tests/kserve_proofs.rs
@@ -23,14 +23,19 @@
     |limits| (limits.lanes_per_worker, limits.connect) = (1, Duration::from_secs(20));
 
 /// A refusal that says when to come back.
-const REFUSED: &str = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 2\r\n\r\n{}";
+const REFUSED: &str =
+    "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 2\r\n\r\n{}";
 
 /// An answer that carries a body and, if any, the call's id.
 fn served(id: Option<u64>) -> String {
     let id = id.map_or(String::new(), |id| format!(r#""id":"{id:016x}","#));
-    let body =
-        format!(r#"{{{id}"outputs":[{{"name":"body","shape":[1],"datatype":"BYTES","data":["x"]}}]}}"#);
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    let body = format!(
+        r#"{{{id}"outputs":[{{"name":"body","shape":[1],"datatype":"BYTES","data":["x"]}}]}}"#
+    );
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// A call that has come whole: on the how manieth connection, and the way back.
@@ -64,7 +69,11 @@
         head.extend(byte);
     }
     let head = String::from_utf8_lossy(&head).into_owned();
-    let length = head.lines().find_map(|l| l.strip_prefix("Content-Length: "))?.parse().ok()?;
+    let length = head
+        .lines()
+        .find_map(|l| l.strip_prefix("Content-Length: "))?
+        .parse()
+        .ok()?;
     stream.read_exact(&mut vec![0; length]).ok()?;
     stream.try_clone().ok()
 }
@@ -74,25 +83,43 @@
 }
 
 fn attempt(request: u64) -> AttemptKey {
-    AttemptKey { request, attempt: request as usize }
+    AttemptKey {
+        request,
+        attempt: request as usize,
+    }
 }
 
 #[rstest]
 #[case::no_such_model("HTTP/1.1 404 Not Found\r\nContent-Length: 2\r\n\r\n{}", Outcome::Miss)]
-#[case::too_many("HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n", Outcome::Full)]
+#[case::too_many(
+    "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n",
+    Outcome::Full
+)]
 #[case::refused(REFUSED, Outcome::Full)]
 #[case::refused_behind_an_interim_answer(&format!("HTTP/1.1 103 Early Hints\r\n\r\n{REFUSED}"), Outcome::Full)]
 // A proxy says so too when it has lost the answer to a call that it passed on.
-#[case::unavailable("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", Outcome::Error)]
+#[case::unavailable(
+    "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
+    Outcome::Error
+)]
 #[case::bad_gateway(
     "HTTP/1.1 502 Bad Gateway\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n",
     Outcome::Error
 )]
-#[case::timed_out("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n", Outcome::Error)]
-#[case::failed("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", Outcome::Error)]
+#[case::timed_out(
+    "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n",
+    Outcome::Error
+)]
+#[case::failed(
+    "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n",
+    Outcome::Error
+)]
 #[case::an_interim_answer_alone("HTTP/1.1 100 Continue\r\n\r\n", Outcome::Reset)]
 #[case::nothing("", Outcome::Reset)]
-#[case::half_a_refusal("HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Le", Outcome::Reset)]
+#[case::half_a_refusal(
+    "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Le",
+    Outcome::Reset
+)]
 #[case::served(&served(None), Outcome::Ok)]
 #[case::served_by_its_id(&served(Some(9)), Outcome::Ok)]
 #[case::served_by_the_id_of_another(&served(Some(8)), Outcome::Reset)]
@@ -120,9 +147,16 @@
     let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_LANE);
     transport.send(attempt(1), &request(1), Terms::within(LONG));
     let (first, mut back) = next(&calls);
-    back.write_all(served(Some(1)).as_bytes()).expect("answered");
+    back.write_all(served(Some(1)).as_bytes())
+        .expect("answered");
     assert_eq!(outcome(&reports), (1, Outcome::Ok));
-    Served { transport, reports, calls, first, back }
+    Served {
+        transport,
+        reports,
+        calls,
+        first,
+        back,
+    }
 }
 
 /// A refusal comes twice, the second time behind the next call: it is not taken for that call's answer. Refusals name no
@@ -138,7 +172,9 @@
     transport.send(attempt(2), &request(2), Terms::within(LONG));
     let (second, mut other) = next(&calls);
     let _ = back.write_all(REFUSED.as_bytes()); // the connection may be closed
-    other.write_all(served(Some(2)).as_bytes()).expect("answered");
+    other
+        .write_all(served(Some(2)).as_bytes())
+        .expect("answered");
     assert_eq!(outcome(&reports), (2, Outcome::Ok));
     assert_ne!(first, second, "a connection of its own");
 }
@@ -147,11 +183,18 @@
 /// this one is not known.
 #[test]
 fn a_second_answer_is_not_taken_for_that_of_the_next_call() {
-    let Served { mut transport, reports, calls, first, .. } = served_call();
+    let Served {
+        mut transport,
+        reports,
+        calls,
+        first,
+        ..
+    } = served_call();
     transport.send(attempt(2), &request(2), Terms::within(LONG));
     let (second, mut back) = next(&calls);
     assert_eq!(first, second, "a kept connection is used again");
-    back.write_all(served(Some(1)).as_bytes()).expect("answered");
+    back.write_all(served(Some(1)).as_bytes())
+        .expect("answered");
     assert_eq!(outcome(&reports), (2, Outcome::Reset));
 }
 
@@ -160,7 +203,8 @@
 #[case::an_answer_without_an_id(None, false)]
 #[case::an_answer_with_its_id(Some(1), true)]
 fn only_an_answer_that_names_its_call_leaves_its_connection_in_use(
-    #[case] id: Option<u64>, #[case] kept: bool,
+    #[case] id: Option<u64>,
+    #[case] kept: bool,
 ) {
     let (address, calls) = worker();
     let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_LANE);
@@ -177,14 +221,25 @@
 /// prove of the other that it never ran; a schedule under load found that (`tests/schedules.rs`).
 #[test]
 fn an_order_does_not_share_a_connection_with_calls() {
-    let Served { mut transport, reports, calls, first, .. } = served_call();
+    let Served {
+        mut transport,
+        reports,
+        calls,
+        first,
+        ..
+    } = served_call();
     transport.order(1, 7, 1);
     let (ordered, mut back) = next(&calls);
     assert_ne!(first, ordered, "a connection of its own");
-    back.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}").expect("answered");
+    back.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
+        .expect("answered");
     assert_eq!(outcome(&reports), (usize::MAX, Outcome::Ok));
     transport.send(attempt(2), &request(2), Terms::within(LONG));
-    assert_eq!(next(&calls).0, first, "the call's connection is still in use, the order's is not");
+    assert_eq!(
+        next(&calls).0,
+        first,
+        "the call's connection is still in use, the order's is not"
+    );
 }
 
 /// The first time that anybody looks at this client, the worker says something unasked on its idle connection.
@@ -210,11 +265,18 @@
 
 /// Whether bytes that were written have not come to the other side yet.
 fn unacknowledged(stream: &TcpStream) -> bool {
-    let ports = [stream.local_addr().expect("bound").port(), stream.peer_addr().expect("connected").port()];
+    let ports = [
+        stream.local_addr().expect("bound").port(),
+        stream.peer_addr().expect("connected").port(),
+    ];
     let table = std::fs::read_to_string("/proc/net/tcp").expect("read");
     table.lines().skip(1).any(|line| {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let port = |word: &str| word.rsplit(':').next().and_then(|p| u16::from_str_radix(p, 16).ok());
+        let port = |word: &str| {
+            word.rsplit(':')
+                .next()
+                .and_then(|p| u16::from_str_radix(p, 16).ok())
+        };
         let ours = [port(words[1]), port(words[2])] == ports.map(Some);
         ours && !words[4].starts_with("00000000")
     })
@@ -224,13 +286,26 @@
 /// which goes out on a connection of its own.
 #[test]
 fn what_comes_before_the_first_byte_is_no_answer() {
-    let Served { mut transport, reports, calls, first, back } = served_call();
+    let Served {
+        mut transport,
+        reports,
+        calls,
+        first,
+        back,
+    } = served_call();
     let plain = Arc::into_inner(request(2)).expect("ours alone");
-    let client_probe = Meanwhile { worker: Mutex::new(back), said: AtomicBool::new(false) };
-    let call = Arc::new(Request { client_probe: Some(Arc::new(client_probe)), ..plain });
+    let client_probe = Meanwhile {
+        worker: Mutex::new(back),
+        said: AtomicBool::new(false),
+    };
+    let call = Arc::new(Request {
+        client_probe: Some(Arc::new(client_probe)),
+        ..plain
+    });
     transport.send(attempt(2), &call, Terms::within(LONG));
     let (second, mut back) = next(&calls);
-    back.write_all(served(Some(2)).as_bytes()).expect("answered");
+    back.write_all(served(Some(2)).as_bytes())
+        .expect("answered");
     assert_eq!(outcome(&reports), (2, Outcome::Ok));
     assert_ne!(first, second, "a connection of its own");
 }
--- a/wrenseam/tests/large_list.rs
+++ b/wrenseam/tests/large_list.rs
@@ -24,7 +24,10 @@
         )
     };
     let all: Vec<String> = (0..workers).map(one).collect();
-    format!(r#"{{"rev":1,"pool":{{"generation":1,"reset":true,"instances":[{}]}}}}"#, all.join(","))
+    format!(
+        r#"{{"rev":1,"pool":{{"generation":1,"reset":true,"instances":[{}]}}}}"#,
+        all.join(",")
+    )
 }
 
 /// A stand-in board that answers each call with the head and then, in turn, with these bytes, and stays.
@@ -70,7 +73,11 @@
             .expect("the program starts");
         let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
         let (log, read) = channel();
-        std::thread::spawn(move || lines.map_while(Result::ok).all(|line| log.send(line).is_ok()));
+        std::thread::spawn(move || {
+            lines
+                .map_while(Result::ok)
+                .all(|line| log.send(line).is_ok())
+        });
         let listens = || loop {
             let line = read.recv_timeout(READY).expect("a line of the log");
             if let Some((_, address)) = line.split_once(" listens on ") {
@@ -91,7 +98,11 @@
             if fastcgi_answer(&mut stream).is_ok_and(|a| a.0.contains(" 200 ")) {
                 break;
             }
-            assert!(since.elapsed() < READY, "not ready after {:?}", since.elapsed());
+            assert!(
+                since.elapsed() < READY,
+                "not ready after {:?}",
+                since.elapsed()
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
         assert_eq!(self.members(), workers);
@@ -99,15 +110,30 @@
 
     fn members(&self) -> usize {
         let told = common::door(self.3, "telemetry\n");
-        let told = told.lines().find_map(|l| l.strip_prefix("app.members:")).expect("told").to_owned();
-        told.split('|').next().and_then(|n| n.parse().ok()).expect("a number")
+        let told = told
+            .lines()
+            .find_map(|l| l.strip_prefix("app.members:"))
+            .expect("told")
+            .to_owned();
+        told.split('|')
+            .next()
+            .and_then(|n| n.parse().ok())
+            .expect("a number")
     }
 
     /// MB that it took at the most.
     fn peak(&self) -> f64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.0.id())).expect("it runs");
-        let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("told");
-        line.trim().trim_end_matches(" kB").parse::<f64>().expect("a number") / 1024.0
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.0.id())).expect("it runs");
+        let line = status
+            .lines()
+            .find_map(|l| l.strip_prefix("VmHWM:"))
+            .expect("told");
+        line.trim()
+            .trim_end_matches(" kB")
+            .parse::<f64>()
+            .expect("a number")
+            / 1024.0
     }
 
     /// Waits for a line of the log that holds these words.
@@ -134,7 +160,8 @@
 /// Told by the board, or by the configuration of a restart.
 #[rstest]
 fn a_start_before_the_largest_lists_is_ready_in_time(
-    #[values(1_000, 4_000, 10_000, 20_000)] workers: usize, #[values("board", "known")] by: &str,
+    #[values(1_000, 4_000, 10_000, 20_000)] workers: usize,
+    #[values("board", "known")] by: &str,
 ) {
     let list = list(workers);
     let event = format!("id: 1\ndata: {list}\n\n").into_bytes();
@@ -144,7 +171,10 @@
     let program = Program::start(&format!("{by}-{workers}"), MEMORY_MB, board, known);
     program.ready(workers);
     let (ready, peak) = (since.elapsed(), program.peak());
-    eprintln!("{workers} workers by {by}, {} bytes: ready after {ready:?}, at most {peak:.0} MB", list.len());
+    eprintln!(
+        "{workers} workers by {by}, {} bytes: ready after {ready:?}, at most {peak:.0} MB",
+        list.len()
+    );
     assert!(ready < READY, "ready after {ready:?}");
     assert!(peak < MEMORY_MB as f64, "{peak:.0} MB");
 }
@@ -157,10 +187,15 @@
     let endless = [b"id: 2\ndata: ".to_vec(), vec![b'x'; 64 << 20]].concat();
     let next = format!(
         "id: 2\ndata: {}\n\n",
-        whole.replace(r#""rev":1"#, r#""rev":2"#).replace("s-00000000", "s-new")
+        whole
+            .replace(r#""rev":1"#, r#""rev":2"#)
+            .replace("s-00000000", "s-new")
     );
-    let (board, calls) =
-        board(vec![format!("id: 1\ndata: {whole}\n\n").into_bytes(), endless, next.into_bytes()]);
+    let (board, calls) = board(vec![
+        format!("id: 1\ndata: {whole}\n\n").into_bytes(),
+        endless,
+        next.into_bytes(),
+    ]);
     let program = Program::start("endless", MEMORY_MB, board, "");
     program.ready(workers);
     // The first call ends once it has told nothing for some seconds; the second brings what has no end.
--- a/wrenseam/tests/leaving.rs
+++ b/wrenseam/tests/leaving.rs
@@ -40,7 +40,11 @@
             core,
             limits: limits.clone(),
             budget: Budget::new(limits.held_bytes),
-            seats: Seats::new(limits.client_connections, shared.draining.clone(), shared.clients.clone()),
+            seats: Seats::new(
+                limits.client_connections,
+                shared.draining.clone(),
+                shared.clients.clone(),
+            ),
             unsent: Arc::default(),
             shared,
             closing: Arc::default(),
@@ -50,21 +54,35 @@
         let listener = may::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let mut client = connect(listener.local_addr().expect("bound"));
         client.write_all(&call(front)).expect("written");
-        let serve: Serve = if front == Platform { platform::serve } else { kserve::serve };
+        let serve: Serve = if front == Platform {
+            platform::serve
+        } else {
+            kserve::serve
+        };
         wrenseam::net::spawn(limits.stack, move || {
             let (stream, _) = listener.accept().expect("a connection");
             let seat = doors.seats.take().expect("a seat");
             serve(stream, &doors, seat);
         })
         .expect("a coroutine");
-        let Ok(Message::Request(request, _side, _)) = inbox.recv_timeout(Duration::from_secs(20)) else {
+        let Ok(Message::Request(request, _side, _)) = inbox.recv_timeout(Duration::from_secs(20))
+        else {
             panic!("no call");
         };
-        Front { client, request: Arc::new(request), _side, limits }
+        Front {
+            client,
+            request: Arc::new(request),
+            _side,
+            limits,
+        }
     }
 
     fn presence(&self) -> ClientState {
-        self.request.client_probe.as_ref().expect("it can be looked at").presence()
+        self.request
+            .client_probe
+            .as_ref()
+            .expect("it can be looked at")
+            .presence()
     }
 
     /// The client leaves in this way, and what that brings has arrived.
@@ -76,15 +94,22 @@
         };
         self.client.write_all(&more).expect("written");
         if how == "resets" {
-            socket2::SockRef::from(&self.client).set_linger(Some(Duration::ZERO)).expect("set");
+            socket2::SockRef::from(&self.client)
+                .set_linger(Some(Duration::ZERO))
+                .expect("set");
         }
-        let Front { client, request, .. } = self;
+        let Front {
+            client, request, ..
+        } = self;
         let client_probe = request.client_probe.clone().expect("it can be looked at");
         let _kept = (how == "aborts").then(|| client.try_clone().expect("cloned"));
         drop(client);
         let since = Instant::now();
         while client_probe.presence() == ClientState::Here {
-            assert!(since.elapsed() < Duration::from_secs(20), "{how}: nothing shows");
+            assert!(
+                since.elapsed() < Duration::from_secs(20),
+                "{how}: nothing shows"
+            );
             std::thread::yield_now();
         }
         request
@@ -102,7 +127,8 @@
     if front == Platform {
         return fastcgi(1, &params, b"x");
     }
-    let body = r#"{"parameters":{"class":"tile-render","tenant":"acme","wait_ms":20000},"inputs":[]}"#;
+    let body =
+        r#"{"parameters":{"class":"tile-render","tenant":"acme","wait_ms":20000},"inputs":[]}"#;
     let length = body.len();
     format!("POST /v2/models/{FUNCTION}/infer HTTP/1.1\r\nHost: t\r\nContent-Length: {length}\r\n\r\n{body}")
         .into_bytes()
@@ -134,22 +160,42 @@
 #[case::v2_resets(V2, "resets", ClientState::Left)]
 #[case::v2_closes_behind_input(V2, "asks more and closes", ClientState::Unread)]
 fn a_client_that_left_is_seen_before_its_reader_runs(
-    #[case] front: Speech, #[case] how: &str, #[case] shows: ClientState,
+    #[case] front: Speech,
+    #[case] how: &str,
+    #[case] shows: ClientState,
 ) {
-    let _alone = SCHEDULER.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let _alone = SCHEDULER
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     let front = Front::new(front);
     assert_eq!(front.presence(), ClientState::Here);
     let starved = Starved::new();
     let request = front.leave(how);
-    assert!(!request.gone.load(Ordering::Acquire), "its reader is held back");
-    assert_eq!(request.client_probe.as_ref().expect("told").presence(), shows);
+    assert!(
+        !request.gone.load(Ordering::Acquire),
+        "its reader is held back"
+    );
+    assert_eq!(
+        request.client_probe.as_ref().expect("told").presence(),
+        shows
+    );
     let ticket = Ticket::call(&request, Terms::within(20_000_000), Instant::now());
     let first = ticket.begin(Instant::now());
-    assert_eq!(first, if shows == ClientState::Left { Begin::Void } else { Begin::Unread });
+    assert_eq!(
+        first,
+        if shows == ClientState::Left {
+            Begin::Void
+        } else {
+            Begin::Unread
+        }
+    );
     drop(starved.0);
     let since = Instant::now();
     while !request.gone.load(Ordering::Acquire) {
-        assert!(since.elapsed() < Duration::from_secs(20), "its reader never came");
+        assert!(
+            since.elapsed() < Duration::from_secs(20),
+            "its reader never came"
+        );
         std::thread::yield_now();
     }
     assert_ne!(ticket.begin(Instant::now()), Begin::Go);
@@ -158,9 +204,12 @@
 /// A call waits for a connection that comes up late; its client closes, and nobody has read that when it is up.
 #[rstest]
 fn nothing_is_written_for_a_client_whose_end_nobody_has_read(
-    #[values(Platform, V2)] worker: Speech, #[values("closes", "resets")] how: &str,
+    #[values(Platform, V2)] worker: Speech,
+    #[values("closes", "resets")] how: &str,
 ) {
-    let _alone = SCHEDULER.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let _alone = SCHEDULER
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     let front = Front::new(Platform);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (queue, reports) = mpsc::channel();
@@ -182,7 +231,10 @@
         held: None,
         ..*request
     });
-    let key = AttemptKey { request: 1, attempt: 0 };
+    let key = AttemptKey {
+        request: 1,
+        attempt: 0,
+    };
     transport.send(key, &unread, Terms::within(20_000_000));
     drop(starved.0);
     match reports.recv_timeout(Duration::from_secs(20)) {
@@ -191,7 +243,12 @@
     }
     drop(transport);
     let mut got = Vec::new();
-    listener.accept().expect("it came up").0.read_to_end(&mut got).expect("closed");
+    listener
+        .accept()
+        .expect("it came up")
+        .0
+        .read_to_end(&mut got)
+        .expect("closed");
     assert!(got.is_empty(), "{got:?}");
 }
 
@@ -203,7 +260,9 @@
 #[case::a_worker_that_falls_silent("worker hush\nwait 700")]
 #[case::a_copy_that_is_missing("worker send miss")]
 fn no_attempt_follows_a_client_that_left(
-    #[case] then: &str, #[values("close", "abort")] how: &str, #[values(Platform, V2)] front: Speech,
+    #[case] then: &str,
+    #[values("close", "abort")] how: &str,
+    #[values(Platform, V2)] front: Speech,
     #[values(Platform, V2)] workers: Speech,
 ) {
     let send = "client send tile-render - x 4000\nworker expect tile-render - x";
@@ -237,7 +296,8 @@
 /// A call that waits in the module, for a load or for its second copy: that attempt goes out, and not if its client left.
 #[rstest]
 fn what_a_call_waits_for_brings_no_attempt_once_its_client_left(
-    #[values(0, 1, 2)] waits: usize, #[values("stays", "close", "abort")] how: &str,
+    #[values(0, 1, 2)] waits: usize,
+    #[values("stays", "close", "abort")] how: &str,
     #[values(Platform, V2)] front: Speech,
 ) {
     let (name, from, to, lines) = WAITS[waits];
@@ -246,7 +306,10 @@
         how => (format!("client {how}\nwait 100"), "worker expect nothing"),
     };
     eprintln!("waits {name}");
-    Stage::with(Platform, &[(from, to)]).play(front, &format!("{}\n{then}", lines.replace("SECOND", &leave)));
+    Stage::with(Platform, &[(from, to)]).play(
+        front,
+        &format!("{}\n{then}", lines.replace("SECOND", &leave)),
+    );
 }
 
 /// A client that sends at full speed holds up nobody else: calls of others are read, and their leaving is.
--- a/wrenseam/tests/link/mod.rs
+++ b/wrenseam/tests/link/mod.rs
@@ -13,8 +13,16 @@
 
 /// A worker whose next connection comes up only once those that fill its queue are taken.
 pub fn late_worker() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("bound");
+    let socket =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    socket
+        .bind(
+            &"127.0.0.1:0"
+                .parse::<SocketAddr>()
+                .expect("an address")
+                .into(),
+        )
+        .expect("bound");
     socket.listen(0).expect("listens");
     let listener = TcpListener::from(socket);
     let address = listener.local_addr().expect("bound");
@@ -41,14 +49,22 @@
 }
 
 /// A transport of frames with changed limits, and what it reports.
-pub fn transport(address: SocketAddr, change: impl FnOnce(&mut Limits)) -> (Frames, mpsc::Receiver<Message>) {
+pub fn transport(
+    address: SocketAddr,
+    change: impl FnOnce(&mut Limits),
+) -> (Frames, mpsc::Receiver<Message>) {
     let (queue, reports) = mpsc::channel();
-    (Frames::new(address, limits(change), Reports(queue)), reports)
+    (
+        Frames::new(address, limits(change), Reports(queue)),
+        reports,
+    )
 }
 
 /// A transport of either protocol with changed limits, and what it reports.
 pub fn transport_of(
-    protocol: Protocol, address: SocketAddr, change: impl FnOnce(&mut Limits),
+    protocol: Protocol,
+    address: SocketAddr,
+    change: impl FnOnce(&mut Limits),
 ) -> (Box<dyn Transport>, mpsc::Receiver<Message>) {
     let (queue, reports) = mpsc::channel();
     let (limits, reporting) = (limits(change), Reports(queue));
@@ -86,8 +102,13 @@
     stream.read_exact(&mut head).expect("a frame");
     let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
     let body = u32::from_be_bytes(head[4..8].try_into().expect("four")) as usize;
-    stream.read_exact(&mut vec![0; fields + body + 4]).expect("the rest of it");
-    (u64::from_be_bytes(head[8..].try_into().expect("eight")), head[1])
+    stream
+        .read_exact(&mut vec![0; fields + body + 4])
+        .expect("the rest of it");
+    (
+        u64::from_be_bytes(head[8..].try_into().expect("eight")),
+        head[1],
+    )
 }
 
 /// Answers an exchange.
@@ -107,4 +128,7 @@
 }
 
 /// The first attempt of the first request.
-pub const FIRST: AttemptKey = AttemptKey { request: 1, attempt: 0 };
+pub const FIRST: AttemptKey = AttemptKey {
+    request: 1,
+    attempt: 0,
+};
--- a/wrenseam/tests/liveness.rs
+++ b/wrenseam/tests/liveness.rs
@@ -6,11 +6,23 @@
 
 /// Probes of a connection during one long call, each answered at once, looked at every 50 ms.
 fn probes(gateways: u32, call: u64) -> Vec<u64> {
-    let limits = Limits::new(48, 384, &Settings { gateways, ..Settings::default() });
+    let limits = Limits::new(
+        48,
+        384,
+        &Settings {
+            gateways,
+            ..Settings::default()
+        },
+    );
     let ms = Duration::from_millis;
     let (mut heard, mut asked) = (None, Vec::new());
     for at in (0..call).step_by(50) {
-        if probe_due(heard.is_none(), ms(at - heard.unwrap_or(0)), ms(at), &limits) {
+        if probe_due(
+            heard.is_none(),
+            ms(at - heard.unwrap_or(0)),
+            ms(at),
+            &limits,
+        ) {
             asked.push(at);
             heard = Some(at);
         }
@@ -22,7 +34,16 @@
 #[test]
 fn a_large_fleet_asks_a_slow_connection_seldom_and_still_in_time() {
     let (few, many) = (probes(3, 2_000), probes(100, 2_000));
-    assert!(many.len() * 2 <= few.len() && !many.is_empty(), "{few:?} {many:?}");
-    assert!(many[0] <= 350, "silence is seen well before the aim is far gone: {many:?}");
-    assert!(probes(100, 300).is_empty(), "a call within its aim costs no question");
+    assert!(
+        many.len() * 2 <= few.len() && !many.is_empty(),
+        "{few:?} {many:?}"
+    );
+    assert!(
+        many[0] <= 350,
+        "silence is seen well before the aim is far gone: {many:?}"
+    );
+    assert!(
+        probes(100, 300).is_empty(),
+        "a call within its aim costs no question"
+    );
 }
--- a/wrenseam/tests/membership.rs
+++ b/wrenseam/tests/membership.rs
@@ -10,7 +10,16 @@
 fn member(id: &str, port: u16, state: WorkerState, started_at: u64) -> Member {
     let address = ([127, 0, 0, 1], port).into();
     let (zone, kind, speech) = ("hall-a".to_owned(), "std".to_owned(), Speech::Frames);
-    Member { id: id.to_owned(), address, state, started_at, zone, kind, cell: Some(0), speech }
+    Member {
+        id: id.to_owned(),
+        address,
+        state,
+        started_at,
+        zone,
+        kind,
+        cell: Some(0),
+        speech,
+    }
 }
 
 type News = (bool, Vec<(&'static str, u16, WorkerState, u64)>);
@@ -29,15 +38,28 @@
     vec![("a", Draining, Retire), ("a", Gone, Retire)]
 )]
 #[case::never_mind((false, vec![("a", 1, Draining, 0), ("a", 1, Ready, 0)]), vec![("a", Draining, Retire), ("a", Ready, Keep)])]
-fn news_changes_each_member_once(#[case] news: News, #[case] changes: Vec<(&str, WorkerState, Duty)>) {
+fn news_changes_each_member_once(
+    #[case] news: News,
+    #[case] changes: Vec<(&str, WorkerState, Duty)>,
+) {
     let mut members = Membership::default();
     let first = vec![member("a", 1, Ready, 0), member("b", 2, Ready, 0)];
-    assert!(members.take(Speech::Frames, true, first).iter().all(|c| c.duty == Reach));
+    assert!(members
+        .take(Speech::Frames, true, first)
+        .iter()
+        .all(|c| c.duty == Reach));
     // The list of another source says nothing of these.
     assert_eq!(members.take(Speech::Kserve, true, vec![]), vec![]);
-    let told = news.1.iter().map(|&(id, port, state, at)| member(id, port, state, at)).collect();
+    let told = news
+        .1
+        .iter()
+        .map(|&(id, port, state, at)| member(id, port, state, at))
+        .collect();
     let got = members.take(Speech::Frames, news.0, told);
-    let got: Vec<_> = got.iter().map(|c| (c.member.id.as_str(), c.member.state, c.duty)).collect();
+    let got: Vec<_> = got
+        .iter()
+        .map(|c| (c.member.id.as_str(), c.member.state, c.duty))
+        .collect();
     assert_eq!(got, changes);
 }
 
@@ -47,16 +69,31 @@
     let mut members = Membership::default();
     members.take(Speech::Frames, true, vec![member("a", 1, Ready, 0)]);
     assert_eq!(members.exclude("nobody"), Err(Unknown));
-    let state = |c: &[Change]| c.iter().map(|c| (c.member.state, c.duty)).collect::<Vec<_>>();
-    assert_eq!(state(&members.exclude("a").expect("known")), vec![(Draining, Retire)]);
-    assert_eq!(members.exclude("a"), Ok(vec![]), "a second exclude changes nothing");
+    let state = |c: &[Change]| {
+        c.iter()
+            .map(|c| (c.member.state, c.duty))
+            .collect::<Vec<_>>()
+    };
+    assert_eq!(
+        state(&members.exclude("a").expect("known")),
+        vec![(Draining, Retire)]
+    );
+    assert_eq!(
+        members.exclude("a"),
+        Ok(vec![]),
+        "a second exclude changes nothing"
+    );
     // The list tells it ready again, as after a restart: it stays out.
     let again = members.take(Speech::Frames, true, vec![member("a", 1, Ready, 7)]);
     assert_eq!(state(&again), vec![(Draining, Retire)]);
     let back = members.include("a", 99).expect("excluded");
     assert_eq!(state(&back), vec![(Ready, Retire)]);
     assert_eq!(back[0].member.started_at, 99, "back as a new process");
-    assert_eq!(members.include("a", 100), Ok(vec![]), "a second include changes nothing");
+    assert_eq!(
+        members.include("a", 100),
+        Ok(vec![]),
+        "a second include changes nothing"
+    );
     assert_eq!(members.include("nobody", 100), Err(Unknown));
 }
 
@@ -67,10 +104,15 @@
     let set = |ids: &[&str]| ids.iter().map(|&id| id.to_owned()).collect::<BTreeSet<_>>();
     assert_eq!(members.hand_over(set(&["a"]), 5), vec![]);
     let told = members.take(Speech::Frames, true, vec![member("a", 1, Ready, 0)]);
-    assert_eq!(told.iter().map(|c| c.member.state).collect::<Vec<_>>(), vec![Draining]);
+    assert_eq!(
+        told.iter().map(|c| c.member.state).collect::<Vec<_>>(),
+        vec![Draining]
+    );
     let back = members.hand_over(set(&[]), 9);
     assert_eq!(
-        back.iter().map(|c| (c.member.state, c.member.started_at)).collect::<Vec<_>>(),
+        back.iter()
+            .map(|c| (c.member.state, c.member.started_at))
+            .collect::<Vec<_>>(),
         vec![(Ready, 9)]
     );
 }
--- a/wrenseam/tests/mute.rs
+++ b/wrenseam/tests/mute.rs
@@ -40,8 +40,13 @@
     let mut head = [0; 16];
     stream.read_exact(&mut head).expect("a frame");
     let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
-    stream.read_exact(&mut vec![0; fields + 4]).expect("the rest of it, without a body");
-    (u64::from_be_bytes(head[8..].try_into().expect("eight")), head[1])
+    stream
+        .read_exact(&mut vec![0; fields + 4])
+        .expect("the rest of it, without a body");
+    (
+        u64::from_be_bytes(head[8..].try_into().expect("eight")),
+        head[1],
+    )
 }
 
 fn say(stream: &mut TcpStream, id: u64, fields: &str) {
@@ -68,7 +73,8 @@
 #[case::before_the_answer_is_read(Some(true), Outcome::Ok)]
 #[case::never_and_no_answer_comes(None, Outcome::Reset)]
 fn a_connection_ends_if_its_worker_is_mute_and_not_if_we_are_held_up(
-    #[case] held: Option<bool>, #[case] end: Outcome,
+    #[case] held: Option<bool>,
+    #[case] end: Outcome,
 ) {
     static ONE: Mutex<()> = Mutex::new(()); // there is one scheduler
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
@@ -76,8 +82,19 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let limits = Arc::new(Limits::new(192, 1024, &Settings::default()));
     let (queue, reports) = channel();
-    let mut transport = Frames::new(listener.local_addr().expect("bound"), limits.clone(), Reports(queue));
-    transport.send(AttemptKey { request: 1, attempt: 0 }, &request(), Terms::within(60_000_000));
+    let mut transport = Frames::new(
+        listener.local_addr().expect("bound"),
+        limits.clone(),
+        Reports(queue),
+    );
+    transport.send(
+        AttemptKey {
+            request: 1,
+            attempt: 0,
+        },
+        &request(),
+        Terms::within(60_000_000),
+    );
     let mut worker = listener.accept().expect("a connection").0;
     assert_eq!(frame(&mut worker), (9, CALL));
     let outlast = |transport: &mut Frames| {
--- a/wrenseam/tests/program.rs
+++ b/wrenseam/tests/program.rs
@@ -46,7 +46,10 @@
     for _ in 0..2 {
         stream.write_all(&bytes).expect("written");
         let (got, _, protocol) = fastcgi_answer(&mut stream).expect("an answer");
-        assert!(got.starts_with(head) && protocol == status, "{got} {protocol}");
+        assert!(
+            got.starts_with(head) && protocol == status,
+            "{got} {protocol}"
+        );
     }
 }
 
@@ -70,10 +73,16 @@
     "POST /v2/models/7f3a9c21e0b4d655/infer HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n",
     "413"
 )]
-#[case::two_lengths("POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", "400")]
+#[case::two_lengths(
+    "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+    "400"
+)]
 #[case::chunked("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", "411")]
 #[case::unknown_model("GET /v2/models/x/ready HTTP/1.1\r\nConnection: close\r\n\r\n", "404")]
-#[case::not_json("POST /v2/models/7f3a9c21e0b4d655/infer HTTP/1.0\r\nContent-Length: 1\r\n\r\nx", "400")]
+#[case::not_json(
+    "POST /v2/models/7f3a9c21e0b4d655/infer HTTP/1.0\r\nContent-Length: 1\r\n\r\nx",
+    "400"
+)]
 fn odd_http_is_answered(#[case] bytes: &str, #[case] status: &str) {
     let stage = Stage::new(Speech::Kserve);
     let mut stream = connect(stage.kserve);
@@ -95,7 +104,8 @@
 #[case::asks_once_and_stays(&format!("{SERVED}\nclient expect closed"))]
 #[case::says_nothing_by_the_hundred(&format!("client open 130\n{SERVED}"))]
 fn connections_do_not_outstay(
-    #[values(Speech::Platform, Speech::Kserve)] front: Speech, #[case] scenario: &str,
+    #[values(Speech::Platform, Speech::Kserve)] front: Speech,
+    #[case] scenario: &str,
 ) {
     Stage::new(Speech::Platform).play(front, scenario);
 }
@@ -107,11 +117,16 @@
     stage.play(Speech::Platform, SERVED);
     let mut stream = connect(stage.front);
     for (id, body) in [(1, b"first"), (2, b"other")] {
-        stream.write_all(&fastcgi(id, &params("5000"), body)).expect("written");
+        stream
+            .write_all(&fastcgi(id, &params("5000"), body))
+            .expect("written");
     }
     let (head, _, _) = fastcgi_answer(&mut stream).expect("an answer");
     assert!(head.starts_with("Status: 500"), "{head}");
-    stage.play(Speech::Platform, "worker expect tile-render - first\nworker send ok DONE");
+    stage.play(
+        Speech::Platform,
+        "worker expect tile-render - first\nworker send ok DONE",
+    );
     let (head, body, _) = fastcgi_answer(&mut stream).expect("an answer");
     assert!(head.starts_with("Status: 200") && body == b"DONE", "{head}");
 }
@@ -130,14 +145,23 @@
         ("/v2/health/live", r#"{"live":true}"#),
         ("/v2/health/ready", r#"{"ready":true}"#),
         ("/v2/models/7f3a9c21e0b4d655/ready", r#""ready":true"#),
-        ("/v2/models/7f3a9c21e0b4d655/versions/1/ready", r#""ready":true"#),
+        (
+            "/v2/models/7f3a9c21e0b4d655/versions/1/ready",
+            r#""ready":true"#,
+        ),
         ("/v2/models/7f3a9c21e0b4d655", r#""platform":"wrenseam""#),
     ] {
         let answer = get(stage.kserve, path);
-        assert!(answer.starts_with("HTTP/1.1 200") && answer.contains(told), "{path}: {answer}");
+        assert!(
+            answer.starts_with("HTTP/1.1 200") && answer.contains(told),
+            "{path}: {answer}"
+        );
     }
     let state = get(stage.admin, "/v1/state");
-    assert!(state.contains(r#""asked":1"#) && state.contains(r#""speech":"kserve""#), "{state}");
+    assert!(
+        state.contains(r#""asked":1"#) && state.contains(r#""speech":"kserve""#),
+        "{state}"
+    );
 }
 
 /// A request that is open at SIGTERM, and one that comes just after it, are answered before the end.
@@ -146,7 +170,9 @@
     let mut stage = Stage::new(Speech::Platform);
     stage.play(Speech::Platform, SERVED);
     let mut stream = connect(stage.front);
-    stream.write_all(&fastcgi(1, &params("1200"), b"open")).expect("written");
+    stream
+        .write_all(&fastcgi(1, &params("1200"), b"open"))
+        .expect("written");
     assert!(stage.stop());
     let (head, _, _) = fastcgi_answer(&mut stream).expect("an answer before the end");
     assert!(head.starts_with("Status: 5"), "{head}");
@@ -158,9 +184,13 @@
     let stage = Stage::new(Speech::Platform);
     stage.play(Speech::Platform, SERVED);
     let mut stream = connect(stage.front);
-    stream.write_all(&fastcgi(1, &params("60000"), b"given up")).expect("written");
+    stream
+        .write_all(&fastcgi(1, &params("60000"), b"given up"))
+        .expect("written");
     stream.write_all(&record(2, 1, &[])).expect("written");
-    stream.write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b"")).expect("written");
+    stream
+        .write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""))
+        .expect("written");
     let (head, _, _) = fastcgi_answer(&mut stream).expect("an answer");
     assert!(head.starts_with("Status: 200"), "{head}");
 }
--- a/wrenseam/tests/repeat_window.rs
+++ b/wrenseam/tests/repeat_window.rs
@@ -18,21 +18,27 @@
 /// window is still open is written.
 #[rstest]
 fn a_repeat_that_waits_for_its_connection_past_the_window_is_not_written(
-    #[values(Protocol::Frames, Protocol::Kserve)] protocol: Protocol, #[values(1_000, LONG)] window: u64,
+    #[values(Protocol::Frames, Protocol::Kserve)] protocol: Protocol,
+    #[values(1_000, LONG)] window: u64,
 ) {
     let (listener, address, fillers) = late_worker();
-    let (mut transport, reports) = transport_of(protocol, address, |l| l.connect = Duration::from_secs(20));
+    let (mut transport, reports) =
+        transport_of(protocol, address, |l| l.connect = Duration::from_secs(20));
     transport.send(
         FIRST,
         &request(9),
-        Terms { budget: LONG, whole_by: Some(Instant::now() + Duration::from_micros(window)) },
+        Terms {
+            budget: LONG,
+            whole_by: Some(Instant::now() + Duration::from_micros(window)),
+        },
     );
     let since = Instant::now();
     while since.elapsed() <= Duration::from_micros(1_000) {
         std::thread::yield_now();
     }
-    let mut accepted: Vec<TcpStream> =
-        (0..=fillers.len()).map(|_| listener.accept().expect("one").0).collect();
+    let mut accepted: Vec<TcpStream> = (0..=fillers.len())
+        .map(|_| listener.accept().expect("one").0)
+        .collect();
     let late = accepted.last_mut().expect("the late one");
     if window == LONG {
         late.read_exact(&mut [0; 16]).expect("written");
@@ -40,8 +46,12 @@
     }
     assert_eq!(outcome(&reports), (0, Outcome::Moot));
     drop((transport, reports));
-    late.set_read_timeout(Some(Duration::from_millis(300))).expect("set");
-    assert!(!matches!(late.read(&mut [0; 16]), Ok(n) if n > 0), "it was written");
+    late.set_read_timeout(Some(Duration::from_millis(300)))
+        .expect("set");
+    assert!(
+        !matches!(late.read(&mut [0; 16]), Ok(n) if n > 0),
+        "it was written"
+    );
 }
 
 /// Repeats lie behind a write that stalls until the window has passed. The one that is written in part ends its
@@ -54,13 +64,22 @@
         (l.streams, l.write_stall) = (1_000, Duration::from_secs(60));
     });
     let all = 900;
-    let terms = Terms { budget: 60_000_000, whole_by: Some(Instant::now() + Duration::from_millis(500)) };
+    let terms = Terms {
+        budget: 60_000_000,
+        whole_by: Some(Instant::now() + Duration::from_millis(500)),
+    };
     for n in 0..all {
         let plain = Arc::into_inner(request(n)).expect("ours alone");
-        let call = Arc::new(Request { payload: Payload::Bytes(vec![n as u8; 16_000]), ..plain });
+        let call = Arc::new(Request {
+            payload: Payload::Bytes(vec![n as u8; 16_000]),
+            ..plain
+        });
         wrenseam::worker::Transport::send(
             &mut transport,
-            AttemptKey { request: n, attempt: 0 },
+            AttemptKey {
+                request: n,
+                attempt: 0,
+            },
             &call,
             terms,
         );
@@ -82,6 +101,9 @@
         }
         whole += 1;
     }
-    assert!(whole <= may_have_run, "{whole} came whole, {may_have_run} were told to may have run");
+    assert!(
+        whole <= may_have_run,
+        "{whole} came whole, {may_have_run} were told to may have run"
+    );
     assert!(whole < all as usize, "the write stalled");
 }
--- a/wrenseam/tests/schedules.rs
+++ b/wrenseam/tests/schedules.rs
@@ -46,17 +46,26 @@
 }
 
 fn mixes() -> impl Strategy<Value = Mix> {
-    (any::<u64>(), 10..90u32, 0..50u32, 0..25u32, 0..20u32, 0..10u32, any::<bool>()).prop_map(
-        |(seed, workers, writes, connects, leaves, news, second_copies)| Mix {
-            seed,
-            workers,
-            writes,
-            connects,
-            leaves,
-            news,
-            second_copies,
-        },
+    (
+        any::<u64>(),
+        10..90u32,
+        0..50u32,
+        0..25u32,
+        0..20u32,
+        0..10u32,
+        any::<bool>(),
     )
+        .prop_map(
+            |(seed, workers, writes, connects, leaves, news, second_copies)| Mix {
+                seed,
+                workers,
+                writes,
+                connects,
+                leaves,
+                news,
+                second_copies,
+            },
+        )
 }
 
 /// System calls that fail, come short, or return late.
@@ -83,7 +92,7 @@
         }
         match self.die.below(8) {
             0 => Err(io::ErrorKind::WouldBlock.into()),
-            1 => Err(io::Error::from_raw_os_error(4)),   // EINTR
+            1 => Err(io::Error::from_raw_os_error(4)), // EINTR
             2 => Err(io::Error::from_raw_os_error(105)), // ENOBUFS
             3 => Err(io::Error::from_raw_os_error(104)), // ECONNRESET
             4 | 5 => {
@@ -112,7 +121,12 @@
             Answer::Refused { .. } => "refused",
             Answer::Failed => "failed",
         };
-        self.got.lock().expect("sound").entry(tag).or_default().push(word);
+        self.got
+            .lock()
+            .expect("sound")
+            .entry(tag)
+            .or_default()
+            .push(word);
     }
 
     fn connection(&self) -> u64 {
@@ -174,7 +188,12 @@
 
 fn start(n: usize, mix: Mix, die: &Die, ledger: &Ledger) -> SocketAddr {
     let (die, ledger) = (die.clone(), ledger.clone());
-    let worker = Worker { zone: n % 2, trouble: mix.workers, die, ledger };
+    let worker = Worker {
+        zone: n % 2,
+        trouble: mix.workers,
+        die,
+        ledger,
+    };
     match speech(n) {
         Speech::Frames => standin::frames(worker),
         Speech::Kserve => standin::kserve(worker),
@@ -198,17 +217,37 @@
         let (queue, inbox) = channel();
         let settings = settings(mix);
         let limits = Arc::new(Limits::new(192, 1024, &settings));
-        let calls = Arc::new(Troubled { mix, die: die.clone() });
+        let calls = Arc::new(Troubled {
+            mix,
+            die: die.clone(),
+        });
         let (reports, shared) = (Reports(queue.clone()), Arc::<Shared>::default());
         let core = Core::new(settings, mix.seed, limits, inbox, reports, shared).with_calls(calls);
         std::thread::spawn(move || core.run());
-        let addresses: Vec<SocketAddr> = (0..WORKERS).map(|n| start(n, mix, &die, &ledger)).collect();
-        let answers = Arc::new(Answers { number: 1, got: Mutex::default() });
-        let play = Play { mix, die, ledger, queue, addresses, answers };
+        let addresses: Vec<SocketAddr> =
+            (0..WORKERS).map(|n| start(n, mix, &die, &ledger)).collect();
+        let answers = Arc::new(Answers {
+            number: 1,
+            got: Mutex::default(),
+        });
+        let play = Play {
+            mix,
+            die,
+            ledger,
+            queue,
+            addresses,
+            answers,
+        };
         for source in [Speech::Frames, Speech::Kserve] {
             let of = (0..WORKERS).filter(|&n| speech(n) == source);
-            let members = of.map(|n| member(n, play.addresses[n], WorkerState::Ready)).collect();
-            play.tell(Message::Members { source, full: true, members });
+            let members = of
+                .map(|n| member(n, play.addresses[n], WorkerState::Ready))
+                .collect();
+            play.tell(Message::Members {
+                source,
+                full: true,
+                members,
+            });
         }
         play
     }
@@ -229,7 +268,11 @@
             }
         };
         let members = vec![member(n, self.addresses[n], state)];
-        self.tell(Message::Members { source: speech(n), full: false, members });
+        self.tell(Message::Members {
+            source: speech(n),
+            full: false,
+            members,
+        });
     }
 
     /// A request of any class; the class, and whether its client leaves.
@@ -294,7 +337,10 @@
     }
     let owed = |play: &Play| {
         let got = play.answers.got.lock().expect("sound");
-        asked.iter().filter(|(id, (_, leaves))| !leaves && !got.contains_key(id)).count()
+        asked
+            .iter()
+            .filter(|(id, (_, leaves))| !leaves && !got.contains_key(id))
+            .count()
     };
     let since = Instant::now();
     while owed(&play) > 0 && since.elapsed() < Duration::from_secs(20) {
@@ -302,7 +348,10 @@
     }
     prop_assert_eq!(owed(&play), 0, "requests without an answer: {:?}", mix);
     std::thread::sleep(Duration::from_millis(100)); // what is under way comes
-    let (ledger, got) = (play.ledger.lock().expect("sound"), play.answers.got.lock().expect("sound"));
+    let (ledger, got) = (
+        play.ledger.lock().expect("sound"),
+        play.answers.got.lock().expect("sound"),
+    );
     let none = (Vec::new(), Vec::new());
     for (id, (class, _)) in &asked {
         let arrivals = ledger.get(id).unwrap_or(&none.0);
@@ -318,10 +367,17 @@
 
 #[test]
 fn no_request_that_must_not_be_repeated_comes_whole_twice() {
-    let config = Config { cases: 12, max_shrink_iters: 0, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 12,
+        max_shrink_iters: 0,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    runner.run(&mixes(), play).unwrap_or_else(|why| panic!("{why}"));
+    runner
+        .run(&mixes(), play)
+        .unwrap_or_else(|why| panic!("{why}"));
 }
 
 /// The account finds what it is to find.
@@ -329,13 +385,23 @@
 fn the_account_sees_a_repeat() {
     let at = Instant::now();
     let act = |ran: bool| if ran { Act::Serve } else { Act::Full };
-    let arrival = |zone, ran, ms| Arrival { at: at + Duration::from_millis(ms), zone, act: act(ran) };
+    let arrival = |zone, ran, ms| Arrival {
+        at: at + Duration::from_millis(ms),
+        zone,
+        act: act(ran),
+    };
     let (first, never) = (arrival(0, true, 0), arrival(0, false, 0));
     assert!(breach(UNSAFE, &[first, arrival(0, true, 9)], &[]).is_some());
     assert!(breach(UNSAFE, &[never, arrival(0, true, 9)], &["served"]).is_none());
     assert!(breach(KEYED, &[first, arrival(0, true, 9)], &["served"]).is_none());
-    assert!(breach(KEYED, &[first, arrival(1, true, 9)], &[]).is_some(), "in another zone");
-    assert!(breach(KEYED, &[first, arrival(0, true, 600)], &[]).is_some(), "past the window");
+    assert!(
+        breach(KEYED, &[first, arrival(1, true, 9)], &[]).is_some(),
+        "in another zone"
+    );
+    assert!(
+        breach(KEYED, &[first, arrival(0, true, 600)], &[]).is_some(),
+        "past the window"
+    );
     assert!(breach(SAFE, &[first, arrival(1, true, 300)], &["served"]).is_none());
     assert!(breach(UNSAFE, &[first], &["refused"]).is_some());
     assert!(breach(UNSAFE, &[never], &["refused"]).is_none());
--- a/wrenseam/tests/send_queue.rs
+++ b/wrenseam/tests/send_queue.rs
@@ -30,7 +30,10 @@
     let (gone, now) = (Arc::new(AtomicBool::new(false)), Instant::now());
     let for_client = Ticket::new(gone.clone(), now + Duration::from_secs(60));
     gone.store(true, Ordering::Release);
-    assert_eq!((for_client.begin(now), for_client.take_back()), (Begin::Void, false));
+    assert_eq!(
+        (for_client.begin(now), for_client.take_back()),
+        (Begin::Void, false)
+    );
     let late = Ticket::new(Arc::default(), now);
     assert_eq!(late.begin(now + Duration::from_millis(1)), Begin::Void);
 }
@@ -44,7 +47,9 @@
 #[case::a_drain(4, None, vec![(16, Some(3))], 20)]
 #[case::a_drain_before_any(0, None, vec![(0, Some(1)), (10, Some(3))], 10)]
 fn what_is_not_begun_is_cut_and_the_rest_moves_up(
-    #[case] written: u64, #[case] taken: Option<u64>, #[case] cuts: Vec<(usize, Option<u64>)>,
+    #[case] written: u64,
+    #[case] taken: Option<u64>,
+    #[case] cuts: Vec<(usize, Option<u64>)>,
     #[case] end: u64,
 ) {
     let mut line = SendQueue::default();
@@ -58,11 +63,16 @@
         });
     }
     line.written(written);
-    let got = line.cut_where(written, |p| p.bound && taken.is_none_or(|t| p.id == Some(t)));
+    let got = line.cut_where(written, |p| {
+        p.bound && taken.is_none_or(|t| p.id == Some(t))
+    });
     assert_eq!(got.iter().map(|c| (c.at, c.id)).collect::<Vec<_>>(), cuts);
     assert!(got.iter().all(|c| c.ends && c.len == 10));
     assert_eq!(
-        line.join(QueuedFrame { len: 5, ..QueuedFrame::default() }),
+        line.join(QueuedFrame {
+            len: 5,
+            ..QueuedFrame::default()
+        }),
         end + 5,
         "where the last one ends now"
     );
@@ -87,7 +97,12 @@
     assert!(tickets[1].take_back());
     assert_eq!(line.claim(0, now, true), (10, vec![]));
     line.written(10);
-    let cut = Cut { at: 0, len: 10, id: Some(1), ends: false };
+    let cut = Cut {
+        at: 0,
+        len: 10,
+        id: Some(1),
+        ends: false,
+    };
     assert_eq!(line.claim(10, now, true), (10, vec![cut]));
 }
 
@@ -96,9 +111,21 @@
 fn a_give_up_is_confirmed_by_its_last_byte() {
     let (mut line, now) = (SendQueue::default(), Instant::now());
     let taken = ticket();
-    let key = AttemptKey { request: 7, attempt: 1 };
-    line.join(QueuedFrame { id: Some(1), ticket: Some(taken.clone()), len: 10, ..QueuedFrame::default() });
-    line.join(QueuedFrame { confirms: Some(key), len: 20, ..QueuedFrame::default() });
+    let key = AttemptKey {
+        request: 7,
+        attempt: 1,
+    };
+    line.join(QueuedFrame {
+        id: Some(1),
+        ticket: Some(taken.clone()),
+        len: 10,
+        ..QueuedFrame::default()
+    });
+    line.join(QueuedFrame {
+        confirms: Some(key),
+        len: 20,
+        ..QueuedFrame::default()
+    });
     assert!(taken.take_back());
     assert_eq!(line.claim(0, now, false).0, 20);
     assert_eq!(line.written(19), []);
--- a/wrenseam/tests/standin/mod.rs
+++ b/wrenseam/tests/standin/mod.rs
@@ -125,9 +125,22 @@
     /// Decides on a call, and notes that it came.
     fn take(&self, id: u64) -> Act {
         let troubled = self.die.percent(self.trouble);
-        let act = if troubled { ACTS[self.die.below(ACTS.len() as u32) as usize] } else { Act::Serve };
-        let arrival = Arrival { at: Instant::now(), zone: self.zone, act };
-        self.ledger.lock().expect("sound").entry(id).or_default().push(arrival);
+        let act = if troubled {
+            ACTS[self.die.below(ACTS.len() as u32) as usize]
+        } else {
+            Act::Serve
+        };
+        let arrival = Arrival {
+            at: Instant::now(),
+            zone: self.zone,
+            act,
+        };
+        self.ledger
+            .lock()
+            .expect("sound")
+            .entry(id)
+            .or_default()
+            .push(arrival);
         act
     }
 
@@ -165,7 +178,9 @@
             let _ = bytes(&mut stream, 20); // a part of the next frame
             return reset(&stream);
         }
-        let Some(head) = bytes(&mut stream, 16) else { return };
+        let Some(head) = bytes(&mut stream, 16) else {
+            return;
+        };
         let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
         let body = u32::from_be_bytes([head[4], head[5], head[6], head[7]]) as usize;
         let id = u64::from_be_bytes(head[8..].try_into().expect("eight"));
@@ -211,7 +226,11 @@
                 (spoilt, false)
             }
         };
-        let late = if answers == Act::ServeLate { worker.die.below(120) } else { 0 };
+        let late = if answers == Act::ServeLate {
+            worker.die.below(120)
+        } else {
+            0
+        };
         say(&back, answer.clone(), late);
         if again {
             say(&back, answer, late + worker.die.below(10));
@@ -241,13 +260,21 @@
         head.extend(bytes(stream, 1)?);
     }
     let head = String::from_utf8_lossy(&head).into_owned();
-    let length = head.lines().find_map(|l| l.strip_prefix("Content-Length: "))?.parse().ok()?;
+    let length = head
+        .lines()
+        .find_map(|l| l.strip_prefix("Content-Length: "))?
+        .parse()
+        .ok()?;
     let body = String::from_utf8_lossy(&bytes(stream, length)?).into_owned();
     Some((head, body))
 }
 
 fn http_answer(status: &str, body: &str) -> Vec<u8> {
-    format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+    format!(
+        "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .into_bytes()
 }
 
 fn serve_http(worker: &Worker, mut stream: TcpStream) {
@@ -256,20 +283,27 @@
             let _ = bytes(&mut stream, 20);
             return reset(&stream);
         }
-        let Some((head, body)) = http_request(&mut stream) else { return };
+        let Some((head, body)) = http_request(&mut stream) else {
+            return;
+        };
         if !head.contains("/infer ") {
             let stands = r#"{"parameters":{"slots_up":1}}"#;
             let _ = stream.write_all(&http_answer("200 OK", stands)); // orders
             continue;
         }
-        let id = body.split(r#""id":""#).nth(1).and_then(|rest| rest.get(..16)).expect("an id");
+        let id = body
+            .split(r#""id":""#)
+            .nth(1)
+            .and_then(|rest| rest.get(..16))
+            .expect("an id");
         let act = worker.take(u64::from_str_radix(id, 16).expect("hex"));
         let served = format!(
             r#"{{"id":"{id}","outputs":[{{"name":"body","shape":[1],"datatype":"BYTES","data":["DONE"]}}]}}"#
         );
         let served = http_answer("200 OK", &served);
         let full =
-            b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n".to_vec();
+            b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n"
+                .to_vec();
         let (answer, again) = match act {
             Act::Serve => (served, false),
             Act::ServeLate => {
@@ -289,7 +323,10 @@
                 let _ = stream.shutdown(Shutdown::Write);
                 continue;
             }
-            Act::Spoilt => (b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n".to_vec(), false),
+            Act::Spoilt => (
+                b"HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\n".to_vec(),
+                false,
+            ),
             // What a proxy before the worker says that lost the answer to a call.
             Act::SpoiltCode => (http_answer("503 Service Unavailable", ""), false),
         };
--- a/wrenseam/tests/succession.rs
+++ b/wrenseam/tests/succession.rs
@@ -10,10 +10,16 @@
 /// One process runs, another starts beside it at some moment between its looks; looks come late by up to a whole one.
 /// At no time do both use the seats, and the new one does in the end.
 #[rstest]
-fn at_no_time_do_both_use_the_seats(#[values(0, 1, 120, 249)] phase: u64, #[values(0, 100, 250)] late: u64) {
+fn at_no_time_do_both_use_the_seats(
+    #[values(0, 1, 120, 249)] phase: u64,
+    #[values(0, 100, 250)] late: u64,
+) {
     let (mut file, mut looks) = ("a".to_owned(), 0);
     let (mut old, mut new) = (Succession::new("a".into(), None), None::<Succession>);
-    assert!(!old.aside(), "a process that nobody is named before has them at once");
+    assert!(
+        !old.aside(),
+        "a process that nobody is named before has them at once"
+    );
     let (mut next, mut started) = (0, 0);
     for now in 0..5_000 {
         if now == 2_000 + phase {
@@ -30,7 +36,11 @@
             if (now - started).is_multiple_of(LOOK) {
                 new.looked(Some(&file)); // never late: so it would take them soonest
             }
-            assert!(old.aside() || new.aside(), "both have them {} ms after the start", now - started);
+            assert!(
+                old.aside() || new.aside(),
+                "both have them {} ms after the start",
+                now - started
+            );
         }
     }
     assert!(old.aside() && !new.expect("started").aside());
@@ -39,7 +49,10 @@
 /// A file that cannot be read leaves things as they are; two that start at once end with one; nobody waits for itself.
 #[test]
 fn odd_files_leave_one_process_with_the_seats() {
-    let (mut one, mut two) = (Succession::new("a".into(), Some("x")), Succession::new("b".into(), Some("x")));
+    let (mut one, mut two) = (
+        Succession::new("a".into(), Some("x")),
+        Succession::new("b".into(), Some("x")),
+    );
     for _ in 0..4 {
         one.looked(Some("b"));
         two.looked(Some("b"));
--- a/wrenseam/tests/system_calls.rs
+++ b/wrenseam/tests/system_calls.rs
@@ -50,7 +50,10 @@
 /// The scheduler's own time-out is no error of the connection.
 #[test]
 fn a_time_out_of_the_scheduler_ends_nothing() {
-    assert_eq!(Failure::of(&io::Error::new(io::ErrorKind::TimedOut, "timeout")), Failure::Again);
+    assert_eq!(
+        Failure::of(&io::Error::new(io::ErrorKind::TimedOut, "timeout")),
+        Failure::Again
+    );
 }
 
 /// The machine's calls, but every other write fails so, and the rest write a byte at a time.
@@ -85,12 +88,16 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let limits = Arc::new(Limits::new(192, 1024, &bramblepath::Settings::default()));
-    let calls = Arc::new(Troubled { number, calls: AtomicUsize::new(0) });
+    let calls = Arc::new(Troubled {
+        number,
+        calls: AtomicUsize::new(0),
+    });
     let inside = limits.clone();
     wrenseam::net::spawn(64 * 1024, move || {
         let stream = may::net::TcpStream::connect(address).expect("a connection");
         let budget = Budget::new(inside.held_bytes);
-        let out = Outbox::start_with(stream, &inside, &budget, &Arc::default(), calls).expect("started");
+        let out =
+            Outbox::start_with(stream, &inside, &budget, &Arc::default(), calls).expect("started");
         out.send(b"the whole answer".to_vec());
         out.close();
     })
@@ -98,5 +105,10 @@
     let mut stream: TcpStream = listener.accept().expect("a connection").0;
     let mut got = Vec::new();
     let _ = stream.read_to_end(&mut got); // it may end with a reset
-    assert_eq!(got == b"the whole answer", whole, "{:?}", String::from_utf8_lossy(&got));
+    assert_eq!(
+        got == b"the whole answer",
+        whole,
+        "{:?}",
+        String::from_utf8_lossy(&got)
+    );
 }
