--- a/wrenseam/tests/transport.rs
+++ b/wrenseam/tests/transport.rs
@@ -12,7 +12,10 @@
 use wrenseam::core::{AttemptKey, Message, Payload, Request};
 use wrenseam::worker::{GiveUp, Terms, Transport};
 
-const SECOND: AttemptKey = AttemptKey { request: 1, attempt: 1 };
+const SECOND: AttemptKey = AttemptKey {
+    request: 1,
+    attempt: 1,
+};
 
 /// What ends while it waits for a connection that comes up late: it is never written, and it is known that it never
 /// ran. The connection is held back until the other event has happened.
@@ -26,7 +29,9 @@
 // Whoever takes it back ends it, and is told that nothing ran.
 #[case::it_is_called_off("call", "cancel", None)]
 fn what_ends_while_its_connection_comes_up_is_not_written(
-    #[case] what: &str, #[case] event: &str, #[case] end: Option<Outcome>,
+    #[case] what: &str,
+    #[case] event: &str,
+    #[case] end: Option<Outcome>,
 ) {
     let (listener, address, fillers) = late_worker();
     let (mut transport, reports) = transport(address, |l| l.connect = Duration::from_secs(20));
@@ -39,7 +44,11 @@
         "drain" => transport.retire(),
         "leave" => request.gone.store(true, Ordering::Release),
         "cancel" => {
-            assert_eq!(transport.cancel(FIRST), GiveUp::NeverBegun, "no byte of it can have been written")
+            assert_eq!(
+                transport.cancel(FIRST),
+                GiveUp::NeverBegun,
+                "no byte of it can have been written"
+            )
         }
         _ => {
             let since = Instant::now();
@@ -48,8 +57,9 @@
             }
         }
     }
-    let mut accepted: Vec<TcpStream> =
-        (0..=fillers.len()).map(|_| listener.accept().expect("one").0).collect();
+    let mut accepted: Vec<TcpStream> = (0..=fillers.len())
+        .map(|_| listener.accept().expect("one").0)
+        .collect();
     match end {
         Some(end) => assert_eq!(outcome(&reports).1, end),
         None => {
@@ -78,16 +88,31 @@
     transport.send(FIRST, &request, Terms::within(20_000_000));
     let mut first = listener.accept().expect("a connection").0;
     assert_eq!(frame(&mut first), (9, 2));
-    assert_eq!(transport.cancel(FIRST), GiveUp::Pending, "it has been written");
+    assert_eq!(
+        transport.cancel(FIRST),
+        GiveUp::Pending,
+        "it has been written"
+    );
     assert_eq!(frame(&mut first), (9, 3), "given up");
-    assert_eq!(outcome(&reports), (0, Outcome::Cancelled), "its worker has been told");
+    assert_eq!(
+        outcome(&reports),
+        (0, Outcome::Cancelled),
+        "its worker has been told"
+    );
     transport.send(SECOND, &request, Terms::within(20_000_000));
     let mut second = listener.accept().expect("a connection of its own").0;
     assert_eq!(frame(&mut second), (9, 2));
     say(&mut first, 203, 9, "", b"");
     say(&mut first, 203, 9, "", b"");
     // Another call on the first connection shows that both have been read.
-    transport.send(AttemptKey { request: 2, attempt: 7 }, &self::request(10), Terms::within(20_000_000));
+    transport.send(
+        AttemptKey {
+            request: 2,
+            attempt: 7,
+        },
+        &self::request(10),
+        Terms::within(20_000_000),
+    );
     assert_eq!(frame(&mut first), (10, 2));
     say(&mut first, 200, 10, "", b"x");
     assert_eq!(outcome(&reports), (7, Outcome::Ok));
@@ -105,8 +130,13 @@
 fn a_connection_idle_for_too_long_is_not_chosen() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let idle = Duration::from_secs(1);
-    let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |l| l.worker_idle = idle);
-    let call = |n| AttemptKey { request: n, attempt: 0 };
+    let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |l| {
+        l.worker_idle = idle
+    });
+    let call = |n| AttemptKey {
+        request: n,
+        attempt: 0,
+    };
     transport.send(call(1), &request(1), Terms::within(20_000_000));
     let mut first = listener.accept().expect("a connection").0;
     frame(&mut first);
@@ -119,14 +149,24 @@
     assert_eq!(outcome(&reports).1, Outcome::Ok);
     std::thread::sleep(idle + idle / 4);
     transport.send(call(3), &request(3), Terms::within(20_000_000));
-    assert_eq!(frame(&mut listener.accept().expect("another connection").0), (3, 2));
+    assert_eq!(
+        frame(&mut listener.accept().expect("another connection").0),
+        (3, 2)
+    );
 }
 
 /// Bytes that were written to a connection and not read yet: what lies at its receiver, and what its sender still holds.
 fn unread(receiver: &TcpStream) -> usize {
-    let (here, there) = (receiver.local_addr().expect("bound"), receiver.peer_addr().expect("connected"));
+    let (here, there) = (
+        receiver.local_addr().expect("bound"),
+        receiver.peer_addr().expect("connected"),
+    );
     let table = std::fs::read_to_string("/proc/net/tcp").expect("read");
-    let port = |word: &str| word.rsplit(':').next().and_then(|p| u16::from_str_radix(p, 16).ok());
+    let port = |word: &str| {
+        word.rsplit(':')
+            .next()
+            .and_then(|p| u16::from_str_radix(p, 16).ok())
+    };
     let queue = |line: &str| {
         let words: Vec<&str> = line.split_whitespace().collect();
         let (local, remote) = (port(words.get(1)?)?, port(words.get(2)?)?);
@@ -145,43 +185,78 @@
 /// and no other is begun: nothing was claimed over the wait, however long that took.
 #[test]
 fn nothing_is_begun_behind_a_stalled_write_once_its_client_left() {
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("bound");
+    let socket =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    socket
+        .bind(
+            &"127.0.0.1:0"
+                .parse::<SocketAddr>()
+                .expect("an address")
+                .into(),
+        )
+        .expect("bound");
     socket.listen(8).expect("listens");
     let listener = TcpListener::from(socket);
     let address = listener.local_addr().expect("bound");
     let (mut transport, reports) = transport(address, |l| {
-        (l.streams, l.write_check, l.write_stall) = (1_000, Duration::from_secs(1), Duration::from_secs(20));
+        (l.streams, l.write_check, l.write_stall) =
+            (1_000, Duration::from_secs(1), Duration::from_secs(20));
     });
     let gone = Arc::new(std::sync::atomic::AtomicBool::new(false));
     let call = |n: u64| {
         let body = Payload::Bytes(vec![n as u8; 16_000]);
         let plain = Arc::into_inner(request(n)).expect("ours alone");
-        Arc::new(Request { payload: body, gone: gone.clone(), ..plain })
+        Arc::new(Request {
+            payload: body,
+            gone: gone.clone(),
+            ..plain
+        })
     };
     let all = 900;
     for n in 0..all {
-        transport.send(AttemptKey { request: n, attempt: 0 }, &call(n), Terms::within(20_000_000));
+        transport.send(
+            AttemptKey {
+                request: n,
+                attempt: 0,
+            },
+            &call(n),
+            Terms::within(20_000_000),
+        );
     }
     let mut stream = listener.accept().expect("a connection").0;
     let (mut written, mut same) = (0, 0);
     while same < 60 {
         std::thread::sleep(Duration::from_millis(10));
         let now = unread(&stream);
-        same = if now == written && now > 0 { same + 1 } else { 0 };
+        same = if now == written && now > 0 {
+            same + 1
+        } else {
+            0
+        };
         written = now;
     }
     gone.store(true, Ordering::Release);
     let mut head = [0; 16];
     stream.peek(&mut head).expect("a frame");
-    let begun = written.div_ceil(16 + usize::from(u16::from_be_bytes([head[2], head[3]])) + 16_000 + 4);
-    assert!((begun as u64) < all - 100, "{begun} of {all} were written: no stall");
+    let begun =
+        written.div_ceil(16 + usize::from(u16::from_be_bytes([head[2], head[3]])) + 16_000 + 4);
+    assert!(
+        (begun as u64) < all - 100,
+        "{begun} of {all} were written: no stall"
+    );
     (0..begun).for_each(|_| assert_eq!(frame(&mut stream).1, 2, "what was begun comes whole"));
-    stream.set_read_timeout(Some(Duration::from_secs(1))).expect("set");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(1)))
+        .expect("set");
     let more = stream.peek(&mut head);
-    assert!(more.is_err(), "more than the {begun} calls that were begun when their clients left: {more:?}");
+    assert!(
+        more.is_err(),
+        "more than the {begun} calls that were begun when their clients left: {more:?}"
+    );
     // All others end at once, also those that did not fit into the ring.
-    let moot = (begun as u64..all).filter(|_| outcome(&reports).1 == Outcome::Moot).count();
+    let moot = (begun as u64..all)
+        .filter(|_| outcome(&reports).1 == Outcome::Moot)
+        .count();
     assert_eq!(moot as u64, all - begun as u64);
 }
 
@@ -202,7 +277,11 @@
         transport.sweep();
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert_eq!(stream.read_to_end(&mut Vec::new()).expect("closed"), 0, "more than the order was written");
+    assert_eq!(
+        stream.read_to_end(&mut Vec::new()).expect("closed"),
+        0,
+        "more than the order was written"
+    );
 }
 
 /// Guards descriptors before hundreds of workers: what is in use stays, what has been idle longest can be closed
@@ -212,7 +291,10 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let (mut transport, reports) = transport(address, |_| {});
-    assert_eq!((transport.connections(), transport.idle_since()), ((0, true), None));
+    assert_eq!(
+        (transport.connections(), transport.idle_since()),
+        ((0, true), None)
+    );
     transport.order(1, 7, 1);
     let (mut stream, _) = listener.accept().expect("a connection");
     let mut frame = [0; 52];
@@ -228,10 +310,24 @@
     let mut answer = wrenseam::worker::frames::encode(200, id, "slots_up=1", &[]);
     answer[0] = 127;
     stream.write_all(&answer).expect("answered");
-    assert!(matches!(reports.recv_timeout(Duration::from_secs(20)), Ok(Message::Ordered(1, Outcome::Ok, 1))));
+    assert!(matches!(
+        reports.recv_timeout(Duration::from_secs(20)),
+        Ok(Message::Ordered(1, Outcome::Ok, 1))
+    ));
     assert!(transport.idle_since().is_some());
     transport.close_idle();
-    assert_eq!((transport.connections(), stream.read(&mut [0; 8]).expect("closed")), ((0, true), 0));
+    assert_eq!(
+        (
+            transport.connections(),
+            stream.read(&mut [0; 8]).expect("closed")
+        ),
+        ((0, true), 0)
+    );
     transport.order(2, 7, 1);
-    listener.accept().expect("another connection").0.read_exact(&mut frame).expect("the next order");
+    listener
+        .accept()
+        .expect("another connection")
+        .0
+        .read_exact(&mut frame)
+        .expect("the next order");
 }
--- a/wrenseam/tests/waits.rs
+++ b/wrenseam/tests/waits.rs
@@ -26,6 +26,8 @@
         seen.send((before, current().id())).expect("the test waits");
     })
     .expect("a coroutine");
-    let (before, after) = threads.recv_timeout(Duration::from_secs(20)).expect("the wait ends");
+    let (before, after) = threads
+        .recv_timeout(Duration::from_secs(20))
+        .expect("the wait ends");
     assert_eq!(before, after);
 }
