--- a/src/lib.rs
+++ b/policy/src/lib.rs
@@ -5,7 +5,7 @@
 //! [`Action`]s that come back, in order.
 //!
 //! ```
-//! use bramblepath::*;
+//! use wrenseam_policy::*;
 //!
 //! let settings = Settings {
 //!     gateways: 1,
--- a/tests/characterization.rs
+++ b/policy/tests/characterization.rs
@@ -4,9 +4,9 @@
 //! A digest that changes means that a decision changed. It is recorded anew only by a commit that means to change one.
 mod world;
 
-use bramblepath::*;
 use rstest::rstest;
 use world::{Scenario, World};
+use wrenseam_policy::*;
 
 const MS: Micros = 1_000;
 const SEC: Micros = 1_000_000;
--- a/tests/cold.rs
+++ b/policy/tests/cold.rs
@@ -1,8 +1,8 @@
 //! Rule 4 over the sum of all gateways: what they send together to a worker that has just started.
 mod common;
-use bramblepath::*;
 use common::*;
 use std::collections::{BTreeMap, BTreeSet};
+use wrenseam_policy::*;
 
 const TOLD: f64 = 20.0; // calls a second that the tenants' shares allow for each worker
 const SMALL: f64 = 0.75; // what the worker can do, as a part of that: it is smaller than the mean
--- a/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! What the tests share: settings of the two kinds of site and short ways to feed a controller.
 #![allow(dead_code)]
-use bramblepath::*;
+use wrenseam_policy::*;
 
 pub const MS: Micros = 1_000;
 pub const SEC: Micros = 1_000_000;
--- a/tests/design.rs
+++ b/policy/tests/design.rs
@@ -1,10 +1,10 @@
 //! docs/design.md's sentences as tables: the formula of the virtual losses with its clamps and borders, and the ordinary
 //! path. Values are worked out by hand in the rows.
 mod common;
-use bramblepath::virtual_loss::{theta, virtual_loss_chance};
-use bramblepath::*;
 use common::*;
 use rstest::rstest;
+use wrenseam_policy::virtual_loss::{theta, virtual_loss_chance};
+use wrenseam_policy::*;
 
 /// theta = rho/(1 - rho) (d - 1)/d, "rho our busy share clamped to 0.05-0.95".
 #[rstest]
--- a/tests/failures.rs
+++ b/policy/tests/failures.rs
@@ -1,7 +1,7 @@
 //! What goes wrong around a gateway, and odd input.
 mod common;
-use bramblepath::*;
 use common::*;
+use wrenseam_policy::*;
 
 #[test]
 fn a_dead_worker_leaves_the_choice_and_an_answered_question_brings_it_back() {
--- a/tests/mechanism.rs
+++ b/policy/tests/mechanism.rs
@@ -1,7 +1,7 @@
 //! The ordinary path: beliefs, losses, copies and the random choice.
 mod common;
-use bramblepath::*;
 use common::*;
+use wrenseam_policy::*;
 
 #[test]
 fn a_new_gateway_asks_before_it_loads() {
--- a/tests/misses.rs
+++ b/policy/tests/misses.rs
@@ -1,8 +1,8 @@
 //! Workers without the function that answer a call with a miss: only an order loads it there.
 mod common;
-use bramblepath::*;
 use common::*;
 use rstest::rstest;
+use wrenseam_policy::*;
 
 fn few() -> Settings {
     Settings {
--- a/tests/properties.rs
+++ b/policy/tests/properties.rs
@@ -1,10 +1,10 @@
 //! The five rules over seeded random event streams, judged by a checker that shares no code with the module.
 mod common;
-use bramblepath::*;
 use common::*;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet};
+use wrenseam_policy::*;
 
 struct Sent {
     worker: String,
--- a/tests/prospect.rs
+++ b/policy/tests/prospect.rs
@@ -1,8 +1,8 @@
 //! Calls whose clients leave before an answer is likely, and clients that never wait long.
 mod common;
-use bramblepath::*;
 use common::*;
 use rstest::rstest;
+use wrenseam_policy::*;
 
 /// One of so many gateways, whose classes state this aim, before workers enough that a call in hand is no crowd.
 fn rig(gateways: u32, aim: Micros) -> Rig {
--- a/tests/repeats.rs
+++ b/policy/tests/repeats.rs
@@ -1,8 +1,8 @@
 //! Rule 2 where the list of workers changes between two attempts, and where a repeat may wait before it is written.
 mod common;
-use bramblepath::*;
 use common::*;
 use rstest::rstest;
+use wrenseam_policy::*;
 
 /// The window of keyed classes in the common settings.
 const WINDOW: Micros = 3 * SEC;
--- a/tests/rules.rs
+++ b/policy/tests/rules.rs
@@ -1,7 +1,7 @@
 //! The five rules, one by one.
 mod common;
-use bramblepath::*;
 use common::*;
+use wrenseam_policy::*;
 
 #[test]
 fn rule_1_a_held_request_is_answered_before_the_client_leaves() {
--- a/tests/scale.rs
+++ b/policy/tests/scale.rs
@@ -1,7 +1,7 @@
 //! A hundred gateways and more: each sees little, and what each does is multiplied.
 mod common;
-use bramblepath::*;
 use common::*;
+use wrenseam_policy::*;
 
 fn many(gateways: u32) -> Settings {
     let tenant = |quota_per_s| TenantSettings {
--- a/tests/versions.rs
+++ b/policy/tests/versions.rs
@@ -1,9 +1,9 @@
 //! New versions of what is loaded, on a quiet day: every copy is void at once, and what was warm loads or misses.
 mod common;
-use bramblepath::*;
 use common::*;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
+use wrenseam_policy::*;
 
 const LOAD: Micros = 400 * MS;
 const WORK: Micros = 50 * MS;
--- a/tests/world/mod.rs
+++ b/policy/tests/world/mod.rs
@@ -1,9 +1,9 @@
 //! A simulated deployment for the characterization test: clients, workers, faults and a clock, all drawn from one seed
 //! with integer arithmetic. It carries out the module's actions and feeds their results back as events.
-use bramblepath::*;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::{BTreeMap, BTreeSet};
+use wrenseam_policy::*;
 
 const MS: Micros = 1_000;
 const SEC: Micros = 1_000_000;
--- a/scalelab/src/bursts.rs
+++ b/scalelab/src/bursts.rs
@@ -2,9 +2,9 @@
 use crate::hollow::{Front, Popularity, Shape, Spent, SEC, START};
 use crate::module::{base, since, told};
 use crate::{Column, Experiment, Sweep};
-use bramblepath::WorkerState;
 use std::collections::BTreeMap;
 use std::rc::Rc;
+use wrenseam_policy::WorkerState;
 
 /// The experiments of this file.
 pub const EXPERIMENTS: &[Experiment] = &[
--- a/scalelab/src/hollow.rs
+++ b/scalelab/src/hollow.rs
@@ -1,12 +1,12 @@
 //! A front end without sockets: the decision module before stand-in workers, on simulated time. All that it counts is
 //! the same in every run of a shape and seed; only what the clock measures is not.
 use allocation_counter::{measure, AllocationInfo};
-use bramblepath::*;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Instant;
+use wrenseam_policy::*;
 
 pub const MS: Micros = 1_000;
 pub const SEC: Micros = 1_000_000;
--- a/scalelab/src/seats.rs
+++ b/scalelab/src/seats.rs
@@ -3,8 +3,8 @@
 use crate::hollow::{Front, Popularity, Shape, MS, SEC, START};
 use crate::module::{base, told};
 use crate::{Column, Experiment, Sweep};
-use bramblepath::{Micros, WorkerState};
 use std::rc::Rc;
+use wrenseam_policy::{Micros, WorkerState};
 
 /// The experiments of this file.
 pub const EXPERIMENTS: &[Experiment] = &[
--- a/benchlink/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,15 +1,15 @@
-//! Runs bramblepath on the simulator's wire: reads batches on standard input, writes replies on standard
+//! Runs the policy on the simulator's wire: reads batches on standard input, writes replies on standard
 //! output. It translates and decides nothing.
 #![forbid(unsafe_code)]
 
-use bramblepath::json::{
-    flag, number, object, part, position, span, text as word, whole as figure,
-};
-use bramblepath::*;
 use miniserde::json::{self, Number, Object, Value};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
+use wrenseam_policy::json::{
+    flag, number, object, part, position, span, text as word, whole as figure,
+};
+use wrenseam_policy::*;
 
 type Res<T> = Result<T, String>;
 type Fields = Object;
@@ -25,7 +25,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("bramblepath-benchlink: {message}");
+            eprintln!("simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
@@ -87,7 +87,7 @@
 }
 
 fn message(line: &str) -> Res<(String, Fields)> {
-    let Value::Object(outer) = bramblepath::json::parse(line)? else {
+    let Value::Object(outer) = wrenseam_policy::json::parse(line)? else {
         return Err("not an object".into());
     };
     if outer.len() != 1 {
--- a/benchlink/tests/wire.rs
+++ b/simulator-adapter/tests/wire.rs
@@ -3,7 +3,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn talk(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_bramblepath-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/wrenseam/src/config.rs
+++ b/wrenseam/src/config.rs
@@ -2,11 +2,11 @@
 use crate::fleet::identity::{address_hash, mix};
 use crate::fleet::record::MAX_NAME_BYTES;
 use crate::limits::Limits;
-use bramblepath::json::{as_text, list, number, object, parse, part, text};
-use bramblepath::Settings;
 use miniserde::json::{self, Object, Value};
 use std::net::SocketAddr;
 use std::path::Path;
+use wrenseam_policy::json::{as_text, list, number, object, parse, part, text};
+use wrenseam_policy::Settings;
 
 /// The start configuration.
 pub struct Config {
--- a/wrenseam/src/core/attempts.rs
+++ b/wrenseam/src/core/attempts.rs
@@ -2,9 +2,9 @@
 use super::peers::Peer;
 use super::{Answer, Attempt, AttemptKey, Core, Due, Report};
 use crate::worker::{GiveUp, Terms};
-use bramblepath::{Event, Micros, Outcome, WorkerState};
 use std::sync::atomic::Ordering;
 use std::time::Instant;
+use wrenseam_policy::{Event, Micros, Outcome, WorkerState};
 
 impl Core {
     /// An attempt ended, and the module hears of it at once.
--- a/wrenseam/src/core/clock.rs
+++ b/wrenseam/src/core/clock.rs
@@ -1,6 +1,6 @@
 //! The module's clock: Unix microseconds at the start, then monotonic time.
-use bramblepath::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use wrenseam_policy::Micros;
 
 /// A clock that shares the epoch of the list's start times and never goes back.
 #[derive(Clone, Copy)]
--- a/wrenseam/src/core/fleet.rs
+++ b/wrenseam/src/core/fleet.rs
@@ -3,9 +3,9 @@
 use crate::config::Fleet;
 use crate::fleet::traffic::TrafficKind;
 use crate::fleet::{FleetNews, FleetSize, Lifecycle, RetryBudget, Shedder, Summary};
-use bramblepath::{Micros, Settings};
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use std::fmt::Write;
+use wrenseam_policy::{Micros, Settings};
 
 /// How long a larger fleet is remembered once peers are no longer heard (µs).
 const SIZE_HOLD: Micros = 60_000_000;
--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -21,13 +21,15 @@
 use crate::membership::Membership;
 use crate::net::{DirectCalls, SystemCalls};
 use crate::worker::{GiveUp, Reports};
-use bramblepath::{Action, Controller, Event, Micros, Outcome, Settings, WorkerState, ZoneNames};
 use peers::Peer;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::sync::Arc;
 use timers::{Due, Timers};
+use wrenseam_policy::{
+    Action, Controller, Event, Micros, Outcome, Settings, WorkerState, ZoneNames,
+};
 
 const SWEEP: Micros = 1_000_000; // period in which idle connections are looked for
 
--- a/wrenseam/src/core/operate.rs
+++ b/wrenseam/src/core/operate.rs
@@ -1,8 +1,8 @@
 //! The core's answers to operators' calls. Whatever they change is decided here or in membership, without I/O.
 use super::{Call, Core, Gauges};
 use crate::membership::Unknown;
-use bramblepath::WorkerState;
 use std::sync::atomic::Ordering;
+use wrenseam_policy::WorkerState;
 
 impl Core {
     /// The line (or lines) that answer a call.
--- a/wrenseam/src/core/peers.rs
+++ b/wrenseam/src/core/peers.rs
@@ -2,9 +2,9 @@
 use super::{AttemptKey, Core, Member, Speech};
 use crate::membership::{Change, Duty};
 use crate::worker::{pool, transport, GiveUp, Transport};
-use bramblepath::json::position;
-use bramblepath::{Entry, Event};
 use std::sync::atomic::Ordering;
+use wrenseam_policy::json::position;
+use wrenseam_policy::{Entry, Event};
 
 /// A member, and the ways to it.
 pub(super) struct Peer {
--- a/wrenseam/src/core/requests.rs
+++ b/wrenseam/src/core/requests.rs
@@ -1,8 +1,8 @@
 //! Requests from their arrival to their one final answer.
 use super::{Answer, Client, Core, Counts, Due, Ended, Open, Request};
-use bramblepath::{Effect, Event, Micros};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
+use wrenseam_policy::{Effect, Event, Micros};
 
 impl Core {
     pub(super) fn request(&mut self, request: Request, client: Arc<dyn Client>, tag: u64) {
--- a/wrenseam/src/core/timers.rs
+++ b/wrenseam/src/core/timers.rs
@@ -1,9 +1,9 @@
 //! One heap of timers; none can be taken back, what is no longer needed is ignored when it is due.
 use super::AttemptKey;
-use bramblepath::Micros;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
+use wrenseam_policy::Micros;
 
 const LONGEST_SLEEP: Duration = Duration::from_millis(500);
 
--- a/wrenseam/src/core/types.rs
+++ b/wrenseam/src/core/types.rs
@@ -1,10 +1,10 @@
 //! The neutral words between fronts, core and transports. No wire shows here.
 use crate::limits::Held;
-use bramblepath::{FunctionId, Micros, Outcome, WorkerState};
 use std::net::SocketAddr;
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 use std::time::Instant;
+use wrenseam_policy::{FunctionId, Micros, Outcome, WorkerState};
 
 /// A body, opaque to the core. Transports carry it as it is, or wrap it for the other speech.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/wrenseam/src/fleet/average.rs
+++ b/wrenseam/src/fleet/average.rs
@@ -10,10 +10,10 @@
 use super::identity::{
     address_hash, header, mix, put_address, take, take_address, PeerId, HEADER_BYTES, MAX_PRESSURE,
 };
-use bramblepath::Micros;
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
+use wrenseam_policy::Micros;
 
 /// Rings of members: a front end asks its successor on each and is asked by its predecessor. Four make a random
 /// graph of degree 8: an estimate's error falls by a factor of e in some 0.3 s at a probe period of 500 ms.
--- a/wrenseam/src/fleet/budget.rs
+++ b/wrenseam/src/fleet/budget.rs
@@ -1,7 +1,7 @@
 //! Retry budget of the fleet: extra attempts at most a fraction of first attempts over a sliding window, plus
 //! a floor of retries a second that the whole fleet shares, divided by its estimated size (as gRPC's retry
 //! throttling and Envoy's retry budgets bound retries). No I/O; time is handed in, in microseconds.
-use bramblepath::Micros;
+use wrenseam_policy::Micros;
 
 /// Buckets of the sliding window.
 const BUCKETS: usize = 10;
--- a/wrenseam/src/fleet/detector.rs
+++ b/wrenseam/src/fleet/detector.rs
@@ -7,9 +7,9 @@
 //! - It accuses nobody unless it has proof that it heard and was heard for half of the suspicion's time, without a gap
 //!   and up to now: probes of its own that were acknowledged. Who hears nobody accuses nobody.
 use super::identity::PeerId;
-use bramblepath::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use wrenseam_policy::Micros;
 
 /// The most that doubts in oneself add up to: probes and suspicions are at most so many times longer, and once more.
 pub const MAX_DOUBT: u32 = 3;
--- a/wrenseam/src/fleet/directory.rs
+++ b/wrenseam/src/fleet/directory.rs
@@ -2,9 +2,9 @@
 //! digest by which two members see at once whether they hold the same. No I/O; time is handed in.
 use super::identity::{address_hash, mix, PeerId};
 use super::record::{Facts, Lifecycle, Record, Stamp};
-use bramblepath::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
+use wrenseam_policy::Micros;
 
 /// Parts that a view's digest is told by; a bit each in a message's set of parts.
 pub const PARTS: usize = 16;
--- a/wrenseam/src/fleet/inquiry.rs
+++ b/wrenseam/src/fleet/inquiry.rs
@@ -1,9 +1,9 @@
 //! Members that are to be asked whether they are there: those whom somebody else holds as gone. No I/O; time is
 //! handed in.
 use super::identity::PeerId;
-use bramblepath::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use wrenseam_policy::Micros;
 
 /// Members asked about at once; of others that are disputed the next repair tells again.
 const HELD: usize = 24;
--- a/wrenseam/src/fleet/members.rs
+++ b/wrenseam/src/fleet/members.rs
@@ -11,9 +11,9 @@
 use super::rumor::{Rumors, FANOUT};
 use super::swim::{Outgoing, PeerEvent, Swim, SwimSettings};
 use super::traffic::TrafficKind;
-use bramblepath::Micros;
 use rand::{rngs::SmallRng, seq::IteratorRandom, RngExt, SeedableRng};
 use std::net::SocketAddr;
+use wrenseam_policy::Micros;
 
 /// Members that are told at once that this front end leaves.
 const TOLD_OF_LEAVE: usize = 16;
--- a/wrenseam/src/fleet/members/exchange.rs
+++ b/wrenseam/src/fleet/members/exchange.rs
@@ -6,8 +6,8 @@
 use crate::fleet::record::{Lifecycle, Record, Stamp};
 use crate::fleet::repair;
 use crate::fleet::traffic::TrafficKind;
-use bramblepath::Micros;
 use std::net::SocketAddr;
+use wrenseam_policy::Micros;
 
 impl Members {
     /// Takes a datagram of membership or of records that came at `now`.
--- a/wrenseam/src/fleet/node.rs
+++ b/wrenseam/src/fleet/node.rs
@@ -8,10 +8,10 @@
 use super::swim::{Dropped, Outgoing, PeerEvent, SwimSettings};
 use super::traffic::{Traffic, TrafficKind};
 use super::Summary;
-use bramblepath::Micros;
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
+use wrenseam_policy::Micros;
 
 /// Least probe periods between two asks whether a lost peer is back.
 const ASK_LOST_PROBES: Micros = 5;
--- a/wrenseam/src/fleet/repair.rs
+++ b/wrenseam/src/fleet/repair.rs
@@ -4,10 +4,10 @@
 use super::identity::PeerId;
 use super::message::MAX_BODY;
 use super::record::Stamp;
-use bramblepath::Micros;
 use rand::{rngs::SmallRng, RngExt};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
+use wrenseam_policy::Micros;
 
 /// Hashes that fit a datagram.
 const HASHES_AT_MOST: usize = (MAX_BODY - 2) / 4;
--- a/wrenseam/src/fleet/shed.rs
+++ b/wrenseam/src/fleet/shed.rs
@@ -1,7 +1,7 @@
 //! Shedding by class in common: under overload every front end refuses the same classes first, in the order
 //! of the settings, by as much as the fleet's pressure asks, so that the refused fraction converges across
 //! front ends. No I/O; time is handed in, in microseconds, and chance comes from a seeded generator.
-use bramblepath::Micros;
+use wrenseam_policy::Micros;
 
 /// Decides which arriving requests are refused at once.
 ///
--- a/wrenseam/src/fleet/summary.rs
+++ b/wrenseam/src/fleet/summary.rs
@@ -1,9 +1,9 @@
 //! The load summary that each front end gossips, its bytes, and what a front end makes of the summaries it
 //! holds. No I/O; time is handed in, in microseconds.
 use super::identity::MAX_PRESSURE;
-use bramblepath::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use wrenseam_policy::Micros;
 
 /// Bytes of an encoded summary.
 pub const SUMMARY_BYTES: usize = 64;
--- a/wrenseam/src/fleet/swim.rs
+++ b/wrenseam/src/fleet/swim.rs
@@ -12,7 +12,6 @@
 use super::identity::{header, PeerId, HEADER_BYTES, MAX_DATAGRAM, MAX_INCARNATION, SWIM_VERSION};
 use super::summary::{Summaries, Summary};
 use super::traffic::TrafficKind;
-use bramblepath::Micros;
 use foca::{Config, Foca, Member, Message, PostcardCodec, State, Timer};
 use outside::{read_header, Gossiped, Outside, TimerSlot};
 use rand::{rngs::SmallRng, SeedableRng};
@@ -21,6 +20,7 @@
 use std::num::{NonZeroU32, NonZeroUsize};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
+use wrenseam_policy::Micros;
 
 /// The settings of membership, in microseconds.
 #[derive(Clone, Copy, Debug)]
--- a/wrenseam/src/fleet/swim/outside.rs
+++ b/wrenseam/src/fleet/swim/outside.rs
@@ -4,7 +4,6 @@
 use crate::fleet::identity::{PeerId, HEADER_BYTES};
 use crate::fleet::summary::{Offered, Summaries, Summary, SummaryError};
 use crate::fleet::traffic::TrafficKind;
-use bramblepath::Micros;
 use foca::{BroadcastHandler, Codec, Header, Invalidates, Member, Message, Notification};
 use foca::{PostcardCodec, Runtime, Timer};
 use std::cmp::Reverse;
@@ -12,6 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
+use wrenseam_policy::Micros;
 
 /// News of members on a probe or an acknowledgement at the most, where summaries are not wanted; and while the budget
 /// of bytes is tight.
--- a/wrenseam/src/fleet/traffic.rs
+++ b/wrenseam/src/fleet/traffic.rs
@@ -1,5 +1,5 @@
 //! One budget of bytes a second for all that a front end gossips, and the bytes by kind. No I/O; time is handed in.
-use bramblepath::Micros;
+use wrenseam_policy::Micros;
 
 /// Bytes a second that a front end sends on average at the most: with as many received, and [`BURST`] besides,
 /// the worst second stays under 22 KB.
--- a/wrenseam/src/front/kserve.rs
+++ b/wrenseam/src/front/kserve.rs
@@ -6,7 +6,6 @@
 use crate::net::{receive, Occupant, Outbox, Reads, Received, Seat};
 use crate::ring::Ring;
 use crate::worker::kserve::wrap_answer;
-use bramblepath::json::{flag, number, object, parse, part, text};
 use may::net::TcpStream;
 use may::sync::Mutex;
 use miniserde::json::{self, Object, Value};
@@ -14,6 +13,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Instant;
+use wrenseam_policy::json::{flag, number, object, parse, part, text};
 
 /// An error object of the protocol.
 pub fn error(text: &str) -> Vec<u8> {
--- a/wrenseam/src/gossip.rs
+++ b/wrenseam/src/gossip.rs
@@ -7,7 +7,6 @@
 use crate::fleet::node::EXTRA_TRANSMISSIONS;
 use crate::fleet::swim::Dropped;
 use crate::fleet::{Facts, Lifecycle, Node, NodeSettings, PeerEvent, SwimSettings};
-use bramblepath::Micros;
 use may::net::UdpSocket;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,6 +14,7 @@
 use std::sync::mpsc::Sender;
 use std::sync::{Arc, PoisonError};
 use std::time::{Duration, Instant};
+use wrenseam_policy::Micros;
 
 /// Peers of which summaries are held at the most: more than any fleet we run, and a bound on memory.
 const CAPACITY: usize = 1024;
--- a/wrenseam/src/limits.rs
+++ b/wrenseam/src/limits.rs
@@ -1,9 +1,9 @@
 //! All sizes, counts and times of the program, filled once at the start and handed down.
 use crate::worker::pool::Pool;
-use bramblepath::{Micros, Settings};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
+use wrenseam_policy::{Micros, Settings};
 
 /// Descriptors kept back whatever the limit, besides an eighth of it: standard streams, the scheduler's
 /// own, listeners, the board, the operators' door and its callers, the first worker connections. At 192
--- a/wrenseam/src/membership.rs
+++ b/wrenseam/src/membership.rs
@@ -1,8 +1,8 @@
 //! Who the members are, over all sources: the one place that decides when a worker is new, draining, gone or back
 //! with a new process. Snapshots and events come in, changes go out, each once. No sockets and no clock.
 use crate::core::{Member, Speech};
-use bramblepath::{Micros, WorkerState};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
+use wrenseam_policy::{Micros, WorkerState};
 
 /// What a change asks of whoever holds the connections to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/wrenseam/src/redial.rs
+++ b/wrenseam/src/redial.rs
@@ -69,7 +69,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use bramblepath::Settings;
+    use wrenseam_policy::Settings;
 
     fn fleet(gateways: u32) -> Vec<Redial> {
         let limits = Limits::new(
--- a/wrenseam/src/registry.rs
+++ b/wrenseam/src/registry.rs
@@ -3,10 +3,10 @@
 use crate::core::Member;
 use crate::roster::instance;
 use base64::{engine::general_purpose::STANDARD, Engine};
-use bramblepath::json::{list, object, parse, part, text};
-use bramblepath::{Micros, WorkerState};
 use miniserde::json::{Object, Value};
 use std::collections::BTreeMap;
+use wrenseam_policy::json::{list, object, parse, part, text};
+use wrenseam_policy::{Micros, WorkerState};
 
 /// What a body from the registry asks of its follower.
 #[derive(Debug, PartialEq)]
--- a/wrenseam/src/roster.rs
+++ b/wrenseam/src/roster.rs
@@ -6,8 +6,6 @@
 use crate::redial::Redial;
 use crate::ring::Ring;
 use crate::watch::{News, Watch};
-use bramblepath::json::{flag, list, object, part, span, text, whole};
-use bramblepath::WorkerState;
 use may::net::TcpStream;
 use may::sync::Mutex;
 use miniserde::json::{Object, Value};
@@ -15,6 +13,8 @@
 use std::net::SocketAddr;
 use std::sync::mpsc::Sender;
 use std::time::{Duration, Instant};
+use wrenseam_policy::json::{flag, list, object, part, span, text, whole};
+use wrenseam_policy::WorkerState;
 
 /// What an event of the board tells.
 #[derive(Debug, Default)]
--- a/wrenseam/src/watch.rs
+++ b/wrenseam/src/watch.rs
@@ -4,9 +4,9 @@
 //! came spoilt), the last news of each instance named since is kept, so that what is got again is put in its place.
 use crate::core::Member;
 use crate::roster::{instances, Told};
-use bramblepath::json::{parse, whole};
 use miniserde::json::{Object, Value};
 use std::collections::BTreeMap;
+use wrenseam_policy::json::{parse, whole};
 
 /// How often a spoilt event is asked for besides the first time, before what was wrong in it is given up.
 const OWED_CALLS: u32 = 3;
@@ -279,8 +279,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use bramblepath::WorkerState;
     use rstest::rstest;
+    use wrenseam_policy::WorkerState;
 
     /// An event: its number, whether it is the whole list, and instances as `id:state`; `id:?` has none.
     fn event(number: &str, full: bool, instances: &str) -> String {
--- a/wrenseam/src/worker/frames/codec.rs
+++ b/wrenseam/src/worker/frames/codec.rs
@@ -2,7 +2,7 @@
 use super::super::Terms;
 use crate::core::Request;
 use crate::ring::Ring;
-use bramblepath::{FunctionId, Outcome};
+use wrenseam_policy::{FunctionId, Outcome};
 
 const FROM_US: u8 = 126;
 const FROM_WORKER: u8 = 127;
--- a/wrenseam/src/worker/frames/connection.rs
+++ b/wrenseam/src/worker/frames/connection.rs
@@ -3,12 +3,12 @@
 use super::super::Reports;
 use super::progress::Progress;
 use crate::core::{AttemptKey, Report};
-use bramblepath::{FunctionId, Outcome};
 use may::sync::Mutex;
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Instant;
+use wrenseam_policy::{FunctionId, Outcome};
 
 /// What an exchange is for.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
--- a/wrenseam/src/worker/frames/mod.rs
+++ b/wrenseam/src/worker/frames/mod.rs
@@ -14,7 +14,6 @@
 use crate::core::{AttemptKey, Request};
 use crate::limits::Limits;
 use crate::net::{connection_number, spawn, DirectCalls, SystemCalls};
-use bramblepath::FunctionId;
 use connection::{Command, Opening, State, What};
 use liveness::probe_due;
 use may::sync::mpsc::{channel, Sender};
@@ -23,6 +22,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use wrenseam_policy::FunctionId;
 use writer::Writer;
 
 struct Link {
--- a/wrenseam/src/worker/frames/reader.rs
+++ b/wrenseam/src/worker/frames/reader.rs
@@ -6,11 +6,11 @@
 use crate::limits::Limits;
 use crate::net::{receive, timed_out, Received};
 use crate::ring::Ring;
-use bramblepath::{never_ran, Outcome};
 use may::net::TcpStream;
 use std::net::Shutdown;
 use std::sync::atomic::Ordering;
 use std::time::Instant;
+use wrenseam_policy::{never_ran, Outcome};
 
 /// Reads answers until the connection ends.
 pub(super) fn read_answers(
--- a/wrenseam/src/worker/frames/writer.rs
+++ b/wrenseam/src/worker/frames/writer.rs
@@ -9,7 +9,6 @@
 use crate::limits::Limits;
 use crate::net::{pause, spawn, Failure, SystemCalls};
 use crate::ring::Ring;
-use bramblepath::Outcome;
 use may::net::TcpStream;
 use may::sync::mpsc::Receiver;
 use std::collections::VecDeque;
@@ -17,6 +16,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use wrenseam_policy::Outcome;
 
 /// How far a call had come when it was given up.
 enum GivenUp {
--- a/wrenseam/src/worker/kserve/lane.rs
+++ b/wrenseam/src/worker/kserve/lane.rs
@@ -8,13 +8,13 @@
 use crate::limits::Limits;
 use crate::net::{back, pause, receive, timed_out, Failure, Received, SystemCalls};
 use crate::ring::Ring;
-use bramblepath::Outcome;
 use may::net::TcpStream;
 use may::sync::mpmc::Receiver;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use wrenseam_policy::Outcome;
 
 /// A connection that stands idle, and since when.
 pub(super) struct Kept {
--- a/wrenseam/src/worker/kserve/messages.rs
+++ b/wrenseam/src/worker/kserve/messages.rs
@@ -1,9 +1,9 @@
 //! The messages of KServe v2 as JSON, and what answers say of calls and orders. No sockets.
 use crate::core::{Payload, Report, Request};
 use base64::{engine::general_purpose::STANDARD, Engine};
-use bramblepath::json::{as_text, list, object, parse, part, text, whole};
-use bramblepath::{FunctionId, Micros, Outcome};
 use miniserde::json::{self, Array, Number, Object, Value};
+use wrenseam_policy::json::{as_text, list, object, parse, part, text, whole};
+use wrenseam_policy::{FunctionId, Micros, Outcome};
 
 fn map(fields: Vec<(&str, Value)>) -> Value {
     Value::Object(fields.into_iter().map(|(k, v)| (k.to_owned(), v)).collect())
@@ -138,7 +138,7 @@
         _ => None,
     };
     let crowd = told
-        .and_then(|t| bramblepath::json::whole(t, "company"))
+        .and_then(|t| wrenseam_policy::json::whole(t, "company"))
         .map(|n| n.min(1 << 16) as u32);
     let mut outcome = outcome(&reply);
     let payload = match outcome {
--- a/wrenseam/src/worker/kserve/mod.rs
+++ b/wrenseam/src/worker/kserve/mod.rs
@@ -10,7 +10,6 @@
 use crate::core::{AttemptKey, Payload, Request};
 use crate::limits::Limits;
 use crate::net::{spawn, DirectCalls, SystemCalls};
-use bramblepath::{FunctionId, Micros};
 use lane::Lane;
 use may::sync::mpmc::{channel, Receiver, Sender};
 use messages::wrap_call;
@@ -18,6 +17,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use wrenseam_policy::{FunctionId, Micros};
 
 /// What an answer has to be told apart by.
 struct Call {
--- a/wrenseam/src/worker/mod.rs
+++ b/wrenseam/src/worker/mod.rs
@@ -7,11 +7,11 @@
 use crate::core::{AttemptKey, Message, Report, Request, Speech};
 use crate::limits::Limits;
 use crate::net::SystemCalls;
-use bramblepath::{FunctionId, Micros, Outcome};
 use std::net::SocketAddr;
 use std::sync::mpsc::Sender;
 use std::sync::Arc;
 use std::time::Instant;
+use wrenseam_policy::{FunctionId, Micros, Outcome};
 
 /// The core's queue, as transports see it.
 #[derive(Clone)]
--- a/wrenseam/tests/broken_connections.rs
+++ b/wrenseam/tests/broken_connections.rs
@@ -2,7 +2,6 @@
 //! nothing is written once it has ended.
 mod link;
 
-use bramblepath::{Outcome, Settings};
 use link::{frame, outcome, request, say, transport, FIRST};
 use may::net::TcpStream as MayStream;
 use rstest::rstest;
@@ -18,6 +17,7 @@
 use wrenseam::worker::frames::progress::Progress;
 use wrenseam::worker::frames::Frames;
 use wrenseam::worker::{GiveUp, Reports, Terms, Transport};
+use wrenseam_policy::{Outcome, Settings};
 
 const LONG: u64 = 20_000_000;
 
--- a/wrenseam/tests/closing.rs
+++ b/wrenseam/tests/closing.rs
@@ -20,7 +20,11 @@
 #[test]
 fn what_stands_in_the_listeners_queue_at_its_close_is_served() {
     may::config().set_workers(1).set_worker_pin(false); // as the program has it
-    let limits = Arc::new(Limits::new(192, 1024, &bramblepath::Settings::default()));
+    let limits = Arc::new(Limits::new(
+        192,
+        1024,
+        &wrenseam_policy::Settings::default(),
+    ));
     let (core, _inbox) = mpsc::channel();
     let shared: Arc<wrenseam::core::Shared> = Arc::default();
     let doors = Doors {
--- a/wrenseam/tests/codecs.rs
+++ b/wrenseam/tests/codecs.rs
@@ -1,12 +1,12 @@
 //! Readers of the wires, fed by hand.
-use bramblepath::json::{object, parse};
-use bramblepath::WorkerState;
 use rstest::rstest;
 use wrenseam::core::Speech;
 use wrenseam::http::{Chunked, Coded, Head};
 use wrenseam::ring::Ring;
 use wrenseam::roster::{endpoints, instances, Events, Said};
 use wrenseam::worker::frames::Decoder;
+use wrenseam_policy::json::{object, parse};
+use wrenseam_policy::WorkerState;
 
 fn answer(code: u8, body: &[u8]) -> Vec<u8> {
     let mut frame = vec![
--- a/wrenseam/tests/common/mod.rs
+++ b/wrenseam/tests/common/mod.rs
@@ -26,7 +26,6 @@
 //!     wait MS
 #![allow(dead_code)]
 use base64::{engine::general_purpose::STANDARD, Engine};
-use bramblepath::json::{list, object, parse, part, text};
 use std::cell::Cell;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -35,6 +34,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicU8, Ordering};
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
+use wrenseam_policy::json::{list, object, parse, part, text};
 
 use std::time::{Duration, Instant};
 
@@ -466,7 +466,7 @@
     };
     let data = list(tensor, "data")
         .first()
-        .and_then(bramblepath::json::as_text)
+        .and_then(wrenseam_policy::json::as_text)
         .expect("data")
         .to_owned();
     let coded = part(tensor, "parameters").and_then(|p| text(p, "content_type")) == Some("base64");
--- a/wrenseam/tests/eviction.rs
+++ b/wrenseam/tests/eviction.rs
@@ -144,5 +144,5 @@
 }
 
 fn limits() -> Limits {
-    Limits::new(192, 1024, &bramblepath::Settings::default())
+    Limits::new(192, 1024, &wrenseam_policy::Settings::default())
 }
--- a/wrenseam/tests/fleet_budget.rs
+++ b/wrenseam/tests/fleet_budget.rs
@@ -1,7 +1,7 @@
 //! The retry budget and the fleet size that divides its floor.
-use bramblepath::Micros;
 use rstest::rstest;
 use wrenseam::fleet::{FleetSize, RetryBudget, Spent};
+use wrenseam_policy::Micros;
 
 const S: Micros = 1_000_000;
 
--- a/wrenseam/tests/fleet_gate.rs
+++ b/wrenseam/tests/fleet_gate.rs
@@ -1,9 +1,9 @@
 //! The bounds that the fleet puts on the core: the retry budget under a storm.
-use bramblepath::Settings;
 use rstest::rstest;
 use wrenseam::config::Fleet;
 use wrenseam::core::Gate;
 use wrenseam::fleet::FleetNews;
+use wrenseam_policy::Settings;
 
 fn fleet(ratio: f64, floor: f64, expected: usize) -> Fleet {
     Fleet {
--- a/wrenseam/tests/fleet_shed.rs
+++ b/wrenseam/tests/fleet_shed.rs
@@ -1,8 +1,8 @@
 //! Shedding by class in common.
-use bramblepath::Micros;
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use rstest::rstest;
 use wrenseam::fleet::Shedder;
+use wrenseam_policy::Micros;
 
 const S: Micros = 1_000_000;
 
--- a/wrenseam/tests/fleet_swim.rs
+++ b/wrenseam/tests/fleet_swim.rs
@@ -1,11 +1,11 @@
 //! Membership alone on a simulated net: joining, a dead peer, bad datagrams.
-use bramblepath::Micros;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rstest::rstest;
 use std::net::SocketAddr;
 use wrenseam::fleet::identity::MAX_DATAGRAM;
 use wrenseam::fleet::{PeerEvent, PeerId, Summary, Swim, SwimSettings};
+use wrenseam_policy::Micros;
 
 const MS: Micros = 1000;
 
--- a/wrenseam/tests/kserve_proofs.rs
+++ b/wrenseam/tests/kserve_proofs.rs
@@ -2,7 +2,6 @@
 //! answer to this call.
 mod link;
 
-use bramblepath::Outcome;
 use link::{outcome, request, transport_of, Protocol};
 use rstest::rstest;
 use std::io::{Read, Write};
@@ -14,6 +13,7 @@
 use wrenseam::core::{AttemptKey, ClientProbe, ClientState, Message, Request};
 use wrenseam::limits::Limits;
 use wrenseam::worker::{Terms, Transport};
+use wrenseam_policy::Outcome;
 
 const LONG: u64 = 20_000_000;
 
--- a/wrenseam/tests/leaving.rs
+++ b/wrenseam/tests/leaving.rs
@@ -2,7 +2,6 @@
 //! is held back here, as on a starved core, so that only a look at the connection itself can tell.
 mod common;
 
-use bramblepath::{Outcome, Settings};
 use common::{connect, fastcgi, record, Speech, Stage, FUNCTION};
 use rstest::rstest;
 use std::io::{Read, Write};
@@ -16,6 +15,7 @@
 use wrenseam::net::Seats;
 use wrenseam::worker::ticket::{Begin, Ticket};
 use wrenseam::worker::{frames::Frames, kserve::Kserve, Reports, Terms, Transport};
+use wrenseam_policy::{Outcome, Settings};
 use Speech::{Kserve as V2, Platform};
 
 /// One at a time: they share the scheduler's one thread, and hold it.
--- a/wrenseam/tests/link/mod.rs
+++ b/wrenseam/tests/link/mod.rs
@@ -1,6 +1,5 @@
 //! What tests of transports share: a worker's side of the connections, written from the specification.
 #![allow(dead_code)]
-use bramblepath::{Outcome, Settings};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{mpsc, Arc};
@@ -10,6 +9,7 @@
 use wrenseam::worker::frames::{encode, Frames};
 use wrenseam::worker::kserve::Kserve;
 use wrenseam::worker::{Reports, Transport};
+use wrenseam_policy::{Outcome, Settings};
 
 /// A worker whose next connection comes up only once those that fill its queue are taken.
 pub fn late_worker() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
--- a/wrenseam/tests/membership.rs
+++ b/wrenseam/tests/membership.rs
@@ -1,9 +1,9 @@
 //! Who the members are, over all sources.
-use bramblepath::WorkerState;
 use rstest::rstest;
 use std::collections::BTreeSet;
 use wrenseam::core::{Member, Speech};
 use wrenseam::membership::{Change, Duty, Membership, Unknown};
+use wrenseam_policy::WorkerState;
 use Duty::{Keep, Reach, Retire};
 use WorkerState::{Draining, Gone, Ready};
 
--- a/wrenseam/tests/mute.rs
+++ b/wrenseam/tests/mute.rs
@@ -1,5 +1,4 @@
 //! When a connection counts as mute, whatever holds the scheduler up meanwhile.
-use bramblepath::{Outcome, Settings};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -10,6 +9,7 @@
 use wrenseam::limits::Limits;
 use wrenseam::worker::frames::{encode, Frames};
 use wrenseam::worker::{Reports, Terms, Transport};
+use wrenseam_policy::{Outcome, Settings};
 
 const CALL: u8 = 2;
 const HOLD: u8 = 6;
--- a/wrenseam/tests/repeat_window.rs
+++ b/wrenseam/tests/repeat_window.rs
@@ -2,7 +2,6 @@
 //! held it up.
 mod link;
 
-use bramblepath::Outcome;
 use link::{late_worker, outcome, request, transport, transport_of, Protocol, FIRST};
 use rstest::rstest;
 use std::io::Read;
@@ -11,6 +10,7 @@
 use std::time::{Duration, Instant};
 use wrenseam::core::{AttemptKey, Payload, Request};
 use wrenseam::worker::Terms;
+use wrenseam_policy::Outcome;
 
 const LONG: u64 = 20_000_000;
 
--- a/wrenseam/tests/schedules.rs
+++ b/wrenseam/tests/schedules.rs
@@ -3,7 +3,6 @@
 //! time-outs. The invariant is seen from the workers' side: no request that must not be repeated comes whole twice.
 mod standin;
 
-use bramblepath::{ClassSettings, Effect, Group, Settings, WorkerState};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use standin::{Act, Arrival, Die, Ledger, Worker};
@@ -18,6 +17,7 @@
 use wrenseam::limits::Limits;
 use wrenseam::net::{pause, DirectCalls, SystemCalls};
 use wrenseam::worker::Reports;
+use wrenseam_policy::{ClassSettings, Effect, Group, Settings, WorkerState};
 
 const SAFE: &str = "safe";
 const KEYED: &str = "keyed";
--- a/wrenseam/tests/system_calls.rs
+++ b/wrenseam/tests/system_calls.rs
@@ -87,7 +87,11 @@
     may::config().set_workers(1).set_worker_pin(false); // as the program has it
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    let limits = Arc::new(Limits::new(192, 1024, &bramblepath::Settings::default()));
+    let limits = Arc::new(Limits::new(
+        192,
+        1024,
+        &wrenseam_policy::Settings::default(),
+    ));
     let calls = Arc::new(Troubled {
         number,
         calls: AtomicUsize::new(0),
--- a/wrenseam/tests/transport.rs
+++ b/wrenseam/tests/transport.rs
@@ -1,7 +1,6 @@
 //! The transport of frames against sockets: what it writes, and when it lets connections go.
 mod link;
 
-use bramblepath::Outcome;
 use link::{frame, late_worker, outcome, request, say, transport, FIRST};
 use rstest::rstest;
 use std::io::{Read, Write};
@@ -11,6 +10,7 @@
 use std::time::{Duration, Instant};
 use wrenseam::core::{AttemptKey, Message, Payload, Request};
 use wrenseam::worker::{GiveUp, Terms, Transport};
+use wrenseam_policy::Outcome;
 
 const SECOND: AttemptKey = AttemptKey {
     request: 1,
