--- a/policy/src/cold.rs
+++ b/policy/src/cold.rs
@@ -27,7 +27,7 @@
     within: Micros,
     multiple: f64,
     window: Micros,
-    gateways: u32,
+    front_ends: u32,
     index: Option<u32>,
     /// Calls a second that all tenants' shares allow over all workers; 0 where none is told.
     quotas: f64,
@@ -41,7 +41,7 @@
     /// The first of the front ends whose turn it is, in the worker's order, and how many they are.
     pub(crate) first: u32,
     pub(crate) seats: u32,
-    gateways: u32,
+    front_ends: u32,
     /// What the account of each gains, in calls for each microsecond.
     pub(crate) rate: f64,
     /// The most that an account holds, in calls.
@@ -64,18 +64,18 @@
 impl Rule {
     pub(crate) fn new(set: &Settings) -> Rule {
         let told = |v: f64| if v.is_finite() { v.max(0.0) } else { 0.0 };
-        let gateways = set.gateways.max(1);
-        let index = if gateways == 1 {
+        let front_ends = set.front_ends.max(1);
+        let index = if front_ends == 1 {
             Some(0)
         } else {
-            set.index.filter(|&i| i < gateways)
+            set.front_end_index.filter(|&i| i < front_ends)
         };
         Rule {
-            from: told(set.cold_from).min(1.0),
-            within: set.warm_within,
-            multiple: told(set.fall_multiple),
-            window: set.fall_window,
-            gateways,
+            from: told(set.slow_start_from).min(1.0),
+            within: set.slow_start_duration,
+            multiple: told(set.overload_multiple),
+            window: set.overload_window,
+            front_ends,
             index,
             quotas: set.tenants.iter().map(|t| told(t.quota_per_s)).sum(),
             aside: false,
@@ -116,7 +116,7 @@
     fn seats(&self, all: f64) -> f64 {
         (all / self.part())
             .floor()
-            .clamp(1.0, f64::from(self.gateways))
+            .clamp(1.0, f64::from(self.front_ends))
     }
 
     /// The allowance `age` after a worker's start, where a warm one can do `calls` a second and the dearest class
@@ -130,8 +130,8 @@
         let begin =
             |n: u64| self.seats(self.all(self.share(1, n * turn + 1).unwrap_or(1.0), calls));
         // Within the time that is told for warming up there are few turns, unless the settings are odd.
-        let (turns, gateways) = ((age / turn).min(1_000), self.gateways);
-        let first = (0..turns).map(begin).sum::<f64>() as u64 % u64::from(gateways);
+        let (turns, front_ends) = ((age / turn).min(1_000), self.front_ends);
+        let first = (0..turns).map(begin).sum::<f64>() as u64 % u64::from(front_ends);
         let (all, seats) = (self.all(now, calls), begin(turns));
         let each = all / seats / (self.part() / 2.0);
         let depth = depth.max(each * LEAST);
@@ -139,7 +139,7 @@
         Some(Allowance {
             first: first as u32,
             seats: seats as u32,
-            gateways,
+            front_ends,
             rate,
             depth,
         })
@@ -149,11 +149,11 @@
     /// ours is told, else by chance.
     pub(crate) fn rank(&self, worker: &str, chance: u64) -> u32 {
         let Some(own) = self.index else {
-            return (((chance & 0xffff_ffff) * u64::from(self.gateways)) >> 32) as u32;
+            return (((chance & 0xffff_ffff) * u64::from(self.front_ends)) >> 32) as u32;
         };
         let key = |n: u32| (crate::state::draw(u64::from(n) + 1, worker), n);
         let ours = key(own);
-        (0..self.gateways).filter(|&n| key(n) > ours).count() as u32
+        (0..self.front_ends).filter(|&n| key(n) > ours).count() as u32
     }
 }
 
@@ -175,11 +175,11 @@
         let Allowance {
             first,
             seats,
-            gateways,
+            front_ends,
             ..
         } = *allowance;
         self.rank
-            .is_some_and(|r| (r + gateways - first) % gateways < seats)
+            .is_some_and(|r| (r + front_ends - first) % front_ends < seats)
     }
 
     /// Our place in the worker's order, once drawn.
--- a/policy/src/control.rs
+++ b/policy/src/control.rs
@@ -4,7 +4,7 @@
 //! with a free lane. Finding none is a loss; losses, real and virtual, add copies where the least recently
 //! lost function lies idle. Everything else below is a guard, and says what it guards against.
 use crate::interface::*;
-use crate::repeat::{may_repeat, never_ran, repeat_window, Placement};
+use crate::repeat::{may_repeat, repeat_window, Placement};
 use crate::scout::Scout;
 use crate::state::*;
 use crate::virtual_loss::{has_virtual_losses, theta, virtual_loss_chance};
@@ -86,7 +86,7 @@
                 delay: TICK,
                 token: 0,
             });
-            out.extend(self.set.ask_for_list.then_some(Action::Watch));
+            out.extend(self.set.watch_endpoints.then_some(Action::WatchEndpoints));
         }
         let now = now.min(u64::MAX / 4);
         if now > self.last_event + STOOD_STILL {
@@ -94,11 +94,14 @@
         }
         self.last_event = now;
         match event {
-            Event::Members { full, entries } => self.members(now, full, entries, out),
+            Event::EndpointUpdate {
+                complete: full,
+                endpoints: entries,
+            } => self.members(now, full, entries, out),
             Event::Request { id, .. } if self.requests.contains_key(&id) => {}
             Event::Request { .. } => self.request(now, event, out),
-            Event::Outcome { .. } => self.outcome(now, event, out),
-            Event::Withdrawn { id } => self.withdrawn(id, out),
+            Event::AttemptEnded { .. } => self.outcome(now, event, out),
+            Event::RequestCancelled { id } => self.withdrawn(id, out),
             Event::Timer { token: 0 } => {
                 self.tick(now, out);
                 let delay = if self.requests.is_empty() {
@@ -114,10 +117,10 @@
                     self.finish(id, out);
                 }
             }
-            Event::Loaded {
+            Event::LoadOrderEnded {
                 worker,
                 function,
-                count,
+                replicas: count,
                 outcome,
                 elapsed,
             } => {
@@ -134,7 +137,7 @@
 
     // ---- the list of workers
 
-    fn members(&mut self, now: Micros, full: bool, entries: Vec<Entry>, out: &mut Vec<Action>) {
+    fn members(&mut self, now: Micros, full: bool, entries: Vec<Endpoint>, out: &mut Vec<Action>) {
         let (started, emptied) = self.listed(now, full, entries);
         for w in started {
             // A new process: past health says nothing, it holds no copy, and nothing is saved up for it.
@@ -187,7 +190,7 @@
         let worker = &self.workers[w];
         let broke =
             self.cold_share(w, now).is_some() && !worker.cold.admits(now, self.weight(class));
-        let safe = self.set.classes[class].effect == Effect::Safe;
+        let safe = self.set.classes[class].idempotency == Idempotency::Idempotent;
         let trial = safe
             && !worker.dead
             && !self.zone_lost(w)
@@ -206,7 +209,7 @@
 
     /// Guards against piling up on a worker that others fill or that is weak: it holds more than the mean.
     fn crowded(&self, w: usize, now: Micros) -> bool {
-        let few = (2..=FEW).contains(&self.set.gateways);
+        let few = (2..=FEW).contains(&self.set.front_ends);
         let bound = if few { CROWDED_FEW } else { CROWDED };
         self.held_at(w, now) * self.workers[w].health > self.mean_held * bound.0 + bound.1
     }
@@ -219,9 +222,9 @@
             class,
             tenant,
             function,
-            left,
+            time_left: left,
             memory_mb,
-            lanes,
+            concurrency: lanes,
             load_time,
             retry,
         } = event
@@ -301,7 +304,7 @@
     fn overloaded(&self, class: usize, tenant: Option<usize>, left: Micros, f: usize) -> bool {
         // What workers report tells of all gateways; else all are taken to have as much out as we have.
         let held =
-            self.backlog * f64::from(self.set.gateways.max(1)) / self.ready.len().max(1) as f64;
+            self.backlog * f64::from(self.set.front_ends.max(1)) / self.ready.len().max(1) as f64;
         if if self.reports { self.mean_held } else { held } < CROWD || self.ticks < 100 {
             return false;
         }
@@ -311,7 +314,7 @@
         let doomed = (left as f64) < self.functions[f].service; // its client leaves first: work for nothing
         let over = tenant.is_some_and(|t| self.over_share(t));
         let told = &self.set.classes[..self.set.classes.len() - 1];
-        let density = |c: usize| self.set.classes[c].worth / self.class_service[c];
+        let density = |c: usize| self.set.classes[c].priority_weight / self.class_service[c];
         let worse = (0..told.len())
             .filter(|&c| density(c) < density(class) / 1.2)
             .count();
@@ -385,7 +388,7 @@
         if now >= r.ends
             || r.attempts.iter().filter(|a| !(a.open || a.may_have_run || a.missed)).count() >= TURNED_AWAY
             || r.attempts.len() as u32 >= self.set.max_attempts
-            || ran && self.set.classes[class].effect == Effect::Unsafe
+            || ran && self.set.classes[class].idempotency == Idempotency::NotIdempotent
             // Guards workers against calls that none of them can use: each answers them with an error.
             || r.errors >= UNPROVEN_ERRORS && !self.functions[f].proven
         {
@@ -410,7 +413,7 @@
                 .values()
                 .filter(|c| c.warm(now))
                 .count() as f64;
-            if self.set.gateways > 1
+            if self.set.front_ends > 1
                 && !(lost || retry)
                 && self.fleet_calls(f, service) > known * lanes
             {
@@ -474,7 +477,7 @@
             && pending == 0
         {
             // No order may be given (ration, cap or site): where calls load by themselves, this one does.
-            let may = self.set.load_on_absence && f64::from(self.loads_out) < self.load_cap;
+            let may = self.set.load_on_demand && f64::from(self.loads_out) < self.load_cap;
             if let Some(w) = may.then(|| self.target(f, now, Some(id))).flatten() {
                 self.send(now, id, w, out);
             }
@@ -487,7 +490,7 @@
     }
 
     pub(crate) fn many(&self) -> bool {
-        self.set.gateways > FEW
+        self.set.front_ends > FEW
     }
 
     /// Exception, where many gateways share the workers: each sees too little of a function to know where it
@@ -495,7 +498,7 @@
     /// be used are where others' calls go: ours go there too, and their answers tell. So many at most,
     /// of which no copy is known yet.
     fn homes(&mut self, f: usize, id: RequestId, now: Micros, most: usize) -> Vec<usize> {
-        if !self.many() || !self.set.load_on_absence {
+        if !self.many() || !self.set.load_on_demand {
             return Vec::new();
         }
         let (places, g) = (self.places(f), &self.functions[f]);
@@ -528,7 +531,7 @@
             .at
             .get(&w)
             .is_none_or(|c| !c.warm(now) && !c.holding());
-        let cold = unknown && self.set.load_on_absence;
+        let cold = unknown && self.set.load_on_demand;
         let load = if unknown {
             function.load_time.max(DEFAULT_SPAN as f64)
         } else {
@@ -548,7 +551,7 @@
             id,
             worker: worker.entry.worker.clone(),
             timeout,
-            window,
+            retry_window: window,
         });
     }
 
@@ -563,21 +566,21 @@
         out.push(if ran {
             Action::Fail { id }
         } else {
-            Action::Refuse { id, retry_after }
+            Action::Reject { id, retry_after }
         });
         self.close(id, out);
     }
 
     fn outcome(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
-        let Event::Outcome {
+        let Event::AttemptEnded {
             id,
             attempt,
             outcome,
             elapsed,
-            closed,
-            warm,
-            crowd,
-            inflight,
+            request_closed: closed,
+            replica_loaded: warm,
+            queue_depth: crowd,
+            in_flight: inflight,
         } = event
         else {
             return;
@@ -589,7 +592,10 @@
             return;
         };
         a.open = false;
-        (a.may_have_run, a.missed) = (!never_ran(outcome), outcome == Outcome::Miss);
+        (a.may_have_run, a.missed) = (
+            !outcome.proves_not_executed(),
+            outcome == Outcome::NotLoaded,
+        );
         r.errors += u32::from(outcome == Outcome::Error);
         let (w, f, a, pair) = (a.worker, r.function, a.clone(), (r.tenant, r.class));
         self.workers[w].out.remove(&(a.sent, id, attempt));
@@ -607,10 +613,10 @@
                         .retain(|&key, _| key != pair && key != WHOLE);
                     (c.count, c.expires, c.seen) = (c.count.max(1), c.expires.max(until), now);
                 }
-                Outcome::Miss => c.count = 0,
+                Outcome::NotLoaded => c.count = 0,
                 _ => {}
             }
-            if outcome == Outcome::Full || outcome == Outcome::Ok && warm != Some(false) {
+            if outcome == Outcome::Rejected || outcome == Outcome::Ok && warm != Some(false) {
                 let held = f64::from(crowd.unwrap_or(0));
                 let g = &mut self.functions[f];
                 let width = g.width.max(1.0);
@@ -623,7 +629,7 @@
                 c.others = (now, n.saturating_sub(a.ours_then.saturating_sub(1)));
             }
         }
-        if outcome == Outcome::Full {
+        if outcome == Outcome::Rejected {
             self.turned_away(w, pair, now);
         }
         if let Some(held) = inflight.filter(|h| h.is_finite()) {
@@ -659,7 +665,7 @@
             Outcome::ConnectFailed | Outcome::Reset => {
                 self.zones.mute(self.workers[w].entry.zone, w, now, elapsed)
             }
-            Outcome::Ok | Outcome::Full | Outcome::Error | Outcome::Miss => {
+            Outcome::Ok | Outcome::Rejected | Outcome::Error | Outcome::NotLoaded => {
                 self.zones.heard(self.workers[w].entry.zone, now);
             }
             _ => {}
@@ -745,7 +751,7 @@
 
     /// Figures of the fleet over the span since the last time, silence, trials, renewals.
     fn survey(&mut self, now: Micros, past: Micros, out: &mut Vec<Action>) {
-        let window = self.set.load_window;
+        let window = self.set.load_budget_window;
         while self
             .taken
             .front()
@@ -807,7 +813,10 @@
     /// Asks a suspect that gave no answer about a function it last held: an answer brings it back.
     fn trials(&mut self, now: Micros, ready: &[usize], out: &mut Vec<Action>) {
         for &w in ready {
-            if !self.workers[w].in_doubt() || now < self.workers[w].next_trial || !self.set.orders {
+            if !self.workers[w].in_doubt()
+                || now < self.workers[w].next_trial
+                || !self.set.load_orders
+            {
                 continue;
             }
             let zone = self.workers[w].entry.zone;
@@ -841,8 +850,7 @@
     /// forbidden (it is called off first, and placed again when that is confirmed).
     fn second_attempts(&mut self, now: Micros, out: &mut Vec<Action>) {
         let lossy = self.last_reset > 0 && now < self.last_reset + HEDGE.0;
-        let hedge =
-            self.set.second_copies && (lossy || self.answer_time < HEDGE.1 * self.mean_aim());
+        let hedge = self.set.hedging && (lossy || self.answer_time < HEDGE.1 * self.mean_aim());
         let overdue = |(&id, r): (&RequestId, &Request)| {
             let a = r
                 .attempts
@@ -850,7 +858,7 @@
                 .filter(|a| a.open && !r.done && !a.called_off)?;
             let only = r.attempts.iter().filter(|a| a.open).count() == 1;
             let worker = &self.workers[a.worker];
-            let aim = self.set.classes[r.class].aim as f64;
+            let aim = self.set.classes[r.class].latency_objective as f64;
             let patience = match () {
                 () if worker.dead || worker.slow => 1.5 * a.expected,
                 () if hedge => (HEDGE.2 * a.expected).max(HEDGE.3 * aim),
@@ -859,7 +867,10 @@
             let waited = now.saturating_sub(a.sent.max(self.woke)) as f64;
             let late = waited > patience.min(SILENT * a.expected);
             let limit = (r.attempts.len() as u32) < self.set.max_attempts;
-            (only && late && limit && self.set.classes[r.class].effect != Effect::Unsafe)
+            (only
+                && late
+                && limit
+                && self.set.classes[r.class].idempotency != Idempotency::NotIdempotent)
                 .then_some(id)
         };
         let ids: Vec<RequestId> = self.requests.iter().filter_map(overdue).collect();
@@ -870,11 +881,11 @@
             if free.is_empty() || self.retries < 1.0 {
                 continue;
             }
-            if self.set.second_copies {
+            if self.set.hedging {
                 self.pick(&free)
                     .into_iter()
                     .for_each(|w| self.send(now, id, w, out));
-            } else if let Some(r) = self.requests.get_mut(&id).filter(|_| self.set.may_cancel) {
+            } else if let Some(r) = self.requests.get_mut(&id).filter(|_| self.set.cancellation) {
                 let attempt = r.attempts.len() - 1;
                 r.attempts[attempt].called_off = true;
                 out.push(Action::Cancel { id, attempt });
@@ -893,13 +904,13 @@
     /// Learns before loading: asks ready workers whether the function stands there. True while answers are
     /// awaited. Guards against a (re)started gateway loading what others have loaded already.
     fn ask(&mut self, f: usize, now: Micros, out: &mut Vec<Action>) -> bool {
-        let most = if self.set.gateways > 1 {
+        let most = if self.set.front_ends > 1 {
             PLACES_ASKED
         } else {
             usize::MAX
         };
         let places = self.places(f);
-        let open = |&w: &usize| self.set.orders && self.workers[w].ready() && !self.suspect(w);
+        let open = |&w: &usize| self.set.load_orders && self.workers[w].ready() && !self.suspect(w);
         let places: Vec<usize> = places.into_iter().filter(open).take(most).collect();
         let mut awaited = false;
         for w in places {
@@ -923,7 +934,7 @@
 
     /// Rule 5, and a reserve of it for real losses: may another load be ordered now?
     fn rationed(&mut self, now: Micros, spare: bool) -> bool {
-        let window = self.set.load_window;
+        let window = self.set.load_budget_window;
         if window == 0 {
             return false;
         }
@@ -940,7 +951,7 @@
             .rev()
             .take_while(|&&t| t + window > now + END_MARGIN)
             .count();
-        let allowed = self.set.load_free + self.set.load_share * taken as f64;
+        let allowed = self.set.load_budget_base + self.set.load_budget_per_request * taken as f64;
         (self.ordered.len() + 1) as f64 > if spare { allowed / 2.0 } else { allowed }
     }
 
@@ -968,9 +979,9 @@
         // over all gateways, bound the copies that we know of.
         let known = self.counts(function, now).0 as f64;
         let bound = 1.0 + (COPIES_PER_CALL * self.fleet_calls(f, function.service)).round();
-        let enough = self.set.gateways > 1 && known >= bound;
+        let enough = self.set.front_ends > 1 && known >= bound;
         let full = f64::from(self.loads_out) + 1.0 > cap || enough;
-        if !self.set.orders
+        if !self.set.load_orders
             || full
             || (pending && function.held.is_empty())
             || self.rationed(now, ahead)
@@ -1015,7 +1026,7 @@
         // Exception, while several gateways share the workers: private draws would give each of them copies
         // of its own. They draw alike instead, in an order that the ids alone decide, and take the first
         // worker that has room or holds an idle copy of a function lost less recently than this one.
-        if self.set.gateways > 1 {
+        if self.set.front_ends > 1 {
             let lost = self.functions[f].last_lost;
             let yields = |g: &usize, w: usize| {
                 let g = &self.functions[*g];
@@ -1073,7 +1084,7 @@
                 room += function.memory * f64::from(c.count);
                 c.count = 0;
                 let worker = self.workers[w].entry.worker.clone();
-                out.push(Action::Drop {
+                out.push(Action::Unload {
                     worker,
                     function: function.id,
                 });
@@ -1089,7 +1100,7 @@
             let function = &self.functions[f];
             let over = now > function.last_call + (keep as f64 * RENEW_FOR) as Micros
                 || function.steady > 0;
-            if over || !self.set.orders {
+            if over || !self.set.load_orders {
                 continue;
             }
             let warm = |&(&w, c): &(&usize, &Copy)| {
@@ -1122,7 +1133,7 @@
             );
             let soon = now + lead >= due && now < due + FIRING;
             let idle = g.held.is_empty() && g.at.values().all(|c| c.ours == 0 && !c.loading());
-            if g.steady == 0 || !idle || !self.set.orders {
+            if g.steady == 0 || !idle || !self.set.load_orders {
                 continue;
             }
             // Nothing calls it before: its room is worth more to others, which would else lose theirs.
@@ -1172,7 +1183,7 @@
         // It came back without what it held: a new process that no list has told of yet.
         let emptied = stood && count == 0 && self.workers[w].in_doubt() && outcome == Outcome::Ok;
         match outcome {
-            Outcome::Ok | Outcome::Full | Outcome::Error if ready && !old => {
+            Outcome::Ok | Outcome::Rejected | Outcome::Error if ready && !old => {
                 c.count = count;
                 // A question does not restart the idle time: what it finds may be about to lapse.
                 let sure = now
@@ -1193,7 +1204,7 @@
             Outcome::ConnectFailed | Outcome::Reset => {
                 self.zones.mute(self.workers[w].entry.zone, w, now, elapsed)
             }
-            Outcome::Ok | Outcome::Full | Outcome::Error if !old => {
+            Outcome::Ok | Outcome::Rejected | Outcome::Error if !old => {
                 self.zones.heard(self.workers[w].entry.zone, now);
             }
             _ => {}
@@ -1235,7 +1246,7 @@
                     self.load_cap /= 2.0;
                 }
                 self.load_failed = now;
-            } else if outcome == Outcome::Full {
+            } else if outcome == Outcome::Rejected {
                 self.workers[w].full_until = now + FULL_WAIT;
             }
             self.load_cap = self.load_cap.clamp(LOAD_CAP.0, self.most_loads);
--- a/policy/src/figures.rs
+++ b/policy/src/figures.rs
@@ -20,7 +20,7 @@
 
     /// Leaves our seats at cold workers to another process of this front end, or takes them (again): two under one
     /// number would send twice the part of their seat. What was saved up is void either way.
-    pub fn stand_aside(&mut self, aside: bool) {
+    pub fn set_standby(&mut self, aside: bool) {
         if std::mem::replace(&mut self.cold.aside, aside) != aside {
             self.workers.iter_mut().for_each(|w| w.cold.started());
         }
@@ -42,7 +42,7 @@
         let n = if self.many() {
             0.0
         } else {
-            f64::from(self.set.gateways.max(1))
+            f64::from(self.set.front_ends.max(1))
         };
         let seen = (self.work_rate * n).max(1.0) * SEC as f64 / mean.max(1.0);
         let calls = self.cold.capacity(self.most_listed, seen);
@@ -66,8 +66,8 @@
     }
 
     pub(crate) fn keep(&self) -> Micros {
-        let keep = if self.set.keep > 0 {
-            self.set.keep
+        let keep = if self.set.keep_alive > 0 {
+            self.set.keep_alive
         } else {
             5 * DEFAULT_SPAN
         };
@@ -77,7 +77,7 @@
     /// Calls of a function in a span by all gateways, if each makes as many as we.
     pub(crate) fn fleet_calls(&self, f: usize, span: f64) -> f64 {
         let known = (self.functions[f].calls - 1.0).max(0.0) / SPANS.1 as f64;
-        known * span * f64::from(self.set.gateways.max(1))
+        known * span * f64::from(self.set.front_ends.max(1))
     }
 
     /// How long a sign that a copy stands is believed: the keep-alive; longer while several gateways' calls
@@ -90,7 +90,7 @@
             .filter(|c| c.count > 0)
             .count()
             .max(1) as f64;
-        let each = if self.set.gateways > 1 {
+        let each = if self.set.front_ends > 1 {
             self.fleet_calls(f, keep) / copies
         } else {
             0.0
@@ -214,7 +214,7 @@
         self.least_star = stars.filter(|&z| z >= 1.0).fold(f64::INFINITY, f64::min);
         let young = |r: &&Request| {
             let out = r.attempts.last().is_some_and(|a| a.open && !a.cold);
-            out && !r.done && now < r.arrived + 2 * self.set.classes[r.class].aim
+            out && !r.done && now < r.arrived + 2 * self.set.classes[r.class].latency_objective
         };
         let many = (span - SPANS.0 as f64) / (SPANS.1 - SPANS.0) as f64; // 0 where calls are many, to 1
         let few = (past as f64 / (span * many).max(1.0)).min(1.0);
--- a/policy/src/interface.rs
+++ b/policy/src/interface.rs
@@ -14,19 +14,19 @@
 
 /// What repeating a call may do.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May run any number of times.
-    Safe,
+    Idempotent,
     /// Carries a key by which a group of workers drops repeats for a while.
     Keyed,
     /// Must never run twice.
     #[default]
-    Unsafe,
+    NotIdempotent,
 }
 
 /// The workers that share their memory of keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Group {
+pub enum KeyScope {
     /// All workers.
     All,
     /// The workers of one zone.
@@ -42,15 +42,15 @@
     /// Its name on the wires.
     pub name: String,
     /// What a repeat may do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// For keyed classes, who drops repeats.
-    pub group: Group,
+    pub key_scope: KeyScope,
     /// For keyed classes, how long repeats are dropped.
-    pub window: Micros,
+    pub key_memory: Micros,
     /// An answer within this span earns full worth; 0 if none is stated.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
 }
 
 /// One tenant.
@@ -66,9 +66,9 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// Number of gateways that serve the same workers.
-    pub gateways: u32,
+    pub front_ends: u32,
     /// Which of them this one is, counted from 0, where that is told.
-    pub index: Option<u32>,
+    pub front_end_index: Option<u32>,
     /// Classes of requests.
     pub classes: Vec<ClassSettings>,
     /// The longest time that a client of any class waits over all its tries; 0 if none is stated.
@@ -80,47 +80,47 @@
     /// Names of the machine kinds.
     pub kinds: Vec<String>,
     /// Worth of a request beyond its tenant's share, as a part of its class's worth.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Memory of each machine kind, in MB.
     pub kind_memory_mb: Vec<f64>,
     /// How long an idle copy stays at the least.
-    pub keep: Micros,
+    pub keep_alive: Micros,
     /// Whether a worker that lacks the function loads it for a call (otherwise it answers with a miss).
-    pub load_on_absence: bool,
+    pub load_on_demand: bool,
     /// Whether holds and drops may be ordered.
-    pub orders: bool,
+    pub load_orders: bool,
     /// When an unanswered order is reported as timed out.
     pub order_timeout: Micros,
     /// Window of the ration on loads; 0: no ration.
-    pub load_window: Micros,
+    pub load_budget_window: Micros,
     /// Loads allowed in a window whatever the traffic.
-    pub load_free: f64,
+    pub load_budget_base: f64,
     /// Further loads allowed for each request taken in the window.
-    pub load_share: f64,
+    pub load_budget_per_request: f64,
     /// Attempts allowed for a request; 0: not stated.
     pub max_attempts: u32,
     /// Whether attempts may be cancelled.
-    pub may_cancel: bool,
+    pub cancellation: bool,
     /// Whether a request may have two attempts out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Longest wait that clients can be advised of; 0: no advice is passed on.
     pub max_retry_after: Micros,
     /// A connection not established within this span counts as failed.
     pub connect_timeout: Micros,
     /// Workers close connections idle for this long.
-    pub connection_idle: Micros,
+    pub connection_idle_timeout: Micros,
     /// Attempts that one connection to a worker carries together; 0: not stated.
     pub streams_per_connection: u32,
     /// Share of its capacity with which a worker starts at the least.
-    pub cold_from: f64,
+    pub slow_start_from: f64,
     /// Time after which a started worker is warm at the latest.
-    pub warm_within: Micros,
+    pub slow_start_duration: Micros,
     /// A cold worker that is sent more than this multiple of its capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long falls over.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
     /// Whether the list of workers must be subscribed to.
-    pub ask_for_list: bool,
+    pub watch_endpoints: bool,
 }
 
 /// State of a listed worker.
@@ -136,7 +136,7 @@
 
 /// One entry of the list of workers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct Endpoint {
     /// Which worker.
     pub worker: WorkerId,
     /// Its state.
@@ -159,7 +159,7 @@
     /// Answered with an error; a call may have run.
     Error,
     /// Turned away unseen, or no room.
-    Full,
+    Rejected,
     /// No answer in time; a call may have run.
     Timeout,
     /// No connection; nothing ran.
@@ -169,20 +169,31 @@
     /// Cancelled; a call may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// The function is not loaded there; nothing ran.
-    Miss,
+    NotLoaded,
+}
+
+impl Outcome {
+    /// Whether this proves that the attempt was never executed.
+    #[must_use]
+    pub fn proves_not_executed(self) -> bool {
+        matches!(
+            self,
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent | Outcome::NotLoaded
+        )
+    }
 }
 
 /// What happens to a gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the list of workers; `full` lists replace what was known.
-    Members {
+    EndpointUpdate {
         /// Whether this is the whole list.
-        full: bool,
+        complete: bool,
         /// The entries.
-        entries: Vec<Entry>,
+        endpoints: Vec<Endpoint>,
     },
     /// A client's request.
     Request {
@@ -195,18 +206,18 @@
         /// The function it calls.
         function: FunctionId,
         /// Time until the client gives up.
-        left: Micros,
+        time_left: Micros,
         /// Memory of one copy, in MB; 0 if not told.
         memory_mb: f64,
         /// Calls that one copy runs at a time; 0 if not told.
-        lanes: u32,
+        concurrency: u32,
         /// Usual time of a load; 0 if not told.
         load_time: Micros,
         /// Whether the client marks it as a repeat.
         retry: bool,
     },
     /// How an attempt ended.
-    Outcome {
+    AttemptEnded {
         /// The request.
         id: RequestId,
         /// The attempt's number, counted from 0.
@@ -216,16 +227,16 @@
         /// Time since it was sent.
         elapsed: Micros,
         /// Whether the request is finished.
-        closed: bool,
+        request_closed: bool,
         /// Whether a copy stood loaded when the call came, where this is told.
-        warm: Option<bool>,
+        replica_loaded: Option<bool>,
         /// Requests of the same function that the worker held, where this is told.
-        crowd: Option<u32>,
+        queue_depth: Option<u32>,
         /// Requests that the worker reported to hold, if it did.
-        inflight: Option<f64>,
+        in_flight: Option<f64>,
     },
     /// The client left; nothing more is owed.
-    Withdrawn {
+    RequestCancelled {
         /// The request.
         id: RequestId,
     },
@@ -235,13 +246,13 @@
         token: u64,
     },
     /// The answer to one [`Action::Load`].
-    Loaded {
+    LoadOrderEnded {
         /// The worker ordered.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
         /// Copies that stand loaded.
-        count: u32,
+        replicas: u32,
         /// How the order ended.
         outcome: Outcome,
         /// Time since the order.
@@ -262,7 +273,7 @@
         timeout: Micros,
         /// The attempt repeats one that may have run, and is void unless it is written within this span: later, no
         /// worker drops it.
-        window: Option<Micros>,
+        retry_window: Option<Micros>,
     },
     /// Stop waiting for an attempt.
     Cancel {
@@ -272,7 +283,7 @@
         attempt: usize,
     },
     /// Final answer: refused, a retry is harmless.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// Advice to wait this long; 0: none.
@@ -297,17 +308,17 @@
         /// The function.
         function: FunctionId,
         /// Copies wanted.
-        count: u32,
+        replicas: u32,
     },
     /// Have a worker unload the idle copies of a function.
-    Drop {
+    Unload {
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
     },
     /// Subscribe to the list of workers.
-    Watch,
+    WatchEndpoints,
     /// A line for the operators' log.
     Log {
         /// The text.
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -8,31 +8,31 @@
 //! use wrenseam_policy::*;
 //!
 //! let settings = Settings {
-//!     gateways: 1,
+//!     front_ends: 1,
 //!     classes: vec![ClassSettings {
-//!         effect: Effect::Safe, aim: 1_000_000, worth: 1.0, ..ClassSettings::default()
+//!         idempotency: Idempotency::Idempotent, latency_objective: 1_000_000, priority_weight: 1.0, ..ClassSettings::default()
 //!     }],
-//!     tenants: vec![], over_share_worth: 1.0, kind_memory_mb: vec![8192.0], keep: 8_000_000,
-//!     load_on_absence: false, orders: true, order_timeout: 10_000_000,
-//!     load_window: 0, load_free: 0.0, load_share: 0.0, max_attempts: 3, may_cancel: true,
-//!     second_copies: false, max_retry_after: 0, cold_from: 0.3, warm_within: 10_000_000,
-//!     fall_multiple: 2.0, fall_window: 1_000_000, ..Settings::default()
+//!     tenants: vec![], over_quota_weight: 1.0, kind_memory_mb: vec![8192.0], keep_alive: 8_000_000,
+//!     load_on_demand: false, load_orders: true, order_timeout: 10_000_000,
+//!     load_budget_window: 0, load_budget_base: 0.0, load_budget_per_request: 0.0, max_attempts: 3, cancellation: true,
+//!     hedging: false, max_retry_after: 0, slow_start_from: 0.3, slow_start_duration: 10_000_000,
+//!     overload_multiple: 2.0, overload_window: 1_000_000, ..Settings::default()
 //! };
 //! let mut controller = Controller::new(settings, 7);
 //! let mut actions = Vec::new();
-//! let entry = Entry {
+//! let endpoint = Endpoint {
 //!     worker: "w1".into(), state: WorkerState::Ready, started_at: 0, zone: Some(0), kind: 0, cell: Some(0),
 //! };
-//! controller.handle(0, Event::Members { full: true, entries: vec![entry] }, &mut actions);
+//! controller.handle(0, Event::EndpointUpdate { complete: true, endpoints: vec![endpoint] }, &mut actions);
 //! controller.handle(1_000, Event::Request {
-//!     id: 1, class: 0, tenant: None, function: 42, left: 3_000_000,
-//!     memory_mb: 300.0, lanes: 1, load_time: 0, retry: false,
+//!     id: 1, class: 0, tenant: None, function: 42, time_left: 3_000_000,
+//!     memory_mb: 300.0, concurrency: 1, load_time: 0, retry: false,
 //! }, &mut actions);
 //! // A fresh gateway knows no warm copy: it asks the worker first.
-//! assert!(actions.contains(&Action::Load { worker: "w1".into(), function: 42, count: 0 }));
+//! assert!(actions.contains(&Action::Load { worker: "w1".into(), function: 42, replicas: 0 }));
 //! actions.clear();
-//! controller.handle(3_000, Event::Loaded {
-//!     worker: "w1".into(), function: 42, count: 1, outcome: Outcome::Ok, elapsed: 2_000,
+//! controller.handle(3_000, Event::LoadOrderEnded {
+//!     worker: "w1".into(), function: 42, replicas: 1, outcome: Outcome::Ok, elapsed: 2_000,
 //! }, &mut actions);
 //! assert!(matches!(&actions[0], Action::Send { id: 1, worker, .. } if worker == "w1"));
 //! ```
@@ -54,21 +54,21 @@
 mod zones;
 
 pub use interface::*;
-pub use repeat::never_ran;
+
 pub use state::Controller;
 pub use zone_names::ZoneNames;
 
 #[cfg(test)]
 mod tests {
-    use crate::{Action, Controller, Entry, Event, Outcome, Settings, WorkerState};
+    use crate::{Action, Controller, Endpoint, Event, Outcome, Settings, WorkerState};
 
     /// Nothing may grow with all that a gateway has ever seen.
     #[test]
     fn functions_long_unused_and_closed_requests_are_forgotten() {
         let set = Settings {
-            orders: true,
-            gateways: 200,
-            keep: 1_000_000,
+            load_orders: true,
+            front_ends: 200,
+            keep_alive: 1_000_000,
             ..Settings::default()
         };
         let (mut c, mut out, mut now) = (Controller::new(set, 1), Vec::new(), 1_000_000);
@@ -83,9 +83,9 @@
                     class,
                     tenant,
                     function,
-                    left,
+                    time_left: left,
                     memory_mb,
-                    lanes,
+                    concurrency: lanes,
                     load_time,
                     retry,
                 },
@@ -113,7 +113,7 @@
         let (mut c, mut out) = (
             Controller::new(
                 Settings {
-                    orders: true,
+                    load_orders: true,
                     ..Settings::default()
                 },
                 1,
@@ -123,7 +123,7 @@
         for n in 0..200u64 {
             let entry = |n: u64, state| {
                 let worker = format!("w{n}");
-                Entry {
+                Endpoint {
                     worker,
                     state,
                     started_at: 0,
@@ -138,9 +138,9 @@
             ];
             c.handle(
                 n * 1_000_000,
-                Event::Members {
-                    full: false,
-                    entries,
+                Event::EndpointUpdate {
+                    complete: false,
+                    endpoints: entries,
                 },
                 &mut out,
             );
@@ -153,9 +153,9 @@
                     class,
                     tenant,
                     function,
-                    left,
+                    time_left: left,
                     memory_mb,
-                    lanes,
+                    concurrency: lanes,
                     load_time,
                     retry,
                 },
@@ -165,14 +165,14 @@
                 if let Action::Load {
                     worker,
                     function,
-                    count,
+                    replicas: count,
                 } = action
                 {
                     let (outcome, elapsed) = (Outcome::Ok, 1_000);
-                    let answer = Event::Loaded {
+                    let answer = Event::LoadOrderEnded {
                         worker,
                         function,
-                        count,
+                        replicas: count,
                         outcome,
                         elapsed,
                     };
@@ -180,22 +180,22 @@
                 } else if let Action::Send { id, .. } = action {
                     let (attempt, outcome, elapsed, closed) = (0, Outcome::Ok, 1_000, true);
                     let (warm, crowd, inflight) = (None, None, None);
-                    let end = Event::Outcome {
+                    let end = Event::AttemptEnded {
                         id,
                         attempt,
                         outcome,
                         elapsed,
-                        closed,
-                        warm,
-                        crowd,
-                        inflight,
+                        request_closed: closed,
+                        replica_loaded: warm,
+                        queue_depth: crowd,
+                        in_flight: inflight,
                     };
                     c.handle(n * 1_000_000 + 2_000, end, &mut out);
                 }
             }
             c.handle(
                 n * 1_000_000 + 990_000,
-                Event::Withdrawn { id },
+                Event::RequestCancelled { id },
                 &mut Vec::new(),
             );
         }
--- a/policy/src/repeat.rs
+++ b/policy/src/repeat.rs
@@ -1,6 +1,6 @@
 //! Whether a request may be sent once more: what its earlier attempts may have done, which workers drop repeats of its
 //! key, and for how long they do. No I/O; time is an argument.
-use crate::interface::{ClassSettings, Effect, Entry, Group, Micros, Outcome};
+use crate::interface::{ClassSettings, Endpoint, Idempotency, KeyScope, Micros};
 use crate::state::{Attempt, Request};
 
 /// A repeat is begun so long before workers forget its key: the module's clock may be a tick behind.
@@ -15,7 +15,7 @@
 }
 
 impl Placement {
-    pub(crate) fn of(entry: &Entry) -> Self {
+    pub(crate) fn of(entry: &Endpoint) -> Self {
         Placement {
             zone: entry.zone,
             cell: entry.cell,
@@ -23,24 +23,15 @@
     }
 
     /// Whether two workers share their memory of keys. Workers whose zone or cell is not told share none.
-    fn shares_keys(self, other: Placement, group: Group) -> bool {
+    fn shares_keys(self, other: Placement, group: KeyScope) -> bool {
         match group {
-            Group::All => true,
-            Group::Zone => self.zone.is_some() && self.zone == other.zone,
-            Group::Cell => self.cell.is_some() && self.cell == other.cell,
+            KeyScope::All => true,
+            KeyScope::Zone => self.zone.is_some() && self.zone == other.zone,
+            KeyScope::Cell => self.cell.is_some() && self.cell == other.cell,
         }
     }
 }
 
-/// Whether an outcome proves that its attempt never ran.
-#[must_use]
-pub fn never_ran(outcome: Outcome) -> bool {
-    matches!(
-        outcome,
-        Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss
-    )
-}
-
 /// For how long from `now` a further attempt may be begun; `None` if no time bounds it: nothing may have run, or the
 /// class is safe to repeat.
 pub(crate) fn repeat_window(
@@ -49,10 +40,10 @@
     now: Micros,
 ) -> Option<Micros> {
     let first = earlier(request).next()?;
-    match class.effect {
-        Effect::Safe => None,
-        Effect::Keyed => Some((first.sent + class.window).saturating_sub(now + SPARE)),
-        Effect::Unsafe => Some(0),
+    match class.idempotency {
+        Idempotency::Idempotent => None,
+        Idempotency::Keyed => Some((first.sent + class.key_memory).saturating_sub(now + SPARE)),
+        Idempotency::NotIdempotent => Some(0),
     }
 }
 
@@ -63,7 +54,7 @@
     to: Placement,
     now: Micros,
 ) -> bool {
-    let shared = || earlier(request).all(|a| a.placement.shares_keys(to, class.group));
+    let shared = || earlier(request).all(|a| a.placement.shares_keys(to, class.key_scope));
     repeat_window(request, class, now).is_none_or(|left| left > 0 && shared())
 }
 
--- a/policy/src/scout.rs
+++ b/policy/src/scout.rs
@@ -24,7 +24,7 @@
     pub(crate) fn scout(&mut self, f: usize, id: RequestId, now: Micros) -> Scout {
         // Where calls load what is missing none is sent to ask; nor where nobody else draws the same places, or so
         // many do that each sees too little to know which of them is warm.
-        if self.set.load_on_absence || self.set.gateways <= 1 || self.many() {
+        if self.set.load_on_demand || self.set.front_ends <= 1 || self.many() {
             return Scout::Ask;
         }
         let (class, all) = (self.functions[f].class, self.places(f));
--- a/policy/src/settings.rs
+++ b/policy/src/settings.rs
@@ -13,19 +13,19 @@
         let items = |key: &str| list(conf, key).iter().filter_map(object);
         let class = |c: &Object| ClassSettings {
             name: text(c, "name").unwrap_or_default().to_owned(),
-            effect: match text(c, "effect") {
-                Some("retryable") => Effect::Safe,
-                Some("dedup") => Effect::Keyed,
-                _ => Effect::Unsafe,
+            idempotency: match text(c, "effect") {
+                Some("retryable") => Idempotency::Idempotent,
+                Some("dedup") => Idempotency::Keyed,
+                _ => Idempotency::NotIdempotent,
             },
-            group: match text(c, "key-scope") {
-                Some("all") => Group::All,
-                Some("zone") => Group::Zone,
-                _ => Group::Cell,
+            key_scope: match text(c, "key-scope") {
+                Some("all") => KeyScope::All,
+                Some("zone") => KeyScope::Zone,
+                _ => KeyScope::Cell,
             },
-            window: span(c, "memory-span"),
-            aim: span(c, "goal-time"),
-            worth: number(c, "worth").unwrap_or(0.0),
+            key_memory: span(c, "memory-span"),
+            latency_objective: span(c, "goal-time"),
+            priority_weight: number(c, "worth").unwrap_or(0.0),
         };
         let tenant = |t: &Object| TenantSettings {
             name: text(t, "name").unwrap_or_default().to_owned(),
@@ -37,8 +37,8 @@
             0
         };
         Settings {
-            gateways: count(conf, "balancers"),
-            index: number(conf, "index")
+            front_ends: count(conf, "balancers"),
+            front_end_index: number(conf, "index")
                 .filter(|i| (0.0..4e9).contains(i))
                 .map(|i| i as u32),
             classes: items("classes").map(class).collect(),
@@ -50,30 +50,30 @@
             tenants: items("tenants").map(tenant).collect(),
             zones: names(list(conf, "failure-domains")),
             kinds: names(list(conf, "flavors")),
-            over_share_worth: number(conf, "over-share-worth").unwrap_or(0.0),
+            over_quota_weight: number(conf, "over-share-worth").unwrap_or(0.0),
             kind_memory_mb: list(family, "machine-mb")
                 .iter()
                 .map(|m| as_number(m).unwrap_or(0.0))
                 .collect(),
-            keep: span(family, "keep"),
-            load_on_absence: text(family, "when-absent") == Some("load"),
-            orders: flag(family, "orders"),
+            keep_alive: span(family, "keep"),
+            load_on_demand: text(family, "when-absent") == Some("load"),
+            load_orders: flag(family, "orders"),
             order_timeout: span(family, "load-wait"),
-            load_window: span(family, "load-span"),
-            load_free: number(family, "free-loads").unwrap_or(0.0),
-            load_share: number(family, "loads-per-request").unwrap_or(0.0),
+            load_budget_window: span(family, "load-span"),
+            load_budget_base: number(family, "free-loads").unwrap_or(0.0),
+            load_budget_per_request: number(family, "loads-per-request").unwrap_or(0.0),
             max_attempts: count(limits, "max-attempts"),
-            may_cancel: flag(limits, "may-cancel"),
-            second_copies: flag(limits, "second-copies"),
+            cancellation: flag(limits, "may-cancel"),
+            hedging: flag(limits, "second-copies"),
             max_retry_after: advice,
             connect_timeout: span(limits, "connect-timeout"),
-            connection_idle: span(limits, "conn-idle"),
+            connection_idle_timeout: span(limits, "conn-idle"),
             streams_per_connection: count(limits, "streams-per-conn"),
-            cold_from: number(rules, "cold-from").unwrap_or(0.0),
-            warm_within: span(rules, "warm-within"),
-            fall_multiple: number(rules, "fall-multiple").unwrap_or(0.0),
-            fall_window: span(rules, "fall"),
-            ask_for_list: text(conf, "registry-mode") == Some("ask"),
+            slow_start_from: number(rules, "cold-from").unwrap_or(0.0),
+            slow_start_duration: span(rules, "warm-within"),
+            overload_multiple: number(rules, "fall-multiple").unwrap_or(0.0),
+            overload_window: span(rules, "fall"),
+            watch_endpoints: text(conf, "registry-mode") == Some("ask"),
         }
     }
 
--- a/policy/src/state.rs
+++ b/policy/src/state.rs
@@ -97,7 +97,7 @@
 
 /// A listed worker: our attempts out by age, its last report, and how it has done of late.
 pub(crate) struct Worker {
-    pub(crate) entry: Entry,
+    pub(crate) entry: Endpoint,
     pub(crate) out: BTreeSet<(Micros, RequestId, usize)>,
     pub(crate) holds: BTreeSet<usize>,
     pub(crate) report: Option<(Micros, f64, usize)>,
@@ -154,7 +154,7 @@
 }
 
 impl Worker {
-    pub(crate) fn new(entry: Entry, now: Micros) -> Self {
+    pub(crate) fn new(entry: Endpoint, now: Micros) -> Self {
         Worker {
             entry,
             heard: now,
@@ -304,7 +304,7 @@
 impl Controller {
     /// Whether the module keeps calls away from this worker now, as it holds it for dead: for the front end's
     /// figures. Workers it does not know are not avoided by choice.
-    pub fn avoids(&self, worker: &str) -> bool {
+    pub fn is_ejected(&self, worker: &str) -> bool {
         self.worker_ids
             .get(worker)
             .is_some_and(|&w| self.workers[w].dead)
@@ -313,39 +313,39 @@
     /// A gateway that knows nothing yet; `seed` starts its random numbers.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
         // An unknown class is taken for an unsafe one without an aim or worth; absurd figures are clamped.
-        let (effect, group, window, worth) = (Effect::Unsafe, Group::Cell, 0, 0.0);
+        let (effect, group, window, worth) = (Idempotency::NotIdempotent, KeyScope::Cell, 0, 0.0);
         let name = String::new();
         settings.classes.push(ClassSettings {
             name,
-            effect,
-            group,
-            window,
-            aim: LONGEST,
-            worth,
+            idempotency: effect,
+            key_scope: group,
+            key_memory: window,
+            latency_objective: LONGEST,
+            priority_weight: worth,
         });
         for c in &mut settings.classes {
-            c.aim = if c.aim > 0 {
-                c.aim.min(LONGEST)
+            c.latency_objective = if c.latency_objective > 0 {
+                c.latency_objective.min(LONGEST)
             } else {
                 LONGEST
             };
-            c.window = c.window.min(LONGEST);
+            c.key_memory = c.key_memory.min(LONGEST);
         }
         settings.max_attempts = settings.max_attempts.wrapping_sub(1).saturating_add(1); // 0: no limit
         let spans = [
-            &mut settings.load_window,
-            &mut settings.fall_window,
-            &mut settings.keep,
+            &mut settings.load_budget_window,
+            &mut settings.overload_window,
+            &mut settings.keep_alive,
         ];
         spans.into_iter().for_each(|s| *s = (*s).min(LONGEST));
         let most_loads =
-            (LOAD_CAP.3 / f64::from(settings.gateways.max(1))).clamp(LOAD_CAP.1, LOAD_CAP.2);
+            (LOAD_CAP.3 / f64::from(settings.front_ends.max(1))).clamp(LOAD_CAP.1, LOAD_CAP.2);
         Controller {
             rng: Some(Pcg32::seed_from_u64(seed)),
             class_service: settings
                 .classes
                 .iter()
-                .map(|c| c.aim.min(DEFAULT_SPAN) as f64 / 4.0)
+                .map(|c| c.latency_objective.min(DEFAULT_SPAN) as f64 / 4.0)
                 .collect(),
             tenant_rate: vec![0.0; settings.tenants.len()],
             paces: vec![Pace::default(); settings.classes.len()],
@@ -414,7 +414,7 @@
     /// The mean aim of the classes told, in microseconds.
     pub(crate) fn mean_aim(&self) -> f64 {
         let told = &self.set.classes[..self.set.classes.len() - 1];
-        told.iter().map(|c| c.aim as f64).sum::<f64>() / told.len().max(1) as f64
+        told.iter().map(|c| c.latency_objective as f64).sum::<f64>() / told.len().max(1) as f64
     }
 
     pub(crate) fn random(&mut self) -> u64 {
@@ -430,13 +430,13 @@
         Action::Load {
             worker: self.workers[w].entry.worker.clone(),
             function: self.functions[f].id,
-            count,
+            replicas: count,
         }
     }
 
     /// A place for a new worker: that of one that is gone, once nothing refers to it, so that nothing grows
     /// with the workers there ever were.
-    fn seat(&mut self, e: Entry, now: Micros, from: &mut usize) -> usize {
+    fn seat(&mut self, e: Endpoint, now: Micros, from: &mut usize) -> usize {
         let named = |w: usize| {
             self.requests
                 .values()
@@ -470,7 +470,7 @@
         &mut self,
         now: Micros,
         full: bool,
-        entries: Vec<Entry>,
+        entries: Vec<Endpoint>,
     ) -> (Vec<usize>, Vec<usize>) {
         let (mut seen, mut started, mut emptied) = (BTreeSet::new(), Vec::new(), Vec::new());
         let mut free = 0; // places before are taken: ten thousand new workers do not each look at all
@@ -492,7 +492,7 @@
                 known.started_at
             };
             let gone = e.state == WorkerState::Gone;
-            *known = Entry { started_at, ..e };
+            *known = Endpoint { started_at, ..e };
             started.extend(restarted.then_some(w));
             emptied.extend((restarted || gone).then_some(w));
         }
@@ -549,7 +549,7 @@
         {
             c.count = 0;
             let worker = self.workers[w].entry.worker.clone();
-            out.push(Action::Drop {
+            out.push(Action::Unload {
                 worker,
                 function: function.id,
             });
@@ -642,7 +642,7 @@
         r.done = true;
         self.functions[r.function].held.retain(|&h| h != id);
         for (n, a) in r.attempts.iter_mut().enumerate() {
-            if a.open && self.set.may_cancel && !a.called_off {
+            if a.open && self.set.cancellation && !a.called_off {
                 a.called_off = true;
                 out.push(Action::Cancel { id, attempt: n });
             }
--- a/policy/tests/characterization.rs
+++ b/policy/tests/characterization.rs
@@ -41,7 +41,7 @@
                 id,
                 worker,
                 timeout,
-                window,
+                retry_window: window,
             } => {
                 self.byte(0);
                 self.number(*id);
@@ -55,7 +55,7 @@
                 self.number(*id);
                 self.number(*attempt as u64);
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 self.byte(2);
                 self.number(*id);
                 self.number(*retry_after);
@@ -72,19 +72,19 @@
             Action::Load {
                 worker,
                 function,
-                count,
+                replicas: count,
             } => {
                 self.byte(5);
                 self.text(worker);
                 self.number(*function);
                 self.number(u64::from(*count));
             }
-            Action::Drop { worker, function } => {
+            Action::Unload { worker, function } => {
                 self.byte(6);
                 self.text(worker);
                 self.number(*function);
             }
-            Action::Watch => self.byte(7),
+            Action::WatchEndpoints => self.byte(7),
             Action::Log { text } => {
                 self.byte(8);
                 self.text(text);
@@ -95,11 +95,11 @@
 
 fn settings(scenario: &Scenario) -> Settings {
     let class = |effect, group, aim, worth| ClassSettings {
-        effect,
-        group,
-        window: 3 * SEC,
-        aim,
-        worth,
+        idempotency: effect,
+        key_scope: group,
+        key_memory: 3 * SEC,
+        latency_objective: aim,
+        priority_weight: worth,
         ..ClassSettings::default()
     };
     let tenant = |quota_per_s| TenantSettings {
@@ -107,41 +107,41 @@
         ..TenantSettings::default()
     };
     let group = if scenario.load_on_demand {
-        Group::Zone
+        KeyScope::Zone
     } else {
-        Group::Cell
+        KeyScope::Cell
     };
     Settings {
-        gateways: scenario.front_ends,
-        index: scenario.hedging.then_some(scenario.front_ends / 2),
+        front_ends: scenario.front_ends,
+        front_end_index: scenario.hedging.then_some(scenario.front_ends / 2),
         classes: vec![
-            class(Effect::Safe, Group::All, 400 * MS, 1.0),
-            class(Effect::Keyed, group, 800 * MS, 3.0),
-            class(Effect::Unsafe, Group::All, SEC, 2.0),
+            class(Idempotency::Idempotent, KeyScope::All, 400 * MS, 1.0),
+            class(Idempotency::Keyed, group, 800 * MS, 3.0),
+            class(Idempotency::NotIdempotent, KeyScope::All, SEC, 2.0),
         ],
         tenants: if scenario.reports {
             vec![tenant(40.0), tenant(60.0)]
         } else {
             vec![]
         },
-        over_share_worth: 0.2,
+        over_quota_weight: 0.2,
         kind_memory_mb: vec![4_000.0, 2_500.0],
-        keep: 8 * SEC,
-        load_on_absence: scenario.load_on_demand,
-        orders: true,
+        keep_alive: 8 * SEC,
+        load_on_demand: scenario.load_on_demand,
+        load_orders: true,
         order_timeout: 10 * SEC,
-        load_window: if scenario.hedging { 5 * SEC } else { 0 },
-        load_free: 4.0,
-        load_share: 0.2,
+        load_budget_window: if scenario.hedging { 5 * SEC } else { 0 },
+        load_budget_base: 4.0,
+        load_budget_per_request: 0.2,
         max_attempts: if scenario.hedging { 6 } else { 3 },
-        may_cancel: scenario.hedging || scenario.load_on_demand,
-        second_copies: scenario.hedging,
+        cancellation: scenario.hedging || scenario.load_on_demand,
+        hedging: scenario.hedging,
         max_retry_after: SEC,
-        cold_from: 0.25,
-        warm_within: 10 * SEC,
-        fall_multiple: 2.0,
-        fall_window: SEC,
-        ask_for_list: scenario.reports,
+        slow_start_from: 0.25,
+        slow_start_duration: 10 * SEC,
+        overload_multiple: 2.0,
+        overload_window: SEC,
+        watch_endpoints: scenario.reports,
         ..Settings::default()
     }
 }
@@ -162,9 +162,9 @@
         match action {
             Action::Send { .. } => self.sends += 1,
             Action::Cancel { .. } => self.cancels += 1,
-            Action::Refuse { .. } => self.rejections += 1,
+            Action::Reject { .. } => self.rejections += 1,
             Action::Fail { .. } => self.failures += 1,
-            Action::Load { count: 0, .. } => self.polls += 1,
+            Action::Load { replicas: 0, .. } => self.polls += 1,
             Action::Load { .. } => self.loads += 1,
             _ => {}
         }
@@ -184,7 +184,7 @@
     let mut actions = Vec::new();
     for step in 0..scenario.events {
         if step == scenario.events / 3 || step == scenario.events / 2 {
-            controller.stand_aside(step == scenario.events / 3);
+            controller.set_standby(step == scenario.events / 3);
         }
         if step == scenario.events * 2 / 3 {
             controller = Controller::new(settings(&scenario), scenario.seed + 1);
@@ -200,7 +200,7 @@
         }
         if step % 500 == 0 {
             (0..scenario.workers)
-                .for_each(|w| digest.byte(u8::from(controller.avoids(&format!("worker-{w}")))));
+                .for_each(|w| digest.byte(u8::from(controller.is_ejected(&format!("worker-{w}")))));
         }
     }
     (digest, counts)
--- a/policy/tests/cold.rs
+++ b/policy/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Rule 4 over the sum of all gateways: what they send together to a worker that has just started.
+//! Rule 4 over the sum of all front_ends: what they send together to a worker that has just started.
 mod common;
 use common::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,7 +10,7 @@
 /// A fleet that shares nothing before one worker that has just started, as one model of it sees them.
 struct Fleet {
     set: Settings,
-    gateways: Vec<Option<Controller>>,
+    front_ends: Vec<Option<Controller>>,
     lists: Vec<Micros>,
     told: Vec<bool>,
     seed: u64,
@@ -25,16 +25,16 @@
     sent: Vec<(Micros, f64, bool)>,
 }
 
-fn rules(gateways: u32) -> Settings {
+fn rules(front_ends: u32) -> Settings {
     let class = |effect, aim| ClassSettings {
-        aim,
-        ..class(effect, Group::All)
+        latency_objective: aim,
+        ..class(effect, KeyScope::All)
     };
     Settings {
-        gateways,
+        front_ends: front_ends,
         classes: vec![
-            class(Effect::Safe, 400 * MS),
-            class(Effect::Unsafe, 500 * MS),
+            class(Idempotency::Idempotent, 400 * MS),
+            class(Idempotency::NotIdempotent, 500 * MS),
         ],
         tenants: vec![TenantSettings {
             quota_per_s: TOLD,
@@ -47,9 +47,9 @@
 impl Fleet {
     /// Gateways that learn of the start up to `late` after it; `numbered` if each is told which it is.
     fn new(set: Settings, numbered: bool, late: Micros, seed: u64) -> Fleet {
-        let n = set.gateways as usize;
+        let n = set.front_ends as usize;
         let mut fleet = Fleet {
-            gateways: (0..n).map(|_| None).collect(),
+            front_ends: (0..n).map(|_| None).collect(),
             lists: vec![],
             told: vec![false; n],
             set,
@@ -80,9 +80,9 @@
     fn start(&mut self, i: usize, numbered: bool) {
         let seed = self.draw(1 << 30);
         let index = numbered.then_some(i as u32);
-        self.gateways[i] = Some(Controller::new(
+        self.front_ends[i] = Some(Controller::new(
             Settings {
-                index,
+                front_end_index: index,
                 ..self.set.clone()
             },
             seed,
@@ -93,7 +93,7 @@
 
     fn feed(&mut self, i: usize, now: Micros, event: Event) {
         let mut out = Vec::new();
-        self.gateways[i]
+        self.front_ends[i]
             .as_mut()
             .unwrap()
             .handle(now, event, &mut out);
@@ -120,7 +120,7 @@
                 Action::Load {
                     worker,
                     function,
-                    count,
+                    replicas: count,
                 } => {
                     let (mut outcome, mut stands, elapsed) = (Outcome::Ok, count.max(1), MS);
                     if worker == "w0" && self.down > 0 && now >= self.down {
@@ -132,14 +132,14 @@
                             stands = 0;
                         }
                     }
-                    let answer = Event::Loaded {
+                    let answer = Event::LoadOrderEnded {
                         worker,
                         function,
-                        count: stands,
+                        replicas: stands,
                         outcome,
                         elapsed,
                     };
-                    self.gateways[i]
+                    self.front_ends[i]
                         .as_mut()
                         .unwrap()
                         .handle(now + MS, answer, &mut out);
@@ -157,15 +157,15 @@
             self.due.remove(&key);
             let (elapsed, closed) = (60 * MS, outcome == Outcome::Ok);
             let (warm, crowd, inflight) = (Some(true), None, None);
-            let end = Event::Outcome {
+            let end = Event::AttemptEnded {
                 id,
                 attempt,
                 outcome,
                 elapsed,
-                closed,
-                warm,
-                crowd,
-                inflight,
+                request_closed: closed,
+                replica_loaded: warm,
+                queue_depth: crowd,
+                in_flight: inflight,
             };
             self.feed(i, now, end);
         }
@@ -180,9 +180,9 @@
             class,
             tenant,
             function,
-            left,
+            time_left: left,
             memory_mb,
-            lanes,
+            concurrency: lanes,
             load_time,
             retry: false,
         };
@@ -194,12 +194,13 @@
     fn fall(&self) -> (f64, f64) {
         let (set, mut first, mut most, mut worst) = (&self.set, 0, 0.0f64, 0.0f64);
         for (at, &(now, ..)) in self.sent.iter().enumerate() {
-            while self.sent[first].0 + set.fall_window <= now {
+            while self.sent[first].0 + set.overload_window <= now {
                 first += 1;
             }
-            let share = set.cold_from
-                + (1.0 - set.cold_from) * (now - START) as f64 / set.warm_within as f64;
-            let n = set.fall_multiple * share.min(1.0) * TOLD * SMALL;
+            let share = set.slow_start_from
+                + (1.0 - set.slow_start_from) * (now - START) as f64
+                    / set.slow_start_duration as f64;
+            let n = set.overload_multiple * share.min(1.0) * TOLD * SMALL;
             let span = &self.sent[first..=at];
             let held = span.len() as f64 / (n + 2.0 * n.sqrt() + 2.0);
             if held > 1.0 {
@@ -218,7 +219,7 @@
     }
 
     fn play_from(&mut self, from: Micros, span: Micros, fall: Micros, numbered: bool) {
-        let n = self.gateways.len();
+        let n = self.front_ends.len();
         for step in from / (50 * MS)..span / (50 * MS) {
             let now = START + step * 50 * MS;
             if fall > 0 && now == START + fall {
@@ -230,16 +231,16 @@
             for i in 0..n {
                 if !self.told[i] && self.lists[i] <= now {
                     self.told[i] = true;
-                    let entries = vec![Entry {
+                    let entries = vec![Endpoint {
                         started_at: START,
                         ..entry(0)
                     }];
                     self.feed(
                         i,
                         now,
-                        Event::Members {
-                            full: true,
-                            entries,
+                        Event::EndpointUpdate {
+                            complete: true,
+                            endpoints: entries,
                         },
                     );
                 }
@@ -256,13 +257,14 @@
         let (set, mut first, mut held, mut worst) = (&self.set, 0, 0.0, 0.0f64);
         for &(at, weight, _) in &self.sent {
             held += weight;
-            while self.sent[first].0 + set.fall_window <= at {
+            while self.sent[first].0 + set.overload_window <= at {
                 held -= self.sent[first].1;
                 first += 1;
             }
-            let share = set.cold_from
-                + (1.0 - set.cold_from) * (at - START) as f64 / set.warm_within as f64;
-            worst = worst.max(held / (set.fall_multiple * share * TOLD * SMALL));
+            let share = set.slow_start_from
+                + (1.0 - set.slow_start_from) * (at - START) as f64
+                    / set.slow_start_duration as f64;
+            worst = worst.max(held / (set.overload_multiple * share * TOLD * SMALL));
         }
         worst
     }
@@ -273,7 +275,7 @@
 /// Seen on the full fleet: 57 calls in a second from 48 front ends, each of which had saved up one or two, at a worker that could do 18.
 #[test]
 fn what_all_gateways_send_to_a_cold_worker_stays_within_the_rule_at_any_size() {
-    for (gateways, seeds) in [
+    for (front_ends, seeds) in [
         (1, 8),
         (3, 8),
         (20, 4),
@@ -283,17 +285,17 @@
         (1024, 1),
     ] {
         for seed in 0..seeds {
-            let mut fleet = Fleet::new(rules(gateways), true, 3 * SEC, seed);
-            let span = if gateways > 100 { 5 * SEC } else { 8 * SEC };
+            let mut fleet = Fleet::new(rules(front_ends), true, 3 * SEC, seed);
+            let span = if front_ends > 100 { 5 * SEC } else { 8 * SEC };
             fleet.play(span, 2 * SEC, true);
             let (worst, sent) = (fleet.worst(), fleet.sent.len());
             assert!(
                 worst <= 1.0,
-                "{gateways} gateways, seed {seed}: {worst:.2} of what the rule allows"
+                "{front_ends} front_ends, seed {seed}: {worst:.2} of what the rule allows"
             );
             assert!(
                 sent >= 4,
-                "{gateways} gateways, seed {seed}: {sent} calls, it must get going"
+                "{front_ends} front_ends, seed {seed}: {sent} calls, it must get going"
             );
         }
     }
@@ -320,9 +322,9 @@
         set
     };
     for set in [
-        odd(|s| s.cold_from = 0.0),
-        odd(|s| s.cold_from = f64::NAN),
-        odd(|s| s.fall_window = 0),
+        odd(|s| s.slow_start_from = 0.0),
+        odd(|s| s.slow_start_from = f64::NAN),
+        odd(|s| s.overload_window = 0),
         odd(|s| s.tenants[0].quota_per_s = f64::INFINITY),
     ] {
         let mut sent = 0;
@@ -330,7 +332,7 @@
             let mut rig = Rig {
                 c: Controller::new(
                     Settings {
-                        index: Some(i),
+                        front_end_index: Some(i),
                         ..set.clone()
                     },
                     5,
@@ -339,13 +341,13 @@
             };
             // A start told for a time ahead, and the same worker starting anew every 300 ms.
             for n in 0..10 {
-                let entries = vec![Entry {
+                let entries = vec![Endpoint {
                     started_at: START + n * 300 * MS + SEC,
                     ..entry(0)
                 }];
-                rig.feed(Event::Members {
-                    full: true,
-                    entries,
+                rig.feed(Event::EndpointUpdate {
+                    complete: true,
+                    endpoints: entries,
                 });
                 sent += sends(&rig.pass(300 * MS)).len();
                 let out = rig.request(n, SAFE, 7);
@@ -366,29 +368,31 @@
 /// far above what the worker can do. The one before stands aside once it has seen the other, which waits for that.
 #[test]
 fn processes_beside_each_other_send_no_more_than_one() {
-    for gateways in [20, 30, 300] {
-        let mut fleet = Fleet::new(rules(gateways), true, MS, 7);
+    for front_ends in [20, 30, 300] {
+        let mut fleet = Fleet::new(rules(front_ends), true, MS, 7);
         // The second half are the replacing processes, each under the number of one of the first.
-        let n = gateways as usize;
+        let n = front_ends as usize;
         for i in 0..n {
             let seed = fleet.draw(1 << 30);
             let set = Settings {
-                index: Some(i as u32),
+                front_end_index: Some(i as u32),
                 ..fleet.set.clone()
             };
-            fleet.gateways.push(Some(Controller::new(set, seed)));
+            fleet.front_ends.push(Some(Controller::new(set, seed)));
             fleet.told.push(false);
             fleet.lists.push(START);
         }
-        for g in &mut fleet.gateways[n..] {
-            g.as_mut().unwrap().stand_aside(true);
+        for g in &mut fleet.front_ends[n..] {
+            g.as_mut().unwrap().set_standby(true);
         }
         for step in 1..=8 {
             // Each looks every quarter of a second: seen at one of them, taken over at the one after the next.
-            let turn = |g: &mut Option<Controller>, aside| g.as_mut().unwrap().stand_aside(aside);
+            let turn = |g: &mut Option<Controller>, aside| g.as_mut().unwrap().set_standby(aside);
             match step {
-                3 => fleet.gateways[..n].iter_mut().for_each(|g| turn(g, true)),
-                4 => fleet.gateways[n..].iter_mut().for_each(|g| turn(g, false)),
+                3 => fleet.front_ends[..n].iter_mut().for_each(|g| turn(g, true)),
+                4 => fleet.front_ends[n..]
+                    .iter_mut()
+                    .for_each(|g| turn(g, false)),
                 _ => {}
             }
             fleet.play_from((step - 1) * SEC, step * SEC, 0, true);
@@ -396,11 +400,11 @@
         let (worst, sent) = (fleet.worst(), fleet.sent.len());
         assert!(
             worst <= 1.0,
-            "{gateways} gateways: {worst:.2} of what the rule allows"
+            "{front_ends} front_ends: {worst:.2} of what the rule allows"
         );
         assert!(
             sent >= 4,
-            "{gateways} gateways: {sent} calls, it must get going"
+            "{front_ends} front_ends: {sent} calls, it must get going"
         );
     }
 }
@@ -410,7 +414,7 @@
 /// than the rule and chance allow, no more than two thirds of that may come from those that were told.
 #[test]
 fn a_restart_that_is_told_late_is_no_fall_by_those_that_were_told() {
-    for (gateways, load) in [
+    for (front_ends, load) in [
         (20, 0.9),
         (30, 0.9),
         (300, 0.9),
@@ -419,8 +423,8 @@
         (300, 3.0),
     ] {
         for seed in 0..3 {
-            let mut fleet = Fleet::new(rules(gateways), true, 7 * SEC, seed);
-            let (n, all) = (gateways as usize, (0..10).map(entry).collect::<Vec<_>>());
+            let mut fleet = Fleet::new(rules(front_ends), true, 7 * SEC, seed);
+            let (n, all) = (front_ends as usize, (0..10).map(entry).collect::<Vec<_>>());
             fleet.set.tenants[0].quota_per_s = 10.0 * TOLD;
             fleet.down = START - 300 * MS;
             (0..n).for_each(|i| fleet.start(i, true));
@@ -433,23 +437,23 @@
                         fleet.feed(
                             i,
                             now,
-                            Event::Members {
-                                full: true,
-                                entries: all.clone(),
+                            Event::EndpointUpdate {
+                                complete: true,
+                                endpoints: all.clone(),
                             },
                         );
                     } else if !fleet.told[i] && fleet.lists[i] <= now {
                         fleet.told[i] = true;
-                        let entries = vec![Entry {
+                        let entries = vec![Endpoint {
                             started_at: START,
                             ..entry(0)
                         }];
                         fleet.feed(
                             i,
                             now,
-                            Event::Members {
-                                full: false,
-                                entries,
+                            Event::EndpointUpdate {
+                                complete: false,
+                                endpoints: entries,
                             },
                         );
                     }
@@ -465,9 +469,9 @@
             let (most, part) = fleet.fall();
             assert!(
                 part <= 2.0 / 3.0,
-                "{gateways} gateways, load {load}, seed {seed}: {most:.2}, {part:.2} by those told"
+                "{front_ends} front_ends, load {load}, seed {seed}: {most:.2}, {part:.2} by those told"
             );
-            eprintln!("{gateways} gateways, load {load}, seed {seed}: at most {most:.2} of the bound, {part:.2} by those told beyond it");
+            eprintln!("{front_ends} front_ends, load {load}, seed {seed}: at most {most:.2} of the bound, {part:.2} by those told beyond it");
         }
     }
 }
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -8,13 +8,13 @@
 pub const KEYED: usize = 1;
 pub const UNSAFE: usize = 2;
 
-pub fn class(effect: Effect, group: Group) -> ClassSettings {
+pub fn class(effect: Idempotency, group: KeyScope) -> ClassSettings {
     ClassSettings {
-        effect,
-        group,
-        window: 3 * SEC,
-        aim: SEC,
-        worth: 1.0,
+        idempotency: effect,
+        key_scope: group,
+        key_memory: 3 * SEC,
+        latency_objective: SEC,
+        priority_weight: 1.0,
         ..ClassSettings::default()
     }
 }
@@ -22,36 +22,36 @@
 /// One gateway before workers where only an order loads; tests change what they need.
 pub fn settings() -> Settings {
     Settings {
-        gateways: 1,
+        front_ends: 1,
         classes: vec![
-            class(Effect::Safe, Group::All),
-            class(Effect::Keyed, Group::Cell),
-            class(Effect::Unsafe, Group::All),
+            class(Idempotency::Idempotent, KeyScope::All),
+            class(Idempotency::Keyed, KeyScope::Cell),
+            class(Idempotency::NotIdempotent, KeyScope::All),
         ],
         tenants: vec![],
-        over_share_worth: 0.2,
+        over_quota_weight: 0.2,
         kind_memory_mb: vec![4000.0],
-        keep: 8 * SEC,
-        load_on_absence: false,
-        orders: true,
+        keep_alive: 8 * SEC,
+        load_on_demand: false,
+        load_orders: true,
         order_timeout: 10 * SEC,
-        load_window: 0,
-        load_free: 0.0,
-        load_share: 0.0,
+        load_budget_window: 0,
+        load_budget_base: 0.0,
+        load_budget_per_request: 0.0,
         max_attempts: 4,
-        may_cancel: true,
-        second_copies: false,
+        cancellation: true,
+        hedging: false,
         max_retry_after: SEC,
-        cold_from: 0.2,
-        warm_within: 10 * SEC,
-        fall_multiple: 2.0,
-        fall_window: SEC,
+        slow_start_from: 0.2,
+        slow_start_duration: 10 * SEC,
+        overload_multiple: 2.0,
+        overload_window: SEC,
         ..Settings::default()
     }
 }
 
-pub fn entry(n: usize) -> Entry {
-    Entry {
+pub fn entry(n: usize) -> Endpoint {
+    Endpoint {
         worker: format!("w{n}"),
         state: WorkerState::Ready,
         started_at: 0,
@@ -73,9 +73,9 @@
             c: Controller::new(settings, 11),
             now: 100 * SEC,
         };
-        rig.feed(Event::Members {
-            full: true,
-            entries: (0..n).map(entry).collect(),
+        rig.feed(Event::EndpointUpdate {
+            complete: true,
+            endpoints: (0..n).map(entry).collect(),
         });
         rig
     }
@@ -103,9 +103,9 @@
             class,
             tenant: None,
             function,
-            left: 3 * SEC,
+            time_left: 3 * SEC,
             memory_mb: 500.0,
-            lanes: 1,
+            concurrency: 1,
             load_time: 400 * MS,
             retry: false,
         })
@@ -120,15 +120,15 @@
     ) -> Vec<Action> {
         let closed = outcome == Outcome::Ok;
         let (warm, crowd, inflight) = (None, None, None);
-        self.feed(Event::Outcome {
+        self.feed(Event::AttemptEnded {
             id,
             attempt,
             outcome,
             elapsed,
-            closed,
-            warm,
-            crowd,
-            inflight,
+            request_closed: closed,
+            replica_loaded: warm,
+            queue_depth: crowd,
+            in_flight: inflight,
         })
     }
 
@@ -139,10 +139,10 @@
         count: u32,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.feed(Event::Loaded {
+        self.feed(Event::LoadOrderEnded {
             worker: worker.into(),
             function,
-            count,
+            replicas: count,
             outcome,
             elapsed: 2 * MS,
         })
@@ -163,7 +163,11 @@
 /// The workers that were ordered to hold this many copies.
 pub fn loads(actions: &[Action], wanted: u32) -> Vec<String> {
     let pick = |a: &Action| match a {
-        Action::Load { worker, count, .. } if *count == wanted => Some(worker.clone()),
+        Action::Load {
+            worker,
+            replicas: count,
+            ..
+        } if *count == wanted => Some(worker.clone()),
         _ => None,
     };
     actions.iter().filter_map(pick).collect()
--- a/policy/tests/failures.rs
+++ b/policy/tests/failures.rs
@@ -44,7 +44,7 @@
 #[test]
 fn where_allowed_a_second_copy_runs_beside_a_silent_first() {
     let mut set = settings();
-    set.second_copies = true;
+    set.hedging = true;
     let mut rig = Rig::new(set, 3);
     rig.warm(7, 1, &["w0", "w1", "w2"]);
     rig.request(2, SAFE, 7);
@@ -59,7 +59,7 @@
 fn where_connections_break_an_overdue_attempt_soon_gets_a_second_copy() {
     let mut rig = Rig::new(
         Settings {
-            second_copies: true,
+            hedging: true,
             ..settings()
         },
         3,
@@ -125,7 +125,7 @@
 fn errors_of_a_function_never_served_end_its_call_and_accuse_nobody() {
     let mut rig = Rig::new(
         Settings {
-            load_on_absence: true,
+            load_on_demand: true,
             ..settings()
         },
         4,
@@ -176,9 +176,9 @@
 fn a_restart_voids_copies_and_clears_suspicion() {
     let mut rig = Rig::new(settings(), 1);
     rig.warm(7, 1, &["w0"]);
-    rig.feed(Event::Members {
-        full: false,
-        entries: vec![Entry {
+    rig.feed(Event::EndpointUpdate {
+        complete: false,
+        endpoints: vec![Endpoint {
             started_at: rig.now,
             ..entry(0)
         }],
@@ -192,16 +192,16 @@
     rig.outcome(99, 0, Outcome::Ok, 1);
     rig.loaded("nobody", 5, 3, Outcome::Ok);
     rig.loaded("w0", 5, 3, Outcome::Ok);
-    assert!(rig.feed(Event::Withdrawn { id: 4 }).is_empty());
+    assert!(rig.feed(Event::RequestCancelled { id: 4 }).is_empty());
     assert!(rig.feed(Event::Timer { token: u64::MAX }).is_empty());
     rig.feed(Event::Request {
         id: u64::MAX,
         class: 77,
         tenant: Some(9),
         function: 5,
-        left: u64::MAX,
+        time_left: u64::MAX,
         memory_mb: f64::NAN,
-        lanes: 0,
+        concurrency: 0,
         load_time: u64::MAX,
         retry: false,
     });
@@ -221,8 +221,8 @@
 fn ordered_by_one_of(gateways: u32, end: impl Fn(u64, &str) -> (Outcome, Micros)) -> usize {
     let mut rig = Rig::new(
         Settings {
-            gateways,
-            load_on_absence: gateways > 1,
+            front_ends: gateways,
+            load_on_demand: gateways > 1,
             ..settings()
         },
         8,
@@ -235,10 +235,10 @@
         for worker in loads(&out, 1) {
             let (outcome, elapsed) = end(id, &worker);
             let count = u32::from(outcome == Outcome::Ok);
-            rig.feed(Event::Loaded {
+            rig.feed(Event::LoadOrderEnded {
                 worker,
                 function: id,
-                count,
+                replicas: count,
                 outcome,
                 elapsed,
             });
@@ -302,9 +302,9 @@
         class: UNSAFE,
         tenant: None,
         function: 7,
-        left: 60 * SEC,
+        time_left: 60 * SEC,
         memory_mb: 500.0,
-        lanes: 1,
+        concurrency: 1,
         load_time: 0,
         retry: false,
     });
@@ -342,7 +342,9 @@
 fn while_crowded_calls_whose_client_leaves_too_soon_are_refused() {
     let short = |crowd: u64| {
         let mut set = settings();
-        set.classes.iter_mut().for_each(|c| c.aim = 3000 * SEC); // so that only the client's patience can refuse
+        set.classes
+            .iter_mut()
+            .for_each(|c| c.latency_objective = 3000 * SEC); // so that only the client's patience can refuse
         let mut rig = Rig::new(set, 2);
         rig.warm(7, 1, &["w0", "w1"]);
         rig.pass(3 * SEC);
@@ -353,14 +355,14 @@
             class: SAFE,
             tenant: None,
             function: 7,
-            left: 50 * MS,
+            time_left: 50 * MS,
             memory_mb: 500.0,
-            lanes: 1,
+            concurrency: 1,
             load_time: 0,
             retry: false,
         });
         out.iter()
-            .any(|a| matches!(a, Action::Refuse { id: 999, .. }))
+            .any(|a| matches!(a, Action::Reject { id: 999, .. }))
     };
     assert!(short(12));
     assert!(!short(1));
@@ -388,7 +390,7 @@
     let added = |gateways| {
         let mut rig = Rig::new(
             Settings {
-                gateways,
+                front_ends: gateways,
                 ..settings()
             },
             4,
@@ -415,13 +417,13 @@
     rig.warm(7, 1, &["w0", "w1", "w2", "w3", "w4", "w5"]);
     rig.request(2, SAFE, 7);
     let first = (0..3)
-        .flat_map(|n| rig.outcome(2, n, Outcome::Full, MS))
+        .flat_map(|n| rig.outcome(2, n, Outcome::Rejected, MS))
         .collect::<Vec<_>>();
     assert_eq!(sends(&first).len(), 2);
     assert!(
         first
             .iter()
-            .any(|a| matches!(a, Action::Refuse { id: 2, .. })),
+            .any(|a| matches!(a, Action::Reject { id: 2, .. })),
         "{first:?}"
     );
 }
@@ -438,11 +440,11 @@
     assert!(rig
         .pass(1_200 * MS)
         .iter()
-        .all(|a| !matches!(a, Action::Refuse { .. })));
+        .all(|a| !matches!(a, Action::Reject { .. })));
     assert!(rig
         .pass(280 * MS)
         .iter()
-        .any(|a| matches!(a, Action::Refuse { id: 1, .. })));
+        .any(|a| matches!(a, Action::Reject { id: 1, .. })));
 }
 
 /// Seen on sockets: with a handful of gateways, calls queued at workers that held half as much again as others.
@@ -452,8 +454,8 @@
         let load_on_absence = gateways < 16; // where calls load, few gateways ask before
         let mut rig = Rig::new(
             Settings {
-                gateways,
-                load_on_absence,
+                front_ends: gateways,
+                load_on_demand: load_on_absence,
                 ..settings()
             },
             4,
@@ -465,15 +467,15 @@
             let inflight = Some(if worker == "w0" { most } else { 4.0 });
             let (attempt, outcome, elapsed, closed) = (0, Outcome::Ok, 50 * MS, true);
             let (warm, crowd) = (Some(true), None);
-            rig.feed(Event::Outcome {
+            rig.feed(Event::AttemptEnded {
                 id,
                 attempt,
                 outcome,
                 elapsed,
-                closed,
-                warm,
-                crowd,
-                inflight,
+                request_closed: closed,
+                replica_loaded: warm,
+                queue_depth: crowd,
+                in_flight: inflight,
             });
             rig.pass(100 * MS);
             calls += usize::from(worker == "w0");
@@ -500,7 +502,7 @@
             let at_w0 = sends(&rig.request(id, SAFE, 7)).contains(&"w0".to_owned());
             calls += usize::from(at_w0);
             if at_w0 && calls % 3 == 0 {
-                rig.feed(Event::Withdrawn { id });
+                rig.feed(Event::RequestCancelled { id });
                 rig.outcome(id, 0, Outcome::Cancelled, given_up_after);
             } else {
                 rig.outcome(id, 0, Outcome::Ok, 50 * MS);
@@ -523,9 +525,9 @@
     let (load_window, load_free, load_share) = (5 * SEC, 4.0, 0.15);
     let mut rig = Rig::new(
         Settings {
-            load_window,
-            load_free,
-            load_share,
+            load_budget_window: load_window,
+            load_budget_base: load_free,
+            load_budget_per_request: load_share,
             ..settings()
         },
         4,
@@ -538,7 +540,7 @@
             .flat_map(|w| rig.loaded(w, stranger, 0, Outcome::Error))
             .collect();
         assert!(
-            out.contains(&Action::Refuse {
+            out.contains(&Action::Reject {
                 id: stranger,
                 retry_after: SEC / 2
             }),
@@ -569,9 +571,9 @@
         let (load_window, load_free, load_share) = (5 * SEC, 1.0, 0.1);
         let mut rig = Rig::new(
             Settings {
-                load_window,
-                load_free,
-                load_share,
+                load_budget_window: load_window,
+                load_budget_base: load_free,
+                load_budget_per_request: load_share,
                 ..settings()
             },
             4,
@@ -596,7 +598,7 @@
     let taken_back = |rig: &mut Rig| {
         for id in 10..50 {
             rig.request(id, SAFE, 7);
-            rig.feed(Event::Withdrawn { id });
+            rig.feed(Event::RequestCancelled { id });
             rig.outcome(id, 0, Outcome::Cancelled, MS);
         }
     };
@@ -621,7 +623,7 @@
     let sent_after = |answers_take: Micros, wait: Micros| {
         let mut rig = Rig::new(
             Settings {
-                second_copies: true,
+                hedging: true,
                 ..settings()
             },
             3,
@@ -661,7 +663,7 @@
         for (id, worker) in ids.zip(at) {
             calls += usize::from(worker == "w0");
             if worker == "w0" && calls % 3 == 0 {
-                rig.feed(Event::Withdrawn { id });
+                rig.feed(Event::RequestCancelled { id });
                 rig.outcome(id, 0, Outcome::Cancelled, 900 * MS);
             } else {
                 rig.outcome(id, 0, Outcome::Ok, 50 * MS);
--- a/policy/tests/mechanism.rs
+++ b/policy/tests/mechanism.rs
@@ -79,9 +79,9 @@
         class: SAFE,
         tenant: None,
         function: 7,
-        left: 3 * SEC,
+        time_left: 3 * SEC,
         memory_mb: 500.0,
-        lanes: 1,
+        concurrency: 1,
         load_time: 0,
         retry: true,
     });
@@ -105,14 +105,14 @@
 fn gateways_draw_the_same_place_for_a_function() {
     let place = |seed| {
         let mut set = settings();
-        (set.gateways, set.load_on_absence) = (3, true);
+        (set.front_ends, set.load_on_demand) = (3, true);
         let mut c = Controller::new(set, seed);
         let mut out = Vec::new();
         c.handle(
             SEC,
-            Event::Members {
-                full: true,
-                entries: (0..9).map(entry).collect(),
+            Event::EndpointUpdate {
+                complete: true,
+                endpoints: (0..9).map(entry).collect(),
             },
             &mut out,
         );
@@ -138,13 +138,13 @@
     rig.request(4, SAFE, 7);
     let out = rig.request(5, SAFE, 7);
     assert!(
-        out.contains(&Action::Drop {
+        out.contains(&Action::Unload {
             worker: "w1".into(),
             function: 1
         }),
         "{out:?}"
     );
-    assert!(!out.contains(&Action::Drop {
+    assert!(!out.contains(&Action::Unload {
         worker: "w1".into(),
         function: 2
     }));
@@ -166,7 +166,7 @@
     let mut rig = Rig::new(settings(), 2);
     rig.warm(7, 1, &["w0"]);
     assert_eq!(sends(&rig.request(2, UNSAFE, 7)), ["w0"]);
-    let out = rig.outcome(2, 0, Outcome::Miss, 2 * MS);
+    let out = rig.outcome(2, 0, Outcome::NotLoaded, 2 * MS);
     assert!(!loads(&out, 0).is_empty() || !loads(&out, 1).is_empty());
     let again = rig.request(3, SAFE, 7);
     assert!(sends(&again).is_empty());
@@ -175,7 +175,7 @@
 #[test]
 fn where_calls_load_by_themselves_and_the_ration_is_spent_the_call_goes_there() {
     let mut set = settings();
-    (set.load_on_absence, set.load_window) = (true, 5 * SEC); // nothing free, no share: no order at all
+    (set.load_on_demand, set.load_budget_window) = (true, 5 * SEC); // nothing free, no share: no order at all
     let mut rig = Rig::new(set, 2);
     rig.request(1, SAFE, 7);
     let mut out = rig.loaded("w0", 7, 0, Outcome::Ok);
@@ -191,15 +191,15 @@
     for id in 2..40 {
         let to = sends(&rig.request(id, SAFE, 7)).remove(0);
         let crowd = (to == "w0").then_some(3);
-        rig.feed(Event::Outcome {
+        rig.feed(Event::AttemptEnded {
             id,
             attempt: 0,
             outcome: Outcome::Ok,
             elapsed: 50 * MS,
-            closed: true,
-            warm: Some(true),
-            crowd,
-            inflight: None,
+            request_closed: true,
+            replica_loaded: Some(true),
+            queue_depth: crowd,
+            in_flight: None,
         });
         if to == "w0" {
             assert_eq!(sends(&rig.request(id + 100, SAFE, 7)), ["w1"]);
@@ -228,7 +228,7 @@
             .for_each(|w| drop(rig.loaded(w, 7, 1, Outcome::Ok)));
         let drops = early
             .iter()
-            .filter(|a| matches!(a, Action::Drop { .. }))
+            .filter(|a| matches!(a, Action::Unload { .. }))
             .count();
         (loads(&late, 1).len(), loads(&early, 1).len(), drops)
     };
--- a/policy/tests/misses.rs
+++ b/policy/tests/misses.rs
@@ -6,7 +6,7 @@
 
 fn few() -> Settings {
     Settings {
-        gateways: 4,
+        front_ends: 4,
         max_attempts: 6,
         ..settings()
     }
@@ -26,10 +26,10 @@
     );
     assert_eq!(sends(&first).len(), 1);
     assert!(sends(&rig.request(2, class, 7)).is_empty(), "one call asks");
-    let second = rig.outcome(1, 0, Outcome::Miss, 2 * MS);
+    let second = rig.outcome(1, 0, Outcome::NotLoaded, 2 * MS);
     assert_eq!((sends(&second).len(), loads(&second, 1).len()), (1, 0));
     assert_ne!(sends(&second), sends(&first));
-    let ordered = rig.outcome(1, 1, Outcome::Miss, 2 * MS);
+    let ordered = rig.outcome(1, 1, Outcome::NotLoaded, 2 * MS);
     let at = loads(&ordered, 1);
     assert_eq!((sends(&ordered).len(), at.len()), (0, 1), "{ordered:?}");
     assert!(
@@ -60,7 +60,10 @@
 fn after_a_miss_a_call_that_may_have_run_ends(#[case] outcome: Outcome) {
     let mut rig = Rig::new(few(), 6);
     rig.request(1, UNSAFE, 7);
-    assert_eq!(sends(&rig.outcome(1, 0, Outcome::Miss, 2 * MS)).len(), 1);
+    assert_eq!(
+        sends(&rig.outcome(1, 0, Outcome::NotLoaded, 2 * MS)).len(),
+        1
+    );
     let out = rig.outcome(1, 1, outcome, 50 * MS);
     assert!(
         sends(&out).is_empty() && out.contains(&Action::Fail { id: 1 }),
@@ -73,18 +76,18 @@
 fn a_call_that_only_met_misses_is_refused_before_half_its_life() {
     let mut rig = Rig::new(
         Settings {
-            load_window: 5 * SEC,
+            load_budget_window: 5 * SEC,
             ..few()
         },
         6,
     ); // no load may be ordered
     rig.request(1, UNSAFE, 7);
-    rig.outcome(1, 0, Outcome::Miss, 2 * MS);
-    rig.outcome(1, 1, Outcome::Miss, 2 * MS);
+    rig.outcome(1, 0, Outcome::NotLoaded, 2 * MS);
+    rig.outcome(1, 1, Outcome::NotLoaded, 2 * MS);
     let out = rig.pass(1_500 * MS);
     assert!(
         out.iter()
-            .any(|a| matches!(a, Action::Refuse { id: 1, .. })),
+            .any(|a| matches!(a, Action::Reject { id: 1, .. })),
         "{out:?}"
     );
 }
@@ -95,7 +98,7 @@
 fn a_worker_that_fails_fast_is_left_and_tried_again() {
     let mut rig = Rig::new(
         Settings {
-            load_on_absence: true,
+            load_on_demand: true,
             ..few()
         },
         6,
@@ -143,9 +146,9 @@
     #[case] most: usize,
 ) {
     let set = Settings {
-        load_window: 5 * SEC,
-        load_free: 2.0,
-        load_share: 0.1,
+        load_budget_window: 5 * SEC,
+        load_budget_base: 2.0,
+        load_budget_per_request: 0.1,
         ..few()
     };
     let mut rig = Rig::new(set, 6);
@@ -161,7 +164,11 @@
     for function in 20..26 {
         rig.request(100 + function, SAFE, function);
         for attempt in 0..2 {
-            orders += loads(&rig.outcome(100 + function, attempt, Outcome::Miss, MS), 1).len();
+            orders += loads(
+                &rig.outcome(100 + function, attempt, Outcome::NotLoaded, MS),
+                1,
+            )
+            .len();
         }
     }
     assert_eq!(orders, most, "2 and a tenth of the calls that count");
--- a/policy/tests/properties.rs
+++ b/policy/tests/properties.rs
@@ -62,7 +62,9 @@
 
     fn event(&mut self, now: Micros, event: &Event) {
         match event {
-            Event::Members { entries, .. } => {
+            Event::EndpointUpdate {
+                endpoints: entries, ..
+            } => {
                 for e in entries {
                     if e.state == WorkerState::Ready {
                         self.unready.remove(&e.worker);
@@ -75,7 +77,10 @@
                 }
             }
             Event::Request {
-                id, class, left, ..
+                id,
+                class,
+                time_left: left,
+                ..
             } => {
                 let (sent, answered, client_knows) = (vec![], false, false);
                 let r = Known {
@@ -88,26 +93,28 @@
                 self.requests.insert(*id, r);
                 self.taken.push(now);
             }
-            Event::Outcome {
+            Event::AttemptEnded {
                 id,
                 attempt,
                 outcome,
-                closed,
+                request_closed: closed,
                 ..
             } => {
                 let r = self.requests.get_mut(id).unwrap();
                 let s = &mut r.sent[*attempt];
                 s.open = false;
                 let never = [
-                    Outcome::Full,
+                    Outcome::Rejected,
                     Outcome::ConnectFailed,
-                    Outcome::Moot,
-                    Outcome::Miss,
+                    Outcome::NotSent,
+                    Outcome::NotLoaded,
                 ];
                 s.ran = !never.contains(outcome);
                 r.client_knows |= closed;
             }
-            Event::Withdrawn { id } => self.requests.get_mut(id).unwrap().client_knows = true,
+            Event::RequestCancelled { id } => {
+                self.requests.get_mut(id).unwrap().client_knows = true
+            }
             _ => {}
         }
     }
@@ -123,7 +130,7 @@
                 if r.sent.len() as u32 >= self.set.max_attempts {
                     breach("too many attempts");
                 }
-                if !self.set.second_copies && r.sent.iter().any(|s| s.open) {
+                if !self.set.hedging && r.sent.iter().any(|s| s.open) {
                     breach("2 two at once");
                 }
                 let cell = |w: &str| w[1..].parse::<usize>().unwrap() / 2;
@@ -146,17 +153,19 @@
                 if let Some(&t) = self
                     .started
                     .get(worker)
-                    .filter(|&&t| now < t + set.warm_within)
+                    .filter(|&&t| now < t + set.slow_start_duration)
                 {
                     self.to_cold.push((worker.clone(), now, t));
                     // One of the gateways alone may not go beyond what all may send.
-                    let share = set.cold_from
-                        + (1.0 - set.cold_from) * (now - t) as f64 / set.warm_within as f64;
+                    let share = set.slow_start_from
+                        + (1.0 - set.slow_start_from) * (now - t) as f64
+                            / set.slow_start_duration as f64;
                     let quotas: f64 = set.tenants.iter().map(|t| t.quota_per_s).sum();
-                    let most = set.fall_multiple * share * quotas / 6.0 * set.fall_window as f64
+                    let most = set.overload_multiple * share * quotas / 6.0
+                        * set.overload_window as f64
                         / SEC as f64;
                     let of = |c: &&(String, Micros, Micros)| {
-                        c.0 == *worker && c.1 + set.fall_window > now && c.2 == t
+                        c.0 == *worker && c.1 + set.overload_window > now && c.2 == t
                     };
                     let held = self.to_cold.iter().filter(of).count() as f64;
                     if quotas > 0.0 && held > most.max(1.0) {
@@ -164,25 +173,30 @@
                     }
                 }
             }
-            Action::Load { worker, count, .. } if *count > 0 => {
+            Action::Load {
+                worker,
+                replicas: count,
+                ..
+            } if *count > 0 => {
                 if self.unready.get(worker).is_some_and(|t| now > t + SEC) {
                     breach("3 loaded on a draining worker");
                 }
                 self.orders.push(now);
-                let window = self.set.load_window;
+                let window = self.set.load_budget_window;
                 let count = |of: &[Micros]| of.iter().filter(|&&t| t + window > now).count() as f64;
-                let most = self.set.load_free + self.set.load_share * count(&self.taken);
+                let most = self.set.load_budget_base
+                    + self.set.load_budget_per_request * count(&self.taken);
                 if window > 0 && count(&self.orders) > most {
                     breach("5 too many loads");
                 }
             }
-            Action::Refuse { id, .. } | Action::Fail { id } => {
+            Action::Reject { id, .. } | Action::Fail { id } => {
                 let r = self.requests.get_mut(id).unwrap();
                 if r.answered || now > heard(r.ends + 8 * MS, self.stalls) {
                     breach("1 answered twice or late");
                 }
                 let ran = r.sent.iter().any(|s| s.ran);
-                if matches!(action, Action::Refuse { .. }) && r.class != SAFE && ran {
+                if matches!(action, Action::Reject { .. }) && r.class != SAFE && ran {
                     breach("2 refused what may have run");
                 }
                 r.answered = true;
@@ -214,9 +228,9 @@
     let start = 100 * SEC;
     due.insert(
         (start, 0),
-        Event::Members {
-            full: true,
-            entries: (0..6).map(entry).collect(),
+        Event::EndpointUpdate {
+            complete: true,
+            endpoints: (0..6).map(entry).collect(),
         },
     );
     let mut at = start;
@@ -231,16 +245,19 @@
             class,
             tenant,
             function,
-            left,
+            time_left: left,
             memory_mb,
-            lanes,
+            concurrency: lanes,
             load_time,
             retry,
         };
         due.insert((at, serial), r);
         if draw(15) == 0 {
             serial += 1;
-            due.insert((at + draw(1 + left), serial), Event::Withdrawn { id });
+            due.insert(
+                (at + draw(1 + left), serial),
+                Event::RequestCancelled { id },
+            );
         }
         if draw(10) == 0 {
             use WorkerState::*;
@@ -253,7 +270,7 @@
             } else {
                 0
             };
-            let e = Entry {
+            let e = Endpoint {
                 state,
                 started_at,
                 ..entry(draw(6) as usize)
@@ -261,9 +278,9 @@
             serial += 1;
             due.insert(
                 (at + 1, serial),
-                Event::Members {
-                    full: false,
-                    entries: vec![e],
+                Event::EndpointUpdate {
+                    complete: false,
+                    endpoints: vec![e],
                 },
             );
         }
@@ -272,10 +289,10 @@
     let mut out = Vec::new();
     while let Some(((now, _), mut event)) = due.pop_first().filter(|((t, _), _)| *t < last) {
         let now = heard(now, stalls);
-        if let Event::Outcome {
+        if let Event::AttemptEnded {
             id,
             outcome,
-            closed,
+            request_closed: closed,
             ..
         } = &mut event
         {
@@ -284,7 +301,7 @@
                 over.insert(*id);
             }
         }
-        if matches!(&event, Event::Withdrawn { id } if !over.insert(*id)) {
+        if matches!(&event, Event::RequestCancelled { id } if !over.insert(*id)) {
             continue;
         }
         checker.event(now, &event);
@@ -303,10 +320,10 @@
                         Outcome::Ok,
                         Outcome::Ok,
                         Outcome::Error,
-                        Outcome::Full,
+                        Outcome::Rejected,
                         Outcome::ConnectFailed,
                         Outcome::Reset,
-                        Outcome::Miss,
+                        Outcome::NotLoaded,
                         Outcome::Timeout,
                     ];
                     let outcome = all.get(draw(24) as usize).copied().unwrap_or(Outcome::Ok);
@@ -323,40 +340,40 @@
                     };
                     let (attempt, warm, crowd, inflight) = (*n, None, None, Some(draw(9) as f64));
                     *n += 1;
-                    let e = Event::Outcome {
+                    let e = Event::AttemptEnded {
                         id,
                         attempt,
                         outcome,
                         elapsed,
-                        closed,
-                        warm,
-                        crowd,
-                        inflight,
+                        request_closed: closed,
+                        replica_loaded: warm,
+                        queue_depth: crowd,
+                        in_flight: inflight,
                     };
                     due.insert((now + elapsed.max(1), serial), e);
                 }
                 Action::Load {
                     worker,
                     function,
-                    count,
+                    replicas: count,
                 } => {
                     let (outcome, count) = match draw(6) {
-                        0 => (Outcome::Full, 0),
+                        0 => (Outcome::Rejected, 0),
                         1 => (Outcome::Error, 0),
                         2 => (Outcome::Reset, 0),
                         _ => (Outcome::Ok, count.max(draw(2) as u32)),
                     };
                     let elapsed = (2 + draw(700)) * MS;
-                    let e = Event::Loaded {
+                    let e = Event::LoadOrderEnded {
                         worker,
                         function,
-                        count,
+                        replicas: count,
                         outcome,
                         elapsed,
                     };
                     due.insert((now + elapsed, serial), e);
                 }
-                Action::Refuse { id, .. } | Action::Fail { id } => {
+                Action::Reject { id, .. } | Action::Fail { id } => {
                     over.insert(id);
                 }
                 _ => {}
@@ -369,18 +386,22 @@
 
 fn sites() -> Vec<Settings> {
     let mut a = settings();
-    (a.gateways, a.index) = (3, Some(1));
+    (a.front_ends, a.front_end_index) = (3, Some(1));
     a.tenants = vec![TenantSettings {
         quota_per_s: 100.0,
         ..TenantSettings::default()
     }];
     let mut b = a.clone();
-    (b.load_on_absence, b.second_copies) = (true, true);
-    (b.load_window, b.load_free, b.load_share) = (5 * SEC, 4.0, 0.2);
+    (b.load_on_demand, b.hedging) = (true, true);
+    (
+        b.load_budget_window,
+        b.load_budget_base,
+        b.load_budget_per_request,
+    ) = (5 * SEC, 4.0, 0.2);
     let mut many = b.clone();
-    (many.gateways, many.index) = (200, Some(77));
+    (many.front_ends, many.front_end_index) = (200, Some(77));
     let mut none = a.clone();
-    (none.gateways, none.index, none.tenants) = (0, None, vec![]);
+    (none.front_ends, none.front_end_index, none.tenants) = (0, None, vec![]);
     vec![settings(), a, b, many, none]
 }
 
@@ -396,7 +417,7 @@
                 checker.breaches
             );
             // One of two hundred gateways may send next to nothing to a fleet that restarts all the time.
-            let least = if set.gateways > 100 {
+            let least = if set.front_ends > 100 {
                 0
             } else if stalls {
                 11
@@ -417,20 +438,24 @@
     let mut rng = Pcg32::seed_from_u64(seed ^ 0x5eed);
     let mut draw = |low: u64, high: u64| low + u64::from(rng.next_u32()) % (high - low + 1);
     let mut set = settings();
-    (set.gateways, set.index) = (draw(2, 6) as u32, Some(draw(0, 1) as u32));
+    (set.front_ends, set.front_end_index) = (draw(2, 6) as u32, Some(draw(0, 1) as u32));
     set.tenants = vec![TenantSettings {
         quota_per_s: draw(30, 700) as f64,
         ..TenantSettings::default()
     }];
-    (set.load_on_absence, set.second_copies) = (draw(0, 1) == 0, draw(0, 1) == 0);
-    (set.load_window, set.load_free, set.load_share) =
-        (5 * SEC, draw(3, 4) as f64, draw(15, 20) as f64 / 100.0);
-    (set.max_attempts, set.keep) = (draw(3, 6) as u32, draw(8, 16) * SEC);
-    (set.cold_from, set.warm_within) = (draw(15, 45) as f64 / 100.0, draw(6, 17) * SEC);
-    (set.fall_multiple, set.fall_window) = (draw(2, 3) as f64, draw(500, 1_500) * MS);
-    set.classes
-        .iter_mut()
-        .for_each(|c| (c.aim, c.worth) = (draw(400, 1_500) * MS, draw(1, 3) as f64));
+    (set.load_on_demand, set.hedging) = (draw(0, 1) == 0, draw(0, 1) == 0);
+    (
+        set.load_budget_window,
+        set.load_budget_base,
+        set.load_budget_per_request,
+    ) = (5 * SEC, draw(3, 4) as f64, draw(15, 20) as f64 / 100.0);
+    (set.max_attempts, set.keep_alive) = (draw(3, 6) as u32, draw(8, 16) * SEC);
+    (set.slow_start_from, set.slow_start_duration) =
+        (draw(15, 45) as f64 / 100.0, draw(6, 17) * SEC);
+    (set.overload_multiple, set.overload_window) = (draw(2, 3) as f64, draw(500, 1_500) * MS);
+    set.classes.iter_mut().for_each(|c| {
+        (c.latency_objective, c.priority_weight) = (draw(400, 1_500) * MS, draw(1, 3) as f64)
+    });
     set
 }
 
@@ -460,36 +485,36 @@
         class,
         tenant: None,
         function: 1,
-        left: SEC,
+        time_left: SEC,
         memory_mb: 1.0,
-        lanes: 1,
+        concurrency: 1,
         load_time: 0,
         retry: false,
     };
     checker.event(0, &request(1, UNSAFE));
     checker.event(0, &request(2, SAFE));
-    let gone = Entry {
+    let gone = Endpoint {
         state: WorkerState::Gone,
         ..entry(0)
     };
     checker.event(
         0,
-        &Event::Members {
-            full: false,
-            entries: vec![gone],
+        &Event::EndpointUpdate {
+            complete: false,
+            endpoints: vec![gone],
         },
     );
     let send = |id, w: &str| Action::Send {
         id,
         worker: w.into(),
         timeout: 0,
-        window: None,
+        retry_window: None,
     };
     checker.action(1, &send(1, "w1"));
     checker.action(2, &send(1, "w2"));
     checker.action(
         3,
-        &Action::Refuse {
+        &Action::Reject {
             id: 1,
             retry_after: 0,
         },
@@ -503,7 +528,7 @@
             &Action::Load {
                 worker: "w1".into(),
                 function: 1,
-                count: 1,
+                replicas: 1,
             },
         );
     }
--- a/policy/tests/prospect.rs
+++ b/policy/tests/prospect.rs
@@ -7,11 +7,13 @@
 /// One of so many gateways, whose classes state this aim, before workers enough that a call in hand is no crowd.
 fn rig(gateways: u32, aim: Micros) -> Rig {
     let mut set = Settings {
-        gateways,
-        load_on_absence: true,
+        front_ends: gateways,
+        load_on_demand: true,
         ..settings()
     };
-    set.classes.iter_mut().for_each(|c| c.aim = aim);
+    set.classes
+        .iter_mut()
+        .for_each(|c| c.latency_objective = aim);
     Rig::new(set, gateways.max(6) as usize)
 }
 
@@ -22,7 +24,7 @@
         if let Action::Load {
             worker,
             function,
-            count,
+            replicas: count,
         } = out[n].clone()
         {
             out.extend(rig.loaded(&worker, function, count.max(1), Outcome::Ok));
@@ -44,16 +46,16 @@
             class,
             tenant,
             function,
-            left,
+            time_left: left,
             memory_mb,
-            lanes,
+            concurrency: lanes,
             load_time,
             retry,
         };
         let out = rig.feed(call);
         let out = settle(rig, out);
         let advised =
-            |a: &Action| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0);
+            |a: &Action| matches!(a, Action::Reject { retry_after, .. } if *retry_after > 0);
         refused += usize::from(out.iter().any(advised));
         let sent = !sends(&out).is_empty();
         let out = rig.pass(if sent { took.min(left) } else { 20 * MS });
@@ -65,15 +67,15 @@
         };
         let (attempt, elapsed, warm, crowd, inflight) = (0, took.min(left), Some(true), None, None);
         if sent {
-            rig.feed(Event::Outcome {
+            rig.feed(Event::AttemptEnded {
                 id,
                 attempt,
                 outcome,
                 elapsed,
-                closed,
-                warm,
-                crowd,
-                inflight,
+                request_closed: closed,
+                replica_loaded: warm,
+                queue_depth: crowd,
+                in_flight: inflight,
             });
             served += usize::from(closed);
         }
--- a/policy/tests/repeats.rs
+++ b/policy/tests/repeats.rs
@@ -10,8 +10,8 @@
 /// Where a worker stands in the list.
 type Place = (Option<usize>, Option<u64>);
 
-fn entry_at(n: usize, (zone, cell): Place) -> Entry {
-    Entry {
+fn entry_at(n: usize, (zone, cell): Place) -> Endpoint {
+    Endpoint {
         zone,
         cell,
         ..entry(n)
@@ -19,14 +19,14 @@
 }
 
 /// Two workers that hold function 7, and a keyed class whose repeats are dropped in this group.
-fn keyed_rig(group: Group, places: [Place; 2]) -> Rig {
+fn keyed_rig(group: KeyScope, places: [Place; 2]) -> Rig {
     let mut set = settings();
-    set.classes[KEYED].group = group;
+    set.classes[KEYED].key_scope = group;
     let mut rig = Rig::new(set, 0);
     let entries = (0..2).map(|n| entry_at(n, places[n])).collect();
-    rig.feed(Event::Members {
-        full: true,
-        entries,
+    rig.feed(Event::EndpointUpdate {
+        complete: true,
+        endpoints: entries,
     });
     rig.warm(7, 1, &["w0", "w1"]);
     rig
@@ -38,9 +38,9 @@
         class: KEYED,
         tenant: None,
         function: 7,
-        left,
+        time_left: left,
         memory_mb: 500.0,
-        lanes: 1,
+        concurrency: 1,
         load_time: 0,
         retry: false,
     })
@@ -48,14 +48,14 @@
 
 /// Workers whose zone or cell the list does not tell share no memory of keys: two absences are not one place.
 #[rstest]
-#[case::one_zone(Group::Zone, [(Some(0), None), (Some(0), None)], true)]
-#[case::two_zones(Group::Zone, [(Some(0), Some(1)), (Some(1), Some(1))], false)]
-#[case::zones_not_told(Group::Zone, [(None, Some(1)), (None, Some(1))], false)]
-#[case::one_cell(Group::Cell, [(None, Some(0)), (None, Some(0))], true)]
-#[case::cells_not_told(Group::Cell, [(Some(0), None), (Some(0), None)], false)]
-#[case::all_whatever_is_told(Group::All, [(None, None), (Some(0), Some(1))], true)]
+#[case::one_zone(KeyScope::Zone, [(Some(0), None), (Some(0), None)], true)]
+#[case::two_zones(KeyScope::Zone, [(Some(0), Some(1)), (Some(1), Some(1))], false)]
+#[case::zones_not_told(KeyScope::Zone, [(None, Some(1)), (None, Some(1))], false)]
+#[case::one_cell(KeyScope::Cell, [(None, Some(0)), (None, Some(0))], true)]
+#[case::cells_not_told(KeyScope::Cell, [(Some(0), None), (Some(0), None)], false)]
+#[case::all_whatever_is_told(KeyScope::All, [(None, None), (Some(0), Some(1))], true)]
 fn a_keyed_request_is_repeated_only_where_its_key_is_known(
-    #[case] group: Group,
+    #[case] group: KeyScope,
     #[case] places: [Place; 2],
     #[case] repeated: bool,
 ) {
@@ -75,9 +75,9 @@
 /// The key is known where the worker stood when the attempt was sent, not where the list has it later: it is told anew
 /// in the other's zone while its attempt is out.
 #[rstest]
-#[case::into_the_others_zone(Group::Zone, (Some(1), Some(9)))]
-#[case::into_the_others_cell(Group::Cell, (Some(9), Some(1)))]
-fn a_worker_that_is_told_elsewhere_takes_no_key_along(#[case] group: Group, #[case] to: Place) {
+#[case::into_the_others_zone(KeyScope::Zone, (Some(1), Some(9)))]
+#[case::into_the_others_cell(KeyScope::Cell, (Some(9), Some(1)))]
+fn a_worker_that_is_told_elsewhere_takes_no_key_along(#[case] group: KeyScope, #[case] to: Place) {
     let mut rig = keyed_rig(group, [(Some(0), Some(0)), (Some(1), Some(1))]);
     let first = sends(&keyed_request(&mut rig, 2 * SEC))[0].clone();
     let moved = usize::from(first == "w1");
@@ -86,15 +86,15 @@
     } else {
         (to.0.map(|z| 1 - z.min(1)), to.1.map(|c| 1 - c.min(1)))
     };
-    rig.feed(Event::Members {
-        full: false,
-        entries: vec![entry_at(moved, other)],
+    rig.feed(Event::EndpointUpdate {
+        complete: false,
+        endpoints: vec![entry_at(moved, other)],
     });
     let mut later = rig.outcome(2, 0, Outcome::Reset, 50 * MS);
     later.extend(rig.pass(SEC));
     assert_eq!(sends(&later), Vec::<String>::new(), "{later:?}");
     assert!(
-        !later.iter().any(|a| matches!(a, Action::Refuse { .. })),
+        !later.iter().any(|a| matches!(a, Action::Reject { .. })),
         "it may have run: {later:?}"
     );
 }
@@ -103,7 +103,7 @@
 /// attempt, one after another that never ran, and one of a class that is safe to repeat are not bounded.
 #[rstest]
 #[case::keyed_that_may_have_run(KEYED, Outcome::Reset, true)]
-#[case::keyed_that_never_ran(KEYED, Outcome::Full, false)]
+#[case::keyed_that_never_ran(KEYED, Outcome::Rejected, false)]
 #[case::safe_that_may_have_run(SAFE, Outcome::Reset, false)]
 #[case::unsafe_that_never_ran(UNSAFE, Outcome::ConnectFailed, false)]
 fn a_repeat_is_written_within_the_window(
@@ -112,10 +112,13 @@
     #[case] bounded: bool,
     #[values(0, 500, 1_900)] passed: u64,
 ) {
-    let mut rig = keyed_rig(Group::All, [(Some(0), Some(0)); 2]);
+    let mut rig = keyed_rig(KeyScope::All, [(Some(0), Some(0)); 2]);
     let window = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
-            Action::Send { window, .. } => Some(*window),
+            Action::Send {
+                retry_window: window,
+                ..
+            } => Some(*window),
             _ => None,
         })
     };
--- a/policy/tests/rules.rs
+++ b/policy/tests/rules.rs
@@ -15,7 +15,7 @@
     assert!(delay < 3 * SEC);
     rig.now += delay;
     let end = rig.feed(Event::Timer { token });
-    assert!(matches!(end[..], [Action::Refuse { id: 1, .. }]), "{end:?}");
+    assert!(matches!(end[..], [Action::Reject { id: 1, .. }]), "{end:?}");
     assert!(rig.feed(Event::Timer { token }).is_empty());
 }
 
@@ -59,9 +59,9 @@
             class: KEYED,
             tenant: None,
             function: 7,
-            left: 10 * SEC,
+            time_left: 10 * SEC,
             memory_mb: 500.0,
-            lanes: 1,
+            concurrency: 1,
             load_time: 0,
             retry: false,
         });
@@ -81,9 +81,9 @@
     for state in [WorkerState::Draining, WorkerState::Gone] {
         let mut rig = Rig::new(settings(), 2);
         rig.warm(7, 1, &["w0"]);
-        rig.feed(Event::Members {
-            full: false,
-            entries: vec![Entry { state, ..entry(0) }],
+        rig.feed(Event::EndpointUpdate {
+            complete: false,
+            endpoints: vec![Endpoint { state, ..entry(0) }],
         });
         let mut out = rig.request(2, SAFE, 7);
         out.extend(rig.pass(4 * SEC));
@@ -97,9 +97,9 @@
 fn rule_4_a_cold_worker_gets_a_part_of_what_warm_ones_get() {
     let mut rig = Rig::new(settings(), 3);
     rig.warm(7, 1, &["w0", "w1", "w2"]);
-    rig.feed(Event::Members {
-        full: false,
-        entries: vec![Entry {
+    rig.feed(Event::EndpointUpdate {
+        complete: false,
+        endpoints: vec![Endpoint {
             started_at: rig.now,
             ..entry(2)
         }],
@@ -128,7 +128,11 @@
 #[test]
 fn rule_5_orders_stay_within_the_ration() {
     let mut set = settings();
-    (set.load_window, set.load_free, set.load_share) = (5 * SEC, 2.0, 0.1);
+    (
+        set.load_budget_window,
+        set.load_budget_base,
+        set.load_budget_per_request,
+    ) = (5 * SEC, 2.0, 0.1);
     let mut rig = Rig::new(set, 3);
     let (mut orders, mut taken) = (0, 0);
     for id in 0..40 {
--- a/policy/tests/scale.rs
+++ b/policy/tests/scale.rs
@@ -10,7 +10,7 @@
     };
     let tenants = vec![tenant(60.0), tenant(40.0)];
     Settings {
-        gateways,
+        front_ends: gateways,
         tenants,
         ..settings()
     }
@@ -22,9 +22,9 @@
         class: SAFE,
         tenant: Some(tenant),
         function,
-        left: 3 * SEC,
+        time_left: 3 * SEC,
         memory_mb: 500.0,
-        lanes: 4,
+        concurrency: 4,
         load_time: 400 * MS,
         retry: false,
     })
@@ -38,15 +38,15 @@
     inflight: Option<f64>,
 ) -> Vec<Action> {
     let closed = outcome == Outcome::Ok;
-    rig.feed(Event::Outcome {
+    rig.feed(Event::AttemptEnded {
         id,
         attempt: 0,
         outcome,
         elapsed,
-        closed,
-        warm: None,
-        crowd: None,
-        inflight,
+        request_closed: closed,
+        replica_loaded: None,
+        queue_depth: None,
+        in_flight: inflight,
     })
 }
 
@@ -73,7 +73,7 @@
 fn refusals(actions: &[Action]) -> usize {
     actions
         .iter()
-        .filter(|a| matches!(a, Action::Refuse { .. }))
+        .filter(|a| matches!(a, Action::Reject { .. }))
         .count()
 }
 
@@ -213,7 +213,7 @@
     answer(&mut rig, 2, Outcome::Ok, 50 * MS, Some(1.0)); // it reports room
     rig.pass(200 * MS);
     call(&mut rig, 3, 7, 0);
-    answer(&mut rig, 3, Outcome::Full, 50 * MS, Some(1.0));
+    answer(&mut rig, 3, Outcome::Rejected, 50 * MS, Some(1.0));
     rig.pass(2 * SEC);
     assert!(
         sends(&call(&mut rig, 4, 7, 0)).is_empty(),
@@ -230,7 +230,7 @@
     for id in 10..110 {
         if !sends(&call(&mut rig, id, 7, 0)).is_empty() {
             tries += 1;
-            answer(&mut rig, id, Outcome::Full, MS, None);
+            answer(&mut rig, id, Outcome::Rejected, MS, None);
         }
         rig.pass(40 * MS);
     }
@@ -272,7 +272,7 @@
 #[test]
 fn a_gateway_that_stood_still_accuses_no_worker_and_sends_nothing_twice() {
     let mut set = many(100);
-    set.second_copies = true;
+    set.hedging = true;
     let mut rig = Rig::new(set, 4);
     warm_all(&mut rig, 1, 7);
     rig.pass(SEC);
@@ -325,15 +325,15 @@
     for seed in 0..100 {
         let c = Controller::new(
             Settings {
-                load_on_absence: true,
+                load_on_demand: true,
                 ..many(100)
             },
             seed,
         );
         let mut rig = Rig { c, now: 100 * SEC };
-        rig.feed(Event::Members {
-            full: true,
-            entries: (0..60).map(entry).collect(),
+        rig.feed(Event::EndpointUpdate {
+            complete: true,
+            endpoints: (0..60).map(entry).collect(),
         });
         let out = call(&mut rig, 1, 7, 0);
         assert!(
@@ -350,7 +350,7 @@
 fn a_first_call_that_finds_a_copy_standing_judges_its_worker() {
     let mut rig = Rig::new(
         Settings {
-            load_on_absence: true,
+            load_on_demand: true,
             ..many(100)
         },
         4,
@@ -363,15 +363,15 @@
         let elapsed = if slow { 2 * SEC } else { 50 * MS };
         let (outcome, warm) = (Outcome::Ok, Some(true));
         let (id, attempt, closed, crowd, inflight) = (function, 0, true, None, None);
-        rig.feed(Event::Outcome {
+        rig.feed(Event::AttemptEnded {
             id,
             attempt,
             outcome,
             elapsed,
-            closed,
-            warm,
-            crowd,
-            inflight,
+            request_closed: closed,
+            replica_loaded: warm,
+            queue_depth: crowd,
+            in_flight: inflight,
         });
         rig.pass(100 * MS);
     }
@@ -390,7 +390,7 @@
     let spread = |held: Option<u32>| {
         let mut rig = Rig::new(
             Settings {
-                load_on_absence: true,
+                load_on_demand: true,
                 ..many(100)
             },
             40,
@@ -400,15 +400,15 @@
             met.extend(sends(&call(&mut rig, id, 7, 0)));
             let (attempt, outcome, elapsed, closed) = (0, Outcome::Ok, 50 * MS, true);
             let (warm, crowd, inflight) = (Some(true), held, None);
-            rig.feed(Event::Outcome {
+            rig.feed(Event::AttemptEnded {
                 id,
                 attempt,
                 outcome,
                 elapsed,
-                closed,
-                warm,
-                crowd,
-                inflight,
+                request_closed: closed,
+                replica_loaded: warm,
+                queue_depth: crowd,
+                in_flight: inflight,
             });
             rig.pass(600 * MS);
         }
@@ -425,7 +425,7 @@
 fn two_mute_workers_take_their_zone_out_of_the_choice_until_one_answers() {
     let mut rig = Rig::new(
         Settings {
-            load_on_absence: true,
+            load_on_demand: true,
             ..many(100)
         },
         20,
@@ -471,15 +471,15 @@
     let asked = |seed: u64| {
         let c = Controller::new(
             Settings {
-                load_on_absence: true,
+                load_on_demand: true,
                 ..many(100)
             },
             seed,
         );
         let mut rig = Rig { c, now: 100 * SEC };
-        rig.feed(Event::Members {
-            full: true,
-            entries: vec![entry(0), entry(1), entry(2)],
+        rig.feed(Event::EndpointUpdate {
+            complete: true,
+            endpoints: vec![entry(0), entry(1), entry(2)],
         });
         let dead = sends(&call(&mut rig, 1, 7, 0)).remove(0);
         rig.outcome(1, 0, Outcome::ConnectFailed, 2 * MS);
@@ -506,7 +506,7 @@
 fn at_size_nothing_is_unloaded_for_a_copy_of_ones_own() {
     let drops = |gateways: u32| {
         let set = Settings {
-            load_on_absence: true,
+            load_on_demand: true,
             kind_memory_mb: vec![1500.0],
             ..many(gateways)
         };
@@ -534,7 +534,7 @@
         }
         assert!(!loads(&all, 1).is_empty(), "the test must order copies");
         all.iter()
-            .filter(|a| matches!(a, Action::Drop { .. }))
+            .filter(|a| matches!(a, Action::Unload { .. }))
             .count()
     };
     assert!(drops(16) > 0, "the test must want room");
@@ -547,7 +547,7 @@
 fn a_worker_that_refuses_connections_is_left_and_found_again_with_its_copies() {
     let mut rig = Rig::new(
         Settings {
-            load_on_absence: true,
+            load_on_demand: true,
             ..many(100)
         },
         20,
@@ -590,7 +590,7 @@
 fn an_idle_gateway_before_a_large_fleet_wakes_seldom_and_asks_nothing() {
     let mut rig = Rig::new(
         Settings {
-            load_on_absence: true,
+            load_on_demand: true,
             ..many(100)
         },
         60,
--- a/policy/tests/versions.rs
+++ b/policy/tests/versions.rs
@@ -55,26 +55,26 @@
                         false if coming || self.absent_loads => {
                             (Outcome::Ok, false, self.load(&place) + WORK)
                         }
-                        false => (Outcome::Miss, false, 2 * MS),
+                        false => (Outcome::NotLoaded, false, 2 * MS),
                     };
                     let (closed, warm) = (outcome == Outcome::Ok, Some(warm));
                     let (crowd, inflight) = (None, None);
-                    let end = Event::Outcome {
+                    let end = Event::AttemptEnded {
                         id,
                         attempt,
                         outcome,
                         elapsed,
-                        closed,
-                        warm,
-                        crowd,
-                        inflight,
+                        request_closed: closed,
+                        replica_loaded: warm,
+                        queue_depth: crowd,
+                        in_flight: inflight,
                     };
                     self.after(elapsed, end);
                 }
                 Action::Load {
                     worker,
                     function,
-                    count,
+                    replicas: count,
                 } => {
                     let place = (worker.clone(), function);
                     let stood = self.stands.contains(&place);
@@ -89,17 +89,19 @@
                     let (count, outcome) = (u32::from(stood || count > 0), Outcome::Ok);
                     self.after(
                         elapsed,
-                        Event::Loaded {
+                        Event::LoadOrderEnded {
                             worker,
                             function,
-                            count,
+                            replicas: count,
                             outcome,
                             elapsed,
                         },
                     );
                 }
-                Action::Drop { worker, function } => drop(self.stands.remove(&(worker, function))),
-                Action::Refuse { id, .. } | Action::Fail { id } => {
+                Action::Unload { worker, function } => {
+                    drop(self.stands.remove(&(worker, function)))
+                }
+                Action::Reject { id, .. } | Action::Fail { id } => {
                     self.ends.entry(id).or_default().push(false)
                 }
                 _ => {}
@@ -128,8 +130,10 @@
                 match &event {
                     Event::Request { id, .. } if !self.calls.contains_key(id) => {}
                     Event::Request { .. } => self.taken.push(key.0),
-                    Event::Outcome {
-                        id, closed: true, ..
+                    Event::AttemptEnded {
+                        id,
+                        request_closed: true,
+                        ..
                     } if !self.ends.contains_key(id) => {
                         self.ends.entry(*id).or_default().push(true);
                     }
@@ -155,11 +159,11 @@
 ) {
     let (load_free, load_share, window) = ration;
     let set = Settings {
-        gateways,
-        load_on_absence: absent_loads,
-        load_free,
-        load_share,
-        load_window: window * SEC,
+        front_ends: gateways,
+        load_on_demand: absent_loads,
+        load_budget_base: load_free,
+        load_budget_per_request: load_share,
+        load_budget_window: window * SEC,
         max_attempts: 6,
         ..settings()
     };
@@ -188,9 +192,9 @@
             class,
             tenant,
             function,
-            left,
+            time_left: left,
             memory_mb,
-            lanes,
+            concurrency: lanes,
             load_time,
             retry,
         };
--- a/policy/tests/world/mod.rs
+++ b/policy/tests/world/mod.rs
@@ -128,8 +128,8 @@
         });
     }
 
-    fn entry(&self, worker: usize) -> Entry {
-        Entry {
+    fn entry(&self, worker: usize) -> Endpoint {
+        Endpoint {
             worker: format!("worker-{worker}"),
             state: self.workers[worker].state,
             started_at: self.workers[worker].started_at,
@@ -147,9 +147,9 @@
             .collect();
         self.schedule(
             at,
-            Event::Members {
-                full: true,
-                entries,
+            Event::EndpointUpdate {
+                complete: true,
+                endpoints: entries,
             },
         );
     }
@@ -159,9 +159,9 @@
         let at = self.now + delay;
         self.schedule(
             at,
-            Event::Members {
-                full: false,
-                entries,
+            Event::EndpointUpdate {
+                complete: false,
+                endpoints: entries,
             },
         );
     }
@@ -201,13 +201,13 @@
     /// Completes an event with what is known only when it happens; `None` where it does not happen any more.
     fn deliver(&mut self, mut event: Event) -> Option<Event> {
         match &mut event {
-            Event::Outcome {
+            Event::AttemptEnded {
                 id,
                 attempt,
                 outcome,
                 elapsed,
-                closed,
-                inflight,
+                request_closed: closed,
+                in_flight: inflight,
                 ..
             } => {
                 let open = self.open.remove(&(*id, *attempt))?;
@@ -217,12 +217,12 @@
                 let request = self.requests.get_mut(id)?;
                 request.finished |= *outcome == Outcome::Ok;
                 *closed = request.finished;
-                if self.scenario.reports && matches!(outcome, Outcome::Ok | Outcome::Full) {
+                if self.scenario.reports && matches!(outcome, Outcome::Ok | Outcome::Rejected) {
                     *inflight = Some(f64::from(self.workers[open.worker].in_flight));
                 }
                 Some(event)
             }
-            Event::Withdrawn { id } => {
+            Event::RequestCancelled { id } => {
                 let request = self.requests.get_mut(id)?;
                 let still_owed = !std::mem::replace(&mut request.finished, true);
                 still_owed.then_some(event)
@@ -267,9 +267,9 @@
             class,
             tenant: [None, Some(0), Some(1), Some(9)][self.draw(4) as usize],
             function,
-            left,
+            time_left: left,
             memory_mb,
-            lanes: [REPLICA_CAPACITY, 1, 0][(function % 3) as usize],
+            concurrency: [REPLICA_CAPACITY, 1, 0][(function % 3) as usize],
             load_time: if function % 4 == 0 { 0 } else { LOAD_TIME },
             retry: self.draw(9) == 0,
         };
@@ -288,7 +288,7 @@
         self.schedule(now, event);
         if self.chance(25) {
             let at = now + self.draw(SEC);
-            self.schedule(at, Event::Withdrawn { id });
+            self.schedule(at, Event::RequestCancelled { id });
         }
         if self.chance(150) {
             let token = self.draw(5_000);
@@ -375,7 +375,7 @@
                 ..
             } => self.send(*id, index_of(worker), *timeout),
             Action::Cancel { id, attempt } => self.cancel(*id, *attempt),
-            Action::Refuse { id, .. } | Action::Fail { id } => {
+            Action::Reject { id, .. } | Action::Fail { id } => {
                 if let Some(request) = self.requests.get_mut(id) {
                     request.finished = true;
                 }
@@ -387,12 +387,12 @@
             Action::Load {
                 worker,
                 function,
-                count,
+                replicas: count,
             } => self.load(index_of(worker), *function, *count),
-            Action::Drop { worker, function } => {
+            Action::Unload { worker, function } => {
                 self.workers[index_of(worker)].replicas.remove(function);
             }
-            Action::Watch | Action::Log { .. } => {}
+            Action::WatchEndpoints | Action::Log { .. } => {}
         }
     }
 
@@ -413,16 +413,16 @@
         self.workers[worker].in_flight += 1;
         let (outcome, took, warm) = self.serve(worker, function, timeout);
         let depth = self.workers[worker].in_flight.min(30);
-        let reports = self.scenario.reports && matches!(outcome, Outcome::Ok | Outcome::Full);
-        let event = Event::Outcome {
+        let reports = self.scenario.reports && matches!(outcome, Outcome::Ok | Outcome::Rejected);
+        let event = Event::AttemptEnded {
             id,
             attempt,
             outcome,
             elapsed: 0,
-            closed: false,
-            warm: warm.filter(|_| reports),
-            crowd: (reports && depth > 1).then_some(depth - 1),
-            inflight: None,
+            request_closed: false,
+            replica_loaded: warm.filter(|_| reports),
+            queue_depth: (reports && depth > 1).then_some(depth - 1),
+            in_flight: None,
         };
         self.schedule(now + took.min(timeout), event);
     }
@@ -456,15 +456,15 @@
             0 => return (Outcome::Error, 5 * MS, None),
             1 => return (Outcome::Reset, 20 * MS, None),
             2 => return (Outcome::Timeout, timeout, None),
-            3 => return (Outcome::Moot, MS, None),
+            3 => return (Outcome::NotSent, MS, None),
             _ => {}
         }
         if process.in_flight > 12 {
-            return (Outcome::Full, 2 * MS, None);
+            return (Outcome::Rejected, 2 * MS, None);
         }
         let warm = load == 0;
         if !warm && !self.scenario.load_on_demand {
-            return (Outcome::Miss, 2 * MS, None);
+            return (Outcome::NotLoaded, 2 * MS, None);
         }
         if !warm {
             process.loading.insert(function, now + load);
@@ -499,15 +499,15 @@
 
     fn cancel(&mut self, id: RequestId, attempt: usize) {
         if self.open.contains_key(&(id, attempt)) && self.cancelled.insert((id, attempt)) {
-            let event = Event::Outcome {
+            let event = Event::AttemptEnded {
                 id,
                 attempt,
                 outcome: Outcome::Cancelled,
                 elapsed: 0,
-                closed: false,
-                warm: None,
-                crowd: None,
-                inflight: None,
+                request_closed: false,
+                replica_loaded: None,
+                queue_depth: None,
+                in_flight: None,
             };
             let at = self.now + 2 * MS;
             self.schedule(at, event);
@@ -527,11 +527,11 @@
         } else if count == 0 {
             (Outcome::Ok, 2 * MS)
         } else if process.state != WorkerState::Ready {
-            (Outcome::Full, 2 * MS)
+            (Outcome::Rejected, 2 * MS)
         } else {
             match fault {
                 0 => (Outcome::Error, load + 2 * MS),
-                1 => (Outcome::Full, 2 * MS),
+                1 => (Outcome::Rejected, 2 * MS),
                 2 => (Outcome::Timeout, 10 * SEC),
                 _ => (Outcome::Ok, load + 2 * MS),
             }
@@ -540,10 +540,10 @@
         if loads {
             process.replicas.insert(function, count);
         }
-        let event = Event::Loaded {
+        let event = Event::LoadOrderEnded {
             worker: format!("worker-{worker}"),
             function,
-            count: if loads { count } else { standing },
+            replicas: if loads { count } else { standing },
             outcome,
             elapsed,
         };
--- a/scalelab/src/hollow.rs
+++ b/scalelab/src/hollow.rs
@@ -32,7 +32,7 @@
     /// How long a copy takes to load.
     pub load: Micros,
     /// Workers load what they lack for a call, else they answer with a miss and only orders load.
-    pub load_on_absence: bool,
+    pub load_on_demand: bool,
     /// Calls a second that the tenants' shares allow together, over all front ends.
     pub quota: f64,
     /// Whether the other front ends' calls keep copies standing; else each function stands where we had it loaded alone.
@@ -53,7 +53,7 @@
             offset: 150.0,
             keep: 10 * SEC,
             load: 400 * MS,
-            load_on_absence: true,
+            load_on_demand: true,
             quota: 120_000.0,
             others: true,
             seed: 1,
@@ -64,11 +64,11 @@
 impl Shape {
     pub fn settings(&self) -> Settings {
         let class = |effect, aim| ClassSettings {
-            effect,
-            group: Group::Zone,
-            window: 5 * SEC,
-            aim,
-            worth: 1.0,
+            idempotency: effect,
+            key_scope: KeyScope::Zone,
+            key_memory: 5 * SEC,
+            latency_objective: aim,
+            priority_weight: 1.0,
             ..ClassSettings::default()
         };
         let tenant = |_| TenantSettings {
@@ -76,42 +76,42 @@
             ..TenantSettings::default()
         };
         Settings {
-            gateways: self.front_ends,
-            index: Some(0),
+            front_ends: self.front_ends,
+            front_end_index: Some(0),
             classes: vec![
-                class(Effect::Safe, 400 * MS),
-                class(Effect::Keyed, 400 * MS),
+                class(Idempotency::Idempotent, 400 * MS),
+                class(Idempotency::Keyed, 400 * MS),
             ],
             longest_wait: 5 * SEC,
             tenants: (0..5).map(tenant).collect(),
             zones: (0..self.zones).map(|z| format!("z{z}")).collect(),
             kinds: vec!["std".into()],
-            over_share_worth: 0.1,
+            over_quota_weight: 0.1,
             kind_memory_mb: vec![8192.0],
-            keep: self.keep,
-            load_on_absence: self.load_on_absence,
-            orders: true,
+            keep_alive: self.keep,
+            load_on_demand: self.load_on_demand,
+            load_orders: true,
             order_timeout: 10 * SEC,
-            load_window: 5 * SEC,
-            load_free: 4.0,
-            load_share: 0.15,
+            load_budget_window: 5 * SEC,
+            load_budget_base: 4.0,
+            load_budget_per_request: 0.15,
             max_attempts: 6,
-            may_cancel: true,
-            second_copies: true,
+            cancellation: true,
+            hedging: true,
             max_retry_after: SEC,
             connect_timeout: AWAY,
-            connection_idle: 15 * SEC,
+            connection_idle_timeout: 15 * SEC,
             streams_per_connection: 100,
-            cold_from: 0.3,
-            warm_within: 12 * SEC,
-            fall_multiple: 2.0,
-            fall_window: SEC,
-            ask_for_list: false,
+            slow_start_from: 0.3,
+            slow_start_duration: 12 * SEC,
+            overload_multiple: 2.0,
+            overload_window: SEC,
+            watch_endpoints: false,
         }
     }
 
-    pub fn entry(&self, n: usize, state: WorkerState, started_at: Micros) -> Entry {
-        Entry {
+    pub fn entry(&self, n: usize, state: WorkerState, started_at: Micros) -> Endpoint {
+        Endpoint {
             worker: name(n),
             state,
             started_at,
@@ -231,16 +231,16 @@
         match action {
             Action::Send { id, worker, .. } => Todo::Send(id, number(&worker)),
             Action::Cancel { id, attempt } => Todo::Cancel(id, attempt),
-            Action::Refuse { id, .. } => Todo::Refuse(id),
+            Action::Reject { id, .. } => Todo::Refuse(id),
             Action::Fail { id } => Todo::Fail(id),
             Action::Timer { delay, token } => Todo::Timer(delay, token),
             Action::Load {
                 worker,
                 function,
-                count,
+                replicas: count,
             } => Todo::Load(number(&worker), function, count),
-            Action::Drop { worker, function } => Todo::Drop(number(&worker), function),
-            Action::Watch | Action::Log { .. } => Todo::Other,
+            Action::Unload { worker, function } => Todo::Drop(number(&worker), function),
+            Action::WatchEndpoints | Action::Log { .. } => Todo::Other,
         }
     }
 }
@@ -308,7 +308,7 @@
         let held = measure(|| {
             controller = Controller::new(
                 Settings {
-                    index: Some(index),
+                    front_end_index: Some(index),
                     ..shape.settings()
                 },
                 seed,
@@ -374,9 +374,9 @@
                 .map(|&n| shape.entry(n, state, started_at))
                 .collect()
         };
-        self.feed(|| Event::Members {
-            full,
-            entries: entries(),
+        self.feed(|| Event::EndpointUpdate {
+            complete: full,
+            endpoints: entries(),
         });
     }
 
@@ -433,15 +433,15 @@
                 self.waits.extend(first.map(|c| since - c.arrived));
                 let elapsed = self.now - since;
                 let (crowd, inflight) = (Some(0), Some(2.0));
-                self.feed(|| Event::Outcome {
+                self.feed(|| Event::AttemptEnded {
                     id,
                     attempt,
                     outcome,
                     elapsed,
-                    closed,
-                    warm,
-                    crowd,
-                    inflight,
+                    request_closed: closed,
+                    replica_loaded: warm,
+                    queue_depth: crowd,
+                    in_flight: inflight,
                 });
             }
             Due::Answer {
@@ -456,10 +456,10 @@
                     let until = self.now + self.shape.keep;
                     self.warm.insert((function as usize, worker), until);
                 }
-                self.feed(|| Event::Loaded {
+                self.feed(|| Event::LoadOrderEnded {
                     worker: name(worker),
                     function,
-                    count,
+                    replicas: count,
                     outcome,
                     elapsed,
                 });
@@ -493,9 +493,9 @@
             class,
             tenant,
             function,
-            left,
+            time_left: left,
             memory_mb,
-            lanes,
+            concurrency: lanes,
             load_time,
             retry,
         });
@@ -543,10 +543,10 @@
             let event = event();
             slot = match event {
                 Event::Request { .. } => 0,
-                Event::Outcome { .. } => 1,
-                Event::Timer { .. } | Event::Withdrawn { .. } => 2,
-                Event::Members { .. } => 3,
-                Event::Loaded { .. } => 4,
+                Event::AttemptEnded { .. } => 1,
+                Event::Timer { .. } | Event::RequestCancelled { .. } => 2,
+                Event::EndpointUpdate { .. } => 3,
+                Event::LoadOrderEnded { .. } => 4,
             };
             let (controller, out, now) = (&mut self.controller, &mut self.out, self.now);
             inside = measure(|| {
@@ -684,12 +684,12 @@
             return;
         }
         let stands = self.stands(f, w);
-        let miss = !stands && !self.shape.load_on_absence;
+        let miss = !stands && !self.shape.load_on_demand;
         self.counts.cold += u64::from(!stands);
         let service = (25.0 + 50.0 * self.chance()) as Micros * MS;
         let load = if stands { 0 } else { self.shape.load };
         let (outcome, took) = if miss {
-            (Outcome::Miss, MS)
+            (Outcome::NotLoaded, MS)
         } else {
             (Outcome::Ok, MS + service + load)
         };
--- a/scalelab/src/module.rs
+++ b/scalelab/src/module.rs
@@ -101,7 +101,7 @@
 
 /// The shape in words, for a title.
 pub fn told(s: &Shape) -> String {
-    let absence = if s.load_on_absence { "loads" } else { "a miss" };
+    let absence = if s.load_on_demand { "loads" } else { "a miss" };
     format!(
         "{} front ends, {} workers in {} zones, {} functions by (rank + {})^-{}, {} calls/s at this one, keep {} s, {} list changes/s, absence {absence}",
         s.front_ends, s.workers, s.zones, s.functions, s.offset, s.exponent, s.calls, s.keep / SEC, s.changes
--- a/scalelab/src/seats.rs
+++ b/scalelab/src/seats.rs
@@ -28,7 +28,7 @@
         sizes: &[10, 19, 38, 76, 152, 304],
         bound: 1_000,
         run: |sizes, seed| {
-            let miss = Shape { load_on_absence: false, workers: 2_000, ..base(seed) };
+            let miss = Shape { load_on_demand: false, workers: 2_000, ..base(seed) };
             let even = Shape { exponent: 0.0, offset: 0.0, ..miss.clone() };
             let alone = Shape { others: false, ..even.clone() };
             let vary = |s: &mut Shape, n| s.calls = n as f64;
@@ -46,7 +46,7 @@
         bound: 4_000,
         run: |sizes, seed| {
             let alone = Shape {
-                load_on_absence: false,
+                load_on_demand: false,
                 others: false,
                 workers: 2_000,
                 calls: 0.5,
@@ -54,7 +54,7 @@
                 offset: 0.0,
                 ..base(seed)
             };
-            let loads = Shape { load_on_absence: true, ..alone.clone() };
+            let loads = Shape { load_on_demand: true, ..alone.clone() };
             let vary = |s: &mut Shape, n| s.load = n * MS;
             Ok(vec![
                 first("load, ms", sizes, &loads, vary, (1_200, false)),
@@ -90,14 +90,16 @@
     for (n, &t) in times
         .iter()
         .enumerate()
-        .take_while(|(_, &t)| t < set.warm_within)
+        .take_while(|(_, &t)| t < set.slow_start_duration)
     {
-        while times[begin] + set.fall_window <= t {
+        while times[begin] + set.overload_window <= t {
             begin += 1;
         }
-        let share = set.cold_from + (1.0 - set.cold_from) * t as f64 / set.warm_within as f64;
-        let span = set.fall_window as f64 / SEC as f64;
-        worst = worst.max((n - begin + 1) as f64 / (set.fall_multiple * share * CAPACITY * span));
+        let share = set.slow_start_from
+            + (1.0 - set.slow_start_from) * t as f64 / set.slow_start_duration as f64;
+        let span = set.overload_window as f64 / SEC as f64;
+        worst =
+            worst.max((n - begin + 1) as f64 / (set.overload_multiple * share * CAPACITY * span));
     }
     worst
 }
@@ -134,7 +136,10 @@
             front.log = Some(Vec::new());
             front.run(SHOWN * SEC);
         }
-        let (times, within) = (sent(&mut fronts, &[0], START), shape.settings().warm_within);
+        let (times, within) = (
+            sent(&mut fronts, &[0], START),
+            shape.settings().slow_start_duration,
+        );
         let cold = times.iter().filter(|&&t| t < within).count() as f64;
         let rate = cold / (within / SEC) as f64 / CAPACITY;
         (
@@ -190,7 +195,7 @@
         }
         let (times, within) = (
             sent(&mut fronts, &zone, started),
-            shape.settings().warm_within,
+            shape.settings().slow_start_duration,
         );
         let cold = times.iter().filter(|&&t| t < within).count() as f64 / (within / SEC) as f64;
         let after =
--- a/scalelab/tests/module.rs
+++ b/scalelab/tests/module.rs
@@ -24,8 +24,8 @@
 }
 
 #[rstest]
-#[case::where_workers_load(Shape { load_on_absence: true, ..small() })]
-#[case::where_only_orders_load(Shape { load_on_absence: false, ..small() })]
+#[case::where_workers_load(Shape { load_on_demand: true, ..small() })]
+#[case::where_only_orders_load(Shape { load_on_demand: false, ..small() })]
 #[case::with_list_changes(Shape { changes: 2.0, ..small() })]
 fn counts_and_bytes_are_the_same_every_run(#[case] shape: Shape) {
     assert_eq!(play(&shape).0, play(&shape).0);
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -121,13 +121,13 @@
     Ok(match text(fields, "status")? {
         "S" => Outcome::Ok,
         "E" => Outcome::Error,
-        "F" => Outcome::Full,
+        "F" => Outcome::Rejected,
         "T" => Outcome::Timeout,
         "C" => Outcome::ConnectFailed,
         "R" => Outcome::Reset,
         "X" => Outcome::Cancelled,
-        "N" => Outcome::Moot,
-        "M" => Outcome::Miss,
+        "N" => Outcome::NotSent,
+        "M" => Outcome::NotLoaded,
         other => return Err(format!("unknown status '{other}'")),
     })
 }
@@ -180,9 +180,9 @@
                 .iter()
                 .map(|e| entry(instance, e))
                 .collect::<Res<Vec<_>>>()?;
-            Event::Members {
-                full: mode != "changes",
-                entries,
+            Event::EndpointUpdate {
+                complete: mode != "changes",
+                endpoints: entries,
             }
         }
         "JOB_IN" => Event::Request {
@@ -192,9 +192,9 @@
                 .class(word(fields, "qos").unwrap_or_default()),
             tenant: word(fields, "team").and_then(|name| instance.settings.tenant(name)),
             function: function(fields)?,
-            left: micros(fields, "left")?,
+            time_left: micros(fields, "left")?,
             memory_mb: number(fields, "ram-mb").unwrap_or(0.0),
-            lanes: span(fields, "per-copy").div_euclid(1000).min(1 << 16) as u32,
+            concurrency: span(fields, "per-copy").div_euclid(1000).min(1 << 16) as u32,
             load_time: span(fields, "bringup-ms"),
             retry: flag(fields, "resent"),
         },
@@ -202,32 +202,32 @@
             let outcome = outcome(fields)?;
             let note = figure(fields, "note").unwrap_or(0);
             let crowd = (note >> 3) as u32;
-            Event::Outcome {
+            Event::AttemptEnded {
                 id: whole(fields, "id")?,
                 attempt: whole(fields, "hop")? as usize,
                 outcome,
                 elapsed: span(fields, "elapsed"),
-                closed: flag(fields, "no-more"),
-                warm: match note & 7 {
+                request_closed: flag(fields, "no-more"),
+                replica_loaded: match note & 7 {
                     1 => Some(true),
                     2 | 3 => Some(false),
                     _ => None,
                 },
-                crowd: (note > 7 && matches!(outcome, Outcome::Ok | Outcome::Full))
+                queue_depth: (note > 7 && matches!(outcome, Outcome::Ok | Outcome::Rejected))
                     .then_some(crowd),
-                inflight: part(fields, "feedback").and_then(|f| number(f, "busy_reqs")),
+                in_flight: part(fields, "feedback").and_then(|f| number(f, "busy_reqs")),
             }
         }
-        "WITHDRAWN" => Event::Withdrawn {
+        "WITHDRAWN" => Event::RequestCancelled {
             id: whole(fields, "id")?,
         },
         "ALARM" => Event::Timer {
             token: whole(fields, "ctx")?,
         },
-        "WARMED" => Event::Loaded {
+        "WARMED" => Event::LoadOrderEnded {
             worker: text(fields, "host")?.to_owned(),
             function: function(fields)?,
-            count: figure(fields, "copies").unwrap_or(0).min(1 << 16) as u32,
+            replicas: figure(fields, "copies").unwrap_or(0).min(1 << 16) as u32,
             outcome: outcome(fields)?,
             elapsed: span(fields, "elapsed"),
         },
@@ -238,9 +238,9 @@
     Ok(())
 }
 
-fn entry(instance: &mut Instance, value: &Value) -> Res<Entry> {
+fn entry(instance: &mut Instance, value: &Value) -> Res<Endpoint> {
     let fields = object(value).ok_or("a list entry is not an object")?;
-    Ok(Entry {
+    Ok(Endpoint {
         worker: text(fields, "host")?.to_owned(),
         state: match word(fields, "mode") {
             Some("on") => WorkerState::Ready,
@@ -282,7 +282,7 @@
         Action::Cancel { id: of, attempt } => {
             ("CALL_OFF", vec![id(of), ("hop", count(attempt as u64))])
         }
-        Action::Refuse {
+        Action::Reject {
             id: of,
             retry_after,
         } => ("SHED", vec![id(of), ("cool-down", ms(retry_after))]),
@@ -293,7 +293,7 @@
         Action::Load {
             worker,
             function,
-            count: copies,
+            replicas: copies,
         } => (
             "START_COPY",
             vec![
@@ -302,8 +302,10 @@
                 ("copies", count(copies.into())),
             ],
         ),
-        Action::Drop { worker, function } => ("RELEASE_IDLE", vec![host(worker), image(function)]),
-        Action::Watch => ("WATCH", vec![("on", Value::Bool(true))]),
+        Action::Unload { worker, function } => {
+            ("RELEASE_IDLE", vec![host(worker), image(function)])
+        }
+        Action::WatchEndpoints => ("WATCH", vec![("on", Value::Bool(true))]),
         Action::Log { text } => ("JOURNAL_LINE", vec![msg(text)]),
     };
     fields.push(("gateway", count(gateway)));
--- a/wrenseam/src/core/attempts.rs
+++ b/wrenseam/src/core/attempts.rs
@@ -25,7 +25,7 @@
             return;
         };
         out.open = false;
-        if out.carried && matches!(report.outcome, Outcome::ConnectFailed | Outcome::Moot) {
+        if out.carried && matches!(report.outcome, Outcome::ConnectFailed | Outcome::NotSent) {
             self.tally.unsent();
         }
         let elapsed = self.clock.now().saturating_sub(out.sent);
@@ -39,15 +39,15 @@
             self.answer(id, Answer::Served(payload));
         }
         let (closed, inflight) = (self.requests.get(&id).is_none_or(|o| o.answered), None);
-        self.events.push_back(Event::Outcome {
+        self.events.push_back(Event::AttemptEnded {
             id,
             attempt,
             outcome,
             elapsed,
-            closed,
-            warm,
-            crowd,
-            inflight,
+            request_closed: closed,
+            replica_loaded: warm,
+            queue_depth: crowd,
+            in_flight: inflight,
         });
     }
 
@@ -63,7 +63,7 @@
         let owed = !open.answered;
         let peer = self.peers.get_mut(&attempt.worker);
         let outcome = match peer.map_or(GiveUp::Unknown, |p| p.cancel(key)) {
-            GiveUp::NeverBegun => Outcome::Moot,
+            GiveUp::NeverBegun => Outcome::NotSent,
             GiveUp::Pending if owed => return, // its report follows; its time-out should that stay out
             GiveUp::Pending | GiveUp::Unknown => Outcome::Cancelled,
         };
@@ -108,7 +108,7 @@
         let ready = |p: &&mut Peer| p.member.state == WorkerState::Ready;
         match self.peers.get_mut(&worker).filter(ready) {
             // Nothing ran, and this worker is left alone for a while.
-            Some(_) if !room => self.end(key, Report::bare(Outcome::Full)),
+            Some(_) if !room => self.end(key, Report::bare(Outcome::Rejected)),
             // (A client that left is known to its front before it is told here.)
             Some(peer) if !open.request.gone.load(Ordering::Acquire) && budget > 0 && allowed => {
                 peer.transport
@@ -121,7 +121,7 @@
                     .set(now.saturating_add(budget), Due::Attempt(key));
             }
             _ => {
-                self.end(key, Report::bare(Outcome::Moot));
+                self.end(key, Report::bare(Outcome::NotSent));
                 self.forget(id);
             }
         }
--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -252,7 +252,7 @@
                 let changes = self.members.hand_over(set, self.clock.now());
                 self.apply(changes);
             }
-            Message::Aside(aside) => self.controller.stand_aside(aside),
+            Message::Aside(aside) => self.controller.set_standby(aside),
             Message::Admin(call, reply) => {
                 let _ = reply.send(self.call(call)); // who asked may have left
             }
@@ -277,10 +277,10 @@
             return;
         };
         let elapsed = self.clock.now().saturating_sub(since);
-        self.events.push_back(Event::Loaded {
+        self.events.push_back(Event::LoadOrderEnded {
             worker,
             function,
-            count,
+            replicas: count,
             outcome,
             elapsed,
         });
@@ -368,7 +368,7 @@
                 id,
                 worker,
                 timeout,
-                window,
+                retry_window: window,
             } => {
                 // Counted from the decision: this thread may have stood still since.
                 let whole_by =
@@ -379,7 +379,7 @@
                 request: id,
                 attempt,
             }),
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 self.answer(id, Answer::Refused { wait: retry_after });
                 self.forget(id);
             }
@@ -393,7 +393,7 @@
             Action::Load {
                 worker,
                 function,
-                count,
+                replicas: count,
             } => {
                 self.last += 1;
                 let order = self.last;
@@ -402,19 +402,19 @@
                 let may = |p: &&mut Peer| p.member.state == WorkerState::Ready || count == 0;
                 let room = self.room(&worker);
                 match self.peers.get_mut(&worker).filter(may) {
-                    Some(_) if !room => self.reports.ordered(order, Outcome::Full, 0),
+                    Some(_) if !room => self.reports.ordered(order, Outcome::Rejected, 0),
                     Some(peer) => peer.transport.order(order, function, count),
                     None => self.reports.ordered(order, Outcome::ConnectFailed, 0),
                 }
                 self.timers.set(now + self.limits.order, Due::Order(order));
             }
-            Action::Drop { worker, function } => {
+            Action::Unload { worker, function } => {
                 if let Some(peer) = self.peers.get_mut(&worker) {
                     peer.transport.unload(function);
                 }
             }
             Action::Log { text } => note!("module: {text}"),
-            Action::Watch => {} // the board tells by itself
+            Action::WatchEndpoints => {} // the board tells by itself
         }
     }
 }
--- a/wrenseam/src/core/operate.rs
+++ b/wrenseam/src/core/operate.rs
@@ -70,7 +70,7 @@
                 .filter(|p| p.member.state != WorkerState::Gone)
         };
         let avoided = |p: &&super::Peer| {
-            p.member.state != WorkerState::Ready || self.controller.avoids(&p.member.id)
+            p.member.state != WorkerState::Ready || self.controller.is_ejected(&p.member.id)
         };
         Gauges {
             pending,
--- a/wrenseam/src/core/peers.rs
+++ b/wrenseam/src/core/peers.rs
@@ -4,7 +4,7 @@
 use crate::worker::{pool, transport, GiveUp, Transport};
 use std::sync::atomic::Ordering;
 use wrenseam_policy::json::position;
-use wrenseam_policy::{Entry, Event};
+use wrenseam_policy::{Endpoint, Event};
 
 /// A member, and the ways to it.
 pub(super) struct Peer {
@@ -85,7 +85,7 @@
     pub(super) fn apply(&mut self, changes: Vec<Change>) {
         let mut entries = Vec::new();
         for Change { member, duty } in changes {
-            entries.push(Entry {
+            entries.push(Endpoint {
                 worker: member.id.clone(),
                 state: member.state,
                 started_at: member.started_at,
@@ -128,9 +128,9 @@
             );
         }
         if !entries.is_empty() {
-            self.events.push_back(Event::Members {
-                full: false,
-                entries,
+            self.events.push_back(Event::EndpointUpdate {
+                complete: false,
+                endpoints: entries,
             });
         }
     }
--- a/wrenseam/src/core/requests.rs
+++ b/wrenseam/src/core/requests.rs
@@ -2,7 +2,7 @@
 use super::{Answer, Client, Core, Counts, Due, Ended, Open, Request};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
-use wrenseam_policy::{Effect, Event, Micros};
+use wrenseam_policy::{Event, Idempotency, Micros};
 
 impl Core {
     pub(super) fn request(&mut self, request: Request, client: Arc<dyn Client>, tag: u64) {
@@ -10,7 +10,7 @@
         let tenant = self.settings.tenant(&request.tenant);
         let known = self.settings.classes.get(class);
         // Guards keyed work: without its key no worker could drop a repeat.
-        let keyed = known.is_some_and(|c| c.effect == Effect::Keyed);
+        let keyed = known.is_some_and(|c| c.idempotency == Idempotency::Keyed);
         let fault = match () {
             () if known.is_none() => Some("unknown class"),
             () if tenant.is_none() && !self.settings.tenants.is_empty() => Some("unknown tenant"),
@@ -39,9 +39,9 @@
             class,
             tenant,
             function: request.function,
-            left,
+            time_left: left,
             memory_mb: request.memory_mb,
-            lanes: request.lanes,
+            concurrency: request.lanes,
             load_time: request.load_time,
             retry: request.retry,
         });
@@ -82,7 +82,7 @@
 
     pub(super) fn withdrawn(&mut self, id: u64) {
         if self.close(id).is_some() {
-            self.events.push_back(Event::Withdrawn { id });
+            self.events.push_back(Event::RequestCancelled { id });
             self.decide();
             self.forget(id);
         }
--- a/wrenseam/src/limits.rs
+++ b/wrenseam/src/limits.rs
@@ -119,9 +119,9 @@
         let span = |told: Micros, else_ms: u64| {
             Duration::from_micros(if told > 0 { told } else { else_ms * 1000 })
         };
-        let idle = span(settings.connection_idle, 15_000);
+        let idle = span(settings.connection_idle_timeout, 15_000);
         // Where many front ends share the workers, their questions together cost more than they tell.
-        let large = settings.gateways > 16;
+        let large = settings.front_ends > 16;
         Limits {
             body: 16 * 1024,
             head: 16 * 1024,
--- a/wrenseam/src/redial.rs
+++ b/wrenseam/src/redial.rs
@@ -76,7 +76,7 @@
             48,
             384,
             &Settings {
-                gateways,
+                front_ends: gateways,
                 ..Settings::default()
             },
         );
--- a/wrenseam/src/worker/frames/codec.rs
+++ b/wrenseam/src/worker/frames/codec.rs
@@ -109,10 +109,10 @@
 pub(super) fn outcome(code: u8) -> Option<Outcome> {
     Some(match code {
         200 => Outcome::Ok,
-        202 => Outcome::Miss,
-        203 => Outcome::Full,
+        202 => Outcome::NotLoaded,
+        203 => Outcome::Rejected,
         204 => Outcome::Error,
-        205 => Outcome::Moot,
+        205 => Outcome::NotSent,
         _ => return None,
     })
 }
--- a/wrenseam/src/worker/frames/reader.rs
+++ b/wrenseam/src/worker/frames/reader.rs
@@ -10,7 +10,7 @@
 use std::net::Shutdown;
 use std::sync::atomic::Ordering;
 use std::time::Instant;
-use wrenseam_policy::{never_ran, Outcome};
+use wrenseam_policy::Outcome;
 
 /// Reads answers until the connection ends.
 pub(super) fn read_answers(
@@ -64,7 +64,7 @@
     while let Some(frame) = decoder.next(ring, most)? {
         let outcome = outcome(frame.code).ok_or_else(|| format!("code {}", frame.code))?;
         // Guards against a spoilt code, which the check does not cover: what never ran has no body.
-        if never_ran(outcome) && !frame.body.is_empty() {
+        if outcome.proves_not_executed() && !frame.body.is_empty() {
             return Err(format!("a body behind code {}", frame.code));
         }
         let exchange = {
@@ -94,7 +94,7 @@
                     Some("booted" | "rode") => Some(false),
                     _ => None,
                 };
-                let told = matches!(outcome, Outcome::Ok | Outcome::Full);
+                let told = matches!(outcome, Outcome::Ok | Outcome::Rejected);
                 let crowd = if told { number("company") } else { None };
                 let payload = (outcome == Outcome::Ok).then_some(Payload::Bytes(frame.body));
                 reports.ended(
--- a/wrenseam/src/worker/frames/writer.rs
+++ b/wrenseam/src/worker/frames/writer.rs
@@ -171,7 +171,7 @@
             // While writes stall only the next frame is begun: what is behind it can be taken back.
             let written = self.state.progress.bytes();
             let (most, cuts) = self.line.claim(written, Instant::now(), !stalled.is_zero());
-            self.cut(cuts, Outcome::Moot);
+            self.cut(cuts, Outcome::NotSent);
             if self.ring.is_empty() {
                 if self.waiting.is_empty() {
                     return Ok(());
@@ -245,7 +245,7 @@
                     ..
                 }) => {
                     if ticket.end() {
-                        report(&self.reports, &self.state, what, Outcome::Moot);
+                        report(&self.reports, &self.state, what, Outcome::NotSent);
                     }
                 }
                 other => kept.push_back(other),
@@ -254,7 +254,7 @@
         self.waiting = kept;
         let written = self.state.progress.bytes();
         let cuts = self.line.cut_where(written, |p| p.bound);
-        self.cut(cuts, Outcome::Moot);
+        self.cut(cuts, Outcome::NotSent);
     }
 
     /// Moves what waits into the ring, as far as whole frames fit.
@@ -286,7 +286,7 @@
                             self.plain(&codec::give_up(id), Some(key));
                         }
                         (Some(GivenUp::Cut), What::Attempt(key)) => {
-                            self.reports.ended(key, Report::bare(Outcome::Moot));
+                            self.reports.ended(key, Report::bare(Outcome::NotSent));
                         }
                         _ => {}
                     }
@@ -372,7 +372,7 @@
         // Whoever gave it up has ended it.
         self.cut(
             cuts.into_iter().map(|c| Cut { ends: false, ..c }).collect(),
-            Outcome::Moot,
+            Outcome::NotSent,
         );
         Some(GivenUp::Cut)
     }
--- a/wrenseam/src/worker/kserve/lane.rs
+++ b/wrenseam/src/worker/kserve/lane.rs
@@ -101,7 +101,7 @@
     /// Sends the request and reads the whole answer, or tells how far it came.
     fn exchange(&mut self, job: &Job) -> Result<Reply, Outcome> {
         if self.withheld(job) {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         let mut stream = match &job.what {
             What::Attempt(..) => self.begun_stream(job)?,
@@ -144,7 +144,7 @@
         if let Some(kept) = self.stream.take().filter(|kept| kept.usable(&self.limits)) {
             if !self.begin(job) {
                 self.stream = Some(kept);
-                return Err(Outcome::Moot);
+                return Err(Outcome::NotSent);
             }
             // What came while the job waited to be begun is no answer to it.
             if kept.usable(&self.limits) {
@@ -164,7 +164,7 @@
         if self.begin(job) {
             Ok(stream)
         } else {
-            Err(Outcome::Moot)
+            Err(Outcome::NotSent)
         }
     }
 
@@ -196,7 +196,7 @@
                     pause(nap);
                     stalled += nap;
                     if whole && !self.begin(job) {
-                        return Err(Outcome::Moot);
+                        return Err(Outcome::NotSent);
                     }
                     if job.ticket.is_overdue(Instant::now()) {
                         return Err(Outcome::ConnectFailed); // it never comes whole: the connection ends here
--- a/wrenseam/src/worker/kserve/messages.rs
+++ b/wrenseam/src/worker/kserve/messages.rs
@@ -89,9 +89,9 @@
 fn outcome(reply: &Reply) -> Outcome {
     match reply.status {
         200 => Outcome::Ok,
-        404 => Outcome::Miss,
-        429 => Outcome::Full,
-        503 if reply.retry_after => Outcome::Full,
+        404 => Outcome::NotLoaded,
+        429 => Outcome::Rejected,
+        503 if reply.retry_after => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
@@ -171,7 +171,7 @@
             told.unwrap_or(0)
         };
         return (
-            if outcome == Outcome::Miss {
+            if outcome == Outcome::NotLoaded {
                 Outcome::Error
             } else {
                 outcome
--- a/wrenseam/tests/kserve_proofs.rs
+++ b/wrenseam/tests/kserve_proofs.rs
@@ -90,13 +90,16 @@
 }
 
 #[rstest]
-#[case::no_such_model("HTTP/1.1 404 Not Found\r\nContent-Length: 2\r\n\r\n{}", Outcome::Miss)]
+#[case::no_such_model(
+    "HTTP/1.1 404 Not Found\r\nContent-Length: 2\r\n\r\n{}",
+    Outcome::NotLoaded
+)]
 #[case::too_many(
     "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n",
-    Outcome::Full
+    Outcome::Rejected
 )]
-#[case::refused(REFUSED, Outcome::Full)]
-#[case::refused_behind_an_interim_answer(&format!("HTTP/1.1 103 Early Hints\r\n\r\n{REFUSED}"), Outcome::Full)]
+#[case::refused(REFUSED, Outcome::Rejected)]
+#[case::refused_behind_an_interim_answer(&format!("HTTP/1.1 103 Early Hints\r\n\r\n{REFUSED}"), Outcome::Rejected)]
 // A proxy says so too when it has lost the answer to a call that it passed on.
 #[case::unavailable(
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
@@ -168,7 +171,7 @@
     transport.send(attempt(1), &request(1), Terms::within(LONG));
     let (first, mut back) = next(&calls);
     back.write_all(REFUSED.as_bytes()).expect("answered");
-    assert_eq!(outcome(&reports), (1, Outcome::Full));
+    assert_eq!(outcome(&reports), (1, Outcome::Rejected));
     transport.send(attempt(2), &request(2), Terms::within(LONG));
     let (second, mut other) = next(&calls);
     let _ = back.write_all(REFUSED.as_bytes()); // the connection may be closed
--- a/wrenseam/tests/leaving.rs
+++ b/wrenseam/tests/leaving.rs
@@ -238,7 +238,7 @@
     transport.send(key, &unread, Terms::within(20_000_000));
     drop(starved.0);
     match reports.recv_timeout(Duration::from_secs(20)) {
-        Ok(Message::Ended(of, report)) => assert_eq!((of, report.outcome), (key, Outcome::Moot)),
+        Ok(Message::Ended(of, report)) => assert_eq!((of, report.outcome), (key, Outcome::NotSent)),
         _ => panic!("nothing ended"),
     }
     drop(transport);
--- a/wrenseam/tests/liveness.rs
+++ b/wrenseam/tests/liveness.rs
@@ -10,7 +10,7 @@
         48,
         384,
         &Settings {
-            gateways,
+            front_ends: gateways,
             ..Settings::default()
         },
     );
--- a/wrenseam/tests/repeat_window.rs
+++ b/wrenseam/tests/repeat_window.rs
@@ -44,7 +44,7 @@
         late.read_exact(&mut [0; 16]).expect("written");
         return;
     }
-    assert_eq!(outcome(&reports), (0, Outcome::Moot));
+    assert_eq!(outcome(&reports), (0, Outcome::NotSent));
     drop((transport, reports));
     late.set_read_timeout(Some(Duration::from_millis(300)))
         .expect("set");
--- a/wrenseam/tests/schedules.rs
+++ b/wrenseam/tests/schedules.rs
@@ -17,7 +17,7 @@
 use wrenseam::limits::Limits;
 use wrenseam::net::{pause, DirectCalls, SystemCalls};
 use wrenseam::worker::Reports;
-use wrenseam_policy::{ClassSettings, Effect, Group, Settings, WorkerState};
+use wrenseam_policy::{ClassSettings, Idempotency, KeyScope, Settings, WorkerState};
 
 const SAFE: &str = "safe";
 const KEYED: &str = "keyed";
@@ -42,7 +42,7 @@
     connects: u32,
     leaves: u32,
     news: u32,
-    second_copies: bool,
+    hedging: bool,
 }
 
 fn mixes() -> impl Strategy<Value = Mix> {
@@ -56,14 +56,14 @@
         any::<bool>(),
     )
         .prop_map(
-            |(seed, workers, writes, connects, leaves, news, second_copies)| Mix {
+            |(seed, workers, writes, connects, leaves, news, hedging)| Mix {
                 seed,
                 workers,
                 writes,
                 connects,
                 leaves,
                 news,
-                second_copies,
+                hedging,
             },
         )
 }
@@ -137,30 +137,30 @@
 fn settings(mix: Mix) -> Settings {
     let class = |name: &str, effect, group| ClassSettings {
         name: name.to_owned(),
-        effect,
-        group,
-        window: WINDOW.as_micros() as u64,
-        aim: 400_000,
-        worth: 1.0,
+        idempotency: effect,
+        key_scope: group,
+        key_memory: WINDOW.as_micros() as u64,
+        latency_objective: 400_000,
+        priority_weight: 1.0,
     };
     Settings {
-        gateways: 1,
+        front_ends: 1,
         classes: vec![
-            class(SAFE, Effect::Safe, Group::All),
-            class(KEYED, Effect::Keyed, Group::Zone),
-            class(UNSAFE, Effect::Unsafe, Group::All),
+            class(SAFE, Idempotency::Idempotent, KeyScope::All),
+            class(KEYED, Idempotency::Keyed, KeyScope::Zone),
+            class(UNSAFE, Idempotency::NotIdempotent, KeyScope::All),
         ],
         zones: vec!["zone-0".to_owned(), "zone-1".to_owned()],
         kinds: vec!["std".to_owned()],
         kind_memory_mb: vec![90_000.0],
-        keep: 8_000_000,
-        load_on_absence: true,
-        orders: true,
+        keep_alive: 8_000_000,
+        load_on_demand: true,
+        load_orders: true,
         max_attempts: 5,
-        may_cancel: true,
-        second_copies: mix.second_copies,
+        cancellation: true,
+        hedging: mix.hedging,
         max_retry_after: 1_000_000,
-        cold_from: 0.2,
+        slow_start_from: 0.2,
         ..Settings::default()
     }
 }
--- a/wrenseam/tests/transport.rs
+++ b/wrenseam/tests/transport.rs
@@ -21,11 +21,11 @@
 /// ran. The connection is held back until the other event has happened.
 #[rstest]
 // Guards rule 3.
-#[case::an_order_and_a_drain("order", "drain", Some(Outcome::Moot))]
-#[case::a_call_and_a_drain("call", "drain", Some(Outcome::Moot))]
+#[case::an_order_and_a_drain("order", "drain", Some(Outcome::NotSent))]
+#[case::a_call_and_a_drain("call", "drain", Some(Outcome::NotSent))]
 // Guards workers from calls for nobody.
-#[case::its_client_leaves("call", "leave", Some(Outcome::Moot))]
-#[case::its_time_is_up("call", "late", Some(Outcome::Moot))]
+#[case::its_client_leaves("call", "leave", Some(Outcome::NotSent))]
+#[case::its_time_is_up("call", "late", Some(Outcome::NotSent))]
 // Whoever takes it back ends it, and is told that nothing ran.
 #[case::it_is_called_off("call", "cancel", None)]
 fn what_ends_while_its_connection_comes_up_is_not_written(
@@ -67,7 +67,7 @@
             transport.send(SECOND, &self::request(10), Terms::within(budget));
             assert_eq!(frame(accepted.last_mut().expect("the late one")), (10, 2));
             say(accepted.last_mut().expect("the late one"), 203, 10, "", b"");
-            assert_eq!(outcome(&reports), (1, Outcome::Full));
+            assert_eq!(outcome(&reports), (1, Outcome::Rejected));
         }
     }
     drop((transport, fillers)); // closes every connection from this side
@@ -255,7 +255,7 @@
     );
     // All others end at once, also those that did not fit into the ring.
     let moot = (begun as u64..all)
-        .filter(|_| outcome(&reports).1 == Outcome::Moot)
+        .filter(|_| outcome(&reports).1 == Outcome::NotSent)
         .count();
     assert_eq!(moot as u64, all - begun as u64);
 }
