--- /dev/null
+++ b/wrenseam/tests/golden_handover.rs
@@ -0,0 +1,180 @@
+//! Golden bytes of the files that a process leaves in `$TMPDIR` for the process that replaces it. The fixtures are
+//! files as written by this version: a later one has to read them, since both run side by side during a replacement.
+mod common;
+
+use common::{door, get, Speech, Stage};
+use std::collections::BTreeSet;
+use std::io::{BufRead, BufReader};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::sync::mpsc::{channel, Receiver};
+use std::time::{Duration, Instant};
+use wrenseam::front::admin::{handover, read_excluded};
+use wrenseam::succession::Succession;
+
+const EXCLUDED: &str = include_str!("fixtures/wrenseam-excluded");
+const EXCLUDED_FILE: &str = "wrenseam-excluded";
+/// Process 4242 whose seed is 0x2a.
+const PROCESS: &str = include_str!("fixtures/wrenseam-process-t");
+const PROCESS_FILE: &str = "wrenseam-process-t";
+const FIXTURE_PROCESS_ID: u32 = 4242;
+const PATIENCE: Duration = Duration::from_secs(10);
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/fixtures")
+        .join(name)
+}
+
+fn excluded_workers() -> BTreeSet<String> {
+    ["w0", "w2"].map(str::to_owned).into()
+}
+
+fn read(path: &Path) -> String {
+    std::fs::read_to_string(path).expect("a file")
+}
+
+/// A process beside a stage's, with that one's configuration and a `$TMPDIR` of its own.
+struct Successor {
+    child: Child,
+    log: Receiver<String>,
+    admin: SocketAddr,
+    folder: PathBuf,
+}
+
+impl Successor {
+    /// Starts where another process has left the fixtures.
+    fn new(stage: &Stage) -> Successor {
+        let folder = stage.folder().join("successor");
+        std::fs::create_dir_all(&folder).expect("a folder");
+        for name in [EXCLUDED_FILE, PROCESS_FILE] {
+            std::fs::copy(fixture(name), folder.join(name)).expect("copied");
+        }
+        let mut child = Command::new(env!("CARGO_BIN_EXE_wrenseam"))
+            .env("NODE_CONFIG", stage.folder().join("config.json"))
+            .env("NODE_LISTEN", "127.0.0.1:0")
+            .env("WRENSEAM_KSERVE", stage.folder().join("kserve.json"))
+            .env("TMPDIR", &folder)
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("the program starts");
+        let lines = BufReader::new(child.stderr.take().expect("piped")).lines();
+        let (written, log) = channel();
+        std::thread::spawn(move || {
+            let mut lines = lines.map_while(Result::ok);
+            lines.all(|line| written.send(line).is_ok())
+        });
+        let admin = SocketAddr::from(([0, 0, 0, 0], 0));
+        let mut successor = Successor {
+            child,
+            log,
+            admin,
+            folder,
+        };
+        let line = successor.line_with("administration listens on ");
+        successor.admin = line
+            .rsplit(' ')
+            .next()
+            .expect("a word")
+            .parse()
+            .expect("an address");
+        successor
+    }
+
+    /// The next line of the log that contains this text.
+    fn line_with(&mut self, text: &str) -> String {
+        loop {
+            let line = self.log.recv_timeout(PATIENCE);
+            let line = line.unwrap_or_else(|_| panic!("the log does not say {text:?}"));
+            if line.contains(text) {
+                return line;
+            }
+        }
+    }
+}
+
+impl Drop for Successor {
+    fn drop(&mut self) {
+        let _ = self.child.kill(); // it may have ended already
+        let _ = self.child.wait();
+    }
+}
+
+#[test]
+fn exclusions_are_written_as_the_fixture() {
+    let stage = Stage::new(Speech::Platform);
+    for worker in ["w2", "w0"] {
+        assert_eq!(
+            door(stage.door, &format!("exclude {worker}\n")),
+            format!("YES excluded {worker}\n")
+        );
+    }
+    assert_eq!(read(&stage.folder().join(EXCLUDED_FILE)), EXCLUDED);
+}
+
+#[test]
+fn exclusions_are_read_from_the_fixture() {
+    assert_eq!(read_excluded(&fixture(EXCLUDED_FILE)), excluded_workers());
+    assert_eq!(handover(), std::env::temp_dir().join(EXCLUDED_FILE));
+}
+
+/// A process that runs takes up the exclusions that another leaves.
+#[test]
+fn exclusions_of_another_process_are_taken_up() {
+    let stage = Stage::new(Speech::Platform);
+    std::fs::copy(fixture(EXCLUDED_FILE), stage.folder().join(EXCLUDED_FILE)).expect("copied");
+    stage.listed("w0", "draining", "excluded by another process");
+    stage.listed("w2", "draining", "excluded by another process");
+    stage.listed("w1", "ready", "not excluded");
+}
+
+#[test]
+fn a_process_names_itself_as_in_the_fixture() {
+    let stage = Stage::new(Speech::Platform);
+    let written = read(&stage.folder().join(PROCESS_FILE));
+    let expected = PROCESS.replace(&FIXTURE_PROCESS_ID.to_string(), &stage.pid().to_string());
+    assert_eq!(written, expected);
+}
+
+/// The fixture names another process: whoever starts then waits for three looks before it takes over.
+#[test]
+fn the_process_named_in_the_fixture_is_waited_for() {
+    let own = "4243-2a";
+    let mut succession = Succession::new(own.to_owned(), Some(PROCESS));
+    let looks = [(); 3].map(|()| succession.looked(Some(own)));
+    assert_eq!(looks, [true, true, false]);
+    assert!(
+        succession.looked(Some(PROCESS)),
+        "the fixture's process is named again"
+    );
+    assert!(
+        !Succession::new(PROCESS.to_owned(), Some(PROCESS)).aside(),
+        "the fixture's process itself"
+    );
+}
+
+/// A process that starts on the fixtures holds the exclusions, names itself, takes over and is replaced in turn.
+#[test]
+fn a_successor_reads_and_replaces_the_fixtures() {
+    let stage = Stage::new(Speech::Platform);
+    let mut successor = Successor::new(&stage);
+    let path = successor.folder.join(PROCESS_FILE);
+    let own = PROCESS.replace(
+        &FIXTURE_PROCESS_ID.to_string(),
+        &successor.child.id().to_string(),
+    );
+    assert_eq!(read(&path), own);
+    let since = Instant::now();
+    let mut state = get(successor.admin, "/v1/state");
+    while !state.contains(r#""name":"w0""#) {
+        assert!(since.elapsed() < PATIENCE, "{state}");
+        state = get(successor.admin, "/v1/state");
+    }
+    let draining = state.matches(r#""state":"draining""#).count();
+    assert_eq!(draining, excluded_workers().len(), "{state}");
+    successor.line_with("admin: seats at cold workers taken over");
+    std::fs::write(&path, PROCESS).expect("written");
+    successor.line_with("admin: seats at cold workers left to a new process");
+    assert_eq!(read(&successor.folder.join(EXCLUDED_FILE)), EXCLUDED);
+}
