--- /dev/null
+++ b/wrenseam/tests/golden_admin.rs
@@ -0,0 +1,390 @@
+//! Golden bytes of what operators read: telemetry, the administration API and the replies of the admin endpoint.
+//! What differs from run to run (ports, times, digests) is masked; all else is compared byte for byte.
+mod common;
+
+use bramblepath::Settings;
+use common::{connect, door, get, Fleet, Speech, Stage};
+use rstest::rstest;
+use std::io::{Read, Write};
+use wrenseam::config;
+use wrenseam::core::{Call, Ended, Gate, Gauges, Tally};
+use wrenseam::fleet::average::AverageDropped;
+use wrenseam::fleet::members::RecordCounts;
+use wrenseam::fleet::swim::Dropped;
+use wrenseam::fleet::FleetNews;
+
+/// Puts `N` for each number that stands behind this text.
+fn masked(text: &str, before: &str) -> String {
+    let mut parts = text.split(before);
+    let mut out = parts.next().unwrap_or_default().to_owned();
+    for part in parts {
+        out.push_str(before);
+        out.push('N');
+        out.push_str(part.trim_start_matches(|c: char| c.is_ascii_digit()));
+    }
+    out
+}
+
+/// Endpoints are listed by name; where names are addresses their order differs from run to run and is put right here.
+fn with_endpoints_sorted(state: &str) -> String {
+    let (before, rest) = state.split_once("[{").expect("endpoints");
+    let (endpoints, after) = rest.split_once("}]").expect("their end");
+    let mut endpoints: Vec<&str> = endpoints.split("},{").collect();
+    endpoints.sort_unstable();
+    format!("{before}[{{{}}}]{after}", endpoints.join("},{"))
+}
+
+fn tally() -> Tally {
+    let mut tally = Tally::new(2);
+    let ends = [
+        Ended::Completed,
+        Ended::Completed,
+        Ended::Completed,
+        Ended::Rejected,
+        Ended::Rejected,
+        Ended::Failed,
+    ];
+    ends.into_iter().for_each(|end| tally.ended(1, end));
+    (0..5).for_each(|_| tally.sent());
+    tally.unsent();
+    tally
+}
+
+#[test]
+fn counts_keep_their_lines() {
+    let gauges = Gauges {
+        pending: 7,
+        members: 9,
+        unavailable: 2,
+    };
+    let names = ["tile-render", "tile-order"].map(str::to_owned);
+    pinned(
+        &tally().text(&names, gauges),
+        "app.downstream_requests.tile-render.completed:0|c\n\
+         app.downstream_requests.tile-render.rejected:0|c\n\
+         app.downstream_requests.tile-render.failed:0|c\n\
+         app.downstream_requests.tile-order.completed:3|c\n\
+         app.downstream_requests.tile-order.rejected:2|c\n\
+         app.downstream_requests.tile-order.failed:1|c\n\
+         app.upstream_requests:4|c\n\
+         app.pending:7|g\n\
+         app.members:9|g\n\
+         app.members_unavailable:2|g\n\
+         END\n",
+    );
+}
+
+fn fleet_file() -> config::Fleet {
+    config::Fleet {
+        listen: "127.0.0.1:0".parse().expect("an address"),
+        advertise: None,
+        seeds: Vec::new(),
+        cluster: "test".to_owned(),
+        zone: String::new(),
+        expected: 4,
+        retry_ratio: 0.0,
+        retry_floor_per_s: 0.0,
+        window_ms: 10_000,
+        probe_ms: 100,
+        suspect_ms: 300,
+        capacity: 10,
+        shed_order: Vec::new(),
+        shed_wait_ms: 1000,
+        summaries: true,
+    }
+}
+
+/// Gossip's figures, each of another value.
+fn fleet_news() -> FleetNews {
+    FleetNews {
+        alive: 10,
+        by_lifecycle: [1, 2, 3, 4],
+        departed: 0,
+        digest: 0x1234_5678_9abc_def0,
+        digest_stood: 5_678_901,
+        pressure: 432,
+        edges: (6, 8),
+        mixed: true,
+        doubt_factor: 2,
+        bytes_sent: [101, 102, 103, 104, 105, 106, 107],
+        bytes_held_back: [201, 202, 203, 204, 205, 206, 207],
+        records: RecordCounts {
+            garbled: 11,
+            stranger: 12,
+            impostor: 13,
+            repairs: 14,
+            taken: 15,
+            refused: 16,
+        },
+        dropped: Dropped {
+            oversized: 21,
+            foreign: 22,
+            garbled: 23,
+        },
+        average_dropped: AverageDropped {
+            garbled: 31,
+            stale: 32,
+            stranger: 33,
+        },
+    }
+}
+
+#[test]
+fn fleet_figures_keep_their_lines() {
+    let mut gate = Gate::new(&fleet_file(), &Settings::default(), 1);
+    gate.news(1_000_000, fleet_news());
+    gate.attempt(1_000_000, false);
+    assert!(!gate.attempt(1_000_000, true), "the budget allows no retry");
+    let mut text = String::new();
+    gate.text(&mut text);
+    pinned(
+        &text,
+        "app.fleet.peers:10|g\n\
+         app.fleet.size:4|g\n\
+         app.fleet.pressure:432|g\n\
+         app.fleet.refusing_permille:0|g\n\
+         app.fleet.extra_attempts:0|c\n\
+         app.fleet.extra_denied:1|c\n\
+         app.fleet.shed:0|c\n\
+         app.fleet.edges:8|g\n\
+         app.fleet.edges_heard:6|g\n\
+         app.fleet.mixed:1|g\n\
+         app.fleet.peers_starting:1|g\n\
+         app.fleet.peers_ready:2|g\n\
+         app.fleet.peers_draining:3|g\n\
+         app.fleet.peers_leaving:4|g\n\
+         app.fleet.view_digest:1311768467463790320|g\n\
+         app.fleet.view_stood_ms:5678|g\n\
+         app.fleet.doubt_factor:2|g\n\
+         app.fleet.bytes_probe:101|c\n\
+         app.fleet.held_back_probe:201|c\n\
+         app.fleet.bytes_average:102|c\n\
+         app.fleet.held_back_average:202|c\n\
+         app.fleet.bytes_join:103|c\n\
+         app.fleet.held_back_join:203|c\n\
+         app.fleet.bytes_repair:104|c\n\
+         app.fleet.held_back_repair:204|c\n\
+         app.fleet.bytes_repair_begin:105|c\n\
+         app.fleet.held_back_repair_begin:205|c\n\
+         app.fleet.bytes_rumor:106|c\n\
+         app.fleet.held_back_rumor:206|c\n\
+         app.fleet.bytes_news:107|c\n\
+         app.fleet.held_back_news:207|c\n\
+         app.fleet.repairs:14|c\n\
+         app.fleet.records_taken:15|c\n\
+         app.fleet.dropped_oversized:21|c\n\
+         app.fleet.dropped_foreign:22|c\n\
+         app.fleet.dropped_garbled:65|c\n\
+         app.fleet.dropped_stale:32|c\n\
+         app.fleet.dropped_stranger:45|c\n\
+         app.fleet.dropped_impostor:13|c\n",
+    );
+}
+
+/// A process that has served one request and from which one worker is excluded.
+#[test]
+fn telemetry_and_state_of_a_process_keep_their_text() {
+    let stage = Stage::new(Speech::Platform);
+    stage.play(
+        Speech::Platform,
+        "
+        client send tile-render - x 9000
+        worker expect tile-render - x
+        worker send ok DONE
+        client expect served DONE",
+    );
+    assert_eq!(door(stage.door, "exclude w3\n"), "YES excluded w3\n");
+    pinned(
+        &door(stage.door, "telemetry\n"),
+        "app.downstream_requests.tile-render.completed:1|c\n\
+         app.downstream_requests.tile-render.rejected:0|c\n\
+         app.downstream_requests.tile-render.failed:0|c\n\
+         app.downstream_requests.tile-order.completed:0|c\n\
+         app.downstream_requests.tile-order.rejected:0|c\n\
+         app.downstream_requests.tile-order.failed:0|c\n\
+         app.upstream_requests:1|c\n\
+         app.pending:0|g\n\
+         app.members:4|g\n\
+         app.members_unavailable:1|g\n\
+         END\n",
+    );
+    let state = get(stage.admin, "/v1/state");
+    let (head, body) = state.split_once("\r\n\r\n").expect("a body");
+    pinned(
+        &masked(head, "Content-Length: "),
+        "HTTP/1.1 200 OK\r\n\
+         Content-Type: application/json\r\n\
+         Content-Length: N\r\n\
+         Connection: close",
+    );
+    pinned(&masked(body, "127.0.0.1:"), "{\"endpoints\":[{\"address\":\"127.0.0.1:N\",\"name\":\"w0\",\"speech\":\"frames\",\"state\":\"ready\",\"zone\":\"hall-a\"},{\"address\":\"127.0.0.1:N\",\"name\":\"w1\",\"speech\":\"frames\",\"state\":\"ready\",\"zone\":\"hall-a\"},{\"address\":\"127.0.0.1:N\",\"name\":\"w2\",\"speech\":\"frames\",\"state\":\"ready\",\"zone\":\"hall-b\"},{\"address\":\"127.0.0.1:N\",\"name\":\"w3\",\"speech\":\"frames\",\"state\":\"draining\",\"zone\":\"hall-b\"}],\"open_requests\":0,\"tenants\":[{\"asked\":1,\"failed\":0,\"name\":\"acme\",\"quota_per_s\":70.0,\"refused\":0,\"served\":1,\"withdrawn\":0},{\"asked\":0,\"failed\":0,\"name\":\"(unknown)\",\"quota_per_s\":0.0,\"refused\":0,\"served\":0,\"withdrawn\":0}]}");
+}
+
+/// With the fleet on its lines stand before `END`.
+#[test]
+fn telemetry_of_a_fleet_keeps_its_names() {
+    let fleet = Fleet::new(1);
+    pinned(
+        &masked(&door(fleet.nodes[0].door, "telemetry\n"), ":"),
+        "app.downstream_requests.tile-render.completed:N|c\n\
+         app.downstream_requests.tile-render.rejected:N|c\n\
+         app.downstream_requests.tile-render.failed:N|c\n\
+         app.downstream_requests.tile-order.completed:N|c\n\
+         app.downstream_requests.tile-order.rejected:N|c\n\
+         app.downstream_requests.tile-order.failed:N|c\n\
+         app.upstream_requests:N|c\n\
+         app.pending:N|g\n\
+         app.members:N|g\n\
+         app.members_unavailable:N|g\n\
+         app.fleet.peers:N|g\n\
+         app.fleet.size:N|g\n\
+         app.fleet.pressure:N|g\n\
+         app.fleet.refusing_permille:N|g\n\
+         app.fleet.extra_attempts:N|c\n\
+         app.fleet.extra_denied:N|c\n\
+         app.fleet.shed:N|c\n\
+         app.fleet.edges:N|g\n\
+         app.fleet.edges_heard:N|g\n\
+         app.fleet.mixed:N|g\n\
+         app.fleet.peers_starting:N|g\n\
+         app.fleet.peers_ready:N|g\n\
+         app.fleet.peers_draining:N|g\n\
+         app.fleet.peers_leaving:N|g\n\
+         app.fleet.view_digest:N|g\n\
+         app.fleet.view_stood_ms:N|g\n\
+         app.fleet.doubt_factor:N|g\n\
+         app.fleet.bytes_probe:N|c\n\
+         app.fleet.held_back_probe:N|c\n\
+         app.fleet.bytes_average:N|c\n\
+         app.fleet.held_back_average:N|c\n\
+         app.fleet.bytes_join:N|c\n\
+         app.fleet.held_back_join:N|c\n\
+         app.fleet.bytes_repair:N|c\n\
+         app.fleet.held_back_repair:N|c\n\
+         app.fleet.bytes_repair_begin:N|c\n\
+         app.fleet.held_back_repair_begin:N|c\n\
+         app.fleet.bytes_rumor:N|c\n\
+         app.fleet.held_back_rumor:N|c\n\
+         app.fleet.bytes_news:N|c\n\
+         app.fleet.held_back_news:N|c\n\
+         app.fleet.repairs:N|c\n\
+         app.fleet.records_taken:N|c\n\
+         app.fleet.dropped_oversized:N|c\n\
+         app.fleet.dropped_foreign:N|c\n\
+         app.fleet.dropped_garbled:N|c\n\
+         app.fleet.dropped_stale:N|c\n\
+         app.fleet.dropped_stranger:N|c\n\
+         app.fleet.dropped_impostor:N|c\n\
+         END\n",
+    );
+}
+
+#[test]
+fn state_of_v2_workers_keeps_its_text() {
+    let stage = Stage::new(Speech::Kserve);
+    let state = get(stage.admin, "/v1/state");
+    let body = state.split_once("\r\n\r\n").expect("a body").1;
+    pinned(&with_endpoints_sorted(&masked(body, "127.0.0.1:")), "{\"endpoints\":[{\"address\":\"127.0.0.1:N\",\"name\":\"127.0.0.1:N\",\"speech\":\"kserve\",\"state\":\"ready\",\"zone\":\"hall-a\"},{\"address\":\"127.0.0.1:N\",\"name\":\"127.0.0.1:N\",\"speech\":\"kserve\",\"state\":\"ready\",\"zone\":\"hall-a\"},{\"address\":\"127.0.0.1:N\",\"name\":\"127.0.0.1:N\",\"speech\":\"kserve\",\"state\":\"ready\",\"zone\":\"hall-b\"},{\"address\":\"127.0.0.1:N\",\"name\":\"127.0.0.1:N\",\"speech\":\"kserve\",\"state\":\"ready\",\"zone\":\"hall-b\"}],\"open_requests\":0,\"tenants\":[{\"asked\":0,\"failed\":0,\"name\":\"acme\",\"quota_per_s\":70.0,\"refused\":0,\"served\":0,\"withdrawn\":0},{\"asked\":0,\"failed\":0,\"name\":\"(unknown)\",\"quota_per_s\":0.0,\"refused\":0,\"served\":0,\"withdrawn\":0}]}");
+}
+
+#[rstest]
+#[case::healthy(
+    "/healthz",
+    "HTTP/1.1 200 OK\r\n\
+         Content-Type: application/json\r\n\
+         Content-Length: 14\r\n\
+         Connection: close\r\n\
+         \r\n\
+         {\"ready\":true}"
+)]
+#[case::unknown(
+    "/other",
+    "HTTP/1.1 404 Not Found\r\n\
+         Content-Type: application/json\r\n\
+         Content-Length: 44\r\n\
+         Connection: close\r\n\
+         \r\n\
+         {\"error\":\"there are /healthz and /v1/state\"}"
+)]
+fn administration_answers_keep_their_bytes(#[case] path: &str, #[case] golden: &str) {
+    let stage = Stage::new(Speech::Platform);
+    pinned(&get(stage.admin, path), golden);
+}
+
+#[test]
+fn administration_answers_of_a_draining_process_keep_their_bytes() {
+    let stage = Stage::new(Speech::Platform);
+    assert_eq!(door(stage.door, "evacuate\n"), "YES draining\n");
+    pinned(
+        &get(stage.admin, "/healthz"),
+        "HTTP/1.1 503 Service Unavailable\r\n\
+         Content-Type: application/json\r\n\
+         Content-Length: 15\r\n\
+         Retry-After: 1\r\n\
+         Connection: close\r\n\
+         \r\n\
+         {\"ready\":false}",
+    );
+}
+
+#[test]
+fn administration_is_read_only() {
+    let stage = Stage::new(Speech::Platform);
+    let mut stream = connect(stage.admin);
+    stream
+        .write_all(b"DELETE /v1/state HTTP/1.1\r\nConnection: close\r\n\r\n")
+        .expect("written");
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer).expect("an answer");
+    pinned(
+        &answer,
+        "HTTP/1.1 405 Method Not Allowed\r\n\
+         Content-Type: application/json\r\n\
+         Content-Length: 33\r\n\
+         Connection: close\r\n\
+         \r\n\
+         {\"error\":\"this API is read-only\"}",
+    );
+}
+
+/// Each line to the admin endpoint in turn, and its whole answer.
+#[test]
+fn admin_endpoint_replies_keep_their_bytes() {
+    let stage = Stage::new(Speech::Platform);
+    let replies = [
+        ("readyz\n", "YES ready\n"),
+        ("readyz\r\n", "YES ready\n"),
+        ("evacuate\n", "YES draining\n"),
+        ("readyz\n", "NO draining\n"),
+        ("activate\n", "YES ready\n"),
+        ("exclude w1\n", "YES excluded w1\n"),
+        ("exclude w1\n", "YES excluded w1\n"),
+        ("exclude nobody\n", "NO unknown nobody\n"),
+        ("include w1\n", "YES included w1\n"),
+        ("include nobody\n", "NO unknown nobody\n"),
+        ("exclude\n", "NO one id is wanted\n"),
+        ("exclude a b\n", "NO one id is wanted\n"),
+        ("readyz now\n", "NO this call takes no argument\n"),
+        ("dance\n", "NO unknown call\n"),
+        ("\n", "NO empty line\n"),
+    ];
+    for (line, golden) in replies {
+        assert_eq!(door(stage.door, line), golden, "{line:?}");
+    }
+}
+
+#[rstest]
+#[case("readyz", Ok(Call::Readyz))]
+#[case("telemetry", Ok(Call::Telemetry))]
+#[case("evacuate", Ok(Call::Evacuate))]
+#[case("activate", Ok(Call::Activate))]
+#[case("exclude w1", Ok(Call::Exclude("w1".to_owned())))]
+#[case(" include  w1 ", Ok(Call::Include("w1".to_owned())))]
+#[case("READYZ", Err("unknown call"))]
+fn admin_endpoint_lines_are_read(#[case] line: &str, #[case] expected: Result<Call, &'static str>) {
+    assert_eq!(Call::parse(line), expected);
+}
+
+fn pinned(text: &str, golden: &str) {
+    assert_eq!(text, golden);
+}
