--- a/src/cold.rs
+++ b/policy/src/cold.rs
@@ -27,7 +27,7 @@
     within: Micros,
     multiple: f64,
     window: Micros,
-    gateways: u32,
+    front_ends: u32,
     index: Option<u32>,
     /// Calls a second that all tenants' shares allow over all workers; 0 where none is told.
     quotas: f64,
@@ -41,7 +41,7 @@
     /// The first of the front ends whose turn it is, in the worker's order, and how many they are.
     pub(crate) first: u32,
     pub(crate) seats: u32,
-    gateways: u32,
+    front_ends: u32,
     /// What the account of each gains, in calls for each microsecond.
     pub(crate) rate: f64,
     /// The most that an account holds, in calls.
@@ -64,14 +64,18 @@
 impl Rule {
     pub(crate) fn new(set: &Settings) -> Rule {
         let told = |v: f64| if v.is_finite() { v.max(0.0) } else { 0.0 };
-        let gateways = set.gateways.max(1);
-        let index = if gateways == 1 { Some(0) } else { set.index.filter(|&i| i < gateways) };
+        let front_ends = set.front_ends.max(1);
+        let index = if front_ends == 1 {
+            Some(0)
+        } else {
+            set.front_end_index.filter(|&i| i < front_ends)
+        };
         Rule {
-            from: told(set.cold_from).min(1.0),
-            within: set.warm_within,
-            multiple: told(set.fall_multiple),
-            window: set.fall_window,
-            gateways,
+            from: told(set.slow_start_from).min(1.0),
+            within: set.slow_start_duration,
+            multiple: told(set.overload_multiple),
+            window: set.overload_window,
+            front_ends,
             index,
             quotas: set.tenants.iter().map(|t| told(t.quota_per_s)).sum(),
             aside: false,
@@ -110,34 +114,46 @@
     }
 
     fn seats(&self, all: f64) -> f64 {
-        (all / self.part()).floor().clamp(1.0, f64::from(self.gateways))
+        (all / self.part())
+            .floor()
+            .clamp(1.0, f64::from(self.front_ends))
     }
 
     /// The allowance `age` after a worker's start, where a warm one can do `calls` a second and the dearest class
     /// weighs `depth` calls; `None` once it is warm. The seats go on in turn, as many at a time as the worker
     /// bears at the turn's begin: who sends seldom wastes no more than a turn, and each has its own.
     pub(crate) fn allowance(&self, age: Micros, calls: f64, depth: f64) -> Option<Allowance> {
-        let (now, turn) = (self.share(1, age.saturating_add(1))?, TURN * self.window.max(1));
-        let begin = |n: u64| self.seats(self.all(self.share(1, n * turn + 1).unwrap_or(1.0), calls));
+        let (now, turn) = (
+            self.share(1, age.saturating_add(1))?,
+            TURN * self.window.max(1),
+        );
+        let begin =
+            |n: u64| self.seats(self.all(self.share(1, n * turn + 1).unwrap_or(1.0), calls));
         // Within the time that is told for warming up there are few turns, unless the settings are odd.
-        let (turns, gateways) = ((age / turn).min(1_000), self.gateways);
-        let first = (0..turns).map(begin).sum::<f64>() as u64 % u64::from(gateways);
+        let (turns, front_ends) = ((age / turn).min(1_000), self.front_ends);
+        let first = (0..turns).map(begin).sum::<f64>() as u64 % u64::from(front_ends);
         let (all, seats) = (self.all(now, calls), begin(turns));
         let each = all / seats / (self.part() / 2.0);
         let depth = depth.max(each * LEAST);
         let rate = (each - depth).max(each * LEAST) / self.window.max(1) as f64;
-        Some(Allowance { first: first as u32, seats: seats as u32, gateways, rate, depth })
+        Some(Allowance {
+            first: first as u32,
+            seats: seats as u32,
+            front_ends,
+            rate,
+            depth,
+        })
     }
 
     /// The place of this front end in the order of those that may send to a worker: by the draw of all numbers where
     /// ours is told, else by chance.
     pub(crate) fn rank(&self, worker: &str, chance: u64) -> u32 {
         let Some(own) = self.index else {
-            return (((chance & 0xffff_ffff) * u64::from(self.gateways)) >> 32) as u32;
+            return (((chance & 0xffff_ffff) * u64::from(self.front_ends)) >> 32) as u32;
         };
         let key = |n: u32| (crate::state::draw(u64::from(n) + 1, worker), n);
         let ours = key(own);
-        (0..self.gateways).filter(|&n| key(n) > ours).count() as u32
+        (0..self.front_ends).filter(|&n| key(n) > ours).count() as u32
     }
 }
 
@@ -156,8 +172,14 @@
 
     /// Whether this front end has one of the seats.
     pub(crate) fn seated(&self, allowance: &Allowance) -> bool {
-        let Allowance { first, seats, gateways, .. } = *allowance;
-        self.rank.is_some_and(|r| (r + gateways - first) % gateways < seats)
+        let Allowance {
+            first,
+            seats,
+            front_ends,
+            ..
+        } = *allowance;
+        self.rank
+            .is_some_and(|r| (r + front_ends - first) % front_ends < seats)
     }
 
     /// Our place in the worker's order, once drawn.
@@ -175,7 +197,11 @@
         let seated = self.seated(allowance);
         self.stored = if seated { self.holds(now) } else { 0.0 };
         self.at = now;
-        (self.rate, self.depth) = if seated { (allowance.rate, allowance.depth) } else { (0.0, 0.0) };
+        (self.rate, self.depth) = if seated {
+            (allowance.rate, allowance.depth)
+        } else {
+            (0.0, 0.0)
+        };
     }
 
     /// Whether a call of this weight may be sent now. It is not rounded to the times at which allowances are
--- a/tests/characterization.rs
+++ b/policy/tests/characterization.rs
@@ -4,9 +4,9 @@
 //! A digest that changes means that a decision changed. It is recorded anew only by a commit that means to change one.
 mod world;
 
-use bramblepath::*;
 use rstest::rstest;
 use world::{Scenario, World};
+use wrenseam_policy::*;
 
 const MS: Micros = 1_000;
 const SEC: Micros = 1_000_000;
@@ -24,7 +24,10 @@
     }
 
     fn number(&mut self, number: u64) {
-        number.to_le_bytes().into_iter().for_each(|byte| self.byte(byte));
+        number
+            .to_le_bytes()
+            .into_iter()
+            .for_each(|byte| self.byte(byte));
     }
 
     fn text(&mut self, text: &str) {
@@ -34,7 +37,12 @@
 
     fn action(&mut self, action: &Action) {
         match action {
-            Action::Send { id, worker, timeout, window } => {
+            Action::Send {
+                id,
+                worker,
+                timeout,
+                retry_window: window,
+            } => {
                 self.byte(0);
                 self.number(*id);
                 self.text(worker);
@@ -47,7 +55,7 @@
                 self.number(*id);
                 self.number(*attempt as u64);
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 self.byte(2);
                 self.number(*id);
                 self.number(*retry_after);
@@ -61,18 +69,22 @@
                 self.number(*delay);
                 self.number(*token);
             }
-            Action::Load { worker, function, count } => {
+            Action::Load {
+                worker,
+                function,
+                replicas: count,
+            } => {
                 self.byte(5);
                 self.text(worker);
                 self.number(*function);
                 self.number(u64::from(*count));
             }
-            Action::Drop { worker, function } => {
+            Action::Unload { worker, function } => {
                 self.byte(6);
                 self.text(worker);
                 self.number(*function);
             }
-            Action::Watch => self.byte(7),
+            Action::WatchEndpoints => self.byte(7),
             Action::Log { text } => {
                 self.byte(8);
                 self.text(text);
@@ -83,42 +95,53 @@
 
 fn settings(scenario: &Scenario) -> Settings {
     let class = |effect, group, aim, worth| ClassSettings {
-        effect,
-        group,
-        window: 3 * SEC,
-        aim,
-        worth,
+        idempotency: effect,
+        key_scope: group,
+        key_memory: 3 * SEC,
+        latency_objective: aim,
+        priority_weight: worth,
         ..ClassSettings::default()
     };
-    let tenant = |quota_per_s| TenantSettings { quota_per_s, ..TenantSettings::default() };
-    let group = if scenario.load_on_demand { Group::Zone } else { Group::Cell };
+    let tenant = |quota_per_s| TenantSettings {
+        quota_per_s,
+        ..TenantSettings::default()
+    };
+    let group = if scenario.load_on_demand {
+        KeyScope::Zone
+    } else {
+        KeyScope::Cell
+    };
     Settings {
-        gateways: scenario.front_ends,
-        index: scenario.hedging.then_some(scenario.front_ends / 2),
+        front_ends: scenario.front_ends,
+        front_end_index: scenario.hedging.then_some(scenario.front_ends / 2),
         classes: vec![
-            class(Effect::Safe, Group::All, 400 * MS, 1.0),
-            class(Effect::Keyed, group, 800 * MS, 3.0),
-            class(Effect::Unsafe, Group::All, SEC, 2.0),
+            class(Idempotency::Idempotent, KeyScope::All, 400 * MS, 1.0),
+            class(Idempotency::Keyed, group, 800 * MS, 3.0),
+            class(Idempotency::NotIdempotent, KeyScope::All, SEC, 2.0),
         ],
-        tenants: if scenario.reports { vec![tenant(40.0), tenant(60.0)] } else { vec![] },
-        over_share_worth: 0.2,
+        tenants: if scenario.reports {
+            vec![tenant(40.0), tenant(60.0)]
+        } else {
+            vec![]
+        },
+        over_quota_weight: 0.2,
         kind_memory_mb: vec![4_000.0, 2_500.0],
-        keep: 8 * SEC,
-        load_on_absence: scenario.load_on_demand,
-        orders: true,
+        keep_alive: 8 * SEC,
+        load_on_demand: scenario.load_on_demand,
+        load_orders: true,
         order_timeout: 10 * SEC,
-        load_window: if scenario.hedging { 5 * SEC } else { 0 },
-        load_free: 4.0,
-        load_share: 0.2,
+        load_budget_window: if scenario.hedging { 5 * SEC } else { 0 },
+        load_budget_base: 4.0,
+        load_budget_per_request: 0.2,
         max_attempts: if scenario.hedging { 6 } else { 3 },
-        may_cancel: scenario.hedging || scenario.load_on_demand,
-        second_copies: scenario.hedging,
+        cancellation: scenario.hedging || scenario.load_on_demand,
+        hedging: scenario.hedging,
         max_retry_after: SEC,
-        cold_from: 0.25,
-        warm_within: 10 * SEC,
-        fall_multiple: 2.0,
-        fall_window: SEC,
-        ask_for_list: scenario.reports,
+        slow_start_from: 0.25,
+        slow_start_duration: 10 * SEC,
+        overload_multiple: 2.0,
+        overload_window: SEC,
+        watch_endpoints: scenario.reports,
         ..Settings::default()
     }
 }
@@ -139,9 +162,9 @@
         match action {
             Action::Send { .. } => self.sends += 1,
             Action::Cancel { .. } => self.cancels += 1,
-            Action::Refuse { .. } => self.rejections += 1,
+            Action::Reject { .. } => self.rejections += 1,
             Action::Fail { .. } => self.failures += 1,
-            Action::Load { count: 0, .. } => self.polls += 1,
+            Action::Load { replicas: 0, .. } => self.polls += 1,
             Action::Load { .. } => self.loads += 1,
             _ => {}
         }
@@ -161,7 +184,7 @@
     let mut actions = Vec::new();
     for step in 0..scenario.events {
         if step == scenario.events / 3 || step == scenario.events / 2 {
-            controller.stand_aside(step == scenario.events / 3);
+            controller.set_standby(step == scenario.events / 3);
         }
         if step == scenario.events * 2 / 3 {
             controller = Controller::new(settings(&scenario), scenario.seed + 1);
@@ -177,7 +200,7 @@
         }
         if step % 500 == 0 {
             (0..scenario.workers)
-                .for_each(|w| digest.byte(u8::from(controller.avoids(&format!("worker-{w}")))));
+                .for_each(|w| digest.byte(u8::from(controller.is_ejected(&format!("worker-{w}")))));
         }
     }
     (digest, counts)
@@ -202,12 +225,29 @@
 #[case::eight_busy(8, 8, true, true, true, true, 0xafed_f088_1f40_5804)]
 #[case::three_hundred_busy(300, 8, true, true, true, true, 0x7623_e376_d878_35a2)]
 fn decisions_of_a_stream_stay_the_same(
-    #[case] front_ends: u32, #[case] workers: usize, #[case] load_on_demand: bool, #[case] reports: bool,
-    #[case] hedging: bool, #[case] busy: bool, #[case] expected: u64,
+    #[case] front_ends: u32,
+    #[case] workers: usize,
+    #[case] load_on_demand: bool,
+    #[case] reports: bool,
+    #[case] hedging: bool,
+    #[case] busy: bool,
+    #[case] expected: u64,
 ) {
-    let scenario =
-        Scenario { seed: 1, front_ends, workers, load_on_demand, reports, hedging, busy, events: 12_000 };
+    let scenario = Scenario {
+        seed: 1,
+        front_ends,
+        workers,
+        load_on_demand,
+        reports,
+        hedging,
+        busy,
+        events: 12_000,
+    };
     let (digest, counts) = play(scenario);
     assert!(counts.exercises_the_module(), "{counts:?}");
-    assert_eq!(digest.0, expected, "digest {:#018x} of {counts:?}", digest.0);
+    assert_eq!(
+        digest.0, expected,
+        "digest {:#018x} of {counts:?}",
+        digest.0
+    );
 }
--- a/tests/world/mod.rs
+++ b/policy/tests/world/mod.rs
@@ -1,9 +1,9 @@
 //! A simulated deployment for the characterization test: clients, workers, faults and a clock, all drawn from one seed
 //! with integer arithmetic. It carries out the module's actions and feeds their results back as events.
-use bramblepath::*;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
 use std::collections::{BTreeMap, BTreeSet};
+use wrenseam_policy::*;
 
 const MS: Micros = 1_000;
 const SEC: Micros = 1_000_000;
@@ -128,8 +128,8 @@
         });
     }
 
-    fn entry(&self, worker: usize) -> Entry {
-        Entry {
+    fn entry(&self, worker: usize) -> Endpoint {
+        Endpoint {
             worker: format!("worker-{worker}"),
             state: self.workers[worker].state,
             started_at: self.workers[worker].started_at,
@@ -141,14 +141,29 @@
 
     fn announce_all(&mut self, at: Micros) {
         let listed = |w: &usize| self.workers[*w].state != WorkerState::Gone;
-        let entries = (0..self.workers.len()).filter(listed).map(|w| self.entry(w)).collect();
-        self.schedule(at, Event::Members { full: true, entries });
+        let entries = (0..self.workers.len())
+            .filter(listed)
+            .map(|w| self.entry(w))
+            .collect();
+        self.schedule(
+            at,
+            Event::EndpointUpdate {
+                complete: true,
+                endpoints: entries,
+            },
+        );
     }
 
     fn announce(&mut self, worker: usize, delay: Micros) {
         let entries = vec![self.entry(worker)];
         let at = self.now + delay;
-        self.schedule(at, Event::Members { full: false, entries });
+        self.schedule(
+            at,
+            Event::EndpointUpdate {
+                complete: false,
+                endpoints: entries,
+            },
+        );
     }
 
     /// The front end's process was replaced: nothing of before reaches the new one, and the list is sent anew.
@@ -157,7 +172,9 @@
         self.open.clear();
         self.cancelled.clear();
         self.requests.clear();
-        self.workers.iter_mut().for_each(|worker| worker.in_flight = 0);
+        self.workers
+            .iter_mut()
+            .for_each(|worker| worker.in_flight = 0);
         self.announce_all(self.now + MS);
     }
 
@@ -184,7 +201,15 @@
     /// Completes an event with what is known only when it happens; `None` where it does not happen any more.
     fn deliver(&mut self, mut event: Event) -> Option<Event> {
         match &mut event {
-            Event::Outcome { id, attempt, outcome, elapsed, closed, inflight, .. } => {
+            Event::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                elapsed,
+                request_closed: closed,
+                in_flight: inflight,
+                ..
+            } => {
                 let open = self.open.remove(&(*id, *attempt))?;
                 self.workers[open.worker].in_flight -= 1;
                 self.cancelled.remove(&(*id, *attempt));
@@ -192,12 +217,12 @@
                 let request = self.requests.get_mut(id)?;
                 request.finished |= *outcome == Outcome::Ok;
                 *closed = request.finished;
-                if self.scenario.reports && matches!(outcome, Outcome::Ok | Outcome::Full) {
+                if self.scenario.reports && matches!(outcome, Outcome::Ok | Outcome::Rejected) {
                     *inflight = Some(f64::from(self.workers[open.worker].in_flight));
                 }
                 Some(event)
             }
-            Event::Withdrawn { id } => {
+            Event::RequestCancelled { id } => {
                 let request = self.requests.get_mut(id)?;
                 let still_owed = !std::mem::replace(&mut request.finished, true);
                 still_owed.then_some(event)
@@ -221,7 +246,11 @@
         let skewed = self.draw(FUNCTIONS) * self.draw(FUNCTIONS) / FUNCTIONS;
         let period = self.now / TIMER_PERIOD;
         let on_timer = std::mem::replace(&mut self.timer_periods, period) != period;
-        let function = if on_timer { TIMED_FUNCTION + period % 2 } else { skewed };
+        let function = if on_timer {
+            TIMED_FUNCTION + period % 2
+        } else {
+            skewed
+        };
         let class = self.draw(4) as usize; // 3 is beyond the settings' classes
         let left = match self.draw(12) {
             0 => self.draw(40 * MS),
@@ -238,13 +267,20 @@
             class,
             tenant: [None, Some(0), Some(1), Some(9)][self.draw(4) as usize],
             function,
-            left,
+            time_left: left,
             memory_mb,
-            lanes: [REPLICA_CAPACITY, 1, 0][(function % 3) as usize],
+            concurrency: [REPLICA_CAPACITY, 1, 0][(function % 3) as usize],
             load_time: if function % 4 == 0 { 0 } else { LOAD_TIME },
             retry: self.draw(9) == 0,
         };
-        self.requests.insert(id, OpenRequest { function, attempts: 0, finished: false });
+        self.requests.insert(
+            id,
+            OpenRequest {
+                function,
+                attempts: 0,
+                finished: false,
+            },
+        );
         let now = self.now;
         if self.chance(200) {
             self.schedule(now, event.clone()); // an id that is in use already
@@ -252,7 +288,7 @@
         self.schedule(now, event);
         if self.chance(25) {
             let at = now + self.draw(SEC);
-            self.schedule(at, Event::Withdrawn { id });
+            self.schedule(at, Event::RequestCancelled { id });
         }
         if self.chance(150) {
             let token = self.draw(5_000);
@@ -295,7 +331,11 @@
             // A front end that stands still: nothing reaches it for a while.
             12 => {
                 let resumes = now + 500 * MS;
-                let held: Vec<_> = self.due.range(..(resumes, 0)).map(|(key, _)| *key).collect();
+                let held: Vec<_> = self
+                    .due
+                    .range(..(resumes, 0))
+                    .map(|(key, _)| *key)
+                    .collect();
                 for key in held {
                     let event = self.due.remove(&key).expect("listed above");
                     self.due.insert((resumes, key.1), event);
@@ -304,7 +344,9 @@
             }
             _ => self.restart(worker, announce_delay),
         }
-        let stopped: Vec<usize> = (0..self.workers.len()).filter(|w| !self.workers[*w].up).collect();
+        let stopped: Vec<usize> = (0..self.workers.len())
+            .filter(|w| !self.workers[*w].up)
+            .collect();
         if stopped.len() * 2 > self.workers.len() {
             self.restart(stopped[0], announce_delay);
         }
@@ -326,9 +368,14 @@
     /// Carries out one action of the module.
     pub fn carry_out(&mut self, action: &Action) {
         match action {
-            Action::Send { id, worker, timeout, .. } => self.send(*id, index_of(worker), *timeout),
+            Action::Send {
+                id,
+                worker,
+                timeout,
+                ..
+            } => self.send(*id, index_of(worker), *timeout),
             Action::Cancel { id, attempt } => self.cancel(*id, *attempt),
-            Action::Refuse { id, .. } | Action::Fail { id } => {
+            Action::Reject { id, .. } | Action::Fail { id } => {
                 if let Some(request) = self.requests.get_mut(id) {
                     request.finished = true;
                 }
@@ -337,39 +384,54 @@
                 let at = self.now.saturating_add(*delay).min(Micros::MAX / 4);
                 self.schedule(at, Event::Timer { token: *token });
             }
-            Action::Load { worker, function, count } => self.load(index_of(worker), *function, *count),
-            Action::Drop { worker, function } => {
+            Action::Load {
+                worker,
+                function,
+                replicas: count,
+            } => self.load(index_of(worker), *function, *count),
+            Action::Unload { worker, function } => {
                 self.workers[index_of(worker)].replicas.remove(function);
             }
-            Action::Watch | Action::Log { .. } => {}
+            Action::WatchEndpoints | Action::Log { .. } => {}
         }
     }
 
     fn send(&mut self, id: RequestId, worker: usize, timeout: Micros) {
         let now = self.now;
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         let (function, attempt) = (request.function, request.attempts);
         request.attempts += 1;
-        self.open.insert((id, attempt), OpenAttempt { worker, sent_at: now });
+        self.open.insert(
+            (id, attempt),
+            OpenAttempt {
+                worker,
+                sent_at: now,
+            },
+        );
         self.workers[worker].in_flight += 1;
         let (outcome, took, warm) = self.serve(worker, function, timeout);
         let depth = self.workers[worker].in_flight.min(30);
-        let reports = self.scenario.reports && matches!(outcome, Outcome::Ok | Outcome::Full);
-        let event = Event::Outcome {
+        let reports = self.scenario.reports && matches!(outcome, Outcome::Ok | Outcome::Rejected);
+        let event = Event::AttemptEnded {
             id,
             attempt,
             outcome,
             elapsed: 0,
-            closed: false,
-            warm: warm.filter(|_| reports),
-            crowd: (reports && depth > 1).then_some(depth - 1),
-            inflight: None,
+            request_closed: false,
+            replica_loaded: warm.filter(|_| reports),
+            queue_depth: (reports && depth > 1).then_some(depth - 1),
+            in_flight: None,
         };
         self.schedule(now + took.min(timeout), event);
     }
 
     fn serve(
-        &mut self, worker: usize, function: FunctionId, timeout: Micros,
+        &mut self,
+        worker: usize,
+        function: FunctionId,
+        timeout: Micros,
     ) -> (Outcome, Micros, Option<bool>) {
         let now = self.now;
         let fault = self.draw(120);
@@ -380,27 +442,39 @@
             return (Outcome::ConnectFailed, MS, None);
         }
         if process.silent_until > now {
-            return (if fault < 60 { Outcome::ConnectFailed } else { Outcome::Reset }, 250 * MS, None);
+            return (
+                if fault < 60 {
+                    Outcome::ConnectFailed
+                } else {
+                    Outcome::Reset
+                },
+                250 * MS,
+                None,
+            );
         }
         match fault {
             0 => return (Outcome::Error, 5 * MS, None),
             1 => return (Outcome::Reset, 20 * MS, None),
             2 => return (Outcome::Timeout, timeout, None),
-            3 => return (Outcome::Moot, MS, None),
+            3 => return (Outcome::NotSent, MS, None),
             _ => {}
         }
         if process.in_flight > 12 {
-            return (Outcome::Full, 2 * MS, None);
+            return (Outcome::Rejected, 2 * MS, None);
         }
         let warm = load == 0;
         if !warm && !self.scenario.load_on_demand {
-            return (Outcome::Miss, 2 * MS, None);
+            return (Outcome::NotLoaded, 2 * MS, None);
         }
         if !warm {
             process.loading.insert(function, now + load);
         }
         let took = load + service;
-        let outcome = if took > timeout { Outcome::Timeout } else { Outcome::Ok };
+        let outcome = if took > timeout {
+            Outcome::Timeout
+        } else {
+            Outcome::Ok
+        };
         (outcome, took, Some(warm))
     }
 
@@ -425,15 +499,15 @@
 
     fn cancel(&mut self, id: RequestId, attempt: usize) {
         if self.open.contains_key(&(id, attempt)) && self.cancelled.insert((id, attempt)) {
-            let event = Event::Outcome {
+            let event = Event::AttemptEnded {
                 id,
                 attempt,
                 outcome: Outcome::Cancelled,
                 elapsed: 0,
-                closed: false,
-                warm: None,
-                crowd: None,
-                inflight: None,
+                request_closed: false,
+                replica_loaded: None,
+                queue_depth: None,
+                in_flight: None,
             };
             let at = self.now + 2 * MS;
             self.schedule(at, event);
@@ -453,11 +527,11 @@
         } else if count == 0 {
             (Outcome::Ok, 2 * MS)
         } else if process.state != WorkerState::Ready {
-            (Outcome::Full, 2 * MS)
+            (Outcome::Rejected, 2 * MS)
         } else {
             match fault {
                 0 => (Outcome::Error, load + 2 * MS),
-                1 => (Outcome::Full, 2 * MS),
+                1 => (Outcome::Rejected, 2 * MS),
                 2 => (Outcome::Timeout, 10 * SEC),
                 _ => (Outcome::Ok, load + 2 * MS),
             }
@@ -466,10 +540,10 @@
         if loads {
             process.replicas.insert(function, count);
         }
-        let event = Event::Loaded {
+        let event = Event::LoadOrderEnded {
             worker: format!("worker-{worker}"),
             function,
-            count: if loads { count } else { standing },
+            replicas: if loads { count } else { standing },
             outcome,
             elapsed,
         };
@@ -478,5 +552,7 @@
 }
 
 fn index_of(worker: &str) -> usize {
-    worker["worker-".len()..].parse().expect("the world names its workers")
+    worker["worker-".len()..]
+        .parse()
+        .expect("the world names its workers")
 }
--- a/scalelab/src/seats.rs
+++ b/scalelab/src/seats.rs
@@ -3,8 +3,8 @@
 use crate::hollow::{Front, Popularity, Shape, MS, SEC, START};
 use crate::module::{base, told};
 use crate::{Column, Experiment, Sweep};
-use bramblepath::{Micros, WorkerState};
 use std::rc::Rc;
+use wrenseam_policy::{Micros, WorkerState};
 
 /// The experiments of this file.
 pub const EXPERIMENTS: &[Experiment] = &[
@@ -28,7 +28,7 @@
         sizes: &[10, 19, 38, 76, 152, 304],
         bound: 1_000,
         run: |sizes, seed| {
-            let miss = Shape { load_on_absence: false, workers: 2_000, ..base(seed) };
+            let miss = Shape { load_on_demand: false, workers: 2_000, ..base(seed) };
             let even = Shape { exponent: 0.0, offset: 0.0, ..miss.clone() };
             let alone = Shape { others: false, ..even.clone() };
             let vary = |s: &mut Shape, n| s.calls = n as f64;
@@ -46,7 +46,7 @@
         bound: 4_000,
         run: |sizes, seed| {
             let alone = Shape {
-                load_on_absence: false,
+                load_on_demand: false,
                 others: false,
                 workers: 2_000,
                 calls: 0.5,
@@ -54,7 +54,7 @@
                 offset: 0.0,
                 ..base(seed)
             };
-            let loads = Shape { load_on_absence: true, ..alone.clone() };
+            let loads = Shape { load_on_demand: true, ..alone.clone() };
             let vary = |s: &mut Shape, n| s.load = n * MS;
             Ok(vec![
                 first("load, ms", sizes, &loads, vary, (1_200, false)),
@@ -76,8 +76,10 @@
 /// What was sent to the workers of `cold` since they started, in order.
 fn sent(fronts: &mut [Front], cold: &[usize], started: Micros) -> Vec<Micros> {
     let logs = fronts.iter_mut().filter_map(|f| f.log.take()).flatten();
-    let mut times: Vec<_> =
-        logs.filter(|(_, w, call)| *call && cold.contains(w)).map(|l| l.0 - started).collect();
+    let mut times: Vec<_> = logs
+        .filter(|(_, w, call)| *call && cold.contains(w))
+        .map(|l| l.0 - started)
+        .collect();
     times.sort_unstable();
     times
 }
@@ -85,21 +87,34 @@
 /// The most that any span of the rule's length held, as a part of what the rule allows at its end.
 fn worst(shape: &Shape, times: &[Micros]) -> f64 {
     let (set, mut begin, mut worst) = (shape.settings(), 0, 0.0f64);
-    for (n, &t) in times.iter().enumerate().take_while(|(_, &t)| t < set.warm_within) {
-        while times[begin] + set.fall_window <= t {
+    for (n, &t) in times
+        .iter()
+        .enumerate()
+        .take_while(|(_, &t)| t < set.slow_start_duration)
+    {
+        while times[begin] + set.overload_window <= t {
             begin += 1;
         }
-        let share = set.cold_from + (1.0 - set.cold_from) * t as f64 / set.warm_within as f64;
-        let span = set.fall_window as f64 / SEC as f64;
-        worst = worst.max((n - begin + 1) as f64 / (set.fall_multiple * share * CAPACITY * span));
+        let share = set.slow_start_from
+            + (1.0 - set.slow_start_from) * t as f64 / set.slow_start_duration as f64;
+        let span = set.overload_window as f64 / SEC as f64;
+        worst =
+            worst.max((n - begin + 1) as f64 / (set.overload_multiple * share * CAPACITY * span));
     }
     worst
 }
 
 /// The first second after which two seconds held as much as this rate; [`SHOWN`] if none.
 fn reaches(times: &[Micros], rate: f64) -> f64 {
-    let within = |s: u64| times.iter().filter(|&&t| (s * SEC..(s + 2) * SEC).contains(&t)).count();
-    (0..SHOWN - 1).find(|&s| within(s) as f64 >= 2.0 * rate).unwrap_or(SHOWN) as f64
+    let within = |s: u64| {
+        times
+            .iter()
+            .filter(|&&t| (s * SEC..(s + 2) * SEC).contains(&t))
+            .count()
+    };
+    (0..SHOWN - 1)
+        .find(|&s| within(s) as f64 >= 2.0 * rate)
+        .unwrap_or(SHOWN) as f64
 }
 
 fn pressed(sizes: &[u64], seed: u64) -> Sweep {
@@ -113,16 +128,24 @@
             ..base(seed)
         };
         let popularity = Rc::new(Popularity::new(&shape));
-        let mut fronts: Vec<_> = (0..n as u32).map(|i| Front::at(&shape, &popularity, i, START)).collect();
+        let mut fronts: Vec<_> = (0..n as u32)
+            .map(|i| Front::at(&shape, &popularity, i, START))
+            .collect();
         for front in &mut fronts {
             front.list(false, &[0], WorkerState::Ready, START);
             front.log = Some(Vec::new());
             front.run(SHOWN * SEC);
         }
-        let (times, within) = (sent(&mut fronts, &[0], START), shape.settings().warm_within);
+        let (times, within) = (
+            sent(&mut fronts, &[0], START),
+            shape.settings().slow_start_duration,
+        );
         let cold = times.iter().filter(|&&t| t < within).count() as f64;
         let rate = cold / (within / SEC) as f64 / CAPACITY;
-        (n, vec![worst(&shape, &times), rate, reaches(&times, 0.9 * CAPACITY)])
+        (
+            n,
+            vec![worst(&shape, &times), rate, reaches(&times, 0.9 * CAPACITY)],
+        )
     };
     Sweep {
         title: format!(
@@ -149,7 +172,9 @@
             ..base(seed)
         };
         let popularity = Rc::new(Popularity::new(&shape));
-        let mut fronts: Vec<_> = (0..n as u32).map(|i| Front::at(&shape, &popularity, i, START)).collect();
+        let mut fronts: Vec<_> = (0..n as u32)
+            .map(|i| Front::at(&shape, &popularity, i, START))
+            .collect();
         let zone: Vec<usize> = (0..WORKERS).filter(|w| w % shape.zones == 0).collect();
         for front in &mut fronts {
             front.run(20 * SEC);
@@ -168,10 +193,20 @@
             front.run(SHOWN * SEC);
             refused += front.counts.refused + front.counts.failed - before;
         }
-        let (times, within) = (sent(&mut fronts, &zone, started), shape.settings().warm_within);
+        let (times, within) = (
+            sent(&mut fronts, &zone, started),
+            shape.settings().slow_start_duration,
+        );
         let cold = times.iter().filter(|&&t| t < within).count() as f64 / (within / SEC) as f64;
-        let after = times.iter().filter(|&&t| t >= within).count() as f64 / (SHOWN - within / SEC) as f64;
-        let row = vec![usual, cold / usual, after / usual, reaches(&times, 0.9 * usual), refused as f64];
+        let after =
+            times.iter().filter(|&&t| t >= within).count() as f64 / (SHOWN - within / SEC) as f64;
+        let row = vec![
+            usual,
+            cold / usual,
+            after / usual,
+            reaches(&times, 0.9 * usual),
+            refused as f64,
+        ];
         (n, row)
     };
     Sweep {
@@ -186,7 +221,10 @@
 
 /// First calls of a front end's first seconds, where one zone may be silent.
 fn first(
-    what: &'static str, sizes: &[u64], held: &Shape, vary: impl Fn(&mut Shape, u64),
+    what: &'static str,
+    sizes: &[u64],
+    held: &Shape,
+    vary: impl Fn(&mut Shape, u64),
     (seconds, silent): (u64, bool),
 ) -> Sweep {
     let row = |&n: &u64| {
@@ -194,7 +232,9 @@
         vary(&mut shape, n);
         let mut front = Front::new(&shape);
         if silent {
-            let zone: Vec<usize> = (0..shape.workers).filter(|w| w % shape.zones == 0).collect();
+            let zone: Vec<usize> = (0..shape.workers)
+                .filter(|w| w % shape.zones == 0)
+                .collect();
             front.lose(&zone);
         }
         front.run(seconds * SEC);
--- a/wrenseam/src/core/clock.rs
+++ b/wrenseam/src/clock.rs
@@ -1,6 +1,6 @@
 //! The module's clock: Unix microseconds at the start, then monotonic time.
-use bramblepath::Micros;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use wrenseam_policy::Micros;
 
 /// A clock that shares the epoch of the list's start times and never goes back.
 #[derive(Clone, Copy)]
@@ -12,8 +12,13 @@
 impl Clock {
     /// Starts now.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
-        Clock { unix, start: Instant::now() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_micros() as Micros);
+        Clock {
+            unix,
+            start: Instant::now(),
+        }
     }
 
     /// An instant on this clock.
--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -1,7 +1,6 @@
 //! The one thread that owns the decision module. Fronts, transports and the roster reach it through its
 //! queue only; it knows requests, attempts, outcomes and members, and no wire.
 mod attempts;
-mod clock;
 mod fleet;
 mod inspect;
 mod operate;
@@ -9,70 +8,31 @@
 mod requests;
 mod telemetry;
 mod timers;
-mod types;
 
-pub use clock::Clock;
 pub use fleet::Gate;
-pub use telemetry::{Ended, Gauges, Tally};
-pub use types::*;
+pub use telemetry::{Gauges, Tally};
 
-use crate::fleet::Lifecycle;
+use crate::clock::Clock;
+use crate::discovery::membership::Membership;
 use crate::limits::Limits;
-use crate::membership::Membership;
+use crate::model::{Answer, AttemptKey, AttemptReport, Client, Request};
 use crate::net::{DirectCalls, SystemCalls};
-use crate::worker::{GiveUp, Reports};
-use bramblepath::{Action, Controller, Event, Micros, Outcome, Settings, WorkerState, ZoneNames};
+use crate::process_state::ProcessState;
+use crate::queue::{CoreHandle, Message};
+use crate::worker::GiveUp;
 use peers::Peer;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
-use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::sync::Arc;
 use timers::{Due, Timers};
+use wrenseam_policy::{
+    Action, Controller, Event, Micros, Outcome, Settings, WorkerState, ZoneNames,
+};
 
 const SWEEP: Micros = 1_000_000; // period in which idle connections are looked for
 
 const LATE: Micros = 20_000; // more than an answer's margin: worth a line in the log
 
-/// What other parts may read of the core without asking it.
-#[derive(Default)]
-pub struct Shared {
-    /// Requests taken and not answered.
-    pub open: AtomicUsize,
-    /// Whether the core runs and has been told the list of workers.
-    pub ready: AtomicBool,
-    /// Whether the front end drains: readiness says no, client connections close once idle.
-    pub draining: Arc<AtomicBool>,
-    /// Whether the process is about to end: new requests on kept connections are refused at once.
-    pub stopping: AtomicBool,
-    /// Client connections held.
-    pub clients: Arc<AtomicUsize>,
-    /// A digest of the configuration in force.
-    pub config_digest: AtomicU64,
-    /// Whether the process is about to end and the fleet is to be told.
-    pub leaving: AtomicBool,
-    /// Whether the fleet has been told.
-    pub left: AtomicBool,
-    /// This front end's load summary for the fleet, as the core last wrote it.
-    pub summary: std::sync::Mutex<crate::fleet::Summary>,
-}
-
-impl Shared {
-    /// What this front end is doing, for the fleet.
-    pub fn lifecycle(&self) -> Lifecycle {
-        match () {
-            () if self.leaving.load(Ordering::Acquire) => Lifecycle::Leaving,
-            () if self.draining.load(Ordering::Acquire) => Lifecycle::Draining,
-            () if self.ready.load(Ordering::Acquire) => Lifecycle::Ready,
-            () => Lifecycle::Starting,
-        }
-    }
-
-    /// Whether the front end takes clients: the list is told and it does not drain. What `/healthz` says.
-    pub fn taking(&self) -> bool {
-        self.ready.load(Ordering::Acquire) && !self.draining.load(Ordering::Acquire)
-    }
-}
-
 struct Attempt {
     worker: String,
     sent: Micros,
@@ -108,8 +68,8 @@
     limits: Arc<Limits>,
     clock: Clock,
     queue: Receiver<Message>,
-    reports: Reports,
-    shared: Arc<Shared>,
+    reports: CoreHandle,
+    shared: Arc<ProcessState>,
     last: u64,
     /// When connections to workers were last looked at.
     pulsed: Micros,
@@ -135,8 +95,12 @@
 impl Core {
     /// A core that knows nothing yet.
     pub fn new(
-        settings: Settings, seed: u64, limits: Arc<Limits>, queue: Receiver<Message>, reports: Reports,
-        shared: Arc<Shared>,
+        settings: Settings,
+        seed: u64,
+        limits: Arc<Limits>,
+        queue: Receiver<Message>,
+        reports: CoreHandle,
+        shared: Arc<ProcessState>,
     ) -> Self {
         let counts = vec![Counts::default(); settings.tenants.len() + 1];
         let tally = Tally::new(settings.classes.len());
@@ -181,14 +145,17 @@
     /// Runs until every sender of the queue is gone.
     pub fn run(mut self) {
         self.timers.set(self.clock.now() + SWEEP, Due::Sweep);
-        self.timers.set(self.clock.now() + self.limits.link_check, Due::Pulse);
+        self.timers
+            .set(self.clock.now() + self.limits.link_check, Due::Pulse);
         loop {
             match self.queue.recv_timeout(self.timers.wait(self.clock.now())) {
                 Ok(message) => {
                     self.take(message);
                     // What else has come in is taken before timers: an answer that is here beats its time-out.
                     for _ in 0..256 {
-                        let Ok(message) = self.queue.try_recv() else { break };
+                        let Ok(message) = self.queue.try_recv() else {
+                            break;
+                        };
                         self.take(message);
                     }
                 }
@@ -199,7 +166,11 @@
             let late = self.timers.late(now);
             if late > LATE {
                 // Tells a starved machine from a fault of ours: answers owed in that time may have come late.
-                note!("core: ran {} ms late, {} requests open", late / 1000, self.requests.len());
+                note!(
+                    "core: ran {} ms late, {} requests open",
+                    late / 1000,
+                    self.requests.len()
+                );
             }
             while let Some(due) = self.timers.due(self.clock.now()) {
                 self.due(due);
@@ -210,33 +181,48 @@
 
     fn take(&mut self, message: Message) {
         match message {
-            Message::Request(request, client, tag) => self.request(request, client, tag),
-            Message::Withdrawn(connection, tag) => {
+            Message::Request {
+                request,
+                client,
+                tag,
+            } => self.request(request, client, tag),
+            Message::RequestCancelled { connection, tag } => {
                 if let Some(&id) = self.by_client.get(&(connection, tag)) {
                     self.withdrawn(id);
                 }
             }
-            Message::Hangup(connection) => {
+            Message::ClientDisconnected { connection } => {
                 let of = (connection, 0)..=(connection, u64::MAX);
                 let ids: Vec<u64> = self.by_client.range(of).map(|(_, &id)| id).collect();
                 ids.into_iter().for_each(|id| self.withdrawn(id));
             }
-            Message::Ended(key, report) => self.ended(key, report),
-            Message::Ordered(order, outcome, copies) => self.ordered(order, outcome, copies),
-            Message::Members { source, full, members } => self.members(source, full, members),
-            Message::Inspect(reply) => {
+            Message::AttemptEnded { key, report } => self.ended(key, report),
+            Message::LoadOrderEnded {
+                order,
+                outcome,
+                replicas: copies,
+            } => self.ordered(order, outcome, copies),
+            Message::EndpointUpdate {
+                source,
+                complete,
+                endpoints,
+            } => self.update_endpoints(source, complete, endpoints),
+            Message::Inspect { reply } => {
                 let _ = reply.send(self.inspect()); // who asked may have left
             }
-            Message::Tally(class, how) => {
+            Message::EndedAtFront { class, end: how } => {
                 let class = self.settings.class(&class);
                 self.tally.ended(class, how);
             }
-            Message::Excluded(set) => {
+            Message::Exclusions(set) => {
                 let changes = self.members.hand_over(set, self.clock.now());
                 self.apply(changes);
             }
-            Message::Aside(aside) => self.controller.stand_aside(aside),
-            Message::Admin(call, reply) => {
+            Message::Standby(aside) => self.controller.set_standby(aside),
+            Message::Admin {
+                command: call,
+                reply,
+            } => {
                 let _ = reply.send(self.call(call)); // who asked may have left
             }
             Message::Fleet(news) => {
@@ -244,7 +230,11 @@
                 if let Some(gate) = self.gate.as_mut() {
                     gate.news(now, news);
                     let summary = gate.summary(now, open);
-                    *self.shared.summary.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = summary;
+                    *self
+                        .shared
+                        .summary
+                        .lock()
+                        .unwrap_or_else(std::sync::PoisonError::into_inner) = summary;
                 }
             }
         }
@@ -252,9 +242,17 @@
     }
 
     fn ordered(&mut self, order: u64, outcome: Outcome, count: u32) {
-        let Some((worker, function, since)) = self.orders.remove(&order) else { return };
+        let Some((worker, function, since)) = self.orders.remove(&order) else {
+            return;
+        };
         let elapsed = self.clock.now().saturating_sub(since);
-        self.events.push_back(Event::Loaded { worker, function, count, outcome, elapsed });
+        self.events.push_back(Event::LoadOrderEnded {
+            worker,
+            function,
+            replicas: count,
+            outcome,
+            elapsed,
+        });
     }
 
     fn due(&mut self, due: Due) {
@@ -262,14 +260,21 @@
             Due::Module(token) => self.events.push_back(Event::Timer { token }),
             Due::Attempt(key) => {
                 // Guards against workers that vanish without a word: our own clock ends what is out there.
-                let open = self.requests.get(&key.request).and_then(|o| o.attempts.get(key.attempt));
+                let open = self
+                    .requests
+                    .get(&key.request)
+                    .and_then(|o| o.attempts.get(key.attempt));
                 if let Some(attempt) = open.filter(|a| a.open) {
                     let peer = self.peers.get_mut(&attempt.worker);
                     // What was taken back in time has not run: its class may allow more.
                     let given_up = peer.map_or(GiveUp::Unknown, |p| p.cancel(key));
                     let never_ran = given_up == GiveUp::NeverBegun;
-                    let outcome = if never_ran { Outcome::ConnectFailed } else { Outcome::Timeout };
-                    self.ended(key, Report::bare(outcome));
+                    let outcome = if never_ran {
+                        Outcome::ConnectFailed
+                    } else {
+                        Outcome::Timeout
+                    };
+                    self.ended(key, AttemptReport::without_payload(outcome));
                 }
             }
             Due::Order(order) => {
@@ -288,7 +293,10 @@
                 let (now, every) = (self.clock.now(), self.limits.link_check);
                 // Guards sound connections from our own stand-still: what came meanwhile is not read yet.
                 if now < self.pulsed + 2 * every {
-                    self.peers.values_mut().flat_map(Peer::each).for_each(|t| t.pulse());
+                    self.peers
+                        .values_mut()
+                        .flat_map(Peer::each)
+                        .for_each(|t| t.pulse());
                     self.trim(0);
                 }
                 self.pulsed = now;
@@ -297,7 +305,7 @@
             Due::Sweep => {
                 self.peers.values_mut().for_each(Peer::sweep);
                 // Guards memory: workers are replaced by new ones all day long.
-                let here = |p: &Peer| p.member.state != WorkerState::Gone || !p.is_idle();
+                let here = |p: &Peer| p.endpoint.state != WorkerState::Gone || !p.is_idle();
                 self.peers.retain(|id, p| {
                     let here = here(p);
                     if !here {
@@ -325,42 +333,59 @@
     fn act(&mut self, decided: Micros, action: Action) {
         let now = self.clock.now();
         match action {
-            Action::Send { id, worker, timeout, window } => {
+            Action::Send {
+                id,
+                worker,
+                timeout,
+                retry_window: window,
+            } => {
                 // Counted from the decision: this thread may have stood still since.
-                let whole_by = window.map(|window| self.clock.instant(decided.saturating_add(window)));
+                let whole_by =
+                    window.map(|window| self.clock.instant(decided.saturating_add(window)));
                 self.send(now, id, worker, (timeout, whole_by));
             }
-            Action::Cancel { id, attempt } => self.cancel(AttemptKey { request: id, attempt }),
-            Action::Refuse { id, retry_after } => {
-                self.answer(id, Answer::Refused { wait: retry_after });
+            Action::Cancel { id, attempt } => self.cancel(AttemptKey {
+                request: id,
+                attempt,
+            }),
+            Action::Reject { id, retry_after } => {
+                self.answer(id, Answer::Rejected { retry_after });
                 self.forget(id);
             }
             Action::Fail { id } => {
                 self.answer(id, Answer::Failed);
                 self.forget(id);
             }
-            Action::Timer { delay, token } => self.timers.set(now.saturating_add(delay), Due::Module(token)),
-            Action::Load { worker, function, count } => {
+            Action::Timer { delay, token } => self
+                .timers
+                .set(now.saturating_add(delay), Due::Module(token)),
+            Action::Load {
+                worker,
+                function,
+                replicas: count,
+            } => {
                 self.last += 1;
                 let order = self.last;
                 self.orders.insert(order, (worker.clone(), function, now));
                 // Guards rule 3 whatever the module thinks: no order to load goes to a worker that drains.
-                let may = |p: &&mut Peer| p.member.state == WorkerState::Ready || count == 0;
+                let may = |p: &&mut Peer| p.endpoint.state == WorkerState::Ready || count == 0;
                 let room = self.room(&worker);
                 match self.peers.get_mut(&worker).filter(may) {
-                    Some(_) if !room => self.reports.ordered(order, Outcome::Full, 0),
+                    Some(_) if !room => self.reports.load_order_ended(order, Outcome::Rejected, 0),
                     Some(peer) => peer.transport.order(order, function, count),
-                    None => self.reports.ordered(order, Outcome::ConnectFailed, 0),
+                    None => self
+                        .reports
+                        .load_order_ended(order, Outcome::ConnectFailed, 0),
                 }
                 self.timers.set(now + self.limits.order, Due::Order(order));
             }
-            Action::Drop { worker, function } => {
+            Action::Unload { worker, function } => {
                 if let Some(peer) = self.peers.get_mut(&worker) {
                     peer.transport.unload(function);
                 }
             }
             Action::Log { text } => note!("module: {text}"),
-            Action::Watch => {} // the board tells by itself
+            Action::WatchEndpoints => {} // the board tells by itself
         }
     }
 }
--- a/wrenseam/src/core/operate.rs
+++ b/wrenseam/src/core/operate.rs
@@ -1,29 +1,33 @@
 //! The core's answers to operators' calls. Whatever they change is decided here or in membership, without I/O.
-use super::{Call, Core, Gauges};
-use crate::membership::Unknown;
-use bramblepath::WorkerState;
+use super::{Core, Gauges};
+use crate::discovery::membership::Unknown;
+use crate::model::AdminCommand;
 use std::sync::atomic::Ordering;
+use wrenseam_policy::WorkerState;
 
 impl Core {
     /// The line (or lines) that answer a call.
-    pub(super) fn call(&mut self, call: Call) -> String {
+    pub(super) fn call(&mut self, call: AdminCommand) -> String {
         match call {
-            Call::Readyz => match (self.shared.draining.load(Ordering::Acquire), self.shared.taking()) {
+            AdminCommand::Readyz => match (
+                self.shared.draining.load(Ordering::Acquire),
+                self.shared.taking(),
+            ) {
                 (true, _) => "NO draining\n".to_owned(),
                 (false, false) => "NO starting\n".to_owned(),
                 (false, true) => "YES ready\n".to_owned(),
             },
-            Call::Evacuate => {
+            AdminCommand::Evacuate => {
                 self.evacuate();
                 "YES draining\n".to_owned()
             }
-            Call::Activate => {
+            AdminCommand::Activate => {
                 if self.shared.draining.swap(false, Ordering::AcqRel) {
                     eprintln!("admin: activate, clients are taken again");
                 }
                 "YES ready\n".to_owned()
             }
-            Call::Exclude(id) => match self.members.exclude(&id) {
+            AdminCommand::Exclude(id) => match self.members.exclude(&id) {
                 Ok(changes) => {
                     eprintln!("admin: exclude {id}, nothing new goes there");
                     self.apply(changes);
@@ -31,7 +35,7 @@
                 }
                 Err(Unknown) => format!("NO unknown {id}\n"),
             },
-            Call::Include(id) => match self.members.include(&id, self.clock.now()) {
+            AdminCommand::Include(id) => match self.members.include(&id, self.clock.now()) {
                 Ok(changes) => {
                     eprintln!("admin: include {id}, back as a new process");
                     self.apply(changes);
@@ -39,8 +43,13 @@
                 }
                 Err(Unknown) => format!("NO unknown {id}\n"),
             },
-            Call::Telemetry => {
-                let names: Vec<String> = self.settings.classes.iter().map(|c| c.name.clone()).collect();
+            AdminCommand::Telemetry => {
+                let names: Vec<String> = self
+                    .settings
+                    .classes
+                    .iter()
+                    .map(|c| c.name.clone())
+                    .collect();
                 let mut text = self.tally.text(&names, self.gauges());
                 if let Some(gate) = &self.gate {
                     // Before END, so that a reader that stops there has them.
@@ -56,10 +65,19 @@
     /// The gauges as they stand.
     fn gauges(&self) -> Gauges {
         let pending = self.requests.values().filter(|o| !o.answered).count();
-        let listed = || self.peers.values().filter(|p| p.member.state != WorkerState::Gone);
-        let avoided =
-            |p: &&super::Peer| p.member.state != WorkerState::Ready || self.controller.avoids(&p.member.id);
-        Gauges { pending, members: listed().count(), unavailable: listed().filter(avoided).count() }
+        let listed = || {
+            self.peers
+                .values()
+                .filter(|p| p.endpoint.state != WorkerState::Gone)
+        };
+        let avoided = |p: &&super::Peer| {
+            p.endpoint.state != WorkerState::Ready || self.controller.is_ejected(&p.endpoint.id)
+        };
+        Gauges {
+            pending,
+            members: listed().count(),
+            unavailable: listed().filter(avoided).count(),
+        }
     }
 
     /// Readiness turns to no; client connections close as soon as nothing is owed on them.
--- a/wrenseam/src/core/peers.rs
+++ b/wrenseam/src/core/peers.rs
@@ -1,14 +1,15 @@
 //! Members and the connections to them: what a change of the list does to both, and how many connections may stand.
-use super::{AttemptKey, Core, Member, Speech};
-use crate::membership::{Change, Duty};
+use super::Core;
+use crate::discovery::membership::{Change, Duty};
+use crate::model::{AttemptKey, Endpoint, TransportProtocol};
 use crate::worker::{pool, transport, GiveUp, Transport};
-use bramblepath::json::position;
-use bramblepath::{Entry, Event};
 use std::sync::atomic::Ordering;
+use wrenseam_policy::json::position;
+use wrenseam_policy::Event;
 
 /// A member, and the ways to it.
 pub(super) struct Peer {
-    pub(super) member: Member,
+    pub(super) endpoint: Endpoint,
     pub(super) transport: Box<dyn Transport>,
     /// The ways to where it stood before: they take nothing new, and stay until what is open there has ended.
     pub(super) former: Vec<Box<dyn Transport>>,
@@ -21,10 +22,12 @@
 
     /// Gives an attempt up, wherever it is.
     pub(super) fn cancel(&mut self, key: AttemptKey) -> GiveUp {
-        self.each().map(|t| t.cancel(key)).fold(GiveUp::Unknown, |found, told| match told {
-            GiveUp::Unknown => found,
-            told => told,
-        })
+        self.each()
+            .map(|t| t.cancel(key))
+            .fold(GiveUp::Unknown, |found, told| match told {
+                GiveUp::Unknown => found,
+                told => told,
+            })
     }
 
     pub(super) fn is_idle(&self) -> bool {
@@ -41,7 +44,11 @@
     /// Whether a call to this worker finds a connection or may open one: where descriptors run short, the
     /// connections idle longest close for it, whoever they lead to.
     pub(super) fn room(&mut self, worker: &str) -> bool {
-        if !self.peers.get(worker).is_some_and(|p| p.transport.connections().1) {
+        if !self
+            .peers
+            .get(worker)
+            .is_some_and(|p| p.transport.connections().1)
+        {
             return true;
         }
         self.trim(1)
@@ -56,7 +63,10 @@
         if over == 0 {
             return true;
         }
-        let idle = self.peers.iter().filter_map(|(id, p)| Some((id.clone(), p.transport.idle_since()?)));
+        let idle = self
+            .peers
+            .iter()
+            .filter_map(|(id, p)| Some((id.clone(), p.transport.idle_since()?)));
         let closed = pool::longest_idle(idle.collect(), over);
         for id in &closed {
             if let Some(peer) = self.peers.get_mut(id) {
@@ -66,8 +76,13 @@
         closed.len() == over
     }
 
-    pub(super) fn members(&mut self, source: Speech, full: bool, members: Vec<Member>) {
-        let changes = self.members.take(source, full, members);
+    pub(super) fn update_endpoints(
+        &mut self,
+        source: TransportProtocol,
+        complete: bool,
+        endpoints: Vec<Endpoint>,
+    ) {
+        let changes = self.members.take(source, complete, endpoints);
         self.apply(changes);
         self.shared.ready.store(true, Ordering::Release);
     }
@@ -76,7 +91,7 @@
     pub(super) fn apply(&mut self, changes: Vec<Change>) {
         let mut entries = Vec::new();
         for Change { member, duty } in changes {
-            entries.push(Entry {
+            entries.push(wrenseam_policy::Endpoint {
                 worker: member.id.clone(),
                 state: member.state,
                 started_at: member.started_at,
@@ -84,26 +99,45 @@
                 kind: position(&self.settings.kinds, Some(&member.kind)),
                 cell: member.cell,
             });
-            eprintln!("member {}: {:?} at {}", member.id, member.state, member.address);
+            eprintln!(
+                "member {}: {:?} at {}",
+                member.id, member.state, member.address
+            );
             let mut former = Vec::new();
             if let Some(mut peer) = self.peers.remove(&member.id) {
                 if duty != Duty::Keep {
                     peer.transport.retire();
                 }
                 if duty != Duty::Reach {
-                    peer.member = member;
-                    self.peers.insert(peer.member.id.clone(), peer);
+                    peer.endpoint = member;
+                    self.peers.insert(peer.endpoint.id.clone(), peer);
                     continue;
                 }
                 // What is open at its former place ends there, and cancels find it.
                 former = peer.former;
                 former.push(peer.transport);
             }
-            let to = transport(member.speech, member.address, &self.limits, &self.reports, &self.calls);
-            self.peers.insert(member.id.clone(), Peer { member, transport: to, former });
+            let to = transport(
+                member.protocol,
+                member.address,
+                &self.limits,
+                &self.reports,
+                &self.calls,
+            );
+            self.peers.insert(
+                member.id.clone(),
+                Peer {
+                    endpoint: member,
+                    transport: to,
+                    former,
+                },
+            );
         }
         if !entries.is_empty() {
-            self.events.push_back(Event::Members { full: false, entries });
+            self.events.push_back(Event::EndpointUpdate {
+                complete: false,
+                endpoints: entries,
+            });
         }
     }
 }
--- a/wrenseam/src/fleet/shed.rs
+++ b/wrenseam/src/fleet/shed.rs
@@ -1,7 +1,7 @@
 //! Shedding by class in common: under overload every front end refuses the same classes first, in the order
 //! of the settings, by as much as the fleet's pressure asks, so that the refused fraction converges across
 //! front ends. No I/O; time is handed in, in microseconds, and chance comes from a seeded generator.
-use bramblepath::Micros;
+use wrenseam_policy::Micros;
 
 /// Decides which arriving requests are refused at once.
 ///
@@ -32,7 +32,13 @@
         }
         // One slot a rank, and one for the classes that are never shed: they count in the whole.
         let ranks = rank.iter().flatten().count();
-        Shedder { rank, arrivals: vec![0.0; ranks + 1], decay_for: decay_for.max(1), last: 0, refuse: 0.0 }
+        Shedder {
+            rank,
+            arrivals: vec![0.0; ranks + 1],
+            decay_for: decay_for.max(1),
+            last: 0,
+            refuse: 0.0,
+        }
     }
 
     /// The fleet's pressure at `now`, in thousandths of capacity.
--- a/wrenseam/src/fleet/traffic.rs
+++ b/wrenseam/src/fleet/traffic.rs
@@ -1,5 +1,5 @@
 //! One budget of bytes a second for all that a front end gossips, and the bytes by kind. No I/O; time is handed in.
-use bramblepath::Micros;
+use wrenseam_policy::Micros;
 
 /// Bytes a second that a front end sends on average at the most: with as many received, and [`BURST`] besides,
 /// the worst second stays under 22 KB.
@@ -79,7 +79,12 @@
 impl Default for Traffic {
     fn default() -> Self {
         let none = [0; TrafficKind::ALL.len()];
-        Traffic { tokens: BURST, at: 0, sent: none, held_back: none }
+        Traffic {
+            tokens: BURST,
+            at: 0,
+            sent: none,
+            held_back: none,
+        }
     }
 }
 
@@ -88,7 +93,9 @@
     pub fn admit(&mut self, now: Micros, kind: TrafficKind, bytes: usize) -> bool {
         self.refill(now);
         let size = bytes as i64;
-        let admitted = kind.reserve().is_none_or(|reserve| self.tokens - size >= reserve);
+        let admitted = kind
+            .reserve()
+            .is_none_or(|reserve| self.tokens - size >= reserve);
         if admitted {
             // What always goes may overdraw, up to a second's worth: the others then wait for that long.
             self.tokens = (self.tokens - size).max(-RATE);
--- a/wrenseam/src/worker/frames/reader.rs
+++ b/wrenseam/src/worker/frames/reader.rs
@@ -1,23 +1,28 @@
 //! The reading side of one connection to a worker: answers, each to the exchange that it belongs to.
-use super::super::Reports;
 use super::codec::{outcome, Decoder};
 use super::connection::{State, What};
-use crate::core::{Payload, Report};
 use crate::limits::Limits;
+use crate::model::{AttemptReport, Payload};
 use crate::net::{receive, timed_out, Received};
+use crate::queue::CoreHandle;
 use crate::ring::Ring;
-use bramblepath::{never_ran, Outcome};
 use may::net::TcpStream;
 use std::net::Shutdown;
 use std::sync::atomic::Ordering;
 use std::time::Instant;
+use wrenseam_policy::Outcome;
 
 /// Reads answers until the connection ends.
 pub(super) fn read_answers(
-    mut stream: TcpStream, state: &State, reports: &Reports, limits: &Limits,
+    mut stream: TcpStream,
+    state: &State,
+    reports: &CoreHandle,
+    limits: &Limits,
 ) -> Result<(), String> {
     let (mut ring, mut decoder) = (Ring::new(limits.worker_ring), Decoder::default());
-    stream.set_read_timeout(Some(limits.frame_stall)).map_err(|e| e.to_string())?;
+    stream
+        .set_read_timeout(Some(limits.frame_stall))
+        .map_err(|e| e.to_string())?;
     let end = loop {
         let asked = Instant::now();
         match receive(&mut ring, &mut stream) {
@@ -50,19 +55,27 @@
 }
 
 fn answers(
-    decoder: &mut Decoder, ring: &mut Ring, state: &State, reports: &Reports, most: usize,
+    decoder: &mut Decoder,
+    ring: &mut Ring,
+    state: &State,
+    reports: &CoreHandle,
+    most: usize,
 ) -> Result<(), String> {
     while let Some(frame) = decoder.next(ring, most)? {
         let outcome = outcome(frame.code).ok_or_else(|| format!("code {}", frame.code))?;
         // Guards against a spoilt code, which the check does not cover: what never ran has no body.
-        if never_ran(outcome) && !frame.body.is_empty() {
+        if outcome.proves_not_executed() && !frame.body.is_empty() {
             return Err(format!("a body behind code {}", frame.code));
         }
         let exchange = {
             let mut table = state.table.lock().map_err(|_| "poisoned")?;
             table.heard = Some(Instant::now());
             // Guards against an answer to a frame that is not wholly out: the rest of it would follow, and might run.
-            if table.open.get(&frame.id).is_some_and(|e| e.end > state.progress.bytes()) {
+            if table
+                .open
+                .get(&frame.id)
+                .is_some_and(|e| e.end > state.progress.bytes())
+            {
                 return Err("an answer to what was not written".to_owned());
             }
             table.open.remove(&frame.id)
@@ -73,7 +86,9 @@
         state.load.fetch_sub(1, Ordering::AcqRel);
         let number = |name: &str| frame.field(name).and_then(|v| v.parse().ok());
         match exchange.what {
-            What::Order(order) => reports.ordered(order, outcome, number("slots_up").unwrap_or(0)),
+            What::Order(order) => {
+                reports.load_order_ended(order, outcome, number("slots_up").unwrap_or(0))
+            }
             What::Probe => {}
             What::Attempt(key) => {
                 let warm = match frame.field("detail") {
@@ -81,10 +96,18 @@
                     Some("booted" | "rode") => Some(false),
                     _ => None,
                 };
-                let told = matches!(outcome, Outcome::Ok | Outcome::Full);
+                let told = matches!(outcome, Outcome::Ok | Outcome::Rejected);
                 let crowd = if told { number("company") } else { None };
                 let payload = (outcome == Outcome::Ok).then_some(Payload::Bytes(frame.body));
-                reports.ended(key, Report { outcome, warm, crowd, payload });
+                reports.attempt_ended(
+                    key,
+                    AttemptReport {
+                        outcome,
+                        replica_loaded: warm,
+                        queue_depth: crowd,
+                        payload,
+                    },
+                );
             }
         }
     }
--- a/wrenseam/src/worker/kserve/lane.rs
+++ b/wrenseam/src/worker/kserve/lane.rs
@@ -1,20 +1,20 @@
 //! One connection to a v2 worker: an exchange at a time, and what is known of each when the connection ends.
 use super::super::ticket::{Begin, LOOK_AGAIN};
-use super::super::Reports;
 use super::messages::{attempt_report, named, order_report, Named, Reply};
 use super::{Job, State, What};
-use crate::core::Report;
 use crate::http::{Chunked, Coded, Head};
 use crate::limits::Limits;
+use crate::model::AttemptReport;
 use crate::net::{back, pause, receive, timed_out, Failure, Received, SystemCalls};
+use crate::queue::CoreHandle;
 use crate::ring::Ring;
-use bramblepath::Outcome;
 use may::net::TcpStream;
 use may::sync::mpmc::Receiver;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use wrenseam_policy::Outcome;
 
 /// A connection that stands idle, and since when.
 pub(super) struct Kept {
@@ -33,7 +33,7 @@
 pub(super) struct Lane {
     pub(super) address: SocketAddr,
     pub(super) limits: Arc<Limits>,
-    pub(super) reports: Reports,
+    pub(super) reports: CoreHandle,
     pub(super) calls: Arc<dyn SystemCalls>,
     pub(super) state: Arc<State>,
     pub(super) stream: Option<Kept>,
@@ -66,16 +66,16 @@
             What::Attempt(key, call) => {
                 let report = match ended {
                     Ok(reply) => attempt_report(reply, call.wrapped),
-                    Err(outcome) => Report::bare(outcome),
+                    Err(outcome) => AttemptReport::without_payload(outcome),
                 };
-                self.reports.ended(*key, report);
+                self.reports.attempt_ended(*key, report);
             }
             What::Order(order, function, copies) => {
                 let (outcome, stand) = match ended {
                     Ok(reply) => order_report(&reply, *function, *copies),
                     Err(outcome) => (outcome, 0),
                 };
-                self.reports.ordered(*order, outcome, stand);
+                self.reports.load_order_ended(*order, outcome, stand);
             }
             What::Unload => {}
         }
@@ -101,7 +101,7 @@
     /// Sends the request and reads the whole answer, or tells how far it came.
     fn exchange(&mut self, job: &Job) -> Result<Reply, Outcome> {
         if self.withheld(job) {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         let mut stream = match &job.what {
             What::Attempt(..) => self.begun_stream(job)?,
@@ -121,14 +121,20 @@
             What::Order(..) | What::Unload => Named::None,
         };
         if named == Named::Another {
-            note!("worker {}: answer lost: one to another call came", self.address);
+            note!(
+                "worker {}: answer lost: one to another call came",
+                self.address
+            );
             return Err(Outcome::Reset); // nothing is known of this one
         }
         // Only an answer that names its call leaves the connection to another. Were a second one to come late, the next
         // call would else take it for its own, and its own would reach the call after it: a refusal among them proves
         // of the wrong call that it never ran.
         if reusable && reply.status == 200 && named == Named::This {
-            self.stream = Some(Kept { stream, since: Instant::now() });
+            self.stream = Some(Kept {
+                stream,
+                since: Instant::now(),
+            });
         }
         Ok(reply)
     }
@@ -138,7 +144,7 @@
         if let Some(kept) = self.stream.take().filter(|kept| kept.usable(&self.limits)) {
             if !self.begin(job) {
                 self.stream = Some(kept);
-                return Err(Outcome::Moot);
+                return Err(Outcome::NotSent);
             }
             // What came while the job waited to be begun is no answer to it.
             if kept.usable(&self.limits) {
@@ -158,7 +164,7 @@
         if self.begin(job) {
             Ok(stream)
         } else {
-            Err(Outcome::Moot)
+            Err(Outcome::NotSent)
         }
     }
 
@@ -170,7 +176,8 @@
     }
 
     fn write(&self, stream: &TcpStream, job: &Job) -> Result<(), Outcome> {
-        let (mut ring, mut rest, mut stalled) = (Ring::new(job.bytes.len()), &job.bytes[..], Duration::ZERO);
+        let (mut ring, mut rest, mut stalled) =
+            (Ring::new(job.bytes.len()), &job.bytes[..], Duration::ZERO);
         let nap = self.limits.write_check / 10;
         rest = &rest[ring.push(rest)..];
         debug_assert!(rest.is_empty());
@@ -189,7 +196,7 @@
                     pause(nap);
                     stalled += nap;
                     if whole && !self.begin(job) {
-                        return Err(Outcome::Moot);
+                        return Err(Outcome::NotSent);
                     }
                     if job.ticket.is_overdue(Instant::now()) {
                         return Err(Outcome::ConnectFailed); // it never comes whole: the connection ends here
@@ -222,7 +229,14 @@
                 if whole {
                     let reusable = !known.close && !known.chunked && ring.is_empty();
                     let (status, retry_after) = (known.status, known.retry_after);
-                    return Ok((Reply { status, body, retry_after }, reusable));
+                    return Ok((
+                        Reply {
+                            status,
+                            body,
+                            retry_after,
+                        },
+                        reusable,
+                    ));
                 }
                 if body.len() > self.limits.answer {
                     return Err("the answer is too long".to_owned());
@@ -240,7 +254,9 @@
                     return Err("the head is too long".to_owned());
                 }
             }
-            if told.is_some() && (!ring.is_empty() || told.as_ref().is_some_and(|t| t.length == Some(0))) {
+            if told.is_some()
+                && (!ring.is_empty() || told.as_ref().is_some_and(|t| t.length == Some(0)))
+            {
                 continue;
             }
             match receive(&mut ring, stream)? {
--- a/wrenseam/src/worker/kserve/messages.rs
+++ b/wrenseam/src/worker/kserve/messages.rs
@@ -1,9 +1,9 @@
 //! The messages of KServe v2 as JSON, and what answers say of calls and orders. No sockets.
-use crate::core::{Payload, Report, Request};
+use crate::model::{AttemptReport, Payload, Request};
 use base64::{engine::general_purpose::STANDARD, Engine};
-use bramblepath::json::{as_text, list, object, parse, part, text, whole};
-use bramblepath::{FunctionId, Micros, Outcome};
 use miniserde::json::{self, Array, Number, Object, Value};
+use wrenseam_policy::json::{as_text, list, object, parse, part, text, whole};
+use wrenseam_policy::{FunctionId, Micros, Outcome};
 
 fn map(fields: Vec<(&str, Value)>) -> Value {
     Value::Object(fields.into_iter().map(|(k, v)| (k.to_owned(), v)).collect())
@@ -39,9 +39,14 @@
         ("class", word(&request.class)),
         ("tenant", word(&request.tenant)),
         ("wait_ms", Value::Number(Number::U64(budget / 1000))),
-        ("retry", Value::Bool(request.retry)),
+        ("retry", Value::Bool(request.is_retry)),
     ];
-    told.extend(request.token.as_deref().map(|t| ("token", word(t))));
+    told.extend(
+        request
+            .idempotency_key
+            .as_deref()
+            .map(|t| ("token", word(t))),
+    );
     let call = map(vec![
         ("id", word(&format!("{:016x}", request.wire_id))),
         ("parameters", map(told)),
@@ -64,7 +69,10 @@
 
 /// The body of an order to hold copies.
 pub(super) fn hold(copies: u32) -> String {
-    let told = map(vec![("slots_up", Value::Number(Number::U64(copies.into())))]);
+    let told = map(vec![(
+        "slots_up",
+        Value::Number(Number::U64(copies.into())),
+    )]);
     json::to_string(&map(vec![("parameters", told)]))
 }
 
@@ -86,9 +94,9 @@
 fn outcome(reply: &Reply) -> Outcome {
     match reply.status {
         200 => Outcome::Ok,
-        404 => Outcome::Miss,
-        429 => Outcome::Full,
-        503 if reply.retry_after => Outcome::Full,
+        404 => Outcome::NotLoaded,
+        429 => Outcome::Rejected,
+        503 if reply.retry_after => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
@@ -107,7 +115,12 @@
 /// Which call an answer names, as seen from the call with this id.
 pub(super) fn named(reply: &Reply, wire_id: u64) -> Named {
     let whole = fields(&reply.body);
-    match whole.as_ref().and_then(object).and_then(|answer| text(answer, "id")).and_then(hex_id) {
+    match whole
+        .as_ref()
+        .and_then(object)
+        .and_then(|answer| text(answer, "id"))
+        .and_then(hex_id)
+    {
         Some(id) if id == wire_id => Named::This,
         Some(_) => Named::Another,
         None => Named::None,
@@ -120,7 +133,7 @@
     fits.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
-pub(super) fn attempt_report(reply: Reply, foreign: bool) -> Report {
+pub(super) fn attempt_report(reply: Reply, foreign: bool) -> AttemptReport {
     let whole = fields(&reply.body);
     let answer = whole.as_ref().and_then(object);
     let told = answer.and_then(|a| part(a, "parameters"));
@@ -129,7 +142,9 @@
         Some("booted" | "rode") => Some(false),
         _ => None,
     };
-    let crowd = told.and_then(|t| bramblepath::json::whole(t, "company")).map(|n| n.min(1 << 16) as u32);
+    let crowd = told
+        .and_then(|t| wrenseam_policy::json::whole(t, "company"))
+        .map(|n| n.min(1 << 16) as u32);
     let mut outcome = outcome(&reply);
     let payload = match outcome {
         Outcome::Ok if foreign => answer.and_then(unwrap_answer).map(Payload::Bytes),
@@ -139,21 +154,46 @@
     if outcome == Outcome::Ok && payload.is_none() {
         outcome = Outcome::Error; // it ran, but what it said cannot be passed on
     }
-    Report { outcome, warm, crowd, payload }
+    AttemptReport {
+        outcome,
+        replica_loaded: warm,
+        queue_depth: crowd,
+        payload,
+    }
 }
 
 pub(super) fn order_report(reply: &Reply, function: FunctionId, copies: u32) -> (Outcome, u32) {
     let (outcome, whole_body) = (outcome(reply), fields(&reply.body));
     let copies_told = |o: &Object| whole(o, "slots_up").map(|n| n.min(1 << 16) as u32);
     if copies > 0 {
-        let told =
-            whole_body.as_ref().and_then(object).and_then(|o| part(o, "parameters").and_then(copies_told));
-        let stand = if outcome == Outcome::Ok { told.unwrap_or(copies) } else { told.unwrap_or(0) };
-        return (if outcome == Outcome::Miss { Outcome::Error } else { outcome }, stand);
+        let told = whole_body
+            .as_ref()
+            .and_then(object)
+            .and_then(|o| part(o, "parameters").and_then(copies_told));
+        let stand = if outcome == Outcome::Ok {
+            told.unwrap_or(copies)
+        } else {
+            told.unwrap_or(0)
+        };
+        return (
+            if outcome == Outcome::NotLoaded {
+                Outcome::Error
+            } else {
+                outcome
+            },
+            stand,
+        );
     }
     let name = format!("{function:016x}");
     let Some(Value::Array(models)) = &whole_body else {
-        return (if outcome == Outcome::Ok { Outcome::Error } else { outcome }, 0);
+        return (
+            if outcome == Outcome::Ok {
+                Outcome::Error
+            } else {
+                outcome
+            },
+            0,
+        );
     };
     let ready = |m: &&Object| text(m, "name") == Some(&name) && text(m, "state") == Some("READY");
     let stand = models
--- a/wrenseam/tests/link/mod.rs
+++ b/wrenseam/tests/link/mod.rs
@@ -1,20 +1,29 @@
 //! What tests of transports share: a worker's side of the connections, written from the specification.
 #![allow(dead_code)]
-use bramblepath::{Outcome, Settings};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
-use wrenseam::core::{AttemptKey, Message, Payload, Request};
 use wrenseam::limits::Limits;
+use wrenseam::model::{AttemptKey, Payload, Request};
+use wrenseam::queue::{CoreHandle, Message};
 use wrenseam::worker::frames::{encode, Frames};
 use wrenseam::worker::kserve::Kserve;
-use wrenseam::worker::{Reports, Transport};
+use wrenseam::worker::Transport;
+use wrenseam_policy::{Outcome, Settings};
 
 /// A worker whose next connection comes up only once those that fill its queue are taken.
 pub fn late_worker() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("bound");
+    let socket =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    socket
+        .bind(
+            &"127.0.0.1:0"
+                .parse::<SocketAddr>()
+                .expect("an address")
+                .into(),
+        )
+        .expect("bound");
     socket.listen(0).expect("listens");
     let listener = TcpListener::from(socket);
     let address = listener.local_addr().expect("bound");
@@ -41,17 +50,25 @@
 }
 
 /// A transport of frames with changed limits, and what it reports.
-pub fn transport(address: SocketAddr, change: impl FnOnce(&mut Limits)) -> (Frames, mpsc::Receiver<Message>) {
+pub fn transport(
+    address: SocketAddr,
+    change: impl FnOnce(&mut Limits),
+) -> (Frames, mpsc::Receiver<Message>) {
     let (queue, reports) = mpsc::channel();
-    (Frames::new(address, limits(change), Reports(queue)), reports)
+    (
+        Frames::new(address, limits(change), CoreHandle::new(queue)),
+        reports,
+    )
 }
 
 /// A transport of either protocol with changed limits, and what it reports.
 pub fn transport_of(
-    protocol: Protocol, address: SocketAddr, change: impl FnOnce(&mut Limits),
+    protocol: Protocol,
+    address: SocketAddr,
+    change: impl FnOnce(&mut Limits),
 ) -> (Box<dyn Transport>, mpsc::Receiver<Message>) {
     let (queue, reports) = mpsc::channel();
-    let (limits, reporting) = (limits(change), Reports(queue));
+    let (limits, reporting) = (limits(change), CoreHandle::new(queue));
     let transport: Box<dyn Transport> = match protocol {
         Protocol::Frames => Box::new(Frames::new(address, limits, reporting)),
         Protocol::Kserve => Box::new(Kserve::new(address, limits, reporting)),
@@ -66,16 +83,16 @@
         class: "c".to_owned(),
         tenant: "t".to_owned(),
         function: 7,
-        wait: 20_000_000,
-        read_at: Instant::now(),
-        token: None,
-        retry: false,
+        timeout: 20_000_000,
+        received_at: Instant::now(),
+        idempotency_key: None,
+        is_retry: false,
         memory_mb: 0.0,
-        lanes: 0,
+        concurrency: 0,
         load_time: 0,
         payload: Payload::Bytes(b"body".to_vec()),
-        held: None,
-        gone: Arc::default(),
+        reserved_bytes: None,
+        client_gone: Arc::default(),
         client_probe: None,
     })
 }
@@ -86,8 +103,13 @@
     stream.read_exact(&mut head).expect("a frame");
     let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
     let body = u32::from_be_bytes(head[4..8].try_into().expect("four")) as usize;
-    stream.read_exact(&mut vec![0; fields + body + 4]).expect("the rest of it");
-    (u64::from_be_bytes(head[8..].try_into().expect("eight")), head[1])
+    stream
+        .read_exact(&mut vec![0; fields + body + 4])
+        .expect("the rest of it");
+    (
+        u64::from_be_bytes(head[8..].try_into().expect("eight")),
+        head[1],
+    )
 }
 
 /// Answers an exchange.
@@ -100,11 +122,18 @@
 /// The next end that is reported: the attempt's number, `usize::MAX` for an order.
 pub fn outcome(reports: &mpsc::Receiver<Message>) -> (usize, Outcome) {
     match reports.recv_timeout(Duration::from_secs(20)) {
-        Ok(Message::Ended(key, report)) => (key.attempt, report.outcome),
-        Ok(Message::Ordered(_, outcome, _)) => (usize::MAX, outcome),
+        Ok(Message::AttemptEnded { key, report }) => (key.attempt, report.outcome),
+        Ok(Message::LoadOrderEnded {
+            order: _,
+            outcome,
+            replicas: _,
+        }) => (usize::MAX, outcome),
         _ => panic!("nothing ended"),
     }
 }
 
 /// The first attempt of the first request.
-pub const FIRST: AttemptKey = AttemptKey { request: 1, attempt: 0 };
+pub const FIRST: AttemptKey = AttemptKey {
+    request: 1,
+    attempt: 0,
+};
--- a/wrenseam/tests/mute.rs
+++ b/wrenseam/tests/mute.rs
@@ -1,15 +1,16 @@
 //! When a connection counts as mute, whatever holds the scheduler up meanwhile.
-use bramblepath::{Outcome, Settings};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Sender};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
-use wrenseam::core::{AttemptKey, Message, Payload, Request};
 use wrenseam::limits::Limits;
+use wrenseam::model::{AttemptKey, Payload, Request};
+use wrenseam::queue::{CoreHandle, Message};
 use wrenseam::worker::frames::{encode, Frames};
-use wrenseam::worker::{Reports, Terms, Transport};
+use wrenseam::worker::{Terms, Transport};
+use wrenseam_policy::{Outcome, Settings};
 
 const CALL: u8 = 2;
 const HOLD: u8 = 6;
@@ -21,16 +22,16 @@
         class: "c".to_owned(),
         tenant: "t".to_owned(),
         function: 7,
-        wait: 60_000_000,
-        read_at: Instant::now(),
-        token: None,
-        retry: false,
+        timeout: 60_000_000,
+        received_at: Instant::now(),
+        idempotency_key: None,
+        is_retry: false,
         memory_mb: 0.0,
-        lanes: 0,
+        concurrency: 0,
         load_time: 0,
         payload: Payload::Bytes(Vec::new()),
-        held: None,
-        gone: Arc::default(),
+        reserved_bytes: None,
+        client_gone: Arc::default(),
         client_probe: None,
     })
 }
@@ -40,8 +41,13 @@
     let mut head = [0; 16];
     stream.read_exact(&mut head).expect("a frame");
     let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
-    stream.read_exact(&mut vec![0; fields + 4]).expect("the rest of it, without a body");
-    (u64::from_be_bytes(head[8..].try_into().expect("eight")), head[1])
+    stream
+        .read_exact(&mut vec![0; fields + 4])
+        .expect("the rest of it, without a body");
+    (
+        u64::from_be_bytes(head[8..].try_into().expect("eight")),
+        head[1],
+    )
 }
 
 fn say(stream: &mut TcpStream, id: u64, fields: &str) {
@@ -68,7 +74,8 @@
 #[case::before_the_answer_is_read(Some(true), Outcome::Ok)]
 #[case::never_and_no_answer_comes(None, Outcome::Reset)]
 fn a_connection_ends_if_its_worker_is_mute_and_not_if_we_are_held_up(
-    #[case] held: Option<bool>, #[case] end: Outcome,
+    #[case] held: Option<bool>,
+    #[case] end: Outcome,
 ) {
     static ONE: Mutex<()> = Mutex::new(()); // there is one scheduler
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
@@ -76,8 +83,19 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let limits = Arc::new(Limits::new(192, 1024, &Settings::default()));
     let (queue, reports) = channel();
-    let mut transport = Frames::new(listener.local_addr().expect("bound"), limits.clone(), Reports(queue));
-    transport.send(AttemptKey { request: 1, attempt: 0 }, &request(), Terms::within(60_000_000));
+    let mut transport = Frames::new(
+        listener.local_addr().expect("bound"),
+        limits.clone(),
+        CoreHandle::new(queue),
+    );
+    transport.send(
+        AttemptKey {
+            request: 1,
+            attempt: 0,
+        },
+        &request(),
+        Terms::within(60_000_000),
+    );
     let mut worker = listener.accept().expect("a connection").0;
     assert_eq!(frame(&mut worker), (9, CALL));
     let outlast = |transport: &mut Frames| {
@@ -113,7 +131,7 @@
     let since = Instant::now();
     let outcome = loop {
         match reports.try_recv() {
-            Ok(Message::Ended(_, report)) => break report.outcome,
+            Ok(Message::AttemptEnded { key: _, report }) => break report.outcome,
             _ if held.is_none() => transport.pulse(),
             _ => std::thread::yield_now(),
         }
--- a/wrenseam/tests/schedules.rs
+++ b/wrenseam/tests/schedules.rs
@@ -3,7 +3,6 @@
 //! time-outs. The invariant is seen from the workers' side: no request that must not be repeated comes whole twice.
 mod standin;
 
-use bramblepath::{ClassSettings, Effect, Group, Settings, WorkerState};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use standin::{Act, Arrival, Die, Ledger, Worker};
@@ -14,10 +13,13 @@
 use std::sync::mpsc::{channel, Sender};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use wrenseam::core::{Answer, Client, Core, Member, Message, Payload, Request, Shared, Speech};
+use wrenseam::core::Core;
 use wrenseam::limits::Limits;
+use wrenseam::model::{Answer, Client, Endpoint, Payload, Request, TransportProtocol};
 use wrenseam::net::{pause, DirectCalls, SystemCalls};
-use wrenseam::worker::Reports;
+use wrenseam::process_state::ProcessState;
+use wrenseam::queue::{CoreHandle, Message};
+use wrenseam_policy::{ClassSettings, Idempotency, KeyScope, Settings, WorkerState};
 
 const SAFE: &str = "safe";
 const KEYED: &str = "keyed";
@@ -42,21 +44,30 @@
     connects: u32,
     leaves: u32,
     news: u32,
-    second_copies: bool,
+    hedging: bool,
 }
 
 fn mixes() -> impl Strategy<Value = Mix> {
-    (any::<u64>(), 10..90u32, 0..50u32, 0..25u32, 0..20u32, 0..10u32, any::<bool>()).prop_map(
-        |(seed, workers, writes, connects, leaves, news, second_copies)| Mix {
-            seed,
-            workers,
-            writes,
-            connects,
-            leaves,
-            news,
-            second_copies,
-        },
+    (
+        any::<u64>(),
+        10..90u32,
+        0..50u32,
+        0..25u32,
+        0..20u32,
+        0..10u32,
+        any::<bool>(),
     )
+        .prop_map(
+            |(seed, workers, writes, connects, leaves, news, hedging)| Mix {
+                seed,
+                workers,
+                writes,
+                connects,
+                leaves,
+                news,
+                hedging,
+            },
+        )
 }
 
 /// System calls that fail, come short, or return late.
@@ -83,7 +94,7 @@
         }
         match self.die.below(8) {
             0 => Err(io::ErrorKind::WouldBlock.into()),
-            1 => Err(io::Error::from_raw_os_error(4)),   // EINTR
+            1 => Err(io::Error::from_raw_os_error(4)), // EINTR
             2 => Err(io::Error::from_raw_os_error(105)), // ENOBUFS
             3 => Err(io::Error::from_raw_os_error(104)), // ECONNRESET
             4 | 5 => {
@@ -109,10 +120,15 @@
     fn answer(&self, tag: u64, answer: Answer) {
         let word = match answer {
             Answer::Served(_) => "served",
-            Answer::Refused { .. } => "refused",
+            Answer::Rejected { .. } => "refused",
             Answer::Failed => "failed",
         };
-        self.got.lock().expect("sound").entry(tag).or_default().push(word);
+        self.got
+            .lock()
+            .expect("sound")
+            .entry(tag)
+            .or_default()
+            .push(word);
     }
 
     fn connection(&self) -> u64 {
@@ -123,36 +139,36 @@
 fn settings(mix: Mix) -> Settings {
     let class = |name: &str, effect, group| ClassSettings {
         name: name.to_owned(),
-        effect,
-        group,
-        window: WINDOW.as_micros() as u64,
-        aim: 400_000,
-        worth: 1.0,
+        idempotency: effect,
+        key_scope: group,
+        key_memory: WINDOW.as_micros() as u64,
+        latency_objective: 400_000,
+        priority_weight: 1.0,
     };
     Settings {
-        gateways: 1,
+        front_ends: 1,
         classes: vec![
-            class(SAFE, Effect::Safe, Group::All),
-            class(KEYED, Effect::Keyed, Group::Zone),
-            class(UNSAFE, Effect::Unsafe, Group::All),
+            class(SAFE, Idempotency::Idempotent, KeyScope::All),
+            class(KEYED, Idempotency::Keyed, KeyScope::Zone),
+            class(UNSAFE, Idempotency::NotIdempotent, KeyScope::All),
         ],
         zones: vec!["zone-0".to_owned(), "zone-1".to_owned()],
         kinds: vec!["std".to_owned()],
         kind_memory_mb: vec![90_000.0],
-        keep: 8_000_000,
-        load_on_absence: true,
-        orders: true,
+        keep_alive: 8_000_000,
+        load_on_demand: true,
+        load_orders: true,
         max_attempts: 5,
-        may_cancel: true,
-        second_copies: mix.second_copies,
+        cancellation: true,
+        hedging: mix.hedging,
         max_retry_after: 1_000_000,
-        cold_from: 0.2,
+        slow_start_from: 0.2,
         ..Settings::default()
     }
 }
 
-fn member(n: usize, address: SocketAddr, state: WorkerState) -> Member {
-    Member {
+fn member(n: usize, address: SocketAddr, state: WorkerState) -> Endpoint {
+    Endpoint {
         id: format!("w{n}"),
         address,
         state,
@@ -160,24 +176,29 @@
         zone: format!("zone-{}", n % 2),
         kind: "std".to_owned(),
         cell: Some(n as u64 / 2),
-        speech: speech(n),
+        protocol: protocol(n),
     }
 }
 
-fn speech(n: usize) -> Speech {
+fn protocol(n: usize) -> TransportProtocol {
     if n < WORKERS - 2 {
-        Speech::Frames
+        TransportProtocol::Frames
     } else {
-        Speech::Kserve
+        TransportProtocol::Kserve
     }
 }
 
 fn start(n: usize, mix: Mix, die: &Die, ledger: &Ledger) -> SocketAddr {
     let (die, ledger) = (die.clone(), ledger.clone());
-    let worker = Worker { zone: n % 2, trouble: mix.workers, die, ledger };
-    match speech(n) {
-        Speech::Frames => standin::frames(worker),
-        Speech::Kserve => standin::kserve(worker),
+    let worker = Worker {
+        zone: n % 2,
+        trouble: mix.workers,
+        die,
+        ledger,
+    };
+    match protocol(n) {
+        TransportProtocol::Frames => standin::frames(worker),
+        TransportProtocol::Kserve => standin::kserve(worker),
     }
 }
 
@@ -198,17 +219,40 @@
         let (queue, inbox) = channel();
         let settings = settings(mix);
         let limits = Arc::new(Limits::new(192, 1024, &settings));
-        let calls = Arc::new(Troubled { mix, die: die.clone() });
-        let (reports, shared) = (Reports(queue.clone()), Arc::<Shared>::default());
+        let calls = Arc::new(Troubled {
+            mix,
+            die: die.clone(),
+        });
+        let (reports, shared) = (
+            CoreHandle::new(queue.clone()),
+            Arc::<ProcessState>::default(),
+        );
         let core = Core::new(settings, mix.seed, limits, inbox, reports, shared).with_calls(calls);
         std::thread::spawn(move || core.run());
-        let addresses: Vec<SocketAddr> = (0..WORKERS).map(|n| start(n, mix, &die, &ledger)).collect();
-        let answers = Arc::new(Answers { number: 1, got: Mutex::default() });
-        let play = Play { mix, die, ledger, queue, addresses, answers };
-        for source in [Speech::Frames, Speech::Kserve] {
-            let of = (0..WORKERS).filter(|&n| speech(n) == source);
-            let members = of.map(|n| member(n, play.addresses[n], WorkerState::Ready)).collect();
-            play.tell(Message::Members { source, full: true, members });
+        let addresses: Vec<SocketAddr> =
+            (0..WORKERS).map(|n| start(n, mix, &die, &ledger)).collect();
+        let answers = Arc::new(Answers {
+            number: 1,
+            got: Mutex::default(),
+        });
+        let play = Play {
+            mix,
+            die,
+            ledger,
+            queue,
+            addresses,
+            answers,
+        };
+        for source in [TransportProtocol::Frames, TransportProtocol::Kserve] {
+            let of = (0..WORKERS).filter(|&n| protocol(n) == source);
+            let members = of
+                .map(|n| member(n, play.addresses[n], WorkerState::Ready))
+                .collect();
+            play.tell(Message::EndpointUpdate {
+                source,
+                complete: true,
+                endpoints: members,
+            });
         }
         play
     }
@@ -229,7 +273,11 @@
             }
         };
         let members = vec![member(n, self.addresses[n], state)];
-        self.tell(Message::Members { source: speech(n), full: false, members });
+        self.tell(Message::EndpointUpdate {
+            source: protocol(n),
+            complete: false,
+            endpoints: members,
+        });
     }
 
     /// A request of any class; the class, and whether its client leaves.
@@ -242,24 +290,31 @@
             class: class.to_owned(),
             tenant: String::new(),
             function: 1 + u64::from(self.die.below(4)),
-            wait,
-            read_at: Instant::now(),
-            token: (class == KEYED).then(|| format!("key-{id}")),
-            retry: false,
+            timeout: wait,
+            received_at: Instant::now(),
+            idempotency_key: (class == KEYED).then(|| format!("key-{id}")),
+            is_retry: false,
             memory_mb: 100.0,
-            lanes: 4,
+            concurrency: 4,
             load_time: 20_000,
             payload: Payload::Bytes(vec![b'x'; self.die.below(4_000) as usize]),
-            held: None,
-            gone: gone.clone(),
+            reserved_bytes: None,
+            client_gone: gone.clone(),
             client_probe: None,
         };
-        self.tell(Message::Request(request, self.answers.clone(), id));
+        self.tell(Message::Request {
+            request,
+            client: self.answers.clone(),
+            tag: id,
+        });
         let leaves = self.die.percent(self.mix.leaves);
         if leaves {
             std::thread::sleep(Duration::from_millis(self.die.below(20).into()));
             gone.store(true, Ordering::Release);
-            self.tell(Message::Withdrawn(1, id));
+            self.tell(Message::RequestCancelled {
+                connection: 1,
+                tag: id,
+            });
         }
         (class, leaves)
     }
@@ -294,7 +349,10 @@
     }
     let owed = |play: &Play| {
         let got = play.answers.got.lock().expect("sound");
-        asked.iter().filter(|(id, (_, leaves))| !leaves && !got.contains_key(id)).count()
+        asked
+            .iter()
+            .filter(|(id, (_, leaves))| !leaves && !got.contains_key(id))
+            .count()
     };
     let since = Instant::now();
     while owed(&play) > 0 && since.elapsed() < Duration::from_secs(20) {
@@ -302,7 +360,10 @@
     }
     prop_assert_eq!(owed(&play), 0, "requests without an answer: {:?}", mix);
     std::thread::sleep(Duration::from_millis(100)); // what is under way comes
-    let (ledger, got) = (play.ledger.lock().expect("sound"), play.answers.got.lock().expect("sound"));
+    let (ledger, got) = (
+        play.ledger.lock().expect("sound"),
+        play.answers.got.lock().expect("sound"),
+    );
     let none = (Vec::new(), Vec::new());
     for (id, (class, _)) in &asked {
         let arrivals = ledger.get(id).unwrap_or(&none.0);
@@ -318,10 +379,17 @@
 
 #[test]
 fn no_request_that_must_not_be_repeated_comes_whole_twice() {
-    let config = Config { cases: 12, max_shrink_iters: 0, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 12,
+        max_shrink_iters: 0,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    runner.run(&mixes(), play).unwrap_or_else(|why| panic!("{why}"));
+    runner
+        .run(&mixes(), play)
+        .unwrap_or_else(|why| panic!("{why}"));
 }
 
 /// The account finds what it is to find.
@@ -329,13 +397,23 @@
 fn the_account_sees_a_repeat() {
     let at = Instant::now();
     let act = |ran: bool| if ran { Act::Serve } else { Act::Full };
-    let arrival = |zone, ran, ms| Arrival { at: at + Duration::from_millis(ms), zone, act: act(ran) };
+    let arrival = |zone, ran, ms| Arrival {
+        at: at + Duration::from_millis(ms),
+        zone,
+        act: act(ran),
+    };
     let (first, never) = (arrival(0, true, 0), arrival(0, false, 0));
     assert!(breach(UNSAFE, &[first, arrival(0, true, 9)], &[]).is_some());
     assert!(breach(UNSAFE, &[never, arrival(0, true, 9)], &["served"]).is_none());
     assert!(breach(KEYED, &[first, arrival(0, true, 9)], &["served"]).is_none());
-    assert!(breach(KEYED, &[first, arrival(1, true, 9)], &[]).is_some(), "in another zone");
-    assert!(breach(KEYED, &[first, arrival(0, true, 600)], &[]).is_some(), "past the window");
+    assert!(
+        breach(KEYED, &[first, arrival(1, true, 9)], &[]).is_some(),
+        "in another zone"
+    );
+    assert!(
+        breach(KEYED, &[first, arrival(0, true, 600)], &[]).is_some(),
+        "past the window"
+    );
     assert!(breach(SAFE, &[first, arrival(1, true, 300)], &["served"]).is_none());
     assert!(breach(UNSAFE, &[first], &["refused"]).is_some());
     assert!(breach(UNSAFE, &[never], &["refused"]).is_none());
