--- a/policy/src/control.rs
+++ b/policy/src/controller.rs
@@ -4,8 +4,8 @@
 //! with a free lane. Finding none is a loss; losses, real and virtual, add copies where the least recently
 //! lost function lies idle. Everything else below is a guard, and says what it guards against.
 use crate::interface::*;
-use crate::repeat::{may_repeat, repeat_window, Placement};
-use crate::scout::Scout;
+use crate::polling::Scout;
+use crate::retry::{may_repeat, repeat_window, Placement};
 use crate::state::*;
 use crate::virtual_loss::{has_virtual_losses, theta, virtual_loss_chance};
 
--- a/policy/src/prospect.rs
+++ b/policy/src/deadline_admission.rs
@@ -3,7 +3,7 @@
 //!
 //! A client that waits less than that leaves before its answer, and comes again: what was sent for it is work
 //! for nobody, at places where others' calls are turned away for it. It is refused at once instead, with advice.
-use crate::control::{SPANS, TRIALS, TRIAL_GAP};
+use crate::controller::{SPANS, TRIALS, TRIAL_GAP};
 use crate::interface::{Micros, RequestId};
 use crate::state::Controller;
 
--- a/policy/src/figures.rs
+++ b/policy/src/estimator.rs
@@ -1,7 +1,9 @@
 //! What a gateway works out from what it remembers: estimates and running means. Nothing is decided here.
-use crate::cold;
-use crate::control::{CROWD, DEFAULT_SPAN, LOAD_SLOW, PACE_KEPT, REPORT_FADE, SEC, SPANS, SURVEY};
+use crate::controller::{
+    CROWD, DEFAULT_SPAN, LOAD_SLOW, PACE_KEPT, REPORT_FADE, SEC, SPANS, SURVEY,
+};
 use crate::interface::*;
+use crate::slow_start;
 use crate::state::*;
 use crate::virtual_loss::theta;
 
@@ -30,7 +32,7 @@
     pub(crate) fn weight(&self, class: usize) -> f64 {
         let told = &self.class_service[..self.class_service.len() - 1];
         let dearest = told.iter().copied().fold(0.0, f64::max);
-        cold::weight(told, self.class_service[class].min(dearest))
+        slow_start::weight(told, self.class_service[class].min(dearest))
     }
 
     /// Brings our accounts with the cold workers up to date. All gateways work out the same allowance where
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -39,19 +39,19 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod cold;
-mod control;
-mod figures;
+mod controller;
+mod deadline_admission;
+mod estimator;
 mod interface;
 pub mod json;
-mod prospect;
-mod repeat;
-mod scout;
+mod polling;
+mod retry;
 mod settings;
+mod slow_start;
 mod state;
 pub mod virtual_loss;
+mod zone_health;
 mod zone_names;
-mod zones;
 
 pub use interface::*;
 
--- a/policy/src/scout.rs
+++ b/policy/src/polling.rs
@@ -1,6 +1,6 @@
 //! Where a worker without the function answers a call with a miss: the call itself asks, at no price, and is served
 //! at once where a copy stands or waits where one is being loaded. No I/O.
-use crate::control::{ASK_AGAIN, ASK_WAIT};
+use crate::controller::{ASK_AGAIN, ASK_WAIT};
 use crate::interface::{Micros, RequestId};
 use crate::state::Controller;
 
--- a/policy/src/state.rs
+++ b/policy/src/state.rs
@@ -1,10 +1,10 @@
 //! What a gateway remembers: plain records, read and written by `control.rs` alone. Nothing is decided here.
-use crate::cold;
-use crate::control::{CROWD, DEFAULT_SPAN, LOAD_CAP, LONGEST, QUESTIONS, TRIALS, TRIAL_GAP};
+use crate::controller::{CROWD, DEFAULT_SPAN, LOAD_CAP, LONGEST, QUESTIONS, TRIALS, TRIAL_GAP};
+use crate::deadline_admission::Pace;
 use crate::interface::*;
-use crate::prospect::Pace;
-use crate::repeat::Placement;
-use crate::zones::Zones;
+use crate::retry::Placement;
+use crate::slow_start;
+use crate::zone_health::Zones;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -119,7 +119,7 @@
     /// When its last load ended, and the multiple of the usual time that it took.
     pub(crate) load_pace: (Micros, f64),
     /// What may be sent to it while it is cold.
-    pub(crate) cold: cold::Account,
+    pub(crate) cold: slow_start::Account,
 }
 
 #[derive(Clone, Default)]
@@ -173,7 +173,7 @@
             blocks: BTreeMap::new(),
             orders_out: 0,
             load_pace: (0, 1.0),
-            cold: cold::Account::default(),
+            cold: slow_start::Account::default(),
         }
     }
 
@@ -261,7 +261,7 @@
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) ready: Vec<usize>,
     pub(crate) zones: Zones,
-    pub(crate) cold: cold::Rule,
+    pub(crate) cold: slow_start::Rule,
     /// The most workers listed at a time.
     pub(crate) most_listed: usize,
     pub(crate) waiting: BTreeSet<usize>,
@@ -354,7 +354,7 @@
             most_loads,
             retries: 5.0,
             questions: QUESTIONS.1,
-            cold: cold::Rule::new(&settings),
+            cold: slow_start::Rule::new(&settings),
             set: settings,
             ..Controller::default()
         }
