--- a/policy/src/json.rs
+++ b/policy/src/json.rs
@@ -1,11 +1,28 @@
 //! Reading of loosely typed JSON, as the simulator's wire, the platform's files and KServe v2 hold it.
-//! What is absent or of another type reads as "not told": a newer sender may say more, or less.
-use crate::interface::Micros;
+//! What is absent or of another type reads as "not stated": a newer sender may say more, or less.
+use crate::types::Micros;
 use miniserde::json::{self, Number, Object, Value};
+use std::fmt;
 
-/// The whole text as one JSON value.
-pub fn parse(text: &str) -> Result<Value, String> {
-    json::from_str(text).map_err(|_| "not JSON".to_owned())
+/// A text is not JSON.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct NotJson;
+
+impl fmt::Display for NotJson {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str("not JSON")
+    }
+}
+
+impl std::error::Error for NotJson {}
+
+/// A text as one JSON value.
+///
+/// # Errors
+///
+/// [`NotJson`] if it is not one.
+pub fn parse(text: &str) -> Result<Value, NotJson> {
+    json::from_str(text).map_err(|_| NotJson)
 }
 
 /// The fields of a value that is an object.
@@ -42,7 +59,7 @@
     fields.get(key).and_then(as_text)
 }
 
-/// The figure of a value that is a number.
+/// The value as a number, if it is one.
 pub fn as_number(value: &Value) -> Option<f64> {
     match value {
         Value::Number(Number::U64(n)) => Some(*n as f64),
@@ -57,7 +74,7 @@
     fields.get(key).and_then(as_number)
 }
 
-/// The whole number, 0 or more, under a key.
+/// The unsigned integer under a key.
 pub fn whole(fields: &Object, key: &str) -> Option<u64> {
     match fields.get(key) {
         Some(Value::Number(Number::U64(n))) => Some(*n),
@@ -65,12 +82,12 @@
     }
 }
 
-/// The mark under a key; absent is false.
+/// The boolean under a key; absent is false.
 pub fn flag(fields: &Object, key: &str) -> bool {
     matches!(fields.get(key), Some(Value::Bool(true)))
 }
 
-/// Milliseconds under a key as microseconds; what is negative or no number counts as 0 (`as` saturates).
+/// Milliseconds under a key, in microseconds; what is negative or not a number counts as 0 (`as` saturates).
 pub fn span(fields: &Object, key: &str) -> Micros {
     (number(fields, key).unwrap_or(0.0) * 1000.0).round() as Micros
 }
--- a/policy/src/polling.rs
+++ b/policy/src/polling.rs
@@ -1,50 +1,142 @@
-//! Where a worker without the function answers a call with a miss: the call itself asks, at no price, and is served
-//! at once where a copy stands or waits where one is being loaded. No I/O.
-use crate::controller::{ASK_AGAIN, ASK_WAIT};
-use crate::interface::{Micros, RequestId};
-use crate::state::Controller;
+//! Learning where a function is loaded before one more replica is ordered: by polls, or, where a worker that lacks it
+//! answers so at no price, by the request itself.
+use crate::action::Action;
+use crate::index::{FunctionIndex, WorkerIndex};
+use crate::replica::PendingOrder;
+use crate::state::State;
+use crate::types::{Micros, RequestId, MILLISECOND, SECOND};
 
-/// First places of the common draw that a call tries before a load is ordered: others order theirs there. Two of six
-/// attempts at the most, so that enough are left for when the load is done.
-const SCOUTED: usize = 2;
+/// Workers in the rendezvous order that are polled: other front ends look there too.
+pub(crate) const POLLED_WORKERS: usize = 6;
+/// A lost request waits so long for the first answers.
+const ANSWER_WAIT: Micros = 60 * MILLISECOND;
+/// No second poll sooner: others' loads take much of it.
+pub(crate) const POLL_INTERVAL: Micros = 4 * SECOND;
+/// First workers of the rendezvous order that a request tries before a load is ordered: others order theirs there. Two
+/// of six attempts at the most, so that enough are left for when the load has ended.
+const TRIED_WORKERS: usize = 2;
 
-/// What a call whose function is known to stand nowhere does next.
-pub(crate) enum Scout {
-    /// It goes to this worker.
-    Send(usize),
-    /// Another call of the function is out and will tell.
-    Wait,
-    /// Calls cannot ask here; questions can.
-    Ask,
-    /// Nothing stands at the places where others would have it: a load is due.
+/// What a request whose function is known to be loaded nowhere does next.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Discovery {
+    /// It goes to this worker, whose answer tells.
+    TryAt(WorkerIndex),
+    /// Another request of the function is in flight and will tell.
+    AwaitOther,
+    /// Requests cannot find out here; polls can.
+    Poll,
+    /// The function is loaded at none of the workers where others would have it: a load is due.
     Load,
 }
 
-impl Controller {
-    pub(crate) fn scout(&mut self, f: usize, id: RequestId, now: Micros) -> Scout {
-        // Where calls load what is missing none is sent to ask; nor where nobody else draws the same places, or so
-        // many do that each sees too little to know which of them is warm.
-        if self.set.load_on_demand || self.set.front_ends <= 1 || self.many() {
-            return Scout::Ask;
+impl State {
+    /// How a lost request finds out where its function is loaded.
+    pub(crate) fn discover(&mut self, id: RequestId, now: Micros) -> Discovery {
+        // Where workers load what is missing no request is sent to find out; nor where nobody else prefers the same
+        // workers, or so many do that each sees too little to know which of them have it.
+        if self.settings.load_on_demand || !self.is_small_shared_fleet() {
+            return Discovery::Poll;
         }
-        let (class, all) = (self.functions[f].class, self.places(f));
-        let open =
-            |&w: &usize| self.usable(w, class, now) && !self.suspect(w) && self.allowed(id, w, now);
-        let places: Vec<usize> = all.into_iter().filter(open).take(SCOUTED).collect();
-        for w in places {
-            let c = self.copy(f, w);
-            match c.asked {
-                // It has been out for longer than an answer takes: a copy is being loaded there, or it queues.
-                Some(t) if c.ours > 0 && now >= t + ASK_WAIT => return Scout::Send(w),
-                Some(_) if c.ours > 0 => return Scout::Wait,
-                Some(t) if now < t + ASK_AGAIN => {}
-                _ if c.holding() => {}
-                _ => {
-                    c.asked = Some(now);
-                    return Scout::Send(w);
-                }
+        let Some(function) = self.requests.get(id).map(|request| request.function) else {
+            return Discovery::AwaitOther;
+        };
+        let preferred = self.preferred_workers(function);
+        let Some(request) = self.requests.get(id) else {
+            return Discovery::AwaitOther;
+        };
+        let class = self.functions[function].class;
+        let workers: Vec<WorkerIndex> = preferred
+            .into_iter()
+            .filter(|&worker| {
+                self.is_usable(worker, class, now)
+                    && !self.is_ejected(worker)
+                    && self.may_go_to(request, worker, now)
+            })
+            .take(TRIED_WORKERS)
+            .collect();
+        for worker in workers {
+            if let Some(step) = self.discover_at(function, worker, now) {
+                return step;
             }
         }
-        Scout::Load
+        Discovery::Load
+    }
+
+    /// What to do about one worker; `None` if nothing more can be learnt there now.
+    fn discover_at(
+        &mut self,
+        function: FunctionIndex,
+        worker: WorkerIndex,
+        now: Micros,
+    ) -> Option<Discovery> {
+        let replica = self.replica_mut(function, worker);
+        let is_tried = replica.own_in_flight() > 0;
+        match replica.last_poll() {
+            // It is in flight for longer than an answer takes: a replica is being loaded there, or it queues.
+            Some(last) if is_tried && now >= last + ANSWER_WAIT => Some(Discovery::TryAt(worker)),
+            Some(_) if is_tried => Some(Discovery::AwaitOther),
+            Some(last) if now < last + POLL_INTERVAL => None,
+            _ if replica.is_load_ordered() => None,
+            _ => {
+                replica.polled(now);
+                Some(Discovery::TryAt(worker))
+            }
+        }
+    }
+
+    /// Polls workers whether the function is loaded there. True while answers are awaited. Guards against a
+    /// (re)started front end loading what others have had loaded already.
+    pub(crate) fn poll_workers(
+        &mut self,
+        function: FunctionIndex,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        if !self.settings.load_orders {
+            return false;
+        }
+        let most = if self.is_shared() {
+            POLLED_WORKERS
+        } else {
+            usize::MAX
+        };
+        let preferred = self.preferred_workers(function);
+        let workers: Vec<WorkerIndex> = preferred
+            .into_iter()
+            .filter(|&worker| self.workers[worker].is_ready() && !self.is_ejected(worker))
+            .take(most)
+            .collect();
+        let mut is_awaited = false;
+        for worker in workers {
+            is_awaited |= self.poll_worker(function, worker, now, actions);
+        }
+        is_awaited
+    }
+
+    /// Polls one worker if that is due. True while its answer is awaited.
+    fn poll_worker(
+        &mut self,
+        function: FunctionIndex,
+        worker: WorkerIndex,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let has_budget = self.poll_budget.has_token();
+        let replica = self.replica_mut(function, worker);
+        match replica.order() {
+            Some(PendingOrder::Poll { since }) => return now < since + ANSWER_WAIT,
+            Some(PendingOrder::Load { .. }) => return false,
+            None => {}
+        }
+        let is_due = replica
+            .last_poll()
+            .is_none_or(|last| now >= last + POLL_INTERVAL);
+        if !has_budget || replica.is_loaded(now) || !is_due {
+            return false;
+        }
+        replica.polled(now);
+        self.poll_budget.spend();
+        self.poll(function, worker, now, actions);
+        true
     }
 }
--- /dev/null
+++ b/policy/src/replication.rs
@@ -0,0 +1,313 @@
+//! Replication, as the design has it (docs/design.md): losses, real and virtual, add replicas where the least recently
+//! lost function lies idle.
+//!
+//! A loss is a request that finds no free replica. A virtual loss is one that chance adds at an arrival, before the
+//! replicas run out. Each is answered by one more replica of the function.
+use crate::action::Action;
+use crate::function::REPLICAS_PER_REQUEST;
+use crate::index::{FunctionIndex, WorkerIndex};
+use crate::load_budget::LoadPurpose;
+use crate::request::Request;
+use crate::state::State;
+use crate::types::{Micros, RequestId};
+use crate::virtual_loss::{has_virtual_losses, virtual_loss_chance};
+
+/// Loads asked of one worker at a time by this front end: it runs few, and others ask too.
+const LOADS_PER_WORKER: u32 = 2;
+/// The same of a worker at which loads were slow of late.
+const LOADS_PER_SLOW_WORKER: u32 = 1;
+/// Most replicas that are ordered of one worker.
+const MOST_REPLICAS: u32 = 16;
+/// Share of a worker's memory that this front end's own account fills before it unloads what it replaces.
+const MEMORY_FILLED: f64 = 0.65;
+
+impl State {
+    /// The design's virtual loss: probability (min z*/z*) 1(Z <= z*) q(Z), while theta >= 1, D > 0, z* >= 1.
+    pub(crate) fn is_virtual_loss(&mut self, index: FunctionIndex, now: Micros) -> bool {
+        let theta = self.estimator.theta();
+        let load = self.function_load(&self.functions[index], now);
+        let z_star = load.z_star(theta);
+        if !has_virtual_losses(load.loaded, theta, z_star) {
+            return false;
+        }
+        let least_z_star = self.estimator.least_z_star().min(z_star);
+        let free = self.free_workers(index, now).len();
+        let chance = virtual_loss_chance(
+            load.loaded,
+            free,
+            load.in_flight,
+            theta,
+            z_star,
+            least_z_star,
+        );
+        match chance {
+            Some(chance) => self.random.chance(chance),
+            None => false,
+        }
+    }
+
+    /// The answer to a loss: one more replica, unless loads are at their limit or one is on its way already. `lost` is
+    /// the request that was lost; none for a loss ahead of need. Returns whether a load was ordered.
+    pub(crate) fn add_replica(
+        &mut self,
+        index: FunctionIndex,
+        now: Micros,
+        lost: Option<RequestId>,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        if !self.may_add_replica(index, now, lost) {
+            return false;
+        }
+        let Some(worker) = self.worker_for_replica(index, now, lost) else {
+            return false;
+        };
+        self.make_room(index, worker, now, actions);
+        let replica = self.replica_mut(index, worker);
+        let replicas = if replica.is_loaded(now) {
+            (replica.count() + 1).min(MOST_REPLICAS)
+        } else {
+            1
+        };
+        self.order_load(index, worker, replicas, now, actions);
+        true
+    }
+
+    fn may_add_replica(
+        &mut self,
+        index: FunctionIndex,
+        now: Micros,
+        lost: Option<RequestId>,
+    ) -> bool {
+        let is_ahead = lost.is_none();
+        let is_admitted = if is_ahead {
+            self.load_limiter.admits_ahead()
+        } else {
+            self.load_limiter.admits()
+        };
+        let function = &self.functions[index];
+        let is_pending = function
+            .replicas
+            .values()
+            .any(|replica| replica.is_load_ordered() || replica.is_loaded_by_attempts());
+        let answers_loss = !is_pending || !function.waiting.is_empty();
+        if !self.settings.load_orders
+            || !is_admitted
+            || self.has_enough_replicas(index, now)
+            || !answers_loss
+        {
+            return false;
+        }
+        let purpose = if is_ahead {
+            LoadPurpose::Ahead
+        } else {
+            LoadPurpose::Needed
+        };
+        !self.load_budget.is_exhausted(now, purpose)
+    }
+
+    /// Exception to the design while several front ends share the workers: each answers the same losses, and together
+    /// they would load more replicas than memory holds and unload each other's. So requests in flight, taken over all
+    /// front ends, bound the replicas that this one knows of.
+    fn has_enough_replicas(&self, index: FunctionIndex, now: Micros) -> bool {
+        if !self.is_shared() {
+            return false;
+        }
+        let function = &self.functions[index];
+        let loaded = self.function_load(function, now).loaded as f64;
+        let in_flight = self.fleet_calls(index, function.service_time);
+        loaded >= 1.0 + (REPLICAS_PER_REQUEST * in_flight).round()
+    }
+
+    /// Where a new replica goes: a random worker on which the least recently lost function lies idle, else any.
+    pub(crate) fn worker_for_replica(
+        &mut self,
+        index: FunctionIndex,
+        now: Micros,
+        lost: Option<RequestId>,
+    ) -> Option<WorkerIndex> {
+        let preferred = self.preferred_workers(index);
+        let candidates = self.replica_candidates(index, &preferred, now, lost);
+        if self.is_shared() {
+            self.preferred_candidate(index, &candidates, now)
+        } else {
+            self.least_recently_lost_candidate(index, &candidates, now)
+        }
+    }
+
+    /// The workers that can take a new replica: those without one first, and where there are none also the others.
+    fn replica_candidates(
+        &self,
+        index: FunctionIndex,
+        preferred: &[WorkerIndex],
+        now: Micros,
+        lost: Option<RequestId>,
+    ) -> Vec<WorkerIndex> {
+        let request = lost.and_then(|id| self.requests.get(id));
+        let without_replica = |&worker: &WorkerIndex| {
+            let is_loaded = self
+                .replica(index, worker)
+                .is_some_and(|replica| replica.is_loaded(now));
+            self.takes_replica(index, worker, request, now)
+                && !is_loaded
+                && !self.is_overloaded(worker, now)
+        };
+        let candidates: Vec<WorkerIndex> =
+            preferred.iter().copied().filter(without_replica).collect();
+        if !candidates.is_empty() {
+            return candidates;
+        }
+        preferred
+            .iter()
+            .copied()
+            .filter(|&worker| self.takes_replica(index, worker, request, now))
+            .collect()
+    }
+
+    /// Whether a worker may be ordered to load the function, for this request if one was lost.
+    fn takes_replica(
+        &self,
+        index: FunctionIndex,
+        worker: WorkerIndex,
+        request: Option<&Request>,
+        now: Micros,
+    ) -> bool {
+        let is_ordered = self
+            .replica(index, worker)
+            .is_some_and(|replica| replica.is_load_ordered());
+        let known = &self.workers[worker];
+        let loads_slowly = known.load_pace.is_recent(now) && known.load_pace.is_slow();
+        let most_loads = if loads_slowly {
+            LOADS_PER_SLOW_WORKER
+        } else {
+            LOADS_PER_WORKER
+        };
+        !is_ordered
+            && self.is_usable(worker, self.functions[index].class, now)
+            && !self.is_ejected(worker)
+            && known.pending_loads < most_loads
+            && now >= known.no_memory_until
+            && request.is_none_or(|request| self.may_go_to(request, worker, now))
+    }
+
+    /// Exception to the design while several front ends share the workers: private draws would give each of them
+    /// replicas of its own. They choose alike instead, in the rendezvous order, and take the first worker that has
+    /// memory or an idle replica of a function lost less recently than this one.
+    fn preferred_candidate(
+        &self,
+        index: FunctionIndex,
+        candidates: &[WorkerIndex],
+        now: Micros,
+    ) -> Option<WorkerIndex> {
+        let first = candidates.first().copied();
+        if self.is_large_fleet() {
+            return first;
+        }
+        candidates
+            .iter()
+            .copied()
+            .find(|&worker| {
+                self.memory_left(index, worker, now) >= 0.0
+                    || self.has_idle_replica_to_replace(index, worker, now)
+            })
+            .or(first)
+    }
+
+    fn has_idle_replica_to_replace(
+        &self,
+        index: FunctionIndex,
+        worker: WorkerIndex,
+        now: Micros,
+    ) -> bool {
+        let last_lost = self.functions[index].last_lost;
+        self.workers[worker].functions.iter().any(|&other| {
+            let is_idle = |function| {
+                self.replica(function, worker)
+                    .is_some_and(|replica| replica.is_idle(now))
+            };
+            self.functions[other].last_lost < last_lost && is_idle(other)
+        })
+    }
+
+    /// The design's choice. A slot once given away is passed over until its function is used again, as if it had been
+    /// evicted.
+    fn least_recently_lost_candidate(
+        &mut self,
+        index: FunctionIndex,
+        candidates: &[WorkerIndex],
+        now: Micros,
+    ) -> Option<WorkerIndex> {
+        let mut others: Vec<FunctionIndex> = self
+            .functions
+            .indexes()
+            .filter(|&other| other != index)
+            .collect();
+        others.sort_by_key(|&other| self.functions[other].last_lost);
+        for other in others {
+            let idle: Vec<WorkerIndex> = candidates
+                .iter()
+                .copied()
+                .filter(|&worker| {
+                    self.replica(other, worker).is_some_and(|replica| {
+                        replica.is_idle(now) && !replica.is_slot_given_away()
+                    })
+                })
+                .collect();
+            if let Some(worker) = self.random.pick(&idle) {
+                if let Some(replica) = self.functions[other].replicas.get_mut(&worker) {
+                    replica.give_slot_away();
+                }
+                return Some(worker);
+            }
+        }
+        self.random.pick(candidates)
+    }
+
+    /// Memory in MB that one more replica would leave at a worker, by this front end's account; 0 where the worker's
+    /// memory is not known.
+    fn memory_left(&self, index: FunctionIndex, worker: WorkerIndex, now: Micros) -> f64 {
+        let kind = self.workers[worker].endpoint.kind;
+        let memory_mb = self.settings.kind_memory_mb.get(kind).copied();
+        let memory_mb = memory_mb.unwrap_or(0.0);
+        if memory_mb > 0.0 {
+            let used = self.memory_used(worker, now) + self.functions[index].memory_mb;
+            memory_mb * MEMORY_FILLED - used
+        } else {
+            0.0
+        }
+    }
+
+    /// Unloads the least recently lost idle replicas at a worker while this front end's account shows its memory short.
+    /// Exception in a large fleet: what lies idle by this account is in use by others, and the worker's own eviction is
+    /// better.
+    pub(crate) fn make_room(
+        &mut self,
+        index: FunctionIndex,
+        worker: WorkerIndex,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.is_large_fleet() {
+            return;
+        }
+        let mut memory_left = self.memory_left(index, worker, now);
+        let functions = &self.workers[worker].functions;
+        let mut others: Vec<FunctionIndex> = functions
+            .iter()
+            .copied()
+            .filter(|&other| other != index)
+            .collect();
+        others.sort_by_key(|&other| self.functions[other].last_lost);
+        for other in others {
+            if memory_left >= 0.0 {
+                return;
+            }
+            let Some(replica) = self.replica(other, worker) else {
+                continue;
+            };
+            if replica.is_idle(now) && replica.order().is_none() {
+                memory_left += self.functions[other].memory_mb * f64::from(replica.count());
+                self.unload(other, worker, actions);
+            }
+        }
+    }
+}
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -1,13 +1,15 @@
-//! Whether a request may be sent once more: what its earlier attempts may have done, which workers drop repeats of its
-//! key, and for how long they do. No I/O; time is an argument.
-use crate::interface::{ClassSettings, Endpoint, Idempotency, KeyScope, Micros};
-use crate::state::{Attempt, Request};
+//! Whether a request may be sent once more: what its earlier attempts may have done, which workers recognize its
+//! idempotency key, and for how long they do. No I/O; time is an argument.
+use crate::endpoint::Endpoint;
+use crate::request::{Attempt, Request};
+use crate::settings::{ClassSettings, Idempotency, KeyScope};
+use crate::types::{Micros, MILLISECOND};
 
-/// A repeat is begun so long before workers forget its key: the module's clock may be a tick behind.
-const SPARE: Micros = 20_000;
+/// A retry is begun so long before workers forget its key: the policy's clock may be a tick behind.
+const KEY_MARGIN: Micros = 20 * MILLISECOND;
 
-/// Where a worker stood in the list when an attempt was sent to it: its key is known there, wherever the list has the
-/// worker later.
+/// Where a worker was listed when an attempt was sent to it: its key is known there, wherever the list has the worker
+/// later.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Placement {
     zone: Option<usize>,
@@ -15,16 +17,16 @@
 }
 
 impl Placement {
-    pub(crate) fn of(entry: &Endpoint) -> Self {
+    pub(crate) fn of(endpoint: &Endpoint) -> Self {
         Placement {
-            zone: entry.zone,
-            cell: entry.cell,
+            zone: endpoint.zone,
+            cell: endpoint.cell,
         }
     }
 
-    /// Whether two workers share their memory of keys. Workers whose zone or cell is not told share none.
-    fn shares_keys(self, other: Placement, group: KeyScope) -> bool {
-        match group {
+    /// Whether two workers share their memory of keys. Workers whose zone or cell is not known share none.
+    fn shares_keys(self, other: Placement, scope: KeyScope) -> bool {
+        match scope {
             KeyScope::All => true,
             KeyScope::Zone => self.zone.is_some() && self.zone == other.zone,
             KeyScope::Cell => self.cell.is_some() && self.cell == other.cell,
@@ -32,33 +34,43 @@
     }
 }
 
-/// For how long from `now` a further attempt may be begun; `None` if no time bounds it: nothing may have run, or the
-/// class is safe to repeat.
-pub(crate) fn repeat_window(
+/// For how long from `now` a further attempt may be begun; `None` if no time bounds it: nothing may have been executed,
+/// or the class is idempotent.
+pub(crate) fn retry_window(
     request: &Request,
     class: &ClassSettings,
     now: Micros,
 ) -> Option<Micros> {
-    let first = earlier(request).next()?;
+    let first = attempts_that_may_have_executed(request).next()?;
     match class.idempotency {
         Idempotency::Idempotent => None,
-        Idempotency::Keyed => Some((first.sent + class.key_memory).saturating_sub(now + SPARE)),
+        Idempotency::Keyed => {
+            let forgotten_at = first.sent_at + class.key_memory;
+            Some(forgotten_at.saturating_sub(now + KEY_MARGIN))
+        }
         Idempotency::NotIdempotent => Some(0),
     }
 }
 
-/// Whether a further attempt may go to a worker that stands there.
-pub(crate) fn may_repeat(
+/// Whether a further attempt may go to a worker that is listed there.
+pub(crate) fn may_retry_at(
     request: &Request,
     class: &ClassSettings,
-    to: Placement,
+    placement: Placement,
     now: Micros,
 ) -> bool {
-    let shared = || earlier(request).all(|a| a.placement.shares_keys(to, class.key_scope));
-    repeat_window(request, class, now).is_none_or(|left| left > 0 && shared())
+    match retry_window(request, class, now) {
+        None => true,
+        Some(0) => false,
+        Some(_) => attempts_that_may_have_executed(request)
+            .all(|attempt| attempt.placement.shares_keys(placement, class.key_scope)),
+    }
 }
 
-/// The attempts that may have run, the first sent first.
-fn earlier(request: &Request) -> impl Iterator<Item = &Attempt> {
-    request.attempts.iter().filter(|a| a.may_have_run)
+/// The first sent comes first.
+fn attempts_that_may_have_executed(request: &Request) -> impl Iterator<Item = &Attempt> {
+    request
+        .attempts
+        .iter()
+        .filter(|attempt| attempt.may_have_executed())
 }
--- /dev/null
+++ b/policy/src/survey.rs
@@ -0,0 +1,179 @@
+//! The periodic survey: takes a sample of all workers, functions and requests into the estimates, and does what has to
+//! be done from time to time.
+use crate::action::Action;
+use crate::estimator::{
+    is_report_recent, queued_until, FleetSample, LONGEST_RATE_SPAN, SURVEY_INTERVAL,
+};
+use crate::index::WorkerIndex;
+use crate::slow_start::{Account, WorkerStart};
+use crate::state::State;
+use crate::types::{Micros, SECOND};
+use crate::worker::LoadReport;
+
+/// Idle times after its last request at which a function is forgotten.
+const FORGET_AFTER_KEEP_ALIVES: Micros = 4;
+/// The line about bad workers comes no more often.
+const LOG_INTERVAL: Micros = 10 * SECOND;
+/// It comes where more than one in so many workers is ejected, ...
+const LOGGED_PART: usize = 10;
+/// ... or the limit on loads is below this.
+const LOGGED_LOAD_LIMIT: f64 = 2.0;
+
+/// When the survey last ran.
+#[derive(Debug, Default)]
+pub(crate) struct Survey {
+    last: Micros,
+    last_log: Micros,
+}
+
+impl Survey {
+    /// Runs the survey if it is due.
+    pub(crate) fn run_if_due(&mut self, state: &mut State, now: Micros, actions: &mut Vec<Action>) {
+        if now < self.last + SURVEY_INTERVAL {
+            return;
+        }
+        let is_first = self.last == 0;
+        let elapsed = if is_first {
+            SURVEY_INTERVAL
+        } else {
+            now - self.last
+        };
+        self.last = now;
+        self.run(state, now, elapsed, actions);
+    }
+
+    fn run(&mut self, state: &mut State, now: Micros, elapsed: Micros, actions: &mut Vec<Action>) {
+        state.load_budget.forget_requests(LONGEST_RATE_SPAN, now);
+        let sample = state.sample(now, elapsed);
+        state.estimator.update(sample, &state.settings);
+        state.update_least_z_star(now);
+        state.refresh_slow_start_accounts(now);
+        let ejected = state.compare_workers(now, elapsed);
+        self.log(state, ejected, now, actions);
+        state.poll_unreachable_workers(now, actions);
+        state.renew_replicas(now, actions);
+        state.prefetch_for_timers(now, actions);
+        let forget_after = FORGET_AFTER_KEEP_ALIVES * state.keep_alive();
+        state.forget_functions_unused_since(now.saturating_sub(forget_after));
+    }
+
+    fn log(&mut self, state: &State, ejected: usize, now: Micros, actions: &mut Vec<Action>) {
+        let workers = state.workers.ready_count();
+        let limit = state.load_limiter.limit();
+        let is_worth_a_line = ejected * LOGGED_PART > workers || limit < LOGGED_LOAD_LIMIT;
+        if now >= self.last_log + LOG_INTERVAL && is_worth_a_line {
+            self.last_log = now;
+            let text = format!("{ejected} of {workers} workers look bad; load cap {limit:.0}");
+            actions.push(Action::Log { text });
+        }
+    }
+}
+
+impl State {
+    fn sample(&self, now: Micros, elapsed: Micros) -> FleetSample {
+        let ready_workers = self.workers.ready();
+        let ready = || ready_workers.iter().map(|&index| &self.workers[index]);
+        let recent_report = |report: &LoadReport| is_report_recent(report, now);
+        let capacity = |&worker: &WorkerIndex| self.capacity_share(worker, now).unwrap_or(1.0);
+        let known_functions = self.functions.len().max(1) as f64;
+        let memory_mb: f64 = self
+            .functions
+            .iter()
+            .map(|function| function.memory_mb)
+            .sum();
+        FleetSample {
+            elapsed,
+            ready_workers: self.workers.ready_count(),
+            busy_workers: ready()
+                .filter(|worker| !worker.open_attempts.is_empty())
+                .count(),
+            recent_requests: self.load_budget.requests_within(LONGEST_RATE_SPAN, now),
+            reported_in_flight: ready()
+                .filter_map(|worker| worker.load_report.filter(recent_report))
+                .map(|report| report.in_flight)
+                .collect(),
+            capacity: ready_workers.iter().map(capacity).sum(),
+            mean_replica_mb: memory_mb / known_functions,
+            queued_requests: self.queued_requests(now),
+            health_scores: ready().map(|worker| worker.health.score()).collect(),
+        }
+    }
+
+    /// Works out the smallest z* of all functions for the theta of the last sample.
+    fn update_least_z_star(&mut self, now: Micros) {
+        let theta = self.estimator.theta();
+        let least = self
+            .functions
+            .iter()
+            .map(|function| self.function_load(function, now).z_star(theta))
+            .filter(|&z_star| z_star >= 1.0)
+            .fold(f64::INFINITY, f64::min);
+        self.estimator.set_least_z_star(least);
+    }
+
+    /// Requests that wait for an answer with no load in the way, and have not waited for long.
+    fn queued_requests(&self, now: Micros) -> usize {
+        self.requests
+            .iter()
+            .filter(|(_, request)| {
+                let waits_for_answer = request
+                    .attempts
+                    .last()
+                    .is_some_and(|attempt| attempt.is_open() && !attempt.loads_function);
+                let objective = self.class(request.class).latency_objective;
+                waits_for_answer
+                    && !request.closed
+                    && now < queued_until(request.arrived_at, objective)
+            })
+            .count()
+    }
+
+    /// Brings the accounts with the workers in slow start up to date. All front ends work out the same allowance where
+    /// the tenants' quotas are stated; else one core a worker is granted, so that a fleet that is all in slow start
+    /// gets going, or what a few front ends see it do.
+    fn refresh_slow_start_accounts(&mut self, now: Micros) {
+        let service_times = self.estimator.known_class_service_times();
+        let classes = service_times.len();
+        let mean_service_time = service_times.iter().sum::<f64>() / classes.max(1) as f64;
+        let observing_front_ends = if self.is_large_fleet() {
+            0.0
+        } else {
+            f64::from(self.settings.front_ends.max(1))
+        };
+        let cores = (self.estimator.work_rate() * observing_front_ends).max(1.0);
+        let observed = cores * SECOND as f64 / mean_service_time.max(1.0);
+        let capacity = self
+            .slow_start
+            .worker_capacity(self.workers.most_listed(), observed);
+        let heaviest_request = (0..classes)
+            .map(|class| self.request_weight(class))
+            .fold(1.0, f64::max);
+        for index in self.workers.ready().iter().copied() {
+            let started_at = self.workers[index].endpoint.started_at;
+            if !self.slow_start.applies(started_at, now) {
+                continue;
+            }
+            let chance = self.random.draw();
+            let worker = &mut self.workers[index];
+            let start = WorkerStart {
+                name: &worker.endpoint.worker,
+                started_at,
+                capacity,
+                heaviest_request,
+            };
+            self.slow_start
+                .refresh(&mut worker.slow_start, &start, now, chance);
+        }
+    }
+
+    /// Leaves sending to workers in slow start to another process of this front end, or resumes it: two under one
+    /// number would send twice the part of one. What was saved up is void either way.
+    pub(crate) fn set_standby(&mut self, standby: bool) {
+        if self.slow_start.set_standby(standby) {
+            self.workers
+                .iter_mut()
+                .map(|worker| &mut worker.slow_start)
+                .for_each(Account::reset);
+        }
+    }
+}
--- a/policy/src/zone_health.rs
+++ b/policy/src/zone_health.rs
@@ -1,129 +1,94 @@
-//! Which zones are taken for lost. Guards against learning a zone's loss worker by worker, at the price of a call
-//! for each: where calls are few, a gateway would pay for most of its own calls to a third of the fleet.
+//! Which zones are taken for lost.
 //!
-//! A zone is lost once two of its workers were mute since the last answer from any of it, while other zones
-//! answered; any answer, or news of a process started there, ends that. No clock, no sockets: time is handed in.
-use crate::interface::Micros;
+//! Without this a zone's loss would be learnt worker by worker, at the price of a request for each: where requests are
+//! few, a front end would pay for most of its own requests to a third of the fleet.
+//!
+//! A zone is lost once two of its workers were unresponsive since the last answer from any of it, while other zones
+//! answered; any answer, or a process started there, ends that. No clock and no sockets: time is an argument.
+use crate::types::{Micros, MILLISECOND, SECOND};
 use std::collections::BTreeMap;
 
-const MUTE: Micros = 120_000; // a refusal comes sooner; a connection not taken, or cut off for silence, later
-const KEPT: Micros = 4_000_000; // how long a worker's silence tells of its zone
-const OTHERS: Micros = 1_000_000; // other zones answer within this where we are not cut off ourselves
-const SIGNS: usize = 2; // mute workers that make a lost zone: one may have died alone
+/// A failure that took less time is a refusal by a machine that is there; a connection that is not accepted, or that is
+/// cut off as unresponsive, takes longer.
+const UNRESPONSIVE_AFTER: Micros = 120 * MILLISECOND;
+/// How long an unresponsive worker counts against its zone.
+const SIGN_LIFETIME: Micros = 4 * SECOND;
+/// Other zones answer within this where this front end is not cut off itself.
+const OTHER_ZONES_ANSWER_WITHIN: Micros = SECOND;
+/// Unresponsive workers that make a lost zone: one may have stopped alone.
+const SIGNS_OF_LOSS: usize = 2;
 
-#[derive(Default)]
+#[derive(Debug, Default)]
 struct Zone {
-    heard: Micros,
-    /// Workers that were mute since then, and when last.
-    mute: BTreeMap<usize, Micros>,
+    last_answer: Micros,
+    /// Workers that were unresponsive since then, and when last.
+    unresponsive: BTreeMap<usize, Micros>,
     lost: bool,
-    next_trial: Micros,
+    next_poll: Micros,
 }
 
-/// What is known of every zone.
-#[derive(Default)]
-pub(crate) struct Zones(BTreeMap<Option<usize>, Zone>);
+/// What is known of every zone, by its position in the settings; `None` stands for all workers without a known zone.
+#[derive(Debug, Default)]
+pub struct ZoneHealth {
+    zones: BTreeMap<Option<usize>, Zone>,
+}
 
-impl Zones {
-    /// A worker of the zone took no connection, or had its own cut off, after so long.
-    pub(crate) fn mute(
+impl ZoneHealth {
+    /// A worker of the zone did not accept a connection, or its connection was cut off, after this time.
+    pub fn connection_failed(
         &mut self,
         zone: Option<usize>,
         worker: usize,
         now: Micros,
         elapsed: Micros,
     ) {
-        if elapsed < MUTE {
-            return; // refused or reset by a machine that is there
+        if elapsed < UNRESPONSIVE_AFTER {
+            return;
         }
-        let others = self
-            .0
+        let last_answer_elsewhere = self
+            .zones
             .iter()
-            .filter(|(&z, _)| z != zone)
-            .map(|(_, other)| other.heard)
+            .filter(|(&other, _)| other != zone)
+            .map(|(_, other)| other.last_answer)
             .max();
-        let z = self.0.entry(zone).or_default();
-        z.mute.retain(|_, &mut at| at + KEPT > now);
-        z.mute.insert(worker, now);
-        // With no other zone heard in the meantime the fault may be our own.
-        z.lost |= z.mute.len() >= SIGNS && others.is_some_and(|o| o + elapsed.max(OTHERS) > now);
+        let zone = self.zones.entry(zone).or_default();
+        zone.unresponsive
+            .retain(|_, &mut since| since + SIGN_LIFETIME > now);
+        zone.unresponsive.insert(worker, now);
+        // With no answer from any other zone in the meantime the fault may be this front end's own.
+        let recently = elapsed.max(OTHER_ZONES_ANSWER_WITHIN);
+        let others_answer = last_answer_elsewhere.is_some_and(|last| last + recently > now);
+        zone.lost |= zone.unresponsive.len() >= SIGNS_OF_LOSS && others_answer;
     }
 
     /// A worker of the zone answered something.
-    pub(crate) fn heard(&mut self, zone: Option<usize>, now: Micros) {
-        let z = self.0.entry(zone).or_default();
-        z.heard = now;
-        self.back(zone);
+    pub fn answered(&mut self, zone: Option<usize>, now: Micros) {
+        self.zones.entry(zone).or_default().last_answer = now;
+        self.recovered(zone);
     }
 
     /// The zone's loss is over, or was none.
-    pub(crate) fn back(&mut self, zone: Option<usize>) {
-        if let Some(z) = self.0.get_mut(&zone) {
-            (z.lost, z.next_trial) = (false, 0);
-            z.mute.clear();
+    pub fn recovered(&mut self, zone: Option<usize>) {
+        if let Some(zone) = self.zones.get_mut(&zone) {
+            zone.lost = false;
+            zone.next_poll = 0;
+            zone.unresponsive.clear();
         }
     }
 
     /// Whether the zone is taken for lost.
-    pub(crate) fn lost(&self, zone: Option<usize>) -> bool {
-        self.0.get(&zone).is_some_and(|z| z.lost)
-    }
-
-    /// Whether a worker of a lost zone may be asked now: one at a time for the whole of it.
-    pub(crate) fn may_ask(&mut self, zone: Option<usize>, now: Micros, gap: Micros) -> bool {
-        let Some(z) = self.0.get_mut(&zone).filter(|z| now >= z.next_trial) else {
-            return false;
-        };
-        z.next_trial = now + gap;
-        true
+    pub fn is_lost(&self, zone: Option<usize>) -> bool {
+        self.zones.get(&zone).is_some_and(|zone| zone.lost)
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    const SEC: Micros = 1_000_000;
 
-    fn heard() -> Zones {
-        let mut zones = Zones::default();
-        zones.heard(Some(0), 10 * SEC);
-        zones.heard(Some(1), 10 * SEC);
-        zones
-    }
-
-    #[test]
-    fn two_mute_workers_of_one_zone_lose_it_and_an_answer_brings_it_back() {
-        let mut zones = heard();
-        zones.mute(Some(0), 1, 10 * SEC + 300_000, 250_000);
-        assert!(!zones.lost(Some(0)), "one may have died alone");
-        zones.heard(Some(1), 10 * SEC + 400_000);
-        zones.mute(Some(0), 2, 10 * SEC + 500_000, 250_000);
-        assert!(zones.lost(Some(0)) && !zones.lost(Some(1)));
-        assert!(
-            zones.may_ask(Some(0), 11 * SEC, SEC) && !zones.may_ask(Some(0), 11 * SEC + 1, SEC)
-        );
-        zones.heard(Some(0), 12 * SEC);
-        assert!(!zones.lost(Some(0)));
-    }
-
-    #[test]
-    fn refusals_old_signs_and_our_own_cut_lose_no_zone() {
-        let mut zones = heard();
-        for w in 0..5 {
-            zones.mute(Some(0), w, 10 * SEC, 2_000); // processes that died refuse at once
-        }
-        assert!(!zones.lost(Some(0)));
-        zones.mute(Some(0), 1, 10 * SEC, 250_000);
-        zones.heard(Some(1), 20 * SEC);
-        zones.mute(Some(0), 2, 20 * SEC, 250_000);
-        assert!(!zones.lost(Some(0)), "ten seconds apart");
-        let mut zones = heard();
-        for (n, w) in (0..8).enumerate() {
-            zones.mute(Some(w % 2), w, (20 + n as Micros) * SEC, 250_000);
+    /// Whether a worker of a lost zone may be polled now: one in each `interval` for all of it. Notes the poll.
+    pub fn may_poll(&mut self, zone: Option<usize>, now: Micros, interval: Micros) -> bool {
+        match self.zones.get_mut(&zone) {
+            Some(zone) if now >= zone.next_poll => {
+                zone.next_poll = now + interval;
+                true
+            }
+            _ => false,
         }
-        assert!(
-            !zones.lost(Some(0)) && !zones.lost(Some(1)),
-            "nothing answers: it may be us"
-        );
     }
 }
--- a/policy/src/zone_names.rs
+++ b/policy/src/zone_names.rs
@@ -1,7 +1,7 @@
-//! Zones by name: the list of workers may name zones that the settings do not, and two of those are not one.
+//! Positions for zone names: the endpoint list may name zones that the settings do not, and two of those are not one.
 
-/// Zones beyond this many are taken as not told: names come from outside.
-const MOST: usize = 1024;
+/// Zones beyond this many count as not known: names come from outside.
+const MAX_ZONES: usize = 1024;
 
 /// Gives each zone's name a position of its own.
 #[derive(Clone, Debug, Default)]
@@ -10,23 +10,23 @@
 }
 
 impl ZoneNames {
-    /// The zones that the settings name stand at their positions there.
+    /// The zones that the settings name have their positions there.
     pub fn new(settings: &[String]) -> Self {
         ZoneNames {
             known: settings.to_vec(),
         }
     }
 
-    /// The position of a zone; a name not heard before gets the next one. `None` for a name that is empty or one too
-    /// many: workers without a known zone share none.
+    /// The position of a zone; a new name gets the next one. `None` for a name that is empty or one too many: workers
+    /// without a known zone share none.
     pub fn position(&mut self, name: &str) -> Option<usize> {
         if name.is_empty() {
             return None;
         }
-        if let Some(at) = self.known.iter().position(|known| known == name) {
-            return Some(at);
+        if let Some(position) = self.known.iter().position(|known| known == name) {
+            return Some(position);
         }
-        if self.known.len() >= MOST {
+        if self.known.len() >= MAX_ZONES {
             return None;
         }
         self.known.push(name.to_owned());
--- a/policy/tests/cold.rs
+++ b/policy/tests/cold.rs
@@ -157,7 +157,7 @@
             self.due.remove(&key);
             let (elapsed, closed) = (60 * MS, outcome == Outcome::Ok);
             let (warm, crowd, inflight) = (Some(true), None, None);
-            let end = Event::AttemptEnded {
+            let end = Event::AttemptEnded(AttemptResult {
                 id,
                 attempt,
                 outcome,
@@ -166,7 +166,7 @@
                 replica_loaded: warm,
                 queue_depth: crowd,
                 in_flight: inflight,
-            };
+            });
             self.feed(i, now, end);
         }
     }
@@ -175,7 +175,7 @@
         self.calls += 1;
         let (id, function, class) = (self.calls << 20 | i as u64, self.draw(20), i % 2);
         let (tenant, left, memory_mb, lanes, load_time) = (Some(0), 800 * MS, 500.0, 4, 400 * MS);
-        let call = Event::Request {
+        let call = Event::Request(NewRequest {
             id,
             class,
             tenant,
@@ -185,7 +185,7 @@
             concurrency: lanes,
             load_time,
             retry: false,
-        };
+        });
         self.feed(i, now, call);
     }
 
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -98,7 +98,7 @@
     }
 
     pub fn request(&mut self, id: u64, class: usize, function: u64) -> Vec<Action> {
-        self.feed(Event::Request {
+        self.feed(Event::Request(NewRequest {
             id,
             class,
             tenant: None,
@@ -108,7 +108,7 @@
             concurrency: 1,
             load_time: 400 * MS,
             retry: false,
-        })
+        }))
     }
 
     pub fn outcome(
@@ -120,7 +120,7 @@
     ) -> Vec<Action> {
         let closed = outcome == Outcome::Ok;
         let (warm, crowd, inflight) = (None, None, None);
-        self.feed(Event::AttemptEnded {
+        self.feed(Event::AttemptEnded(AttemptResult {
             id,
             attempt,
             outcome,
@@ -129,7 +129,7 @@
             replica_loaded: warm,
             queue_depth: crowd,
             in_flight: inflight,
-        })
+        }))
     }
 
     pub fn loaded(
--- a/policy/tests/failures.rs
+++ b/policy/tests/failures.rs
@@ -194,7 +194,7 @@
     rig.loaded("w0", 5, 3, Outcome::Ok);
     assert!(rig.feed(Event::RequestCancelled { id: 4 }).is_empty());
     assert!(rig.feed(Event::Timer { token: u64::MAX }).is_empty());
-    rig.feed(Event::Request {
+    rig.feed(Event::Request(NewRequest {
         id: u64::MAX,
         class: 77,
         tenant: Some(9),
@@ -204,7 +204,7 @@
         concurrency: 0,
         load_time: u64::MAX,
         retry: false,
-    });
+    }));
     rig.now = u64::MAX;
     rig.feed(Event::Timer { token: 0 });
     assert!(matches!(
@@ -297,7 +297,7 @@
 fn a_worker_that_stalls_calls_but_answers_orders_is_suspected() {
     let mut rig = Rig::new(settings(), 4);
     rig.warm(7, 1, &["w0", "w1", "w2", "w3"]);
-    rig.feed(Event::Request {
+    rig.feed(Event::Request(NewRequest {
         id: 2,
         class: UNSAFE,
         tenant: None,
@@ -307,7 +307,7 @@
         concurrency: 1,
         load_time: 0,
         retry: false,
-    });
+    }));
     let mut said = Vec::new();
     for _ in 0..600 {
         let out = rig.pass(20 * MS);
@@ -350,7 +350,7 @@
         rig.pass(3 * SEC);
         (10..10 + crowd).for_each(|id| drop(rig.request(id, SAFE, 7)));
         rig.pass(12 * SEC); // so few calls are judged over several seconds
-        let out = rig.feed(Event::Request {
+        let out = rig.feed(Event::Request(NewRequest {
             id: 999,
             class: SAFE,
             tenant: None,
@@ -360,7 +360,7 @@
             concurrency: 1,
             load_time: 0,
             retry: false,
-        });
+        }));
         out.iter()
             .any(|a| matches!(a, Action::Reject { id: 999, .. }))
     };
@@ -467,7 +467,7 @@
             let inflight = Some(if worker == "w0" { most } else { 4.0 });
             let (attempt, outcome, elapsed, closed) = (0, Outcome::Ok, 50 * MS, true);
             let (warm, crowd) = (Some(true), None);
-            rig.feed(Event::AttemptEnded {
+            rig.feed(Event::AttemptEnded(AttemptResult {
                 id,
                 attempt,
                 outcome,
@@ -476,7 +476,7 @@
                 replica_loaded: warm,
                 queue_depth: crowd,
                 in_flight: inflight,
-            });
+            }));
             rig.pass(100 * MS);
             calls += usize::from(worker == "w0");
         }
--- a/policy/tests/mechanism.rs
+++ b/policy/tests/mechanism.rs
@@ -74,7 +74,7 @@
     let mut rig = Rig::new(settings(), 3);
     rig.warm(7, 1, &["w0"]);
     rig.request(2, SAFE, 7);
-    let out = rig.feed(Event::Request {
+    let out = rig.feed(Event::Request(NewRequest {
         id: 3,
         class: SAFE,
         tenant: None,
@@ -84,7 +84,7 @@
         concurrency: 1,
         load_time: 0,
         retry: true,
-    });
+    }));
     assert_eq!(sends(&out), ["w0"]);
     assert!(loads(&out, 1).is_empty());
 }
@@ -191,7 +191,7 @@
     for id in 2..40 {
         let to = sends(&rig.request(id, SAFE, 7)).remove(0);
         let crowd = (to == "w0").then_some(3);
-        rig.feed(Event::AttemptEnded {
+        rig.feed(Event::AttemptEnded(AttemptResult {
             id,
             attempt: 0,
             outcome: Outcome::Ok,
@@ -200,7 +200,7 @@
             replica_loaded: Some(true),
             queue_depth: crowd,
             in_flight: None,
-        });
+        }));
         if to == "w0" {
             assert_eq!(sends(&rig.request(id + 100, SAFE, 7)), ["w1"]);
             return;
--- /dev/null
+++ b/policy/tests/memory.rs
@@ -0,0 +1,133 @@
+//! Nothing may grow with all that a front end has ever seen.
+use wrenseam_policy::{
+    Action, AttemptResult, Controller, Endpoint, Event, Micros, NewRequest, Outcome, Settings,
+    WorkerState,
+};
+
+const SECOND: Micros = 1_000_000;
+
+fn request(id: u64, function: u64, time_left: Micros) -> Event {
+    Event::Request(NewRequest {
+        id,
+        class: 0,
+        tenant: None,
+        function,
+        time_left,
+        memory_mb: 1.0,
+        concurrency: 1,
+        load_time: 0,
+        retry: false,
+    })
+}
+
+#[test]
+fn functions_long_unused_and_closed_requests_are_forgotten() {
+    let settings = Settings {
+        load_orders: true,
+        front_ends: 200,
+        keep_alive: SECOND,
+        ..Settings::default()
+    };
+    let mut controller = Controller::new(settings, 1);
+    let mut actions = Vec::new();
+    let mut now = SECOND;
+    for id in 0..2_000 {
+        now += 20_000;
+        controller.handle(now, request(id, id, 100_000), &mut actions);
+        controller.handle(now, Event::Timer { token: 0 }, &mut actions);
+        for action in actions.drain(..) {
+            if let Action::Timer { token, .. } = action {
+                let timer = Event::Timer { token };
+                controller.handle(now + 100_000, timer, &mut Vec::new());
+            }
+        }
+    }
+    // Four keep-alives of 0.9 s at fifty requests a second are 180 functions.
+    let sizes = controller.table_sizes();
+    assert!(
+        sizes.functions < 250 && sizes.function_positions < 250,
+        "{sizes:?}"
+    );
+    assert!(sizes.requests < 10, "{sizes:?}");
+}
+
+fn endpoint(number: u64, state: WorkerState) -> Endpoint {
+    Endpoint {
+        worker: format!("w{number}"),
+        state,
+        started_at: 0,
+        zone: Some(0),
+        kind: 0,
+        cell: Some(0),
+    }
+}
+
+/// The answer to an order or an attempt: all are served.
+fn answer(action: Action) -> Option<(Micros, Event)> {
+    match action {
+        Action::Load {
+            worker,
+            function,
+            replicas,
+        } => Some((
+            1_000,
+            Event::LoadOrderEnded {
+                worker,
+                function,
+                replicas,
+                outcome: Outcome::Ok,
+                elapsed: 1_000,
+            },
+        )),
+        Action::Send { id, .. } => Some((
+            2_000,
+            Event::AttemptEnded(AttemptResult {
+                id,
+                attempt: 0,
+                outcome: Outcome::Ok,
+                elapsed: 1_000,
+                request_closed: true,
+                replica_loaded: None,
+                queue_depth: None,
+                in_flight: None,
+            }),
+        )),
+        _ => None,
+    }
+}
+
+/// Workers are replaced by new ones all day long: the positions of those that are gone are used again.
+#[test]
+fn workers_that_are_gone_leave_their_positions() {
+    let settings = Settings {
+        load_orders: true,
+        ..Settings::default()
+    };
+    let mut controller = Controller::new(settings, 1);
+    let mut actions = Vec::new();
+    for step in 0..200u64 {
+        let now = step * SECOND;
+        let endpoints = vec![
+            endpoint(step, WorkerState::Ready),
+            endpoint(step.wrapping_sub(3), WorkerState::Gone),
+        ];
+        let update = Event::EndpointUpdate {
+            complete: false,
+            endpoints,
+        };
+        controller.handle(now, update, &mut actions);
+        controller.handle(now + 1, request(step, 7, 900_000), &mut actions);
+        while let Some(action) = actions.pop() {
+            if let Some((delay, event)) = answer(action) {
+                controller.handle(now + delay, event, &mut actions);
+            }
+        }
+        let cancelled = Event::RequestCancelled { id: step };
+        controller.handle(now + 990_000, cancelled, &mut Vec::new());
+    }
+    let sizes = controller.table_sizes();
+    assert!(
+        sizes.worker_positions < 10 && sizes.workers < 10,
+        "{sizes:?}"
+    );
+}
--- a/policy/tests/properties.rs
+++ b/policy/tests/properties.rs
@@ -76,12 +76,12 @@
                     }
                 }
             }
-            Event::Request {
+            Event::Request(NewRequest {
                 id,
                 class,
                 time_left: left,
                 ..
-            } => {
+            }) => {
                 let (sent, answered, client_knows) = (vec![], false, false);
                 let r = Known {
                     class: *class,
@@ -93,13 +93,13 @@
                 self.requests.insert(*id, r);
                 self.taken.push(now);
             }
-            Event::AttemptEnded {
+            Event::AttemptEnded(AttemptResult {
                 id,
                 attempt,
                 outcome,
                 request_closed: closed,
                 ..
-            } => {
+            }) => {
                 let r = self.requests.get_mut(id).unwrap();
                 let s = &mut r.sent[*attempt];
                 s.open = false;
@@ -240,7 +240,7 @@
         let (class, left) = (draw(3) as usize, (20 + draw(3000)) * MS);
         let (function, retry, memory_mb) = (draw(12), draw(8) == 0, 300.0);
         let (tenant, lanes, load_time) = (None, 1 + draw(2) as u32, 0);
-        let r = Event::Request {
+        let r = Event::Request(NewRequest {
             id,
             class,
             tenant,
@@ -250,7 +250,7 @@
             concurrency: lanes,
             load_time,
             retry,
-        };
+        });
         due.insert((at, serial), r);
         if draw(15) == 0 {
             serial += 1;
@@ -289,12 +289,12 @@
     let mut out = Vec::new();
     while let Some(((now, _), mut event)) = due.pop_first().filter(|((t, _), _)| *t < last) {
         let now = heard(now, stalls);
-        if let Event::AttemptEnded {
+        if let Event::AttemptEnded(AttemptResult {
             id,
             outcome,
             request_closed: closed,
             ..
-        } = &mut event
+        }) = &mut event
         {
             *closed = *outcome == Outcome::Ok || over.contains(id);
             if *outcome == Outcome::Ok {
@@ -340,7 +340,7 @@
                     };
                     let (attempt, warm, crowd, inflight) = (*n, None, None, Some(draw(9) as f64));
                     *n += 1;
-                    let e = Event::AttemptEnded {
+                    let e = Event::AttemptEnded(AttemptResult {
                         id,
                         attempt,
                         outcome,
@@ -349,7 +349,7 @@
                         replica_loaded: warm,
                         queue_depth: crowd,
                         in_flight: inflight,
-                    };
+                    });
                     due.insert((now + elapsed.max(1), serial), e);
                 }
                 Action::Load {
@@ -480,16 +480,18 @@
 #[test]
 fn the_checker_catches_a_faulty_stream() {
     let mut checker = Checker::new(&sites()[2], false);
-    let request = |id, class| Event::Request {
-        id,
-        class,
-        tenant: None,
-        function: 1,
-        time_left: SEC,
-        memory_mb: 1.0,
-        concurrency: 1,
-        load_time: 0,
-        retry: false,
+    let request = |id, class| {
+        Event::Request(NewRequest {
+            id,
+            class,
+            tenant: None,
+            function: 1,
+            time_left: SEC,
+            memory_mb: 1.0,
+            concurrency: 1,
+            load_time: 0,
+            retry: false,
+        })
     };
     checker.event(0, &request(1, UNSAFE));
     checker.event(0, &request(2, SAFE));
--- a/policy/tests/prospect.rs
+++ b/policy/tests/prospect.rs
@@ -41,7 +41,7 @@
     for _ in 0..n {
         let (id, class, tenant, memory_mb, lanes, load_time) = (rig.now, SAFE, None, 500.0, 8, 0);
         let retry = false;
-        let call = Event::Request {
+        let call = Event::Request(NewRequest {
             id,
             class,
             tenant,
@@ -51,7 +51,7 @@
             concurrency: lanes,
             load_time,
             retry,
-        };
+        });
         let out = rig.feed(call);
         let out = settle(rig, out);
         let advised =
@@ -67,7 +67,7 @@
         };
         let (attempt, elapsed, warm, crowd, inflight) = (0, took.min(left), Some(true), None, None);
         if sent {
-            rig.feed(Event::AttemptEnded {
+            rig.feed(Event::AttemptEnded(AttemptResult {
                 id,
                 attempt,
                 outcome,
@@ -76,7 +76,7 @@
                 replica_loaded: warm,
                 queue_depth: crowd,
                 in_flight: inflight,
-            });
+            }));
             served += usize::from(closed);
         }
     }
--- a/policy/tests/repeats.rs
+++ b/policy/tests/repeats.rs
@@ -33,7 +33,7 @@
 }
 
 fn keyed_request(rig: &mut Rig, left: Micros) -> Vec<Action> {
-    rig.feed(Event::Request {
+    rig.feed(Event::Request(NewRequest {
         id: 2,
         class: KEYED,
         tenant: None,
@@ -43,7 +43,7 @@
         concurrency: 1,
         load_time: 0,
         retry: false,
-    })
+    }))
 }
 
 /// Workers whose zone or cell the list does not tell share no memory of keys: two absences are not one place.
--- a/policy/tests/rules.rs
+++ b/policy/tests/rules.rs
@@ -54,7 +54,7 @@
     for (wait, expected) in [(0, true), (3 * SEC, false)] {
         let mut rig = Rig::new(settings(), 6);
         rig.warm(7, 1, &["w0", "w1", "w2", "w3", "w4", "w5"]);
-        let out = rig.feed(Event::Request {
+        let out = rig.feed(Event::Request(NewRequest {
             id: 2,
             class: KEYED,
             tenant: None,
@@ -64,7 +64,7 @@
             concurrency: 1,
             load_time: 0,
             retry: false,
-        });
+        }));
         let first: usize = sends(&out)[0][1..].parse().unwrap();
         rig.now += wait;
         let again = sends(&rig.outcome(2, 0, Outcome::Error, 50 * MS));
--- a/policy/tests/scale.rs
+++ b/policy/tests/scale.rs
@@ -17,7 +17,7 @@
 }
 
 fn call(rig: &mut Rig, id: u64, function: u64, tenant: usize) -> Vec<Action> {
-    rig.feed(Event::Request {
+    rig.feed(Event::Request(NewRequest {
         id,
         class: SAFE,
         tenant: Some(tenant),
@@ -27,7 +27,7 @@
         concurrency: 4,
         load_time: 400 * MS,
         retry: false,
-    })
+    }))
 }
 
 fn answer(
@@ -38,7 +38,7 @@
     inflight: Option<f64>,
 ) -> Vec<Action> {
     let closed = outcome == Outcome::Ok;
-    rig.feed(Event::AttemptEnded {
+    rig.feed(Event::AttemptEnded(AttemptResult {
         id,
         attempt: 0,
         outcome,
@@ -47,7 +47,7 @@
         replica_loaded: None,
         queue_depth: None,
         in_flight: inflight,
-    })
+    }))
 }
 
 /// Makes `function` believed warm at all of the workers that are asked about it.
@@ -363,7 +363,7 @@
         let elapsed = if slow { 2 * SEC } else { 50 * MS };
         let (outcome, warm) = (Outcome::Ok, Some(true));
         let (id, attempt, closed, crowd, inflight) = (function, 0, true, None, None);
-        rig.feed(Event::AttemptEnded {
+        rig.feed(Event::AttemptEnded(AttemptResult {
             id,
             attempt,
             outcome,
@@ -372,7 +372,7 @@
             replica_loaded: warm,
             queue_depth: crowd,
             in_flight: inflight,
-        });
+        }));
         rig.pass(100 * MS);
     }
     let slow_ones = |part: &[bool]| part.iter().filter(|&&slow| slow).count();
@@ -400,7 +400,7 @@
             met.extend(sends(&call(&mut rig, id, 7, 0)));
             let (attempt, outcome, elapsed, closed) = (0, Outcome::Ok, 50 * MS, true);
             let (warm, crowd, inflight) = (Some(true), held, None);
-            rig.feed(Event::AttemptEnded {
+            rig.feed(Event::AttemptEnded(AttemptResult {
                 id,
                 attempt,
                 outcome,
@@ -409,7 +409,7 @@
                 replica_loaded: warm,
                 queue_depth: crowd,
                 in_flight: inflight,
-            });
+            }));
             rig.pass(600 * MS);
         }
         met.len()
--- a/policy/tests/versions.rs
+++ b/policy/tests/versions.rs
@@ -59,7 +59,7 @@
                     };
                     let (closed, warm) = (outcome == Outcome::Ok, Some(warm));
                     let (crowd, inflight) = (None, None);
-                    let end = Event::AttemptEnded {
+                    let end = Event::AttemptEnded(AttemptResult {
                         id,
                         attempt,
                         outcome,
@@ -68,7 +68,7 @@
                         replica_loaded: warm,
                         queue_depth: crowd,
                         in_flight: inflight,
-                    };
+                    });
                     self.after(elapsed, end);
                 }
                 Action::Load {
@@ -128,13 +128,13 @@
                     self.stands.insert(place);
                 }
                 match &event {
-                    Event::Request { id, .. } if !self.calls.contains_key(id) => {}
-                    Event::Request { .. } => self.taken.push(key.0),
-                    Event::AttemptEnded {
+                    Event::Request(NewRequest { id, .. }) if !self.calls.contains_key(id) => {}
+                    Event::Request(_) => self.taken.push(key.0),
+                    Event::AttemptEnded(AttemptResult {
                         id,
                         request_closed: true,
                         ..
-                    } if !self.ends.contains_key(id) => {
+                    }) if !self.ends.contains_key(id) => {
                         self.ends.entry(*id).or_default().push(true);
                     }
                     _ => {}
@@ -187,7 +187,7 @@
         world.calls.insert(id, function);
         let (memory_mb, lanes, load_time) = (500.0, 2, LOAD);
         let (tenant, left, retry) = (None, 3 * SEC, false);
-        let request = Event::Request {
+        let request = Event::Request(NewRequest {
             id,
             class,
             tenant,
@@ -197,7 +197,7 @@
             concurrency: lanes,
             load_time,
             retry,
-        };
+        });
         world.after(id * 100 * MS, request);
     }
     world.run(start + 20 * SEC);
--- a/policy/tests/world/mod.rs
+++ b/policy/tests/world/mod.rs
@@ -201,7 +201,7 @@
     /// Completes an event with what is known only when it happens; `None` where it does not happen any more.
     fn deliver(&mut self, mut event: Event) -> Option<Event> {
         match &mut event {
-            Event::AttemptEnded {
+            Event::AttemptEnded(AttemptResult {
                 id,
                 attempt,
                 outcome,
@@ -209,7 +209,7 @@
                 request_closed: closed,
                 in_flight: inflight,
                 ..
-            } => {
+            }) => {
                 let open = self.open.remove(&(*id, *attempt))?;
                 self.workers[open.worker].in_flight -= 1;
                 self.cancelled.remove(&(*id, *attempt));
@@ -262,7 +262,7 @@
             1 => 0.0,
             _ => 100.0 + (function * 37 % 500) as f64,
         };
-        let event = Event::Request {
+        let event = Event::Request(NewRequest {
             id,
             class,
             tenant: [None, Some(0), Some(1), Some(9)][self.draw(4) as usize],
@@ -272,7 +272,7 @@
             concurrency: [REPLICA_CAPACITY, 1, 0][(function % 3) as usize],
             load_time: if function % 4 == 0 { 0 } else { LOAD_TIME },
             retry: self.draw(9) == 0,
-        };
+        });
         self.requests.insert(
             id,
             OpenRequest {
@@ -414,7 +414,7 @@
         let (outcome, took, warm) = self.serve(worker, function, timeout);
         let depth = self.workers[worker].in_flight.min(30);
         let reports = self.scenario.reports && matches!(outcome, Outcome::Ok | Outcome::Rejected);
-        let event = Event::AttemptEnded {
+        let event = Event::AttemptEnded(AttemptResult {
             id,
             attempt,
             outcome,
@@ -423,7 +423,7 @@
             replica_loaded: warm.filter(|_| reports),
             queue_depth: (reports && depth > 1).then_some(depth - 1),
             in_flight: None,
-        };
+        });
         self.schedule(now + took.min(timeout), event);
     }
 
@@ -499,7 +499,7 @@
 
     fn cancel(&mut self, id: RequestId, attempt: usize) {
         if self.open.contains_key(&(id, attempt)) && self.cancelled.insert((id, attempt)) {
-            let event = Event::AttemptEnded {
+            let event = Event::AttemptEnded(AttemptResult {
                 id,
                 attempt,
                 outcome: Outcome::Cancelled,
@@ -508,7 +508,7 @@
                 replica_loaded: None,
                 queue_depth: None,
                 in_flight: None,
-            };
+            });
             let at = self.now + 2 * MS;
             self.schedule(at, event);
         }
--- a/scalelab/src/hollow.rs
+++ b/scalelab/src/hollow.rs
@@ -304,16 +304,15 @@
             .wrapping_mul(1_000_003)
             .wrapping_add(u64::from(index));
         let room = 256 + 4 * shape.workers; // never grows, as its growth would count as the module's
-        let mut controller = Controller::default();
+        let mut controller = None;
         let held = measure(|| {
-            controller = Controller::new(
-                Settings {
-                    front_end_index: Some(index),
-                    ..shape.settings()
-                },
-                seed,
-            );
+            let settings = Settings {
+                front_end_index: Some(index),
+                ..shape.settings()
+            };
+            controller = Some(Controller::new(settings, seed));
         });
+        let controller = controller.expect("made by the closure");
         let mut front = Front {
             controller,
             popularity: popularity.clone(),
@@ -433,15 +432,17 @@
                 self.waits.extend(first.map(|c| since - c.arrived));
                 let elapsed = self.now - since;
                 let (crowd, inflight) = (Some(0), Some(2.0));
-                self.feed(|| Event::AttemptEnded {
-                    id,
-                    attempt,
-                    outcome,
-                    elapsed,
-                    request_closed: closed,
-                    replica_loaded: warm,
-                    queue_depth: crowd,
-                    in_flight: inflight,
+                self.feed(|| {
+                    Event::AttemptEnded(AttemptResult {
+                        id,
+                        attempt,
+                        outcome,
+                        elapsed,
+                        request_closed: closed,
+                        replica_loaded: warm,
+                        queue_depth: crowd,
+                        in_flight: inflight,
+                    })
                 });
             }
             Due::Answer {
@@ -488,16 +489,18 @@
         let (class, tenant) = ((mark % 2) as usize, Some((mark >> 8) as usize % 5));
         let (left, load_time) = (4 * SEC, self.shape.load);
         let (memory_mb, lanes, retry, function) = (500.0, 4, false, n as u64);
-        self.feed(|| Event::Request {
-            id,
-            class,
-            tenant,
-            function,
-            time_left: left,
-            memory_mb,
-            concurrency: lanes,
-            load_time,
-            retry,
+        self.feed(|| {
+            Event::Request(NewRequest {
+                id,
+                class,
+                tenant,
+                function,
+                time_left: left,
+                memory_mb,
+                concurrency: lanes,
+                load_time,
+                retry,
+            })
         });
     }
 
@@ -542,8 +545,8 @@
         let all = measure(|| {
             let event = event();
             slot = match event {
-                Event::Request { .. } => 0,
-                Event::AttemptEnded { .. } => 1,
+                Event::Request(_) => 0,
+                Event::AttemptEnded(_) => 1,
                 Event::Timer { .. } | Event::RequestCancelled { .. } => 2,
                 Event::EndpointUpdate { .. } => 3,
                 Event::LoadOrderEnded { .. } => 4,
--- a/wrenseam/src/config.rs
+++ b/wrenseam/src/config.rs
@@ -224,7 +224,10 @@
         let part = |key: &str| part(fields, key).unwrap_or(&empty);
         let (settings, faults) = (
             Settings::from_json(part("settings")),
-            Settings::faults(part("settings")),
+            Settings::faults(part("settings"))
+                .iter()
+                .map(ToString::to_string)
+                .collect::<Vec<_>>(),
         );
         if settings.classes.is_empty() {
             return Err("the settings name no classes: every request would fail".to_owned());
--- a/wrenseam/src/core/attempts.rs
+++ b/wrenseam/src/core/attempts.rs
@@ -4,7 +4,7 @@
 use crate::worker::{GiveUp, Terms};
 use std::sync::atomic::Ordering;
 use std::time::Instant;
-use wrenseam_policy::{Event, Micros, Outcome, WorkerState};
+use wrenseam_policy::{AttemptResult, Event, Micros, Outcome, WorkerState};
 
 impl Core {
     /// An attempt ended, and the module hears of it at once.
@@ -39,7 +39,7 @@
             self.answer(id, Answer::Served(payload));
         }
         let (closed, inflight) = (self.requests.get(&id).is_none_or(|o| o.answered), None);
-        self.events.push_back(Event::AttemptEnded {
+        self.events.push_back(Event::AttemptEnded(AttemptResult {
             id,
             attempt,
             outcome,
@@ -48,7 +48,7 @@
             replica_loaded: warm,
             queue_depth: crowd,
             in_flight: inflight,
-        });
+        }));
     }
 
     /// Calls an attempt off. While its request is owed an answer it stays open until its worker has been told: what the
--- a/wrenseam/src/core/requests.rs
+++ b/wrenseam/src/core/requests.rs
@@ -3,7 +3,7 @@
 use crate::model::{Answer, Client, Request, RequestEnd};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
-use wrenseam_policy::{Event, Idempotency, Micros};
+use wrenseam_policy::{Event, Idempotency, Micros, NewRequest};
 
 impl Core {
     pub(super) fn request(&mut self, request: Request, client: Arc<dyn Client>, tag: u64) {
@@ -35,7 +35,7 @@
         self.last += 1;
         let id = self.last;
         let left = self.left(now, &request);
-        self.events.push_back(Event::Request {
+        self.events.push_back(Event::Request(NewRequest {
             id,
             class,
             tenant,
@@ -45,7 +45,7 @@
             concurrency: request.concurrency,
             load_time: request.load_time,
             retry: request.is_retry,
-        });
+        }));
         self.by_client.insert((client.connection(), tag), id);
         self.wire_ids.insert(request.wire_id);
         self.shared.open.fetch_add(1, Ordering::AcqRel);
--- a/wrenseam/src/discovery/etcd.rs
+++ b/wrenseam/src/discovery/etcd.rs
@@ -217,7 +217,7 @@
     match parse(body) {
         Ok(Value::Object(fields)) => Ok(fields),
         Ok(_) => Err(Unreadable("not a JSON object".to_owned())),
-        Err(e) => Err(Unreadable(e)),
+        Err(e) => Err(Unreadable(e.to_string())),
     }
 }
 
