--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -40,9 +40,9 @@
         let wait = (self.estimator.backlog() / pace * SECOND as f64)
             .min(MOST_WAIT * self.estimator.answer_time());
         // Its client leaves first: work for nothing.
-        let is_hopeless =
+        let is_too_late =
             (arrival.time_left as f64) < self.functions[arrival.function].service_time;
-        is_hopeless || wait > self.shedding_bound(arrival) * self.mean_latency_objective()
+        is_too_late || wait > self.shedding_bound(arrival) * self.mean_latency_objective()
     }
 
     /// Requests in flight at a worker: by the workers' reports, which tell of all front ends; else all front ends are
--- a/policy/src/dispatch.rs
+++ b/policy/src/dispatch.rs
@@ -1,8 +1,9 @@
 //! Sending attempts, and the one final answer of each request.
 use crate::action::Action;
 use crate::index::{FunctionIndex, WorkerIndex};
+use crate::placement::Placement;
 use crate::request::{Attempt, AttemptState};
-use crate::retry::{retry_window, Placement};
+use crate::retry::retry_window;
 use crate::state::{State, DEFAULT_SPAN};
 use crate::types::{Micros, RequestId, MILLISECOND};
 use crate::worker::OpenAttempt;
--- a/policy/src/eligibility.rs
+++ b/policy/src/eligibility.rs
@@ -1,7 +1,8 @@
 //! Which workers may be sent a request: rules 3 and 4, ejected workers, and what a request has met there before.
 use crate::index::{FunctionIndex, WorkerIndex};
+use crate::placement::Placement;
 use crate::request::Request;
-use crate::retry::{may_retry_at, Placement};
+use crate::retry::may_retry_at;
 use crate::settings::Idempotency;
 use crate::state::State;
 use crate::types::Micros;
--- a/policy/src/index.rs
+++ b/policy/src/index.rs
@@ -1,9 +1,9 @@
 //! Typed positions in the tables of workers and functions.
 
-/// Position of a worker in the [`WorkerTable`](crate::worker::WorkerTable).
+/// Position of a worker in the `WorkerTable`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WorkerIndex(pub(crate) usize);
 
-/// Position of a function in the [`FunctionTable`](crate::function::FunctionTable).
+/// Position of a function in the `FunctionTable`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FunctionIndex(pub(crate) usize);
--- a/policy/src/keep_alive.rs
+++ b/policy/src/keep_alive.rs
@@ -131,7 +131,7 @@
             return loaded;
         }
         let worker = self.worker_for_replica(index, now, None)?;
-        self.make_room(index, worker, now, actions);
+        self.free_memory(index, worker, now, actions);
         Some(worker)
     }
 }
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -66,11 +66,11 @@
 //!
 //! - The interface: `types`, `endpoint`, `settings`, `event`, `action`; `settings_json` and [`json`] read it.
 //! - Concepts with a state of their own behind private fields: `replica`, `function`, `periodic_calls`, `request`,
-//!   `retry`, `worker`, `worker_health`, `rejections`, `slow_start`, `zone_health`, `estimator`, `answer_times`,
+//!   `retry`, `worker`, `worker_health`, `placement`, `rejections`, `slow_start`, `zone_health`, `estimator`, `answer_times`,
 //!   `load_budget`, `load_limiter`, `token_bucket`; the plain functions `rendezvous` and [`virtual_loss`].
 //! - `state`: all of them for one front end, and what concerns two of them.
 //! - Decisions, each a file: `eligibility`, `dispatch`, `outlier_detection`, `load_orders`, `replication`, `polling`,
-//!   `routing`, `hedging`, `keep_alive`, `admission`, `endpoint_list`, `survey`.
+//!   `routing`, `hedging`, `keep_alive`, `admission`, `endpoint_list`, `survey`, `request_lifecycle`.
 //! - `controller`: one event in, actions out.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -95,6 +95,7 @@
 mod load_orders;
 mod outlier_detection;
 mod periodic_calls;
+mod placement;
 mod polling;
 mod random;
 mod rejections;
@@ -102,6 +103,7 @@
 mod replica;
 mod replication;
 mod request;
+mod request_lifecycle;
 mod retry;
 mod routing;
 mod settings;
--- a/policy/src/replication.rs
+++ b/policy/src/replication.rs
@@ -61,7 +61,7 @@
         let Some(worker) = self.worker_for_replica(index, now, lost) else {
             return false;
         };
-        self.make_room(index, worker, now, actions);
+        self.free_memory(index, worker, now, actions);
         let replica = self.replica_mut(index, worker);
         let replicas = if replica.is_loaded(now) {
             (replica.count() + 1).min(MOST_REPLICAS)
@@ -279,7 +279,7 @@
     /// Unloads the least recently lost idle replicas at a worker while this front end's account shows its memory short.
     /// Exception in a large fleet: what lies idle by this account is in use by others, and the worker's own eviction is
     /// better.
-    pub(crate) fn make_room(
+    pub(crate) fn free_memory(
         &mut self,
         index: FunctionIndex,
         worker: WorkerIndex,
--- a/policy/src/request.rs
+++ b/policy/src/request.rs
@@ -1,7 +1,7 @@
 //! Requests that are in flight, and their attempts.
 use crate::event::Outcome;
 use crate::index::{FunctionIndex, WorkerIndex};
-use crate::retry::Placement;
+use crate::placement::Placement;
 use crate::types::{Micros, RequestId};
 use std::collections::BTreeMap;
 
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -1,39 +1,13 @@
 //! Whether a request may be sent once more: what its earlier attempts may have done, which workers recognize its
 //! idempotency key, and for how long they do. No I/O; time is an argument.
-use crate::endpoint::Endpoint;
+use crate::placement::Placement;
 use crate::request::{Attempt, Request};
-use crate::settings::{ClassSettings, Idempotency, KeyScope};
+use crate::settings::{ClassSettings, Idempotency};
 use crate::types::{Micros, MILLISECOND};
 
 /// A retry is begun so long before workers forget its key: the policy's clock may be a tick behind.
 const KEY_MARGIN: Micros = 20 * MILLISECOND;
 
-/// Where a worker was listed when an attempt was sent to it: its key is known there, wherever the list has the worker
-/// later.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Placement {
-    zone: Option<usize>,
-    cell: Option<u64>,
-}
-
-impl Placement {
-    pub(crate) fn of(endpoint: &Endpoint) -> Self {
-        Placement {
-            zone: endpoint.zone,
-            cell: endpoint.cell,
-        }
-    }
-
-    /// Whether two workers share their memory of keys. Workers whose zone or cell is not known share none.
-    fn shares_keys(self, other: Placement, scope: KeyScope) -> bool {
-        match scope {
-            KeyScope::All => true,
-            KeyScope::Zone => self.zone.is_some() && self.zone == other.zone,
-            KeyScope::Cell => self.cell.is_some() && self.cell == other.cell,
-        }
-    }
-}
-
 /// For how long from `now` a further attempt may be begun; `None` if no time bounds it: nothing may have been executed,
 /// or the class is idempotent.
 pub(crate) fn retry_window(
--- a/policy/src/routing.rs
+++ b/policy/src/routing.rs
@@ -197,7 +197,7 @@
             return;
         };
         let function = request.function;
-        if self.has_waited_too_long(request, now) || self.is_load_hopeless(function, now) {
+        if self.has_waited_too_long(request, now) || self.are_load_orders_failing(function, now) {
             return self.finish(id, actions);
         }
         self.functions.wait(function, id);
@@ -222,7 +222,7 @@
     }
 
     /// Guards workers and the load budget against requests of what no worker knows: orders to load it fail at once.
-    fn is_load_hopeless(&self, function: FunctionIndex, now: Micros) -> bool {
+    fn are_load_orders_failing(&self, function: FunctionIndex, now: Micros) -> bool {
         self.functions[function].orders_fail(MOST_ERRORS_OF_UNKNOWN_FUNCTION, now, POLL_INTERVAL)
     }
 
