--- a/wrenseam/tests/board.rs
+++ b/wrenseam/tests/board.rs
@@ -1,7 +1,7 @@
 //! The notice board as it fails and moves, and the list that the program makes of it.
 mod common;
 
-use common::{Speech, Stage};
+use common::{Harness, Protocol};
 use rstest::rstest;
 
 #[rstest]
@@ -102,5 +102,5 @@
     board expect 1"
 )]
 fn the_list_follows_the_board(#[case] scenario: &str) {
-    Stage::new(Speech::Platform).play(Speech::Platform, scenario);
+    Harness::new(Protocol::Platform).run_scenario(Protocol::Platform, scenario);
 }
--- a/wrenseam/tests/closing.rs
+++ b/wrenseam/tests/closing.rs
@@ -1,7 +1,7 @@
 //! Listeners and connections as they close, with what crosses the close.
 mod common;
 
-use common::{connect, fastcgi, fastcgi_answer, Speech, Stage, FUNCTION};
+use common::{connect, fastcgi, fastcgi_answer, Harness, Protocol, FUNCTION};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::atomic::AtomicBool;
@@ -70,7 +70,7 @@
 /// way.
 #[test]
 fn input_behind_the_close_brings_no_reset() {
-    let stage = Stage::new(Speech::Platform);
+    let stage = Harness::new(Protocol::Platform);
     let mut stream = connect(stage.front);
     let mut bytes = fastcgi(
         1,
@@ -79,7 +79,7 @@
     );
     bytes[10] = 0; // flags of BEGIN_REQUEST: the connection is not kept
     stream.write_all(&bytes).expect("written");
-    let (head, _, _) = fastcgi_answer(&mut stream).expect("an answer");
+    let head = fastcgi_answer(&mut stream).expect("an answer").head;
     assert!(head.starts_with("Status: 200"), "{head}");
     assert_eq!(stream.read(&mut [0; 8]).expect("closed in order"), 0);
     for _ in 0..2 {
@@ -92,7 +92,7 @@
 /// A client that keeps its connection does not keep a process that ends, and loses nothing on it.
 #[test]
 fn a_planned_end_closes_kept_connections_in_order() {
-    let mut stage = Stage::new(Speech::Platform);
+    let mut stage = Harness::new(Protocol::Platform);
     let mut kept = connect(stage.front);
     kept.write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""))
         .expect("written");
@@ -106,9 +106,11 @@
         ("HTTP_REQ_KEY", FUNCTION),
     ];
     open.write_all(&fastcgi(1, &params, b"x")).expect("written");
-    assert!(stage.stop());
+    assert!(stage.terminate());
     assert_eq!(kept.read(&mut [0; 8]).expect("closed in order"), 0);
-    let (head, _, _) = fastcgi_answer(&mut open).expect("an answer before the end");
+    let head = fastcgi_answer(&mut open)
+        .expect("an answer before the end")
+        .head;
     assert!(head.starts_with("Status: 5"), "{head}");
     assert_eq!(open.read(&mut [0; 8]).expect("closed in order"), 0);
 }
--- /dev/null
+++ b/wrenseam/tests/common/clients/fastcgi.rs
@@ -0,0 +1,118 @@
+//! FastCGI records as a web server writes and reads them.
+use super::super::support::sockets::read_bytes;
+use super::super::FUNCTION;
+use super::ClientRequest;
+use std::io::{self, Read};
+
+const BEGIN_REQUEST: u8 = 1;
+const ABORT_REQUEST: u8 = 2;
+const END_REQUEST: u8 = 3;
+const PARAMS: u8 = 4;
+const STDIN: u8 = 5;
+const STDOUT: u8 = 6;
+
+/// The responder's role, on a connection that is kept.
+const RESPONDER: [u8; 8] = [0, 1, 1, 0, 0, 0, 0, 0];
+/// Protocol status of a request that is rejected because the program is overloaded.
+pub const OVERLOADED: u8 = 2;
+/// Bytes of a body that go into one record.
+const PIECE: usize = 8_000;
+
+/// An answer read to its END_REQUEST.
+#[allow(dead_code, reason = "each test binary uses its own part")]
+#[derive(Debug)]
+pub struct FastCgiAnswer {
+    /// The headers, without the empty line that ends them.
+    pub head: String,
+    pub body: Vec<u8>,
+    pub protocol_status: u8,
+}
+
+/// One record without padding.
+#[allow(dead_code, reason = "each test binary uses its own part")]
+pub fn record(kind: u8, id: u16, content: &[u8]) -> Vec<u8> {
+    let [id_high, id_low] = id.to_be_bytes();
+    let [length_high, length_low] = (content.len() as u16).to_be_bytes();
+    let header = [1, kind, id_high, id_low, length_high, length_low, 0, 0];
+    [&header, content].concat()
+}
+
+/// The record that cancels a request.
+pub fn abort_request(id: u16) -> Vec<u8> {
+    record(ABORT_REQUEST, id, &[])
+}
+
+/// A record with a piece of a request's body.
+pub fn stdin_record(id: u16, piece: &[u8]) -> Vec<u8> {
+    record(STDIN, id, piece)
+}
+
+/// A whole request with these parameters, none of which is longer than 127 bytes.
+#[allow(dead_code, reason = "each test binary uses its own part")]
+pub fn fastcgi(id: u16, params: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+    let params: Vec<u8> = params
+        .iter()
+        .flat_map(|(name, value)| encode_param(name, value))
+        .collect();
+    let mut request = record(BEGIN_REQUEST, id, &RESPONDER);
+    request.extend(record(PARAMS, id, &params));
+    request.extend(record(PARAMS, id, &[]));
+    for piece in body.chunks(PIECE) {
+        request.extend(stdin_record(id, piece));
+    }
+    request.extend(stdin_record(id, &[]));
+    request
+}
+
+fn encode_param(name: &str, value: &str) -> Vec<u8> {
+    let lengths = [name.len() as u8, value.len() as u8];
+    [&lengths, name.as_bytes(), value.as_bytes()].concat()
+}
+
+/// A call as a whole request; its FastCGI id is the end of the call's.
+pub fn call(id: u64, request: &ClientRequest) -> Vec<u8> {
+    let content = &request.content;
+    let script_name = format!("/v1/{}", content.class);
+    let call_id = format!("{id:016x}");
+    let timeout = request.timeout_ms.to_string();
+    let mut params = vec![
+        ("SCRIPT_NAME", &script_name[..]),
+        ("HTTP_REQ_ID", &call_id),
+        ("HTTP_REQ_WAIT_MS", &timeout),
+        ("HTTP_REQ_OWNER", "acme"),
+        ("HTTP_REQ_KEY", FUNCTION),
+        ("HTTP_X_MORE", "memory_mb:512;lanes:4;load_ms:640"),
+    ];
+    if let Some(key) = &content.idempotency_key {
+        params.push(("HTTP_REQ_TOKEN", key));
+    }
+    fastcgi(id as u16, &params, content.body.as_bytes())
+}
+
+/// Reads one answer; a record of a kind that none of it has fails the test.
+#[allow(dead_code, reason = "each test binary uses its own part")]
+pub fn fastcgi_answer(stream: &mut impl Read) -> io::Result<FastCgiAnswer> {
+    let mut stdout = Vec::new();
+    loop {
+        let header = read_bytes(stream, 8)?;
+        let length = usize::from(u16::from_be_bytes([header[4], header[5]]));
+        let content = read_bytes(stream, length)?;
+        read_bytes(stream, header[6].into())?; // the padding
+        match header[1] {
+            STDOUT => stdout.extend(content),
+            END_REQUEST => return Ok(parse_answer(&stdout, content[4])),
+            kind => panic!("record {kind}"),
+        }
+    }
+}
+
+fn parse_answer(stdout: &[u8], protocol_status: u8) -> FastCgiAnswer {
+    let text = String::from_utf8_lossy(stdout);
+    let (head, _) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
+    let body_start = (head.len() + 4).min(stdout.len());
+    FastCgiAnswer {
+        head: head.to_owned(),
+        body: stdout[body_start..].to_vec(),
+        protocol_status,
+    }
+}
--- a/wrenseam/tests/common/fleet.rs
+++ b/wrenseam/tests/common/fleet.rs
@@ -1,141 +1,122 @@
-//! Several processes of the program that gossip.
-use super::program::{door, SETTINGS};
-use std::io::{BufRead, BufReader};
+//! Several processes of the program that gossip on loopback; there are no workers.
+use super::program::{
+    admin_command, create_folder, create_run_folder, write_file, Program, SETTINGS,
+};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// Several processes of the program with the fleet on, gossiping on loopback; no workers.
+/// Time between two looks at the telemetry of a process.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The processes, in the order of their first start.
 pub struct Fleet {
     pub nodes: Vec<Node>,
     folder: PathBuf,
 }
 
-/// One process of a fleet: its child, its door and its gossip address.
+/// One process of a fleet.
+#[allow(dead_code, reason = "each test binary uses its own part")]
 pub struct Node {
-    child: Child,
-    pub door: SocketAddr,
+    program: Program,
+    pub admin_endpoint: SocketAddr,
     pub gossip: SocketAddr,
 }
 
+#[allow(dead_code, reason = "each test binary uses its own part")]
 impl Fleet {
-    /// Starts `n` processes; each after the first joins by way of the first.
-    pub fn new(n: usize) -> Fleet {
-        static RUNS: AtomicU64 = AtomicU64::new(0);
-        let run = RUNS.fetch_add(1, Ordering::Relaxed);
-        let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
-            .join(format!("fleet-{}-{run}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder for the files");
+    /// Starts `count` processes; each after the first joins by way of the first.
+    pub fn new(count: usize) -> Fleet {
         let mut fleet = Fleet {
             nodes: Vec::new(),
-            folder,
+            folder: create_run_folder("fleet-"),
         };
-        for i in 0..n {
-            let seed = fleet.nodes.first().map(|n: &Node| n.gossip);
-            let node = fleet.start(i, "127.0.0.1:0".parse().expect("an address"), seed);
+        for index in 0..count {
+            let seed = fleet.nodes.first().map(|node| node.gossip);
+            let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+            let node = fleet.start(index, any_port, seed);
             fleet.nodes.push(node);
         }
         fleet
     }
 
-    fn start(&self, i: usize, gossip: SocketAddr, seed: Option<SocketAddr>) -> Node {
-        let seeds = seed.map_or(String::new(), |s| format!(r#""{s}""#));
-        let file = self.folder.join(format!("fleet-{i}.json"));
+    fn start(&self, index: usize, gossip: SocketAddr, seed: Option<SocketAddr>) -> Node {
+        let fleet_file = self.write_fleet_file(index, gossip, seed);
+        let config = self.write_config(index);
+        let folder = create_folder(&self.folder.join(format!("tmp-{index}")));
+        let environment = [("WRENSEAM_FLEET", fleet_file.as_os_str())];
+        let mut program = Program::start(&folder, &config, &environment);
+        let gossip = program.next_listen_address();
+        let _front = program.next_listen_address();
+        let admin_endpoint = program.next_listen_address();
+        program.forward_log(format!("f{index}"));
+        Node {
+            program,
+            admin_endpoint,
+            gossip,
+        }
+    }
+
+    fn write_fleet_file(
+        &self,
+        index: usize,
+        gossip: SocketAddr,
+        seed: Option<SocketAddr>,
+    ) -> PathBuf {
+        let seeds = seed.map_or(String::new(), |seed| format!(r#""{seed}""#));
         let text = format!(
             r#"{{"listen":"{gossip}","seeds":[{seeds}],"cluster":"test","expected":1,"probe_ms":100,"suspect_ms":300,"capacity":10,"shed_order":["tile-render"]}}"#
         );
-        std::fs::write(&file, text).expect("written");
-        let config = self.folder.join(format!("config-{i}.json"));
-        let told = format!(
-            r#"{{"name":"f{i}","seed":"{i:x}","admin":"127.0.0.1:0","limits":{{"memory_mb":192,"sockets":256}},"settings":{SETTINGS},"known":{{"rev":0,"notices":[]}}}}"#
+        write_file(self.folder.join(format!("fleet-{index}.json")), &text)
+    }
+
+    fn write_config(&self, index: usize) -> PathBuf {
+        let text = format!(
+            r#"{{"name":"f{index}","seed":"{index:x}","admin":"127.0.0.1:0","limits":{{"memory_mb":192,"sockets":256}},"settings":{SETTINGS},"known":{{"rev":0,"notices":[]}}}}"#
         );
-        std::fs::write(&config, told).expect("written");
-        let tmp = self.folder.join(format!("tmp-{i}"));
-        std::fs::create_dir_all(&tmp).expect("a folder");
-        let mut child = Command::new(env!("CARGO_BIN_EXE_wrenseam"))
-            .env("NODE_CONFIG", &config)
-            .env("NODE_LISTEN", "127.0.0.1:0")
-            .env("TMPDIR", &tmp)
-            .env("WRENSEAM_FLEET", &file)
-            .stderr(Stdio::piped())
-            .spawn()
-            .expect("the program starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
-        let (mut gossip, mut door) = (None, None);
-        while gossip.is_none() || door.is_none() {
-            let line = lines.next().expect("a line of the log").expect("text");
-            let address = || {
-                line.rsplit_once(" listens on ")
-                    .map(|(_, a)| a.parse().expect("an address"))
-            };
-            if line.contains("gossip listens on") {
-                gossip = address();
-            } else if line.contains("the operators' door listens on") {
-                door = address();
-            }
-        }
-        std::thread::spawn(move || {
-            lines
-                .map_while(Result::ok)
-                .for_each(|line| eprintln!("  f{i}: {line}"))
-        });
-        Node {
-            child,
-            door: door.expect("read"),
-            gossip: gossip.expect("read"),
-        }
+        write_file(self.folder.join(format!("config-{index}.json")), &text)
     }
 
-    /// Ends process `i` at once, as a crash would.
-    pub fn kill(&mut self, i: usize) {
-        let _ = self.nodes[i].child.kill();
-        let _ = self.nodes[i].child.wait();
+    /// Ends a process at once, as a crash would.
+    pub fn kill(&mut self, index: usize) {
+        self.nodes[index].program.kill();
     }
 
-    /// Starts process `i` again at its gossip address, joining by way of process `by`.
-    pub fn restart(&mut self, i: usize, by: usize) {
-        let (gossip, seed) = (self.nodes[i].gossip, self.nodes[by].gossip);
-        self.nodes[i] = self.start(i, gossip, Some(seed));
+    /// Starts a process again at its gossip address; it joins by way of another.
+    pub fn restart(&mut self, index: usize, seed_index: usize) {
+        let gossip = self.nodes[index].gossip;
+        let seed = self.nodes[seed_index].gossip;
+        self.nodes[index] = self.start(index, gossip, Some(seed));
     }
 
-    /// Whether process `i` still runs.
-    pub fn running(&mut self, i: usize) -> bool {
-        self.nodes[i].child.try_wait().expect("asked").is_none()
+    /// Whether a process still runs.
+    pub fn running(&mut self, index: usize) -> bool {
+        self.nodes[index].program.is_running()
     }
 
-    /// A figure of process `i`'s telemetry, by its name.
-    pub fn figure(&self, i: usize, name: &str) -> Option<u64> {
-        let told = door(self.nodes[i].door, "telemetry\n");
-        told.lines()
-            .find_map(|l| l.strip_prefix(name).and_then(|r| r.strip_prefix(':')))
-            .and_then(|r| r.split('|').next())
-            .and_then(|n| n.parse().ok())
+    /// A figure of a process's telemetry, by its name.
+    pub fn figure(&self, index: usize, name: &str) -> Option<u64> {
+        let telemetry = admin_command(self.nodes[index].admin_endpoint, "telemetry\n");
+        let figure = telemetry
+            .lines()
+            .find_map(|line| line.strip_prefix(name)?.strip_prefix(':'))?;
+        let (number, _kind) = figure.split_once('|')?;
+        number.parse().ok()
     }
 
-    /// Waits until process `i` counts `peers` alive; how long that took.
-    pub fn until_peers(&self, i: usize, peers: u64, within: Duration) -> Duration {
+    /// Waits until a process counts so many peers alive; how long that took.
+    pub fn until_peers(&self, index: usize, peers: u64, within: Duration) -> Duration {
         let since = Instant::now();
         loop {
-            if self.figure(i, "app.fleet.peers") == Some(peers) {
+            let counted = self.figure(index, "app.fleet.peers");
+            if counted == Some(peers) {
                 return since.elapsed();
             }
             assert!(
                 since.elapsed() < within,
-                "f{i} counts {:?} peers, not {peers}",
-                self.figure(i, "app.fleet.peers")
+                "f{index} counts {counted:?} peers, not {peers}"
             );
-            std::thread::sleep(Duration::from_millis(20));
-        }
-    }
-}
-
-impl Drop for Fleet {
-    fn drop(&mut self) {
-        for node in &mut self.nodes {
-            let _ = node.child.kill();
-            let _ = node.child.wait();
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
--- /dev/null
+++ b/wrenseam/tests/common/harness.rs
@@ -0,0 +1,259 @@
+//! The program between stand-in workers and discovery services: its configuration, and what it listens on.
+use super::clients::get;
+use super::discovery::DiscoveryService;
+use super::program::{create_run_folder, write_file, Program, SETTINGS};
+use super::support::sockets::PATIENCE;
+use super::workers::{start_worker, OrderControl, ReceivedCall, WorkerAnswer, WorkerContext};
+use super::Protocol;
+use std::cell::Cell;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::sync::mpsc::{channel, Receiver};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use wrenseam_policy::json::{list, object, parse, text};
+
+/// Workers of a test: the first half in one zone, the second in the other.
+const WORKERS: usize = 4;
+const ZONES: [&str; 2] = ["hall-a", "hall-b"];
+/// Stands in the configuration where the address of a discovery service is to come.
+const DISCOVERY_PLACEHOLDER: &str = "BOARD";
+/// Time between two looks at what the administration API shows.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+
+/// The running program with four stand-in workers in two zones, and two discovery services of which it follows one.
+pub struct Harness {
+    program: Program,
+    /// Where FastCGI clients connect.
+    pub front: SocketAddr,
+    /// Where KServe v2 clients connect.
+    pub kserve: SocketAddr,
+    /// The administration API, over HTTP.
+    pub admin: SocketAddr,
+    /// The admin endpoint, which reads command lines.
+    #[allow(dead_code, reason = "each test binary uses its own part")]
+    pub admin_endpoint: SocketAddr,
+    /// Calls that came to any worker.
+    pub(super) calls: Receiver<ReceivedCall>,
+    pub(super) orders: Arc<OrderControl>,
+    discovery_services: [DiscoveryService; 2],
+    /// Index of the service that the configuration names.
+    configured_service: Cell<usize>,
+    config: ConfigFile,
+}
+
+/// The program's configuration file, in which the discovery service can be exchanged.
+struct ConfigFile {
+    path: PathBuf,
+    template: String,
+}
+
+impl ConfigFile {
+    fn create(folder: &Path, template: String, discovery: SocketAddr) -> ConfigFile {
+        let config = ConfigFile {
+            path: folder.join("config.json"),
+            template,
+        };
+        config.write(discovery);
+        config
+    }
+
+    fn write(&self, discovery: SocketAddr) {
+        let text = self
+            .template
+            .replace(DISCOVERY_PLACEHOLDER, &discovery.to_string());
+        write_file(self.path.clone(), &text);
+    }
+
+    fn corrupt(&self) {
+        write_file(self.path.clone(), "{");
+    }
+}
+
+#[allow(dead_code, reason = "each test binary uses its own part")]
+impl Harness {
+    /// Starts the program with workers of this protocol.
+    pub fn new(workers: Protocol) -> Harness {
+        Harness::with(workers, &[])
+    }
+
+    /// Starts it with a configuration in which each first text is replaced by the second.
+    pub fn with(workers: Protocol, changes: &[(&str, &str)]) -> Harness {
+        let folder = create_run_folder("");
+        let (received, calls) = channel();
+        let orders = Arc::<OrderControl>::default();
+        let context = WorkerContext {
+            calls: received,
+            orders: orders.clone(),
+        };
+        let addresses: Vec<SocketAddr> = (0..WORKERS)
+            .map(|worker| start_worker(workers, zone_index(worker), context.clone()))
+            .collect();
+        let discovery_services = [DiscoveryService::start(), DiscoveryService::start()];
+        let (instances, endpoints) = match workers {
+            Protocol::Platform => (instances(&addresses), String::new()),
+            Protocol::Kserve => (String::new(), endpoints(&addresses)),
+        };
+        let template = changed(config_template(&instances), changes);
+        let config = ConfigFile::create(&folder, template, discovery_services[0].address);
+        let kserve_config = write_kserve_files(&folder, &endpoints);
+        let environment = [("WRENSEAM_KSERVE", kserve_config.as_os_str())];
+        let mut program = Program::start(&folder, &config.path, &environment);
+        let harness = Harness {
+            front: program.next_listen_address(),
+            kserve: program.next_listen_address(),
+            admin: program.next_listen_address(),
+            admin_endpoint: program.next_listen_address(),
+            program,
+            calls,
+            orders,
+            discovery_services,
+            configured_service: Cell::new(0),
+            config,
+        };
+        harness.wait_until_started()
+    }
+
+    fn wait_until_started(mut self) -> Harness {
+        self.program.forward_log("program".to_owned());
+        while !get(self.admin, "/healthz").starts_with("HTTP/1.1 200") {
+            std::thread::sleep(POLL_INTERVAL);
+        }
+        self
+    }
+
+    /// Sends SIGTERM and waits for the program's end; whether it ended well.
+    pub fn terminate(&mut self) -> bool {
+        self.signal("-TERM");
+        self.program.wait()
+    }
+
+    /// The id of the program's process.
+    pub fn pid(&self) -> u32 {
+        self.program.pid()
+    }
+
+    /// Sends the program a signal, named as `kill` wants it.
+    pub fn signal(&self, name: &str) {
+        self.program.signal(name);
+    }
+
+    /// Names the other discovery service in the configuration, and has it read again.
+    pub(super) fn reload_with_other_service(&self) {
+        self.configured_service
+            .set(1 - self.configured_service.get());
+        self.config.write(self.discovery_service().address);
+        self.signal("-HUP");
+    }
+
+    /// Has the program read a configuration that is no JSON.
+    pub(super) fn reload_corrupt(&self) {
+        self.config.corrupt();
+        self.signal("-HUP");
+    }
+
+    /// The discovery service that the configuration names.
+    pub(super) fn discovery_service(&self) -> &DiscoveryService {
+        &self.discovery_services[self.configured_service.get()]
+    }
+
+    /// Answers the next call, of this class, at any worker; false if none comes within a second.
+    pub fn answer_next_call(&self, class: &str) -> bool {
+        let Ok(call) = self.calls.recv_timeout(Duration::from_secs(1)) else {
+            return false;
+        };
+        assert_eq!(call.content.class, class);
+        call.answer(&WorkerAnswer::Ok("DONE".to_owned()));
+        true
+    }
+
+    /// The ids of the calls that came to any worker since they were last asked for.
+    pub fn received_call_ids(&self) -> Vec<u64> {
+        self.calls.try_iter().map(|call| call.id).collect()
+    }
+
+    /// The folder of the program's files, which is its TMPDIR too.
+    pub fn folder(&self) -> PathBuf {
+        let folder = self.config.path.parent();
+        folder.expect("a folder").to_path_buf()
+    }
+
+    /// Waits until the administration API shows this state of a worker, or that it is `absent`.
+    pub fn wait_for_endpoint(&self, worker: &str, state: &str, context: &str) {
+        let since = Instant::now();
+        loop {
+            let response = get(self.admin, "/v1/state");
+            if endpoint_state(&response, worker).as_deref() == Some(state) {
+                return;
+            }
+            assert!(since.elapsed() < PATIENCE, "{context}: {response}");
+            std::thread::sleep(POLL_INTERVAL);
+        }
+    }
+}
+
+/// The state of a worker in an answer of the administration API; `absent` without an entry.
+fn endpoint_state(response: &str, worker: &str) -> Option<String> {
+    let (_, body) = response.split_once("\r\n\r\n").expect("a body");
+    let json = parse(body).expect("JSON");
+    let endpoints = list(object(&json).expect("an object"), "endpoints");
+    let entry = endpoints
+        .iter()
+        .filter_map(object)
+        .find(|entry| text(entry, "name") == Some(worker));
+    let state = entry.map_or(Some("absent"), |entry| text(entry, "state"));
+    state.map(str::to_owned)
+}
+
+fn zone_index(worker: usize) -> usize {
+    worker * ZONES.len() / WORKERS
+}
+
+/// The workers as a discovery service lists them.
+fn instances(addresses: &[SocketAddr]) -> String {
+    let instance = |(worker, address): (usize, &SocketAddr)| {
+        let cell = zone_index(worker);
+        let zone = ZONES[cell];
+        format!(
+            r#"{{"instanceId":"w{worker}","hostPort":"{address}","zone":"{zone}","machineType":"std","cell":{cell},"lifecycle":"ready","startedAtMs":0}}"#
+        )
+    };
+    let instances: Vec<String> = addresses.iter().enumerate().map(instance).collect();
+    instances.join(",")
+}
+
+/// The workers as a file of v2 endpoints lists them.
+fn endpoints(addresses: &[SocketAddr]) -> String {
+    let locality = |(worker, address): (usize, &SocketAddr)| {
+        let (zone, port) = (ZONES[zone_index(worker)], address.port());
+        format!(
+            r#"{{"locality":{{"zone":"{zone}"}},"lb_endpoints":[{{"endpoint":{{"address":{{"socket_address":{{"address":"127.0.0.1","port_value":{port}}}}}}}}}]}}"#
+        )
+    };
+    let localities: Vec<String> = addresses.iter().enumerate().map(locality).collect();
+    localities.join(",")
+}
+
+fn config_template(instances: &str) -> String {
+    format!(
+        r#"{{"name":"t","seed":"2a","admin":"127.0.0.1:0","limits":{{"memory_mb":192,"sockets":256}},"settings":{SETTINGS},
+                "board":"{DISCOVERY_PLACEHOLDER}","known":{{"rev":1,"notices":[{{"rev":1,"pool":{{"reset":true,"instances":[{instances}]}}}}]}}}}"#
+    )
+}
+
+/// A text in which each first text, which must be there, is replaced once by the second.
+fn changed(text: String, changes: &[(&str, &str)]) -> String {
+    changes.iter().fold(text, |text, (from, to)| {
+        assert!(text.contains(from), "{from}");
+        text.replacen(from, to, 1)
+    })
+}
+
+/// Writes the configuration of the v2 front and the endpoints that it names; the configuration's path.
+fn write_kserve_files(folder: &Path, endpoints: &str) -> PathBuf {
+    let resources =
+        format!(r#"{{"resources":[{{"cluster_name":"tile-workers","endpoints":[{endpoints}]}}]}}"#);
+    write_file(folder.join("endpoints.json"), &resources);
+    let config = r#"{"listen":"127.0.0.1:0","admin":"127.0.0.1:0","endpoints":"endpoints.json"}"#;
+    write_file(folder.join("kserve.json"), config)
+}
--- a/wrenseam/tests/common/program.rs
+++ b/wrenseam/tests/common/program.rs
@@ -1,35 +1,13 @@
-//! The program as a process: its files, its start, what it is told by signals and at its door, and its end.
-use super::clients::{connect, get};
-use super::discovery::{board, Board};
-use super::workers::{worker, Call};
-use super::{Speech, PATIENCE};
-use std::cell::Cell;
-use std::io::{BufRead, BufReader, Read, Write};
+//! The program as a process: its environment, its log, its signals and its end.
+use super::support::sockets::connect;
+use std::ffi::OsStr;
+use std::io::{BufRead, BufReader, Lines, Read, Write};
 use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
-use std::sync::atomic::{AtomicU64, AtomicU8, Ordering};
-use std::sync::mpsc::{channel, Receiver};
-use std::sync::Arc;
-use std::time::{Duration, Instant};
-use wrenseam_policy::json::{list, object, parse, text};
-
-/// The running program and its stand-in workers, two in each of two halls.
-pub struct Stage {
-    pub(super) child: Child,
-    pub front: SocketAddr,
-    pub kserve: SocketAddr,
-    pub admin: SocketAddr,
-    /// The operators' door.
-    pub door: SocketAddr,
-    pub(super) calls: Receiver<Call>,
-    pub(super) boards: [Board; 2],
-    pub(super) board: Cell<usize>,
-    pub(super) config: (PathBuf, String),
-    /// What workers do with orders.
-    pub(super) orders: Arc<AtomicU8>,
-}
+use std::path::{Path, PathBuf};
+use std::process::{Child, ChildStderr, Command, Stdio};
+use std::sync::atomic::{AtomicU64, Ordering};
 
+/// The policy's settings in the configuration of each test.
 pub const SETTINGS: &str = r#"{"balancers":1,"classes":[
  {"effect":"retryable","goal-time":400,"key-scope":"all","memory-span":5000,"name":"tile-render","worth":1},
  {"effect":"dedup","goal-time":400,"key-scope":"zone","memory-span":5000,"name":"tile-order","worth":3}],
@@ -40,192 +18,116 @@
  "retry-after":true,"second-copies":false,"streams-per-conn":100},"rules":{"cold-from":0.2,"fall":1000,
  "fall-multiple":2,"warm-within":17000}}"#;
 
-impl Stage {
-    pub fn new(speech: Speech) -> Stage {
-        Stage::with(speech, &[])
-    }
+/// A variable of the program's environment.
+pub type Variable<'a> = (&'a str, &'a OsStr);
 
-    /// With a configuration in which each first word reads as the second.
-    pub fn with(speech: Speech, changes: &[(&str, &str)]) -> Stage {
-        let orders: Arc<AtomicU8> = Arc::default();
-        static RUNS: AtomicU64 = AtomicU64::new(0);
-        let run = RUNS.fetch_add(1, Ordering::Relaxed);
-        let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"))
-            .join(format!("{}-{run}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder for the files");
-        let (seen, calls) = channel();
-        let workers: Vec<SocketAddr> = (0..4)
-            .map(|n| worker(speech, n / 2, seen.clone(), orders.clone()))
-            .collect();
-        let hall = |n: usize| if n < 2 { "hall-a" } else { "hall-b" };
-        let (mut notices, mut localities) = (Vec::new(), Vec::new());
-        for (n, address) in workers.iter().enumerate() {
-            let (hall, port) = (hall(n), address.port());
-            notices.push(format!(
-                r#"{{"instanceId":"w{n}","hostPort":"{address}","zone":"{hall}","machineType":"std","cell":{},"lifecycle":"ready","startedAtMs":0}}"#,
-                n / 2
-            ));
-            localities.push(format!(
-                r#"{{"locality":{{"zone":"{hall}"}},"lb_endpoints":[{{"endpoint":{{"address":{{"socket_address":{{"address":"127.0.0.1","port_value":{port}}}}}}}}}]}}"#
-            ));
-        }
-        let (known, endpoints) = match speech {
-            Speech::Platform => (notices.join(","), String::new()),
-            Speech::Kserve => (String::new(), localities.join(",")),
-        };
-        let write = |name: &str, text: String| {
-            std::fs::write(folder.join(name), text).expect("a file");
-            folder.join(name)
-        };
-        let told = format!(
-            r#"{{"name":"t","seed":"2a","admin":"127.0.0.1:0","limits":{{"memory_mb":192,"sockets":256}},"settings":{SETTINGS},
-                "board":"BOARD","known":{{"rev":1,"notices":[{{"rev":1,"pool":{{"reset":true,"instances":[{known}]}}}}]}}}}"#
-        );
-        let told = changes.iter().fold(told, |told, (from, to)| {
-            assert!(told.contains(from), "{from}");
-            told.replacen(from, to, 1)
-        });
-        let boards = [board(), board()];
-        let config = write(
-            "config.json",
-            told.replace("BOARD", &boards[0].0.to_string()),
-        );
-        write(
-            "endpoints.json",
-            format!(
-                r#"{{"resources":[{{"cluster_name":"tile-workers","endpoints":[{endpoints}]}}]}}"#
-            ),
-        );
-        let kserve = write(
-            "kserve.json",
-            r#"{"listen":"127.0.0.1:0","admin":"127.0.0.1:0","endpoints":"endpoints.json"}"#
-                .to_owned(),
-        );
+/// A process of the program. It is killed when this is dropped.
+pub struct Program {
+    child: Child,
+    /// The log, until the rest of it is forwarded.
+    log: Option<Lines<BufReader<ChildStderr>>>,
+}
+
+impl Program {
+    /// Starts the program on a free port, with its temporary files in `folder`.
+    pub fn start(folder: &Path, config: &Path, environment: &[Variable]) -> Program {
         let mut child = Command::new(env!("CARGO_BIN_EXE_wrenseam"))
-            .env("NODE_CONFIG", &config)
-            .env("TMPDIR", &folder)
+            .env("NODE_CONFIG", config)
             .env("NODE_LISTEN", "127.0.0.1:0")
-            .env("WRENSEAM_KSERVE", kserve)
+            .env("TMPDIR", folder)
+            .envs(environment.iter().copied())
             .stderr(Stdio::piped())
             .spawn()
             .expect("the program starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
-        let mut listens = || loop {
-            let line = lines.next().expect("a line of the log").expect("text");
+        let log = BufReader::new(child.stderr.take().expect("piped")).lines();
+        Program {
+            child,
+            log: Some(log),
+        }
+    }
+
+    /// The next address on which the log says that the program listens.
+    pub fn next_listen_address(&mut self) -> SocketAddr {
+        let log = self.log.as_mut().expect("a log that is not forwarded yet");
+        loop {
+            let line = log.next().expect("a line of the log").expect("text");
             if let Some((_, address)) = line.split_once(" listens on ") {
                 return address.parse().expect("an address");
             }
-        };
-        let (front, kserve, admin, door) = (listens(), listens(), listens(), listens());
-        // The rest of the log is read, so that it cannot fill up, and shown with a failed test.
-        std::thread::spawn(move || {
-            lines
-                .map_while(Result::ok)
-                .for_each(|line| eprintln!("  program: {line}"))
-        });
-        let (board, config) = (Cell::new(0), (config, told));
-        let stage = Stage {
-            child,
-            front,
-            kserve,
-            admin,
-            door,
-            calls,
-            boards,
-            board,
-            config,
-            orders,
-        };
-        while !get(stage.admin, "/healthz").starts_with("HTTP/1.1 200") {
-            std::thread::sleep(Duration::from_millis(10));
         }
-        stage
     }
 
-    /// Sends SIGTERM and waits for the program's end.
-    pub fn stop(&mut self) -> bool {
-        self.signal("-TERM");
-        self.child.wait().expect("it ends").success()
+    /// Reads the rest of the log, so that it cannot fill up, and shows it with a failed test.
+    pub fn forward_log(&mut self, label: String) {
+        let log = self.log.take().expect("a log that is not forwarded yet");
+        std::thread::spawn(move || {
+            for line in log.map_while(Result::ok) {
+                eprintln!("  {label}: {line}");
+            }
+        });
     }
 
-    /// The program's process number.
+    /// The id of the process.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
+    /// Sends a signal, named as `kill` wants it.
     pub fn signal(&self, name: &str) {
-        let pid = self.child.id().to_string();
-        assert!(Command::new("kill")
-            .args([name, &pid])
-            .status()
-            .expect("kill runs")
-            .success());
+        let pid = self.pid().to_string();
+        let status = Command::new("kill").args([name, &pid]).status();
+        assert!(status.expect("kill runs").success());
     }
 
-    /// Names the other board in the configuration, or leaves no readable one, and has it read again.
-    pub(super) fn reload(&self, broken: bool) {
-        let text = if broken {
-            "{".to_owned()
-        } else {
-            self.board.set(1 - self.board.get());
-            self.config
-                .1
-                .replace("BOARD", &self.boards[self.board.get()].0.to_string())
-        };
-        std::fs::write(&self.config.0, text).expect("written");
-        self.signal("-HUP");
+    /// Waits for the end of the process; whether it ended well.
+    pub fn wait(&mut self) -> bool {
+        self.child.wait().expect("it ends").success()
     }
 
-    /// Answers the next call, of this class, at any worker; false if none comes within a second.
-    pub fn answered(&self, class: &str) -> bool {
-        let Ok(call) = self.calls.recv_timeout(Duration::from_secs(1)) else {
-            return false;
-        };
-        assert_eq!(call.class, class);
-        call.answer(&["ok", "DONE"]);
-        true
+    /// Ends the process at once, as a crash would.
+    pub fn kill(&mut self) {
+        let _ = self.child.kill(); // it may have ended already
+        let _ = self.child.wait();
     }
 
-    /// The ids of the calls that have come to any worker since they were last asked for.
-    pub fn calls_come(&self) -> Vec<u64> {
-        self.calls.try_iter().map(|call| call.id).collect()
+    /// Whether the process has not ended.
+    pub fn is_running(&mut self) -> bool {
+        self.child.try_wait().expect("asked").is_none()
     }
+}
 
-    /// The folder of this stage's files, which is the program's TMPDIR too.
-    pub fn folder(&self) -> PathBuf {
-        self.config.0.parent().expect("a folder").to_path_buf()
+impl Drop for Program {
+    fn drop(&mut self) {
+        self.kill();
     }
+}
 
-    /// Waits until the administration API shows this state of a worker.
-    pub fn listed(&self, worker: &str, state: &str, context: &str) {
-        let since = Instant::now();
-        loop {
-            let told = get(self.admin, "/v1/state");
-            let json = parse(told.split_once("\r\n\r\n").expect("a body").1).expect("JSON");
-            let named = |e: &&miniserde::json::Object| text(e, "name") == Some(worker);
-            let shown = list(object(&json).expect("an object"), "endpoints");
-            let found = shown.iter().filter_map(object).find(named);
-            if found.map_or(Some("absent"), |e| text(e, "state")) == Some(state) {
-                return;
-            }
-            assert!(since.elapsed() < PATIENCE, "{context}: {told}");
-            std::thread::sleep(Duration::from_millis(10));
-        }
-    }
+/// A folder of their own for the files of this run.
+pub fn create_run_folder(prefix: &str) -> PathBuf {
+    static RUNS: AtomicU64 = AtomicU64::new(0);
+    let run = RUNS.fetch_add(1, Ordering::Relaxed);
+    let name = format!("{prefix}{}-{run}", std::process::id());
+    create_folder(&Path::new(env!("CARGO_TARGET_TMPDIR")).join(name))
 }
 
-impl Drop for Stage {
-    fn drop(&mut self) {
-        let _ = self.child.kill(); // it may have ended already
-        let _ = self.child.wait();
-    }
+/// Creates a folder, which may be there already.
+pub fn create_folder(path: &Path) -> PathBuf {
+    std::fs::create_dir_all(path).expect("a folder for the files");
+    path.to_path_buf()
+}
+
+/// Writes a file; its path.
+pub fn write_file(path: PathBuf, text: &str) -> PathBuf {
+    std::fs::write(&path, text).expect("written");
+    path
 }
 
-/// One call at the operators' door: the line sent, what came back until the close.
-pub fn door(address: SocketAddr, line: &str) -> String {
+/// Sends a command line to an admin endpoint; what came back until the connection ended.
+#[allow(dead_code, reason = "each test binary uses its own part")]
+pub fn admin_command(address: SocketAddr, line: &str) -> String {
     let mut stream = connect(address);
     stream.write_all(line.as_bytes()).expect("written");
-    let mut told = String::new();
-    let _ = stream.read_to_string(&mut told);
-    told
+    let mut reply = String::new();
+    let _ = stream.read_to_string(&mut reply); // it may be reset
+    reply
 }
--- /dev/null
+++ b/wrenseam/tests/common/scenario/step.rs
@@ -0,0 +1,182 @@
+//! The steps of a scenario, and their text.
+use super::super::clients::{ClientAnswer, ClientRequest};
+use super::super::workers::{OrderMode, WorkerAnswer};
+use super::super::CallContent;
+use std::time::Duration;
+
+/// Stands for a call without an idempotency key.
+const NO_KEY: &str = "-";
+
+/// One step of a scenario.
+pub enum Step {
+    Client(ClientStep),
+    Worker(WorkerStep),
+    Orders(OrderMode),
+    Discovery(DiscoveryStep),
+    ExpectEndpoint { worker: String, state: String },
+    Program(ProgramStep),
+    Wait(Duration),
+}
+
+/// What the client does or sees.
+pub enum ClientStep {
+    Send(ClientRequest),
+    SendPart,
+    SendEndless,
+    /// Opens so many connections that stay silent, and then a new one of its own.
+    Open(usize),
+    Flood,
+    Close,
+    Abort,
+    ExpectAnswer(ClientAnswer),
+    ExpectNothing,
+    ExpectClosed,
+}
+
+/// What workers do or see; but for calls it concerns the last call.
+pub enum WorkerStep {
+    ExpectCall {
+        content: CallContent,
+        /// Whether it must come to the zone of the call before it.
+        same_zone: bool,
+    },
+    ExpectNothing,
+    ExpectClosed,
+    Answer(WorkerAnswer),
+    Silence,
+    Close,
+}
+
+/// What the discovery service does or sees; but for watches it concerns the last watch.
+pub enum DiscoveryStep {
+    ExpectWatch {
+        last_event_id: String,
+    },
+    SendEvent {
+        id: String,
+        worker: String,
+        state: String,
+    },
+    SendComments,
+    Close,
+}
+
+/// What is done to the program.
+pub enum ProgramStep {
+    ReloadWithOtherService,
+    ReloadCorrupt,
+    Terminate,
+}
+
+impl Step {
+    /// Reads a step; a line that is none fails the test.
+    pub fn parse(line: &str) -> Step {
+        let words: Vec<&str> = line.split_whitespace().collect();
+        Step::from_words(&words).unwrap_or_else(|| panic!("no such step: {line}"))
+    }
+
+    fn from_words(words: &[&str]) -> Option<Step> {
+        Some(match *words {
+            ["client", ref rest @ ..] => Step::Client(ClientStep::from_words(rest)?),
+            ["worker", ref rest @ ..] => Step::Worker(WorkerStep::from_words(rest)?),
+            ["orders", "answer"] => Step::Orders(OrderMode::Answer),
+            ["orders", "hold"] => Step::Orders(OrderMode::Hold),
+            ["orders", "load"] => Step::Orders(OrderMode::HoldLoads),
+            ["board", ref rest @ ..] => Step::Discovery(DiscoveryStep::from_words(rest)?),
+            ["list", "expect", worker, state] => Step::ExpectEndpoint {
+                worker: worker.to_owned(),
+                state: state.to_owned(),
+            },
+            ["program", "reload"] => Step::Program(ProgramStep::ReloadWithOtherService),
+            ["program", "reload", "broken"] => Step::Program(ProgramStep::ReloadCorrupt),
+            ["program", "term"] => Step::Program(ProgramStep::Terminate),
+            ["wait", ms] => Step::Wait(Duration::from_millis(ms.parse().ok()?)),
+            _ => return None,
+        })
+    }
+}
+
+impl ClientStep {
+    fn from_words(words: &[&str]) -> Option<ClientStep> {
+        Some(match *words {
+            ["send", "part"] => ClientStep::SendPart,
+            ["send", "endless"] => ClientStep::SendEndless,
+            ["send", class, key, body, timeout] => ClientStep::Send(ClientRequest {
+                content: call_content(class, key, body),
+                timeout_ms: timeout.parse().ok()?,
+            }),
+            ["open", count] => ClientStep::Open(count.parse().ok()?),
+            ["flood"] => ClientStep::Flood,
+            ["close"] => ClientStep::Close,
+            ["abort"] => ClientStep::Abort,
+            ["expect", "nothing"] => ClientStep::ExpectNothing,
+            ["expect", "closed"] => ClientStep::ExpectClosed,
+            ["expect", "served", body] => {
+                ClientStep::ExpectAnswer(ClientAnswer::Served(body.to_owned()))
+            }
+            ["expect", "refused"] => ClientStep::ExpectAnswer(ClientAnswer::Rejected),
+            ["expect", "failed"] => ClientStep::ExpectAnswer(ClientAnswer::Failed),
+            _ => return None,
+        })
+    }
+}
+
+impl WorkerStep {
+    fn from_words(words: &[&str]) -> Option<WorkerStep> {
+        Some(match *words {
+            ["expect", "nothing"] => WorkerStep::ExpectNothing,
+            ["expect", "closed"] => WorkerStep::ExpectClosed,
+            ["expect", class, key, body] => WorkerStep::ExpectCall {
+                content: call_content(class, key, body),
+                same_zone: false,
+            },
+            ["expect", class, key, body, "same"] => WorkerStep::ExpectCall {
+                content: call_content(class, key, body),
+                same_zone: true,
+            },
+            ["send", ref rest @ ..] => WorkerStep::Answer(worker_answer(rest)?),
+            ["hush"] => WorkerStep::Silence,
+            ["close"] => WorkerStep::Close,
+            _ => return None,
+        })
+    }
+}
+
+impl DiscoveryStep {
+    fn from_words(words: &[&str]) -> Option<DiscoveryStep> {
+        Some(match *words {
+            ["expect", last_event_id] => DiscoveryStep::ExpectWatch {
+                last_event_id: last_event_id.to_owned(),
+            },
+            ["send", id, worker, state] => DiscoveryStep::SendEvent {
+                id: id.to_owned(),
+                worker: worker.to_owned(),
+                state: state.to_owned(),
+            },
+            ["chatter"] => DiscoveryStep::SendComments,
+            ["close"] => DiscoveryStep::Close,
+            _ => return None,
+        })
+    }
+}
+
+fn call_content(class: &str, key: &str, body: &str) -> CallContent {
+    CallContent {
+        class: class.to_owned(),
+        idempotency_key: (key != NO_KEY).then(|| key.to_owned()),
+        body: body.to_owned(),
+    }
+}
+
+fn worker_answer(words: &[&str]) -> Option<WorkerAnswer> {
+    Some(match *words {
+        ["ok", body] => WorkerAnswer::Ok(body.to_owned()),
+        ["full"] => WorkerAnswer::Rejected,
+        ["miss"] => WorkerAnswer::NotLoaded,
+        ["error"] => WorkerAnswer::Error,
+        ["half"] => WorkerAnswer::Truncated,
+        ["stall"] => WorkerAnswer::Stalled,
+        ["spoilt"] => WorkerAnswer::Corrupt,
+        _ => return None,
+    })
+}
--- a/wrenseam/tests/common/workers.rs
+++ b/wrenseam/tests/common/workers.rs
@@ -1,227 +1,289 @@
-//! Stand-in workers of both speeches: what they see, what they answer.
-use super::clients::{content, exactly, message};
-use super::{Speech, FUNCTION, PATIENCE};
-use std::io::Write;
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
-use std::sync::atomic::{AtomicBool, AtomicU8, Ordering};
+//! Stand-in workers of both protocols: they answer orders by themselves, and leave each call to the test.
+use super::clients::v2::text_of;
+use super::support::frames::{self, encode_answer, read_frame, Frame};
+use super::support::http::{read_message, response, HttpMessage};
+use super::support::sockets::{listen, PATIENCE};
+use super::{CallContent, Protocol, FUNCTION};
+use std::io::{self, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::Sender;
-use std::sync::Arc;
+use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 use wrenseam_policy::json::{object, parse, part, text};
 
-/// A call as a stand-in worker saw it.
-pub struct Call {
-    pub(super) speech: Speech,
-    pub(super) hall: usize,
-    pub(super) id: u64,
-    pub(super) class: String,
-    pub(super) key: String,
-    pub(super) body: String,
-    pub(super) stream: TcpStream,
-    pub(super) hush: Arc<AtomicBool>,
-}
-
-/// Starts a stand-in worker: it answers orders by itself, as one on which a copy of everything stands.
-pub(super) fn worker(
-    speech: Speech,
-    hall: usize,
-    seen: Sender<Call>,
-    orders: Arc<AtomicU8>,
-) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
-    std::thread::spawn(move || {
-        for stream in listener.incoming().map_while(Result::ok) {
-            let (seen, orders) = (seen.clone(), orders.clone());
-            std::thread::spawn(move || match speech {
-                Speech::Platform => frames(stream, hall, &seen, &orders),
-                Speech::Kserve => infer(stream, hall, &seen, &orders),
-            });
-        }
-    });
-    address
+/// Bytes that are left out of an answer that stops midway.
+const MISSING_BYTES: usize = 8;
+/// Time between two looks whether a connection has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+
+/// What workers do with orders to load, and with questions how many replicas are loaded.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub enum OrderMode {
+    /// Both are answered at once: a replica of each function is loaded.
+    #[default]
+    Answer,
+    /// Neither is answered.
+    Hold,
+    /// No order to load is answered; questions are, and nothing is loaded.
+    HoldLoads,
 }
 
-fn frame(code: u8, id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
-    let content = [fields.as_bytes(), body].concat();
-    let mut out = vec![127, code];
-    out.extend((fields.len() as u16).to_be_bytes());
-    out.extend((body.len() as u32).to_be_bytes());
-    out.extend(id.to_be_bytes());
-    out.extend(&content);
-    out.extend(crc32fast::hash(&content).to_be_bytes());
-    out
+/// The mode that all workers of a test are in.
+#[derive(Default)]
+pub struct OrderControl {
+    mode: Mutex<OrderMode>,
+    changed: Condvar,
 }
 
-/// Waits while orders of this kind are held back; how many copies stand then.
-fn stands(orders: &AtomicU8, load: bool) -> u32 {
-    loop {
-        match (orders.load(Ordering::Acquire), load) {
-            (0, _) => return 1,
-            (2, false) => return 0,
-            _ => std::thread::sleep(Duration::from_millis(1)),
-        }
-    }
+#[derive(Clone, Copy, PartialEq)]
+enum Order {
+    Load,
+    Query,
 }
 
-fn frames(mut stream: TcpStream, hall: usize, seen: &Sender<Call>, orders: &Arc<AtomicU8>) {
-    let hush = Arc::new(AtomicBool::new(false));
-    while let Ok(header) = exactly(&mut stream, 16) {
-        let length = usize::from(u16::from_be_bytes([header[2], header[3]]));
-        let body = u32::from_be_bytes(header[4..8].try_into().expect("four")) as usize;
-        let id = u64::from_be_bytes(header[8..].try_into().expect("eight"));
-        let Ok(content) = exactly(&mut stream, length + body + 4) else {
-            return;
-        };
-        let (content_part, check) = content.split_at(length + body);
-        assert_eq!(
-            (header[0], check),
-            (126, &crc32fast::hash(content_part).to_be_bytes()[..])
-        );
-        let fields = String::from_utf8_lossy(&content_part[..length]).into_owned();
-        let field = |name: &str| {
-            let found = fields
-                .split(',')
-                .find_map(|p| p.strip_prefix(name)?.strip_prefix('='));
-            found.unwrap_or("-").to_owned()
+/// What the workers of a test share.
+#[derive(Clone)]
+pub struct WorkerContext {
+    /// Where calls go, of whichever worker.
+    pub calls: Sender<ReceivedCall>,
+    pub orders: Arc<OrderControl>,
+}
+
+/// A call as it reached a worker, and the connection on which it is to be answered.
+pub struct ReceivedCall {
+    pub zone: usize,
+    /// Its id in a frame; 0 in v2.
+    pub id: u64,
+    pub content: CallContent,
+    protocol: Protocol,
+    stream: TcpStream,
+    /// Whether the worker ignores what else comes on the connection.
+    silenced: Arc<AtomicBool>,
+}
+
+/// How a worker answers a call.
+#[derive(Clone, Debug, PartialEq)]
+pub enum WorkerAnswer {
+    Ok(String),
+    Rejected,
+    NotLoaded,
+    Error,
+    /// A part of an answer, then the end of the connection.
+    Truncated,
+    /// A part of an answer, and nothing after it.
+    Stalled,
+    /// An answer whose last byte, which is that of a frame's checksum, is wrong.
+    Corrupt,
+}
+
+impl OrderControl {
+    /// Changes the mode; what was held back and is to be answered now, is.
+    pub fn set(&self, mode: OrderMode) {
+        *self.mode.lock().expect("not poisoned") = mode;
+        self.changed.notify_all();
+    }
+
+    fn holds_back(&self) -> bool {
+        *self.mode.lock().expect("not poisoned") != OrderMode::Answer
+    }
+
+    /// Waits for as long as such orders are held back; how many replicas are loaded then.
+    fn wait_for_replicas(&self, order: Order) -> u32 {
+        let held = |mode: &mut OrderMode| match mode {
+            OrderMode::Answer => false,
+            OrderMode::Hold => true,
+            OrderMode::HoldLoads => order == Order::Load,
         };
-        match header[1] {
-            _ if hush.load(Ordering::Acquire) => {}
-            6 => {
-                let load = field("slots_up") != "0";
-                let (mut to, orders) = (stream.try_clone().expect("cloned"), orders.clone());
-                let held = orders.load(Ordering::Acquire) != 0;
-                let mut say = move || {
-                    let fields = format!("slots_up={}", stands(&orders, load));
-                    let _ = to.write_all(&frame(200, id, &fields, &[])); // it may have closed meanwhile
-                };
-                // Calls behind one that is held back come through.
-                if held {
-                    std::thread::spawn(say);
-                } else {
-                    say();
-                }
-            }
-            2 => {
-                assert_eq!(field("path"), FUNCTION);
-                let (class, key, body) = (
-                    field("queue"),
-                    field("uniq"),
-                    super::clients::content(&content_part[length..]),
-                );
-                let stream = stream.try_clone().expect("cloned");
-                let _ = seen.send(Call {
-                    speech: Speech::Platform,
-                    hall,
-                    id,
-                    class,
-                    key,
-                    body,
-                    stream,
-                    hush: hush.clone(),
-                });
+        let mode = self.mode.lock().expect("not poisoned");
+        let mode = self.changed.wait_while(mode, held).expect("not poisoned");
+        u32::from(*mode == OrderMode::Answer)
+    }
+}
+
+/// Starts a worker in a zone; its address.
+pub fn start_worker(protocol: Protocol, zone: usize, context: WorkerContext) -> SocketAddr {
+    listen(move |stream| {
+        let context = context.clone();
+        std::thread::spawn(move || {
+            let _ = match protocol {
+                Protocol::Platform => serve_frames(stream, zone, &context),
+                Protocol::Kserve => serve_v2(stream, zone, &context),
+            }; // the connection has ended
+        });
+    })
+}
+
+fn serve_frames(mut stream: TcpStream, zone: usize, context: &WorkerContext) -> io::Result<()> {
+    let silenced = Arc::new(AtomicBool::new(false));
+    loop {
+        let frame = read_frame(&mut stream)?;
+        if silenced.load(Ordering::Acquire) {
+            continue;
+        }
+        match frame.code {
+            frames::LOAD_ORDER => answer_order_frame(&frame, stream.try_clone()?, &context.orders),
+            frames::CALL => {
+                let _ = context.calls.send(ReceivedCall {
+                    zone,
+                    id: frame.id,
+                    content: call_of_frame(&frame),
+                    protocol: Protocol::Platform,
+                    stream: stream.try_clone()?,
+                    silenced: silenced.clone(),
+                }); // the test may have ended
             }
             _ => {}
         }
     }
 }
 
-fn infer(mut stream: TcpStream, hall: usize, seen: &Sender<Call>, orders: &AtomicU8) {
-    while let Ok((head, body)) = message(&mut stream) {
-        let target = head.split(' ').nth(1).expect("a target").to_owned();
-        let mut say = |body: &str| {
-            let length = body.len();
-            write!(
-                stream,
-                "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}"
-            )
-            .expect("written");
-        };
-        if target.starts_with("/v2/repository/") {
-            stands(orders, target != "/v2/repository/index");
-        }
-        if target == "/v2/repository/index" {
-            say(&format!(r#"[{{"name":"{FUNCTION}","state":"READY"}}]"#));
-        } else if target.starts_with("/v2/repository/models/") {
-            say(r#"{"parameters":{"slots_up":1}}"#);
-        } else {
-            assert_eq!(target, format!("/v2/models/{FUNCTION}/infer"));
-            let json = parse(&String::from_utf8_lossy(&body)).expect("JSON");
-            let told = part(object(&json).expect("an object"), "parameters").expect("parameters");
-            let word = |name: &str| text(told, name).unwrap_or("-").to_owned();
-            let (class, key, body) = (word("class"), word("token"), content(&body));
-            let stream = stream.try_clone().expect("cloned");
-            let _ = seen.send(Call {
-                speech: Speech::Kserve,
-                hall,
-                id: 0,
-                class,
-                key,
-                body,
-                stream,
-                hush: Arc::default(),
-            });
+/// Answers an order; calls behind one that is held back come through.
+fn answer_order_frame(frame: &Frame, mut stream: TcpStream, orders: &Arc<OrderControl>) {
+    let order = match frame.field("slots_up") {
+        Some("0") => Order::Query,
+        _ => Order::Load,
+    };
+    let (id, control) = (frame.id, orders.clone());
+    let mut answer = move || {
+        let fields = format!("slots_up={}", control.wait_for_replicas(order));
+        let _ = stream.write_all(&encode_answer(frames::OK, id, &fields, &[])); // it may have closed
+    };
+    if orders.holds_back() {
+        std::thread::spawn(answer);
+    } else {
+        answer();
+    }
+}
+
+fn call_of_frame(frame: &Frame) -> CallContent {
+    assert_eq!(frame.field("path"), Some(FUNCTION));
+    CallContent {
+        class: frame.field("queue").expect("a class").to_owned(),
+        idempotency_key: frame.field("uniq").map(str::to_owned),
+        body: text_of(&frame.body),
+    }
+}
+
+fn serve_v2(mut stream: TcpStream, zone: usize, context: &WorkerContext) -> io::Result<()> {
+    let infer = format!("/v2/models/{FUNCTION}/infer");
+    loop {
+        let request = read_message(&mut stream)?;
+        if request.target().starts_with("/v2/repository/") {
+            stream.write_all(&answer_order_v2(&request, &context.orders))?;
+            continue;
         }
+        assert_eq!(request.target(), infer);
+        let _ = context.calls.send(ReceivedCall {
+            zone,
+            id: 0,
+            content: call_of_v2(&request),
+            protocol: Protocol::Kserve,
+            stream: stream.try_clone()?,
+            silenced: Arc::default(),
+        }); // the test may have ended
     }
 }
 
-impl Call {
+fn answer_order_v2(request: &HttpMessage, orders: &OrderControl) -> Vec<u8> {
+    if request.target() == "/v2/repository/index" {
+        orders.wait_for_replicas(Order::Query);
+        let index = format!(r#"[{{"name":"{FUNCTION}","state":"READY"}}]"#);
+        return response("200 OK", "", &index);
+    }
+    assert!(request.target().starts_with("/v2/repository/models/"));
+    orders.wait_for_replicas(Order::Load);
+    response("200 OK", "", r#"{"parameters":{"slots_up":1}}"#)
+}
+
+fn call_of_v2(request: &HttpMessage) -> CallContent {
+    let json = parse(&String::from_utf8_lossy(&request.body)).expect("JSON");
+    let body = object(&json).expect("an object");
+    let parameters = part(body, "parameters").expect("parameters");
+    let class = text(parameters, "class").expect("a class");
+    CallContent {
+        class: class.to_owned(),
+        idempotency_key: text(parameters, "token").map(str::to_owned),
+        body: text_of(&request.body),
+    }
+}
+
+impl ReceivedCall {
+    /// From now on the worker ignores what else comes on the connection.
+    pub fn silence(&self) {
+        self.silenced.store(true, Ordering::Release);
+    }
+
+    /// Ends the connection.
+    pub fn close(&self) {
+        self.stream.shutdown(Shutdown::Both).expect("open");
+    }
+
     /// Waits for the end of the connection; what else comes there is for the worker to read.
-    pub(super) fn closed(&self, context: &str) {
+    pub fn expect_closed(&self, context: &str) {
         let since = Instant::now();
         while !matches!(self.stream.peek(&mut [0]), Ok(0) | Err(_)) {
-            std::thread::sleep(Duration::from_millis(10));
+            std::thread::sleep(POLL_INTERVAL);
         }
-        assert!(
-            since.elapsed() < PATIENCE,
-            "{context}: it was open for long"
-        );
+        let took = since.elapsed();
+        assert!(took < PATIENCE, "{context}: it was open for {took:?}");
     }
 
-    pub(super) fn answer(&self, answer: &[&str]) {
-        let (code, status, body) = match *answer {
-            ["ok", body] => (200, "200 OK", body),
-            ["half" | "stall" | "spoilt"] => (200, "200 OK", "cut-short"),
-            ["miss"] => (202, "404 Not Found", ""),
-            ["full"] => (203, "503 Service Unavailable", ""),
-            ["error"] => (204, "500 Internal Server Error", ""),
-            _ => panic!("no such answer: {answer:?}"),
+    /// Answers the call.
+    pub fn answer(&self, answer: &WorkerAnswer) {
+        let mut bytes = match self.protocol {
+            Protocol::Platform => frame_answer(self.id, answer),
+            Protocol::Kserve => v2_answer(answer),
         };
-        let bytes = match self.speech {
-            Speech::Platform => frame(code, self.id, "detail=resident", body.as_bytes()),
-            Speech::Kserve => {
-                let data = format!(
-                    r#"{{"parameters":{{"detail":"resident"}},"outputs":[{{"name":"body","shape":[1],"datatype":"BYTES","data":["{body}"]}}]}}"#
-                );
-                let body = if code == 200 {
-                    &data
-                } else {
-                    r#"{"error":"no"}"#
-                };
-                let told = if code == 203 {
-                    "Retry-After: 1\r\n"
-                } else {
-                    ""
-                };
-                format!(
-                    "HTTP/1.1 {status}\r\n{told}Content-Length: {}\r\n\r\n{body}",
-                    body.len()
-                )
-                .into_bytes()
+        match answer {
+            WorkerAnswer::Truncated | WorkerAnswer::Stalled => {
+                bytes.truncate(bytes.len() - MISSING_BYTES);
             }
-        };
-        let (half, last) = (*answer == ["half"], bytes.len() - 1);
-        let mut part = if half || *answer == ["stall"] {
-            bytes[..last - 7].to_vec()
-        } else {
-            bytes
-        };
-        if *answer == ["spoilt"] {
-            part[last] ^= 1;
+            WorkerAnswer::Corrupt => *bytes.last_mut().expect("an answer") ^= 1,
+            _ => {}
+        }
+        (&self.stream).write_all(&bytes).expect("written");
+        if *answer == WorkerAnswer::Truncated {
+            self.close();
         }
-        (&self.stream).write_all(&part).expect("written");
-        if half {
-            self.stream.shutdown(Shutdown::Both).expect("open");
+    }
+}
+
+impl WorkerAnswer {
+    /// The body of an answer that says that the call succeeded.
+    fn success_body(&self) -> Option<&str> {
+        match self {
+            WorkerAnswer::Ok(body) => Some(body),
+            WorkerAnswer::Truncated | WorkerAnswer::Stalled | WorkerAnswer::Corrupt => {
+                Some("cut-short")
+            }
+            WorkerAnswer::Rejected | WorkerAnswer::NotLoaded | WorkerAnswer::Error => None,
         }
     }
 }
+
+fn frame_answer(id: u64, answer: &WorkerAnswer) -> Vec<u8> {
+    let code = match answer {
+        WorkerAnswer::NotLoaded => frames::NOT_LOADED,
+        WorkerAnswer::Rejected => frames::REJECTED,
+        WorkerAnswer::Error => frames::ERROR,
+        _ => frames::OK,
+    };
+    let body = answer.success_body().unwrap_or_default();
+    encode_answer(code, id, "detail=resident", body.as_bytes())
+}
+
+fn v2_answer(answer: &WorkerAnswer) -> Vec<u8> {
+    if let Some(body) = answer.success_body() {
+        let output = format!(
+            r#"{{"parameters":{{"detail":"resident"}},"outputs":[{{"name":"body","shape":[1],"datatype":"BYTES","data":["{body}"]}}]}}"#
+        );
+        return response("200 OK", "", &output);
+    }
+    let (status, headers) = match answer {
+        WorkerAnswer::NotLoaded => ("404 Not Found", ""),
+        WorkerAnswer::Rejected => ("503 Service Unavailable", "Retry-After: 1\r\n"),
+        _ => ("500 Internal Server Error", ""),
+    };
+    response(status, headers, r#"{"error":"no"}"#)
+}
--- a/wrenseam/tests/descriptors.rs
+++ b/wrenseam/tests/descriptors.rs
@@ -2,7 +2,7 @@
 //! connection to a worker can still be made. The program knows its limit from its configuration.
 mod common;
 
-use common::{connect, fastcgi, fastcgi_answer, Speech, Stage, FUNCTION};
+use common::{connect, fastcgi, fastcgi_answer, Harness, Protocol, FUNCTION};
 use rstest::rstest;
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -33,7 +33,7 @@
 }
 
 /// One call, again if the connection was closed with no answer (the page allows that): whether it was served.
-fn served(stage: &Stage, id: u64) -> bool {
+fn served(stage: &Harness, id: u64) -> bool {
     let id = format!("{id:016x}");
     let params = [
         ("SCRIPT_NAME", "/v1/tile-render"),
@@ -44,8 +44,8 @@
     ];
     let mut stream = connect(stage.front);
     let sent = stream.write_all(&fastcgi(1, &params, b"x")).is_ok();
-    sent && stage.answered("tile-render")
-        && fastcgi_answer(&mut stream).is_ok_and(|a| a.0.contains(" 200 "))
+    sent && stage.answer_next_call("tile-render")
+        && fastcgi_answer(&mut stream).is_ok_and(|a| a.head.contains(" 200 "))
 }
 
 #[rstest]
@@ -70,8 +70,8 @@
         .as_socket()
         .expect("an address");
     let limit = format!(r#""sockets":{sockets}"#);
-    let stage = Stage::with(
-        Speech::Platform,
+    let stage = Harness::with(
+        Protocol::Platform,
         &[
             (r#""sockets":256"#, &limit),
             ("BOARD", &address.to_string()),
--- a/wrenseam/tests/door.rs
+++ b/wrenseam/tests/door.rs
@@ -1,17 +1,17 @@
 //! The operators' door: one line in, `YES` or `NO` out; readiness, drain and return, and callers that misbehave.
 mod common;
 
-use common::{connect, door, fastcgi, fastcgi_answer, Speech, Stage};
+use common::{admin_command, connect, fastcgi, fastcgi_answer, Harness, Protocol};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
-fn health(stage: &Stage) -> String {
-    let mut stream = connect(stage.front);
+fn health(harness: &Harness) -> String {
+    let mut stream = connect(harness.front);
     stream
         .write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""))
         .expect("written");
-    fastcgi_answer(&mut stream).expect("an answer").0
+    fastcgi_answer(&mut stream).expect("an answer").head
 }
 
 /// Each call in turn, and the beginning of its answer.
@@ -25,9 +25,9 @@
     ("readyz\r\n", "YES"),
 ])]
 fn calls_are_answered_with_one_line(#[case] calls: Vec<(&str, &str)>) {
-    let stage = Stage::new(Speech::Platform);
+    let harness = Harness::new(Protocol::Platform);
     for (line, begins) in calls {
-        let told = door(stage.door, line);
+        let told = admin_command(harness.admin_endpoint, line);
         assert!(
             told.starts_with(begins) && told.ends_with('\n') && told.lines().count() == 1,
             "{line:?}: {told:?}"
@@ -38,23 +38,23 @@
 /// A drain says no on the platform's health too, and back again after `activate`.
 #[test]
 fn health_follows_the_drain() {
-    let stage = Stage::new(Speech::Platform);
-    assert!(health(&stage).starts_with("Status: 200"));
-    assert!(door(stage.door, "evacuate\n").starts_with("YES"));
-    assert!(health(&stage).starts_with("Status: 503"));
-    assert!(door(stage.door, "activate\n").starts_with("YES"));
-    assert!(health(&stage).starts_with("Status: 200"));
+    let harness = Harness::new(Protocol::Platform);
+    assert!(health(&harness).starts_with("Status: 200"));
+    assert!(admin_command(harness.admin_endpoint, "evacuate\n").starts_with("YES"));
+    assert!(health(&harness).starts_with("Status: 503"));
+    assert!(admin_command(harness.admin_endpoint, "activate\n").starts_with("YES"));
+    assert!(health(&harness).starts_with("Status: 200"));
 }
 
 /// In a drain, a client connection on which nothing is owed is let go at once, not after the usual 5 s.
 #[test]
 fn a_drain_closes_idle_client_connections() {
-    let stage = Stage::new(Speech::Platform);
-    let mut kept = connect(stage.front);
+    let harness = Harness::new(Protocol::Platform);
+    let mut kept = connect(harness.front);
     kept.write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""))
         .expect("written");
     fastcgi_answer(&mut kept).expect("an answer");
-    assert!(door(stage.door, "evacuate\n").starts_with("YES"));
+    assert!(admin_command(harness.admin_endpoint, "evacuate\n").starts_with("YES"));
     let since = Instant::now();
     kept.set_read_timeout(Some(Duration::from_secs(3)))
         .expect("a time-out");
@@ -69,12 +69,12 @@
 /// Callers that never finish a line, or send too much, hold up nobody; they are closed without a word.
 #[test]
 fn silent_and_long_callers_hold_nobody_up() {
-    let stage = Stage::new(Speech::Platform);
-    let silent: Vec<_> = (0..4).map(|_| connect(stage.door)).collect();
-    let mut long = connect(stage.door);
+    let harness = Harness::new(Protocol::Platform);
+    let silent: Vec<_> = (0..4).map(|_| connect(harness.admin_endpoint)).collect();
+    let mut long = connect(harness.admin_endpoint);
     let _ = long.write_all(&[b'x'; 300]);
     let since = Instant::now();
-    assert!(door(stage.door, "readyz\n").starts_with("YES"));
+    assert!(admin_command(harness.admin_endpoint, "readyz\n").starts_with("YES"));
     assert!(
         since.elapsed() < Duration::from_millis(500),
         "answered after {:?}",
@@ -95,16 +95,16 @@
 /// the front end that shares TMPDIR holds the exclusions.
 #[test]
 fn exclusions_are_answered_and_kept_in_tmpdir() {
-    let stage = Stage::new(Speech::Platform);
-    assert!(door(stage.door, "exclude nobody\n").starts_with("NO"));
-    assert!(door(stage.door, "include nobody\n").starts_with("NO"));
-    assert!(door(stage.door, "exclude w1\n").starts_with("YES"));
-    assert!(door(stage.door, "exclude w1\n").starts_with("YES"));
-    stage.listed("w1", "draining", "excluded");
-    assert!(door(stage.door, "include w1\n").starts_with("YES"));
-    stage.listed("w1", "ready", "included");
-    assert!(door(stage.door, "exclude w0\n").starts_with("YES"));
-    let kept = std::fs::read_to_string(stage.folder().join("wrenseam-excluded")).expect("kept");
+    let harness = Harness::new(Protocol::Platform);
+    assert!(admin_command(harness.admin_endpoint, "exclude nobody\n").starts_with("NO"));
+    assert!(admin_command(harness.admin_endpoint, "include nobody\n").starts_with("NO"));
+    assert!(admin_command(harness.admin_endpoint, "exclude w1\n").starts_with("YES"));
+    assert!(admin_command(harness.admin_endpoint, "exclude w1\n").starts_with("YES"));
+    harness.wait_for_endpoint("w1", "draining", "excluded");
+    assert!(admin_command(harness.admin_endpoint, "include w1\n").starts_with("YES"));
+    harness.wait_for_endpoint("w1", "ready", "included");
+    assert!(admin_command(harness.admin_endpoint, "exclude w0\n").starts_with("YES"));
+    let kept = std::fs::read_to_string(harness.folder().join("wrenseam-excluded")).expect("kept");
     assert_eq!(kept, "w0\n");
 }
 
@@ -112,22 +112,22 @@
 /// avoided, nothing pending; then `END`.
 #[test]
 fn telemetry_tells_what_was_done() {
-    let stage = Stage::new(Speech::Platform);
-    let before = door(stage.door, "telemetry\n");
+    let harness = Harness::new(Protocol::Platform);
+    let before = admin_command(harness.admin_endpoint, "telemetry\n");
     assert!(
         before.contains("app.downstream_requests.tile-render.completed:0|c\n"),
         "{before}"
     );
-    stage.play(
-        Speech::Platform,
+    harness.run_scenario(
+        Protocol::Platform,
         "
         client send tile-render - x 3000
         worker expect tile-render - x
         worker send ok DONE
         client expect served DONE",
     );
-    assert!(door(stage.door, "exclude w3\n").starts_with("YES"));
-    let told = door(stage.door, "telemetry\n");
+    assert!(admin_command(harness.admin_endpoint, "exclude w3\n").starts_with("YES"));
+    let told = admin_command(harness.admin_endpoint, "telemetry\n");
     for line in [
         "app.downstream_requests.tile-render.completed:1|c",
         "app.downstream_requests.tile-render.rejected:0|c",
--- a/wrenseam/tests/eviction.rs
+++ b/wrenseam/tests/eviction.rs
@@ -2,7 +2,7 @@
 //! and its client sends it once more, or it gets its answer on the connection on which it came.
 mod common;
 
-use common::{connect, fastcgi, fastcgi_answer, Speech, Stage, FUNCTION};
+use common::{connect, fastcgi, fastcgi_answer, Harness, Protocol, FUNCTION};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -19,10 +19,10 @@
 const CROSSING: u16 = 0x100;
 
 /// A request as bytes, whose client waits so long.
-fn request(front: Speech, id: u16, wait_ms: u32) -> Vec<u8> {
+fn request(front: Protocol, id: u16, wait_ms: u32) -> Vec<u8> {
     let (wire, wait) = (format!("{id:016x}"), wait_ms.to_string());
     match front {
-        Speech::Platform => {
+        Protocol::Platform => {
             let params = [
                 ("SCRIPT_NAME", "/v1/tile-render"),
                 ("HTTP_REQ_ID", &wire[..]),
@@ -32,7 +32,7 @@
             ];
             fastcgi(id, &params, b"x")
         }
-        Speech::Kserve => {
+        Protocol::Kserve => {
             let body = format!(
                 r#"{{"id":"{wire}","parameters":{{"class":"tile-render","tenant":"acme","wait_ms":{wait}}},"inputs":[]}}"#
             );
@@ -45,10 +45,10 @@
 }
 
 /// Whether a whole answer comes.
-fn is_answered(front: Speech, stream: &mut TcpStream) -> bool {
+fn is_answered(front: Protocol, stream: &mut TcpStream) -> bool {
     match front {
-        Speech::Platform => fastcgi_answer(stream).is_ok(),
-        Speech::Kserve => {
+        Protocol::Platform => fastcgi_answer(stream).is_ok(),
+        Protocol::Kserve => {
             let mut start = [0; 12];
             let whole = stream.read_exact(&mut start).is_ok() && start.starts_with(b"HTTP/1.1 ");
             // The rest of a refusal lies behind its status.
@@ -58,7 +58,7 @@
 }
 
 /// A connection that has earned its place by a request that was refused at once: its client waits for 1 ms.
-fn proven(front: Speech, address: SocketAddr, id: u16) -> TcpStream {
+fn proven(front: Protocol, address: SocketAddr, id: u16) -> TcpStream {
     let mut stream = connect(address);
     stream.write_all(&request(front, id, 1)).expect("written");
     assert!(is_answered(front, &mut stream), "refused at once");
@@ -71,14 +71,14 @@
 /// nothing lies. A client whose connection closes sends its request once more, as the platform's clients do.
 #[rstest]
 fn a_request_that_crosses_an_eviction_runs_once(
-    #[values(Speech::Platform, Speech::Kserve)] front: Speech,
+    #[values(Protocol::Platform, Protocol::Kserve)] front: Protocol,
 ) {
     let unsafe_class = (r#""effect":"retryable""#, r#""effect":"fragile""#);
-    let stage = Stage::with(
-        Speech::Platform,
+    let stage = Harness::with(
+        Protocol::Platform,
         &[(r#""sockets":256"#, r#""sockets":64"#), unsafe_class],
     );
-    let address = if front == Speech::Platform {
+    let address = if front == Protocol::Platform {
         stage.front
     } else {
         stage.kserve
@@ -86,7 +86,7 @@
     let mut held: Vec<TcpStream> = (0..CONNECTIONS)
         .map(|n| proven(front, address, n as u16 + 1))
         .collect();
-    assert_eq!(stage.calls_come(), []);
+    assert_eq!(stage.received_call_ids(), []);
     stage.signal("-STOP");
     let mut newcomer = connect(address);
     held[0]
@@ -102,7 +102,7 @@
         assert!(is_answered(front, &mut held[0]), "at the second try");
     }
     assert_eq!(
-        stage.calls_come(),
+        stage.received_call_ids(),
         [u64::from(CROSSING)],
         "calls at workers"
     );
--- a/wrenseam/tests/fronts.rs
+++ b/wrenseam/tests/fronts.rs
@@ -1,9 +1,9 @@
 //! The program as clients and workers meet it: every scenario through both fronts, to workers of both speeches.
 mod common;
 
-use common::{Speech, Stage};
+use common::{Harness, Protocol};
 use rstest::rstest;
-use Speech::{Kserve, Platform};
+use Protocol::{Kserve, Platform};
 
 /// One of each end that a request may come to.
 const MIX: &str = "
@@ -34,9 +34,12 @@
 /// A connection that is of no further use ends, and what was open on it goes elsewhere, once.
 #[rstest]
 #[case::stops_midway("worker send stall\nworker expect closed\nworker expect tile-render - x\nworker send ok X\nclient expect served X")]
-fn useless_worker_connections_end(#[values(Platform, Kserve)] workers: Speech, #[case] then: &str) {
-    let stage = Stage::new(workers);
-    stage.play(
+fn useless_worker_connections_end(
+    #[values(Platform, Kserve)] workers: Protocol,
+    #[case] then: &str,
+) {
+    let harness = Harness::new(workers);
+    harness.run_scenario(
         Platform,
         &format!("client send tile-render - x 700\nworker expect tile-render - x\n{then}"),
     );
@@ -48,16 +51,16 @@
 #[case::slow("wait 600\nworker send ok X\nclient expect served X\nworker expect nothing")]
 fn mute_worker_connections_end(#[case] then: &str) {
     let send = "client send tile-render - x 3000\nworker expect tile-render - x";
-    Stage::new(Platform).play(Platform, &format!("{send}\n{then}"));
+    Harness::new(Platform).run_scenario(Platform, &format!("{send}\n{then}"));
 }
 
 /// The same mix through either front to either kind of worker comes to the same ends, and workers see the same.
 #[test]
 fn the_same_mix_ends_alike_on_every_path() {
-    let stages = [Platform, Kserve].map(Stage::new);
-    let seen: Vec<Vec<String>> = stages
+    let harnesses = [Platform, Kserve].map(Harness::new);
+    let seen: Vec<Vec<String>> = harnesses
         .iter()
-        .flat_map(|stage| [Platform, Kserve].map(|front| stage.play(front, MIX)))
+        .flat_map(|harness| [Platform, Kserve].map(|front| harness.run_scenario(front, MIX)))
         .collect();
     assert_eq!(seen[0].len(), 11);
     for other in &seen[1..] {
@@ -146,10 +149,10 @@
 )]
 fn scenario(
     #[case] lines: &str,
-    #[values(Platform, Kserve)] front: Speech,
-    #[values(Platform, Kserve)] workers: Speech,
+    #[values(Platform, Kserve)] front: Protocol,
+    #[values(Platform, Kserve)] workers: Protocol,
 ) {
-    Stage::new(workers).play(front, lines);
+    Harness::new(workers).run_scenario(front, lines);
 }
 
 /// After SIGTERM and its 0.7 s of normal service, a new request on a kept connection is refused at once with
@@ -157,10 +160,10 @@
 /// keep the connection from the drain, and that one's end is not the same in every run.
 #[test]
 fn an_ending_process_refuses_what_comes_late() {
-    let stage = Stage::new(Platform);
+    let harness = Harness::new(Platform);
     let begin =
         "client send tile-render - x 3000\nworker expect tile-render - x\nprogram term\nwait 900";
-    stage.play(
+    harness.run_scenario(
         Platform,
         &format!("{begin}\nclient send tile-render - y 3000\nclient expect refused"),
     );
--- a/wrenseam/tests/golden_admin.rs
+++ b/wrenseam/tests/golden_admin.rs
@@ -2,7 +2,7 @@
 //! What differs from run to run (ports, times, digests) is masked; all else is compared byte for byte.
 mod common;
 
-use common::{connect, door, get, Fleet, Speech, Stage};
+use common::{admin_command, connect, get, Fleet, Harness, Protocol};
 use rstest::rstest;
 use std::io::{Read, Write};
 use wrenseam::config;
@@ -185,18 +185,21 @@
 /// A process that has served one request and from which one worker is excluded.
 #[test]
 fn telemetry_and_state_of_a_process_keep_their_text() {
-    let stage = Stage::new(Speech::Platform);
-    stage.play(
-        Speech::Platform,
+    let harness = Harness::new(Protocol::Platform);
+    harness.run_scenario(
+        Protocol::Platform,
         "
         client send tile-render - x 9000
         worker expect tile-render - x
         worker send ok DONE
         client expect served DONE",
     );
-    assert_eq!(door(stage.door, "exclude w3\n"), "YES excluded w3\n");
+    assert_eq!(
+        admin_command(harness.admin_endpoint, "exclude w3\n"),
+        "YES excluded w3\n"
+    );
     pinned(
-        &door(stage.door, "telemetry\n"),
+        &admin_command(harness.admin_endpoint, "telemetry\n"),
         "app.downstream_requests.tile-render.completed:1|c\n\
          app.downstream_requests.tile-render.rejected:0|c\n\
          app.downstream_requests.tile-render.failed:0|c\n\
@@ -209,7 +212,7 @@
          app.members_unavailable:1|g\n\
          END\n",
     );
-    let state = get(stage.admin, "/v1/state");
+    let state = get(harness.admin, "/v1/state");
     let (head, body) = state.split_once("\r\n\r\n").expect("a body");
     pinned(
         &masked(head, "Content-Length: "),
@@ -226,7 +229,10 @@
 fn telemetry_of_a_fleet_keeps_its_names() {
     let fleet = Fleet::new(1);
     pinned(
-        &masked(&door(fleet.nodes[0].door, "telemetry\n"), ":"),
+        &masked(
+            &admin_command(fleet.nodes[0].admin_endpoint, "telemetry\n"),
+            ":",
+        ),
         "app.downstream_requests.tile-render.completed:N|c\n\
          app.downstream_requests.tile-render.rejected:N|c\n\
          app.downstream_requests.tile-render.failed:N|c\n\
@@ -282,8 +288,8 @@
 
 #[test]
 fn state_of_v2_workers_keeps_its_text() {
-    let stage = Stage::new(Speech::Kserve);
-    let state = get(stage.admin, "/v1/state");
+    let harness = Harness::new(Protocol::Kserve);
+    let state = get(harness.admin, "/v1/state");
     let body = state.split_once("\r\n\r\n").expect("a body").1;
     pinned(&with_endpoints_sorted(&masked(body, "127.0.0.1:")), "{\"endpoints\":[{\"address\":\"127.0.0.1:N\",\"name\":\"127.0.0.1:N\",\"speech\":\"kserve\",\"state\":\"ready\",\"zone\":\"hall-a\"},{\"address\":\"127.0.0.1:N\",\"name\":\"127.0.0.1:N\",\"speech\":\"kserve\",\"state\":\"ready\",\"zone\":\"hall-a\"},{\"address\":\"127.0.0.1:N\",\"name\":\"127.0.0.1:N\",\"speech\":\"kserve\",\"state\":\"ready\",\"zone\":\"hall-b\"},{\"address\":\"127.0.0.1:N\",\"name\":\"127.0.0.1:N\",\"speech\":\"kserve\",\"state\":\"ready\",\"zone\":\"hall-b\"}],\"open_requests\":0,\"tenants\":[{\"asked\":0,\"failed\":0,\"name\":\"acme\",\"quota_per_s\":70.0,\"refused\":0,\"served\":0,\"withdrawn\":0},{\"asked\":0,\"failed\":0,\"name\":\"(unknown)\",\"quota_per_s\":0.0,\"refused\":0,\"served\":0,\"withdrawn\":0}]}");
 }
@@ -308,16 +314,19 @@
          {\"error\":\"there are /healthz and /v1/state\"}"
 )]
 fn administration_answers_keep_their_bytes(#[case] path: &str, #[case] golden: &str) {
-    let stage = Stage::new(Speech::Platform);
-    pinned(&get(stage.admin, path), golden);
+    let harness = Harness::new(Protocol::Platform);
+    pinned(&get(harness.admin, path), golden);
 }
 
 #[test]
 fn administration_answers_of_a_draining_process_keep_their_bytes() {
-    let stage = Stage::new(Speech::Platform);
-    assert_eq!(door(stage.door, "evacuate\n"), "YES draining\n");
+    let harness = Harness::new(Protocol::Platform);
+    assert_eq!(
+        admin_command(harness.admin_endpoint, "evacuate\n"),
+        "YES draining\n"
+    );
     pinned(
-        &get(stage.admin, "/healthz"),
+        &get(harness.admin, "/healthz"),
         "HTTP/1.1 503 Service Unavailable\r\n\
          Content-Type: application/json\r\n\
          Content-Length: 15\r\n\
@@ -330,8 +339,8 @@
 
 #[test]
 fn administration_is_read_only() {
-    let stage = Stage::new(Speech::Platform);
-    let mut stream = connect(stage.admin);
+    let harness = Harness::new(Protocol::Platform);
+    let mut stream = connect(harness.admin);
     stream
         .write_all(b"DELETE /v1/state HTTP/1.1\r\nConnection: close\r\n\r\n")
         .expect("written");
@@ -351,7 +360,7 @@
 /// Each line to the admin endpoint in turn, and its whole answer.
 #[test]
 fn admin_endpoint_replies_keep_their_bytes() {
-    let stage = Stage::new(Speech::Platform);
+    let harness = Harness::new(Protocol::Platform);
     let replies = [
         ("readyz\n", "YES ready\n"),
         ("readyz\r\n", "YES ready\n"),
@@ -370,7 +379,11 @@
         ("\n", "NO empty line\n"),
     ];
     for (line, golden) in replies {
-        assert_eq!(door(stage.door, line), golden, "{line:?}");
+        assert_eq!(
+            admin_command(harness.admin_endpoint, line),
+            golden,
+            "{line:?}"
+        );
     }
 }
 
--- a/wrenseam/tests/golden_fronts.rs
+++ b/wrenseam/tests/golden_fronts.rs
@@ -1,7 +1,7 @@
 //! Golden bytes of the answers to clients: FastCGI records, KServe v2 heads and bodies.
 mod common;
 
-use common::{connect, door, fastcgi, get, record, Speech, Stage, FUNCTION};
+use common::{admin_command, connect, fastcgi, get, record, Harness, Protocol, FUNCTION};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -57,12 +57,12 @@
 }
 
 /// A FastCGI request, what workers do meanwhile, and the answer on the wire.
-fn fastcgi_exchange(stage: &Stage, params: &[(&str, &str)], workers: &str) -> Vec<u8> {
-    let mut stream = connect(stage.front);
+fn fastcgi_exchange(harness: &Harness, params: &[(&str, &str)], workers: &str) -> Vec<u8> {
+    let mut stream = connect(harness.front);
     stream
         .write_all(&fastcgi(0x0102, params, b"one"))
         .expect("written");
-    stage.play(Speech::Platform, workers);
+    harness.run_scenario(Protocol::Platform, workers);
     raw_answer(&mut stream)
 }
 
@@ -87,31 +87,34 @@
     #[case] workers: &str,
     #[case] golden: &[u8],
 ) {
-    let stage = Stage::new(Speech::Platform);
+    let harness = Harness::new(Protocol::Platform);
     pinned(
-        &fastcgi_exchange(&stage, &call_params(path, token), workers),
+        &fastcgi_exchange(&harness, &call_params(path, token), workers),
         golden,
     );
 }
 
 #[test]
 fn fastcgi_health_of_a_draining_process_keeps_its_bytes() {
-    let stage = Stage::new(Speech::Platform);
-    assert_eq!(door(stage.door, "evacuate\n"), "YES draining\n");
+    let harness = Harness::new(Protocol::Platform);
+    assert_eq!(
+        admin_command(harness.admin_endpoint, "evacuate\n"),
+        "YES draining\n"
+    );
     let params = [("SCRIPT_NAME", "/healthz")];
-    pinned(&fastcgi_exchange(&stage, &params, ""), b"\x01\x06\x01\x02\x00#\x00\x00Status: 503 Service Unavailable\r\n\r\n\x01\x06\x01\x02\x00\x00\x00\x00\x01\x03\x01\x02\x00\x08\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00");
+    pinned(&fastcgi_exchange(&harness, &params, ""), b"\x01\x06\x01\x02\x00#\x00\x00Status: 503 Service Unavailable\r\n\r\n\x01\x06\x01\x02\x00\x00\x00\x00\x01\x03\x01\x02\x00\x08\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00");
 }
 
 /// A process that ends rejects what comes late on a connection that an open request keeps from the drain. Until then
 /// a request without the key that its class needs fails at once.
 #[test]
 fn fastcgi_rejection_by_an_ending_process_keeps_its_bytes() {
-    let stage = Stage::new(Speech::Platform);
-    let mut stream = connect(stage.front);
+    let harness = Harness::new(Protocol::Platform);
+    let mut stream = connect(harness.front);
     let open = fastcgi(1, &call_params("/v1/tile-render", None), b"one");
     stream.write_all(&open).expect("written");
-    stage.play(Speech::Platform, "worker expect tile-render - one");
-    stage.signal("-TERM");
+    harness.run_scenario(Protocol::Platform, "worker expect tile-render - one");
+    harness.signal("-TERM");
     let keyless = fastcgi(0x0102, &call_params("/v1/tile-order", None), b"one");
     let since = Instant::now();
     loop {
@@ -131,8 +134,8 @@
 /// The request beyond what one connection may have open is ended at once; so is one of another role.
 #[test]
 fn fastcgi_overload_and_unknown_roles_keep_their_bytes() {
-    let stage = Stage::new(Speech::Platform);
-    let mut stream = connect(stage.front);
+    let harness = Harness::new(Protocol::Platform);
+    let mut stream = connect(harness.front);
     let begin = |id, role| record(BEGIN_REQUEST, id, &[0, role, 1, 0, 0, 0, 0, 0]);
     stream.write_all(&begin(0x0201, 2)).expect("written");
     pinned(
@@ -150,8 +153,8 @@
 
 #[test]
 fn fastcgi_management_records_keep_their_bytes() {
-    let stage = Stage::new(Speech::Platform);
-    let mut stream = connect(stage.front);
+    let harness = Harness::new(Protocol::Platform);
+    let mut stream = connect(harness.front);
     let names = [
         "FCGI_MAX_CONNS",
         "FCGI_MAX_REQS",
@@ -218,20 +221,20 @@
 }
 
 #[rstest]
-#[case::served_by_frames(Speech::Platform, infer_body("tile-render", ""), SERVED, b"HTTP/1.1 200 OK\r\n\
+#[case::served_by_frames(Protocol::Platform, infer_body("tile-render", ""), SERVED, b"HTTP/1.1 200 OK\r\n\
          Content-Type: application/json\r\n\
          Content-Length: 119\r\n\
          Connection: close\r\n\
          \r\n\
          {\"outputs\":[{\"data\":[\"RE9ORQ==\"],\"datatype\":\"BYTES\",\"name\":\"body\",\"parameters\":{\"content_type\":\"base64\"},\"shape\":[1]}]}")]
-#[case::served_by_v2(Speech::Kserve, infer_body("tile-render", ""), SERVED, b"HTTP/1.1 200 OK\r\n\
+#[case::served_by_v2(Protocol::Kserve, infer_body("tile-render", ""), SERVED, b"HTTP/1.1 200 OK\r\n\
          Content-Type: application/json\r\n\
          Content-Length: 111\r\n\
          Connection: close\r\n\
          \r\n\
          {\"parameters\":{\"detail\":\"resident\"},\"outputs\":[{\"name\":\"body\",\"shape\":[1],\"datatype\":\"BYTES\",\"data\":[\"DONE\"]}]}")]
 #[case::rejected_with_retry_advice(
-    Speech::Platform,
+    Protocol::Platform,
     infer_body("tile-order", r#""token":"key-1","#),
     FULL_THRICE,
     b"HTTP/1.1 503 Service Unavailable\r\n\
@@ -244,7 +247,7 @@
          {\"error\":\"refused, trying again is harmless\"}"
 )]
 #[case::failed(
-    Speech::Platform,
+    Protocol::Platform,
     infer_body("tile-order", ""),
     "",
     b"HTTP/1.1 500 Internal Server Error\r\n\
@@ -254,27 +257,27 @@
          \r\n\
          {\"error\":\"failed\"}"
 )]
-#[case::no_json(Speech::Platform, "x".to_owned(), "", b"HTTP/1.1 400 Bad Request\r\n\
+#[case::no_json(Protocol::Platform, "x".to_owned(), "", b"HTTP/1.1 400 Bad Request\r\n\
          Content-Type: application/json\r\n\
          Content-Length: 38\r\n\
          Connection: close\r\n\
          \r\n\
          {\"error\":\"the body is no JSON object\"}")]
-#[case::no_class(Speech::Platform, "{}".to_owned(), "", b"HTTP/1.1 400 Bad Request\r\n\
+#[case::no_class(Protocol::Platform, "{}".to_owned(), "", b"HTTP/1.1 400 Bad Request\r\n\
          Content-Type: application/json\r\n\
          Content-Length: 43\r\n\
          Connection: close\r\n\
          \r\n\
          {\"error\":\"no 'class' among the parameters\"}")]
 fn v2_inference_answers_keep_their_bytes(
-    #[case] workers: Speech,
+    #[case] workers: Protocol,
     #[case] body: String,
     #[case] steps: &str,
     #[case] golden: &[u8],
 ) {
-    let stage = Stage::new(workers);
-    let answer = http_exchange(stage.kserve, &infer_request(&body), || {
-        stage.play(Speech::Platform, steps);
+    let harness = Harness::new(workers);
+    let answer = http_exchange(harness.kserve, &infer_request(&body), || {
+        harness.run_scenario(Protocol::Platform, steps);
     });
     pinned(&answer, golden);
 }
@@ -357,12 +360,15 @@
     #[case] draining: bool,
     #[case] paths: Vec<(&str, &str)>,
 ) {
-    let stage = Stage::new(Speech::Platform);
+    let harness = Harness::new(Protocol::Platform);
     if draining {
-        assert_eq!(door(stage.door, "evacuate\n"), "YES draining\n");
+        assert_eq!(
+            admin_command(harness.admin_endpoint, "evacuate\n"),
+            "YES draining\n"
+        );
     }
     for (path, golden) in paths {
-        pinned(get(stage.kserve, path).as_bytes(), golden.as_bytes());
+        pinned(get(harness.kserve, path).as_bytes(), golden.as_bytes());
     }
 }
 
@@ -398,9 +404,9 @@
     #[case] request: &str,
     #[case] golden: &[u8],
 ) {
-    let stage = Stage::new(Speech::Platform);
+    let harness = Harness::new(Protocol::Platform);
     pinned(
-        &http_exchange(stage.kserve, request.as_bytes(), || ()),
+        &http_exchange(harness.kserve, request.as_bytes(), || ()),
         golden,
     );
 }
--- a/wrenseam/tests/golden_handover.rs
+++ b/wrenseam/tests/golden_handover.rs
@@ -2,7 +2,7 @@
 //! files as written by this version: a later one has to read them, since both run side by side during a replacement.
 mod common;
 
-use common::{door, get, Speech, Stage};
+use common::{admin_command, get, Harness, Protocol};
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
     std::fs::read_to_string(path).expect("a file")
 }
 
-/// A process beside a stage's, with that one's configuration and a `$TMPDIR` of its own.
+/// A process beside a harness's, with that one's configuration and a `$TMPDIR` of its own.
 struct Successor {
     child: Child,
     log: Receiver<String>,
@@ -45,16 +45,16 @@
 
 impl Successor {
     /// Starts where another process has left the fixtures.
-    fn new(stage: &Stage) -> Successor {
-        let folder = stage.folder().join("successor");
+    fn new(harness: &Harness) -> Successor {
+        let folder = harness.folder().join("successor");
         std::fs::create_dir_all(&folder).expect("a folder");
         for name in [EXCLUDED_FILE, PROCESS_FILE] {
             std::fs::copy(fixture(name), folder.join(name)).expect("copied");
         }
         let mut child = Command::new(env!("CARGO_BIN_EXE_wrenseam"))
-            .env("NODE_CONFIG", stage.folder().join("config.json"))
+            .env("NODE_CONFIG", harness.folder().join("config.json"))
             .env("NODE_LISTEN", "127.0.0.1:0")
-            .env("WRENSEAM_KSERVE", stage.folder().join("kserve.json"))
+            .env("WRENSEAM_KSERVE", harness.folder().join("kserve.json"))
             .env("TMPDIR", &folder)
             .stderr(Stdio::piped())
             .spawn()
@@ -103,14 +103,14 @@
 
 #[test]
 fn exclusions_are_written_as_the_fixture() {
-    let stage = Stage::new(Speech::Platform);
+    let harness = Harness::new(Protocol::Platform);
     for worker in ["w2", "w0"] {
         assert_eq!(
-            door(stage.door, &format!("exclude {worker}\n")),
+            admin_command(harness.admin_endpoint, &format!("exclude {worker}\n")),
             format!("YES excluded {worker}\n")
         );
     }
-    assert_eq!(read(&stage.folder().join(EXCLUDED_FILE)), EXCLUDED);
+    assert_eq!(read(&harness.folder().join(EXCLUDED_FILE)), EXCLUDED);
 }
 
 #[test]
@@ -122,18 +122,18 @@
 /// A process that runs takes up the exclusions that another leaves.
 #[test]
 fn exclusions_of_another_process_are_taken_up() {
-    let stage = Stage::new(Speech::Platform);
-    std::fs::copy(fixture(EXCLUDED_FILE), stage.folder().join(EXCLUDED_FILE)).expect("copied");
-    stage.listed("w0", "draining", "excluded by another process");
-    stage.listed("w2", "draining", "excluded by another process");
-    stage.listed("w1", "ready", "not excluded");
+    let harness = Harness::new(Protocol::Platform);
+    std::fs::copy(fixture(EXCLUDED_FILE), harness.folder().join(EXCLUDED_FILE)).expect("copied");
+    harness.wait_for_endpoint("w0", "draining", "excluded by another process");
+    harness.wait_for_endpoint("w2", "draining", "excluded by another process");
+    harness.wait_for_endpoint("w1", "ready", "not excluded");
 }
 
 #[test]
 fn a_process_names_itself_as_in_the_fixture() {
-    let stage = Stage::new(Speech::Platform);
-    let written = read(&stage.folder().join(PROCESS_FILE));
-    let expected = PROCESS.replace(&FIXTURE_PROCESS_ID.to_string(), &stage.pid().to_string());
+    let harness = Harness::new(Protocol::Platform);
+    let written = read(&harness.folder().join(PROCESS_FILE));
+    let expected = PROCESS.replace(&FIXTURE_PROCESS_ID.to_string(), &harness.pid().to_string());
     assert_eq!(written, expected);
 }
 
@@ -157,8 +157,8 @@
 /// A process that starts on the fixtures holds the exclusions, names itself, takes over and is replaced in turn.
 #[test]
 fn a_successor_reads_and_replaces_the_fixtures() {
-    let stage = Stage::new(Speech::Platform);
-    let mut successor = Successor::new(&stage);
+    let harness = Harness::new(Protocol::Platform);
+    let mut successor = Successor::new(&harness);
     let path = successor.folder.join(PROCESS_FILE);
     let own = PROCESS.replace(
         &FIXTURE_PROCESS_ID.to_string(),
--- a/wrenseam/tests/large_list.rs
+++ b/wrenseam/tests/large_list.rs
@@ -95,7 +95,7 @@
         loop {
             let mut stream: TcpStream = connect(self.2);
             stream.write_all(&health).expect("written");
-            if fastcgi_answer(&mut stream).is_ok_and(|a| a.0.contains(" 200 ")) {
+            if fastcgi_answer(&mut stream).is_ok_and(|a| a.head.contains(" 200 ")) {
                 break;
             }
             assert!(
@@ -109,7 +109,7 @@
     }
 
     fn members(&self) -> usize {
-        let told = common::door(self.3, "telemetry\n");
+        let told = common::admin_command(self.3, "telemetry\n");
         let told = told
             .lines()
             .find_map(|l| l.strip_prefix("app.members:"))
--- a/wrenseam/tests/leaving.rs
+++ b/wrenseam/tests/leaving.rs
@@ -2,7 +2,7 @@
 //! is held back here, as on a starved core, so that only a look at the connection itself can tell.
 mod common;
 
-use common::{connect, fastcgi, record, Speech, Stage, FUNCTION};
+use common::{connect, fastcgi, record, Harness, Protocol, FUNCTION};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -18,7 +18,7 @@
 use wrenseam::worker::ticket::{Begin, Ticket};
 use wrenseam::worker::{frames::Frames, kserve::Kserve, Terms, Transport};
 use wrenseam_policy::{Outcome, Settings};
-use Speech::{Kserve as V2, Platform};
+use Protocol::{Kserve as V2, Platform};
 
 /// One at a time: they share the scheduler's one thread, and hold it.
 static SCHEDULER: Mutex<()> = Mutex::new(());
@@ -33,7 +33,7 @@
 }
 
 impl Front {
-    fn new(front: Speech) -> Front {
+    fn new(front: Protocol) -> Front {
         may::config().set_workers(1).set_worker_pin(false); // as the program has it
         let limits = Arc::new(Limits::new(192, 1024, &Settings::default()));
         let (core, inbox) = mpsc::channel();
@@ -122,7 +122,7 @@
     }
 }
 
-fn call(front: Speech) -> Vec<u8> {
+fn call(front: Protocol) -> Vec<u8> {
     let params = [
         ("SCRIPT_NAME", "/v1/tile-render"),
         ("HTTP_REQ_ID", "00000000000000aa"),
@@ -166,7 +166,7 @@
 #[case::v2_resets(V2, "resets", ClientState::Disconnected)]
 #[case::v2_closes_behind_input(V2, "asks more and closes", ClientState::UnreadInput)]
 fn a_client_that_left_is_seen_before_its_reader_runs(
-    #[case] front: Speech,
+    #[case] front: Protocol,
     #[case] how: &str,
     #[case] shows: ClientState,
 ) {
@@ -207,7 +207,7 @@
 /// A call waits for a connection that comes up late; its client closes, and nobody has read that when it is up.
 #[rstest]
 fn nothing_is_written_for_a_client_whose_end_nobody_has_read(
-    #[values(Platform, V2)] worker: Speech,
+    #[values(Platform, V2)] worker: Protocol,
     #[values("closes", "resets")] how: &str,
 ) {
     let _alone = SCHEDULER
@@ -275,13 +275,13 @@
 fn no_attempt_follows_a_client_that_left(
     #[case] then: &str,
     #[values("close", "abort")] how: &str,
-    #[values(Platform, V2)] front: Speech,
-    #[values(Platform, V2)] workers: Speech,
+    #[values(Platform, V2)] front: Protocol,
+    #[values(Platform, V2)] workers: Protocol,
 ) {
     let send = "client send tile-render - x 4000\nworker expect tile-render - x";
     // The next client's call shows that the first one's leaving has been read.
     let left = format!("{send}\nclient {how}\nwait 100\n{then}\nworker expect nothing");
-    Stage::new(workers).play(front, &left);
+    Harness::new(workers).run_scenario(front, &left);
 }
 
 /// What the call waits for then comes: `SECOND` stands where the client leaves, or does not.
@@ -311,7 +311,7 @@
 fn what_a_call_waits_for_brings_no_attempt_once_its_client_left(
     #[values(0, 1, 2)] waits: usize,
     #[values("stays", "close", "abort")] how: &str,
-    #[values(Platform, V2)] front: Speech,
+    #[values(Platform, V2)] front: Protocol,
 ) {
     let (name, from, to, lines) = WAITS[waits];
     let (leave, then) = match how {
@@ -319,7 +319,7 @@
         how => (format!("client {how}\nwait 100"), "worker expect nothing"),
     };
     eprintln!("waits {name}");
-    Stage::with(Platform, &[(from, to)]).play(
+    Harness::with(Platform, &[(from, to)]).run_scenario(
         front,
         &format!("{}\n{then}", lines.replace("SECOND", &leave)),
     );
@@ -327,15 +327,15 @@
 
 /// A client that sends at full speed holds up nobody else: calls of others are read, and their leaving is.
 #[rstest]
-fn a_flood_holds_nobody_up(#[values(Platform, V2)] front: Speech) {
+fn a_flood_holds_nobody_up(#[values(Platform, V2)] front: Protocol) {
     let served = "client send tile-render - x 1500\nworker expect tile-render - x\nworker send ok DONE\nclient expect served DONE\n";
-    let stage = Stage::new(Platform);
-    stage.play(front, "client flood\nclient flood");
+    let stage = Harness::new(Platform);
+    stage.run_scenario(front, "client flood\nclient flood");
     let since = Instant::now();
-    stage.play(Platform, &served.repeat(20));
-    stage.play(V2, &served.repeat(20));
+    stage.run_scenario(Platform, &served.repeat(20));
+    stage.run_scenario(V2, &served.repeat(20));
     eprintln!("served after {:?}", since.elapsed());
     // Nothing else is seen of a client that leaves than the end of its connection.
     let send = "client send tile-render - x 4000\nworker expect tile-render - x\nworker hush\nclient close\nwait 700\nworker expect nothing";
-    stage.play(front, send);
+    stage.run_scenario(front, send);
 }
--- a/wrenseam/tests/program.rs
+++ b/wrenseam/tests/program.rs
@@ -1,7 +1,7 @@
 //! The program at its edges: odd input, health, administration, and its planned end.
 mod common;
 
-use common::{connect, fastcgi, fastcgi_answer, get, record, Speech, Stage, FUNCTION};
+use common::{connect, fastcgi, fastcgi_answer, get, record, Harness, Protocol, FUNCTION};
 use rstest::rstest;
 use std::io::{Read, Write};
 
@@ -41,14 +41,14 @@
 #[case::unknown_role(record(1, 1, &[0, 2, 1, 0, 0, 0, 0, 0]), "", 3)]
 #[case::health(fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""), "Status: 200", 0)]
 fn odd_requests_are_answered(#[case] bytes: Vec<u8>, #[case] head: &str, #[case] status: u8) {
-    let stage = Stage::new(Speech::Platform);
-    let mut stream = connect(stage.front);
+    let harness = Harness::new(Protocol::Platform);
+    let mut stream = connect(harness.front);
     for _ in 0..2 {
         stream.write_all(&bytes).expect("written");
-        let (got, _, protocol) = fastcgi_answer(&mut stream).expect("an answer");
+        let answer = fastcgi_answer(&mut stream).expect("an answer");
         assert!(
-            got.starts_with(head) && protocol == status,
-            "{got} {protocol}"
+            answer.head.starts_with(head) && answer.protocol_status == status,
+            "{answer:?}"
         );
     }
 }
@@ -59,11 +59,11 @@
 #[case::begun_twice([record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0]), record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0])].concat())]
 #[case::begin_cut_short(record(1, 1, &[0, 1]))]
 fn what_is_not_fastcgi_ends_its_connection(#[case] bytes: Vec<u8>) {
-    let stage = Stage::new(Speech::Platform);
-    let mut stream = connect(stage.front);
+    let harness = Harness::new(Protocol::Platform);
+    let mut stream = connect(harness.front);
     stream.write_all(&bytes).expect("written");
     assert_eq!(stream.read(&mut [0; 64]).unwrap_or(0), 0);
-    stage.play(Speech::Platform, SERVED);
+    harness.run_scenario(Protocol::Platform, SERVED);
 }
 
 /// The same for HTTP: an error object, then the end.
@@ -84,8 +84,8 @@
     "400"
 )]
 fn odd_http_is_answered(#[case] bytes: &str, #[case] status: &str) {
-    let stage = Stage::new(Speech::Kserve);
-    let mut stream = connect(stage.kserve);
+    let harness = Harness::new(Protocol::Kserve);
+    let mut stream = connect(harness.kserve);
     stream.write_all(bytes.as_bytes()).expect("written");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
@@ -93,7 +93,7 @@
         answer.starts_with(&format!("HTTP/1.1 {status} ")) && answer.contains(r#"{"error":""#),
         "{answer}"
     );
-    stage.play(Speech::Kserve, SERVED);
+    harness.run_scenario(Protocol::Kserve, SERVED);
 }
 
 /// Whoever does not come to the point is owed a word or a close, and must not keep others out.
@@ -104,30 +104,31 @@
 #[case::asks_once_and_stays(&format!("{SERVED}\nclient expect closed"))]
 #[case::says_nothing_by_the_hundred(&format!("client open 130\n{SERVED}"))]
 fn connections_do_not_outstay(
-    #[values(Speech::Platform, Speech::Kserve)] front: Speech,
+    #[values(Protocol::Platform, Protocol::Kserve)] front: Protocol,
     #[case] scenario: &str,
 ) {
-    Stage::new(Speech::Platform).play(front, scenario);
+    Harness::new(Protocol::Platform).run_scenario(front, scenario);
 }
 
 /// A second request under the id of an open one is failed, and the open one is served.
 #[test]
 fn an_open_request_keeps_its_id() {
-    let stage = Stage::new(Speech::Platform);
-    stage.play(Speech::Platform, SERVED);
-    let mut stream = connect(stage.front);
+    let harness = Harness::new(Protocol::Platform);
+    harness.run_scenario(Protocol::Platform, SERVED);
+    let mut stream = connect(harness.front);
     for (id, body) in [(1, b"first"), (2, b"other")] {
         stream
             .write_all(&fastcgi(id, &params("5000"), body))
             .expect("written");
     }
-    let (head, _, _) = fastcgi_answer(&mut stream).expect("an answer");
+    let head = fastcgi_answer(&mut stream).expect("an answer").head;
     assert!(head.starts_with("Status: 500"), "{head}");
-    stage.play(
-        Speech::Platform,
+    harness.run_scenario(
+        Protocol::Platform,
         "worker expect tile-render - first\nworker send ok DONE",
     );
-    let (head, body, _) = fastcgi_answer(&mut stream).expect("an answer");
+    let answer = fastcgi_answer(&mut stream).expect("an answer");
+    let (head, body) = (answer.head, answer.body);
     assert!(head.starts_with("Status: 200") && body == b"DONE", "{head}");
 }
 
@@ -139,8 +140,8 @@
 
 #[test]
 fn health_metadata_and_state_are_told() {
-    let stage = Stage::new(Speech::Kserve);
-    stage.play(Speech::Platform, SERVED);
+    let harness = Harness::new(Protocol::Kserve);
+    harness.run_scenario(Protocol::Platform, SERVED);
     for (path, told) in [
         ("/v2/health/live", r#"{"live":true}"#),
         ("/v2/health/ready", r#"{"ready":true}"#),
@@ -151,13 +152,13 @@
         ),
         ("/v2/models/7f3a9c21e0b4d655", r#""platform":"wrenseam""#),
     ] {
-        let answer = get(stage.kserve, path);
+        let answer = get(harness.kserve, path);
         assert!(
             answer.starts_with("HTTP/1.1 200") && answer.contains(told),
             "{path}: {answer}"
         );
     }
-    let state = get(stage.admin, "/v1/state");
+    let state = get(harness.admin, "/v1/state");
     assert!(
         state.contains(r#""asked":1"#) && state.contains(r#""speech":"kserve""#),
         "{state}"
@@ -167,23 +168,25 @@
 /// A request that is open at SIGTERM, and one that comes just after it, are answered before the end.
 #[test]
 fn a_planned_end_answers_what_was_taken() {
-    let mut stage = Stage::new(Speech::Platform);
-    stage.play(Speech::Platform, SERVED);
-    let mut stream = connect(stage.front);
+    let mut harness = Harness::new(Protocol::Platform);
+    harness.run_scenario(Protocol::Platform, SERVED);
+    let mut stream = connect(harness.front);
     stream
         .write_all(&fastcgi(1, &params("1200"), b"open"))
         .expect("written");
-    assert!(stage.stop());
-    let (head, _, _) = fastcgi_answer(&mut stream).expect("an answer before the end");
+    assert!(harness.terminate());
+    let head = fastcgi_answer(&mut stream)
+        .expect("an answer before the end")
+        .head;
     assert!(head.starts_with("Status: 5"), "{head}");
 }
 
 /// Given up by the client: no answer, and the id can be used anew.
 #[test]
 fn an_aborted_request_gets_no_answer() {
-    let stage = Stage::new(Speech::Platform);
-    stage.play(Speech::Platform, SERVED);
-    let mut stream = connect(stage.front);
+    let harness = Harness::new(Protocol::Platform);
+    harness.run_scenario(Protocol::Platform, SERVED);
+    let mut stream = connect(harness.front);
     stream
         .write_all(&fastcgi(1, &params("60000"), b"given up"))
         .expect("written");
@@ -191,6 +194,6 @@
     stream
         .write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""))
         .expect("written");
-    let (head, _, _) = fastcgi_answer(&mut stream).expect("an answer");
+    let head = fastcgi_answer(&mut stream).expect("an answer").head;
     assert!(head.starts_with("Status: 200"), "{head}");
 }
--- a/wrenseam/tests/succession.rs
+++ b/wrenseam/tests/succession.rs
@@ -1,7 +1,7 @@
 //! Two processes of one front end beside each other: which of them uses its seats at cold workers.
 mod common;
 
-use common::{Speech, Stage};
+use common::{Harness, Protocol};
 use rstest::rstest;
 use wrenseam::succession::Succession;
 
@@ -65,7 +65,7 @@
 /// With the door on, a process names itself for whoever replaces it.
 #[test]
 fn a_process_names_itself_in_tmpdir() {
-    let stage = Stage::new(Speech::Platform);
+    let stage = Harness::new(Protocol::Platform);
     let named = std::fs::read_to_string(stage.folder().join("wrenseam-process-t")).expect("named");
     assert!(named.ends_with("-2a"), "{named}: the process and its seed");
 }
--- /dev/null
+++ b/wrenseam/tests/support/frames.rs
@@ -0,0 +1,78 @@
+//! The platform's binary frames, coded from their specification and not by the program's own codec.
+use super::sockets::read_bytes;
+use std::io::{self, Read};
+
+/// Code of a call to run a function.
+pub const CALL: u8 = 2;
+/// Code of an order to load or unload replicas of a function, or of a question how many are loaded.
+pub const LOAD_ORDER: u8 = 6;
+
+/// Code of an answer: it ran.
+pub const OK: u8 = 200;
+/// Code of an answer: the function is not loaded here.
+pub const NOT_LOADED: u8 = 202;
+/// Code of an answer: no capacity is left.
+pub const REJECTED: u8 = 203;
+/// Code of an answer: it failed, and may have run.
+pub const ERROR: u8 = 204;
+/// Code of an answer: it was not begun.
+#[allow(dead_code, reason = "each test binary uses its own part")]
+pub const NOT_BEGUN: u8 = 205;
+
+const FROM_PROGRAM: u8 = 126;
+const FROM_WORKER: u8 = 127;
+const HEADER_LENGTH: usize = 16;
+const CHECKSUM_LENGTH: usize = 4;
+
+/// A frame that the program wrote.
+pub struct Frame {
+    pub code: u8,
+    pub id: u64,
+    /// `name=value,name=value`.
+    pub fields: String,
+    pub body: Vec<u8>,
+}
+
+impl Frame {
+    /// The value of a field.
+    pub fn field(&self, name: &str) -> Option<&str> {
+        self.fields
+            .split(',')
+            .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
+    }
+}
+
+/// Reads the next frame that the program wrote; one with a wrong origin or checksum fails the test.
+pub fn read_frame(stream: &mut impl Read) -> io::Result<Frame> {
+    let header = read_bytes(stream, HEADER_LENGTH)?;
+    let fields_length = usize::from(u16::from_be_bytes([header[2], header[3]]));
+    let body_length = u32::from_be_bytes(header[4..8].try_into().expect("four bytes")) as usize;
+    let id = u64::from_be_bytes(header[8..].try_into().expect("eight bytes"));
+    let content = read_bytes(stream, fields_length + body_length)?;
+    let checksum = read_bytes(stream, CHECKSUM_LENGTH)?;
+    assert_eq!(header[0], FROM_PROGRAM, "a frame of the program's");
+    assert_eq!(
+        checksum,
+        crc32fast::hash(&content).to_be_bytes(),
+        "the checksum"
+    );
+    let (fields, body) = content.split_at(fields_length);
+    Ok(Frame {
+        code: header[1],
+        id,
+        fields: String::from_utf8_lossy(fields).into_owned(),
+        body: body.to_vec(),
+    })
+}
+
+/// A worker's frame as bytes.
+pub fn encode_answer(code: u8, id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
+    let content = [fields.as_bytes(), body].concat();
+    let mut frame = vec![FROM_WORKER, code];
+    frame.extend((fields.len() as u16).to_be_bytes());
+    frame.extend((body.len() as u32).to_be_bytes());
+    frame.extend(id.to_be_bytes());
+    frame.extend(&content);
+    frame.extend(crc32fast::hash(&content).to_be_bytes());
+    frame
+}
--- /dev/null
+++ b/wrenseam/tests/support/http.rs
@@ -0,0 +1,49 @@
+//! HTTP/1.1 messages whose length is given by `Content-Length`.
+use super::sockets::read_bytes;
+use std::io::{self, Read};
+
+const HEAD_END: &[u8] = b"\r\n\r\n";
+
+/// A request or a response.
+pub struct HttpMessage {
+    /// The start line and the headers, with the empty line that ends them.
+    pub head: String,
+    pub body: Vec<u8>,
+}
+
+impl HttpMessage {
+    /// The value of a header, spelled as here.
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.head
+            .lines()
+            .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
+    }
+
+    /// The target of a request.
+    pub fn target(&self) -> &str {
+        self.head.split(' ').nth(1).expect("a request line")
+    }
+}
+
+/// Reads one message; without a `Content-Length` its body is empty.
+pub fn read_message(stream: &mut impl Read) -> io::Result<HttpMessage> {
+    let mut head = Vec::new();
+    while !head.ends_with(HEAD_END) {
+        head.extend(read_bytes(stream, 1)?);
+    }
+    let mut message = HttpMessage {
+        head: String::from_utf8_lossy(&head).into_owned(),
+        body: Vec::new(),
+    };
+    let length = message
+        .header("Content-Length")
+        .map_or(0, |length| length.parse().expect("a length"));
+    message.body = read_bytes(stream, length)?;
+    Ok(message)
+}
+
+/// A response; each of the further headers ends with a line break.
+pub fn response(status: &str, headers: &str, body: &str) -> Vec<u8> {
+    let length = body.len();
+    format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}").into_bytes()
+}
--- /dev/null
+++ b/wrenseam/tests/support/sockets.rs
@@ -0,0 +1,33 @@
+//! Connections, listeners and reads whose failure is a failed test.
+use std::io::{self, Read};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::time::Duration;
+
+/// How long a test waits for what must come.
+pub const PATIENCE: Duration = Duration::from_secs(10);
+
+/// Connects; a read that waits for longer than `PATIENCE` fails.
+pub fn connect(address: SocketAddr) -> TcpStream {
+    let stream = TcpStream::connect(address).expect("a connection");
+    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream
+}
+
+/// Listens on a free port and hands over each connection, in the order in which they come.
+pub fn listen(mut accepted: impl FnMut(TcpStream) + Send + 'static) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("bound");
+    std::thread::spawn(move || {
+        for stream in listener.incoming().map_while(Result::ok) {
+            accepted(stream);
+        }
+    });
+    address
+}
+
+/// The next `length` bytes.
+pub fn read_bytes(stream: &mut impl Read, length: usize) -> io::Result<Vec<u8>> {
+    let mut bytes = vec![0; length];
+    stream.read_exact(&mut bytes)?;
+    Ok(bytes)
+}
