--- a/wrenseam/tests/common/workers.rs
+++ b/wrenseam/tests/common/workers.rs
@@ -1,6 +1,6 @@
 //! Stand-in workers of both protocols: they answer orders by themselves, and leave each call to the test.
 use super::clients::v2::text_of;
-use super::support::frames::{self, encode_answer, read_frame, Frame};
+use super::support::frames::{code, encode_answer, read_frame, Frame};
 use super::support::http::{read_message, response, HttpMessage};
 use super::support::sockets::{listen, PATIENCE};
 use super::{CallContent, Protocol, FUNCTION};
@@ -122,8 +122,8 @@
             continue;
         }
         match frame.code {
-            frames::LOAD_ORDER => answer_order_frame(&frame, stream.try_clone()?, &context.orders),
-            frames::CALL => {
+            code::LOAD_ORDER => answer_order_frame(&frame, stream.try_clone()?, &context.orders),
+            code::CALL => {
                 let _ = context.calls.send(ReceivedCall {
                     zone,
                     id: frame.id,
@@ -147,7 +147,7 @@
     let (id, control) = (frame.id, orders.clone());
     let mut answer = move || {
         let fields = format!("slots_up={}", control.wait_for_replicas(order));
-        let _ = stream.write_all(&encode_answer(frames::OK, id, &fields, &[])); // it may have closed
+        let _ = stream.write_all(&encode_answer(code::OK, id, &fields, &[])); // it may have closed
     };
     if orders.holds_back() {
         std::thread::spawn(answer);
@@ -263,14 +263,14 @@
 }
 
 fn frame_answer(id: u64, answer: &WorkerAnswer) -> Vec<u8> {
-    let code = match answer {
-        WorkerAnswer::NotLoaded => frames::NOT_LOADED,
-        WorkerAnswer::Rejected => frames::REJECTED,
-        WorkerAnswer::Error => frames::ERROR,
-        _ => frames::OK,
+    let answer_code = match answer {
+        WorkerAnswer::NotLoaded => code::NOT_LOADED,
+        WorkerAnswer::Rejected => code::REJECTED,
+        WorkerAnswer::Error => code::ERROR,
+        _ => code::OK,
     };
     let body = answer.success_body().unwrap_or_default();
-    encode_answer(code, id, "detail=resident", body.as_bytes())
+    encode_answer(answer_code, id, "detail=resident", body.as_bytes())
 }
 
 fn v2_answer(answer: &WorkerAnswer) -> Vec<u8> {
--- a/wrenseam/tests/link/mod.rs
+++ b/wrenseam/tests/link/mod.rs
@@ -1,89 +1,102 @@
-//! What tests of transports share: a worker's side of the connections, written from the specification.
-#![allow(dead_code)]
-use std::io::{Read, Write};
+//! The kit of the tests of transports: it builds a transport whose reports the test reads, and the test plays the
+//! worker's side of the connections.
+#[path = "../support/mod.rs"]
+mod support;
+
+use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
+use support::frames::{encode_answer, read_frame};
 use wrenseam::limits::Limits;
 use wrenseam::model::{AttemptKey, Payload, Request};
 use wrenseam::queue::{CoreHandle, Message};
-use wrenseam::worker::frames::{encode, Frames};
+use wrenseam::worker::frames::Frames;
 use wrenseam::worker::kserve::Kserve;
 use wrenseam::worker::Transport;
 use wrenseam_policy::{Outcome, Settings};
 
-/// A worker whose next connection comes up only once those that fill its queue are taken.
+#[allow(unused_imports, reason = "each test binary uses its own part")]
+pub use wrenseam::model::TransportProtocol as Protocol;
+
+/// How long a test waits for a report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Longer than a busy machine takes for any connect that a test waits for.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(20);
+/// A connect that takes longer finds the queue of the listener full.
+const FULL_QUEUE_TIMEOUT: Duration = Duration::from_millis(200);
+/// How long the client of a request waits, us.
+const CLIENT_TIMEOUT: u64 = 20_000_000;
+
+/// The first attempt of the first request.
+#[allow(dead_code, reason = "each test binary uses its own part")]
+pub const FIRST: AttemptKey = AttemptKey {
+    request: 1,
+    attempt: 0,
+};
+
+/// A worker whose next connection comes up only once those that fill its queue are accepted: its listener, its
+/// address, and those that fill the queue.
+#[allow(dead_code, reason = "each test binary uses its own part")]
 pub fn late_worker() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    socket
-        .bind(
-            &"127.0.0.1:0"
-                .parse::<SocketAddr>()
-                .expect("an address")
-                .into(),
-        )
-        .expect("bound");
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    socket.bind(&any_port.into()).expect("bound");
     socket.listen(0).expect("listens");
     let listener = TcpListener::from(socket);
     let address = listener.local_addr().expect("bound");
     let mut fillers = Vec::new();
-    while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(200)) {
+    while let Ok(stream) = TcpStream::connect_timeout(&address, FULL_QUEUE_TIMEOUT) {
         fillers.push(stream);
     }
     (listener, address, fillers)
 }
 
-/// The protocols that workers speak.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Protocol {
-    Frames,
-    Kserve,
-}
-
 fn limits(change: impl FnOnce(&mut Limits)) -> Arc<Limits> {
     may::config().set_workers(1).set_worker_pin(false); // as the program has it
     let mut limits = Limits::new(192, 1024, &Settings::default());
-    limits.connect = Duration::from_secs(20); // a busy machine fails no connect that a test waits for
+    limits.connect = CONNECT_TIMEOUT;
     change(&mut limits);
     Arc::new(limits)
 }
 
 /// A transport of frames with changed limits, and what it reports.
+#[allow(dead_code, reason = "each test binary uses its own part")]
 pub fn transport(
     address: SocketAddr,
     change: impl FnOnce(&mut Limits),
 ) -> (Frames, mpsc::Receiver<Message>) {
     let (queue, reports) = mpsc::channel();
-    (
-        Frames::new(address, limits(change), CoreHandle::new(queue)),
-        reports,
-    )
+    let transport = Frames::new(address, limits(change), CoreHandle::new(queue));
+    (transport, reports)
 }
 
 /// A transport of either protocol with changed limits, and what it reports.
+#[allow(dead_code, reason = "each test binary uses its own part")]
 pub fn transport_of(
     protocol: Protocol,
     address: SocketAddr,
     change: impl FnOnce(&mut Limits),
 ) -> (Box<dyn Transport>, mpsc::Receiver<Message>) {
     let (queue, reports) = mpsc::channel();
-    let (limits, reporting) = (limits(change), CoreHandle::new(queue));
+    let (limits, core) = (limits(change), CoreHandle::new(queue));
     let transport: Box<dyn Transport> = match protocol {
-        Protocol::Frames => Box::new(Frames::new(address, limits, reporting)),
-        Protocol::Kserve => Box::new(Kserve::new(address, limits, reporting)),
+        Protocol::Frames => Box::new(Frames::new(address, limits, core)),
+        Protocol::Kserve => Box::new(Kserve::new(address, limits, core)),
     };
     (transport, reports)
 }
 
-/// A call with a short body, whose client waits for 20 s.
+/// A call with a short body.
+#[allow(dead_code, reason = "each test binary uses its own part")]
 pub fn request(wire_id: u64) -> Arc<Request> {
     Arc::new(Request {
         wire_id,
         class: "c".to_owned(),
         tenant: "t".to_owned(),
         function: 7,
-        timeout: 20_000_000,
+        timeout: CLIENT_TIMEOUT,
         received_at: Instant::now(),
         idempotency_key: None,
         is_retry: false,
@@ -97,43 +110,26 @@
     })
 }
 
-/// The next frame, its id and code.
+/// The id and the code of the next frame that the transport writes.
+#[allow(dead_code, reason = "each test binary uses its own part")]
 pub fn frame(stream: &mut TcpStream) -> (u64, u8) {
-    let mut head = [0; 16];
-    stream.read_exact(&mut head).expect("a frame");
-    let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
-    let body = u32::from_be_bytes(head[4..8].try_into().expect("four")) as usize;
-    stream
-        .read_exact(&mut vec![0; fields + body + 4])
-        .expect("the rest of it");
-    (
-        u64::from_be_bytes(head[8..].try_into().expect("eight")),
-        head[1],
-    )
+    let frame = read_frame(stream).expect("a frame");
+    (frame.id, frame.code)
 }
 
-/// Answers an exchange.
+/// Answers an exchange as the worker.
+#[allow(dead_code, reason = "each test binary uses its own part")]
 pub fn say(stream: &mut TcpStream, code: u8, id: u64, fields: &str, body: &[u8]) {
-    let mut answer = encode(code, id, fields, body);
-    answer[0] = 127;
+    let answer = encode_answer(code, id, fields, body);
     stream.write_all(&answer).expect("answered");
 }
 
-/// The next end that is reported: the attempt's number, `usize::MAX` for an order.
+/// The next end that is reported: the attempt's number, `usize::MAX` for an order, and the outcome.
+#[allow(dead_code, reason = "each test binary uses its own part")]
 pub fn outcome(reports: &mpsc::Receiver<Message>) -> (usize, Outcome) {
-    match reports.recv_timeout(Duration::from_secs(20)) {
+    match reports.recv_timeout(REPORT_TIMEOUT) {
         Ok(Message::AttemptEnded { key, report }) => (key.attempt, report.outcome),
-        Ok(Message::LoadOrderEnded {
-            order: _,
-            outcome,
-            replicas: _,
-        }) => (usize::MAX, outcome),
+        Ok(Message::LoadOrderEnded { outcome, .. }) => (usize::MAX, outcome),
         _ => panic!("nothing ended"),
     }
 }
-
-/// The first attempt of the first request.
-pub const FIRST: AttemptKey = AttemptKey {
-    request: 1,
-    attempt: 0,
-};
--- a/wrenseam/tests/schedules.rs
+++ b/wrenseam/tests/schedules.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use standin::{Act, Arrival, Die, Ledger, Worker};
+use standin::{Arrival, Behaviour, Ledger, SeededRandom, Worker};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -73,7 +73,7 @@
 /// System calls that fail, come short, or return late.
 struct Troubled {
     mix: Mix,
-    die: Die,
+    die: SeededRandom,
 }
 
 impl SystemCalls for Troubled {
@@ -188,24 +188,20 @@
     }
 }
 
-fn start(n: usize, mix: Mix, die: &Die, ledger: &Ledger) -> SocketAddr {
-    let (die, ledger) = (die.clone(), ledger.clone());
+fn start(n: usize, mix: Mix, die: &SeededRandom, ledger: &Ledger) -> SocketAddr {
     let worker = Worker {
         zone: n % 2,
-        trouble: mix.workers,
-        die,
-        ledger,
+        fault_percent: mix.workers,
+        random: die.clone(),
+        ledger: ledger.clone(),
     };
-    match protocol(n) {
-        TransportProtocol::Frames => standin::frames(worker),
-        TransportProtocol::Kserve => standin::kserve(worker),
-    }
+    worker.start(protocol(n))
 }
 
 /// A running core before its workers.
 struct Play {
     mix: Mix,
-    die: Die,
+    die: SeededRandom,
     ledger: Ledger,
     queue: Sender<Message>,
     addresses: Vec<SocketAddr>,
@@ -215,7 +211,7 @@
 impl Play {
     fn start(mix: Mix) -> Play {
         may::config().set_workers(1).set_worker_pin(false); // as the program has it
-        let (die, ledger) = (Die::new(mix.seed), Ledger::default());
+        let (die, ledger) = (SeededRandom::new(mix.seed), Ledger::default());
         let (queue, inbox) = channel();
         let settings = settings(mix);
         let limits = Arc::new(Limits::new(192, 1024, &settings));
@@ -396,11 +392,17 @@
 #[test]
 fn the_account_sees_a_repeat() {
     let at = Instant::now();
-    let act = |ran: bool| if ran { Act::Serve } else { Act::Full };
+    let behaviour = |ran: bool| {
+        if ran {
+            Behaviour::Serve
+        } else {
+            Behaviour::Reject
+        }
+    };
     let arrival = |zone, ran, ms| Arrival {
         at: at + Duration::from_millis(ms),
         zone,
-        act: act(ran),
+        behaviour: behaviour(ran),
     };
     let (first, never) = (arrival(0, true, 0), arrival(0, false, 0));
     assert!(breach(UNSAFE, &[first, arrival(0, true, 9)], &[]).is_some());
--- a/wrenseam/tests/support/frames.rs
+++ b/wrenseam/tests/support/frames.rs
@@ -2,22 +2,24 @@
 use super::sockets::read_bytes;
 use std::io::{self, Read};
 
-/// Code of a call to run a function.
-pub const CALL: u8 = 2;
-/// Code of an order to load or unload replicas of a function, or of a question how many are loaded.
-pub const LOAD_ORDER: u8 = 6;
-
-/// Code of an answer: it ran.
-pub const OK: u8 = 200;
-/// Code of an answer: the function is not loaded here.
-pub const NOT_LOADED: u8 = 202;
-/// Code of an answer: no capacity is left.
-pub const REJECTED: u8 = 203;
-/// Code of an answer: it failed, and may have run.
-pub const ERROR: u8 = 204;
-/// Code of an answer: it was not begun.
+/// The codes of frames.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub const NOT_BEGUN: u8 = 205;
+pub mod code {
+    /// A call to run a function.
+    pub const CALL: u8 = 2;
+    /// An order to load or unload replicas of a function, or a question how many are loaded.
+    pub const LOAD_ORDER: u8 = 6;
+    /// An answer: it ran.
+    pub const OK: u8 = 200;
+    /// An answer: the function is not loaded here.
+    pub const NOT_LOADED: u8 = 202;
+    /// An answer: no capacity is left.
+    pub const REJECTED: u8 = 203;
+    /// An answer: it failed, and may have run.
+    pub const ERROR: u8 = 204;
+    /// An answer: it was not begun.
+    pub const NOT_BEGUN: u8 = 205;
+}
 
 const FROM_PROGRAM: u8 = 126;
 const FROM_WORKER: u8 = 127;
@@ -30,11 +32,13 @@
     pub id: u64,
     /// `name=value,name=value`.
     pub fields: String,
+    #[allow(dead_code, reason = "each test binary uses its own part")]
     pub body: Vec<u8>,
 }
 
 impl Frame {
     /// The value of a field.
+    #[allow(dead_code, reason = "each test binary uses its own part")]
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields
             .split(',')
--- a/wrenseam/tests/support/http.rs
+++ b/wrenseam/tests/support/http.rs
@@ -20,12 +20,14 @@
     }
 
     /// The target of a request.
+    #[allow(dead_code, reason = "each test binary uses its own part")]
     pub fn target(&self) -> &str {
         self.head.split(' ').nth(1).expect("a request line")
     }
 }
 
 /// Reads one message; without a `Content-Length` its body is empty.
+#[allow(dead_code, reason = "each test binary uses its own part")]
 pub fn read_message(stream: &mut impl Read) -> io::Result<HttpMessage> {
     let mut head = Vec::new();
     while !head.ends_with(HEAD_END) {
@@ -43,6 +45,7 @@
 }
 
 /// A response; each of the further headers ends with a line break.
+#[allow(dead_code, reason = "each test binary uses its own part")]
 pub fn response(status: &str, headers: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}").into_bytes()
--- a/wrenseam/tests/support/sockets.rs
+++ b/wrenseam/tests/support/sockets.rs
@@ -4,9 +4,11 @@
 use std::time::Duration;
 
 /// How long a test waits for what must come.
+#[allow(dead_code, reason = "each test binary uses its own part")]
 pub const PATIENCE: Duration = Duration::from_secs(10);
 
 /// Connects; a read that waits for longer than `PATIENCE` fails.
+#[allow(dead_code, reason = "each test binary uses its own part")]
 pub fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("a connection");
     stream.set_read_timeout(Some(PATIENCE)).expect("set");
@@ -14,6 +16,7 @@
 }
 
 /// Listens on a free port and hands over each connection, in the order in which they come.
+#[allow(dead_code, reason = "each test binary uses its own part")]
 pub fn listen(mut accepted: impl FnMut(TcpStream) + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
