--- /dev/null
+++ b/wrenseam/tests/admin_endpoint.rs
@@ -0,0 +1,145 @@
+//! The admin endpoint: a command line in, `YES` or `NO` out; readiness, drain and activation, exclusions, telemetry, and
+//! clients that misbehave.
+mod common;
+
+use common::{connect, fastcgi, fastcgi_answer, Harness, Protocol};
+use rstest::rstest;
+use std::io::{Read, Write};
+use std::time::{Duration, Instant};
+
+fn health(harness: &Harness) -> String {
+    let mut stream = connect(harness.front);
+    stream
+        .write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""))
+        .expect("written");
+    fastcgi_answer(&mut stream).expect("an answer").head
+}
+
+/// Each command in turn, and the beginning of its reply.
+#[rstest]
+#[case::readiness(vec![("readyz\n", "YES")])]
+#[case::drain_and_activate(vec![
+    ("evacuate\n", "YES"), ("readyz\n", "NO"), ("evacuate\n", "YES"), ("activate\n", "YES"), ("readyz\n", "YES"),
+])]
+#[case::invalid_lines(vec![
+    ("dance\n", "NO"), ("readyz now\n", "NO"), ("exclude\n", "NO"), ("exclude a b\n", "NO"), ("\n", "NO"),
+    ("readyz\r\n", "YES"),
+])]
+fn commands_are_answered_with_one_line(#[case] commands: Vec<(&str, &str)>) {
+    let harness = Harness::new(Protocol::Platform);
+    for (line, begins) in commands {
+        let reply = harness.admin_command(line);
+        assert!(
+            reply.starts_with(begins) && reply.ends_with('\n') && reply.lines().count() == 1,
+            "{line:?}: {reply:?}"
+        );
+    }
+}
+
+/// In a drain the health check over FastCGI fails too, and it passes again after `activate`.
+#[test]
+fn health_follows_the_drain() {
+    let harness = Harness::new(Protocol::Platform);
+    assert!(health(&harness).starts_with("Status: 200"));
+    assert!(harness.admin_command("evacuate\n").starts_with("YES"));
+    assert!(health(&harness).starts_with("Status: 503"));
+    assert!(harness.admin_command("activate\n").starts_with("YES"));
+    assert!(health(&harness).starts_with("Status: 200"));
+}
+
+/// In a drain, an idle client connection is closed at once, not after the usual 5 s.
+#[test]
+fn a_drain_closes_idle_client_connections() {
+    let harness = Harness::new(Protocol::Platform);
+    let mut idle = connect(harness.front);
+    idle.write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""))
+        .expect("written");
+    fastcgi_answer(&mut idle).expect("an answer");
+    assert!(harness.admin_command("evacuate\n").starts_with("YES"));
+    let since = Instant::now();
+    idle.set_read_timeout(Some(Duration::from_secs(3)))
+        .expect("a time-out");
+    assert_eq!(idle.read(&mut [0; 16]).unwrap_or(1), 0, "closed");
+    assert!(
+        since.elapsed() < Duration::from_millis(1_500),
+        "closed after {:?}",
+        since.elapsed()
+    );
+}
+
+/// Clients that never finish a line, or send too long a one, block nobody; they are disconnected without a reply.
+#[test]
+fn silent_and_oversized_clients_block_nobody() {
+    let harness = Harness::new(Protocol::Platform);
+    let silent: Vec<_> = (0..4).map(|_| connect(harness.admin_endpoint)).collect();
+    let mut long = connect(harness.admin_endpoint);
+    let _ = long.write_all(&[b'x'; 300]);
+    let since = Instant::now();
+    assert!(harness.admin_command("readyz\n").starts_with("YES"));
+    assert!(
+        since.elapsed() < Duration::from_millis(500),
+        "answered after {:?}",
+        since.elapsed()
+    );
+    let mut reply = String::new();
+    let _ = long.read_to_string(&mut reply);
+    assert_eq!(reply, "");
+    for mut client in silent {
+        client
+            .set_read_timeout(Some(Duration::from_secs(3)))
+            .expect("a time-out");
+        assert_eq!(client.read(&mut [0; 16]).unwrap_or(1), 0, "closed");
+    }
+}
+
+/// Unknown ids are answered `NO`; known ones may be excluded twice and included again, and the exclusions are written to
+/// TMPDIR, where the next process finds them.
+#[test]
+fn exclusions_are_acknowledged_and_written_to_tmpdir() {
+    let harness = Harness::new(Protocol::Platform);
+    assert!(harness.admin_command("exclude nobody\n").starts_with("NO"));
+    assert!(harness.admin_command("include nobody\n").starts_with("NO"));
+    assert!(harness.admin_command("exclude w1\n").starts_with("YES"));
+    assert!(harness.admin_command("exclude w1\n").starts_with("YES"));
+    harness.wait_for_endpoint("w1", "draining", "excluded");
+    assert!(harness.admin_command("include w1\n").starts_with("YES"));
+    harness.wait_for_endpoint("w1", "ready", "included");
+    assert!(harness.admin_command("exclude w0\n").starts_with("YES"));
+    let excluded =
+        std::fs::read_to_string(harness.folder().join("wrenseam-excluded")).expect("written");
+    assert_eq!(excluded, "w0\n");
+}
+
+/// The counters begin at 0; then one call is served by one attempt, the members are listed, the excluded one is
+/// unavailable, and nothing is pending; `END` ends the reply.
+#[test]
+fn telemetry_counts_what_was_done() {
+    let harness = Harness::new(Protocol::Platform);
+    let before = harness.admin_command("telemetry\n");
+    assert!(
+        before.contains("app.downstream_requests.tile-render.completed:0|c\n"),
+        "{before}"
+    );
+    harness.run_scenario(
+        Protocol::Platform,
+        "
+        client send tile-render - x 3000
+        worker expect tile-render - x
+        worker send ok DONE
+        client expect served DONE",
+    );
+    assert!(harness.admin_command("exclude w3\n").starts_with("YES"));
+    let reply = harness.admin_command("telemetry\n");
+    for line in [
+        "app.downstream_requests.tile-render.completed:1|c",
+        "app.downstream_requests.tile-render.rejected:0|c",
+        "app.downstream_requests.tile-order.failed:0|c",
+        "app.upstream_requests:1|c",
+        "app.pending:0|g",
+        "app.members:4|g",
+        "app.members_unavailable:1|g",
+    ] {
+        assert!(reply.lines().any(|l| l == line), "{line} in {reply}");
+    }
+    assert!(reply.ends_with("\nEND\n"), "{reply}");
+}
--- a/wrenseam/tests/common/fleet.rs
+++ b/wrenseam/tests/common/fleet.rs
@@ -23,6 +23,13 @@
     pub gossip: SocketAddr,
 }
 
+impl Node {
+    /// Sends a command line to the admin endpoint; the reply.
+    pub fn admin_command(&self, line: &str) -> String {
+        admin_command(self.admin_endpoint, line)
+    }
+}
+
 #[allow(dead_code, reason = "each test binary uses its own part")]
 impl Fleet {
     /// Starts `count` processes; each after the first joins by way of the first.
@@ -96,7 +103,7 @@
 
     /// A figure of a process's telemetry, by its name.
     pub fn figure(&self, index: usize, name: &str) -> Option<u64> {
-        let telemetry = admin_command(self.nodes[index].admin_endpoint, "telemetry\n");
+        let telemetry = self.nodes[index].admin_command("telemetry\n");
         let figure = telemetry
             .lines()
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(':'))?;
--- a/wrenseam/tests/common/harness.rs
+++ b/wrenseam/tests/common/harness.rs
@@ -1,7 +1,7 @@
 //! The program between stand-in workers and discovery services: its configuration, and what it listens on.
 use super::clients::get;
 use super::discovery::DiscoveryService;
-use super::program::{create_run_folder, write_file, Program, SETTINGS};
+use super::program::{admin_command, create_run_folder, write_file, Program, SETTINGS};
 use super::support::sockets::PATIENCE;
 use super::workers::{start_worker, OrderControl, ReceivedCall, WorkerAnswer, WorkerContext};
 use super::Protocol;
@@ -128,6 +128,11 @@
         self.program.wait()
     }
 
+    /// Sends a command line to the admin endpoint; the reply.
+    pub fn admin_command(&self, line: &str) -> String {
+        admin_command(self.admin_endpoint, line)
+    }
+
     /// The id of the program's process.
     pub fn pid(&self) -> u32 {
         self.program.pid()
--- a/wrenseam/tests/board.rs
+++ b/wrenseam/tests/endpoint_discovery.rs
@@ -1,12 +1,12 @@
-//! The notice board as it fails and moves, and the list that the program makes of it.
+//! The endpoint list that the program keeps while its discovery service fails, moves and repeats itself.
 mod common;
 
 use common::{Harness, Protocol};
 use rstest::rstest;
 
 #[rstest]
-// Guards against the end of the program at SIGHUP, and against a list that stands still after it.
-#[case::moves(
+// Guards against the end of the program at SIGHUP, and against a list that is not updated after it.
+#[case::service_moves(
     "
     discovery expect 1
     discovery send 2 w0 draining
@@ -27,7 +27,7 @@
     program reload
     discovery expect 2"
 )]
-#[case::written_twice(
+#[case::repeated_event(
     "
     discovery expect 1
     discovery send 2 w0 draining
@@ -37,8 +37,8 @@
     endpoint expect w1 draining
     endpoint expect w0 ready"
 )]
-// A new worker stands where another did, of which no end has been told.
-#[case::an_address_taken_over(
+// A new worker has the address of another whose end was never notified.
+#[case::address_taken_over(
     "
     discovery expect 1
     discovery send 2 old ready
@@ -47,8 +47,8 @@
     endpoint expect new ready
     endpoint expect old absent"
 )]
-// All move while a call is out: its answer still comes, from where it went.
-#[case::moved_under_a_call(
+// All workers begin to drain while a call is in flight: its answer still comes.
+#[case::draining_during_a_call(
     "
     client send tile-render - x 5000
     worker expect tile-render - x
@@ -61,7 +61,7 @@
     worker send ok DONE
     client expect served DONE"
 )]
-// Asked for again once, then passed over.
+// The event is watched for again once, then passed over.
 #[case::unreadable_event(
     "
     discovery expect 1
@@ -71,8 +71,8 @@
     discovery send 3 w1 draining
     endpoint expect w1 draining"
 )]
-// Its sound part is used though it comes spoilt for good, and what is unfit is asked for again.
-#[case::spoilt_twice(
+// The readable events are used though one stays corrupt, and that one is watched for again.
+#[case::corrupt_event_twice(
     "
     discovery expect 1
     discovery send 2 w0 asleep
@@ -86,7 +86,7 @@
     endpoint expect w0 draining
     endpoint expect w1 draining"
 )]
-// It stands and comments, and what it has to tell never comes there.
+// A stream that carries comments and no event is replaced.
 #[case::comments_only(
     "
     discovery expect 1
@@ -95,12 +95,12 @@
     discovery send 2 w0 draining
     endpoint expect w0 draining"
 )]
-// A stop with the connection open.
-#[case::silent(
+// A stream that carries nothing, with its connection open, is replaced.
+#[case::silent_service(
     "
     discovery expect 1
     discovery expect 1"
 )]
-fn the_list_follows_the_board(#[case] scenario: &str) {
+fn the_endpoint_list_follows_discovery(#[case] scenario: &str) {
     Harness::new(Protocol::Platform).run_scenario(Protocol::Platform, scenario);
 }
--- a/wrenseam/tests/fronts.rs
+++ b/wrenseam/tests/fronts.rs
@@ -1,11 +1,11 @@
-//! The program as clients and workers meet it: every scenario through both fronts, to workers of both speeches.
+//! Requests from end to end: every scenario through both fronts, to workers of both protocols.
 mod common;
 
 use common::{Harness, Protocol};
 use rstest::rstest;
 use Protocol::{Kserve, Platform};
 
-/// One of each end that a request may come to.
+/// Requests with each of the possible outcomes.
 const MIX: &str = "
     client send tile-render - one 3000
     worker expect tile-render - one
@@ -31,10 +31,10 @@
     worker expect nothing
 ";
 
-/// A connection that is of no further use ends, and what was open on it goes elsewhere, once.
+/// A connection on which an answer stalls is closed, and the call that was open on it is retried elsewhere, once.
 #[rstest]
 #[case::stops_midway("worker send stalled\nworker expect closed\nworker expect tile-render - x\nworker send ok X\nclient expect served X")]
-fn useless_worker_connections_end(
+fn stalled_worker_connections_end(
     #[values(Platform, Kserve)] workers: Protocol,
     #[case] then: &str,
 ) {
@@ -45,16 +45,16 @@
     );
 }
 
-/// A connection that stays open and mute ends too; one on which a call only takes long does not.
+/// An unresponsive connection is closed too; one on which a call only takes long is not.
 #[rstest]
-#[case::mute("worker silence\nworker expect closed\nworker expect tile-render - x\nworker send ok X\nclient expect served X")]
+#[case::unresponsive("worker silence\nworker expect closed\nworker expect tile-render - x\nworker send ok X\nclient expect served X")]
 #[case::slow("wait 600\nworker send ok X\nclient expect served X\nworker expect nothing")]
-fn mute_worker_connections_end(#[case] then: &str) {
+fn unresponsive_worker_connections_end(#[case] then: &str) {
     let send = "client send tile-render - x 3000\nworker expect tile-render - x";
     Harness::new(Platform).run_scenario(Platform, &format!("{send}\n{then}"));
 }
 
-/// The same mix through either front to either kind of worker comes to the same ends, and workers see the same.
+/// The same mix through either front to either kind of worker has the same outcomes, and workers see the same calls.
 #[test]
 fn the_same_mix_ends_alike_on_every_path() {
     let harnesses = [Platform, Kserve].map(Harness::new);
@@ -69,8 +69,8 @@
 }
 
 #[rstest]
-// What the class allows: a keyed request goes no further than the hall that drops its repeats.
-#[case::keyed_stays_in_its_hall(
+// What the class allows: a request with an idempotency key is retried only in the zone that drops its repeats.
+#[case::idempotency_key_stays_in_its_zone(
     "
     client send tile-order k1 x 700
     worker expect tile-order k1 x
@@ -80,8 +80,8 @@
     client expect failed
     worker expect nothing"
 )]
-// An error may have run: the key protects the resend.
-#[case::keyed_after_an_error(
+// A call that failed may have run: the key protects the retry.
+#[case::idempotency_key_after_an_error(
     "
     client send tile-order k2 x 2000
     worker expect tile-order k2 x
@@ -90,8 +90,8 @@
     worker send ok DONE
     client expect served DONE"
 )]
-// Nothing ran anywhere: refused, and trying again is harmless.
-#[case::full_everywhere(
+// Nothing ran anywhere: the request is rejected, and the client may retry it.
+#[case::rejected_everywhere(
     "
     client send tile-order k3 x 2000
     worker expect tile-order k3 x
@@ -102,7 +102,7 @@
     worker send rejected
     client expect rejected"
 )]
-#[case::miss_goes_elsewhere(
+#[case::not_loaded_is_retried_elsewhere(
     "
     client send tile-render - x 2000
     worker expect tile-render - x
@@ -111,7 +111,7 @@
     worker send ok DONE
     client expect served DONE"
 )]
-#[case::cut_answer_of_a_safe_class(
+#[case::truncated_answer_of_an_idempotent_class(
     "
     client send tile-render - x 2000
     worker expect tile-render - x
@@ -120,7 +120,7 @@
     worker send ok DONE
     client expect served DONE"
 )]
-// A worker that says nothing: our own timer ends the request, and its late answer goes nowhere.
+// A worker that does not answer in time: the request times out, and the late answer is dropped.
 #[case::late_answers_are_dropped(
     "
     client send tile-order k4 x 300
@@ -139,7 +139,7 @@
     client expect failed
     worker expect nothing"
 )]
-#[case::a_client_that_leaves_is_owed_nothing(
+#[case::no_answer_to_a_client_that_closed(
     "
     client send tile-render - x 2000
     worker expect tile-render - x
@@ -147,7 +147,7 @@
     worker send ok LATE
     worker expect nothing"
 )]
-fn scenario(
+fn requests_end_as_their_class_allows(
     #[case] lines: &str,
     #[values(Platform, Kserve)] front: Protocol,
     #[values(Platform, Kserve)] workers: Protocol,
@@ -155,11 +155,11 @@
     Harness::new(workers).run_scenario(front, lines);
 }
 
-/// After SIGTERM and its 0.7 s of normal service, a new request on a kept connection is refused at once with
-/// advice. Through FastCGI only: v2 answers in order, so the refusal would wait for the request left open to
+/// After SIGTERM and its 0.7 s of normal service, a new request on an open connection is rejected at once with
+/// advice. Through FastCGI only: v2 answers in order, so the rejection would wait for the request left open to
 /// keep the connection from the drain, and that one's end is not the same in every run.
 #[test]
-fn an_ending_process_refuses_what_comes_late() {
+fn a_terminating_process_rejects_late_requests() {
     let harness = Harness::new(Platform);
     let begin =
         "client send tile-render - x 3000\nworker expect tile-render - x\nprogram terminate\nwait 900";
--- a/wrenseam/tests/golden_admin.rs
+++ b/wrenseam/tests/golden_admin.rs
@@ -2,7 +2,7 @@
 //! What differs from run to run (ports, times, digests) is masked; all else is compared byte for byte.
 mod common;
 
-use common::{admin_command, connect, get, Fleet, Harness, Protocol};
+use common::{connect, get, Fleet, Harness, Protocol};
 use rstest::rstest;
 use std::io::{Read, Write};
 use wrenseam::config;
@@ -194,12 +194,9 @@
         worker send ok DONE
         client expect served DONE",
     );
-    assert_eq!(
-        admin_command(harness.admin_endpoint, "exclude w3\n"),
-        "YES excluded w3\n"
-    );
+    assert_eq!(harness.admin_command("exclude w3\n"), "YES excluded w3\n");
     pinned(
-        &admin_command(harness.admin_endpoint, "telemetry\n"),
+        &harness.admin_command("telemetry\n"),
         "app.downstream_requests.tile-render.completed:1|c\n\
          app.downstream_requests.tile-render.rejected:0|c\n\
          app.downstream_requests.tile-render.failed:0|c\n\
@@ -229,10 +226,7 @@
 fn telemetry_of_a_fleet_keeps_its_names() {
     let fleet = Fleet::new(1);
     pinned(
-        &masked(
-            &admin_command(fleet.nodes[0].admin_endpoint, "telemetry\n"),
-            ":",
-        ),
+        &masked(&fleet.nodes[0].admin_command("telemetry\n"), ":"),
         "app.downstream_requests.tile-render.completed:N|c\n\
          app.downstream_requests.tile-render.rejected:N|c\n\
          app.downstream_requests.tile-render.failed:N|c\n\
@@ -321,10 +315,7 @@
 #[test]
 fn administration_answers_of_a_draining_process_keep_their_bytes() {
     let harness = Harness::new(Protocol::Platform);
-    assert_eq!(
-        admin_command(harness.admin_endpoint, "evacuate\n"),
-        "YES draining\n"
-    );
+    assert_eq!(harness.admin_command("evacuate\n"), "YES draining\n");
     pinned(
         &get(harness.admin, "/healthz"),
         "HTTP/1.1 503 Service Unavailable\r\n\
@@ -379,11 +370,7 @@
         ("\n", "NO empty line\n"),
     ];
     for (line, golden) in replies {
-        assert_eq!(
-            admin_command(harness.admin_endpoint, line),
-            golden,
-            "{line:?}"
-        );
+        assert_eq!(harness.admin_command(line), golden, "{line:?}");
     }
 }
 
--- a/wrenseam/tests/golden_fronts.rs
+++ b/wrenseam/tests/golden_fronts.rs
@@ -1,7 +1,7 @@
 //! Golden bytes of the answers to clients: FastCGI records, KServe v2 heads and bodies.
 mod common;
 
-use common::{admin_command, connect, fastcgi, get, record, Harness, Protocol, FUNCTION};
+use common::{connect, fastcgi, get, record, Harness, Protocol, FUNCTION};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -97,10 +97,7 @@
 #[test]
 fn fastcgi_health_of_a_draining_process_keeps_its_bytes() {
     let harness = Harness::new(Protocol::Platform);
-    assert_eq!(
-        admin_command(harness.admin_endpoint, "evacuate\n"),
-        "YES draining\n"
-    );
+    assert_eq!(harness.admin_command("evacuate\n"), "YES draining\n");
     let params = [("SCRIPT_NAME", "/healthz")];
     pinned(&fastcgi_exchange(&harness, &params, ""), b"\x01\x06\x01\x02\x00#\x00\x00Status: 503 Service Unavailable\r\n\r\n\x01\x06\x01\x02\x00\x00\x00\x00\x01\x03\x01\x02\x00\x08\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00");
 }
@@ -362,10 +359,7 @@
 ) {
     let harness = Harness::new(Protocol::Platform);
     if draining {
-        assert_eq!(
-            admin_command(harness.admin_endpoint, "evacuate\n"),
-            "YES draining\n"
-        );
+        assert_eq!(harness.admin_command("evacuate\n"), "YES draining\n");
     }
     for (path, golden) in paths {
         pinned(get(harness.kserve, path).as_bytes(), golden.as_bytes());
--- a/wrenseam/tests/golden_handover.rs
+++ b/wrenseam/tests/golden_handover.rs
@@ -2,7 +2,7 @@
 //! files as written by this version: a later one has to read them, since both run side by side during a replacement.
 mod common;
 
-use common::{admin_command, get, Harness, Protocol};
+use common::{get, Harness, Protocol};
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -106,7 +106,7 @@
     let harness = Harness::new(Protocol::Platform);
     for worker in ["w2", "w0"] {
         assert_eq!(
-            admin_command(harness.admin_endpoint, &format!("exclude {worker}\n")),
+            harness.admin_command(&format!("exclude {worker}\n")),
             format!("YES excluded {worker}\n")
         );
     }
--- a/wrenseam/tests/program.rs
+++ b/wrenseam/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program at its edges: odd input, health, administration, and its planned end.
+//! The program at its edges: unusual input, idle connections, health, administration and graceful shutdown.
 mod common;
 
 use common::{connect, fastcgi, fastcgi_answer, get, record, Harness, Protocol, FUNCTION};
@@ -23,24 +23,28 @@
     fastcgi(1, &params, b"")
 }
 
-/// What cannot be served ends in an answer of its own, and the connection goes on.
+/// What cannot be served is answered, and the connection stays usable.
 #[rstest]
 #[case::body_too_long(fastcgi(1, &params("900"), &[7; 17_000]), "Status: 400", 0)]
-#[case::no_wait(fastcgi(1, &params("soon"), b""), "Status: 400", 0)]
-// Figures that are none or out of range must not reach clock or module.
-#[case::endless_wait(fastcgi(1, &params("inf"), b""), "Status: 400", 0)]
-#[case::huge_wait(fastcgi(1, &params("1e300"), b""), "Status: 400", 0)]
-#[case::negative_wait(fastcgi(1, &params("-5"), b""), "Status: 400", 0)]
+#[case::timeout_is_no_number(fastcgi(1, &params("soon"), b""), "Status: 400", 0)]
+// Numbers that are out of range must not reach the clock or the policy.
+#[case::infinite_timeout(fastcgi(1, &params("inf"), b""), "Status: 400", 0)]
+#[case::huge_timeout(fastcgi(1, &params("1e300"), b""), "Status: 400", 0)]
+#[case::negative_timeout(fastcgi(1, &params("-5"), b""), "Status: 400", 0)]
 #[case::memory_is_no_number(with("HTTP_X_MORE", "memory_mb:NaN;lanes:2"), "Status: 400", 0)]
 #[case::negative_memory(with("HTTP_X_MORE", "memory_mb:-1"), "Status: 400", 0)]
-#[case::huge_lanes(with("HTTP_X_MORE", "lanes:1e9"), "Status: 400", 0)]
-#[case::a_load_of_text(with("HTTP_X_MORE", "load_ms:soon"), "Status: 400", 0)]
+#[case::huge_concurrency(with("HTTP_X_MORE", "lanes:1e9"), "Status: 400", 0)]
+#[case::load_time_is_no_number(with("HTTP_X_MORE", "load_ms:soon"), "Status: 400", 0)]
 #[case::unknown_tenant(with("HTTP_REQ_OWNER", "nobody"), "Status: 500", 0)]
 #[case::unknown_class(with("SCRIPT_NAME", "/v1/other"), "Status: 500", 0)]
 #[case::no_parameters(fastcgi(1, &[], b""), "Status: 400", 0)]
 #[case::unknown_role(record(1, 1, &[0, 2, 1, 0, 0, 0, 0, 0]), "", 3)]
 #[case::health(fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""), "Status: 200", 0)]
-fn odd_requests_are_answered(#[case] bytes: Vec<u8>, #[case] head: &str, #[case] status: u8) {
+fn unusual_fastcgi_requests_are_answered(
+    #[case] bytes: Vec<u8>,
+    #[case] head: &str,
+    #[case] status: u8,
+) {
     let harness = Harness::new(Protocol::Platform);
     let mut stream = connect(harness.front);
     for _ in 0..2 {
@@ -53,12 +57,12 @@
     }
 }
 
-/// What is not the protocol ends its connection, and only that.
+/// A violation of the protocol ends its connection, and no other.
 #[rstest]
 #[case::not_fastcgi(b"GET / HTTP/1.1\r\n\r\n".to_vec())]
 #[case::begun_twice([record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0]), record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0])].concat())]
 #[case::begin_cut_short(record(1, 1, &[0, 1]))]
-fn what_is_not_fastcgi_ends_its_connection(#[case] bytes: Vec<u8>) {
+fn protocol_violations_end_the_connection(#[case] bytes: Vec<u8>) {
     let harness = Harness::new(Protocol::Platform);
     let mut stream = connect(harness.front);
     stream.write_all(&bytes).expect("written");
@@ -66,7 +70,7 @@
     harness.run_scenario(Protocol::Platform, SERVED);
 }
 
-/// The same for HTTP: an error object, then the end.
+/// The same for HTTP: an error object, then the end of the connection.
 #[rstest]
 #[case::garbage("\u{1}\r\n\r\n", "400")]
 #[case::too_long(
@@ -83,7 +87,7 @@
     "POST /v2/models/7f3a9c21e0b4d655/infer HTTP/1.0\r\nContent-Length: 1\r\n\r\nx",
     "400"
 )]
-fn odd_http_is_answered(#[case] bytes: &str, #[case] status: &str) {
+fn invalid_http_is_answered(#[case] bytes: &str, #[case] status: &str) {
     let harness = Harness::new(Protocol::Kserve);
     let mut stream = connect(harness.kserve);
     stream.write_all(bytes.as_bytes()).expect("written");
@@ -96,14 +100,14 @@
     harness.run_scenario(Protocol::Kserve, SERVED);
 }
 
-/// Whoever does not come to the point is owed a word or a close, and must not keep others out.
+/// A client that sends no complete request is answered or disconnected, and must not keep others out.
 #[rstest]
-#[case::says_nothing("client expect closed")]
-#[case::stops_midway("client send part\nclient expect closed")]
-#[case::never_ends("client send endless\nclient expect failed\nclient expect closed")]
-#[case::asks_once_and_stays(&format!("{SERVED}\nclient expect closed"))]
-#[case::says_nothing_by_the_hundred(&format!("client open 130\n{SERVED}"))]
-fn connections_do_not_outstay(
+#[case::silent("client expect closed")]
+#[case::unfinished_request("client send part\nclient expect closed")]
+#[case::endless_request("client send endless\nclient expect failed\nclient expect closed")]
+#[case::idle_after_a_request(&format!("{SERVED}\nclient expect closed"))]
+#[case::many_silent_connections(&format!("client open 130\n{SERVED}"))]
+fn idle_and_unfinished_connections_are_closed(
     #[values(Protocol::Platform, Protocol::Kserve)] front: Protocol,
     #[case] scenario: &str,
 ) {
@@ -139,10 +143,10 @@
     client expect served DONE";
 
 #[test]
-fn health_metadata_and_state_are_told() {
+fn health_metadata_and_state_are_reported() {
     let harness = Harness::new(Protocol::Kserve);
     harness.run_scenario(Protocol::Platform, SERVED);
-    for (path, told) in [
+    for (path, expected) in [
         ("/v2/health/live", r#"{"live":true}"#),
         ("/v2/health/ready", r#"{"ready":true}"#),
         ("/v2/models/7f3a9c21e0b4d655/ready", r#""ready":true"#),
@@ -154,7 +158,7 @@
     ] {
         let answer = get(harness.kserve, path);
         assert!(
-            answer.starts_with("HTTP/1.1 200") && answer.contains(told),
+            answer.starts_with("HTTP/1.1 200") && answer.contains(expected),
             "{path}: {answer}"
         );
     }
@@ -167,7 +171,7 @@
 
 /// A request that is open at SIGTERM, and one that comes just after it, are answered before the end.
 #[test]
-fn a_planned_end_answers_what_was_taken() {
+fn graceful_shutdown_answers_accepted_requests() {
     let mut harness = Harness::new(Protocol::Platform);
     harness.run_scenario(Protocol::Platform, SERVED);
     let mut stream = connect(harness.front);
@@ -181,7 +185,7 @@
     assert!(head.starts_with("Status: 5"), "{head}");
 }
 
-/// Given up by the client: no answer, and the id can be used anew.
+/// A request that its client cancelled has no answer, and its id can be used anew.
 #[test]
 fn an_aborted_request_gets_no_answer() {
     let harness = Harness::new(Protocol::Platform);
