--- a/wrenseam/tests/common/harness.rs
+++ b/wrenseam/tests/common/harness.rs
@@ -1,23 +1,22 @@
-//! The program between stand-in workers and discovery services: its configuration, and what it listens on.
+//! The program between stand-in workers and discovery services, and what it listens on.
 use super::clients::get;
+use super::config::{
+    changed, config_template, endpoints, instances, write_kserve_files, zone_index, ConfigFile,
+    WORKERS,
+};
 use super::discovery::DiscoveryService;
-use super::program::{admin_command, create_run_folder, write_file, Program, SETTINGS};
+use super::program::{admin_command, create_run_folder, Program};
 use super::support::sockets::PATIENCE;
 use super::workers::{start_worker, OrderControl, ReceivedCall, WorkerAnswer, WorkerContext};
 use super::Protocol;
 use std::cell::Cell;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use wrenseam_policy::json::{list, object, parse, text};
 
-/// Workers of a test: the first half in one zone, the second in the other.
-const WORKERS: usize = 4;
-const ZONES: [&str; 2] = ["hall-a", "hall-b"];
-/// Stands in the configuration where the address of a discovery service is to come.
-const DISCOVERY_PLACEHOLDER: &str = "BOARD";
 /// Time between two looks at what the administration API shows.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
@@ -42,34 +41,6 @@
     config: ConfigFile,
 }
 
-/// The program's configuration file, in which the discovery service can be exchanged.
-struct ConfigFile {
-    path: PathBuf,
-    template: String,
-}
-
-impl ConfigFile {
-    fn create(folder: &Path, template: String, discovery: SocketAddr) -> ConfigFile {
-        let config = ConfigFile {
-            path: folder.join("config.json"),
-            template,
-        };
-        config.write(discovery);
-        config
-    }
-
-    fn write(&self, discovery: SocketAddr) {
-        let text = self
-            .template
-            .replace(DISCOVERY_PLACEHOLDER, &discovery.to_string());
-        write_file(self.path.clone(), &text);
-    }
-
-    fn corrupt(&self) {
-        write_file(self.path.clone(), "{");
-    }
-}
-
 #[allow(dead_code, reason = "each test binary uses its own part")]
 impl Harness {
     /// Starts the program with workers of this protocol.
@@ -209,56 +180,3 @@
     let state = entry.map_or(Some("absent"), |entry| text(entry, "state"));
     state.map(str::to_owned)
 }
-
-fn zone_index(worker: usize) -> usize {
-    worker * ZONES.len() / WORKERS
-}
-
-/// The workers as a discovery service lists them.
-fn instances(addresses: &[SocketAddr]) -> String {
-    let instance = |(worker, address): (usize, &SocketAddr)| {
-        let cell = zone_index(worker);
-        let zone = ZONES[cell];
-        format!(
-            r#"{{"instanceId":"w{worker}","hostPort":"{address}","zone":"{zone}","machineType":"std","cell":{cell},"lifecycle":"ready","startedAtMs":0}}"#
-        )
-    };
-    let instances: Vec<String> = addresses.iter().enumerate().map(instance).collect();
-    instances.join(",")
-}
-
-/// The workers as a file of v2 endpoints lists them.
-fn endpoints(addresses: &[SocketAddr]) -> String {
-    let locality = |(worker, address): (usize, &SocketAddr)| {
-        let (zone, port) = (ZONES[zone_index(worker)], address.port());
-        format!(
-            r#"{{"locality":{{"zone":"{zone}"}},"lb_endpoints":[{{"endpoint":{{"address":{{"socket_address":{{"address":"127.0.0.1","port_value":{port}}}}}}}}}]}}"#
-        )
-    };
-    let localities: Vec<String> = addresses.iter().enumerate().map(locality).collect();
-    localities.join(",")
-}
-
-fn config_template(instances: &str) -> String {
-    format!(
-        r#"{{"name":"t","seed":"2a","admin":"127.0.0.1:0","limits":{{"memory_mb":192,"sockets":256}},"settings":{SETTINGS},
-                "board":"{DISCOVERY_PLACEHOLDER}","known":{{"rev":1,"notices":[{{"rev":1,"pool":{{"reset":true,"instances":[{instances}]}}}}]}}}}"#
-    )
-}
-
-/// A text in which each first text, which must be there, is replaced once by the second.
-fn changed(text: String, changes: &[(&str, &str)]) -> String {
-    changes.iter().fold(text, |text, (from, to)| {
-        assert!(text.contains(from), "{from}");
-        text.replacen(from, to, 1)
-    })
-}
-
-/// Writes the configuration of the v2 front and the endpoints that it names; the configuration's path.
-fn write_kserve_files(folder: &Path, endpoints: &str) -> PathBuf {
-    let resources =
-        format!(r#"{{"resources":[{{"cluster_name":"tile-workers","endpoints":[{endpoints}]}}]}}"#);
-    write_file(folder.join("endpoints.json"), &resources);
-    let config = r#"{"listen":"127.0.0.1:0","admin":"127.0.0.1:0","endpoints":"endpoints.json"}"#;
-    write_file(folder.join("kserve.json"), config)
-}
--- a/wrenseam/tests/common/mod.rs
+++ b/wrenseam/tests/common/mod.rs
@@ -1,6 +1,7 @@
 //! The kit of the tests that run the whole program: it starts the program between stand-in clients, workers and
 //! discovery services that are written from the specifications, and runs scenarios on them.
 mod clients;
+mod config;
 mod discovery;
 mod fleet;
 mod harness;
--- /dev/null
+++ b/wrenseam/tests/common/workers/frames.rs
@@ -0,0 +1,74 @@
+//! The workers that speak the platform's binary frames.
+use super::super::clients::v2::text_of;
+use super::super::support::frames::{code, encode_answer, read_frame, Frame};
+use super::super::{CallContent, Protocol, FUNCTION};
+use super::orders::{Order, OrderControl};
+use super::{ReceivedCall, WorkerAnswer, WorkerContext};
+use std::io::{self, Write};
+use std::net::TcpStream;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+
+/// Serves a connection until one side ends it.
+pub fn serve(mut stream: TcpStream, zone: usize, context: &WorkerContext) -> io::Result<()> {
+    let silenced = Arc::new(AtomicBool::new(false));
+    loop {
+        let frame = read_frame(&mut stream)?;
+        if silenced.load(Ordering::Acquire) {
+            continue;
+        }
+        match frame.code {
+            code::LOAD_ORDER => answer_order(&frame, stream.try_clone()?, &context.orders),
+            code::CALL => {
+                let _ = context.calls.send(ReceivedCall {
+                    zone,
+                    id: frame.id,
+                    content: call_content(&frame),
+                    protocol: Protocol::Platform,
+                    stream: stream.try_clone()?,
+                    silenced: silenced.clone(),
+                }); // the test may have ended
+            }
+            _ => {}
+        }
+    }
+}
+
+/// Answers an order; calls behind one that is held back come through.
+fn answer_order(frame: &Frame, mut stream: TcpStream, orders: &Arc<OrderControl>) {
+    let order = match frame.field("slots_up") {
+        Some("0") => Order::Query,
+        _ => Order::Load,
+    };
+    let (id, control) = (frame.id, orders.clone());
+    let mut answer = move || {
+        let fields = format!("slots_up={}", control.wait_for_replicas(order));
+        let _ = stream.write_all(&encode_answer(code::OK, id, &fields, &[])); // it may have closed
+    };
+    if orders.holds_back() {
+        std::thread::spawn(answer);
+    } else {
+        answer();
+    }
+}
+
+fn call_content(frame: &Frame) -> CallContent {
+    assert_eq!(frame.field("path"), Some(FUNCTION));
+    CallContent {
+        class: frame.field("queue").expect("a class").to_owned(),
+        idempotency_key: frame.field("uniq").map(str::to_owned),
+        body: text_of(&frame.body),
+    }
+}
+
+/// An answer to a call as bytes.
+pub fn encode_call_answer(id: u64, answer: &WorkerAnswer) -> Vec<u8> {
+    let answer_code = match answer {
+        WorkerAnswer::NotLoaded => code::NOT_LOADED,
+        WorkerAnswer::Rejected => code::REJECTED,
+        WorkerAnswer::Error => code::ERROR,
+        _ => code::OK,
+    };
+    let body = answer.success_body().unwrap_or_default();
+    encode_answer(answer_code, id, "detail=resident", body.as_bytes())
+}
