--- /dev/null
+++ b/wrenseam/tests/common/fleet.rs
@@ -0,0 +1,129 @@
+//! Several processes of the program that gossip on loopback; there are no workers.
+use super::program::{
+    admin_command, create_folder, create_run_folder, write_file, Program, SETTINGS,
+};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::time::{Duration, Instant};
+
+/// Time between two looks at the telemetry of a process.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The processes, in the order of their first start.
+pub struct Fleet {
+    pub nodes: Vec<Node>,
+    folder: PathBuf,
+}
+
+/// One process of a fleet.
+#[allow(dead_code, reason = "each test binary uses its own part")]
+pub struct Node {
+    program: Program,
+    pub admin_endpoint: SocketAddr,
+    pub gossip: SocketAddr,
+}
+
+impl Node {
+    /// Sends a command line to the admin endpoint; the reply.
+    pub fn admin_command(&self, line: &str) -> String {
+        admin_command(self.admin_endpoint, line)
+    }
+}
+
+#[allow(dead_code, reason = "each test binary uses its own part")]
+impl Fleet {
+    /// Starts `count` processes; each after the first joins by way of the first.
+    pub fn new(count: usize) -> Fleet {
+        let mut fleet = Fleet {
+            nodes: Vec::new(),
+            folder: create_run_folder("fleet-"),
+        };
+        for index in 0..count {
+            let seed = fleet.nodes.first().map(|node| node.gossip);
+            let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+            let node = fleet.start(index, any_port, seed);
+            fleet.nodes.push(node);
+        }
+        fleet
+    }
+
+    fn start(&self, index: usize, gossip: SocketAddr, seed: Option<SocketAddr>) -> Node {
+        let fleet_file = self.write_fleet_file(index, gossip, seed);
+        let config = self.write_config(index);
+        let folder = create_folder(&self.folder.join(format!("tmp-{index}")));
+        let environment = [("WRENSEAM_FLEET", fleet_file.as_os_str())];
+        let mut program = Program::start(&folder, &config, &environment);
+        let gossip = program.next_listen_address();
+        let _front = program.next_listen_address();
+        let admin_endpoint = program.next_listen_address();
+        program.forward_log(format!("f{index}"));
+        Node {
+            program,
+            admin_endpoint,
+            gossip,
+        }
+    }
+
+    fn write_fleet_file(
+        &self,
+        index: usize,
+        gossip: SocketAddr,
+        seed: Option<SocketAddr>,
+    ) -> PathBuf {
+        let seeds = seed.map_or(String::new(), |seed| format!(r#""{seed}""#));
+        let text = format!(
+            r#"{{"listen":"{gossip}","seeds":[{seeds}],"cluster":"test","expected":1,"probe_ms":100,"suspect_ms":300,"capacity":10,"shed_order":["tile-render"]}}"#
+        );
+        write_file(self.folder.join(format!("fleet-{index}.json")), &text)
+    }
+
+    fn write_config(&self, index: usize) -> PathBuf {
+        let text = format!(
+            r#"{{"name":"f{index}","seed":"{index:x}","admin":"127.0.0.1:0","limits":{{"memory_mb":192,"sockets":256}},"settings":{SETTINGS},"known":{{"rev":0,"notices":[]}}}}"#
+        );
+        write_file(self.folder.join(format!("config-{index}.json")), &text)
+    }
+
+    /// Ends a process at once, as a crash would.
+    pub fn kill(&mut self, index: usize) {
+        self.nodes[index].program.kill();
+    }
+
+    /// Starts a process again at its gossip address; it joins by way of another.
+    pub fn restart(&mut self, index: usize, seed_index: usize) {
+        let gossip = self.nodes[index].gossip;
+        let seed = self.nodes[seed_index].gossip;
+        self.nodes[index] = self.start(index, gossip, Some(seed));
+    }
+
+    /// Whether a process still runs.
+    pub fn running(&mut self, index: usize) -> bool {
+        self.nodes[index].program.is_running()
+    }
+
+    /// A figure of a process's telemetry, by its name.
+    pub fn figure(&self, index: usize, name: &str) -> Option<u64> {
+        let telemetry = self.nodes[index].admin_command("telemetry\n");
+        let figure = telemetry
+            .lines()
+            .find_map(|line| line.strip_prefix(name)?.strip_prefix(':'))?;
+        let (number, _kind) = figure.split_once('|')?;
+        number.parse().ok()
+    }
+
+    /// Waits until a process counts so many peers alive; how long that took.
+    pub fn until_peers(&self, index: usize, peers: u64, within: Duration) -> Duration {
+        let since = Instant::now();
+        loop {
+            let counted = self.figure(index, "app.fleet.peers");
+            if counted == Some(peers) {
+                return since.elapsed();
+            }
+            assert!(
+                since.elapsed() < within,
+                "f{index} counts {counted:?} peers, not {peers}"
+            );
+            std::thread::sleep(POLL_INTERVAL);
+        }
+    }
+}
