--- a/wrenseam/src/core/operate.rs
+++ b/wrenseam/src/core/admin.rs
@@ -50,7 +50,7 @@
                     .iter()
                     .map(|c| c.name.clone())
                     .collect();
-                let mut text = self.tally.text(&names, self.gauges());
+                let mut text = self.counters.text(&names, self.gauges());
                 if let Some(gate) = &self.gate {
                     // Before END, so that a reader that stops there has them.
                     text.truncate(text.len() - "END\n".len());
--- a/wrenseam/src/core/attempts.rs
+++ b/wrenseam/src/core/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts: how they are sent, called off, and how they end.
-use super::peers::Peer;
-use super::{Answer, Attempt, AttemptKey, AttemptReport, Core, Due};
+use super::workers::Peer;
+use super::{Answer, Attempt, AttemptKey, AttemptReport, Core, TimerEvent};
 use crate::worker::{GiveUp, Terms};
 use std::sync::atomic::Ordering;
 use std::time::Instant;
@@ -26,7 +26,7 @@
         };
         out.open = false;
         if out.carried && matches!(report.outcome, Outcome::ConnectFailed | Outcome::NotSent) {
-            self.tally.unsent();
+            self.counters.unsent();
         }
         let elapsed = self.clock.now().saturating_sub(out.sent);
         let AttemptReport {
@@ -118,9 +118,9 @@
                 if let Some(attempt) = open.attempts.last_mut() {
                     attempt.carried = true;
                 }
-                self.tally.sent();
+                self.counters.sent();
                 self.timers
-                    .set(now.saturating_add(budget), Due::Attempt(key));
+                    .set(now.saturating_add(budget), TimerEvent::Attempt(key));
             }
             _ => {
                 self.end(key, AttemptReport::without_payload(Outcome::NotSent));
--- a/wrenseam/src/core/telemetry.rs
+++ b/wrenseam/src/core/counters.rs
@@ -5,7 +5,7 @@
 
 /// The counts of one process.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct RequestCounters {
     /// By class: completed, rejected, failed.
     classes: Vec<[u64; 3]>,
     /// Attempts written whole to workers.
@@ -23,10 +23,10 @@
     pub unavailable: usize,
 }
 
-impl Tally {
+impl RequestCounters {
     /// Counts for so many classes.
     pub fn new(classes: usize) -> Self {
-        Tally {
+        RequestCounters {
             classes: vec![[0; 3]; classes],
             upstream: 0,
         }
@@ -72,17 +72,17 @@
 
     #[test]
     fn counts_each_class_and_writes_them_in_lines() {
-        let mut tally = Tally::new(2);
-        tally.ended(0, RequestEnd::Completed);
-        tally.ended(0, RequestEnd::Completed);
-        tally.ended(1, RequestEnd::Rejected);
-        tally.ended(1, RequestEnd::Failed);
-        tally.ended(7, RequestEnd::Failed); // unknown: not counted
-        tally.sent();
-        tally.sent();
-        tally.unsent();
+        let mut counters = RequestCounters::new(2);
+        counters.ended(0, RequestEnd::Completed);
+        counters.ended(0, RequestEnd::Completed);
+        counters.ended(1, RequestEnd::Rejected);
+        counters.ended(1, RequestEnd::Failed);
+        counters.ended(7, RequestEnd::Failed); // unknown: not counted
+        counters.sent();
+        counters.sent();
+        counters.unsent();
         let names = ["render".to_owned(), "order".to_owned()];
-        let text = tally.text(
+        let text = counters.text(
             &names,
             Gauges {
                 pending: 3,
--- a/wrenseam/src/core/fleet.rs
+++ b/wrenseam/src/core/fleet_admission.rs
@@ -11,7 +11,7 @@
 const SIZE_HOLD: Micros = 60_000_000;
 
 /// The fleet's bounds in one core.
-pub struct Gate {
+pub struct FleetAdmission {
     budget: RetryBudget,
     size: FleetSize,
     shed: Shedder,
@@ -24,16 +24,16 @@
     extras_total: u64,
 }
 
-impl Gate {
+impl FleetAdmission {
     /// Bounds from the fleet's file, classes named as the settings name them (unknown names are left out).
-    pub fn new(fleet: &Fleet, settings: &Settings, seed: u64) -> Gate {
+    pub fn new(fleet: &Fleet, settings: &Settings, seed: u64) -> FleetAdmission {
         let window = fleet.window_ms * 1000;
         let order: Vec<usize> = fleet
             .shed_order
             .iter()
             .filter_map(|n| settings.classes.iter().position(|c| &c.name == n))
             .collect();
-        Gate {
+        FleetAdmission {
             budget: RetryBudget::new(fleet.retry_ratio, fleet.retry_floor_per_s, window),
             size: FleetSize::new(fleet.expected, SIZE_HOLD),
             shed: Shedder::new(&order, settings.classes.len(), window),
--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -1,16 +1,16 @@
 //! The one thread that owns the decision module. Fronts, transports and the roster reach it through its
 //! queue only; it knows requests, attempts, outcomes and members, and no wire.
+mod admin;
 mod attempts;
-mod fleet;
-mod inspect;
-mod operate;
-mod peers;
+mod counters;
+mod fleet_admission;
 mod requests;
-mod telemetry;
+mod state_report;
 mod timers;
+mod workers;
 
-pub use fleet::Gate;
-pub use telemetry::{Gauges, Tally};
+pub use counters::{Gauges, RequestCounters};
+pub use fleet_admission::FleetAdmission;
 
 use crate::clock::Clock;
 use crate::discovery::membership::Membership;
@@ -20,11 +20,11 @@
 use crate::process_state::ProcessState;
 use crate::queue::{CoreHandle, Message};
 use crate::worker::GiveUp;
-use peers::Peer;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::sync::Arc;
-use timers::{Due, Timers};
+use timers::{TimerEvent, Timers};
+use workers::Peer;
 use wrenseam_policy::{
     Action, Controller, Event, Micros, Outcome, Settings, WorkerState, ZoneNames,
 };
@@ -83,9 +83,9 @@
     timers: Timers,
     events: VecDeque<Event>,
     counts: Vec<Counts>,
-    tally: Tally,
+    counters: RequestCounters,
     /// The fleet's bounds, where the fleet is on.
-    gate: Option<Gate>,
+    gate: Option<FleetAdmission>,
     /// The system calls on connections to workers.
     calls: Arc<dyn SystemCalls>,
     /// The zones that the settings and the lists have named.
@@ -103,7 +103,7 @@
         shared: Arc<ProcessState>,
     ) -> Self {
         let counts = vec![Counts::default(); settings.tenants.len() + 1];
-        let tally = Tally::new(settings.classes.len());
+        let counters = RequestCounters::new(settings.classes.len());
         Core {
             controller: Controller::new(settings.clone(), seed),
             zones: ZoneNames::new(&settings.zones),
@@ -124,14 +124,14 @@
             timers: Timers::default(),
             events: VecDeque::new(),
             counts,
-            tally,
+            counters,
             gate: None,
             calls: Arc::new(DirectCalls),
         }
     }
 
     /// Applies the fleet's bounds from now on.
-    pub fn with_gate(mut self, gate: Gate) -> Self {
+    pub fn with_fleet_admission(mut self, gate: FleetAdmission) -> Self {
         self.gate = Some(gate);
         self
     }
@@ -144,9 +144,9 @@
 
     /// Runs until every sender of the queue is gone.
     pub fn run(mut self) {
-        self.timers.set(self.clock.now() + SWEEP, Due::Sweep);
+        self.timers.set(self.clock.now() + SWEEP, TimerEvent::Sweep);
         self.timers
-            .set(self.clock.now() + self.limits.link_check, Due::Pulse);
+            .set(self.clock.now() + self.limits.link_check, TimerEvent::Pulse);
         loop {
             match self.queue.recv_timeout(self.timers.wait(self.clock.now())) {
                 Ok(message) => {
@@ -212,7 +212,7 @@
             }
             Message::EndedAtFront { class, end: how } => {
                 let class = self.settings.class(&class);
-                self.tally.ended(class, how);
+                self.counters.ended(class, how);
             }
             Message::Exclusions(set) => {
                 let changes = self.members.hand_over(set, self.clock.now());
@@ -255,10 +255,10 @@
         });
     }
 
-    fn due(&mut self, due: Due) {
+    fn due(&mut self, due: TimerEvent) {
         match due {
-            Due::Module(token) => self.events.push_back(Event::Timer { token }),
-            Due::Attempt(key) => {
+            TimerEvent::Module(token) => self.events.push_back(Event::Timer { token }),
+            TimerEvent::Attempt(key) => {
                 // Guards against workers that vanish without a word: our own clock ends what is out there.
                 let open = self
                     .requests
@@ -277,7 +277,7 @@
                     self.ended(key, AttemptReport::without_payload(outcome));
                 }
             }
-            Due::Order(order) => {
+            TimerEvent::Order(order) => {
                 // Guards connections: one that waits for the answer to a lost order would never be idle.
                 let worker = self.orders.get(&order).map(|o| &o.0);
                 if let Some(peer) = worker.and_then(|w| self.peers.get_mut(w)) {
@@ -285,11 +285,11 @@
                 }
                 self.ordered(order, Outcome::Timeout, 0);
             }
-            Due::Request(id) => {
+            TimerEvent::Request(id) => {
                 self.answer(id, Answer::Failed);
                 self.forget(id);
             }
-            Due::Pulse => {
+            TimerEvent::Pulse => {
                 let (now, every) = (self.clock.now(), self.limits.link_check);
                 // Guards sound connections from our own stand-still: what came meanwhile is not read yet.
                 if now < self.pulsed + 2 * every {
@@ -300,9 +300,9 @@
                     self.trim(0);
                 }
                 self.pulsed = now;
-                self.timers.set(now + every, Due::Pulse);
+                self.timers.set(now + every, TimerEvent::Pulse);
             }
-            Due::Sweep => {
+            TimerEvent::Sweep => {
                 self.peers.values_mut().for_each(Peer::sweep);
                 // Guards memory: workers are replaced by new ones all day long.
                 let here = |p: &Peer| p.endpoint.state != WorkerState::Gone || !p.is_idle();
@@ -313,7 +313,7 @@
                     }
                     here
                 });
-                self.timers.set(self.clock.now() + SWEEP, Due::Sweep);
+                self.timers.set(self.clock.now() + SWEEP, TimerEvent::Sweep);
             }
         }
     }
@@ -358,7 +358,7 @@
             }
             Action::Timer { delay, token } => self
                 .timers
-                .set(now.saturating_add(delay), Due::Module(token)),
+                .set(now.saturating_add(delay), TimerEvent::Module(token)),
             Action::Load {
                 worker,
                 function,
@@ -377,7 +377,8 @@
                         .reports
                         .load_order_ended(order, Outcome::ConnectFailed, 0),
                 }
-                self.timers.set(now + self.limits.order, Due::Order(order));
+                self.timers
+                    .set(now + self.limits.order, TimerEvent::Order(order));
             }
             Action::Unload { worker, function } => {
                 if let Some(peer) = self.peers.get_mut(&worker) {
--- a/wrenseam/src/core/requests.rs
+++ b/wrenseam/src/core/requests.rs
@@ -1,5 +1,5 @@
 //! Requests from their arrival to their one final answer.
-use super::{Core, Counts, Due, Open};
+use super::{Core, Counts, Open, TimerEvent};
 use crate::model::{Answer, Client, Request, RequestEnd};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -22,13 +22,13 @@
         };
         if let Some(fault) = fault {
             note!("request {:016x}: failed, {fault}", request.wire_id);
-            self.tally.ended(class, RequestEnd::Failed);
+            self.counters.ended(class, RequestEnd::Failed);
             return client.answer(tag, Answer::Failed);
         }
         let now = self.clock.now();
         if let Some(retry_after) = self.gate.as_mut().and_then(|g| g.sheds(now, class)) {
             // Shed in common with the fleet: answered at once, with when to come back.
-            self.tally.ended(class, RequestEnd::Rejected);
+            self.counters.ended(class, RequestEnd::Rejected);
             self.count(tenant).asked += 1;
             return client.answer(tag, Answer::Rejected { retry_after });
         }
@@ -51,7 +51,8 @@
         self.shared.open.fetch_add(1, Ordering::AcqRel);
         self.count(tenant).asked += 1;
         // The module ends each request in time; this guards the promise should it not.
-        self.timers.set(now.saturating_add(left), Due::Request(id));
+        self.timers
+            .set(now.saturating_add(left), TimerEvent::Request(id));
         let (request, answered, attempts) = (Arc::new(request), false, Vec::new());
         self.requests.insert(
             id,
@@ -113,7 +114,7 @@
             Answer::Rejected { .. } => (counts.refused += 1, RequestEnd::Rejected).1,
             Answer::Failed => (counts.failed += 1, RequestEnd::Failed).1,
         };
-        self.tally.ended(class, how);
+        self.counters.ended(class, how);
         client.answer(tag, answer);
     }
 
--- a/wrenseam/src/core/timers.rs
+++ b/wrenseam/src/core/timers.rs
@@ -9,7 +9,7 @@
 
 /// What is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
+pub enum TimerEvent {
     /// The module's timer with this token.
     Module(u64),
     /// An attempt's time is up.
@@ -27,19 +27,19 @@
 /// The heap; equal times fire in the order in which they were set.
 #[derive(Default)]
 pub struct Timers {
-    heap: BinaryHeap<Reverse<(Micros, u64, Due)>>,
+    heap: BinaryHeap<Reverse<(Micros, u64, TimerEvent)>>,
     set: u64,
 }
 
 impl Timers {
     /// Sets a timer.
-    pub fn set(&mut self, at: Micros, due: Due) {
+    pub fn set(&mut self, at: Micros, due: TimerEvent) {
         self.set += 1;
         self.heap.push(Reverse((at, self.set, due)));
     }
 
     /// Takes the next timer that is due.
-    pub fn due(&mut self, now: Micros) -> Option<Due> {
+    pub fn due(&mut self, now: Micros) -> Option<TimerEvent> {
         match self.heap.peek() {
             Some(Reverse((at, _, _))) if *at <= now => {
                 self.heap.pop().map(|Reverse((_, _, due))| due)
--- a/wrenseam/src/lib.rs
+++ b/wrenseam/src/lib.rs
@@ -80,7 +80,7 @@
         shared.clone(),
     );
     if let Some(fleet) = &config.fleet {
-        core = core.with_gate(core::Gate::new(fleet, &config.settings, seed));
+        core = core.with_fleet_admission(core::FleetAdmission::new(fleet, &config.settings, seed));
         let own = gossip::start(
             fleet,
             seed,
--- a/wrenseam/tests/fleet_gate.rs
+++ b/wrenseam/tests/fleet_gate.rs
@@ -1,7 +1,7 @@
 //! The bounds that the fleet puts on the core: the retry budget under a storm.
 use rstest::rstest;
 use wrenseam::config::Fleet;
-use wrenseam::core::Gate;
+use wrenseam::core::FleetAdmission;
 use wrenseam::fleet::FleetNews;
 use wrenseam_policy::Settings;
 
@@ -36,7 +36,7 @@
     #[case] expected: usize,
     #[case] want: u32,
 ) {
-    let mut gate = Gate::new(&fleet(0.1, 3.0, expected), &Settings::default(), 1);
+    let mut gate = FleetAdmission::new(&fleet(0.1, 3.0, expected), &Settings::default(), 1);
     gate.news(
         0,
         FleetNews {
--- a/wrenseam/tests/golden_admin.rs
+++ b/wrenseam/tests/golden_admin.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use std::io::{Read, Write};
 use wrenseam::config;
-use wrenseam::core::{Gate, Gauges, Tally};
+use wrenseam::core::{FleetAdmission, Gauges, RequestCounters};
 use wrenseam::fleet::average::AverageDropped;
 use wrenseam::fleet::members::RecordCounts;
 use wrenseam::fleet::swim::Dropped;
@@ -35,8 +35,8 @@
     format!("{before}[{{{}}}]{after}", endpoints.join("},{"))
 }
 
-fn tally() -> Tally {
-    let mut tally = Tally::new(2);
+fn counters() -> RequestCounters {
+    let mut counters = RequestCounters::new(2);
     let ends = [
         RequestEnd::Completed,
         RequestEnd::Completed,
@@ -45,10 +45,10 @@
         RequestEnd::Rejected,
         RequestEnd::Failed,
     ];
-    ends.into_iter().for_each(|end| tally.ended(1, end));
-    (0..5).for_each(|_| tally.sent());
-    tally.unsent();
-    tally
+    ends.into_iter().for_each(|end| counters.ended(1, end));
+    (0..5).for_each(|_| counters.sent());
+    counters.unsent();
+    counters
 }
 
 #[test]
@@ -60,7 +60,7 @@
     };
     let names = ["tile-render", "tile-order"].map(str::to_owned);
     pinned(
-        &tally().text(&names, gauges),
+        &counters().text(&names, gauges),
         "app.downstream_requests.tile-render.completed:0|c\n\
          app.downstream_requests.tile-render.rejected:0|c\n\
          app.downstream_requests.tile-render.failed:0|c\n\
@@ -132,7 +132,7 @@
 
 #[test]
 fn fleet_figures_keep_their_lines() {
-    let mut gate = Gate::new(&fleet_file(), &Settings::default(), 1);
+    let mut gate = FleetAdmission::new(&fleet_file(), &Settings::default(), 1);
     gate.news(1_000_000, fleet_news());
     gate.attempt(1_000_000, false);
     assert!(!gate.attempt(1_000_000, true), "the budget allows no retry");
