--- /dev/null
+++ b/wrenseam/src/core/actions.rs
@@ -0,0 +1,57 @@
+//! The policy is given its events here, and its actions are carried out.
+use super::timers::TimerEvent;
+use super::Core;
+use crate::model::{Answer, AttemptKey};
+use wrenseam_policy::{Action, Micros};
+
+impl Core {
+    /// Gives the policy its events and carries out its actions in order, until no event is left.
+    pub(super) fn process_events(&mut self) {
+        let mut actions = Vec::new();
+        while let Some(event) = self.events.pop_front() {
+            let decided_at = self.clock.now();
+            self.controller.handle(decided_at, event, &mut actions);
+            for action in actions.drain(..) {
+                self.execute(decided_at, action);
+            }
+        }
+    }
+
+    fn execute(&mut self, decided_at: Micros, action: Action) {
+        match action {
+            Action::Send {
+                id,
+                worker,
+                timeout,
+                retry_window,
+            } => {
+                // Counted from the decision, as this thread may have been delayed since.
+                let write_by = retry_window
+                    .map(|window| self.clock.instant(decided_at.saturating_add(window)));
+                self.send_attempt(id, worker, timeout, write_by);
+            }
+            Action::Cancel { id, attempt } => self.cancel_attempt(AttemptKey {
+                request: id,
+                attempt,
+            }),
+            Action::Reject { id, retry_after } => {
+                self.finish_request(id, Answer::Rejected { retry_after });
+            }
+            Action::Fail { id } => self.finish_request(id, Answer::Failed),
+            Action::Timer { delay, token } => self.set_policy_timer(delay, token),
+            Action::Load {
+                worker,
+                function,
+                replicas,
+            } => self.order_load(worker, function, replicas),
+            Action::Unload { worker, function } => self.workers.unload(&worker, function),
+            Action::Log { text } => note!("module: {text}"),
+            Action::WatchEndpoints => {} // discovery watches the endpoint lists from the start
+        }
+    }
+
+    fn set_policy_timer(&mut self, delay: Micros, token: u64) {
+        let at = self.clock.now().saturating_add(delay);
+        self.timers.set(at, TimerEvent::Policy(token));
+    }
+}
--- a/wrenseam/src/core/admin.rs
+++ b/wrenseam/src/core/admin.rs
@@ -1,4 +1,4 @@
-//! The core's answers to operators' calls. Whatever they change is decided here or in membership, without I/O.
+//! The core's answers to the commands of the admin endpoint.
 use super::{Core, Gauges};
 use crate::discovery::membership::Unknown;
 use crate::model::AdminCommand;
@@ -6,84 +6,93 @@
 use wrenseam_policy::WorkerState;
 
 impl Core {
-    /// The line (or lines) that answer a call.
-    pub(super) fn call(&mut self, call: AdminCommand) -> String {
-        match call {
-            AdminCommand::Readyz => match (
-                self.shared.draining.load(Ordering::Acquire),
-                self.shared.taking(),
-            ) {
-                (true, _) => "NO draining\n".to_owned(),
-                (false, false) => "NO starting\n".to_owned(),
-                (false, true) => "YES ready\n".to_owned(),
-            },
-            AdminCommand::Evacuate => {
-                self.evacuate();
-                "YES draining\n".to_owned()
+    /// Carries out a command; the text of its reply.
+    pub(super) fn handle_admin(&mut self, command: AdminCommand) -> String {
+        match command {
+            AdminCommand::Readyz => self.readiness().to_owned(),
+            AdminCommand::Telemetry => self.telemetry(),
+            AdminCommand::Exclude(id) => self.exclude(&id),
+            AdminCommand::Include(id) => self.include(&id),
+            AdminCommand::Evacuate => self.evacuate().to_owned(),
+            AdminCommand::Activate => self.activate().to_owned(),
+        }
+    }
+
+    fn readiness(&self) -> &'static str {
+        if self.process_state.draining.load(Ordering::Acquire) {
+            "NO draining\n"
+        } else if self.process_state.taking() {
+            "YES ready\n"
+        } else {
+            "NO starting\n"
+        }
+    }
+
+    fn telemetry(&self) -> String {
+        let class_names: Vec<String> = self
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.name.clone())
+            .collect();
+        self.request_counters
+            .telemetry(&class_names, self.gauges(), self.fleet_admission.as_ref())
+    }
+
+    fn gauges(&self) -> Gauges {
+        let mut gauges = Gauges {
+            pending: self.requests.unanswered(),
+            ..Gauges::default()
+        };
+        for endpoint in self.workers.endpoints() {
+            if endpoint.state == WorkerState::Gone {
+                continue;
             }
-            AdminCommand::Activate => {
-                if self.shared.draining.swap(false, Ordering::AcqRel) {
-                    eprintln!("admin: activate, clients are taken again");
-                }
-                "YES ready\n".to_owned()
+            gauges.members += 1;
+            if endpoint.state != WorkerState::Ready || self.controller.is_ejected(&endpoint.id) {
+                gauges.unavailable += 1;
             }
-            AdminCommand::Exclude(id) => match self.members.exclude(&id) {
-                Ok(changes) => {
-                    eprintln!("admin: exclude {id}, nothing new goes there");
-                    self.apply(changes);
-                    format!("YES excluded {id}\n")
-                }
-                Err(Unknown) => format!("NO unknown {id}\n"),
-            },
-            AdminCommand::Include(id) => match self.members.include(&id, self.clock.now()) {
-                Ok(changes) => {
-                    eprintln!("admin: include {id}, back as a new process");
-                    self.apply(changes);
-                    format!("YES included {id}\n")
-                }
-                Err(Unknown) => format!("NO unknown {id}\n"),
-            },
-            AdminCommand::Telemetry => {
-                let names: Vec<String> = self
-                    .settings
-                    .classes
-                    .iter()
-                    .map(|c| c.name.clone())
-                    .collect();
-                let mut text = self.counters.text(&names, self.gauges());
-                if let Some(gate) = &self.gate {
-                    // Before END, so that a reader that stops there has them.
-                    text.truncate(text.len() - "END\n".len());
-                    gate.text(&mut text);
-                    text.push_str("END\n");
-                }
-                text
+        }
+        gauges
+    }
+
+    /// Sends a worker nothing new until it is included again.
+    fn exclude(&mut self, id: &str) -> String {
+        match self.membership.exclude(id) {
+            Ok(changes) => {
+                eprintln!("admin: exclude {id}, nothing new goes there");
+                self.apply_changes(changes);
+                format!("YES excluded {id}\n")
             }
+            Err(Unknown) => format!("NO unknown {id}\n"),
         }
     }
 
-    /// The gauges as they stand.
-    fn gauges(&self) -> Gauges {
-        let pending = self.requests.values().filter(|o| !o.answered).count();
-        let listed = || {
-            self.peers
-                .values()
-                .filter(|p| p.endpoint.state != WorkerState::Gone)
-        };
-        let avoided = |p: &&super::Peer| {
-            p.endpoint.state != WorkerState::Ready || self.controller.is_ejected(&p.endpoint.id)
-        };
-        Gauges {
-            pending,
-            members: listed().count(),
-            unavailable: listed().filter(avoided).count(),
+    /// Puts an excluded worker back, as a new process.
+    fn include(&mut self, id: &str) -> String {
+        match self.membership.include(id, self.clock.now()) {
+            Ok(changes) => {
+                eprintln!("admin: include {id}, back as a new process");
+                self.apply_changes(changes);
+                format!("YES included {id}\n")
+            }
+            Err(Unknown) => format!("NO unknown {id}\n"),
         }
     }
 
-    /// Readiness turns to no; client connections close as soon as nothing is owed on them.
-    pub(crate) fn evacuate(&mut self) {
-        if !self.shared.draining.swap(true, Ordering::AcqRel) {
+    /// Drains: readiness says no, and client connections close as soon as nothing is owed on them.
+    fn evacuate(&mut self) -> &'static str {
+        if !self.process_state.draining.swap(true, Ordering::AcqRel) {
             eprintln!("admin: evacuate, readiness says no, idle client connections close");
         }
+        "YES draining\n"
+    }
+
+    /// Ends a drain.
+    fn activate(&mut self) -> &'static str {
+        if self.process_state.draining.swap(false, Ordering::AcqRel) {
+            eprintln!("admin: activate, clients are taken again");
+        }
+        "YES ready\n"
     }
 }
--- a/wrenseam/src/core/attempts.rs
+++ b/wrenseam/src/core/attempts.rs
@@ -1,131 +1,119 @@
-//! Attempts: how they are sent, called off, and how they end.
-use super::workers::Peer;
-use super::{Answer, Attempt, AttemptKey, AttemptReport, Core, TimerEvent};
+//! Attempts: how they are sent, cancelled and ended.
+use super::timers::TimerEvent;
+use super::Core;
+use crate::model::{Answer, AttemptKey, AttemptReport};
 use crate::worker::{GiveUp, Terms};
 use std::sync::atomic::Ordering;
 use std::time::Instant;
-use wrenseam_policy::{Event, Micros, Outcome, WorkerState};
+use wrenseam_policy::{Event, Micros, Outcome};
 
 impl Core {
-    /// An attempt ended, and the module hears of it at once.
-    pub(super) fn ended(&mut self, key: AttemptKey, report: AttemptReport) {
-        self.end(key, report);
-        self.decide();
-        self.forget(key.request);
-    }
-
-    /// The end of an attempt, once: reports of an attempt that has ended already are dropped. The module hears
-    /// of it as its next event.
-    pub(super) fn end(&mut self, key: AttemptKey, report: AttemptReport) {
-        let (id, attempt) = (key.request, key.attempt);
-        let Some(open) = self.requests.get_mut(&id) else {
+    /// Sends an attempt. One that cannot be handed to a transport ends at once, and provably never ran.
+    ///
+    /// `timeout` 0 lets it take all of the request's time. `write_by` is when it must have been written whole, if it
+    /// repeats one that may have run.
+    pub(super) fn send_attempt(
+        &mut self,
+        id: u64,
+        worker: String,
+        timeout: Micros,
+        write_by: Option<Instant>,
+    ) {
+        let now = self.clock.now();
+        let has_connection = self.make_room(&worker);
+        let Some(request) = self.requests.request(id).cloned() else {
             return;
         };
-        let Some(out) = open.attempts.get_mut(attempt).filter(|a| a.open) else {
+        let time_left = self.time_left(now, &request);
+        let budget = match timeout {
+            0 => time_left,
+            timeout => timeout.min(time_left),
+        };
+        let admitted = self.admit_attempt(now, id);
+        let Some(key) = self.requests.start_attempt(id, worker.clone(), now) else {
             return;
         };
-        out.open = false;
-        if out.carried && matches!(report.outcome, Outcome::ConnectFailed | Outcome::NotSent) {
-            self.counters.unsent();
-        }
-        let elapsed = self.clock.now().saturating_sub(out.sent);
-        let AttemptReport {
-            outcome,
-            replica_loaded: warm,
-            queue_depth: crowd,
-            payload,
-        } = report;
-        if let (Outcome::Ok, Some(payload)) = (outcome, payload) {
-            self.answer(id, Answer::Served(payload));
+        // The front knows that a client has gone before the core is notified.
+        let client_gone = request.client_gone.load(Ordering::Acquire);
+        let startable = admitted && budget > 0 && !client_gone;
+        match self.workers.ready_transport(&worker) {
+            // Never ran; the policy leaves this worker alone for a while.
+            Some(_) if !has_connection => {
+                self.end_attempt(key, AttemptReport::without_payload(Outcome::Rejected));
+            }
+            Some(transport) if startable => {
+                let terms = Terms {
+                    budget,
+                    whole_by: write_by,
+                };
+                transport.send(key, &request, terms);
+                self.requests.mark_handed_over(key);
+                self.request_counters.record_attempt_sent();
+                let timeout_at = now.saturating_add(budget);
+                self.timers.set(timeout_at, TimerEvent::AttemptTimeout(key));
+            }
+            _ => self.finish_attempt(key, Outcome::NotSent),
         }
-        let (closed, inflight) = (self.requests.get(&id).is_none_or(|o| o.answered), None);
-        self.events.push_back(Event::AttemptEnded {
-            id,
-            attempt,
-            outcome,
-            elapsed,
-            request_closed: closed,
-            replica_loaded: warm,
-            queue_depth: crowd,
-            in_flight: inflight,
-        });
     }
 
-    /// Calls an attempt off. While its request is owed an answer it stays open until its worker has been told: what the
-    /// module sends in its place must not be out beside it.
-    pub(super) fn cancel(&mut self, key: AttemptKey) {
-        let Some(open) = self.requests.get(&key.request) else {
-            return;
-        };
-        let Some(attempt) = open.attempts.get(key.attempt).filter(|a| a.open) else {
-            return;
-        };
-        let owed = !open.answered;
-        let peer = self.peers.get_mut(&attempt.worker);
-        let outcome = match peer.map_or(GiveUp::Unknown, |p| p.cancel(key)) {
-            GiveUp::NeverBegun => Outcome::NotSent,
-            GiveUp::Pending if owed => return, // its report follows; its time-out should that stay out
-            GiveUp::Pending | GiveUp::Unknown => Outcome::Cancelled,
-        };
-        self.end(key, AttemptReport::without_payload(outcome));
-        self.forget(key.request);
+    /// Whether the fleet's retry budget allows the request's next attempt.
+    fn admit_attempt(&mut self, now: Micros, id: u64) -> bool {
+        let extra = self.requests.was_attempted(id);
+        self.fleet_admission
+            .as_mut()
+            .is_none_or(|fleet_admission| fleet_admission.admit_attempt(now, extra))
     }
 
-    pub(super) fn send(
-        &mut self,
-        now: Micros,
-        id: u64,
-        worker: String,
-        (timeout, whole_by): (Micros, Option<Instant>),
-    ) {
-        let room = self.room(&worker);
-        let Some(open) = self.requests.get_mut(&id) else {
+    /// Cancels an attempt. While its request is owed an answer and the attempt may have begun, it stays open until its
+    /// transport reports its end or its timeout fires: whatever the policy sends in its place must not run beside it.
+    pub(super) fn cancel_attempt(&mut self, key: AttemptKey) {
+        let Some(attempt) = self.requests.open_attempt(key) else {
             return;
         };
-        let key = AttemptKey {
-            request: id,
-            attempt: open.attempts.len(),
-        };
-        let request = open.request.clone();
-        let left = self.left(now, &request);
-        let budget = if timeout == 0 {
-            left
-        } else {
-            timeout.min(left)
-        };
-        let Some(open) = self.requests.get_mut(&id) else {
+        let answer_owed = !self.requests.is_answered(key.request);
+        match self.workers.cancel(attempt.worker(), key) {
+            GiveUp::NeverBegun => self.finish_attempt(key, Outcome::NotSent),
+            GiveUp::Pending if answer_owed => {}
+            GiveUp::Pending | GiveUp::Unknown => self.finish_attempt(key, Outcome::Cancelled),
+        }
+    }
+
+    /// An attempt ended, and the policy reacts at once.
+    pub(super) fn handle_attempt_end(&mut self, key: AttemptKey, report: AttemptReport) {
+        self.end_attempt(key, report);
+        self.process_events();
+        self.remove_if_finished(key.request);
+    }
+
+    /// Ends an attempt without an answer. The policy reacts after the action that is being carried out.
+    fn finish_attempt(&mut self, key: AttemptKey, outcome: Outcome) {
+        self.end_attempt(key, AttemptReport::without_payload(outcome));
+        self.remove_if_finished(key.request);
+    }
+
+    /// Ends an attempt and queues that for the policy. A second end of an attempt is ignored. The first successful
+    /// attempt answers the request.
+    fn end_attempt(&mut self, key: AttemptKey, report: AttemptReport) {
+        let Some(attempt) = self.requests.close_attempt(key) else {
             return;
         };
-        let extra = !open.attempts.is_empty();
-        // The fleet's retry budget: an extra attempt that it refuses is moot, as one to a worker that is not.
-        let allowed = self.gate.as_mut().is_none_or(|g| g.attempt(now, extra));
-        open.attempts.push(Attempt {
-            worker: worker.clone(),
-            sent: now,
-            open: true,
-            carried: false,
-        });
-        let ready = |p: &&mut Peer| p.endpoint.state == WorkerState::Ready;
-        match self.peers.get_mut(&worker).filter(ready) {
-            // Nothing ran, and this worker is left alone for a while.
-            Some(_) if !room => self.end(key, AttemptReport::without_payload(Outcome::Rejected)),
-            // (A client that left is known to its front before it is told here.)
-            Some(peer)
-                if !open.request.client_gone.load(Ordering::Acquire) && budget > 0 && allowed =>
-            {
-                peer.transport
-                    .send(key, &open.request, Terms { budget, whole_by });
-                if let Some(attempt) = open.attempts.last_mut() {
-                    attempt.carried = true;
-                }
-                self.counters.sent();
-                self.timers
-                    .set(now.saturating_add(budget), TimerEvent::Attempt(key));
-            }
-            _ => {
-                self.end(key, AttemptReport::without_payload(Outcome::NotSent));
-                self.forget(id);
-            }
+        let elapsed = self.clock.now().saturating_sub(attempt.started_at());
+        let not_written = matches!(report.outcome, Outcome::ConnectFailed | Outcome::NotSent);
+        if attempt.handed_over() && not_written {
+            self.request_counters.record_attempt_not_sent();
         }
+        if let (Outcome::Ok, Some(payload)) = (report.outcome, report.payload) {
+            self.answer(key.request, Answer::Served(payload));
+        }
+        self.events.push_back(Event::AttemptEnded {
+            id: key.request,
+            attempt: key.attempt,
+            outcome: report.outcome,
+            elapsed,
+            request_closed: self.requests.is_answered(key.request),
+            replica_loaded: report.replica_loaded,
+            queue_depth: report.queue_depth,
+            in_flight: None,
+        });
     }
 }
--- a/wrenseam/src/core/counters.rs
+++ b/wrenseam/src/core/counters.rs
@@ -1,111 +1,159 @@
-//! What the front end reports at the door's `telemetry`: counts from 0 in this process, and gauges read when
-//! asked. No I/O; the core counts, this module keeps and writes the lines.
+//! What the core counts: request ends by class and attempts for `telemetry`, and requests by tenant for `/v1/state`.
+//! All counts start from 0 in each process.
+use super::FleetAdmission;
 use crate::model::RequestEnd;
 use std::fmt::Write;
 
-/// The counts of one process.
+/// How the requests of one class ended.
+#[derive(Clone, Copy, Debug, Default)]
+struct ClassCounts {
+    completed: u64,
+    rejected: u64,
+    failed: u64,
+}
+
+impl ClassCounts {
+    fn record(&mut self, end: RequestEnd) {
+        match end {
+            RequestEnd::Completed => self.completed += 1,
+            RequestEnd::Rejected => self.rejected += 1,
+            RequestEnd::Failed => self.failed += 1,
+        }
+    }
+}
+
+/// Request ends by class, and attempts sent to workers.
 #[derive(Clone, Debug, Default)]
 pub struct RequestCounters {
-    /// By class: completed, rejected, failed.
-    classes: Vec<[u64; 3]>,
-    /// Attempts written whole to workers.
-    upstream: u64,
+    classes: Vec<ClassCounts>,
+    attempts_sent: u64,
 }
 
-/// The gauges, as they stand when asked.
+/// The gauges, as they stand when `telemetry` is asked for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests taken and not yet answered.
+    /// Requests that are owed an answer.
     pub pending: usize,
-    /// Workers in the list and not gone.
+    /// Workers that are listed and not gone.
     pub members: usize,
-    /// Of those, the ones that the front end avoids now, by hand or by choice.
+    /// Of those, the ones that get no new requests: excluded, draining or ejected as outliers.
     pub unavailable: usize,
 }
 
 impl RequestCounters {
-    /// Counts for so many classes.
+    /// Counters for this many classes.
     pub fn new(classes: usize) -> Self {
         RequestCounters {
-            classes: vec![[0; 3]; classes],
-            upstream: 0,
+            classes: vec![ClassCounts::default(); classes],
+            attempts_sent: 0,
         }
     }
 
-    /// A request of this class ended so; classes that are not known are not counted.
-    pub fn ended(&mut self, class: usize, how: RequestEnd) {
+    /// Counts the end of a request; classes that the settings do not name are not counted.
+    pub fn record_end(&mut self, class: usize, end: RequestEnd) {
         if let Some(counts) = self.classes.get_mut(class) {
-            counts[how as usize] += 1;
+            counts.record(end);
         }
     }
 
-    /// An attempt went to a worker's transport.
-    pub fn sent(&mut self) {
-        self.upstream += 1;
+    /// Counts an attempt that was handed to a worker's transport.
+    pub fn record_attempt_sent(&mut self) {
+        self.attempts_sent += 1;
     }
 
-    /// An attempt that was counted as sent was not wholly written after all.
-    pub fn unsent(&mut self) {
-        self.upstream = self.upstream.saturating_sub(1);
+    /// Takes back the count of an attempt that turned out not to have been written whole.
+    pub fn record_attempt_not_sent(&mut self) {
+        self.attempts_sent = self.attempts_sent.saturating_sub(1);
     }
 
-    /// The answer to `telemetry`: one figure a line, then `END`.
-    pub fn text(&self, names: &[String], gauges: Gauges) -> String {
-        let mut out = String::new();
+    /// The answer to `telemetry`: one figure a line, the fleet's figures where it is on, then `END`.
+    pub fn telemetry(
+        &self,
+        class_names: &[String],
+        gauges: Gauges,
+        fleet: Option<&FleetAdmission>,
+    ) -> String {
+        let mut text = String::new();
+        self.write_classes(class_names, &mut text);
+        let _ = writeln!(text, "app.upstream_requests:{}|c", self.attempts_sent);
+        let _ = writeln!(text, "app.pending:{}|g", gauges.pending);
+        let _ = writeln!(text, "app.members:{}|g", gauges.members);
+        let _ = writeln!(text, "app.members_unavailable:{}|g", gauges.unavailable);
+        if let Some(fleet) = fleet {
+            fleet.write_telemetry(&mut text);
+        }
+        text.push_str("END\n");
+        text
+    }
+
+    fn write_classes(&self, names: &[String], text: &mut String) {
         for (name, counts) in names.iter().zip(&self.classes) {
-            for (what, count) in ["completed", "rejected", "failed"].iter().zip(counts) {
-                let _ = writeln!(out, "app.downstream_requests.{name}.{what}:{count}|c");
+            let ends = [
+                ("completed", counts.completed),
+                ("rejected", counts.rejected),
+                ("failed", counts.failed),
+            ];
+            for (end, count) in ends {
+                let _ = writeln!(text, "app.downstream_requests.{name}.{end}:{count}|c");
             }
         }
-        let _ = writeln!(out, "app.upstream_requests:{}|c", self.upstream);
-        let _ = writeln!(out, "app.pending:{}|g", gauges.pending);
-        let _ = writeln!(out, "app.members:{}|g", gauges.members);
-        let _ = writeln!(out, "app.members_unavailable:{}|g", gauges.unavailable);
-        out.push_str("END\n");
-        out
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn counts_each_class_and_writes_them_in_lines() {
-        let mut counters = RequestCounters::new(2);
-        counters.ended(0, RequestEnd::Completed);
-        counters.ended(0, RequestEnd::Completed);
-        counters.ended(1, RequestEnd::Rejected);
-        counters.ended(1, RequestEnd::Failed);
-        counters.ended(7, RequestEnd::Failed); // unknown: not counted
-        counters.sent();
-        counters.sent();
-        counters.unsent();
-        let names = ["render".to_owned(), "order".to_owned()];
-        let text = counters.text(
-            &names,
-            Gauges {
-                pending: 3,
-                members: 6,
-                unavailable: 1,
-            },
-        );
-        let lines: Vec<&str> = text.lines().collect();
-        assert_eq!(
-            lines,
-            [
-                "app.downstream_requests.render.completed:2|c",
-                "app.downstream_requests.render.rejected:0|c",
-                "app.downstream_requests.render.failed:0|c",
-                "app.downstream_requests.order.completed:0|c",
-                "app.downstream_requests.order.rejected:1|c",
-                "app.downstream_requests.order.failed:1|c",
-                "app.upstream_requests:1|c",
-                "app.pending:3|g",
-                "app.members:6|g",
-                "app.members_unavailable:1|g",
-                "END",
-            ]
-        );
+/// The counts of one tenant.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct TenantCounts {
+    /// Requests that passed the checks of their fields.
+    pub received: u64,
+    /// Requests served.
+    pub completed: u64,
+    /// Requests rejected by the policy.
+    pub rejected: u64,
+    /// Requests failed.
+    pub failed: u64,
+    /// Requests cancelled by their clients.
+    pub cancelled: u64,
+}
+
+/// The counts of all tenants. Requests whose tenant the settings do not name share one more record.
+#[derive(Clone, Debug)]
+pub struct TenantCounters {
+    tenants: Vec<TenantCounts>,
+    unknown: TenantCounts,
+}
+
+impl TenantCounters {
+    /// Counters for this many tenants.
+    pub fn new(tenants: usize) -> Self {
+        TenantCounters {
+            tenants: vec![TenantCounts::default(); tenants],
+            unknown: TenantCounts::default(),
+        }
+    }
+
+    /// Counts a request that passed the checks of its fields.
+    pub fn record_received(&mut self, tenant: Option<usize>) {
+        self.counts_mut(tenant).received += 1;
+    }
+
+    /// Counts the end of a request.
+    pub fn record_end(&mut self, tenant: Option<usize>, end: RequestEnd) {
+        let counts = self.counts_mut(tenant);
+        match end {
+            RequestEnd::Completed => counts.completed += 1,
+            RequestEnd::Rejected => counts.rejected += 1,
+            RequestEnd::Failed => counts.failed += 1,
+        }
+    }
+
+    /// The counts of the tenants in the order of the settings, then those of all unknown tenants.
+    pub fn iter(&self) -> impl Iterator<Item = &TenantCounts> {
+        self.tenants.iter().chain(std::iter::once(&self.unknown))
+    }
+
+    fn counts_mut(&mut self, tenant: Option<usize>) -> &mut TenantCounts {
+        tenant
+            .and_then(|position| self.tenants.get_mut(position))
+            .unwrap_or(&mut self.unknown)
     }
 }
--- /dev/null
+++ b/wrenseam/src/core/endpoints.rs
@@ -0,0 +1,75 @@
+//! Endpoint updates: what a change of the endpoint lists does to workers and policy, and whether a worker can get one
+//! more connection.
+use super::Core;
+use crate::discovery::membership::Change;
+use crate::model::{Endpoint, TransportProtocol};
+use crate::worker::transport;
+use std::sync::atomic::Ordering;
+use wrenseam_policy::json::position;
+use wrenseam_policy::Event;
+
+impl Core {
+    /// Takes over an update of one source's endpoint list. From the first one on the front end is ready.
+    pub(super) fn update_endpoints(
+        &mut self,
+        source: TransportProtocol,
+        complete: bool,
+        endpoints: Vec<Endpoint>,
+    ) {
+        let changes = self.membership.take(source, complete, endpoints);
+        self.apply_changes(changes);
+        self.process_state.ready.store(true, Ordering::Release);
+    }
+
+    /// Carries out changes of the membership: at the workers' transports, and in the policy's list.
+    pub(super) fn apply_changes(&mut self, changes: Vec<Change>) {
+        let mut endpoints = Vec::with_capacity(changes.len());
+        for change in changes {
+            endpoints.push(self.policy_endpoint(&change.member));
+            self.apply_change(change);
+        }
+        if !endpoints.is_empty() {
+            self.events.push_back(Event::EndpointUpdate {
+                complete: false,
+                endpoints,
+            });
+        }
+    }
+
+    fn apply_change(&mut self, change: Change) {
+        let endpoint = change.member;
+        eprintln!(
+            "member {}: {:?} at {}",
+            endpoint.id, endpoint.state, endpoint.address
+        );
+        let address = endpoint.address;
+        let protocol = endpoint.protocol;
+        self.workers.update(endpoint, change.duty, || {
+            transport(
+                protocol,
+                address,
+                &self.limits,
+                &self.reports,
+                &self.system_calls,
+            )
+        });
+    }
+
+    /// The endpoint as the policy knows it, with positions in the settings in place of names.
+    fn policy_endpoint(&mut self, endpoint: &Endpoint) -> wrenseam_policy::Endpoint {
+        wrenseam_policy::Endpoint {
+            worker: endpoint.id.clone(),
+            state: endpoint.state,
+            started_at: endpoint.started_at,
+            zone: self.zones.position(&endpoint.zone),
+            kind: position(&self.settings.kinds, Some(&endpoint.kind)),
+            cell: endpoint.cell,
+        }
+    }
+
+    /// Whether a worker's transport has a connection or may open one; see [`super::tables::WorkerTable::make_room`].
+    pub(super) fn make_room(&mut self, worker: &str) -> bool {
+        let clients = self.process_state.clients.load(Ordering::Acquire);
+        self.workers.make_room(worker, self.limits.pool, clients)
+    }
+}
--- a/wrenseam/src/core/fleet_admission.rs
+++ b/wrenseam/src/core/fleet_admission.rs
@@ -1,5 +1,5 @@
-//! The fleet's bounds as the core applies them: shedding at arrival, the retry budget at each extra attempt.
-//! The decisions are `crate::fleet`'s; this keeps their state in the core and counts for the summary.
+//! The fleet's limits as one core applies them: shedding at arrival, and the retry budget at each further attempt.
+//! `crate::fleet` has the algorithms; this holds their state for the core and the totals for `telemetry`.
 use crate::config::Fleet;
 use crate::fleet::traffic::TrafficKind;
 use crate::fleet::{FleetNews, FleetSize, Lifecycle, RetryBudget, Shedder, Summary};
@@ -7,135 +7,174 @@
 use std::fmt::Write;
 use wrenseam_policy::{Micros, Settings};
 
-/// How long a larger fleet is remembered once peers are no longer heard (µs).
-const SIZE_HOLD: Micros = 60_000_000;
+/// How long the largest fleet size seen is kept once peers are no longer heard.
+const FLEET_SIZE_HOLD: Micros = 60_000_000;
 
-/// The fleet's bounds in one core.
+/// Keeps the shedder's random numbers apart from those that the policy draws from the same seed.
+const SHEDDING_SEED_MASK: u64 = 0x5eed_f1ee;
+
+/// Admission control of one core: which requests are shed, and which further attempts may start.
 pub struct FleetAdmission {
-    budget: RetryBudget,
-    size: FleetSize,
-    shed: Shedder,
+    retry_budget: RetryBudget,
+    fleet_size: FleetSize,
+    shedder: Shedder,
     rng: SmallRng,
-    wait: Micros,
+    /// The Retry-After of a request that is shed.
+    shed_retry_after: Micros,
+    /// Open requests at which this front end counts as full.
     capacity: u32,
     news: FleetNews,
-    shed_total: u64,
-    denied_total: u64,
-    extras_total: u64,
+    totals: Totals,
+}
+
+/// Counts since the start of the process.
+#[derive(Default)]
+struct Totals {
+    shed: u64,
+    extra_attempts: u64,
+    extra_attempts_denied: u64,
 }
 
 impl FleetAdmission {
-    /// Bounds from the fleet's file, classes named as the settings name them (unknown names are left out).
+    /// Limits from the fleet's file. Classes to shed that the settings do not name are left out.
     pub fn new(fleet: &Fleet, settings: &Settings, seed: u64) -> FleetAdmission {
         let window = fleet.window_ms * 1000;
-        let order: Vec<usize> = fleet
+        let shed_order: Vec<usize> = fleet
             .shed_order
             .iter()
-            .filter_map(|n| settings.classes.iter().position(|c| &c.name == n))
+            .filter_map(|name| settings.classes.iter().position(|c| &c.name == name))
             .collect();
         FleetAdmission {
-            budget: RetryBudget::new(fleet.retry_ratio, fleet.retry_floor_per_s, window),
-            size: FleetSize::new(fleet.expected, SIZE_HOLD),
-            shed: Shedder::new(&order, settings.classes.len(), window),
-            rng: SmallRng::seed_from_u64(seed ^ 0x5eed_f1ee),
-            wait: fleet.shed_wait_ms * 1000,
+            retry_budget: RetryBudget::new(fleet.retry_ratio, fleet.retry_floor_per_s, window),
+            fleet_size: FleetSize::new(fleet.expected, FLEET_SIZE_HOLD),
+            shedder: Shedder::new(&shed_order, settings.classes.len(), window),
+            rng: SmallRng::seed_from_u64(seed ^ SHEDDING_SEED_MASK),
+            shed_retry_after: fleet.shed_wait_ms * 1000,
             capacity: fleet.capacity.max(1),
             news: FleetNews::default(),
-            shed_total: 0,
-            denied_total: 0,
-            extras_total: 0,
+            totals: Totals::default(),
         }
     }
 
-    /// News of the fleet from gossip.
-    pub fn news(&mut self, now: Micros, news: FleetNews) {
+    /// Takes over the fleet's state from gossip.
+    pub fn update(&mut self, now: Micros, news: FleetNews) {
         self.news = news;
-        self.size.departed(news.departed);
-        self.size.seen(now, news.ready());
-        self.shed.pressure(now, news.pressure);
+        self.fleet_size.departed(news.departed);
+        self.fleet_size.seen(now, news.ready());
+        self.shedder.pressure(now, news.pressure);
     }
 
-    /// This front end's summary with `in_flight` requests open.
-    pub fn summary(&self, now: Micros, in_flight: usize) -> Summary {
-        let spent = self.budget.spent(now);
-        let in_flight = in_flight.min(u32::MAX as usize) as u32;
+    /// This front end's load summary with this many requests open.
+    pub fn summary(&self, now: Micros, open_requests: usize) -> Summary {
+        let spent = self.retry_budget.spent(now);
+        let in_flight = open_requests.min(u32::MAX as usize) as u32;
+        let pressure = u64::from(in_flight) * 1000 / u64::from(self.capacity);
         Summary {
             in_flight,
-            pressure: (u64::from(in_flight) * 1000 / u64::from(self.capacity))
-                .min(u64::from(u32::MAX)) as u32,
+            pressure: saturate(pressure),
             firsts: spent.firsts,
             extras: spent.extras,
             denied: spent.denied,
-            shed: self.shed_total.min(u64::from(u32::MAX)) as u32,
+            shed: saturate(self.totals.shed),
             ..Summary::default()
         }
     }
 
-    /// The wait to tell, if a request of this class is to be refused at once.
-    pub fn sheds(&mut self, now: Micros, class: usize) -> Option<Micros> {
+    /// Decides at its arrival whether a request of this class is shed; if so, the Retry-After to answer.
+    pub fn shed(&mut self, now: Micros, class: usize) -> Option<Micros> {
         let chance = self.rng.random::<f64>();
-        let refused = self.shed.refuses(now, class, chance);
-        self.shed_total += u64::from(refused);
-        refused.then_some(self.wait)
+        if !self.shedder.refuses(now, class, chance) {
+            return None;
+        }
+        self.totals.shed += 1;
+        Some(self.shed_retry_after)
     }
 
-    /// An attempt is about to go: `extra` when the request had one already. Whether it may.
-    pub fn attempt(&mut self, now: Micros, extra: bool) -> bool {
+    /// Whether an attempt may start. First attempts always may; `extra` ones (retries and hedged requests) are subject
+    /// to the fleet's retry budget.
+    pub fn admit_attempt(&mut self, now: Micros, extra: bool) -> bool {
         if !extra {
-            self.budget.first(now);
+            self.retry_budget.first(now);
             return true;
         }
-        let may = self.budget.extra(now, self.size.estimate());
-        self.extras_total += u64::from(may);
-        self.denied_total += u64::from(!may);
-        may
+        let admitted = self.retry_budget.extra(now, self.fleet_size.estimate());
+        if admitted {
+            self.totals.extra_attempts += 1;
+        } else {
+            self.totals.extra_attempts_denied += 1;
+        }
+        admitted
+    }
+
+    /// Appends the fleet's lines of `telemetry`.
+    pub fn write_telemetry(&self, text: &mut String) {
+        self.write_limits(text);
+        self.write_view(text);
+        self.write_traffic(text);
+        self.write_dropped(text);
     }
 
-    /// Lines for `telemetry`.
-    pub fn text(&self, out: &mut String) {
-        let (n, d, v) = (&self.news, &self.news.dropped, &self.news.average_dropped);
-        let _ = writeln!(out, "app.fleet.peers:{}|g", n.alive);
-        let _ = writeln!(out, "app.fleet.size:{}|g", self.size.estimate());
-        let _ = writeln!(out, "app.fleet.pressure:{}|g", n.pressure);
-        let _ = writeln!(
-            out,
-            "app.fleet.refusing_permille:{}|g",
-            (self.shed.refusing() * 1000.0) as u64
-        );
-        let _ = writeln!(out, "app.fleet.extra_attempts:{}|c", self.extras_total);
-        let _ = writeln!(out, "app.fleet.extra_denied:{}|c", self.denied_total);
-        let _ = writeln!(out, "app.fleet.shed:{}|c", self.shed_total);
-        let _ = writeln!(out, "app.fleet.edges:{}|g", n.edges.1);
-        let _ = writeln!(out, "app.fleet.edges_heard:{}|g", n.edges.0);
-        let _ = writeln!(out, "app.fleet.mixed:{}|g", u8::from(n.mixed));
+    fn write_limits(&self, text: &mut String) {
+        let refusing_permille = (self.shedder.refusing() * 1000.0) as u64;
+        let _ = writeln!(text, "app.fleet.peers:{}|g", self.news.alive);
+        let _ = writeln!(text, "app.fleet.size:{}|g", self.fleet_size.estimate());
+        let _ = writeln!(text, "app.fleet.pressure:{}|g", self.news.pressure);
+        let _ = writeln!(text, "app.fleet.refusing_permille:{refusing_permille}|g");
+        let extra = self.totals.extra_attempts;
+        let _ = writeln!(text, "app.fleet.extra_attempts:{extra}|c");
+        let denied = self.totals.extra_attempts_denied;
+        let _ = writeln!(text, "app.fleet.extra_denied:{denied}|c");
+        let _ = writeln!(text, "app.fleet.shed:{}|c", self.totals.shed);
+    }
+
+    fn write_view(&self, text: &mut String) {
+        let news = &self.news;
+        let (edges_heard, edges) = news.edges;
+        let _ = writeln!(text, "app.fleet.edges:{edges}|g");
+        let _ = writeln!(text, "app.fleet.edges_heard:{edges_heard}|g");
+        let _ = writeln!(text, "app.fleet.mixed:{}|g", u8::from(news.mixed));
         for lifecycle in Lifecycle::ALL {
-            let (name, count) = (lifecycle.name(), n.by_lifecycle[lifecycle as usize]);
-            let _ = writeln!(out, "app.fleet.peers_{name}:{count}|g");
+            let name = lifecycle.name();
+            let count = news.by_lifecycle[lifecycle as usize];
+            let _ = writeln!(text, "app.fleet.peers_{name}:{count}|g");
         }
-        let _ = writeln!(out, "app.fleet.view_digest:{}|g", n.digest);
-        let _ = writeln!(out, "app.fleet.view_stood_ms:{}|g", n.digest_stood / 1000);
-        let _ = writeln!(out, "app.fleet.doubt_factor:{}|g", n.doubt_factor);
+        let stood_ms = news.digest_stood / 1000;
+        let _ = writeln!(text, "app.fleet.view_digest:{}|g", news.digest);
+        let _ = writeln!(text, "app.fleet.view_stood_ms:{stood_ms}|g");
+        let _ = writeln!(text, "app.fleet.doubt_factor:{}|g", news.doubt_factor);
+    }
+
+    fn write_traffic(&self, text: &mut String) {
         for kind in TrafficKind::ALL {
-            let (name, sent, held) = (
-                kind.name(),
-                n.bytes_sent[kind as usize],
-                n.bytes_held_back[kind as usize],
-            );
-            let _ = writeln!(out, "app.fleet.bytes_{name}:{sent}|c");
-            let _ = writeln!(out, "app.fleet.held_back_{name}:{held}|c");
+            let name = kind.name();
+            let sent = self.news.bytes_sent[kind as usize];
+            let held_back = self.news.bytes_held_back[kind as usize];
+            let _ = writeln!(text, "app.fleet.bytes_{name}:{sent}|c");
+            let _ = writeln!(text, "app.fleet.held_back_{name}:{held_back}|c");
         }
-        let _ = writeln!(out, "app.fleet.repairs:{}|c", n.records.repairs);
-        let _ = writeln!(out, "app.fleet.records_taken:{}|c", n.records.taken);
+    }
+
+    fn write_dropped(&self, text: &mut String) {
+        let records = &self.news.records;
+        let datagrams = &self.news.dropped;
+        let averages = &self.news.average_dropped;
+        let garbled = datagrams.garbled + averages.garbled + records.garbled;
+        let _ = writeln!(text, "app.fleet.repairs:{}|c", records.repairs);
+        let _ = writeln!(text, "app.fleet.records_taken:{}|c", records.taken);
         let dropped = [
-            ("oversized", d.oversized),
-            ("foreign", d.foreign),
-            ("garbled", d.garbled + v.garbled + n.records.garbled),
-            ("stale", v.stale),
-            ("stranger", v.stranger + n.records.stranger),
-            ("impostor", n.records.impostor),
+            ("oversized", datagrams.oversized),
+            ("foreign", datagrams.foreign),
+            ("garbled", garbled),
+            ("stale", averages.stale),
+            ("stranger", averages.stranger + records.stranger),
+            ("impostor", records.impostor),
         ];
         for (cause, count) in dropped {
-            let _ = writeln!(out, "app.fleet.dropped_{cause}:{count}|c");
+            let _ = writeln!(text, "app.fleet.dropped_{cause}:{count}|c");
         }
     }
 }
+
+fn saturate(count: u64) -> u32 {
+    u32::try_from(count).unwrap_or(u32::MAX)
+}
--- /dev/null
+++ b/wrenseam/src/core/load_orders.rs
@@ -0,0 +1,61 @@
+//! Load orders: how workers are told to load replicas, and how such orders end.
+use super::tables::LoadOrder;
+use super::timers::TimerEvent;
+use super::Core;
+use wrenseam_policy::{Event, FunctionId, Outcome, WorkerId};
+
+impl Core {
+    /// Orders a worker to hold at least this many replicas of a function; 0 only asks how many it holds.
+    ///
+    /// Only a ready worker is ordered to load, whatever the policy asked for; a draining one may still be asked.
+    pub(super) fn order_load(&mut self, worker: WorkerId, function: FunctionId, replicas: u32) {
+        let now = self.clock.now();
+        let number = self.next_number();
+        let has_connection = self.make_room(&worker);
+        let transport = match replicas {
+            0 => self.workers.transport(&worker),
+            _ => self.workers.ready_transport(&worker),
+        };
+        // An order that cannot be given ends through the queue, like one that the worker answers.
+        match transport {
+            Some(transport) if has_connection => transport.order(number, function, replicas),
+            Some(_) => self.reports.load_order_ended(number, Outcome::Rejected, 0),
+            None => self
+                .reports
+                .load_order_ended(number, Outcome::ConnectFailed, 0),
+        }
+        let order = LoadOrder {
+            worker,
+            function,
+            ordered_at: now,
+        };
+        self.load_orders.insert(number, order);
+        self.timers.set(
+            now + self.limits.order,
+            TimerEvent::LoadOrderTimeout(number),
+        );
+    }
+
+    /// Ends an order that got no answer. Its connection stops waiting for one, or it would never count as idle.
+    pub(super) fn time_out_load_order(&mut self, number: u64) {
+        if let Some(order) = self.load_orders.get(number) {
+            self.workers.abandon_load_order(&order.worker, number);
+        }
+        self.end_load_order(number, Outcome::Timeout, 0);
+    }
+
+    /// Tells the policy how an order ended; a second end is ignored.
+    pub(super) fn end_load_order(&mut self, number: u64, outcome: Outcome, replicas: u32) {
+        let Some(order) = self.load_orders.remove(number) else {
+            return;
+        };
+        let elapsed = self.clock.now().saturating_sub(order.ordered_at);
+        self.events.push_back(Event::LoadOrderEnded {
+            worker: order.worker,
+            function: order.function,
+            replicas,
+            outcome,
+            elapsed,
+        });
+    }
+}
--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -1,392 +1,184 @@
-//! The one thread that owns the decision module. Fronts, transports and the roster reach it through its
-//! queue only; it knows requests, attempts, outcomes and members, and no wire.
+//! The core: one thread that owns the policy and all records of requests, attempts, load orders and workers.
+//!
+//! Fronts, transports and discovery reach it only through its queue. A message or a timer becomes an event of the
+//! policy, and the actions that the policy decides on are carried out; nothing here blocks on a socket, and no wire
+//! protocol is known here. [`Core::run`] is the event loop, `messages` and `timer_events` dispatch what comes in, and
+//! `actions` carries out what goes out.
+mod actions;
 mod admin;
 mod attempts;
 mod counters;
+mod endpoints;
 mod fleet_admission;
+mod load_orders;
+mod messages;
 mod requests;
 mod state_report;
-mod timers;
-mod workers;
+pub mod tables;
+mod timer_events;
+pub mod timers;
 
-pub use counters::{Gauges, RequestCounters};
+pub use counters::{Gauges, RequestCounters, TenantCounters, TenantCounts};
 pub use fleet_admission::FleetAdmission;
 
 use crate::clock::Clock;
 use crate::discovery::membership::Membership;
 use crate::limits::Limits;
-use crate::model::{Answer, AttemptKey, AttemptReport, Client, Request};
 use crate::net::{DirectCalls, SystemCalls};
 use crate::process_state::ProcessState;
 use crate::queue::{CoreHandle, Message};
-use crate::worker::GiveUp;
-use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
+use std::collections::VecDeque;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::sync::Arc;
+use tables::{LoadOrders, RequestTable, WorkerTable};
 use timers::{TimerEvent, Timers};
-use workers::Peer;
-use wrenseam_policy::{
-    Action, Controller, Event, Micros, Outcome, Settings, WorkerState, ZoneNames,
-};
+use wrenseam_policy::{Controller, Event, Micros, Settings, ZoneNames};
 
-const SWEEP: Micros = 1_000_000; // period in which idle connections are looked for
+/// How often connections are checked for their idle timeout.
+const IDLE_SWEEP_PERIOD: Micros = 1_000_000;
 
-const LATE: Micros = 20_000; // more than an answer's margin: worth a line in the log
+/// Timers that fire later than this are reported: an answer's margin is about as long.
+const REPORTED_DELAY: Micros = 20_000;
 
-struct Attempt {
-    worker: String,
-    sent: Micros,
-    open: bool,
-    /// Whether its transport took it: it counts as written unless it ends as not wholly written.
-    carried: bool,
-}
-
-/// A request from its arrival until its answer is given and all its attempts have ended.
-struct Open {
-    request: Arc<Request>,
-    client: Arc<dyn Client>,
-    tag: u64,
-    tenant: Option<usize>,
-    class: usize,
-    answered: bool,
-    attempts: Vec<Attempt>,
-}
-
-#[derive(Clone, Default)]
-struct Counts {
-    asked: u64,
-    served: u64,
-    refused: u64,
-    failed: u64,
-    withdrawn: u64,
-}
+/// Messages handled after the first before timers are looked at.
+const MESSAGE_BATCH: usize = 256;
 
-/// The owner thread's state.
+/// The state of the core's thread.
 pub struct Core {
     controller: Controller,
     settings: Settings,
     limits: Arc<Limits>,
     clock: Clock,
-    queue: Receiver<Message>,
+    inbox: Receiver<Message>,
+    /// The core's own queue, for transports to report to.
     reports: CoreHandle,
-    shared: Arc<ProcessState>,
-    last: u64,
-    /// When connections to workers were last looked at.
-    pulsed: Micros,
-    requests: HashMap<u64, Open>,
-    by_client: BTreeMap<(u64, u64), u64>,
-    /// The ids that clients gave, of requests that are owed an answer.
-    wire_ids: HashSet<u64>,
-    members: Membership,
-    peers: BTreeMap<String, Peer>,
-    orders: HashMap<u64, (String, u64, Micros)>,
+    process_state: Arc<ProcessState>,
+    /// The last number given to a request or a load order. Client-given ids are not unique over time.
+    last_number: u64,
+    last_liveness_check: Micros,
+    requests: RequestTable,
+    load_orders: LoadOrders,
+    workers: WorkerTable,
+    membership: Membership,
     timers: Timers,
+    /// Events that the policy has not been given yet.
     events: VecDeque<Event>,
-    counts: Vec<Counts>,
-    counters: RequestCounters,
-    /// The fleet's bounds, where the fleet is on.
-    gate: Option<FleetAdmission>,
+    request_counters: RequestCounters,
+    tenant_counters: TenantCounters,
+    /// The fleet's limits, where the fleet is on.
+    fleet_admission: Option<FleetAdmission>,
     /// The system calls on connections to workers.
-    calls: Arc<dyn SystemCalls>,
-    /// The zones that the settings and the lists have named.
+    system_calls: Arc<dyn SystemCalls>,
+    /// The zones that the settings and the endpoint lists have named.
     zones: ZoneNames,
 }
 
 impl Core {
-    /// A core that knows nothing yet.
+    /// A core without workers or requests.
     pub fn new(
         settings: Settings,
         seed: u64,
         limits: Arc<Limits>,
-        queue: Receiver<Message>,
+        inbox: Receiver<Message>,
         reports: CoreHandle,
-        shared: Arc<ProcessState>,
+        process_state: Arc<ProcessState>,
     ) -> Self {
-        let counts = vec![Counts::default(); settings.tenants.len() + 1];
-        let counters = RequestCounters::new(settings.classes.len());
         Core {
             controller: Controller::new(settings.clone(), seed),
             zones: ZoneNames::new(&settings.zones),
+            request_counters: RequestCounters::new(settings.classes.len()),
+            tenant_counters: TenantCounters::new(settings.tenants.len()),
             settings,
             limits,
             clock: Clock::start(),
-            queue,
+            inbox,
             reports,
-            shared,
-            last: 0,
-            pulsed: 0,
-            requests: HashMap::new(),
-            by_client: BTreeMap::new(),
-            wire_ids: HashSet::new(),
-            members: Membership::default(),
-            peers: BTreeMap::new(),
-            orders: HashMap::new(),
+            process_state,
+            last_number: 0,
+            last_liveness_check: 0,
+            requests: RequestTable::default(),
+            load_orders: LoadOrders::default(),
+            workers: WorkerTable::default(),
+            membership: Membership::default(),
             timers: Timers::default(),
             events: VecDeque::new(),
-            counts,
-            counters,
-            gate: None,
-            calls: Arc::new(DirectCalls),
+            fleet_admission: None,
+            system_calls: Arc::new(DirectCalls),
         }
     }
 
-    /// Applies the fleet's bounds from now on.
-    pub fn with_fleet_admission(mut self, gate: FleetAdmission) -> Self {
-        self.gate = Some(gate);
+    /// Applies the fleet's limits from now on.
+    #[must_use]
+    pub fn with_fleet_admission(mut self, fleet_admission: FleetAdmission) -> Self {
+        self.fleet_admission = Some(fleet_admission);
         self
     }
 
     /// Makes these system calls on connections to workers in place of the machine's.
     #[must_use]
-    pub fn with_calls(self, calls: Arc<dyn SystemCalls>) -> Self {
-        Core { calls, ..self }
+    pub fn with_calls(mut self, system_calls: Arc<dyn SystemCalls>) -> Self {
+        self.system_calls = system_calls;
+        self
     }
 
-    /// Runs until every sender of the queue is gone.
+    /// The event loop. Runs until every sender of the queue is gone.
     pub fn run(mut self) {
-        self.timers.set(self.clock.now() + SWEEP, TimerEvent::Sweep);
-        self.timers
-            .set(self.clock.now() + self.limits.link_check, TimerEvent::Pulse);
+        self.start_periodic_timers();
         loop {
-            match self.queue.recv_timeout(self.timers.wait(self.clock.now())) {
-                Ok(message) => {
-                    self.take(message);
-                    // What else has come in is taken before timers: an answer that is here beats its time-out.
-                    for _ in 0..256 {
-                        let Ok(message) = self.queue.try_recv() else {
-                            break;
-                        };
-                        self.take(message);
-                    }
-                }
+            let wait = self.timers.wait(self.clock.now());
+            match self.inbox.recv_timeout(wait) {
+                Ok(message) => self.handle_batch(message),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            let now = self.clock.now();
-            let late = self.timers.late(now);
-            if late > LATE {
-                // Tells a starved machine from a fault of ours: answers owed in that time may have come late.
-                note!(
-                    "core: ran {} ms late, {} requests open",
-                    late / 1000,
-                    self.requests.len()
-                );
-            }
-            while let Some(due) = self.timers.due(self.clock.now()) {
-                self.due(due);
-                self.decide();
-            }
+            self.report_overdue_timers();
+            self.run_due_timers();
         }
     }
 
-    fn take(&mut self, message: Message) {
-        match message {
-            Message::Request {
-                request,
-                client,
-                tag,
-            } => self.request(request, client, tag),
-            Message::RequestCancelled { connection, tag } => {
-                if let Some(&id) = self.by_client.get(&(connection, tag)) {
-                    self.withdrawn(id);
-                }
-            }
-            Message::ClientDisconnected { connection } => {
-                let of = (connection, 0)..=(connection, u64::MAX);
-                let ids: Vec<u64> = self.by_client.range(of).map(|(_, &id)| id).collect();
-                ids.into_iter().for_each(|id| self.withdrawn(id));
-            }
-            Message::AttemptEnded { key, report } => self.ended(key, report),
-            Message::LoadOrderEnded {
-                order,
-                outcome,
-                replicas: copies,
-            } => self.ordered(order, outcome, copies),
-            Message::EndpointUpdate {
-                source,
-                complete,
-                endpoints,
-            } => self.update_endpoints(source, complete, endpoints),
-            Message::Inspect { reply } => {
-                let _ = reply.send(self.inspect()); // who asked may have left
-            }
-            Message::EndedAtFront { class, end: how } => {
-                let class = self.settings.class(&class);
-                self.counters.ended(class, how);
-            }
-            Message::Exclusions(set) => {
-                let changes = self.members.hand_over(set, self.clock.now());
-                self.apply(changes);
-            }
-            Message::Standby(aside) => self.controller.set_standby(aside),
-            Message::Admin {
-                command: call,
-                reply,
-            } => {
-                let _ = reply.send(self.call(call)); // who asked may have left
-            }
-            Message::Fleet(news) => {
-                let (now, open) = (self.clock.now(), self.requests.len());
-                if let Some(gate) = self.gate.as_mut() {
-                    gate.news(now, news);
-                    let summary = gate.summary(now, open);
-                    *self
-                        .shared
-                        .summary
-                        .lock()
-                        .unwrap_or_else(std::sync::PoisonError::into_inner) = summary;
-                }
-            }
-        }
-        self.decide();
+    fn start_periodic_timers(&mut self) {
+        let now = self.clock.now();
+        self.timers
+            .set(now + IDLE_SWEEP_PERIOD, TimerEvent::IdleSweep);
+        self.timers
+            .set(now + self.limits.link_check, TimerEvent::LivenessCheck);
     }
 
-    fn ordered(&mut self, order: u64, outcome: Outcome, count: u32) {
-        let Some((worker, function, since)) = self.orders.remove(&order) else {
-            return;
-        };
-        let elapsed = self.clock.now().saturating_sub(since);
-        self.events.push_back(Event::LoadOrderEnded {
-            worker,
-            function,
-            replicas: count,
-            outcome,
-            elapsed,
-        });
+    /// Handles a message and those that have queued up behind it, before any timer: an answer that is here already
+    /// wins over its timeout.
+    fn handle_batch(&mut self, first: Message) {
+        self.handle_message(first);
+        for _ in 0..MESSAGE_BATCH {
+            let Ok(message) = self.inbox.try_recv() else {
+                return;
+            };
+            self.handle_message(message);
+        }
     }
 
-    fn due(&mut self, due: TimerEvent) {
-        match due {
-            TimerEvent::Module(token) => self.events.push_back(Event::Timer { token }),
-            TimerEvent::Attempt(key) => {
-                // Guards against workers that vanish without a word: our own clock ends what is out there.
-                let open = self
-                    .requests
-                    .get(&key.request)
-                    .and_then(|o| o.attempts.get(key.attempt));
-                if let Some(attempt) = open.filter(|a| a.open) {
-                    let peer = self.peers.get_mut(&attempt.worker);
-                    // What was taken back in time has not run: its class may allow more.
-                    let given_up = peer.map_or(GiveUp::Unknown, |p| p.cancel(key));
-                    let never_ran = given_up == GiveUp::NeverBegun;
-                    let outcome = if never_ran {
-                        Outcome::ConnectFailed
-                    } else {
-                        Outcome::Timeout
-                    };
-                    self.ended(key, AttemptReport::without_payload(outcome));
-                }
-            }
-            TimerEvent::Order(order) => {
-                // Guards connections: one that waits for the answer to a lost order would never be idle.
-                let worker = self.orders.get(&order).map(|o| &o.0);
-                if let Some(peer) = worker.and_then(|w| self.peers.get_mut(w)) {
-                    peer.each().for_each(|t| t.lapse(order));
-                }
-                self.ordered(order, Outcome::Timeout, 0);
-            }
-            TimerEvent::Request(id) => {
-                self.answer(id, Answer::Failed);
-                self.forget(id);
-            }
-            TimerEvent::Pulse => {
-                let (now, every) = (self.clock.now(), self.limits.link_check);
-                // Guards sound connections from our own stand-still: what came meanwhile is not read yet.
-                if now < self.pulsed + 2 * every {
-                    self.peers
-                        .values_mut()
-                        .flat_map(Peer::each)
-                        .for_each(|t| t.pulse());
-                    self.trim(0);
-                }
-                self.pulsed = now;
-                self.timers.set(now + every, TimerEvent::Pulse);
-            }
-            TimerEvent::Sweep => {
-                self.peers.values_mut().for_each(Peer::sweep);
-                // Guards memory: workers are replaced by new ones all day long.
-                let here = |p: &Peer| p.endpoint.state != WorkerState::Gone || !p.is_idle();
-                self.peers.retain(|id, p| {
-                    let here = here(p);
-                    if !here {
-                        self.members.forget(id);
-                    }
-                    here
-                });
-                self.timers.set(self.clock.now() + SWEEP, TimerEvent::Sweep);
-            }
+    /// Logs that timers are late, to tell a starved machine from a fault of the program: answers owed in that time may
+    /// have come late.
+    fn report_overdue_timers(&self) {
+        let overdue = self.timers.overdue(self.clock.now());
+        if overdue > REPORTED_DELAY {
+            note!(
+                "core: ran {} ms late, {} requests open",
+                overdue / 1000,
+                self.requests.len()
+            );
         }
     }
 
-    /// Hands the events to the module and carries out what it decides, until nothing is left.
-    fn decide(&mut self) {
-        let mut actions = Vec::new();
-        while let Some(event) = self.events.pop_front() {
-            let decided = self.clock.now();
-            self.controller.handle(decided, event, &mut actions);
-            for action in actions.drain(..) {
-                self.act(decided, action);
-            }
+    fn run_due_timers(&mut self) {
+        while let Some(event) = self.timers.pop_due(self.clock.now()) {
+            self.handle_timer(event);
+            self.process_events();
         }
     }
 
-    fn act(&mut self, decided: Micros, action: Action) {
-        let now = self.clock.now();
-        match action {
-            Action::Send {
-                id,
-                worker,
-                timeout,
-                retry_window: window,
-            } => {
-                // Counted from the decision: this thread may have stood still since.
-                let whole_by =
-                    window.map(|window| self.clock.instant(decided.saturating_add(window)));
-                self.send(now, id, worker, (timeout, whole_by));
-            }
-            Action::Cancel { id, attempt } => self.cancel(AttemptKey {
-                request: id,
-                attempt,
-            }),
-            Action::Reject { id, retry_after } => {
-                self.answer(id, Answer::Rejected { retry_after });
-                self.forget(id);
-            }
-            Action::Fail { id } => {
-                self.answer(id, Answer::Failed);
-                self.forget(id);
-            }
-            Action::Timer { delay, token } => self
-                .timers
-                .set(now.saturating_add(delay), TimerEvent::Module(token)),
-            Action::Load {
-                worker,
-                function,
-                replicas: count,
-            } => {
-                self.last += 1;
-                let order = self.last;
-                self.orders.insert(order, (worker.clone(), function, now));
-                // Guards rule 3 whatever the module thinks: no order to load goes to a worker that drains.
-                let may = |p: &&mut Peer| p.endpoint.state == WorkerState::Ready || count == 0;
-                let room = self.room(&worker);
-                match self.peers.get_mut(&worker).filter(may) {
-                    Some(_) if !room => self.reports.load_order_ended(order, Outcome::Rejected, 0),
-                    Some(peer) => peer.transport.order(order, function, count),
-                    None => self
-                        .reports
-                        .load_order_ended(order, Outcome::ConnectFailed, 0),
-                }
-                self.timers
-                    .set(now + self.limits.order, TimerEvent::Order(order));
-            }
-            Action::Unload { worker, function } => {
-                if let Some(peer) = self.peers.get_mut(&worker) {
-                    peer.transport.unload(function);
-                }
-            }
-            Action::Log { text } => note!("module: {text}"),
-            Action::WatchEndpoints => {} // the board tells by itself
-        }
+    /// A number that no other request or load order of this process has.
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 }
--- a/wrenseam/src/core/requests.rs
+++ b/wrenseam/src/core/requests.rs
@@ -1,132 +1,142 @@
 //! Requests from their arrival to their one final answer.
-use super::{Core, Counts, Open, TimerEvent};
+use super::tables::OpenRequest;
+use super::timers::TimerEvent;
+use super::Core;
 use crate::model::{Answer, Client, Request, RequestEnd};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use wrenseam_policy::{Event, Idempotency, Micros};
 
 impl Core {
-    pub(super) fn request(&mut self, request: Request, client: Arc<dyn Client>, tag: u64) {
+    /// Accepts a request, or answers at once one that is invalid or shed.
+    pub(super) fn handle_request(&mut self, request: Request, client: Arc<dyn Client>, tag: u64) {
         let class = self.settings.class(&request.class);
         let tenant = self.settings.tenant(&request.tenant);
-        let known = self.settings.classes.get(class);
-        // Guards keyed work: without its key no worker could drop a repeat.
-        let keyed = known.is_some_and(|c| c.idempotency == Idempotency::Keyed);
-        let fault = match () {
-            () if known.is_none() => Some("unknown class"),
-            () if tenant.is_none() && !self.settings.tenants.is_empty() => Some("unknown tenant"),
-            () if keyed && request.idempotency_key.is_none() => Some("keyed class without a key"),
-            // Guards the one that is open: a worker would be asked for two bodies under one id.
-            () if self.wire_ids.contains(&request.wire_id) => Some("a request of this id is open"),
-            () => None,
-        };
-        if let Some(fault) = fault {
+        if let Err(fault) = self.validate(&request, class, tenant) {
             note!("request {:016x}: failed, {fault}", request.wire_id);
-            self.counters.ended(class, RequestEnd::Failed);
+            self.request_counters.record_end(class, RequestEnd::Failed);
             return client.answer(tag, Answer::Failed);
         }
-        let now = self.clock.now();
-        if let Some(retry_after) = self.gate.as_mut().and_then(|g| g.sheds(now, class)) {
-            // Shed in common with the fleet: answered at once, with when to come back.
-            self.counters.ended(class, RequestEnd::Rejected);
-            self.count(tenant).asked += 1;
+        self.tenant_counters.record_received(tenant);
+        if let Some(retry_after) = self.shed(class) {
+            self.request_counters
+                .record_end(class, RequestEnd::Rejected);
             return client.answer(tag, Answer::Rejected { retry_after });
         }
-        self.last += 1;
-        let id = self.last;
-        let left = self.left(now, &request);
-        self.events.push_back(Event::Request {
-            id,
+        self.accept(OpenRequest {
+            request: Arc::new(request),
+            client,
+            tag,
             class,
             tenant,
+        });
+    }
+
+    fn validate(
+        &self,
+        request: &Request,
+        class: usize,
+        tenant: Option<usize>,
+    ) -> Result<(), &'static str> {
+        let Some(class) = self.settings.classes.get(class) else {
+            return Err("unknown class");
+        };
+        if tenant.is_none() && !self.settings.tenants.is_empty() {
+            return Err("unknown tenant");
+        }
+        // Without its key no worker could drop a repeated attempt.
+        if class.idempotency == Idempotency::Keyed && request.idempotency_key.is_none() {
+            return Err("keyed class without a key");
+        }
+        // Workers tell requests apart by this id: it would stand for two bodies.
+        if self.requests.has_wire_id(request.wire_id) {
+            return Err("a request of this id is open");
+        }
+        Ok(())
+    }
+
+    fn shed(&mut self, class: usize) -> Option<Micros> {
+        let now = self.clock.now();
+        self.fleet_admission.as_mut()?.shed(now, class)
+    }
+
+    fn accept(&mut self, accepted: OpenRequest) {
+        let now = self.clock.now();
+        let id = self.next_number();
+        let request = &accepted.request;
+        let time_left = self.time_left(now, request);
+        self.events.push_back(Event::Request {
+            id,
+            class: accepted.class,
+            tenant: accepted.tenant,
             function: request.function,
-            time_left: left,
+            time_left,
             memory_mb: request.memory_mb,
             concurrency: request.concurrency,
             load_time: request.load_time,
             retry: request.is_retry,
         });
-        self.by_client.insert((client.connection(), tag), id);
-        self.wire_ids.insert(request.wire_id);
-        self.shared.open.fetch_add(1, Ordering::AcqRel);
-        self.count(tenant).asked += 1;
-        // The module ends each request in time; this guards the promise should it not.
-        self.timers
-            .set(now.saturating_add(left), TimerEvent::Request(id));
-        let (request, answered, attempts) = (Arc::new(request), false, Vec::new());
-        self.requests.insert(
-            id,
-            Open {
-                request,
-                client,
-                tag,
-                tenant,
-                class,
-                answered,
-                attempts,
-            },
+        self.requests.insert(id, accepted);
+        self.process_state.open.fetch_add(1, Ordering::AcqRel);
+        // The policy ends each request in time; this timer keeps the promise to the client should it not.
+        self.timers.set(
+            now.saturating_add(time_left),
+            TimerEvent::RequestDeadline(id),
         );
     }
 
-    /// What is left of a client's wait, less what its answer may need. Guards against answers lost to a
-    /// machine that stands still for some tens of milliseconds just before a client leaves.
-    pub(super) fn left(&self, now: Micros, request: &Request) -> Micros {
-        let past = now.saturating_sub(self.clock.at(request.received_at));
-        request
-            .timeout
-            .saturating_sub(past + self.limits.margin(request.timeout))
+    /// What is left of the client's timeout, less the margin for the answer's way. The margin keeps answers from
+    /// missing their client if the machine stands still for some tens of milliseconds.
+    pub(super) fn time_left(&self, now: Micros, request: &Request) -> Micros {
+        let elapsed = now.saturating_sub(self.clock.at(request.received_at));
+        let margin = self.limits.margin(request.timeout);
+        request.timeout.saturating_sub(elapsed + margin)
     }
 
-    pub(super) fn count(&mut self, tenant: Option<usize>) -> &mut Counts {
-        let last = self.counts.len() - 1;
-        &mut self.counts[tenant.unwrap_or(last).min(last)]
+    /// The client cancelled one request.
+    pub(super) fn cancel_request(&mut self, connection: u64, tag: u64) {
+        if let Some(id) = self.requests.find(connection, tag) {
+            self.withdraw(id);
+        }
     }
 
-    pub(super) fn withdrawn(&mut self, id: u64) {
-        if self.close(id).is_some() {
-            self.events.push_back(Event::RequestCancelled { id });
-            self.decide();
-            self.forget(id);
+    /// A client's connection ended: all its requests are cancelled.
+    pub(super) fn cancel_requests_of(&mut self, connection: u64) {
+        for id in self.requests.of_connection(connection) {
+            self.withdraw(id);
         }
     }
 
-    /// Ends what is owed for a request; `None` if that was over already.
-    pub(super) fn close(&mut self, id: u64) -> Option<(Arc<dyn Client>, u64, Option<usize>)> {
-        let open = self.requests.get_mut(&id).filter(|o| !o.answered)?;
-        open.answered = true;
-        // What of it still waits to be written is for nobody.
-        open.request.client_gone.store(true, Ordering::Release);
-        let (client, tag, tenant) = (open.client.clone(), open.tag, open.tenant);
-        self.wire_ids.remove(&open.request.wire_id);
-        self.by_client.remove(&(client.connection(), tag));
-        Some((client, tag, tenant))
+    /// Ends a request that is owed nothing any more; the policy cancels its attempts.
+    fn withdraw(&mut self, id: u64) {
+        if self.requests.close(id).is_some() {
+            self.events.push_back(Event::RequestCancelled { id });
+            self.process_events();
+            self.remove_if_finished(id);
+        }
     }
 
-    /// The one final answer; a second one goes nowhere.
+    /// Gives the final answer, unless it was given already.
     pub(super) fn answer(&mut self, id: u64, answer: Answer) {
-        let class = self.requests.get(&id).map_or(usize::MAX, |o| o.class);
-        let Some((client, tag, tenant)) = self.close(id) else {
+        let Some(closed) = self.requests.close(id) else {
             return;
         };
-        let counts = self.count(tenant);
-        let how = match &answer {
-            Answer::Served(_) => (counts.served += 1, RequestEnd::Completed).1,
-            Answer::Rejected { .. } => (counts.refused += 1, RequestEnd::Rejected).1,
-            Answer::Failed => (counts.failed += 1, RequestEnd::Failed).1,
-        };
-        self.counters.ended(class, how);
-        client.answer(tag, answer);
+        let end = answer.request_end();
+        self.tenant_counters.record_end(closed.tenant, end);
+        self.request_counters.record_end(closed.class, end);
+        closed.client.answer(closed.tag, answer);
+    }
+
+    /// Gives the final answer and removes the request's record if no attempt is open.
+    pub(super) fn finish_request(&mut self, id: u64, answer: Answer) {
+        self.answer(id, answer);
+        self.remove_if_finished(id);
     }
 
-    /// Drops a request's record once nothing of it is open.
-    pub(super) fn forget(&mut self, id: u64) {
-        if self
-            .requests
-            .get(&id)
-            .is_some_and(|o| o.answered && !o.attempts.iter().any(|a| a.open))
-        {
-            self.requests.remove(&id);
-            self.shared.open.fetch_sub(1, Ordering::AcqRel);
+    /// Removes the record of a request that is answered and has no open attempt.
+    pub(super) fn remove_if_finished(&mut self, id: u64) {
+        if self.requests.remove_finished(id) {
+            self.process_state.open.fetch_sub(1, Ordering::AcqRel);
         }
     }
 }
--- a/wrenseam/src/core/state_report.rs
+++ b/wrenseam/src/core/state_report.rs
@@ -1,57 +1,73 @@
-//! What the administration API shows of the core.
+//! The JSON of `/v1/state`. Its keys are part of the administration API and stay as they are.
+use super::counters::TenantCounts;
 use super::Core;
-use miniserde::json::{self, Number, Object, Value};
+use crate::model::{Endpoint, TransportProtocol};
+use miniserde::json::{self, Array, Number, Object, Value};
+use wrenseam_policy::{TenantSettings, WorkerState};
 
 impl Core {
-    /// Tenants with their quotas and counts, members and open requests, as JSON.
-    pub(super) fn inspect(&self) -> String {
-        let object = |fields: Vec<(&str, Value)>| {
-            Value::Object(
-                fields
-                    .into_iter()
-                    .map(|(k, v)| (k.to_owned(), v))
-                    .collect::<Object>(),
-            )
-        };
-        let count = |n: u64| Value::Number(Number::U64(n));
-        let tenants = self.counts.iter().enumerate().map(|(t, c)| {
-            let told = self.settings.tenants.get(t);
-            object(vec![
-                (
-                    "name",
-                    Value::String(told.map_or("(unknown)", |t| &t.name).to_owned()),
-                ),
-                (
-                    "quota_per_s",
-                    Value::Number(Number::F64(told.map_or(0.0, |t| t.quota_per_s))),
-                ),
-                ("asked", count(c.asked)),
-                ("served", count(c.served)),
-                ("refused", count(c.refused)),
-                ("failed", count(c.failed)),
-                ("withdrawn", count(c.withdrawn)),
-            ])
-        });
-        let endpoints = self.peers.values().map(|p| {
-            object(vec![
-                ("name", Value::String(p.endpoint.id.clone())),
-                ("address", Value::String(p.endpoint.address.to_string())),
-                (
-                    "state",
-                    Value::String(format!("{:?}", p.endpoint.state).to_lowercase()),
-                ),
-                ("zone", Value::String(p.endpoint.zone.clone())),
-                (
-                    "speech",
-                    Value::String(format!("{:?}", p.endpoint.protocol).to_lowercase()),
-                ),
-            ])
-        });
-        let fields = vec![
-            ("tenants", Value::Array(tenants.collect())),
-            ("endpoints", Value::Array(endpoints.collect())),
+    /// Tenants with their quotas and counts, endpoints and the number of open requests.
+    pub(super) fn state_report(&self) -> String {
+        let settings = self.settings.tenants.iter().map(Some);
+        let tenants: Array = self
+            .tenant_counters
+            .iter()
+            .zip(settings.chain(std::iter::once(None)))
+            .map(|(counts, tenant)| tenant_report(tenant, counts))
+            .collect();
+        let endpoints: Array = self.workers.endpoints().map(endpoint_report).collect();
+        json::to_string(&object([
+            ("tenants", Value::Array(tenants)),
+            ("endpoints", Value::Array(endpoints)),
             ("open_requests", count(self.requests.len() as u64)),
-        ];
-        json::to_string(&object(fields))
+        ]))
     }
 }
+
+fn tenant_report(tenant: Option<&TenantSettings>, counts: &TenantCounts) -> Value {
+    let name = tenant.map_or("(unknown)", |tenant| &tenant.name);
+    let quota_per_s = tenant.map_or(0.0, |tenant| tenant.quota_per_s);
+    object([
+        ("name", text(name)),
+        ("quota_per_s", Value::Number(Number::F64(quota_per_s))),
+        ("asked", count(counts.received)),
+        ("served", count(counts.completed)),
+        ("refused", count(counts.rejected)),
+        ("failed", count(counts.failed)),
+        ("withdrawn", count(counts.cancelled)),
+    ])
+}
+
+fn endpoint_report(endpoint: &Endpoint) -> Value {
+    let state = match endpoint.state {
+        WorkerState::Ready => "ready",
+        WorkerState::Draining => "draining",
+        WorkerState::Gone => "gone",
+    };
+    let protocol = match endpoint.protocol {
+        TransportProtocol::Frames => "frames",
+        TransportProtocol::Kserve => "kserve",
+    };
+    object([
+        ("name", text(&endpoint.id)),
+        ("address", text(&endpoint.address.to_string())),
+        ("state", text(state)),
+        ("zone", text(&endpoint.zone)),
+        ("speech", text(protocol)),
+    ])
+}
+
+fn object<const N: usize>(fields: [(&str, Value); N]) -> Value {
+    let fields = fields
+        .into_iter()
+        .map(|(key, value)| (key.to_owned(), value));
+    Value::Object(fields.collect::<Object>())
+}
+
+fn count(count: u64) -> Value {
+    Value::Number(Number::U64(count))
+}
+
+fn text(text: &str) -> Value {
+    Value::String(text.to_owned())
+}
--- /dev/null
+++ b/wrenseam/src/core/tables/requests.rs
@@ -0,0 +1,178 @@
+//! The table of open requests, found by the core's number or by the client's connection and tag.
+use super::attempts::{Attempt, Attempts};
+use crate::model::{AttemptKey, Client, Request};
+use std::collections::{BTreeMap, HashMap, HashSet};
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use wrenseam_policy::Micros;
+
+/// A request from its arrival until its answer is given and all its attempts have ended.
+pub struct OpenRequest {
+    /// The request.
+    pub request: Arc<Request>,
+    /// Where its answer goes.
+    pub client: Arc<dyn Client>,
+    /// The client's tag for it.
+    pub tag: u64,
+    /// Position of its class in the settings.
+    pub class: usize,
+    /// Position of its tenant in the settings, if it names one of them.
+    pub tenant: Option<usize>,
+}
+
+/// What remains to be done for a request whose right to an answer was just used up.
+pub struct ClosedRequest {
+    /// Where the answer goes.
+    pub client: Arc<dyn Client>,
+    /// The client's tag for it.
+    pub tag: u64,
+    /// Position of its class in the settings.
+    pub class: usize,
+    /// Position of its tenant in the settings, if it names one of them.
+    pub tenant: Option<usize>,
+}
+
+struct Entry {
+    open: OpenRequest,
+    answered: bool,
+    attempts: Attempts,
+}
+
+/// What identifies a request to its client: the connection's number and the client's tag.
+type ClientKey = (u64, u64);
+
+/// The open requests. A request is in the two indexes exactly while it is owed an answer; its entry stays until its
+/// last attempt has ended.
+#[derive(Default)]
+pub struct RequestTable {
+    entries: HashMap<u64, Entry>,
+    by_client: BTreeMap<ClientKey, u64>,
+    /// The ids that clients gave to requests that are owed an answer, over all connections.
+    wire_ids: HashSet<u64>,
+}
+
+impl RequestTable {
+    /// Adds a request under the core's number.
+    pub fn insert(&mut self, id: u64, open: OpenRequest) {
+        self.by_client
+            .insert((open.client.connection(), open.tag), id);
+        self.wire_ids.insert(open.request.wire_id);
+        let entry = Entry {
+            open,
+            answered: false,
+            attempts: Attempts::default(),
+        };
+        self.entries.insert(id, entry);
+    }
+
+    /// Requests in the table, answered ones with open attempts included.
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Whether the table holds no request.
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+
+    /// Requests that are owed an answer.
+    pub fn unanswered(&self) -> usize {
+        self.entries
+            .values()
+            .filter(|entry| !entry.answered)
+            .count()
+    }
+
+    /// Whether a request with this client-given id is owed an answer.
+    pub fn has_wire_id(&self, wire_id: u64) -> bool {
+        self.wire_ids.contains(&wire_id)
+    }
+
+    /// The number of the request that this connection sent under this tag, while it is owed an answer.
+    pub fn find(&self, connection: u64, tag: u64) -> Option<u64> {
+        self.by_client.get(&(connection, tag)).copied()
+    }
+
+    /// The numbers of all requests that this connection is owed an answer to.
+    pub fn of_connection(&self, connection: u64) -> Vec<u64> {
+        self.by_client
+            .range((connection, 0)..=(connection, u64::MAX))
+            .map(|(_, &id)| id)
+            .collect()
+    }
+
+    /// The request of this number.
+    pub fn request(&self, id: u64) -> Option<&Arc<Request>> {
+        self.entries.get(&id).map(|entry| &entry.open.request)
+    }
+
+    /// Whether nothing is owed for this number any more; also true for numbers that are not in the table.
+    pub fn is_answered(&self, id: u64) -> bool {
+        self.entries.get(&id).is_none_or(|entry| entry.answered)
+    }
+
+    /// Uses up the request's right to an answer: whoever gets `Some` gives the only answer, or withholds it. Attempts
+    /// that have not begun to be written are not written any more.
+    pub fn close(&mut self, id: u64) -> Option<ClosedRequest> {
+        let entry = self.entries.get_mut(&id).filter(|entry| !entry.answered)?;
+        entry.answered = true;
+        let open = &entry.open;
+        open.request.client_gone.store(true, Ordering::Release);
+        self.wire_ids.remove(&open.request.wire_id);
+        self.by_client.remove(&(open.client.connection(), open.tag));
+        Some(ClosedRequest {
+            client: open.client.clone(),
+            tag: open.tag,
+            class: open.class,
+            tenant: open.tenant,
+        })
+    }
+
+    /// Removes the request if it is answered and has no open attempt; whether it was removed.
+    pub fn remove_finished(&mut self, id: u64) -> bool {
+        let finished = self
+            .entries
+            .get(&id)
+            .is_some_and(|entry| entry.answered && !entry.attempts.any_open());
+        if finished {
+            self.entries.remove(&id);
+        }
+        finished
+    }
+
+    /// Whether an attempt was started for the request.
+    pub fn was_attempted(&self, id: u64) -> bool {
+        self.entries
+            .get(&id)
+            .is_some_and(|entry| !entry.attempts.is_empty())
+    }
+
+    /// Records a new open attempt; `None` if the request is not in the table.
+    pub fn start_attempt(&mut self, id: u64, worker: String, now: Micros) -> Option<AttemptKey> {
+        let entry = self.entries.get_mut(&id)?;
+        Some(AttemptKey {
+            request: id,
+            attempt: entry.attempts.start(worker, now),
+        })
+    }
+
+    /// The attempt, while it is open.
+    pub fn open_attempt(&self, key: AttemptKey) -> Option<&Attempt> {
+        self.entries.get(&key.request)?.attempts.open(key.attempt)
+    }
+
+    /// Notes that a transport accepted the attempt.
+    pub fn mark_handed_over(&mut self, key: AttemptKey) {
+        if let Some(entry) = self.entries.get_mut(&key.request) {
+            entry.attempts.mark_handed_over(key.attempt);
+        }
+    }
+
+    /// Closes an open attempt; `None` if it is not open.
+    pub fn close_attempt(&mut self, key: AttemptKey) -> Option<&Attempt> {
+        self.entries
+            .get_mut(&key.request)?
+            .attempts
+            .close(key.attempt)
+    }
+}
--- /dev/null
+++ b/wrenseam/src/core/timer_events.rs
@@ -0,0 +1,61 @@
+//! What happens when a timer fires.
+use super::timers::TimerEvent;
+use super::{Core, IDLE_SWEEP_PERIOD};
+use crate::model::{Answer, AttemptKey, AttemptReport};
+use crate::worker::GiveUp;
+use std::sync::atomic::Ordering;
+use wrenseam_policy::{Event, Outcome};
+
+impl Core {
+    /// Handles one timer. Timers are never removed, so what each is for may be over already.
+    pub(super) fn handle_timer(&mut self, event: TimerEvent) {
+        match event {
+            TimerEvent::Policy(token) => self.events.push_back(Event::Timer { token }),
+            TimerEvent::AttemptTimeout(key) => self.time_out_attempt(key),
+            TimerEvent::LoadOrderTimeout(order) => self.time_out_load_order(order),
+            TimerEvent::RequestDeadline(id) => self.finish_request(id, Answer::Failed),
+            TimerEvent::LivenessCheck => self.check_liveness(),
+            TimerEvent::IdleSweep => self.sweep_idle(),
+        }
+    }
+
+    /// Ends an attempt whose worker sent no answer in time, so that a worker that vanishes silently holds up nothing.
+    fn time_out_attempt(&mut self, key: AttemptKey) {
+        let Some(attempt) = self.requests.open_attempt(key) else {
+            return;
+        };
+        let outcome = match self.workers.cancel(attempt.worker(), key) {
+            // It provably never ran, so its class may allow another attempt.
+            GiveUp::NeverBegun => Outcome::ConnectFailed,
+            GiveUp::Pending | GiveUp::Unknown => Outcome::Timeout,
+        };
+        self.handle_attempt_end(key, AttemptReport::without_payload(outcome));
+    }
+
+    /// Checks the connections to workers, and frees descriptors for clients.
+    ///
+    /// The check is left out if this thread itself was delayed: what workers sent meanwhile has not been read yet, and
+    /// responsive connections would be closed.
+    fn check_liveness(&mut self) {
+        let now = self.clock.now();
+        let period = self.limits.link_check;
+        if now < self.last_liveness_check + 2 * period {
+            self.workers.check_liveness();
+            let clients = self.process_state.clients.load(Ordering::Acquire);
+            self.workers.trim(0, self.limits.pool, clients);
+        }
+        self.last_liveness_check = now;
+        self.timers.set(now + period, TimerEvent::LivenessCheck);
+    }
+
+    /// Closes idle connections and forgets workers that are gone: workers are replaced all day, and their records would
+    /// add up.
+    fn sweep_idle(&mut self) {
+        self.workers.close_idle_connections();
+        for id in self.workers.remove_gone() {
+            self.membership.forget(&id);
+        }
+        let next = self.clock.now() + IDLE_SWEEP_PERIOD;
+        self.timers.set(next, TimerEvent::IdleSweep);
+    }
+}
--- a/wrenseam/src/core/timers.rs
+++ b/wrenseam/src/core/timers.rs
@@ -1,68 +1,77 @@
-//! One heap of timers; none can be taken back, what is no longer needed is ignored when it is due.
-use super::AttemptKey;
+//! One heap of timers. A timer cannot be removed: whoever handles it ignores what is no longer needed.
+use crate::model::AttemptKey;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
 use wrenseam_policy::Micros;
 
-const LONGEST_SLEEP: Duration = Duration::from_millis(500);
+/// The longest wait without a timer.
+const MAX_WAIT: Duration = Duration::from_millis(500);
 
-/// What is due.
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerEvent {
-    /// The module's timer with this token.
-    Module(u64),
-    /// An attempt's time is up.
-    Attempt(AttemptKey),
-    /// An order's time is up.
-    Order(u64),
-    /// A request's client leaves.
-    Request(u64),
-    /// Time to look whether connections to workers still answer.
-    Pulse,
-    /// Time to look for idle connections.
-    Sweep,
+    /// The policy's timer with this token.
+    Policy(u64),
+    /// An attempt has used up its time.
+    AttemptTimeout(AttemptKey),
+    /// A load order of this number has used up its time.
+    LoadOrderTimeout(u64),
+    /// The client of the request of this number stops waiting.
+    RequestDeadline(u64),
+    /// Connections to workers are to be checked for a response.
+    LivenessCheck,
+    /// Idle connections are to be closed and workers that are gone removed.
+    IdleSweep,
 }
 
-/// The heap; equal times fire in the order in which they were set.
-#[derive(Default)]
+/// Ordered by time, then by the order in which the timers were set.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Timer {
+    at: Micros,
+    sequence: u64,
+    event: TimerEvent,
+}
+
+/// The heap of timers; equal times fire in the order in which they were set.
+#[derive(Debug, Default)]
 pub struct Timers {
-    heap: BinaryHeap<Reverse<(Micros, u64, TimerEvent)>>,
-    set: u64,
+    heap: BinaryHeap<Reverse<Timer>>,
+    sequence: u64,
 }
 
 impl Timers {
     /// Sets a timer.
-    pub fn set(&mut self, at: Micros, due: TimerEvent) {
-        self.set += 1;
-        self.heap.push(Reverse((at, self.set, due)));
+    pub fn set(&mut self, at: Micros, event: TimerEvent) {
+        self.sequence += 1;
+        self.heap.push(Reverse(Timer {
+            at,
+            sequence: self.sequence,
+            event,
+        }));
     }
 
     /// Takes the next timer that is due.
-    pub fn due(&mut self, now: Micros) -> Option<TimerEvent> {
-        match self.heap.peek() {
-            Some(Reverse((at, _, _))) if *at <= now => {
-                self.heap.pop().map(|Reverse((_, _, due))| due)
-            }
-            _ => None,
+    pub fn pop_due(&mut self, now: Micros) -> Option<TimerEvent> {
+        if self.next_at()? > now {
+            return None;
         }
+        self.heap.pop().map(|Reverse(timer)| timer.event)
     }
 
     /// By how much the next timer is overdue.
-    pub fn late(&self, now: Micros) -> Micros {
-        self.heap
-            .peek()
-            .map_or(0, |Reverse((at, _, _))| now.saturating_sub(*at))
+    pub fn overdue(&self, now: Micros) -> Micros {
+        self.next_at().map_or(0, |at| now.saturating_sub(at))
     }
 
-    /// How long nothing is due.
+    /// How long to wait for the next timer, at most half a second.
     pub fn wait(&self, now: Micros) -> Duration {
-        let next = self
-            .heap
-            .peek()
-            .map(|Reverse((at, _, _))| at.saturating_sub(now));
-        next.map_or(LONGEST_SLEEP, |n| {
-            Duration::from_micros(n).min(LONGEST_SLEEP)
+        self.next_at().map_or(MAX_WAIT, |at| {
+            Duration::from_micros(at.saturating_sub(now)).min(MAX_WAIT)
         })
     }
+
+    fn next_at(&self) -> Option<Micros> {
+        self.heap.peek().map(|Reverse(timer)| timer.at)
+    }
 }
--- a/wrenseam/src/model/request.rs
+++ b/wrenseam/src/model/request.rs
@@ -89,6 +89,17 @@
     Failed,
 }
 
+impl Answer {
+    /// How a request with this answer is counted.
+    pub fn request_end(&self) -> RequestEnd {
+        match self {
+            Answer::Served(_) => RequestEnd::Completed,
+            Answer::Rejected { .. } => RequestEnd::Rejected,
+            Answer::Failed => RequestEnd::Failed,
+        }
+    }
+}
+
 /// Where an answer goes: a client connection of some front.
 pub trait Client: Send + Sync {
     /// Hands over the final answer to the request that was given in under this tag.
--- /dev/null
+++ b/wrenseam/tests/core_tables.rs
@@ -0,0 +1,176 @@
+//! The core's tables and timers, without sockets and threads.
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use wrenseam::core::tables::{LoadOrder, LoadOrders, OpenRequest, RequestTable};
+use wrenseam::core::timers::{TimerEvent, Timers};
+use wrenseam::model::{Answer, AttemptKey, Client, Payload, Request};
+
+/// A client connection of this number that is never answered.
+struct Connection(u64);
+
+impl Client for Connection {
+    fn answer(&self, _tag: u64, _answer: Answer) {
+        unreachable!("tables do not answer");
+    }
+
+    fn connection(&self) -> u64 {
+        self.0
+    }
+}
+
+fn request(wire_id: u64) -> Arc<Request> {
+    Arc::new(Request {
+        wire_id,
+        class: "class".to_owned(),
+        tenant: "tenant".to_owned(),
+        function: 7,
+        timeout: 1_000_000,
+        received_at: Instant::now(),
+        idempotency_key: None,
+        is_retry: false,
+        memory_mb: 0.0,
+        concurrency: 0,
+        load_time: 0,
+        payload: Payload::Bytes(Vec::new()),
+        reserved_bytes: None,
+        client_gone: Arc::default(),
+        client_probe: None,
+    })
+}
+
+/// A table with one request, number 1, which connection 5 sent under this tag and wire id 100.
+fn table_with(tag: u64) -> RequestTable {
+    let mut table = RequestTable::default();
+    add(&mut table, 1, 5, tag, 100);
+    table
+}
+
+fn add(table: &mut RequestTable, id: u64, connection: u64, tag: u64, wire_id: u64) {
+    let open = OpenRequest {
+        request: request(wire_id),
+        client: Arc::new(Connection(connection)),
+        tag,
+        class: 2,
+        tenant: Some(3),
+    };
+    table.insert(id, open);
+}
+
+#[test]
+fn a_request_is_closed_once() {
+    let mut table = table_with(9);
+    assert!(!table.is_answered(1));
+    let closed = table.close(1).expect("owed");
+    assert_eq!((closed.tag, closed.class, closed.tenant), (9, 2, Some(3)));
+    assert!(table.is_answered(1));
+    assert!(table.close(1).is_none(), "the right to answer is used up");
+    let request = table.request(1).expect("until it is removed");
+    assert!(request.client_gone.load(Ordering::Acquire));
+}
+
+#[test]
+fn a_closed_request_leaves_the_indexes() {
+    let mut table = table_with(9);
+    assert!(table.has_wire_id(100));
+    assert_eq!(table.find(5, 9), Some(1));
+    table.close(1).expect("owed");
+    assert!(!table.has_wire_id(100));
+    assert_eq!(table.find(5, 9), None);
+    assert_eq!((table.len(), table.unanswered()), (1, 0));
+}
+
+#[test]
+fn the_requests_of_one_connection_are_found() {
+    let mut table = table_with(u64::MAX);
+    add(&mut table, 2, 5, 0, 101);
+    add(&mut table, 3, 6, 0, 102);
+    add(&mut table, 4, 4, u64::MAX, 103);
+    assert_eq!(table.of_connection(5), [2, 1]);
+    assert_eq!(table.of_connection(7), []);
+}
+
+#[test]
+fn a_request_is_removed_once_answered_and_without_open_attempts() {
+    let mut table = table_with(9);
+    let attempt = table
+        .start_attempt(1, "w1".to_owned(), 50)
+        .expect("the request is there");
+    assert!(!table.remove_finished(1), "not answered");
+    table.close(1).expect("owed");
+    assert!(!table.remove_finished(1), "an attempt is open");
+    table.close_attempt(attempt).expect("open");
+    assert!(table.remove_finished(1));
+    assert!(!table.remove_finished(1), "removed once");
+    assert!(table.is_empty() && table.is_answered(1));
+}
+
+#[test]
+fn attempts_are_numbered_and_closed_once() {
+    let mut table = table_with(9);
+    assert!(!table.was_attempted(1));
+    let first = table.start_attempt(1, "w1".to_owned(), 50).expect("there");
+    let second = table.start_attempt(1, "w2".to_owned(), 60).expect("there");
+    assert_eq!((first.attempt, second.attempt), (0, 1));
+    assert!(table.was_attempted(1));
+    table.mark_handed_over(second);
+    let closed = table.close_attempt(second).expect("open");
+    assert_eq!((closed.worker(), closed.started_at()), ("w2", 60));
+    assert!(closed.handed_over());
+    assert!(table.close_attempt(second).is_none(), "closed once");
+    assert!(table.open_attempt(second).is_none());
+    assert!(!table.open_attempt(first).expect("open").handed_over());
+}
+
+#[test]
+fn unknown_requests_have_no_attempts() {
+    let mut table = table_with(9);
+    let unknown = AttemptKey {
+        request: 77,
+        attempt: 0,
+    };
+    assert!(table.start_attempt(77, "w1".to_owned(), 50).is_none());
+    assert!(table.open_attempt(unknown).is_none());
+    assert!(table.close_attempt(unknown).is_none());
+    assert!(!table.was_attempted(77));
+}
+
+#[test]
+fn a_load_order_ends_once() {
+    let order = LoadOrder {
+        worker: "w1".to_owned(),
+        function: 7,
+        ordered_at: 50,
+    };
+    let mut orders = LoadOrders::default();
+    orders.insert(4, order.clone());
+    assert_eq!(orders.get(4), Some(&order));
+    assert_eq!(orders.remove(4), Some(order));
+    assert_eq!(orders.get(4), None);
+    assert_eq!(orders.remove(4), None);
+}
+
+#[test]
+fn timers_fire_by_time_and_then_in_the_order_they_were_set() {
+    let mut timers = Timers::default();
+    timers.set(200, TimerEvent::IdleSweep);
+    timers.set(100, TimerEvent::Policy(2));
+    timers.set(100, TimerEvent::Policy(1));
+    assert_eq!(timers.pop_due(99), None);
+    assert_eq!(timers.pop_due(100), Some(TimerEvent::Policy(2)));
+    assert_eq!(timers.pop_due(100), Some(TimerEvent::Policy(1)));
+    assert_eq!(timers.pop_due(100), None);
+    assert_eq!(timers.pop_due(300), Some(TimerEvent::IdleSweep));
+}
+
+#[test]
+fn timers_tell_how_long_to_wait_and_how_late_they_are() {
+    let mut timers = Timers::default();
+    assert_eq!(timers.wait(0), Duration::from_millis(500), "none is set");
+    timers.set(2_000_000, TimerEvent::LivenessCheck);
+    assert_eq!(timers.wait(0), Duration::from_millis(500));
+    assert_eq!(timers.wait(1_990_000), Duration::from_millis(10));
+    assert_eq!(timers.overdue(1_990_000), 0);
+    assert_eq!(timers.wait(2_030_000), Duration::ZERO);
+    assert_eq!(timers.overdue(2_030_000), 30_000);
+}
--- a/wrenseam/tests/fleet_gate.rs
+++ b/wrenseam/tests/fleet_gate.rs
@@ -36,8 +36,8 @@
     #[case] expected: usize,
     #[case] want: u32,
 ) {
-    let mut gate = FleetAdmission::new(&fleet(0.1, 3.0, expected), &Settings::default(), 1);
-    gate.news(
+    let mut admission = FleetAdmission::new(&fleet(0.1, 3.0, expected), &Settings::default(), 1);
+    admission.update(
         0,
         FleetNews {
             alive: peers,
@@ -48,11 +48,11 @@
     let mut sent = 0;
     for request in 0..100u64 {
         for try_ in 0..5 {
-            sent += u32::from(gate.attempt(request * 10_000, try_ > 0));
+            sent += u32::from(admission.admit_attempt(request * 10_000, try_ > 0));
         }
     }
     assert_eq!(sent, want);
-    let s = gate.summary(1_000_000, 0);
+    let s = admission.summary(1_000_000, 0);
     assert_eq!(
         (s.firsts, s.extras + s.firsts, s.denied),
         (100, want, 500 - want)
--- a/wrenseam/tests/golden_admin.rs
+++ b/wrenseam/tests/golden_admin.rs
@@ -45,9 +45,9 @@
         RequestEnd::Rejected,
         RequestEnd::Failed,
     ];
-    ends.into_iter().for_each(|end| counters.ended(1, end));
-    (0..5).for_each(|_| counters.sent());
-    counters.unsent();
+    ends.into_iter().for_each(|end| counters.record_end(1, end));
+    (0..5).for_each(|_| counters.record_attempt_sent());
+    counters.record_attempt_not_sent();
     counters
 }
 
@@ -60,7 +60,7 @@
     };
     let names = ["tile-render", "tile-order"].map(str::to_owned);
     pinned(
-        &counters().text(&names, gauges),
+        &counters().telemetry(&names, gauges, None),
         "app.downstream_requests.tile-render.completed:0|c\n\
          app.downstream_requests.tile-render.rejected:0|c\n\
          app.downstream_requests.tile-render.failed:0|c\n\
@@ -132,12 +132,15 @@
 
 #[test]
 fn fleet_figures_keep_their_lines() {
-    let mut gate = FleetAdmission::new(&fleet_file(), &Settings::default(), 1);
-    gate.news(1_000_000, fleet_news());
-    gate.attempt(1_000_000, false);
-    assert!(!gate.attempt(1_000_000, true), "the budget allows no retry");
+    let mut admission = FleetAdmission::new(&fleet_file(), &Settings::default(), 1);
+    admission.update(1_000_000, fleet_news());
+    admission.admit_attempt(1_000_000, false);
+    assert!(
+        !admission.admit_attempt(1_000_000, true),
+        "the budget allows no retry"
+    );
     let mut text = String::new();
-    gate.text(&mut text);
+    admission.write_telemetry(&mut text);
     pinned(
         &text,
         "app.fleet.peers:10|g\n\
--- /dev/null
+++ b/wrenseam/tests/telemetry.rs
@@ -0,0 +1,63 @@
+//! The core's counters: requests by class for `telemetry`, and by tenant for `/v1/state`.
+use wrenseam::core::{Gauges, RequestCounters, TenantCounters, TenantCounts};
+use wrenseam::model::RequestEnd;
+
+#[test]
+fn counts_each_class_and_writes_them_in_lines() {
+    let mut counters = RequestCounters::new(2);
+    counters.record_end(0, RequestEnd::Completed);
+    counters.record_end(0, RequestEnd::Completed);
+    counters.record_end(1, RequestEnd::Rejected);
+    counters.record_end(1, RequestEnd::Failed);
+    counters.record_end(7, RequestEnd::Failed); // unknown: not counted
+    counters.record_attempt_sent();
+    counters.record_attempt_sent();
+    counters.record_attempt_not_sent();
+    let names = ["render".to_owned(), "order".to_owned()];
+    let gauges = Gauges {
+        pending: 3,
+        members: 6,
+        unavailable: 1,
+    };
+    let text = counters.telemetry(&names, gauges, None);
+    let lines: Vec<&str> = text.lines().collect();
+    assert_eq!(
+        lines,
+        [
+            "app.downstream_requests.render.completed:2|c",
+            "app.downstream_requests.render.rejected:0|c",
+            "app.downstream_requests.render.failed:0|c",
+            "app.downstream_requests.order.completed:0|c",
+            "app.downstream_requests.order.rejected:1|c",
+            "app.downstream_requests.order.failed:1|c",
+            "app.upstream_requests:1|c",
+            "app.pending:3|g",
+            "app.members:6|g",
+            "app.members_unavailable:1|g",
+            "END",
+        ]
+    );
+}
+
+#[test]
+fn tenants_are_counted_apart_and_unknown_ones_together() {
+    let mut counters = TenantCounters::new(1);
+    counters.record_received(Some(0));
+    counters.record_end(Some(0), RequestEnd::Completed);
+    for tenant in [None, Some(9)] {
+        counters.record_received(tenant);
+        counters.record_end(tenant, RequestEnd::Rejected);
+    }
+    let counts: Vec<TenantCounts> = counters.iter().copied().collect();
+    let known = TenantCounts {
+        received: 1,
+        completed: 1,
+        ..TenantCounts::default()
+    };
+    let unknown = TenantCounts {
+        received: 2,
+        rejected: 2,
+        ..TenantCounts::default()
+    };
+    assert_eq!(counts, [known, unknown]);
+}
