--- a/scalelab/src/process.rs
+++ b/scalelab/src/process.rs
@@ -103,7 +103,7 @@
         seen += program
             .news()
             .lines()
-            .filter(|l| l.starts_with("member "))
+            .filter(|l| l.starts_with("endpoint "))
             .count() as u64;
         seen >= workers
     })
@@ -235,7 +235,7 @@
     let id = 0xF000_0000 + n;
     (
         instance(id, &format!("127.200.0.{n}:8443"), "ready"),
-        format!("member s-{id:08x}: Ready"),
+        format!("endpoint s-{id:08x}: Ready"),
     )
 }
 
--- a/wrenseam/src/core/actions.rs
+++ b/wrenseam/src/core/actions.rs
@@ -1,4 +1,5 @@
 //! The policy is given its events here, and its actions are carried out.
+use super::log_lines::LogLine;
 use super::timers::TimerEvent;
 use super::Core;
 use crate::model::{Answer, AttemptKey};
@@ -45,7 +46,7 @@
                 replicas,
             } => self.order_load(worker, function, replicas),
             Action::Unload { worker, function } => self.workers.unload(&worker, function),
-            Action::Log { text } => note!("module: {text}"),
+            Action::Log { text } => note!("{}", LogLine::Policy(&text)),
             Action::WatchEndpoints => {} // discovery watches the endpoint lists from the start
         }
     }
--- a/wrenseam/src/core/admin.rs
+++ b/wrenseam/src/core/admin.rs
@@ -1,4 +1,5 @@
 //! The core's answers to the commands of the admin endpoint.
+use super::log_lines::LogLine;
 use super::{Core, Gauges};
 use crate::discovery::membership::Unknown;
 use crate::model::AdminCommand;
@@ -60,7 +61,7 @@
     fn exclude(&mut self, id: &str) -> String {
         match self.membership.exclude(id) {
             Ok(changes) => {
-                eprintln!("admin: exclude {id}, nothing new goes there");
+                eprintln!("{}", LogLine::Excluded(id));
                 self.apply_changes(changes);
                 format!("YES excluded {id}\n")
             }
@@ -72,7 +73,7 @@
     fn include(&mut self, id: &str) -> String {
         match self.membership.include(id, self.clock.now()) {
             Ok(changes) => {
-                eprintln!("admin: include {id}, back as a new process");
+                eprintln!("{}", LogLine::Included(id));
                 self.apply_changes(changes);
                 format!("YES included {id}\n")
             }
@@ -83,7 +84,7 @@
     /// Drains: readiness says no, and client connections close as soon as nothing is owed on them.
     fn evacuate(&mut self) -> &'static str {
         if !self.process_state.draining.swap(true, Ordering::AcqRel) {
-            eprintln!("admin: evacuate, readiness says no, idle client connections close");
+            eprintln!("{}", LogLine::Draining);
         }
         "YES draining\n"
     }
@@ -91,7 +92,7 @@
     /// Ends a drain.
     fn activate(&mut self) -> &'static str {
         if self.process_state.draining.swap(false, Ordering::AcqRel) {
-            eprintln!("admin: activate, clients are taken again");
+            eprintln!("{}", LogLine::Activated);
         }
         "YES ready\n"
     }
--- a/wrenseam/src/core/endpoints.rs
+++ b/wrenseam/src/core/endpoints.rs
@@ -1,5 +1,6 @@
 //! Endpoint updates: what a change of the endpoint lists does to workers and policy, and whether a worker can get one
 //! more connection.
+use super::log_lines::LogLine;
 use super::Core;
 use crate::discovery::membership::Change;
 use crate::model::{Endpoint, TransportProtocol};
@@ -38,10 +39,7 @@
 
     fn apply_change(&mut self, change: Change) {
         let endpoint = change.member;
-        eprintln!(
-            "member {}: {:?} at {}",
-            endpoint.id, endpoint.state, endpoint.address
-        );
+        eprintln!("{}", LogLine::EndpointChanged(&endpoint));
         let address = endpoint.address;
         let protocol = endpoint.protocol;
         self.workers.update(endpoint, change.duty, || {
--- /dev/null
+++ b/wrenseam/src/core/log_lines.rs
@@ -0,0 +1,85 @@
+//! The texts of the log lines that the core writes. docs/oncall.md lists them with what to do about each.
+use crate::model::Endpoint;
+use std::fmt::{Display, Formatter, Result};
+use wrenseam_policy::Micros;
+
+/// Why a request is answered as failed at its arrival.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidRequest {
+    /// The settings do not name its class.
+    #[error("unknown class")]
+    UnknownClass,
+    /// The settings name tenants, and not its own.
+    #[error("unknown tenant")]
+    UnknownTenant,
+    /// Its class needs an idempotency key, and it has none.
+    #[error("no idempotency key, which its class needs")]
+    MissingIdempotencyKey,
+    /// A request of the same id is owed an answer.
+    #[error("a request with this id is open")]
+    DuplicateId,
+}
+
+/// One line of the log.
+#[derive(Clone, Copy, Debug)]
+pub enum LogLine<'a> {
+    /// Timers fired late.
+    TimersLate {
+        /// By how much the earliest was overdue.
+        overdue: Micros,
+        /// Requests in the table.
+        open_requests: usize,
+    },
+    /// A request was answered as failed at its arrival.
+    InvalidRequest {
+        /// The id that its client gave.
+        wire_id: u64,
+        /// Why.
+        reason: InvalidRequest,
+    },
+    /// The policy logs this text.
+    Policy(&'a str),
+    /// The endpoint lists or an operator changed a worker.
+    EndpointChanged(&'a Endpoint),
+    /// An operator excluded the worker of this id.
+    Excluded(&'a str),
+    /// An operator included the worker of this id again.
+    Included(&'a str),
+    /// A drain began.
+    Draining,
+    /// A drain was ended by an operator.
+    Activated,
+}
+
+impl Display for LogLine<'_> {
+    fn fmt(&self, f: &mut Formatter<'_>) -> Result {
+        match self {
+            LogLine::TimersLate {
+                overdue,
+                open_requests,
+            } => {
+                let overdue_ms = overdue / 1000;
+                write!(
+                    f,
+                    "core: timers {overdue_ms} ms late, {open_requests} requests open"
+                )
+            }
+            LogLine::InvalidRequest { wire_id, reason } => {
+                write!(f, "request {wire_id:016x}: failed, {reason}")
+            }
+            LogLine::Policy(text) => write!(f, "policy: {text}"),
+            LogLine::EndpointChanged(endpoint) => {
+                let Endpoint {
+                    id, state, address, ..
+                } = endpoint;
+                write!(f, "endpoint {id}: {state:?} at {address}")
+            }
+            LogLine::Excluded(id) => write!(f, "admin: exclude {id}, it gets no new requests"),
+            LogLine::Included(id) => write!(f, "admin: include {id}, back as a new process"),
+            LogLine::Draining => {
+                f.write_str("admin: evacuate, not ready, idle client connections close")
+            }
+            LogLine::Activated => f.write_str("admin: activate, ready for clients again"),
+        }
+    }
+}
--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -11,6 +11,7 @@
 mod endpoints;
 mod fleet_admission;
 mod load_orders;
+pub mod log_lines;
 mod messages;
 mod requests;
 mod state_report;
@@ -27,6 +28,7 @@
 use crate::net::{DirectCalls, SystemCalls};
 use crate::process_state::ProcessState;
 use crate::queue::{CoreHandle, Message};
+use log_lines::LogLine;
 use std::collections::VecDeque;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::sync::Arc;
@@ -161,10 +163,13 @@
     fn report_overdue_timers(&self) {
         let overdue = self.timers.overdue(self.clock.now());
         if overdue > REPORTED_DELAY {
+            let open_requests = self.requests.len();
             note!(
-                "core: ran {} ms late, {} requests open",
-                overdue / 1000,
-                self.requests.len()
+                "{}",
+                LogLine::TimersLate {
+                    overdue,
+                    open_requests
+                }
             );
         }
     }
--- a/wrenseam/src/core/requests.rs
+++ b/wrenseam/src/core/requests.rs
@@ -1,4 +1,5 @@
 //! Requests from their arrival to their one final answer.
+use super::log_lines::{InvalidRequest, LogLine};
 use super::tables::OpenRequest;
 use super::timers::TimerEvent;
 use super::Core;
@@ -12,8 +13,9 @@
     pub(super) fn handle_request(&mut self, request: Request, client: Arc<dyn Client>, tag: u64) {
         let class = self.settings.class(&request.class);
         let tenant = self.settings.tenant(&request.tenant);
-        if let Err(fault) = self.validate(&request, class, tenant) {
-            note!("request {:016x}: failed, {fault}", request.wire_id);
+        if let Err(reason) = self.validate(&request, class, tenant) {
+            let wire_id = request.wire_id;
+            note!("{}", LogLine::InvalidRequest { wire_id, reason });
             self.request_counters.record_end(class, RequestEnd::Failed);
             return client.answer(tag, Answer::Failed);
         }
@@ -37,20 +39,20 @@
         request: &Request,
         class: usize,
         tenant: Option<usize>,
-    ) -> Result<(), &'static str> {
+    ) -> Result<(), InvalidRequest> {
         let Some(class) = self.settings.classes.get(class) else {
-            return Err("unknown class");
+            return Err(InvalidRequest::UnknownClass);
         };
         if tenant.is_none() && !self.settings.tenants.is_empty() {
-            return Err("unknown tenant");
+            return Err(InvalidRequest::UnknownTenant);
         }
         // Without its key no worker could drop a repeated attempt.
         if class.idempotency == Idempotency::Keyed && request.idempotency_key.is_none() {
-            return Err("keyed class without a key");
+            return Err(InvalidRequest::MissingIdempotencyKey);
         }
         // Workers tell requests apart by this id: it would stand for two bodies.
         if self.requests.has_wire_id(request.wire_id) {
-            return Err("a request of this id is open");
+            return Err(InvalidRequest::DuplicateId);
         }
         Ok(())
     }
--- /dev/null
+++ b/wrenseam/tests/core_log_lines.rs
@@ -0,0 +1,63 @@
+//! The texts of the core's log lines, which docs/oncall.md lists.
+use rstest::rstest;
+use wrenseam::core::log_lines::{InvalidRequest, LogLine};
+use wrenseam::model::{Endpoint, TransportProtocol};
+use wrenseam_policy::WorkerState;
+
+#[rstest]
+#[case::timers_late(
+    LogLine::TimersLate { overdue: 34_567, open_requests: 12 },
+    "core: timers 34 ms late, 12 requests open"
+)]
+#[case::policy(
+    LogLine::Policy("2 of 9 workers look bad; load cap 4"),
+    "policy: 2 of 9 workers look bad; load cap 4"
+)]
+#[case::excluded(LogLine::Excluded("w1"), "admin: exclude w1, it gets no new requests")]
+#[case::included(LogLine::Included("w1"), "admin: include w1, back as a new process")]
+#[case::draining(
+    LogLine::Draining,
+    "admin: evacuate, not ready, idle client connections close"
+)]
+#[case::activated(LogLine::Activated, "admin: activate, ready for clients again")]
+fn lines_have_their_texts(#[case] line: LogLine, #[case] text: &str) {
+    assert_eq!(line.to_string(), text);
+}
+
+#[rstest]
+#[case::class(InvalidRequest::UnknownClass, "unknown class")]
+#[case::tenant(InvalidRequest::UnknownTenant, "unknown tenant")]
+#[case::key(
+    InvalidRequest::MissingIdempotencyKey,
+    "no idempotency key, which its class needs"
+)]
+#[case::id(InvalidRequest::DuplicateId, "a request with this id is open")]
+fn invalid_requests_are_named_with_the_reason(
+    #[case] reason: InvalidRequest,
+    #[case] expected: &str,
+) {
+    let line = LogLine::InvalidRequest {
+        wire_id: 0xbeef,
+        reason,
+    };
+    let expected = format!("request 000000000000beef: failed, {expected}");
+    assert_eq!(line.to_string(), expected);
+}
+
+#[rstest]
+#[case(WorkerState::Ready, "endpoint w1: Ready at 127.0.0.1:8443")]
+#[case(WorkerState::Draining, "endpoint w1: Draining at 127.0.0.1:8443")]
+#[case(WorkerState::Gone, "endpoint w1: Gone at 127.0.0.1:8443")]
+fn endpoint_changes_name_state_and_address(#[case] state: WorkerState, #[case] text: &str) {
+    let endpoint = Endpoint {
+        id: "w1".to_owned(),
+        address: "127.0.0.1:8443".parse().expect("an address"),
+        state,
+        started_at: 0,
+        zone: String::new(),
+        kind: String::new(),
+        cell: None,
+        protocol: TransportProtocol::Frames,
+    };
+    assert_eq!(LogLine::EndpointChanged(&endpoint).to_string(), text);
+}
--- a/wrenseam/tests/large_list.rs
+++ b/wrenseam/tests/large_list.rs
@@ -203,7 +203,7 @@
     assert_eq!(program.members(), workers);
     let lasts = calls.iter().take(3).map(|c| c.contains("Last-Event-ID: 1"));
     assert_eq!(lasts.collect::<Vec<_>>(), [false, true, true]);
-    program.says("member s-new: Ready");
+    program.says("endpoint s-new: Ready");
     assert_eq!(program.members(), workers, "one new, one gone");
     let peak = program.peak();
     assert!(peak < MEMORY_MB as f64 / 2.0, "{peak:.0} MB");
