--- /dev/null
+++ b/wrenseam/src/server.rs
@@ -0,0 +1,159 @@
+//! One front end from its start to its end.
+use crate::config::Config;
+use crate::core::Core;
+use crate::front::{self, Doors};
+use crate::limits::Budget;
+use crate::model::TransportProtocol;
+use crate::process_state::ProcessState;
+use crate::queue::{CoreHandle, Message};
+use crate::{core, discovery, gossip, net, shutdown};
+use may::net::TcpListener;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{mpsc, Arc};
+
+/// Runs one front end until it has been told to stop and nothing is open.
+pub fn run(mut config: Config, signals: signal_hook::iterator::Signals) -> Result<(), String> {
+    for why in &config.faults {
+        eprintln!("settings: {why}; taken as not stated");
+    }
+    let limits = Arc::new(config.limits);
+    // One core is ours: more scheduler threads would only take turns on it.
+    may::config()
+        .set_workers(1)
+        .set_stack_size(limits.stack / size_of::<usize>())
+        .set_pool_capacity(64);
+    may::config().set_worker_pin(false);
+    let (sender, inbox) = mpsc::channel();
+    let core_handle = CoreHandle::new(sender);
+    let shared = Arc::new(ProcessState::default());
+    shared.config_digest.store(
+        Config::digest_with(config.settings_digest, config.board),
+        Ordering::Release,
+    );
+    let doors = Doors {
+        core: core_handle.clone(),
+        limits: limits.clone(),
+        budget: Budget::new(limits.held_bytes),
+        seats: net::Seats::new(
+            limits.client_connections,
+            shared.draining.clone(),
+            shared.clients.clone(),
+        ),
+        unsent: Arc::default(),
+        shared: shared.clone(),
+        closing: Arc::new(AtomicBool::new(false)),
+        ending: Arc::default(),
+        accepting: Arc::default(),
+    };
+    let seed = config.seed;
+    let mut core = Core::new(
+        config.settings.clone(),
+        seed,
+        limits.clone(),
+        inbox,
+        core_handle.clone(),
+        shared.clone(),
+    );
+    if let Some(fleet) = &config.fleet {
+        core = core.with_fleet_admission(core::FleetAdmission::new(fleet, &config.settings, seed));
+        let own = gossip::start(
+            fleet,
+            seed,
+            core_handle.clone(),
+            shared.clone(),
+            limits.stack,
+        )?;
+        eprintln!("start: gossip listens on {own}");
+    }
+    // The module would be half-changed after a panic: a front end without its core must not go on.
+    std::thread::Builder::new()
+        .name("core".to_owned())
+        .spawn(move || {
+            if std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| core.run())).is_err() {
+                std::process::abort();
+            }
+        })
+        .map_err(|e| format!("core thread: {e}"))?;
+    let (watch, known) = discovery::watch::Watch::new(&std::mem::take(&mut config.known)); // it may be long
+    for discovery::watch::News { full, members } in known {
+        core_handle.endpoint_update(TransportProtocol::Frames, full, members);
+    }
+    let board = Arc::new(discovery::client::Board::new(config.board));
+    let (own, within, core) = (board.clone(), limits.clone(), core_handle.clone());
+    net::spawn(limits.stack, move || {
+        discovery::client::follow(&own, watch, seed, &within, &core)
+    })
+    .map_err(|e| format!("board: {e}"))?;
+    if config.admin.is_some() {
+        // Before any client comes: a process that replaces another keeps its exclusions from the first call.
+        let set = front::admin::read_excluded(&front::admin::handover());
+        let _ = core_handle.send(Message::Exclusions(set));
+    }
+    let named = config
+        .admin
+        .map(|_| front::admin::Named::new(&config.name, seed));
+    if named.as_ref().is_some_and(front::admin::Named::aside) {
+        let _ = core_handle.send(Message::Standby(true));
+    }
+    let main = listen(config.listen, &doors, "fastcgi", front::fastcgi::serve)?;
+    announce(&config.name, &main.socket);
+    let mut listeners = vec![main];
+    if let Some(kserve) = config.kserve {
+        if let Some(endpoints) = &kserve.endpoints {
+            let members =
+                discovery::client::endpoints(endpoints).map_err(|e| format!("endpoints: {e}"))?;
+            core_handle.endpoint_update(TransportProtocol::Kserve, true, members);
+        }
+        let front = listen(kserve.listen, &doors, "kserve", front::kserve::serve)?;
+        announce("KServe v2", &front.socket);
+        listeners.push(front);
+        if let Some(admin) = kserve.admin {
+            let front = listen(admin, &doors, "admin", front::kserve::serve_admin)?;
+            announce("administration", &front.socket);
+            listeners.push(front);
+        }
+    }
+    if let (Some(admin), Some(named)) = (config.admin, named) {
+        let listener = TcpListener::bind(admin).map_err(|e| format!("admin {admin}: {e}"))?;
+        let (listener, inside) = (Arc::new(listener), doors.clone());
+        announce("the operators' door", &listener);
+        let door = listener.clone();
+        net::spawn(limits.stack, move || front::admin::accept(&door, &inside))
+            .map_err(|e| format!("admin {admin}: {e}"))?;
+        let inside = doors.clone();
+        net::spawn(limits.stack, move || front::admin::follow(&inside, named))
+            .map_err(|e| format!("exclusions: {e}"))?;
+    }
+    shutdown::wait(signals, config.settings_digest, &listeners, &doors, &board);
+    if config.fleet.is_some() {
+        gossip::leave(&shared);
+    }
+    Ok(())
+}
+
+fn announce(name: &str, listener: &TcpListener) {
+    let address = listener
+        .local_addr()
+        .map_or("?".to_owned(), |a| a.to_string());
+    eprintln!("start: {name} listens on {address}");
+}
+
+fn listen(
+    address: SocketAddr,
+    doors: &Doors,
+    front: &'static str,
+    serve: front::Serve,
+) -> Result<front::Listener, String> {
+    let listener = TcpListener::bind(address).map_err(|e| format!("{address}: {e}"))?;
+    let (socket, doors) = (Arc::new(listener), doors.clone());
+    let inside = socket.clone();
+    doors.accepting.fetch_add(1, Ordering::AcqRel);
+    let accept = move || front::accept(&inside, &doors, front, serve);
+    net::spawn(64 * 1024, accept).map_err(|e| format!("{address}: {e}"))?;
+    Ok(front::Listener {
+        socket,
+        front,
+        serve,
+    })
+}
