--- a/wrenseam/src/lib.rs
+++ b/wrenseam/src/lib.rs
@@ -1,5 +1,5 @@
-//! The front end round the decision module: fronts parse, the core owns the module, transports carry.
-//! See docs/architecture.md for the life of a request.
+//! The front end around the policy: fronts parse client protocols, the core runs the policy, and transports carry
+//! attempts to workers. docs/architecture.md follows a request through all of them.
 #![deny(unsafe_code)] // one exception, with its reason: `front::close`
 #![warn(missing_docs)]
 
@@ -20,9 +20,11 @@
 pub mod process_state;
 pub mod queue;
 pub mod ring;
-pub mod server;
+mod server;
 pub mod shutdown;
+mod start_error;
 pub mod succession;
 pub mod worker;
 
 pub use server::run;
+pub use start_error::StartError;
--- a/wrenseam/src/main.rs
+++ b/wrenseam/src/main.rs
@@ -2,30 +2,41 @@
 #![forbid(unsafe_code)]
 
 use clap::Parser;
+use signal_hook::iterator::Signals;
+use std::error::Error;
 use std::process::ExitCode;
 use wrenseam::cli::{check, Cli, Command};
+use wrenseam::config::Config;
 
 fn main() -> ExitCode {
-    // The signals come first: one that arrives while the configuration is read must not end the program.
+    // Registered first: a signal that arrives while the configuration is read must not end the program.
     let signals = wrenseam::shutdown::signals();
-    let run = |signals| wrenseam::run(wrenseam::config::Config::from_environment()?, signals);
-    let (part, done) = match Cli::parse().command {
-        None | Some(Command::Serve) => ("start", signals.and_then(run)),
+    let (command, result) = match Cli::parse().command {
+        None | Some(Command::Serve) => ("start", signals.map_err(Into::into).and_then(serve)),
         Some(Command::Check {
             config,
             kserve,
             fleet,
-        }) => (
-            "check",
-            check(&config, kserve.as_deref(), fleet.as_deref())
-                .map(|said| println!("check: {said}")),
-        ),
+        }) => {
+            let report = check(&config, kserve.as_deref(), fleet.as_deref());
+            ("check", report.map(print_report).map_err(Into::into))
+        }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("{part}: {message}");
+        Err(error) => {
+            eprintln!("{command}: {error}");
             ExitCode::FAILURE
         }
     }
 }
+
+fn serve(signals: Signals) -> Result<(), Box<dyn Error>> {
+    let config = Config::from_environment()?;
+    wrenseam::run(config, signals)?;
+    Ok(())
+}
+
+fn print_report(report: String) {
+    println!("check: {report}");
+}
--- a/wrenseam/src/server.rs
+++ b/wrenseam/src/server.rs
@@ -1,159 +1,274 @@
-//! One front end from its start to its end.
-use crate::config::Config;
-use crate::core::Core;
-use crate::front::{self, Doors};
-use crate::limits::Budget;
+//! One front end process from its start to its end.
+//!
+//! The core starts first, then what notifies it of endpoints and exclusions, and the listeners last: no client is
+//! accepted before the parts that serve it run.
+use crate::config::{Config, Kserve};
+use crate::core::{Core, FleetAdmission};
+use crate::discovery::client::{self, Board};
+use crate::discovery::watch::{News, Watch};
+use crate::front::admin::{self, Named};
+use crate::front::{self, Doors, Listener};
+use crate::limits::{Budget, Limits};
 use crate::model::TransportProtocol;
+use crate::net::{spawn, Seats};
 use crate::process_state::ProcessState;
 use crate::queue::{CoreHandle, Message};
-use crate::{core, discovery, gossip, net, shutdown};
+use crate::start_error::StartError;
+use crate::{gossip, shutdown};
 use may::net::TcpListener;
+use signal_hook::iterator::Signals;
 use std::net::SocketAddr;
+use std::panic::AssertUnwindSafe;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{mpsc, Arc};
+use std::sync::mpsc::{channel, Receiver};
+use std::sync::Arc;
 
-/// Runs one front end until it has been told to stop and nothing is open.
-pub fn run(mut config: Config, signals: signal_hook::iterator::Signals) -> Result<(), String> {
+/// Idle coroutines kept for reuse.
+const COROUTINE_POOL: usize = 64;
+
+/// Stack of the coroutine that accepts connections, in bytes.
+const ACCEPT_STACK: usize = 64 * 1024;
+
+/// Runs one front end until a signal ends it and nothing is open.
+///
+/// # Errors
+///
+/// [`StartError`] names the part that could not be started. What was started before it goes on until the process
+/// exits.
+pub fn run(config: Config, signals: Signals) -> Result<(), StartError> {
+    report_faults(&config);
+    configure_coroutines(&config.limits);
+    let (core_handle, inbox) = core_queue();
+    let mut server = Server::new(config, core_handle);
+    server.start_core(inbox)?;
+    let board = server.start_discovery()?;
+    let succession = server.take_over_from_predecessor();
+    let listeners = server.start_listeners()?;
+    server.start_admin_endpoint(succession)?;
+    server.wait(signals, &listeners, &board);
+    Ok(())
+}
+
+fn report_faults(config: &Config) {
     for why in &config.faults {
         eprintln!("settings: {why}; taken as not stated");
     }
-    let limits = Arc::new(config.limits);
-    // One core is ours: more scheduler threads would only take turns on it.
+}
+
+/// Sets up the coroutine scheduler. A front end has one core: further scheduler threads would only take turns on it.
+fn configure_coroutines(limits: &Limits) {
     may::config()
         .set_workers(1)
         .set_stack_size(limits.stack / size_of::<usize>())
-        .set_pool_capacity(64);
+        .set_pool_capacity(COROUTINE_POOL);
     may::config().set_worker_pin(false);
-    let (sender, inbox) = mpsc::channel();
-    let core_handle = CoreHandle::new(sender);
-    let shared = Arc::new(ProcessState::default());
-    shared.config_digest.store(
-        Config::digest_with(config.settings_digest, config.board),
-        Ordering::Release,
-    );
-    let doors = Doors {
-        core: core_handle.clone(),
-        limits: limits.clone(),
-        budget: Budget::new(limits.held_bytes),
-        seats: net::Seats::new(
-            limits.client_connections,
-            shared.draining.clone(),
-            shared.clients.clone(),
-        ),
-        unsent: Arc::default(),
-        shared: shared.clone(),
-        closing: Arc::new(AtomicBool::new(false)),
-        ending: Arc::default(),
-        accepting: Arc::default(),
-    };
-    let seed = config.seed;
-    let mut core = Core::new(
-        config.settings.clone(),
-        seed,
-        limits.clone(),
-        inbox,
-        core_handle.clone(),
-        shared.clone(),
-    );
-    if let Some(fleet) = &config.fleet {
-        core = core.with_fleet_admission(core::FleetAdmission::new(fleet, &config.settings, seed));
-        let own = gossip::start(
-            fleet,
+}
+
+fn core_queue() -> (CoreHandle, Receiver<Message>) {
+    let (sender, inbox) = channel();
+    (CoreHandle::new(sender), inbox)
+}
+
+/// The parts of the process that others are started with.
+struct Server {
+    config: Config,
+    core: CoreHandle,
+    limits: Arc<Limits>,
+    process_state: Arc<ProcessState>,
+    doors: Doors,
+}
+
+impl Server {
+    fn new(config: Config, core: CoreHandle) -> Self {
+        let limits = Arc::new(config.limits.clone());
+        let process_state = Arc::new(ProcessState::default());
+        let digest = Config::digest_with(config.settings_digest, config.board);
+        process_state.config_digest.store(digest, Ordering::Release);
+        let doors = Doors {
+            core: core.clone(),
+            limits: limits.clone(),
+            budget: Budget::new(limits.held_bytes),
+            seats: Seats::new(
+                limits.client_connections,
+                process_state.draining.clone(),
+                process_state.clients.clone(),
+            ),
+            unsent: Arc::default(),
+            shared: process_state.clone(),
+            closing: Arc::new(AtomicBool::new(false)),
+            ending: Arc::default(),
+            accepting: Arc::default(),
+        };
+        Server {
+            config,
+            core,
+            limits,
+            process_state,
+            doors,
+        }
+    }
+
+    /// Starts the core's thread, and gossip where the fleet is on.
+    fn start_core(&self, inbox: Receiver<Message>) -> Result<(), StartError> {
+        let settings = &self.config.settings;
+        let seed = self.config.seed;
+        let mut core = Core::new(
+            settings.clone(),
             seed,
-            core_handle.clone(),
-            shared.clone(),
-            limits.stack,
-        )?;
-        eprintln!("start: gossip listens on {own}");
+            self.limits.clone(),
+            inbox,
+            self.core.clone(),
+            self.process_state.clone(),
+        );
+        if let Some(fleet) = &self.config.fleet {
+            core = core.with_fleet_admission(FleetAdmission::new(fleet, settings, seed));
+            self.start_gossip()?;
+        }
+        std::thread::Builder::new()
+            .name("core".to_owned())
+            .spawn(move || run_or_abort(core))
+            .map_err(StartError::CoreThread)?;
+        Ok(())
+    }
+
+    fn start_gossip(&self) -> Result<(), StartError> {
+        let Some(fleet) = &self.config.fleet else {
+            return Ok(());
+        };
+        let address = gossip::start(
+            fleet,
+            self.config.seed,
+            self.core.clone(),
+            self.process_state.clone(),
+            self.limits.stack,
+        )
+        .map_err(|error| StartError::Gossip(error.into()))?;
+        eprintln!("start: gossip listens on {address}");
+        Ok(())
     }
-    // The module would be half-changed after a panic: a front end without its core must not go on.
-    std::thread::Builder::new()
-        .name("core".to_owned())
-        .spawn(move || {
-            if std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| core.run())).is_err() {
-                std::process::abort();
-            }
+
+    /// Hands the endpoints of the start configuration to the core and starts the watch of the endpoint list.
+    fn start_discovery(&mut self) -> Result<Arc<Board>, StartError> {
+        let known = std::mem::take(&mut self.config.known); // may be long, and is not needed again
+        let (watch, known) = Watch::new(&known);
+        for News { full, members } in known {
+            self.core
+                .endpoint_update(TransportProtocol::Frames, full, members);
+        }
+        let board = Arc::new(Board::new(self.config.board));
+        let watched = board.clone();
+        let seed = self.config.seed;
+        let limits = self.limits.clone();
+        let core = self.core.clone();
+        spawn(self.limits.stack, move || {
+            client::follow(&watched, watch, seed, &limits, &core);
         })
-        .map_err(|e| format!("core thread: {e}"))?;
-    let (watch, known) = discovery::watch::Watch::new(&std::mem::take(&mut config.known)); // it may be long
-    for discovery::watch::News { full, members } in known {
-        core_handle.endpoint_update(TransportProtocol::Frames, full, members);
+        .map_err(StartError::Discovery)?;
+        Ok(board)
     }
-    let board = Arc::new(discovery::client::Board::new(config.board));
-    let (own, within, core) = (board.clone(), limits.clone(), core_handle.clone());
-    net::spawn(limits.stack, move || {
-        discovery::client::follow(&own, watch, seed, &within, &core)
-    })
-    .map_err(|e| format!("board: {e}"))?;
-    if config.admin.is_some() {
-        // Before any client comes: a process that replaces another keeps its exclusions from the first call.
-        let set = front::admin::read_excluded(&front::admin::handover());
-        let _ = core_handle.send(Message::Exclusions(set));
+
+    /// Takes over what another process of this front end left in `$TMPDIR`, where there is an admin endpoint. Done
+    /// before clients are accepted, so that exclusions hold from the first request on.
+    fn take_over_from_predecessor(&self) -> Option<Named> {
+        self.config.admin?;
+        let excluded = admin::read_excluded(&admin::handover());
+        let _ = self.core.send(Message::Exclusions(excluded)); // the core ends only with the process
+        let succession = Named::new(&self.config.name, self.config.seed);
+        if succession.aside() {
+            let _ = self.core.send(Message::Standby(true));
+        }
+        Some(succession)
     }
-    let named = config
-        .admin
-        .map(|_| front::admin::Named::new(&config.name, seed));
-    if named.as_ref().is_some_and(front::admin::Named::aside) {
-        let _ = core_handle.send(Message::Standby(true));
+
+    /// Starts the listeners of the fronts and of the administration API.
+    fn start_listeners(&mut self) -> Result<Vec<Listener>, StartError> {
+        let fastcgi = self.listen(self.config.listen, "fastcgi", front::fastcgi::serve)?;
+        announce(&self.config.name, &fastcgi.socket);
+        let mut listeners = vec![fastcgi];
+        if let Some(kserve) = self.config.kserve.take() {
+            self.start_kserve(kserve, &mut listeners)?;
+        }
+        Ok(listeners)
     }
-    let main = listen(config.listen, &doors, "fastcgi", front::fastcgi::serve)?;
-    announce(&config.name, &main.socket);
-    let mut listeners = vec![main];
-    if let Some(kserve) = config.kserve {
+
+    fn start_kserve(
+        &self,
+        kserve: Kserve,
+        listeners: &mut Vec<Listener>,
+    ) -> Result<(), StartError> {
         if let Some(endpoints) = &kserve.endpoints {
-            let members =
-                discovery::client::endpoints(endpoints).map_err(|e| format!("endpoints: {e}"))?;
-            core_handle.endpoint_update(TransportProtocol::Kserve, true, members);
+            let endpoints = client::endpoints(endpoints)
+                .map_err(|error| StartError::Endpoints(error.into()))?;
+            self.core
+                .endpoint_update(TransportProtocol::Kserve, true, endpoints);
         }
-        let front = listen(kserve.listen, &doors, "kserve", front::kserve::serve)?;
-        announce("KServe v2", &front.socket);
-        listeners.push(front);
-        if let Some(admin) = kserve.admin {
-            let front = listen(admin, &doors, "admin", front::kserve::serve_admin)?;
-            announce("administration", &front.socket);
-            listeners.push(front);
+        let clients = self.listen(kserve.listen, "kserve", front::kserve::serve)?;
+        announce("KServe v2", &clients.socket);
+        listeners.push(clients);
+        if let Some(address) = kserve.admin {
+            let administration = self.listen(address, "admin", front::kserve::serve_admin)?;
+            announce("administration", &administration.socket);
+            listeners.push(administration);
         }
+        Ok(())
+    }
+
+    fn listen(
+        &self,
+        address: SocketAddr,
+        front: &'static str,
+        serve: front::Serve,
+    ) -> Result<Listener, StartError> {
+        let failed = |source| StartError::Listener { address, source };
+        let socket = Arc::new(TcpListener::bind(address).map_err(failed)?);
+        let listener = socket.clone();
+        let doors = self.doors.clone();
+        doors.accepting.fetch_add(1, Ordering::AcqRel);
+        let accept = move || front::accept(&listener, &doors, front, serve);
+        spawn(ACCEPT_STACK, accept).map_err(failed)?;
+        Ok(Listener {
+            socket,
+            front,
+            serve,
+        })
     }
-    if let (Some(admin), Some(named)) = (config.admin, named) {
-        let listener = TcpListener::bind(admin).map_err(|e| format!("admin {admin}: {e}"))?;
-        let (listener, inside) = (Arc::new(listener), doors.clone());
+
+    /// Starts the admin endpoint and the watch of the exclusions that other processes of this front end write.
+    fn start_admin_endpoint(&self, succession: Option<Named>) -> Result<(), StartError> {
+        let (Some(address), Some(succession)) = (self.config.admin, succession) else {
+            return Ok(());
+        };
+        let failed = |source| StartError::AdminEndpoint { address, source };
+        let listener = TcpListener::bind(address).map_err(failed)?;
         announce("the operators' door", &listener);
-        let door = listener.clone();
-        net::spawn(limits.stack, move || front::admin::accept(&door, &inside))
-            .map_err(|e| format!("admin {admin}: {e}"))?;
-        let inside = doors.clone();
-        net::spawn(limits.stack, move || front::admin::follow(&inside, named))
-            .map_err(|e| format!("exclusions: {e}"))?;
+        let doors = self.doors.clone();
+        let accept = move || admin::accept(&listener, &doors);
+        spawn(self.limits.stack, accept).map_err(failed)?;
+        let doors = self.doors.clone();
+        let follow = move || admin::follow(&doors, succession);
+        spawn(self.limits.stack, follow).map_err(StartError::Exclusions)
     }
-    shutdown::wait(signals, config.settings_digest, &listeners, &doors, &board);
-    if config.fleet.is_some() {
-        gossip::leave(&shared);
+
+    /// Serves until a signal ends the process, then closes in order. The fleet is notified last.
+    fn wait(&self, signals: Signals, listeners: &[Listener], board: &Board) {
+        let settings_digest = self.config.settings_digest;
+        shutdown::wait(signals, settings_digest, listeners, &self.doors, board);
+        if self.config.fleet.is_some() {
+            gossip::leave(&self.process_state);
+        }
+    }
+}
+
+/// Runs the core. After a panic its records would be half changed, so the process ends with it.
+fn run_or_abort(core: Core) {
+    if std::panic::catch_unwind(AssertUnwindSafe(|| core.run())).is_err() {
+        std::process::abort();
     }
-    Ok(())
 }
 
 fn announce(name: &str, listener: &TcpListener) {
     let address = listener
         .local_addr()
-        .map_or("?".to_owned(), |a| a.to_string());
+        .map_or("?".to_owned(), |address| address.to_string());
     eprintln!("start: {name} listens on {address}");
 }
-
-fn listen(
-    address: SocketAddr,
-    doors: &Doors,
-    front: &'static str,
-    serve: front::Serve,
-) -> Result<front::Listener, String> {
-    let listener = TcpListener::bind(address).map_err(|e| format!("{address}: {e}"))?;
-    let (socket, doors) = (Arc::new(listener), doors.clone());
-    let inside = socket.clone();
-    doors.accepting.fetch_add(1, Ordering::AcqRel);
-    let accept = move || front::accept(&inside, &doors, front, serve);
-    net::spawn(64 * 1024, accept).map_err(|e| format!("{address}: {e}"))?;
-    Ok(front::Listener {
-        socket,
-        front,
-        serve,
-    })
-}
