--- a/wrenseam/src/clock.rs
+++ b/wrenseam/src/clock.rs
@@ -1,37 +1,41 @@
-//! The module's clock: Unix microseconds at the start, then monotonic time.
+//! The clock of policy and gossip: the Unix time at its start, advanced by the monotonic clock.
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use wrenseam_policy::Micros;
 
-/// A clock that shares the epoch of the list's start times and never goes back.
+/// A clock that never goes back. Its epoch is Unix time, as workers' start times are given in Unix time; later steps of
+/// the wall clock do not show.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    unix: Micros,
+    /// Unix time at the start.
+    started_at: Micros,
+    /// The same moment on the monotonic clock.
     start: Instant,
 }
 
 impl Clock {
-    /// Starts now.
+    /// A clock that starts at the current Unix time.
     pub fn start() -> Self {
-        let unix = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
-            .map_or(0, |d| d.as_micros() as Micros);
+            .unwrap_or_default();
         Clock {
-            unix,
+            started_at: since_epoch.as_micros() as Micros,
             start: Instant::now(),
         }
     }
 
-    /// An instant on this clock.
+    /// The time of an instant. Instants before the start count as the start.
     pub fn at(&self, instant: Instant) -> Micros {
-        self.unix + instant.saturating_duration_since(self.start).as_micros() as Micros
+        let elapsed = instant.saturating_duration_since(self.start);
+        self.started_at + elapsed.as_micros() as Micros
     }
 
-    /// The instant of a time on this clock.
+    /// The instant of a time. Times before the start count as the start.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.start + Duration::from_micros(at.saturating_sub(self.unix))
+        self.start + Duration::from_micros(at.saturating_sub(self.started_at))
     }
 
-    /// Now.
+    /// The time now.
     pub fn now(&self) -> Micros {
         self.at(Instant::now())
     }
--- a/wrenseam/src/core/attempts.rs
+++ b/wrenseam/src/core/attempts.rs
@@ -1,14 +1,14 @@
 //! Attempts: how they are sent, cancelled and ended.
 use super::timers::TimerEvent;
 use super::Core;
-use crate::model::{Answer, AttemptKey, AttemptReport};
+use crate::model::{Answer, AttemptKey, AttemptReport, Request};
 use crate::worker::{GiveUp, Terms};
 use std::sync::atomic::Ordering;
 use std::time::Instant;
 use wrenseam_policy::{Event, Micros, Outcome};
 
 impl Core {
-    /// Sends an attempt. One that cannot be handed to a transport ends at once, and provably never ran.
+    /// Sends an attempt. One that is not handed to a transport ends at once, and provably never ran.
     ///
     /// `timeout` 0 lets it take all of the request's time. `write_by` is when it must have been written whole, if it
     /// repeats one that may have run.
@@ -24,11 +24,7 @@
         let Some(request) = self.requests.request(id).cloned() else {
             return;
         };
-        let time_left = self.time_left(now, &request);
-        let budget = match timeout {
-            0 => time_left,
-            timeout => timeout.min(time_left),
-        };
+        let budget = self.attempt_budget(now, &request, timeout);
         let admitted = self.admit_attempt(now, id);
         let Some(key) = self.requests.start_attempt(id, worker.clone(), now) else {
             return;
@@ -37,7 +33,7 @@
         let client_gone = request.client_gone.load(Ordering::Acquire);
         let startable = admitted && budget > 0 && !client_gone;
         match self.workers.ready_transport(&worker) {
-            // Never ran; the policy leaves this worker alone for a while.
+            // Reported as the worker's rejection, so that the policy avoids this worker for a while.
             Some(_) if !has_connection => {
                 self.end_attempt(key, AttemptReport::without_payload(Outcome::Rejected));
             }
@@ -56,6 +52,15 @@
         }
     }
 
+    /// How long an attempt may take: its timeout, where it has one, and never longer than its client waits.
+    fn attempt_budget(&self, now: Micros, request: &Request, timeout: Micros) -> Micros {
+        let time_left = self.time_left(now, request);
+        match timeout {
+            0 => time_left,
+            timeout => timeout.min(time_left),
+        }
+    }
+
     /// Whether the fleet's retry budget allows the request's next attempt.
     fn admit_attempt(&mut self, now: Micros, id: u64) -> bool {
         let extra = self.requests.was_attempted(id);
--- a/wrenseam/src/model/admin.rs
+++ b/wrenseam/src/model/admin.rs
@@ -1,18 +1,18 @@
-//! Commands of operators.
+//! Commands of the admin endpoint.
 
-/// What an operator asks at the door.
+/// A command that an operator sends to the admin endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// Whether this process takes clients.
+    /// Whether this process accepts clients.
     Readyz,
-    /// The figures, one a line, then `END`.
+    /// Counters and gauges, one a line, then `END`.
     Telemetry,
-    /// Leave the worker of this id out until it is included again.
+    /// Send the worker of this id nothing new until it is included again.
     Exclude(String),
-    /// Put the worker of this id back, as a new process.
+    /// Use the worker of this id again, as a process that has just started.
     Include(String),
-    /// Drain: say no to readiness, let client connections close once nothing is owed on them.
+    /// Drain: not ready, and client connections close once no answer is owed on them.
     Evacuate,
-    /// Take clients again after a drain.
+    /// End a drain.
     Activate,
 }
--- a/wrenseam/src/model/attempt.rs
+++ b/wrenseam/src/model/attempt.rs
@@ -1,8 +1,8 @@
-//! Attempts: which one, and how it ended.
+//! Attempts: how they are identified, and how they end.
 use super::request::Payload;
 use wrenseam_policy::Outcome;
 
-/// Which attempt: the core's number of the request, and the attempt's.
+/// Identifies an attempt: the core's number of the request, and the attempt's number within it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptKey {
     /// The core's number of the request.
@@ -16,16 +16,16 @@
 pub struct AttemptReport {
     /// The outcome.
     pub outcome: Outcome,
-    /// Whether a replica was loaded when the attempt came, where the worker says so.
+    /// Whether a replica was loaded when the attempt arrived, where the worker reports it.
     pub replica_loaded: Option<bool>,
-    /// Requests of the function in the worker's queue, where the worker says so.
+    /// Requests for the same function in the worker's queue, where the worker reports it.
     pub queue_depth: Option<u32>,
-    /// The body, with `Ok`.
+    /// The body of the answer, with `Ok`.
     pub payload: Option<Payload>,
 }
 
 impl AttemptReport {
-    /// An end without an answer.
+    /// The report of an attempt that ended without a body.
     pub fn without_payload(outcome: Outcome) -> Self {
         AttemptReport {
             outcome,
--- a/wrenseam/src/model/endpoint.rs
+++ b/wrenseam/src/model/endpoint.rs
@@ -11,23 +11,23 @@
     Kserve,
 }
 
-/// One member of the list of workers.
+/// One worker in an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its name.
+    /// Its id.
     pub id: String,
     /// Where it listens.
     pub address: SocketAddr,
     /// Its state.
     pub state: WorkerState,
-    /// Unix time of a late start; 0: long ago.
+    /// Unix time of its start, in microseconds; 0: long ago, or not listed.
     pub started_at: Micros,
     /// Its zone's name.
     pub zone: String,
     /// Its machine kind's name.
     pub kind: String,
-    /// Its cell, where told.
+    /// Its cell, where the list names it.
     pub cell: Option<u64>,
-    /// What it speaks.
+    /// The protocol that it speaks.
     pub protocol: TransportProtocol,
 }
--- a/wrenseam/src/model/mod.rs
+++ b/wrenseam/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! The vocabulary shared by fronts, core, transports and discovery. No wire protocol shows here, and nothing here
-//! depends on those parts.
+//! The types shared by fronts, core, transports and discovery. They know no wire protocol and depend on none of those
+//! parts.
 pub mod admin;
 pub mod attempt;
 pub mod endpoint;
--- a/wrenseam/src/model/request.rs
+++ b/wrenseam/src/model/request.rs
@@ -1,11 +1,11 @@
-//! A client's request, the client that it is owed to, and its one final answer.
+//! A client's request, the client that is owed its answer, and that one final answer.
 use crate::limits::Held;
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 use std::time::Instant;
 use wrenseam_policy::{FunctionId, Micros};
 
-/// A body, opaque to the core. Transports carry it as it is, or wrap it for the other protocol.
+/// A body, opaque to the core. A transport of its own protocol carries it unchanged; another one wraps it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Payload {
     /// Bytes of the platform's protocol.
@@ -15,10 +15,10 @@
 }
 
 impl Payload {
-    /// The bytes as they stand.
+    /// The bytes, unwrapped.
     pub fn bytes(&self) -> &[u8] {
         match self {
-            Payload::Bytes(b) | Payload::Json(b) => b,
+            Payload::Bytes(bytes) | Payload::Json(bytes) => bytes,
         }
     }
 }
@@ -26,11 +26,11 @@
 /// A client's request, read whole.
 #[derive(Debug)]
 pub struct Request {
-    /// The id that the client gave and workers see.
+    /// The id that the client gave; workers see it too.
     pub wire_id: u64,
-    /// Name of its class.
+    /// The name of its class.
     pub class: String,
-    /// Name of its tenant.
+    /// The name of its tenant.
     pub tenant: String,
     /// The function it calls.
     pub function: FunctionId,
@@ -38,7 +38,7 @@
     pub timeout: Micros,
     /// When its last byte was read.
     pub received_at: Instant,
-    /// The idempotency key, in keyed classes.
+    /// The idempotency key, which classes with keys need.
     pub idempotency_key: Option<String>,
     /// Whether the client marks it as a retry.
     pub is_retry: bool,
@@ -54,22 +54,22 @@
     pub reserved_bytes: Option<Held>,
     /// Set by the front once its client has gone: an attempt that has not begun by then is not sent.
     pub client_gone: Arc<AtomicBool>,
-    /// Its client's connection, where whoever begins an attempt may look whether it still stands.
+    /// Its client's connection, for a last look at its state before an attempt is written.
     pub client_probe: Option<Arc<dyn ClientProbe>>,
 }
 
-/// What shows of a client on its connection, though its reader may not have run yet.
+/// The state of a client connection, as the socket shows it though its reader may not have run yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientState {
-    /// It is connected, and all that it sent has been read.
+    /// Connected, and everything that the client sent has been read.
     Connected,
-    /// Something that it sent is unread: it may be a cancellation.
+    /// Connected, with unread input: it may be a cancellation.
     UnreadInput,
-    /// It has closed its connection.
+    /// The client has closed the connection.
     Disconnected,
 }
 
-/// A client's connection as others may look at it.
+/// A client connection whose state can be looked at.
 pub trait ClientProbe: Send + Sync + std::fmt::Debug {
     /// The state of the connection now; never blocks.
     fn state(&self) -> ClientState;
@@ -80,12 +80,12 @@
 pub enum Answer {
     /// A worker's body.
     Served(Payload),
-    /// Refused: trying again is harmless, after this wait.
+    /// Rejected: a retry is harmless.
     Rejected {
-        /// How long to wait before a retry.
+        /// The advised wait before a retry; 0: none.
         retry_after: Micros,
     },
-    /// Failed: nothing is promised.
+    /// Failed: it may or may not have run.
     Failed,
 }
 
@@ -102,9 +102,9 @@
 
 /// Where an answer goes: a client connection of some front.
 pub trait Client: Send + Sync {
-    /// Hands over the final answer to the request that was given in under this tag.
+    /// Hands over the final answer to the request that was sent under this tag.
     fn answer(&self, tag: u64, answer: Answer);
-    /// Which connection this is, unique in the program.
+    /// The number of the connection, unique in the process.
     fn connection(&self) -> u64;
 }
 
--- a/wrenseam/src/process_state.rs
+++ b/wrenseam/src/process_state.rs
@@ -1,43 +1,46 @@
-//! What the parts of this process know of each other without asking: a few flags and counts.
+//! State of the process that its parts share without messages: flags, counts and the load summary.
 use crate::fleet::{Lifecycle, Summary};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// What other parts may read of the core without asking it.
+/// The shared state.
 #[derive(Default)]
 pub struct ProcessState {
-    /// Requests taken and not answered.
+    /// Requests that the core accepted and still has a record of.
     pub open: AtomicUsize,
-    /// Whether the core runs and has been told the list of workers.
+    /// Whether the core runs and has an endpoint list.
     pub ready: AtomicBool,
-    /// Whether the front end drains: readiness says no, client connections close once idle.
+    /// Whether the front end drains: it reports itself as not ready, and client connections close once idle.
     pub draining: Arc<AtomicBool>,
-    /// Whether the process is about to end: new requests on kept connections are refused at once.
+    /// Whether the process is about to end: new requests on open connections are rejected at once.
     pub stopping: AtomicBool,
-    /// Client connections held.
+    /// Open client connections.
     pub clients: Arc<AtomicUsize>,
     /// A digest of the configuration in force.
     pub config_digest: AtomicU64,
-    /// Whether the process is about to end and the fleet is to be told.
+    /// Whether the process is about to end and gossip is to notify the fleet.
     pub leaving: AtomicBool,
-    /// Whether the fleet has been told.
+    /// Whether the fleet has been notified.
     pub left: AtomicBool,
     /// This front end's load summary for the fleet, as the core last wrote it.
     pub summary: Mutex<Summary>,
 }
 
 impl ProcessState {
-    /// What this front end is doing, for the fleet.
+    /// The lifecycle that this front end gossips of itself.
     pub fn lifecycle(&self) -> Lifecycle {
-        match () {
-            () if self.leaving.load(Ordering::Acquire) => Lifecycle::Leaving,
-            () if self.draining.load(Ordering::Acquire) => Lifecycle::Draining,
-            () if self.ready.load(Ordering::Acquire) => Lifecycle::Ready,
-            () => Lifecycle::Starting,
+        if self.leaving.load(Ordering::Acquire) {
+            Lifecycle::Leaving
+        } else if self.draining.load(Ordering::Acquire) {
+            Lifecycle::Draining
+        } else if self.ready.load(Ordering::Acquire) {
+            Lifecycle::Ready
+        } else {
+            Lifecycle::Starting
         }
     }
 
-    /// Whether the front end takes clients: the list is told and it does not drain. What `/healthz` says.
+    /// Whether the front end accepts clients: it has an endpoint list and does not drain. What `/healthz` reports.
     pub fn taking(&self) -> bool {
         self.ready.load(Ordering::Acquire) && !self.draining.load(Ordering::Acquire)
     }
--- a/wrenseam/src/queue.rs
+++ b/wrenseam/src/queue.rs
@@ -1,4 +1,4 @@
-//! The core's queue: what other parts tell the core, and the handle through which they do.
+//! The core's queue: the messages that the other parts of the process send, and the handle through which they do.
 use crate::fleet::FleetNews;
 use crate::model::{
     AdminCommand, AttemptKey, AttemptReport, Client, Endpoint, Request, RequestEnd,
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use wrenseam_policy::Outcome;
 
-/// What reaches the core.
+/// A message to the core.
 pub enum Message {
     /// A request, the client that it is owed to and the client's tag for it.
     Request {
@@ -17,7 +17,7 @@
         request: Request,
         /// Where its answer goes.
         client: Arc<dyn Client>,
-        /// What the client calls it by.
+        /// The client's tag for it: unique among its open requests on this connection.
         tag: u64,
     },
     /// The client cancelled this request; no answer is owed.
@@ -32,7 +32,7 @@
         /// Which connection.
         connection: u64,
     },
-    /// A front answered a request at once, without the core.
+    /// A front answered a request itself, without the core.
     EndedAtFront {
         /// Name of the request's class.
         class: String,
@@ -46,13 +46,13 @@
         /// How it ended.
         report: AttemptReport,
     },
-    /// An order to load ended.
+    /// A load order ended.
     LoadOrderEnded {
         /// The order's number.
         order: u64,
         /// How it ended.
         outcome: Outcome,
-        /// Replicas that stand loaded.
+        /// Replicas that the worker holds.
         replicas: u32,
     },
     /// A change of the endpoint list of one source.
@@ -64,23 +64,23 @@
         /// The endpoints.
         endpoints: Vec<Endpoint>,
     },
-    /// A report of tenants, endpoints and counts is wanted, as JSON.
+    /// The JSON of `/v1/state` is wanted: tenants, endpoints and counts.
     Inspect {
         /// Where it goes.
         reply: may::sync::mpsc::Sender<String>,
     },
-    /// An operator's command.
+    /// A command of the admin endpoint.
     Admin {
         /// The command.
         command: AdminCommand,
-        /// Where its one line of answer goes.
+        /// Where its reply goes.
         reply: may::sync::mpsc::Sender<String>,
     },
-    /// The complete set of excluded ids, as the processes of this front end keep it.
+    /// The complete set of excluded ids, as the processes of this front end share it in a file.
     Exclusions(BTreeSet<String>),
-    /// Whether another process of this front end sends to workers in slow start in its place.
+    /// Whether this process is on standby: another process of this front end sends to workers in slow start in its place.
     Standby(bool),
-    /// The fleet's state as gossip has it now.
+    /// The current state of the fleet, from gossip.
     Fleet(FleetNews),
 }
 
@@ -89,8 +89,8 @@
 #[error("the core has ended")]
 pub struct CoreEnded;
 
-/// The sending half of the core's queue. Messages are dropped without an error once the core has ended, as it ends
-/// only with the process, except where a caller waits for a reply.
+/// The sending half of the core's queue. The core ends only with the process, so all methods but [`CoreHandle::send`]
+/// drop their message without an error once it has ended.
 #[derive(Clone)]
 pub struct CoreHandle(Sender<Message>);
 
@@ -104,12 +104,12 @@
     ///
     /// # Errors
     ///
-    /// [`CoreEnded`] if nobody reads the queue any more.
+    /// [`CoreEnded`] if the core has ended.
     pub fn send(&self, message: Message) -> Result<(), CoreEnded> {
         self.0.send(message).map_err(|_| CoreEnded)
     }
 
-    /// Hands over a request.
+    /// A client sent a request.
     pub fn request(&self, request: Request, client: Arc<dyn Client>, tag: u64) {
         self.post(Message::Request {
             request,
@@ -138,7 +138,7 @@
         self.post(Message::AttemptEnded { key, report });
     }
 
-    /// An order to load ended.
+    /// A load order ended.
     pub fn load_order_ended(&self, order: u64, outcome: Outcome, replicas: u32) {
         self.post(Message::LoadOrderEnded {
             order,
@@ -162,6 +162,6 @@
     }
 
     fn post(&self, message: Message) {
-        let _ = self.0.send(message); // the core only ends with the process
+        let _ = self.0.send(message); // fails only once the core has ended, with the process
     }
 }
