--- a/wrenseam/src/core/fleet_admission.rs
+++ b/wrenseam/src/core/fleet_admission.rs
@@ -23,7 +23,7 @@
     shed_retry_after: Micros,
     /// Open requests at which this front end counts as full.
     capacity: u32,
-    news: FleetNews,
+    status: FleetNews,
     totals: Totals,
 }
 
@@ -51,17 +51,17 @@
             rng: SmallRng::seed_from_u64(seed ^ SHEDDING_SEED_MASK),
             shed_retry_after: fleet.shed_wait_ms * 1000,
             capacity: fleet.capacity.max(1),
-            news: FleetNews::default(),
+            status: FleetNews::default(),
             totals: Totals::default(),
         }
     }
 
     /// Takes over the fleet's state from gossip.
-    pub fn update(&mut self, now: Micros, news: FleetNews) {
-        self.news = news;
-        self.fleet_size.departed(news.departed);
-        self.fleet_size.seen(now, news.ready());
-        self.shedder.pressure(now, news.pressure);
+    pub fn update(&mut self, now: Micros, status: FleetNews) {
+        self.status = status;
+        self.fleet_size.departed(status.departed);
+        self.fleet_size.seen(now, status.ready());
+        self.shedder.pressure(now, status.pressure);
     }
 
     /// This front end's load summary with this many requests open.
@@ -116,9 +116,9 @@
 
     fn write_limits(&self, text: &mut String) {
         let refusing_permille = (self.shedder.refusing() * 1000.0) as u64;
-        let _ = writeln!(text, "app.fleet.peers:{}|g", self.news.alive);
+        let _ = writeln!(text, "app.fleet.peers:{}|g", self.status.alive);
         let _ = writeln!(text, "app.fleet.size:{}|g", self.fleet_size.estimate());
-        let _ = writeln!(text, "app.fleet.pressure:{}|g", self.news.pressure);
+        let _ = writeln!(text, "app.fleet.pressure:{}|g", self.status.pressure);
         let _ = writeln!(text, "app.fleet.refusing_permille:{refusing_permille}|g");
         let extra = self.totals.extra_attempts;
         let _ = writeln!(text, "app.fleet.extra_attempts:{extra}|c");
@@ -128,36 +128,36 @@
     }
 
     fn write_view(&self, text: &mut String) {
-        let news = &self.news;
-        let (edges_heard, edges) = news.edges;
+        let status = &self.status;
+        let (edges_heard, edges) = status.edges;
         let _ = writeln!(text, "app.fleet.edges:{edges}|g");
         let _ = writeln!(text, "app.fleet.edges_heard:{edges_heard}|g");
-        let _ = writeln!(text, "app.fleet.mixed:{}|g", u8::from(news.mixed));
+        let _ = writeln!(text, "app.fleet.mixed:{}|g", u8::from(status.mixed));
         for lifecycle in Lifecycle::ALL {
             let name = lifecycle.name();
-            let count = news.by_lifecycle[lifecycle as usize];
+            let count = status.by_lifecycle[lifecycle as usize];
             let _ = writeln!(text, "app.fleet.peers_{name}:{count}|g");
         }
-        let stood_ms = news.digest_stood / 1000;
-        let _ = writeln!(text, "app.fleet.view_digest:{}|g", news.digest);
+        let stood_ms = status.digest_stood / 1000;
+        let _ = writeln!(text, "app.fleet.view_digest:{}|g", status.digest);
         let _ = writeln!(text, "app.fleet.view_stood_ms:{stood_ms}|g");
-        let _ = writeln!(text, "app.fleet.doubt_factor:{}|g", news.doubt_factor);
+        let _ = writeln!(text, "app.fleet.doubt_factor:{}|g", status.doubt_factor);
     }
 
     fn write_traffic(&self, text: &mut String) {
         for kind in TrafficKind::ALL {
             let name = kind.name();
-            let sent = self.news.bytes_sent[kind as usize];
-            let held_back = self.news.bytes_held_back[kind as usize];
+            let sent = self.status.bytes_sent[kind as usize];
+            let held_back = self.status.bytes_held_back[kind as usize];
             let _ = writeln!(text, "app.fleet.bytes_{name}:{sent}|c");
             let _ = writeln!(text, "app.fleet.held_back_{name}:{held_back}|c");
         }
     }
 
     fn write_dropped(&self, text: &mut String) {
-        let records = &self.news.records;
-        let datagrams = &self.news.dropped;
-        let averages = &self.news.average_dropped;
+        let records = &self.status.records;
+        let datagrams = &self.status.dropped;
+        let averages = &self.status.average_dropped;
         let garbled = datagrams.garbled + averages.garbled + records.garbled;
         let _ = writeln!(text, "app.fleet.repairs:{}|c", records.repairs);
         let _ = writeln!(text, "app.fleet.records_taken:{}|c", records.taken);
--- a/wrenseam/src/core/messages.rs
+++ b/wrenseam/src/core/messages.rs
@@ -39,7 +39,7 @@
             }
             Message::Exclusions(excluded) => self.replace_exclusions(excluded),
             Message::Standby(standby) => self.controller.set_standby(standby),
-            Message::Fleet(news) => self.update_fleet(news),
+            Message::Fleet(status) => self.update_fleet(status),
         }
         self.process_events();
     }
@@ -50,12 +50,12 @@
     }
 
     /// Takes over the fleet's state and publishes this front end's load summary for gossip to send.
-    fn update_fleet(&mut self, news: FleetNews) {
+    fn update_fleet(&mut self, status: FleetNews) {
         let now = self.clock.now();
         let Some(fleet_admission) = self.fleet_admission.as_mut() else {
             return;
         };
-        fleet_admission.update(now, news);
+        fleet_admission.update(now, status);
         let summary = fleet_admission.summary(now, self.requests.len());
         *self
             .process_state
