--- /dev/null
+++ b/wrenseam/tests/worker_table.rs
@@ -0,0 +1,230 @@
+//! The core's table of workers: which transport gets what as endpoints change, and which connections are closed.
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+use wrenseam::core::tables::WorkerTable;
+use wrenseam::discovery::membership::Duty;
+use wrenseam::model::{AttemptKey, Endpoint, Request, TransportProtocol};
+use wrenseam::worker::pool::Pool;
+use wrenseam::worker::{GiveUp, Terms, Transport};
+use wrenseam_policy::{FunctionId, WorkerState};
+
+const KEY: AttemptKey = AttemptKey {
+    request: 1,
+    attempt: 0,
+};
+
+/// The calls that transports got, each as "TRANSPORT CALL".
+#[derive(Clone, Default)]
+struct Calls(Arc<Mutex<Vec<String>>>);
+
+impl Calls {
+    fn add(&self, transport: &str, call: &str) {
+        let mut calls = self.0.lock().expect("sound");
+        calls.push(format!("{transport} {call}"));
+    }
+
+    fn take(&self) -> Vec<String> {
+        std::mem::take(&mut *self.0.lock().expect("sound"))
+    }
+}
+
+/// A transport that notes its calls and has fixed answers.
+struct FakeTransport {
+    name: &'static str,
+    calls: Calls,
+    cancel_result: GiveUp,
+    connections: usize,
+    idle_since: Option<Instant>,
+}
+
+impl FakeTransport {
+    /// A transport without connections, which knows no attempt.
+    fn new(name: &'static str, calls: &Calls) -> Self {
+        FakeTransport {
+            name,
+            calls: calls.clone(),
+            cancel_result: GiveUp::Unknown,
+            connections: 0,
+            idle_since: None,
+        }
+    }
+
+    fn note(&self, call: &str) {
+        self.calls.add(self.name, call);
+    }
+}
+
+impl Transport for FakeTransport {
+    fn send(&mut self, _key: AttemptKey, _request: &Arc<Request>, _terms: Terms) {
+        self.note("send");
+    }
+
+    fn cancel(&mut self, _key: AttemptKey) -> GiveUp {
+        self.cancel_result
+    }
+
+    fn lapse(&mut self, order: u64) {
+        self.note(&format!("abandons order {order}"));
+    }
+
+    fn is_idle(&self) -> bool {
+        self.connections == 0
+    }
+
+    fn order(&mut self, _order: u64, _function: FunctionId, _copies: u32) {
+        self.note("order");
+    }
+
+    fn unload(&mut self, _function: FunctionId) {
+        self.note("unload");
+    }
+
+    fn retire(&mut self) {
+        self.note("drains");
+    }
+
+    fn pulse(&mut self) {
+        self.note("liveness");
+    }
+
+    fn sweep(&mut self) {
+        self.note("sweep");
+    }
+
+    fn connections(&self) -> (usize, bool) {
+        (self.connections, true)
+    }
+
+    fn idle_since(&self) -> Option<Instant> {
+        self.idle_since
+    }
+
+    fn close_idle(&mut self) {
+        self.note("closes the connection idle longest");
+        self.connections -= 1;
+        self.idle_since = None;
+    }
+}
+
+fn endpoint(id: &str, state: WorkerState) -> Endpoint {
+    Endpoint {
+        id: id.to_owned(),
+        address: "127.0.0.1:8443".parse().expect("an address"),
+        state,
+        started_at: 0,
+        zone: String::new(),
+        kind: String::new(),
+        cell: None,
+        protocol: TransportProtocol::Frames,
+    }
+}
+
+/// Adds a worker, or moves it to another address, with this transport.
+fn connect(table: &mut WorkerTable, id: &str, transport: FakeTransport) {
+    let endpoint = endpoint(id, WorkerState::Ready);
+    table.update(endpoint, Duty::Reach, || Box::new(transport));
+}
+
+/// Changes a worker that keeps its address.
+fn change(table: &mut WorkerTable, id: &str, state: WorkerState, duty: Duty) {
+    table.update(endpoint(id, state), duty, || panic!("the transport stays"));
+}
+
+#[test]
+fn a_new_address_gets_a_transport_and_the_former_one_drains() {
+    let calls = Calls::default();
+    let mut table = WorkerTable::default();
+    connect(&mut table, "w1", FakeTransport::new("first", &calls));
+    assert!(calls.take().is_empty());
+    connect(&mut table, "w1", FakeTransport::new("second", &calls));
+    assert_eq!(calls.take(), ["first drains"]);
+    table.unload("w1", 7);
+    assert_eq!(calls.take(), ["second unload"]);
+}
+
+#[test]
+fn a_restarted_process_drains_what_it_had_and_a_kept_one_does_not() {
+    let calls = Calls::default();
+    let mut table = WorkerTable::default();
+    connect(&mut table, "w1", FakeTransport::new("first", &calls));
+    change(&mut table, "w1", WorkerState::Ready, Duty::Keep);
+    assert!(calls.take().is_empty());
+    change(&mut table, "w1", WorkerState::Draining, Duty::Retire);
+    assert_eq!(calls.take(), ["first drains"]);
+}
+
+#[test]
+fn attempts_are_cancelled_at_former_addresses_too() {
+    let calls = Calls::default();
+    let mut table = WorkerTable::default();
+    let first = FakeTransport {
+        cancel_result: GiveUp::Pending,
+        ..FakeTransport::new("first", &calls)
+    };
+    connect(&mut table, "w1", first);
+    connect(&mut table, "w1", FakeTransport::new("second", &calls));
+    assert_eq!(table.cancel("w1", KEY), GiveUp::Pending);
+    assert_eq!(table.cancel("w2", KEY), GiveUp::Unknown, "no such worker");
+}
+
+#[test]
+fn load_orders_are_abandoned_at_former_addresses_too() {
+    let calls = Calls::default();
+    let mut table = WorkerTable::default();
+    connect(&mut table, "w1", FakeTransport::new("first", &calls));
+    connect(&mut table, "w1", FakeTransport::new("second", &calls));
+    calls.take();
+    table.abandon_load_order("w1", 4);
+    let expected = ["second abandons order 4", "first abandons order 4"];
+    assert_eq!(calls.take(), expected);
+}
+
+#[test]
+fn only_a_ready_worker_gets_new_work() {
+    let calls = Calls::default();
+    let mut table = WorkerTable::default();
+    connect(&mut table, "w1", FakeTransport::new("first", &calls));
+    assert!(table.ready_transport("w1").is_some());
+    assert!(table.ready_transport("w2").is_none());
+    change(&mut table, "w1", WorkerState::Draining, Duty::Retire);
+    assert!(table.ready_transport("w1").is_none());
+    assert!(table.transport("w1").is_some(), "it may still be asked");
+}
+
+#[test]
+fn a_worker_that_is_gone_is_removed_once_its_connections_have_closed() {
+    let calls = Calls::default();
+    let mut table = WorkerTable::default();
+    let busy = FakeTransport {
+        connections: 1,
+        ..FakeTransport::new("busy", &calls)
+    };
+    connect(&mut table, "w1", busy);
+    connect(&mut table, "w2", FakeTransport::new("idle", &calls));
+    connect(&mut table, "w3", FakeTransport::new("ready", &calls));
+    change(&mut table, "w1", WorkerState::Gone, Duty::Retire);
+    change(&mut table, "w2", WorkerState::Gone, Duty::Retire);
+    assert_eq!(table.remove_gone(), ["w2"]);
+    let left: Vec<&str> = table.endpoints().map(|e| e.id.as_str()).collect();
+    assert_eq!(left, ["w1", "w3"]);
+}
+
+#[test]
+fn connections_idle_longest_are_closed_to_make_room() {
+    let calls = Calls::default();
+    let mut table = WorkerTable::default();
+    let now = Instant::now();
+    for (id, name, idle_for) in [("w1", "late", 1), ("w2", "early", 9)] {
+        let transport = FakeTransport {
+            connections: 1,
+            idle_since: now.checked_sub(Duration::from_millis(idle_for)),
+            ..FakeTransport::new(name, &calls)
+        };
+        connect(&mut table, id, transport);
+    }
+    let pool = Pool::new(64, 64); // no descriptor beside the least of four connections
+    assert!(table.trim(2, pool, 0) && calls.take().is_empty());
+    assert!(table.trim(3, pool, 0));
+    assert_eq!(calls.take(), ["early closes the connection idle longest"]);
+    assert!(!table.trim(5, pool, 0), "four may stand at the most");
+}
