--- a/wrenseam/src/core/actions.rs
+++ b/wrenseam/src/core/actions.rs
@@ -1,4 +1,4 @@
-//! The policy is given its events here, and its actions are carried out.
+//! Passes events to the policy and carries out its actions.
 use super::log_lines::LogLine;
 use super::timers::TimerEvent;
 use super::Core;
@@ -6,7 +6,7 @@
 use wrenseam_policy::{Action, Micros};
 
 impl Core {
-    /// Gives the policy its events and carries out its actions in order, until no event is left.
+    /// Passes the queued events to the policy and carries out its actions in order, until no event is left.
     pub(super) fn process_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
--- a/wrenseam/src/core/admin.rs
+++ b/wrenseam/src/core/admin.rs
@@ -7,7 +7,7 @@
 use wrenseam_policy::WorkerState;
 
 impl Core {
-    /// Carries out a command; the text of its reply.
+    /// Carries out a command and returns the text of its reply.
     pub(super) fn handle_admin(&mut self, command: AdminCommand) -> String {
         match command {
             AdminCommand::Readyz => self.readiness().to_owned(),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Drains: readiness says no, and client connections close as soon as nothing is owed on them.
+    /// Starts a drain: the front end is not ready, and client connections close once they are idle.
     fn evacuate(&mut self) -> &'static str {
         if !self.process_state.draining.swap(true, Ordering::AcqRel) {
             eprintln!("{}", LogLine::Draining);
--- a/wrenseam/src/core/attempts.rs
+++ b/wrenseam/src/core/attempts.rs
@@ -10,8 +10,8 @@
 impl Core {
     /// Sends an attempt. One that is not handed to a transport ends at once, and provably never ran.
     ///
-    /// `timeout` 0 lets it take all of the request's time. `write_by` is when it must have been written whole, if it
-    /// repeats one that may have run.
+    /// With `timeout` 0 it may use all of the request's time. `write_by` is the time by which it must be completely
+    /// written, if it repeats an attempt that may have run.
     pub(super) fn send_attempt(
         &mut self,
         id: u64,
@@ -90,7 +90,7 @@
         self.remove_if_finished(key.request);
     }
 
-    /// Ends an attempt without an answer. The policy reacts after the action that is being carried out.
+    /// Ends an attempt without an answer, as part of an action. The policy handles the end after the current actions.
     fn finish_attempt(&mut self, key: AttemptKey, outcome: Outcome) {
         self.end_attempt(key, AttemptReport::without_payload(outcome));
         self.remove_if_finished(key.request);
--- a/wrenseam/src/core/counters.rs
+++ b/wrenseam/src/core/counters.rs
@@ -61,7 +61,7 @@
         self.attempts_sent += 1;
     }
 
-    /// Takes back the count of an attempt that turned out not to have been written whole.
+    /// Reverts the count of an attempt that was not completely written after all.
     pub fn record_attempt_not_sent(&mut self) {
         self.attempts_sent = self.attempts_sent.saturating_sub(1);
     }
--- a/wrenseam/src/core/endpoints.rs
+++ b/wrenseam/src/core/endpoints.rs
@@ -10,7 +10,7 @@
 use wrenseam_policy::Event;
 
 impl Core {
-    /// Takes over an update of one source's endpoint list. From the first one on the front end is ready.
+    /// Applies an update of one source's endpoint list. The front end is ready from the first update on.
     pub(super) fn update_endpoints(
         &mut self,
         source: TransportProtocol,
--- a/wrenseam/src/core/fleet_admission.rs
+++ b/wrenseam/src/core/fleet_admission.rs
@@ -36,7 +36,7 @@
 }
 
 impl FleetAdmission {
-    /// Limits from the fleet's file. Classes to shed that the settings do not name are left out.
+    /// Admission control as the fleet's file configures it. Classes to shed that the settings do not name are ignored.
     pub fn new(fleet: &Fleet, settings: &Settings, seed: u64) -> FleetAdmission {
         let window = fleet.window_ms * 1000;
         let shed_order: Vec<usize> = fleet
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes over the fleet's state from gossip.
+    /// Updates the fleet's status from gossip.
     pub fn update(&mut self, now: Micros, status: FleetNews) {
         self.status = status;
         self.fleet_size.departed(status.departed);
--- a/wrenseam/src/core/load_orders.rs
+++ b/wrenseam/src/core/load_orders.rs
@@ -1,4 +1,4 @@
-//! Load orders: how workers are told to load replicas, and how such orders end.
+//! Load orders: how workers are ordered to load replicas, and how such orders end.
 use super::tables::LoadOrder;
 use super::timers::TimerEvent;
 use super::Core;
@@ -16,7 +16,7 @@
             0 => self.workers.transport(&worker),
             _ => self.workers.ready_transport(&worker),
         };
-        // An order that cannot be given ends through the queue, like one that the worker answers.
+        // An order that cannot be sent ends through the queue, like one that the worker answers.
         match transport {
             Some(transport) if has_connection => transport.order(number, function, replicas),
             Some(_) => self.reports.load_order_ended(number, Outcome::Rejected, 0),
@@ -44,7 +44,7 @@
         self.end_load_order(number, Outcome::Timeout, 0);
     }
 
-    /// Tells the policy how an order ended; a second end is ignored.
+    /// Ends an order and queues that for the policy; a second end is ignored.
     pub(super) fn end_load_order(&mut self, number: u64, outcome: Outcome, replicas: u32) {
         let Some(order) = self.load_orders.remove(number) else {
             return;
--- a/wrenseam/src/core/messages.rs
+++ b/wrenseam/src/core/messages.rs
@@ -6,7 +6,7 @@
 use std::sync::PoisonError;
 
 impl Core {
-    /// Handles one message, and carries out what the policy decides because of it.
+    /// Handles one message and the actions that the policy decides on because of it.
     pub(super) fn handle_message(&mut self, message: Message) {
         match message {
             Message::Request {
@@ -49,7 +49,7 @@
         self.apply_changes(changes);
     }
 
-    /// Takes over the fleet's state and publishes this front end's load summary for gossip to send.
+    /// Updates the fleet's status and publishes this front end's load summary for gossip to send.
     fn update_fleet(&mut self, status: FleetNews) {
         let now = self.clock.now();
         let Some(fleet_admission) = self.fleet_admission.as_mut() else {
--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -3,7 +3,7 @@
 //! Fronts, transports and discovery reach it only through its queue. A message or a timer becomes an event of the
 //! policy, and the actions that the policy decides on are carried out; nothing here blocks on a socket, and no wire
 //! protocol is known here. [`Core::run`] is the event loop, `messages` and `timer_events` dispatch what comes in, and
-//! `actions` carries out what goes out.
+//! `actions` carries out what the policy decides.
 mod actions;
 mod admin;
 mod attempts;
@@ -39,7 +39,7 @@
 /// How often connections are checked for their idle timeout.
 const IDLE_SWEEP_PERIOD: Micros = 1_000_000;
 
-/// Timers that fire later than this are reported: an answer's margin is about as long.
+/// Timers that fire later than this are logged: with a short timeout, an answer may then be too late for its client.
 const REPORTED_DELAY: Micros = 20_000;
 
 /// Messages handled after the first before timers are looked at.
@@ -55,7 +55,7 @@
     /// The core's own queue, for transports to report to.
     reports: CoreHandle,
     process_state: Arc<ProcessState>,
-    /// The last number given to a request or a load order. Client-given ids are not unique over time.
+    /// The last number of a request or a load order. The ids that clients send are not unique over time.
     last_number: u64,
     last_liveness_check: Micros,
     requests: RequestTable,
@@ -63,7 +63,7 @@
     workers: WorkerTable,
     membership: Membership,
     timers: Timers,
-    /// Events that the policy has not been given yet.
+    /// Events that the policy has not handled yet.
     events: VecDeque<Event>,
     request_counters: RequestCounters,
     tenant_counters: TenantCounters,
@@ -158,8 +158,8 @@
         }
     }
 
-    /// Logs that timers are late, to tell a starved machine from a fault of the program: answers owed in that time may
-    /// have come late.
+    /// Logs that timers are late. It distinguishes a machine without free processor time from a fault of the program when
+    /// answers came late.
     fn report_overdue_timers(&self) {
         let overdue = self.timers.overdue(self.clock.now());
         if overdue > REPORTED_DELAY {
--- a/wrenseam/src/core/requests.rs
+++ b/wrenseam/src/core/requests.rs
@@ -17,13 +17,15 @@
             let wire_id = request.wire_id;
             note!("{}", LogLine::InvalidRequest { wire_id, reason });
             self.request_counters.record_end(class, RequestEnd::Failed);
-            return client.answer(tag, Answer::Failed);
+            client.answer(tag, Answer::Failed);
+            return;
         }
         self.tenant_counters.record_received(tenant);
         if let Some(retry_after) = self.shed(class) {
             self.request_counters
                 .record_end(class, RequestEnd::Rejected);
-            return client.answer(tag, Answer::Rejected { retry_after });
+            client.answer(tag, Answer::Rejected { retry_after });
+            return;
         }
         self.accept(OpenRequest {
             request: Arc::new(request),
@@ -50,16 +52,17 @@
         if class.idempotency == Idempotency::Keyed && request.idempotency_key.is_none() {
             return Err(InvalidRequest::MissingIdempotencyKey);
         }
-        // Workers tell requests apart by this id: it would stand for two bodies.
+        // Workers identify requests by this id: two open requests must not share it.
         if self.requests.has_wire_id(request.wire_id) {
             return Err(InvalidRequest::DuplicateId);
         }
         Ok(())
     }
 
+    /// Whether the fleet sheds a request of this class now; if so, the Retry-After to answer.
     fn shed(&mut self, class: usize) -> Option<Micros> {
-        let now = self.clock.now();
-        self.fleet_admission.as_mut()?.shed(now, class)
+        let fleet_admission = self.fleet_admission.as_mut()?;
+        fleet_admission.shed(self.clock.now(), class)
     }
 
     fn accept(&mut self, accepted: OpenRequest) {
@@ -80,15 +83,15 @@
         });
         self.requests.insert(id, accepted);
         self.process_state.open.fetch_add(1, Ordering::AcqRel);
-        // The policy ends each request in time; this timer keeps the promise to the client should it not.
+        // The policy ends each request in time; this timer guarantees the answer should it not.
         self.timers.set(
             now.saturating_add(time_left),
             TimerEvent::RequestDeadline(id),
         );
     }
 
-    /// What is left of the client's timeout, less the margin for the answer's way. The margin keeps answers from
-    /// missing their client if the machine stands still for some tens of milliseconds.
+    /// What is left of the client's timeout, less a margin for delivering the answer, which still reaches its client if
+    /// the machine is paused for some tens of milliseconds.
     pub(super) fn time_left(&self, now: Micros, request: &Request) -> Micros {
         let elapsed = now.saturating_sub(self.clock.at(request.received_at));
         let margin = self.limits.margin(request.timeout);
@@ -98,19 +101,19 @@
     /// The client cancelled one request.
     pub(super) fn cancel_request(&mut self, connection: u64, tag: u64) {
         if let Some(id) = self.requests.find(connection, tag) {
-            self.withdraw(id);
+            self.end_cancelled(id);
         }
     }
 
     /// A client's connection ended: all its requests are cancelled.
     pub(super) fn cancel_requests_of(&mut self, connection: u64) {
         for id in self.requests.of_connection(connection) {
-            self.withdraw(id);
+            self.end_cancelled(id);
         }
     }
 
-    /// Ends a request that is owed nothing any more; the policy cancels its attempts.
-    fn withdraw(&mut self, id: u64) {
+    /// Ends a request without an answer; the policy cancels its attempts.
+    fn end_cancelled(&mut self, id: u64) {
         if self.requests.close(id).is_some() {
             self.events.push_back(Event::RequestCancelled { id });
             self.process_events();
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Gives the final answer, unless it was given already.
+    /// Sends the final answer, unless the request is answered or cancelled.
     pub(super) fn answer(&mut self, id: u64, answer: Answer) {
         let Some(closed) = self.requests.close(id) else {
             return;
@@ -129,7 +132,7 @@
         closed.client.answer(closed.tag, answer);
     }
 
-    /// Gives the final answer and removes the request's record if no attempt is open.
+    /// Sends the final answer and removes the request's record if no attempt is open.
     pub(super) fn finish_request(&mut self, id: u64, answer: Answer) {
         self.answer(id, answer);
         self.remove_if_finished(id);
--- a/wrenseam/src/core/tables/attempts.rs
+++ b/wrenseam/src/core/tables/attempts.rs
@@ -16,7 +16,7 @@
         &self.worker
     }
 
-    /// When the core carried out the policy's decision to send it.
+    /// When the core started it.
     pub fn started_at(&self) -> Micros {
         self.started_at
     }
--- a/wrenseam/src/core/tables/load_orders.rs
+++ b/wrenseam/src/core/tables/load_orders.rs
@@ -1,4 +1,4 @@
-//! The orders to load replicas that are out at workers.
+//! The load orders that workers have not answered yet.
 use std::collections::HashMap;
 use wrenseam_policy::{FunctionId, Micros, WorkerId};
 
@@ -9,11 +9,11 @@
     pub worker: WorkerId,
     /// The function to load.
     pub function: FunctionId,
-    /// When the order was given.
+    /// When the worker was ordered.
     pub ordered_at: Micros,
 }
 
-/// Orders without an outcome yet, by the core's number. Each is taken out once: by its answer or by its timeout.
+/// Unanswered load orders, by the core's number. Each is removed once: by its answer or by its timeout.
 #[derive(Debug, Default)]
 pub struct LoadOrders(HashMap<u64, LoadOrder>);
 
@@ -23,12 +23,12 @@
         self.0.insert(number, order);
     }
 
-    /// The order of this number, while it has no outcome.
+    /// The order of this number, while it is unanswered.
     pub fn get(&self, number: u64) -> Option<&LoadOrder> {
         self.0.get(&number)
     }
 
-    /// Takes the order out; `None` if it already had its outcome.
+    /// Removes the order; `None` if it has been answered or has timed out.
     pub fn remove(&mut self, number: u64) -> Option<LoadOrder> {
         self.0.remove(&number)
     }
--- a/wrenseam/src/core/tables/requests.rs
+++ b/wrenseam/src/core/tables/requests.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use wrenseam_policy::Micros;
 
-/// A request from its arrival until its answer is given and all its attempts have ended.
+/// An accepted request, with its class and tenant looked up.
 pub struct OpenRequest {
     /// The request.
     pub request: Arc<Request>,
@@ -20,7 +20,7 @@
     pub tenant: Option<usize>,
 }
 
-/// What remains to be done for a request whose right to an answer was just used up.
+/// Where the answer to a request that was just closed goes, and how it is counted.
 pub struct ClosedRequest {
     /// Where the answer goes.
     pub client: Arc<dyn Client>,
@@ -41,13 +41,13 @@
 /// What identifies a request to its client: the connection's number and the client's tag.
 type ClientKey = (u64, u64);
 
-/// The open requests. A request is in the two indexes exactly while it is owed an answer; its entry stays until its
-/// last attempt has ended.
+/// The open requests. A request is in the two indexes exactly while it is unanswered; its entry stays until it is
+/// answered and its last attempt has ended.
 #[derive(Default)]
 pub struct RequestTable {
     entries: HashMap<u64, Entry>,
     by_client: BTreeMap<ClientKey, u64>,
-    /// The ids that clients gave to requests that are owed an answer, over all connections.
+    /// The ids that clients sent with their unanswered requests, over all connections.
     wire_ids: HashSet<u64>,
 }
 
@@ -65,7 +65,7 @@
         self.entries.insert(id, entry);
     }
 
-    /// Requests in the table, answered ones with open attempts included.
+    /// The number of requests, including answered ones with open attempts.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -75,7 +75,7 @@
         self.entries.is_empty()
     }
 
-    /// Requests that are owed an answer.
+    /// The number of unanswered requests.
     pub fn unanswered(&self) -> usize {
         self.entries
             .values()
@@ -83,17 +83,17 @@
             .count()
     }
 
-    /// Whether a request with this client-given id is owed an answer.
+    /// Whether a request that its client sent with this id is unanswered.
     pub fn has_wire_id(&self, wire_id: u64) -> bool {
         self.wire_ids.contains(&wire_id)
     }
 
-    /// The number of the request that this connection sent under this tag, while it is owed an answer.
+    /// The number of the request that this connection sent under this tag, while it is unanswered.
     pub fn find(&self, connection: u64, tag: u64) -> Option<u64> {
         self.by_client.get(&(connection, tag)).copied()
     }
 
-    /// The numbers of all requests that this connection is owed an answer to.
+    /// The numbers of all unanswered requests of this connection.
     pub fn of_connection(&self, connection: u64) -> Vec<u64> {
         self.by_client
             .range((connection, 0)..=(connection, u64::MAX))
@@ -106,13 +106,13 @@
         self.entries.get(&id).map(|entry| &entry.open.request)
     }
 
-    /// Whether nothing is owed for this number any more; also true for numbers that are not in the table.
+    /// Whether the request is answered or cancelled; also true for numbers that are not in the table.
     pub fn is_answered(&self, id: u64) -> bool {
         self.entries.get(&id).is_none_or(|entry| entry.answered)
     }
 
-    /// Uses up the request's right to an answer: whoever gets `Some` gives the only answer, or withholds it. Attempts
-    /// that have not begun to be written are not written any more.
+    /// Closes an unanswered request: `Some` exactly once, so that at most one answer is sent. Attempts of which nothing
+    /// has been written are not written any more.
     pub fn close(&mut self, id: u64) -> Option<ClosedRequest> {
         let entry = self.entries.get_mut(&id).filter(|entry| !entry.answered)?;
         entry.answered = true;
--- a/wrenseam/src/core/timer_events.rs
+++ b/wrenseam/src/core/timer_events.rs
@@ -34,7 +34,7 @@
 
     /// Checks the connections to workers, and frees descriptors for clients.
     ///
-    /// The check is left out if this thread itself was delayed: what workers sent meanwhile has not been read yet, and
+    /// The check is skipped if this thread itself was delayed: what workers sent meanwhile has not been read yet, and
     /// responsive connections would be closed.
     fn check_liveness(&mut self) {
         let now = self.clock.now();
--- a/wrenseam/src/core/timers.rs
+++ b/wrenseam/src/core/timers.rs
@@ -51,7 +51,7 @@
         }));
     }
 
-    /// Takes the next timer that is due.
+    /// Removes and returns the next timer if it is due.
     pub fn pop_due(&mut self, now: Micros) -> Option<TimerEvent> {
         if self.next_at()? > now {
             return None;
--- a/wrenseam/src/server.rs
+++ b/wrenseam/src/server.rs
@@ -42,7 +42,7 @@
     let mut server = Server::new(config, core_handle);
     server.start_core(inbox)?;
     let board = server.start_discovery()?;
-    let succession = server.take_over_from_predecessor();
+    let succession = server.read_predecessor_state();
     let listeners = server.start_listeners()?;
     server.start_admin_endpoint(succession)?;
     server.wait(signals, &listeners, &board);
@@ -149,8 +149,8 @@
 
     /// Hands the endpoints of the start configuration to the core and starts the watch of the endpoint list.
     fn start_discovery(&mut self) -> Result<Arc<Board>, StartError> {
-        let known = std::mem::take(&mut self.config.known); // may be long, and is not needed again
-        let (watch, known) = Watch::new(&known);
+        // The known events may be long: they are dropped as soon as they are read.
+        let (watch, known) = Watch::new(&std::mem::take(&mut self.config.known));
         for News { full, members } in known {
             self.core
                 .endpoint_update(TransportProtocol::Frames, full, members);
@@ -167,9 +167,9 @@
         Ok(board)
     }
 
-    /// Takes over what another process of this front end left in `$TMPDIR`, where there is an admin endpoint. Done
+    /// Reads what another process of this front end left in `$TMPDIR`, where there is an admin endpoint. Done
     /// before clients are accepted, so that exclusions hold from the first request on.
-    fn take_over_from_predecessor(&self) -> Option<Named> {
+    fn read_predecessor_state(&self) -> Option<Named> {
         self.config.admin?;
         let excluded = admin::read_excluded(&admin::handover());
         let _ = self.core.send(Message::Exclusions(excluded)); // the core ends only with the process
