--- /dev/null
+++ b/wrenseam/src/core/tables/load_orders.rs
@@ -0,0 +1,35 @@
+//! The load orders that workers have not answered yet.
+use std::collections::HashMap;
+use wrenseam_policy::{FunctionId, Micros, WorkerId};
+
+/// One order to a worker to hold replicas of a function.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LoadOrder {
+    /// The worker that was ordered.
+    pub worker: WorkerId,
+    /// The function to load.
+    pub function: FunctionId,
+    /// When the worker was ordered.
+    pub ordered_at: Micros,
+}
+
+/// Unanswered load orders, by the core's number. Each is removed once: by its answer or by its timeout.
+#[derive(Debug, Default)]
+pub struct LoadOrders(HashMap<u64, LoadOrder>);
+
+impl LoadOrders {
+    /// Adds an order under its number.
+    pub fn insert(&mut self, number: u64, order: LoadOrder) {
+        self.0.insert(number, order);
+    }
+
+    /// The order of this number, while it is unanswered.
+    pub fn get(&self, number: u64) -> Option<&LoadOrder> {
+        self.0.get(&number)
+    }
+
+    /// Removes the order; `None` if it has been answered or has timed out.
+    pub fn remove(&mut self, number: u64) -> Option<LoadOrder> {
+        self.0.remove(&number)
+    }
+}
--- a/wrenseam/tests/golden_admin.rs
+++ b/wrenseam/tests/golden_admin.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use std::io::{Read, Write};
 use wrenseam::config;
-use wrenseam::core::{Gate, Gauges, Tally};
+use wrenseam::core::{FleetAdmission, Gauges, RequestCounters};
 use wrenseam::fleet::average::AverageDropped;
 use wrenseam::fleet::members::RecordCounts;
 use wrenseam::fleet::swim::Dropped;
@@ -35,8 +35,8 @@
     format!("{before}[{{{}}}]{after}", endpoints.join("},{"))
 }
 
-fn tally() -> Tally {
-    let mut tally = Tally::new(2);
+fn counters() -> RequestCounters {
+    let mut counters = RequestCounters::new(2);
     let ends = [
         RequestEnd::Completed,
         RequestEnd::Completed,
@@ -45,10 +45,10 @@
         RequestEnd::Rejected,
         RequestEnd::Failed,
     ];
-    ends.into_iter().for_each(|end| tally.ended(1, end));
-    (0..5).for_each(|_| tally.sent());
-    tally.unsent();
-    tally
+    ends.into_iter().for_each(|end| counters.record_end(1, end));
+    (0..5).for_each(|_| counters.record_attempt_sent());
+    counters.record_attempt_not_sent();
+    counters
 }
 
 #[test]
@@ -60,7 +60,7 @@
     };
     let names = ["tile-render", "tile-order"].map(str::to_owned);
     pinned(
-        &tally().text(&names, gauges),
+        &counters().telemetry(&names, gauges, None),
         "app.downstream_requests.tile-render.completed:0|c\n\
          app.downstream_requests.tile-render.rejected:0|c\n\
          app.downstream_requests.tile-render.failed:0|c\n\
@@ -132,12 +132,15 @@
 
 #[test]
 fn fleet_figures_keep_their_lines() {
-    let mut gate = Gate::new(&fleet_file(), &Settings::default(), 1);
-    gate.news(1_000_000, fleet_news());
-    gate.attempt(1_000_000, false);
-    assert!(!gate.attempt(1_000_000, true), "the budget allows no retry");
+    let mut admission = FleetAdmission::new(&fleet_file(), &Settings::default(), 1);
+    admission.update(1_000_000, fleet_news());
+    admission.admit_attempt(1_000_000, false);
+    assert!(
+        !admission.admit_attempt(1_000_000, true),
+        "the budget allows no retry"
+    );
     let mut text = String::new();
-    gate.text(&mut text);
+    admission.write_telemetry(&mut text);
     pinned(
         &text,
         "app.fleet.peers:10|g\n\
