--- a/wrenseam/src/discovery/etcd.rs
+++ b/wrenseam/src/discovery/etcd.rs
@@ -1,6 +1,6 @@
 //! The worker list from an etcd v3 registry, read by its JSON gateway: range and watch bodies in, member news
 //! out. No I/O and no clock: time is handed in. See docs/registry.md.
-use crate::discovery::client::instance;
+use crate::discovery::event::instance;
 use crate::model::Endpoint;
 use base64::{engine::general_purpose::STANDARD, Engine};
 use miniserde::json::{Object, Value};
--- a/wrenseam/src/discovery/watch.rs
+++ b/wrenseam/src/discovery/watch.rs
@@ -2,7 +2,7 @@
 //!
 //! Events bear numbers, and an event that came late must not undo what came after it. While an event is owed (it
 //! came spoilt), the last news of each instance named since is kept, so that what is got again is put in its place.
-use crate::discovery::client::{instances, Told};
+use crate::discovery::event::{instances, Told};
 use crate::model::Endpoint;
 use miniserde::json::{Object, Value};
 use std::collections::BTreeMap;
--- a/wrenseam/src/lib.rs
+++ b/wrenseam/src/lib.rs
@@ -103,7 +103,7 @@
     for discovery::watch::News { full, members } in known {
         core_handle.endpoint_update(TransportProtocol::Frames, full, members);
     }
-    let board = Arc::new(discovery::client::Board::new(config.board));
+    let board = Arc::new(discovery::address::Board::new(config.board));
     let (own, within, core) = (board.clone(), limits.clone(), core_handle.clone());
     net::spawn(limits.stack, move || {
         discovery::client::follow(&own, watch, seed, &within, &core)
@@ -126,7 +126,7 @@
     if let Some(kserve) = config.kserve {
         if let Some(endpoints) = &kserve.endpoints {
             let members =
-                discovery::client::endpoints(endpoints).map_err(|e| format!("endpoints: {e}"))?;
+                discovery::xds::endpoints(endpoints).map_err(|e| format!("endpoints: {e}"))?;
             core_handle.endpoint_update(TransportProtocol::Kserve, true, members);
         }
         let front = listen(kserve.listen, &doors, "kserve", front::kserve::serve)?;
--- a/wrenseam/src/shutdown.rs
+++ b/wrenseam/src/shutdown.rs
@@ -1,7 +1,7 @@
 //! Signals. SIGHUP has the configuration read again; SIGTERM lets the program go on for a while, then it ends
 //! once nothing is open.
 use crate::config::Config;
-use crate::discovery::client::Board;
+use crate::discovery::address::Board;
 use crate::front::{Doors, Listener};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
--- a/wrenseam/tests/codecs.rs
+++ b/wrenseam/tests/codecs.rs
@@ -1,6 +1,8 @@
 //! Readers of the wires, fed by hand.
 use rstest::rstest;
-use wrenseam::discovery::client::{endpoints, instances, Events, Said};
+use wrenseam::discovery::event::instances;
+use wrenseam::discovery::event_stream::{Events, Said};
+use wrenseam::discovery::xds::endpoints;
 use wrenseam::http::{Chunked, Coded, Head};
 use wrenseam::model::TransportProtocol;
 use wrenseam::ring::Ring;
