--- a/scalelab/src/links.rs
+++ b/scalelab/src/links.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use wrenseam::limits::KEPT;
+use wrenseam::limits::RESERVED_DESCRIPTORS;
 use wrenseam::worker::pool::Pool;
 
 /// The experiments of this file.
@@ -69,7 +69,7 @@
 
 /// Connections that the pool lets stand beside the test's clients.
 pub fn most(sockets: usize) -> f64 {
-    Pool::new(sockets, KEPT).most(CLIENTS as usize) as f64
+    Pool::new(sockets, RESERVED_DESCRIPTORS).most(CLIENTS as usize) as f64
 }
 
 /// The functions' parts of all calls, by rank.
--- a/wrenseam/src/core/peers.rs
+++ b/wrenseam/src/core/peers.rs
@@ -1,6 +1,7 @@
 //! Members and the connections to them: what a change of the list does to both, and how many connections may stand.
 use super::Core;
 use crate::discovery::membership::{Change, Duty};
+use crate::limits::RESERVED_DESCRIPTORS;
 use crate::model::{AttemptKey, Endpoint, TransportProtocol};
 use crate::worker::{pool, transport, GiveUp, Transport};
 use std::sync::atomic::Ordering;
@@ -59,7 +60,8 @@
         let clients = self.shared.clients.load(Ordering::Acquire);
         let each = self.peers.values_mut().flat_map(Peer::each);
         let open: usize = each.map(|t| t.connections().0).sum();
-        let over = self.limits.pool.over(open, more, clients);
+        let pool = pool::Pool::new(self.limits.descriptors, RESERVED_DESCRIPTORS);
+        let over = pool.over(open, more, clients);
         if over == 0 {
             return true;
         }
--- a/wrenseam/src/discovery/address.rs
+++ b/wrenseam/src/discovery/address.rs
@@ -11,7 +11,7 @@
         Board(Mutex::new(address))
     }
 
-    /// The board is elsewhere from now on; whoever follows it notices within `Limits::board_check`.
+    /// The board is elsewhere from now on; whoever follows it notices within `DiscoveryLimits::address_check_interval`.
     pub fn moved(&self, to: SocketAddr) {
         if let Ok(mut address) = self.0.lock() {
             *address = Some(to);
--- a/wrenseam/src/discovery/backoff.rs
+++ b/wrenseam/src/discovery/backoff.rs
@@ -1,6 +1,6 @@
 //! When a source of workers is called again. Guards it from a hundred front ends that all lost it in one instant and
 //! would all be back in the next. Decides times only; whoever calls does the waiting.
-use crate::limits::Limits;
+use crate::limits::DiscoveryLimits;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::time::Duration;
@@ -17,19 +17,19 @@
 
 impl Redial {
     /// Waits within these limits; `seed` sets this front end apart from others.
-    pub fn new(seed: u64, limits: &Limits) -> Self {
+    pub fn new(seed: u64, limits: &DiscoveryLimits) -> Self {
         let chance = Pcg32::seed_from_u64(seed);
         let (spread, first, most) = (
-            limits.board_spread,
-            limits.board_retry,
-            limits.board_retry_most,
+            limits.reconnect_spread,
+            limits.retry_initial,
+            limits.retry_max,
         );
         Redial {
             chance,
             spread,
             first,
             most,
-            told: limits.board_told,
+            told: (limits.event_timeout_min, limits.event_timeout_max),
             failures: 0,
         }
     }
--- a/wrenseam/src/discovery/client.rs
+++ b/wrenseam/src/discovery/client.rs
@@ -4,7 +4,7 @@
 use crate::discovery::event_stream::{Events, Said};
 use crate::discovery::watch::{News, Watch};
 use crate::http::{Chunked, Coded, Head};
-use crate::limits::Limits;
+use crate::limits::DiscoveryLimits;
 use crate::model::TransportProtocol;
 use crate::net::timed_out;
 use crate::queue::CoreHandle;
@@ -16,7 +16,13 @@
 
 /// Follows the board for ever: whenever the connection ends, the board moves or has told nothing for long, it is
 /// called again, telling the last event seen.
-pub fn follow(board: &Board, mut watch: Watch, seed: u64, limits: &Limits, core: &CoreHandle) {
+pub fn follow(
+    board: &Board,
+    mut watch: Watch,
+    seed: u64,
+    limits: &DiscoveryLimits,
+    core: &CoreHandle,
+) {
     let mut redial = Redial::new(seed, limits);
     loop {
         let (at, before) = (board.address(), watch.last());
@@ -70,7 +76,7 @@
     address: SocketAddr,
     watch: &mut Watch,
     within: Duration,
-    limits: &Limits,
+    limits: &DiscoveryLimits,
     core: &CoreHandle,
 ) -> End {
     let Err(end) = call(board, address, watch, within, limits, core);
@@ -82,13 +88,13 @@
     address: SocketAddr,
     watch: &mut Watch,
     within: Duration,
-    limits: &Limits,
+    limits: &DiscoveryLimits,
     core: &CoreHandle,
 ) -> Result<std::convert::Infallible, End> {
     let told = |e: std::io::Error| e.to_string();
-    let mut stream = TcpStream::connect_timeout(&address, limits.connect).map_err(told)?;
+    let mut stream = TcpStream::connect_timeout(&address, limits.connect_timeout).map_err(told)?;
     stream
-        .set_read_timeout(Some(limits.board_check))
+        .set_read_timeout(Some(limits.address_check_interval))
         .map_err(told)?;
     let last = watch.ask();
     let call = format!(
@@ -97,14 +103,14 @@
     stream.write_all(call.as_bytes()).map_err(told)?;
     let mut news = Instant::now();
     let mut heard = Instant::now();
-    let (mut ring, mut head) = (Ring::new(limits.client_ring), Vec::new());
+    let (mut ring, mut head) = (Ring::new(limits.read_buffer), Vec::new());
     let mut chunked: Option<Option<Chunked>> = None; // known once the head has been read
     let (mut events, mut line) = (Events::default(), Vec::new());
     loop {
         match ring.fill(&mut stream) {
             Ok(0) => return Err("closed".to_owned().into()),
             Ok(_) => heard = Instant::now(),
-            Err(e) if timed_out(&e) && heard.elapsed() < limits.board_silence => {}
+            Err(e) if timed_out(&e) && heard.elapsed() < limits.silence_timeout => {}
             Err(e) if timed_out(&e) => return Err("silent".to_owned().into()),
             Err(e) => return Err(e.to_string().into()),
         }
@@ -124,7 +130,7 @@
                             return Err(format!("status {}", answer.status).into());
                         }
                         chunked = Some(answer.chunked.then(Chunked::default));
-                    } else if head.len() > limits.head {
+                    } else if head.len() > limits.response_head {
                         return Err("the answer's head is too long".to_owned().into());
                     }
                 }
@@ -148,7 +154,7 @@
                     if let Some(News { full, members }) = told {
                         core.endpoint_update(TransportProtocol::Frames, full, members);
                     }
-                    if events.size() > limits.board_event {
+                    if events.size() > limits.event_bytes {
                         return Err("an event is too long".to_owned().into());
                     }
                 }
--- a/wrenseam/src/front/fastcgi.rs
+++ b/wrenseam/src/front/fastcgi.rs
@@ -1,6 +1,7 @@
 //! The platform's front: FastCGI 1.0, Responder role, many requests on one connection.
 use super::{function, token_fits, Doors, Figures, EVICTED};
-use crate::limits::{Held, Limits};
+use crate::limits::Limits;
+use crate::memory_budget::MemoryReservation;
 use crate::model::{Answer, Client, Payload, Request, RequestEnd};
 use crate::net::{receive, Occupant, Outbox, Reads, Received, Seat};
 use crate::ring::Ring;
@@ -159,7 +160,7 @@
     body: Vec<u8>,
     /// Its share of the bytes held over all requests, taken as they come: requests that are never finished
     /// take memory too.
-    held: Option<Held>,
+    held: Option<MemoryReservation>,
     /// It has been answered; the rest of it is passed over.
     over: bool,
 }
@@ -436,7 +437,7 @@
         } else if open >= self.doors.limits.requests_per_connection {
             self.end_at_once(id, OVERLOADED, "too many requests on one connection");
         } else {
-            let (keep, held) = (flags & KEEP_CONN != 0, self.doors.budget.take(0));
+            let (keep, held) = (flags & KEEP_CONN != 0, self.doors.budget.reserve(0));
             let (since, over) = (Instant::now(), false);
             let (params, body) = (Vec::new(), Vec::new());
             self.partial.insert(
--- a/wrenseam/src/front/kserve.rs
+++ b/wrenseam/src/front/kserve.rs
@@ -405,7 +405,7 @@
 
     fn infer(&self, tag: u64, name: &str, body: Vec<u8>) -> Reply {
         let read_at = Instant::now();
-        let Some(held) = self.doors.budget.take(body.len()) else {
+        let Some(held) = self.doors.budget.reserve(body.len()) else {
             note!("kserve: request refused: the bytes held over all requests are at their bound");
             return refuse("503 Service Unavailable", "too many bytes are held");
         };
--- a/wrenseam/src/front/mod.rs
+++ b/wrenseam/src/front/mod.rs
@@ -3,7 +3,8 @@
 pub mod fastcgi;
 pub mod kserve;
 
-use crate::limits::{Budget, Limits};
+use crate::limits::Limits;
+use crate::memory_budget::MemoryBudget;
 use crate::net::{pause, spawn, Outbox, Seat, Seats};
 use crate::process_state::ProcessState;
 use crate::queue::CoreHandle;
@@ -27,7 +28,7 @@
     /// All limits.
     pub limits: Arc<Limits>,
     /// Bytes held over all requests.
-    pub budget: Budget,
+    pub budget: MemoryBudget,
     /// Client connections over all fronts.
     pub seats: Seats,
     /// Bytes of answers not yet written.
--- a/wrenseam/src/lib.rs
+++ b/wrenseam/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod gossip;
 pub mod http;
 pub mod limits;
+pub mod memory_budget;
 pub mod model;
 pub mod net;
 pub mod process_state;
@@ -30,8 +31,8 @@
 use crate::queue::{CoreHandle, Message};
 use config::Config;
 use front::Doors;
-use limits::Budget;
 use may::net::TcpListener;
+use memory_budget::MemoryBudget;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{mpsc, Arc};
@@ -58,7 +59,7 @@
     let doors = Doors {
         core: core_handle.clone(),
         limits: limits.clone(),
-        budget: Budget::new(limits.held_bytes),
+        budget: MemoryBudget::new(limits.held_bytes),
         seats: net::Seats::new(
             limits.client_connections,
             shared.draining.clone(),
@@ -106,7 +107,7 @@
     let board = Arc::new(discovery::address::Board::new(config.board));
     let (own, within, core) = (board.clone(), limits.clone(), core_handle.clone());
     net::spawn(limits.stack, move || {
-        discovery::client::follow(&own, watch, seed, &within, &core)
+        discovery::client::follow(&own, watch, seed, &within.discovery, &core)
     })
     .map_err(|e| format!("board: {e}"))?;
     if config.admin.is_some() {
--- a/wrenseam/src/limits.rs
+++ b/wrenseam/src/limits.rs
@@ -1,41 +1,116 @@
-//! All sizes, counts and times of the program, filled once at the start and handed down.
-use crate::worker::pool::Pool;
-use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::Arc;
+//! All sizes, counts and times of the program, worked out once at the start and handed down.
 use std::time::Duration;
 use wrenseam_policy::{Micros, Settings};
 
-/// Descriptors kept back whatever the limit, besides an eighth of it: standard streams, the scheduler's
-/// own, listeners, the board, the operators' door and its callers, the first worker connections. At 192
+/// Descriptors kept back whatever the limit, besides an eighth of it: standard streams, the scheduler's own,
+/// listeners, the discovery service, the admin endpoint and its callers, the first worker connections. At 192
 /// descriptors an eighth alone (24) left the program one over its limit.
-pub const KEPT: usize = 40;
+pub const RESERVED_DESCRIPTORS: usize = 40;
 
-/// Sizes, counts and times.
+const KIB: usize = 1024;
+const MIB: usize = 1024 * KIB;
+
+/// From more front ends than this the workers are shared by so many that keepalive checks cost more than they tell,
+/// and calls of the discovery service are spread.
+const LARGE_FLEET_FRONT_ENDS: u32 = 16;
+
+/// The descriptor limits that can be worked with; a limit outside counts as the nearest.
+const DESCRIPTORS_MIN: u64 = 64;
+const DESCRIPTORS_MAX: u64 = 1 << 20;
+
+/// The memory limits that can be worked with, in MB; a limit outside counts as the nearest.
+const MEMORY_MB_MIN: u64 = 32;
+const MEMORY_MB_MAX: u64 = 1 << 20;
+
+/// Descriptors of a client connection: one a direction.
+const DESCRIPTORS_PER_CLIENT: usize = 2;
+
+/// The part of the descriptors that clients leave to workers, as a divisor.
+const WORKER_DESCRIPTOR_DIVISOR: usize = 8;
+
+/// Descriptors for each connection to one v2 worker, and the fewest such connections.
+const DESCRIPTORS_PER_V2_CONNECTION: usize = 128;
+const V2_CONNECTIONS_MIN: usize = 2;
+
+/// The part of the memory that bodies and unsent answers may take, as a divisor: an attempt's frame is a second
+/// copy, and rings and stacks come on top.
+const HELD_MEMORY_DIVISOR: usize = 4;
+
+/// Most bytes of the head of a request or a response.
+const HEAD_BYTES: usize = 16 * KIB;
+
+/// Size of a ring that reads small messages.
+const SMALL_RING_BYTES: usize = 4 * KIB;
+
+/// Most bytes of answers, both of one from a worker and of those waiting on a client connection.
+const ANSWER_BYTES: usize = MIB;
+
+/// A client that sends nothing of use is owed a close within 3 s.
+const FIRST_REQUEST: Duration = Duration::from_millis(2_000);
+
+/// Usual clients close an idle connection themselves at 4 s.
+const CLIENT_IDLE: Duration = Duration::from_millis(5_000);
+
+/// Used where the settings name no idle time of worker connections, ms.
+const WORKER_IDLE_DEFAULT_MS: u64 = 15_000;
+
+/// Our side closes an idle worker connection earlier than the worker's by this part, as a divisor.
+const WORKER_IDLE_MARGIN_DIVISOR: u32 = 5;
+
+/// Used where the settings name no time for a connect, ms.
+const CONNECT_DEFAULT_MS: u64 = 250;
+
+/// Used where the settings name no number of streams a worker connection.
+const STREAMS_DEFAULT: usize = 100;
+
+/// Used where the settings name no time for a load order.
+const LOAD_ORDER_DEFAULT: Micros = 10_000_000;
+
+/// A keepalive check is answered in a few ms under load too, in a large fleet somewhat later.
+const KEEPALIVE_QUIET: Duration = Duration::from_millis(200);
+const KEEPALIVE_QUIET_LARGE_FLEET: Duration = Duration::from_millis(300);
+
+/// The part of an exchange's age after which a keepalive check is repeated, in hundredths.
+const KEEPALIVE_REPEAT_PERCENT: u32 = 50;
+const KEEPALIVE_REPEAT_PERCENT_LARGE_FLEET: u32 = 90;
+
+/// The process ends this long behind the longest wait of any class, and not before `STOP_MIN`.
+const STOP_MARGIN: Duration = Duration::from_secs(1);
+const STOP_MIN: Duration = Duration::from_secs(10);
+
+/// Sizes, counts and times. Filled once; tests change single fields.
 #[derive(Clone, Debug)]
 pub struct Limits {
+    // Requests, as the fronts check them.
     /// Most bytes of a request's body.
     pub body: usize,
-    /// Most bytes of the parameters or headers of a request.
+    /// Most bytes of the parameters or headers of a request, and of the head of a response.
     pub head: usize,
-    /// Most bytes of a worker's answer.
-    pub answer: usize,
-    /// Open requests on one client connection.
-    pub requests_per_connection: usize,
+    /// A request must have come whole within this from its first byte.
+    pub request_read: Duration,
+    /// Longest wait that a client may name.
+    pub longest_wait: Micros,
+    /// What a v2 client waits that does not say.
+    pub default_wait: Micros,
+    /// Part of a client's wait kept for the way of its answer: the policy never hears of it.
+    pub answer_margin: Micros,
+    /// Most MB that a replica may be said to take.
+    pub memory_mb: f64,
+    /// Most requests that a replica may be said to run at a time.
+    pub lanes: f64,
+
+    // Client connections.
     /// Client connections held at once, over all fronts.
     pub client_connections: usize,
-    /// Bytes of bodies and unsent answers held over all requests.
-    pub held_bytes: usize,
+    /// Open requests on one client connection.
+    pub requests_per_connection: usize,
     /// Bytes of answers that may wait on one client connection.
     pub unsent_per_connection: usize,
     /// Size of a client connection's rings.
     pub client_ring: usize,
-    /// Size of a worker connection's rings.
-    pub worker_ring: usize,
     /// A client connection that has asked for nothing of use closes after this.
     pub first_request: Duration,
-    /// A request must have come whole within this from its first byte.
-    pub request_read: Duration,
-    /// A client connection on which nothing is owed closes after this; usual clients close at 4 s.
+    /// A client connection on which nothing is owed closes after this.
     pub client_idle: Duration,
     /// While the front end drains, a client connection on which nothing is owed closes after this.
     pub drain_idle: Duration,
@@ -43,205 +118,257 @@
     pub client_check: Duration,
     /// After its half-close a client connection is read for so long, should the client not close.
     pub linger: Duration,
-    /// Bytes read of what has been answered as unfit before its connection closes.
+    /// Bytes read of what has been answered as malformed before its connection closes.
     pub discard: usize,
-    /// Longest wait that a client may name.
-    pub longest_wait: Micros,
-    /// Most MB that a copy may be said to take.
-    pub memory_mb: f64,
-    /// Most lanes that a copy may be said to have.
-    pub lanes: f64,
-    /// Stack of a coroutine, in bytes.
-    pub stack: usize,
-    /// Part of a client's wait kept for the way of its answer: the module never hears of it.
-    pub answer_margin: Micros,
-    /// What a v2 client waits that does not say.
-    pub default_wait: Micros,
+
+    // Connections to workers.
+    /// Descriptors of the process, of which clients and workers share what is not reserved.
+    pub descriptors: usize,
     /// Connections to one v2 worker: each carries one exchange at a time.
     pub lanes_per_worker: usize,
-    /// Bound on connections to workers, over all of them.
-    pub pool: Pool,
     /// Attempts that one worker connection carries together.
     pub streams: usize,
+    /// Size of a worker connection's rings.
+    pub worker_ring: usize,
+    /// Most bytes of a worker's answer.
+    pub answer: usize,
     /// A connection to a worker must stand within this.
     pub connect: Duration,
     /// Our idle worker connections close after this, before the worker's side does.
     pub worker_idle: Duration,
     /// A write that moves nothing for this long gives its connection up.
     pub write_stall: Duration,
+    /// How often a stalled write looks for cancels and drains.
+    pub write_check: Duration,
     /// An answer of which nothing more comes for this long has stopped short.
     pub frame_stall: Duration,
-    /// A worker connection with something open that is quiet for this long is asked for a word, ...
+    /// Answers to a call may still come so long after its client left.
+    pub late_answer: Duration,
+    /// A load order unanswered for this long has timed out.
+    pub order: Micros,
+    /// A worker connection with something open that is quiet for this long has a keepalive check sent, ...
     pub link_quiet: Duration,
     /// ... and again after this part of its oldest exchange's age, in hundredths, ...
     pub link_again: u32,
-    /// ... and has ended if none comes within this.
+    /// ... and has ended if no answer comes within this.
     pub link_answer: Duration,
-    /// Answers to a call may still come so long after its client left.
-    pub late_answer: Duration,
     /// How often worker connections are looked at for that.
     pub link_check: Micros,
-    /// How often a stalled write looks for cancels and drains.
-    pub write_check: Duration,
-    /// An order unanswered for this long has timed out.
-    pub order: Micros,
-    /// A notice board silent for this long (it comments each second) is called anew.
-    pub board_silence: Duration,
-    /// A watch that told nothing for so long, drawn between these, is asked anew though it comments: what the board
-    /// has to tell counts as told 7 s on, and a call that fails leaves time for another.
-    pub board_told: (Duration, Duration),
-    /// How often the wait for the board looks whether the board has moved.
-    pub board_check: Duration,
-    /// Wait before the board is called again after a failed call.
-    pub board_retry: Duration,
-    /// After a call that brought something the next one is spread over this: the board's front ends all lost it.
-    pub board_spread: Duration,
-    /// Longest wait before the board is called again after failed calls.
-    pub board_retry_most: Duration,
-    /// Most bytes of one event of the board. The list of all workers is one: 150 bytes each, and what comes of it takes
-    /// some 20 times that in all (`tests/large_list.rs`). So a 64th of the memory limit, which makes a third of it; no
-    /// buffer is larger than twice what has come.
-    pub board_event: usize,
+
+    // The process.
+    /// Bytes of bodies and unsent answers held over all requests.
+    pub held_bytes: usize,
+    /// Stack of a coroutine, in bytes.
+    pub stack: usize,
     /// After SIGTERM the listeners stay open this long.
     pub stop_listening: Duration,
     /// After SIGTERM the program ends at the latest after this: behind the longest wait of any class, so that nothing
-    /// that was taken is left by it. Whatever kills it sooner counts none of that as lost.
+    /// that was admitted is left by it. Whatever kills it sooner counts none of that as lost.
     pub stop_at_last: Duration,
+
+    /// The connection to the discovery service.
+    pub discovery: DiscoveryLimits,
 }
 
 impl Limits {
     /// From the platform's memory and descriptor limits and the settings.
     pub fn new(memory_mb: u64, sockets: u64, settings: &Settings) -> Self {
-        // A client connection takes two descriptors (one a direction). An eighth of all and `KEPT` are kept
-        // for workers, the board, the door and the program's own.
-        let sockets = sockets.clamp(64, 1 << 20) as usize;
-        let memory = memory_mb.clamp(32, 1 << 20) as usize * 1024 * 1024;
-        let span = |told: Micros, else_ms: u64| {
-            Duration::from_micros(if told > 0 { told } else { else_ms * 1000 })
-        };
-        let idle = span(settings.connection_idle_timeout, 15_000);
-        // Where many front ends share the workers, their questions together cost more than they tell.
-        let large = settings.front_ends > 16;
+        let descriptors = sockets.clamp(DESCRIPTORS_MIN, DESCRIPTORS_MAX) as usize;
+        let memory = memory_mb.clamp(MEMORY_MB_MIN, MEMORY_MB_MAX) as usize * MIB;
+        let connect = duration_or(settings.connect_timeout, CONNECT_DEFAULT_MS);
+        let keepalive = KeepaliveTimes::new(settings);
         Limits {
-            body: 16 * 1024,
-            head: 16 * 1024,
-            answer: 1024 * 1024,
-            requests_per_connection: 32,
-            client_connections: (sockets - sockets / 8 - KEPT) / 2,
-            held_bytes: memory / 4, // an attempt's frame is a second copy, and rings and stacks come on top
-            unsent_per_connection: 1024 * 1024,
-            client_ring: 4 * 1024,
-            worker_ring: 64 * 1024,
-            first_request: Duration::from_millis(2_000), // whoever says nothing is owed a close within 3 s
+            body: 16 * KIB,
+            head: HEAD_BYTES,
             request_read: Duration::from_millis(2_000),
-            client_idle: Duration::from_millis(5_000),
-            drain_idle: Duration::ZERO,
-            client_check: Duration::from_millis(250),
-            linger: Duration::from_millis(320),
-            discard: 64 * 1024,
             longest_wait: 600_000_000,
+            default_wait: 4_000_000,
+            answer_margin: 80_000,
             memory_mb: 1e6,
             lanes: 1024.0,
-            stack: 64 * 1024,
-            streams: if settings.streams_per_connection > 0 {
-                settings.streams_per_connection as usize
-            } else {
-                100
-            },
-            answer_margin: 80_000,
-            default_wait: 4_000_000,
-            pool: Pool::new(sockets, KEPT),
-            lanes_per_worker: (sockets / 128).max(2),
-            connect: span(settings.connect_timeout, 250),
-            worker_idle: idle.saturating_sub(idle / 5),
+            client_connections: client_connections(descriptors),
+            requests_per_connection: 32,
+            unsent_per_connection: ANSWER_BYTES,
+            client_ring: SMALL_RING_BYTES,
+            first_request: FIRST_REQUEST,
+            client_idle: CLIENT_IDLE,
+            drain_idle: Duration::ZERO,
+            client_check: Duration::from_millis(250),
+            linger: Duration::from_millis(320),
+            discard: 64 * KIB,
+            descriptors,
+            lanes_per_worker: (descriptors / DESCRIPTORS_PER_V2_CONNECTION).max(V2_CONNECTIONS_MIN),
+            streams: streams(settings),
+            worker_ring: 64 * KIB,
+            answer: ANSWER_BYTES,
+            connect,
+            worker_idle: worker_idle(settings),
             write_stall: Duration::from_secs(5),
+            write_check: Duration::from_millis(50),
             frame_stall: Duration::from_millis(200),
-            link_quiet: Duration::from_millis(if large { 300 } else { 200 }), // answered in a few ms under load too
-            link_again: if large { 90 } else { 50 },
-            link_answer: Duration::from_millis(200),
             late_answer: Duration::from_secs(1),
+            order: load_order(settings),
+            link_quiet: keepalive.quiet,
+            link_again: keepalive.repeat_percent,
+            link_answer: Duration::from_millis(200),
             link_check: 50_000,
-            write_check: Duration::from_millis(50),
-            order: if settings.order_timeout > 0 {
-                settings.order_timeout
-            } else {
-                10_000_000
-            },
-            board_silence: Duration::from_millis(2_500), // what a silent board has to tell counts 4 s on
-            board_told: (Duration::from_millis(3_000), Duration::from_millis(4_500)),
-            board_check: Duration::from_millis(50),
-            board_retry: Duration::from_millis(100),
-            board_spread: Duration::from_millis(if large { 300 } else { 0 }),
-            board_retry_most: Duration::from_millis(if large { 1_000 } else { 100 }),
-            board_event: (memory / 64).max(1024 * 1024),
+            held_bytes: memory / HELD_MEMORY_DIVISOR,
+            stack: 64 * KIB,
             stop_listening: Duration::from_millis(700),
-            stop_at_last: Duration::from_secs(10)
-                .max(Duration::from_micros(settings.longest_wait) + Duration::from_secs(1)),
+            stop_at_last: stop_at_last(settings),
+            discovery: DiscoveryLimits::new(memory, connect, settings),
         }
     }
-}
 
-impl Limits {
-    /// What of a client's wait is kept for the way of its answer: of a short wait no more than a quarter.
+    /// The part of a client's wait that is kept for the way of its answer: of a short wait no more than a quarter.
     pub fn margin(&self, wait: Micros) -> Micros {
         self.answer_margin.min(wait / 4)
     }
 }
 
-/// Counts the bytes held over all requests against one bound.
+/// The discovery service comments each second; one that is silent longer has ended. What a silent one has to report
+/// counts as reported 4 s on.
+const DISCOVERY_SILENCE: Duration = Duration::from_millis(2_500);
+
+/// Bounds of the time without an event after which a new request is made. What the service has to report counts as
+/// reported 7 s on, and a request that fails leaves time for another.
+const DISCOVERY_EVENT_TIMEOUT_MIN: Duration = Duration::from_millis(3_000);
+const DISCOVERY_EVENT_TIMEOUT_MAX: Duration = Duration::from_millis(4_500);
+
+/// How often a waiting read looks whether the address has changed.
+const DISCOVERY_ADDRESS_CHECK: Duration = Duration::from_millis(50);
+
+/// First pause after a failed connection, and the longest one.
+const DISCOVERY_RETRY: Duration = Duration::from_millis(100);
+const DISCOVERY_RETRY_MAX_LARGE_FLEET: Duration = Duration::from_millis(1_000);
+
+/// The front ends of a large fleet lose the service at one moment; their next requests are spread over this.
+const DISCOVERY_SPREAD_LARGE_FLEET: Duration = Duration::from_millis(300);
+
+/// The part of the memory that one event may take, as a divisor, and the least bytes. What comes of an event takes
+/// some 20 times its size (`tests/large_list.rs`), which makes a third of the memory.
+const DISCOVERY_EVENT_MEMORY_DIVISOR: usize = 64;
+const DISCOVERY_EVENT_BYTES_MIN: usize = MIB;
+
+/// Sizes and times of the connection to the discovery service.
 #[derive(Clone, Debug)]
-pub struct Budget {
-    used: Arc<AtomicUsize>,
-    most: usize,
+pub struct DiscoveryLimits {
+    /// The connection must stand within this.
+    pub connect_timeout: Duration,
+    /// A connection on which nothing comes for so long has ended.
+    pub silence_timeout: Duration,
+    /// A request that brings no event for so long, drawn from here to `event_timeout_max`, is made anew though
+    /// comments come.
+    pub event_timeout_min: Duration,
+    /// The longest such time.
+    pub event_timeout_max: Duration,
+    /// How often a waiting read looks whether the service's address has changed.
+    pub address_check_interval: Duration,
+    /// Pause after the first failed request.
+    pub retry_initial: Duration,
+    /// Longest pause after failed requests.
+    pub retry_max: Duration,
+    /// After a request that brought something the next one is made within this, at random.
+    pub reconnect_spread: Duration,
+    /// Size of the ring that the response is read into.
+    pub read_buffer: usize,
+    /// Most bytes of the response's head.
+    pub response_head: usize,
+    /// Most bytes of one event. The list of all workers is one: 150 bytes each. No buffer is larger than twice what
+    /// has come.
+    pub event_bytes: usize,
 }
 
-impl Budget {
-    /// A budget of so many bytes.
-    pub fn new(most: usize) -> Self {
-        Budget {
-            used: Arc::default(),
-            most,
+impl DiscoveryLimits {
+    /// For a process of so many bytes of memory.
+    fn new(memory: usize, connect_timeout: Duration, settings: &Settings) -> Self {
+        let large_fleet = is_large_fleet(settings);
+        DiscoveryLimits {
+            connect_timeout,
+            silence_timeout: DISCOVERY_SILENCE,
+            event_timeout_min: DISCOVERY_EVENT_TIMEOUT_MIN,
+            event_timeout_max: DISCOVERY_EVENT_TIMEOUT_MAX,
+            address_check_interval: DISCOVERY_ADDRESS_CHECK,
+            retry_initial: DISCOVERY_RETRY,
+            retry_max: if large_fleet {
+                DISCOVERY_RETRY_MAX_LARGE_FLEET
+            } else {
+                DISCOVERY_RETRY
+            },
+            reconnect_spread: if large_fleet {
+                DISCOVERY_SPREAD_LARGE_FLEET
+            } else {
+                Duration::ZERO
+            },
+            read_buffer: SMALL_RING_BYTES,
+            response_head: HEAD_BYTES,
+            event_bytes: (memory / DISCOVERY_EVENT_MEMORY_DIVISOR).max(DISCOVERY_EVENT_BYTES_MIN),
         }
     }
+}
+
+/// When a quiet worker connection is checked.
+struct KeepaliveTimes {
+    quiet: Duration,
+    repeat_percent: u32,
+}
 
-    /// Takes bytes from the budget, or nothing if they are not there.
-    pub fn take(&self, bytes: usize) -> Option<Held> {
-        let before = self.used.fetch_add(bytes, Ordering::Relaxed);
-        let held = Held {
-            budget: self.clone(),
-            bytes,
-        };
-        (before + bytes <= self.most).then_some(held)
+impl KeepaliveTimes {
+    fn new(settings: &Settings) -> Self {
+        if is_large_fleet(settings) {
+            return KeepaliveTimes {
+                quiet: KEEPALIVE_QUIET_LARGE_FLEET,
+                repeat_percent: KEEPALIVE_REPEAT_PERCENT_LARGE_FLEET,
+            };
+        }
+        KeepaliveTimes {
+            quiet: KEEPALIVE_QUIET,
+            repeat_percent: KEEPALIVE_REPEAT_PERCENT,
+        }
     }
+}
 
-    /// Bytes taken now.
-    pub fn used(&self) -> usize {
-        self.used.load(Ordering::Relaxed)
+fn is_large_fleet(settings: &Settings) -> bool {
+    settings.front_ends > LARGE_FLEET_FRONT_ENDS
+}
+
+/// What clients may take once the reserved descriptors and the workers' part are kept back.
+fn client_connections(descriptors: usize) -> usize {
+    let workers = descriptors / WORKER_DESCRIPTOR_DIVISOR;
+    (descriptors - workers - RESERVED_DESCRIPTORS) / DESCRIPTORS_PER_CLIENT
+}
+
+fn streams(settings: &Settings) -> usize {
+    if settings.streams_per_connection > 0 {
+        settings.streams_per_connection as usize
+    } else {
+        STREAMS_DEFAULT
     }
 }
 
-/// Bytes taken from a [`Budget`]; they go back when this is dropped.
-#[derive(Debug)]
-pub struct Held {
-    budget: Budget,
-    bytes: usize,
+fn worker_idle(settings: &Settings) -> Duration {
+    let idle = duration_or(settings.connection_idle_timeout, WORKER_IDLE_DEFAULT_MS);
+    idle.saturating_sub(idle / WORKER_IDLE_MARGIN_DIVISOR)
 }
 
-impl Held {
-    /// Takes more bytes; false, and nothing taken, if they are not there.
-    pub fn grow(&mut self, bytes: usize) -> bool {
-        match self.budget.take(bytes) {
-            Some(mut more) => {
-                self.bytes += std::mem::take(&mut more.bytes);
-                true
-            }
-            None => false,
-        }
+fn load_order(settings: &Settings) -> Micros {
+    if settings.order_timeout > 0 {
+        settings.order_timeout
+    } else {
+        LOAD_ORDER_DEFAULT
     }
 }
 
-impl Drop for Held {
-    fn drop(&mut self) {
-        self.budget.used.fetch_sub(self.bytes, Ordering::Relaxed);
+fn stop_at_last(settings: &Settings) -> Duration {
+    let longest_wait = Duration::from_micros(settings.longest_wait);
+    STOP_MIN.max(longest_wait + STOP_MARGIN)
+}
+
+/// A setting's time, or the default where it is 0, which stands for "not stated".
+fn duration_or(stated: Micros, default_ms: u64) -> Duration {
+    if stated > 0 {
+        Duration::from_micros(stated)
+    } else {
+        Duration::from_millis(default_ms)
     }
 }
--- a/wrenseam/src/model/request.rs
+++ b/wrenseam/src/model/request.rs
@@ -1,5 +1,5 @@
 //! A client's request, the client that it is owed to, and its one final answer.
-use crate::limits::Held;
+use crate::memory_budget::MemoryReservation;
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 use std::time::Instant;
@@ -51,7 +51,7 @@
     /// The body.
     pub payload: Payload,
     /// The body's part of the memory budget, returned when the request is dropped.
-    pub reserved_bytes: Option<Held>,
+    pub reserved_bytes: Option<MemoryReservation>,
     /// Set by the front once its client has gone: an attempt that has not begun by then is not sent.
     pub client_gone: Arc<AtomicBool>,
     /// Its client's connection, where whoever begins an attempt may look whether it still stands.
--- a/wrenseam/src/net/outbox.rs
+++ b/wrenseam/src/net/outbox.rs
@@ -1,6 +1,7 @@
 //! The sending side of a client connection.
 use super::{pause, spawn, timed_out, DirectCalls, Failure, SystemCalls};
-use crate::limits::{Budget, Held, Limits};
+use crate::limits::Limits;
+use crate::memory_budget::{MemoryBudget, MemoryReservation};
 use crate::model::{ClientProbe, ClientState};
 use crate::ring::Ring;
 use may::net::TcpStream;
@@ -38,7 +39,7 @@
 }
 
 enum Chunk {
-    Bytes(Vec<u8>, Option<Held>),
+    Bytes(Vec<u8>, Option<MemoryReservation>),
     /// Nothing more will be written; what comes is still read for a while.
     Close,
     /// The end at once.
@@ -60,7 +61,7 @@
     waiting: Arc<AtomicUsize>,
     unsent: Arc<AtomicUsize>,
     ending: Arc<Ending>,
-    budget: Budget,
+    budget: MemoryBudget,
     most: usize,
     client_probe: Arc<dyn ClientProbe>,
     socket: Weak<Socket>,
@@ -74,7 +75,7 @@
     pub fn start(
         stream: TcpStream,
         limits: &Arc<Limits>,
-        budget: &Budget,
+        budget: &MemoryBudget,
         unsent: &Arc<AtomicUsize>,
     ) -> io::Result<Outbox> {
         Outbox::start_with(stream, limits, budget, unsent, Arc::new(DirectCalls))
@@ -87,7 +88,7 @@
     pub fn start_with(
         stream: TcpStream,
         limits: &Arc<Limits>,
-        budget: &Budget,
+        budget: &MemoryBudget,
         unsent: &Arc<AtomicUsize>,
         calls: Arc<dyn SystemCalls>,
     ) -> io::Result<Outbox> {
@@ -127,7 +128,7 @@
     /// Queues bytes. A client that does not read what it is owed loses its connection, not others theirs.
     pub fn send(&self, bytes: Vec<u8>) {
         let len = bytes.len();
-        let held = self.budget.take(len);
+        let held = self.budget.reserve(len);
         if held.is_none() || self.waiting.load(Ordering::Relaxed) + len > self.most {
             note!(
                 "client: closed, {} bytes of answers wait unread",
--- a/wrenseam/tests/closing.rs
+++ b/wrenseam/tests/closing.rs
@@ -7,7 +7,8 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::{mpsc, Arc};
 use wrenseam::front::{close, Doors, Listener};
-use wrenseam::limits::{Budget, Limits};
+use wrenseam::limits::Limits;
+use wrenseam::memory_budget::MemoryBudget;
 use wrenseam::net::{Seat, Seats};
 use wrenseam::queue::CoreHandle;
 
@@ -31,7 +32,7 @@
     let doors = Doors {
         core: CoreHandle::new(core),
         limits: limits.clone(),
-        budget: Budget::new(limits.held_bytes),
+        budget: MemoryBudget::new(limits.held_bytes),
         seats: Seats::new(
             limits.client_connections,
             shared.draining.clone(),
--- a/wrenseam/tests/discovery_backoff.rs
+++ b/wrenseam/tests/discovery_backoff.rs
@@ -14,7 +14,7 @@
         },
     );
     (0..u64::from(gateways))
-        .map(|seed| Redial::new(seed, &limits))
+        .map(|seed| Redial::new(seed, &limits.discovery))
         .collect()
 }
 
--- a/wrenseam/tests/leaving.rs
+++ b/wrenseam/tests/leaving.rs
@@ -10,7 +10,8 @@
 use std::sync::{mpsc, Arc, Mutex};
 use std::time::{Duration, Instant};
 use wrenseam::front::{fastcgi as platform, kserve, Doors, Serve};
-use wrenseam::limits::{Budget, Limits};
+use wrenseam::limits::Limits;
+use wrenseam::memory_budget::MemoryBudget;
 use wrenseam::model::{AttemptKey, Client, ClientState, Request};
 use wrenseam::net::Seats;
 use wrenseam::process_state::ProcessState;
@@ -41,7 +42,7 @@
         let doors = Doors {
             core: CoreHandle::new(core),
             limits: limits.clone(),
-            budget: Budget::new(limits.held_bytes),
+            budget: MemoryBudget::new(limits.held_bytes),
             seats: Seats::new(
                 limits.client_connections,
                 shared.draining.clone(),
--- a/wrenseam/tests/system_calls.rs
+++ b/wrenseam/tests/system_calls.rs
@@ -5,7 +5,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
-use wrenseam::limits::{Budget, Limits};
+use wrenseam::limits::Limits;
+use wrenseam::memory_budget::MemoryBudget;
 use wrenseam::net::{receive, DirectCalls, Failure, Outbox, Received, SystemCalls};
 use wrenseam::ring::Ring;
 
@@ -99,7 +100,7 @@
     let inside = limits.clone();
     wrenseam::net::spawn(64 * 1024, move || {
         let stream = may::net::TcpStream::connect(address).expect("a connection");
-        let budget = Budget::new(inside.held_bytes);
+        let budget = MemoryBudget::new(inside.held_bytes);
         let out =
             Outbox::start_with(stream, &inside, &budget, &Arc::default(), calls).expect("started");
         out.send(b"the whole answer".to_vec());
