--- a/wrenseam/src/config.rs
+++ b/wrenseam/src/config.rs
@@ -5,7 +5,7 @@
 use miniserde::json::{self, Object, Value};
 use std::net::SocketAddr;
 use std::path::Path;
-use wrenseam_policy::json::{as_text, list, number, object, parse, part, text};
+use wrenseam_policy::json::{as_text, list, number, parse, part, text};
 use wrenseam_policy::Settings;
 
 /// The start configuration.
@@ -290,8 +290,3 @@
         })
     }
 }
-
-/// The events under `known`, oldest first.
-pub fn notices(known: &Object) -> impl Iterator<Item = &Object> {
-    list(known, "notices").iter().filter_map(object)
-}
--- a/wrenseam/src/discovery/address.rs
+++ b/wrenseam/src/discovery/address.rs
@@ -1,24 +1,25 @@
-//! Where the notice board is.
+//! The address of the discovery service, which may change while the program runs.
 use may::sync::Mutex;
 use std::net::SocketAddr;
 
-/// Where the board is. It may move while the program runs.
-pub struct Board(Mutex<Option<SocketAddr>>);
+/// Where the discovery service is, shared by the coroutine that follows it and whoever reads a new configuration.
+pub struct DiscoveryAddress(Mutex<Option<SocketAddr>>);
 
-impl Board {
-    /// A board at this address, or none yet.
+impl DiscoveryAddress {
+    /// A service at this address, or at none yet.
     pub fn new(address: Option<SocketAddr>) -> Self {
-        Board(Mutex::new(address))
+        DiscoveryAddress(Mutex::new(address))
     }
 
-    /// The board is elsewhere from now on; whoever follows it notices within `DiscoveryLimits::address_check_interval`.
-    pub fn moved(&self, to: SocketAddr) {
+    /// Changes the address; the client notices within `DiscoveryLimits::address_check_interval`.
+    pub fn set(&self, new: SocketAddr) {
         if let Ok(mut address) = self.0.lock() {
-            *address = Some(to);
+            *address = Some(new);
         }
     }
 
-    pub(super) fn address(&self) -> Option<SocketAddr> {
-        self.0.lock().ok().and_then(|a| *a)
+    /// The address now, if there is one.
+    pub fn get(&self) -> Option<SocketAddr> {
+        self.0.lock().ok().and_then(|address| *address)
     }
 }
--- a/wrenseam/src/discovery/backoff.rs
+++ b/wrenseam/src/discovery/backoff.rs
@@ -1,67 +1,61 @@
-//! When a source of workers is called again. Guards it from a hundred front ends that all lost it in one instant and
-//! would all be back in the next. Decides times only; whoever calls does the waiting.
+//! When a new request is made to a source of endpoints. Many front ends that lose their source at one moment must not
+//! all be back in the next. Times only: the caller waits.
 use crate::limits::DiscoveryLimits;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::time::Duration;
 
-/// The waits of one front end between calls of one source.
-pub struct Redial {
-    chance: Pcg32,
-    spread: Duration,
-    first: Duration,
-    most: Duration,
-    told: (Duration, Duration),
+/// Doublings of the first pause that are computed; the longest pause is reached long before.
+const MAX_DOUBLINGS: u32 = 16;
+
+/// The pauses of one front end between requests to one source.
+pub struct ReconnectBackoff {
+    random: Pcg32,
+    limits: DiscoveryLimits,
     failures: u32,
 }
 
-impl Redial {
-    /// Waits within these limits; `seed` sets this front end apart from others.
+impl ReconnectBackoff {
+    /// Pauses within these limits; `seed` sets this front end apart from others.
     pub fn new(seed: u64, limits: &DiscoveryLimits) -> Self {
-        let chance = Pcg32::seed_from_u64(seed);
-        let (spread, first, most) = (
-            limits.reconnect_spread,
-            limits.retry_initial,
-            limits.retry_max,
-        );
-        Redial {
-            chance,
-            spread,
-            first,
-            most,
-            told: (limits.event_timeout_min, limits.event_timeout_max),
+        ReconnectBackoff {
+            random: Pcg32::seed_from_u64(seed),
+            limits: limits.clone(),
             failures: 0,
         }
     }
 
-    /// The wait after a call that brought something, or once the source has moved.
-    pub fn after_news(&mut self) -> Duration {
+    /// The pause after a request that brought something, or once the source's address has changed.
+    pub fn after_success(&mut self) -> Duration {
         self.failures = 0;
-        self.part(self.spread)
+        self.random_part(self.limits.reconnect_spread)
     }
 
-    /// The wait after a call that brought nothing: twice as long each time up to the most, of which, where the
-    /// calls of many are to be spread, a half is left to chance.
+    /// The pause after a request that brought nothing: twice as long each time up to the longest. Where the requests of
+    /// many front ends are spread, half of it is random.
     pub fn after_failure(&mut self) -> Duration {
-        let wait = self
-            .first
-            .saturating_mul(1 << self.failures.min(16))
-            .min(self.most);
+        let doublings = self.failures.min(MAX_DOUBLINGS);
+        let pause = self
+            .limits
+            .retry_initial
+            .saturating_mul(1 << doublings)
+            .min(self.limits.retry_max);
         self.failures += 1;
-        if self.spread.is_zero() {
-            return wait;
+        if self.limits.reconnect_spread.is_zero() {
+            return pause;
         }
-        wait / 2 + self.part(wait / 2)
+        pause / 2 + self.random_part(pause / 2)
     }
 
-    /// How long a call may go on that tells nothing, before the source is asked anew: drawn for each call, so that
-    /// the calls of many are spread.
-    pub fn told_within(&mut self) -> Duration {
-        let (least, most) = self.told;
-        least + self.part(most.saturating_sub(least))
+    /// How long a request may go on without an event before a new one is made: drawn for each request, so that those of
+    /// many front ends are spread.
+    pub fn event_timeout(&mut self) -> Duration {
+        let shortest = self.limits.event_timeout_min;
+        let range = self.limits.event_timeout_max.saturating_sub(shortest);
+        shortest + self.random_part(range)
     }
 
-    fn part(&mut self, of: Duration) -> Duration {
-        of.mul_f64(f64::from(self.chance.next_u32()) / 2f64.powi(32))
+    fn random_part(&mut self, whole: Duration) -> Duration {
+        whole.mul_f64(f64::from(self.random.next_u32()) / 2f64.powi(32))
     }
 }
--- a/wrenseam/src/discovery/client.rs
+++ b/wrenseam/src/discovery/client.rs
@@ -1,9 +1,9 @@
-//! The list of workers: the connection to the notice board.
-use crate::discovery::address::Board;
-use crate::discovery::backoff::Redial;
-use crate::discovery::event_stream::{Events, Said};
-use crate::discovery::watch::{News, Watch};
-use crate::http::{Chunked, Coded, Head};
+//! The connection to the discovery service: connects, reads events, and hands their changes to the core.
+use crate::discovery::address::DiscoveryAddress;
+use crate::discovery::backoff::ReconnectBackoff;
+use crate::discovery::event_stream::{EventStreamError, EventStreamResponse, StreamItem};
+use crate::discovery::log_lines;
+use crate::discovery::watch::{WatchError, WatchState};
 use crate::limits::DiscoveryLimits;
 use crate::model::TransportProtocol;
 use crate::net::timed_out;
@@ -13,157 +13,197 @@
 use std::io::Write;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
-/// Follows the board for ever: whenever the connection ends, the board moves or has told nothing for long, it is
-/// called again, telling the last event seen.
+/// Why a request to the discovery service ended. It ends with an error always, as the service sends events for ever.
+#[derive(Debug, Error)]
+pub enum ConnectionError {
+    /// The configuration names no service.
+    #[error("no board is named")]
+    NoAddress,
+    /// The service is at another address now.
+    #[error("the board has moved")]
+    AddressChanged,
+    /// A system call failed.
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    /// The service closed the connection.
+    #[error("closed")]
+    Closed,
+    /// Nothing came for too long, not even a comment.
+    #[error("silent")]
+    Silent,
+    /// Comments came, but no event for long: the service may send none any more.
+    #[error("no events")]
+    NoEvents,
+    /// The response cannot be read.
+    #[error(transparent)]
+    Stream(#[from] EventStreamError),
+    /// Events are to be requested again.
+    #[error(transparent)]
+    Watch(#[from] WatchError),
+}
+
+/// Follows the discovery service for ever. Whenever a request ends a new one is made, which names the last event
+/// received.
 pub fn follow(
-    board: &Board,
-    mut watch: Watch,
+    service: &DiscoveryAddress,
+    state: WatchState,
     seed: u64,
     limits: &DiscoveryLimits,
     core: &CoreHandle,
 ) {
-    let mut redial = Redial::new(seed, limits);
+    let mut client = Client {
+        service,
+        state,
+        backoff: ReconnectBackoff::new(seed, limits),
+        limits,
+        core,
+    };
     loop {
-        let (at, before) = (board.address(), watch.last());
-        let mut ended = End::Broke("no board is named".to_owned());
-        if let Some(address) = at {
-            ended = poll(
-                board,
-                address,
-                &mut watch,
-                redial.told_within(),
-                limits,
-                core,
-            );
-            if let End::Broke(why) = &ended {
-                note!(
-                    "board: connection to {address} ended after event {}: {why}",
-                    watch.last()
-                );
-            }
-        }
-        // Called again at once, unless the call brought nothing: a board that is down is not hammered.
-        let wait = match ended {
-            End::Quiet => Duration::ZERO,
-            End::Broke(_) if watch.last() == before && board.address() == at => {
-                redial.after_failure()
-            }
-            End::Broke(_) => redial.after_news(),
-        };
-        if !wait.is_zero() {
-            crate::net::pause(wait);
+        let pause = client.request();
+        if !pause.is_zero() {
+            crate::net::pause(pause);
         }
     }
 }
 
-/// Why a call of the board ended.
-enum End {
-    /// It told nothing for long, though it stood: it may tell nothing more at all.
-    Quiet,
-    /// The connection ended, or what came on it cannot be used.
-    Broke(String),
-}
-
-impl From<String> for End {
-    fn from(why: String) -> End {
-        End::Broke(why)
-    }
+struct Client<'a> {
+    service: &'a DiscoveryAddress,
+    state: WatchState,
+    backoff: ReconnectBackoff,
+    limits: &'a DiscoveryLimits,
+    core: &'a CoreHandle,
 }
 
-fn poll(
-    board: &Board,
+/// A connection and what has been read on it.
+struct Connection {
     address: SocketAddr,
-    watch: &mut Watch,
-    within: Duration,
-    limits: &DiscoveryLimits,
-    core: &CoreHandle,
-) -> End {
-    let Err(end) = call(board, address, watch, within, limits, core);
-    end
+    stream: TcpStream,
+    buffer: Ring,
+    bytes: Vec<u8>,
+    response: EventStreamResponse,
+    last_read_at: Instant,
+    last_event_at: Instant,
 }
 
-fn call(
-    board: &Board,
-    address: SocketAddr,
-    watch: &mut Watch,
-    within: Duration,
-    limits: &DiscoveryLimits,
-    core: &CoreHandle,
-) -> Result<std::convert::Infallible, End> {
-    let told = |e: std::io::Error| e.to_string();
-    let mut stream = TcpStream::connect_timeout(&address, limits.connect_timeout).map_err(told)?;
-    stream
-        .set_read_timeout(Some(limits.address_check_interval))
-        .map_err(told)?;
-    let last = watch.ask();
-    let call = format!(
-        "GET /board/poll HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\nLast-Event-ID: {last}\r\n\r\n"
-    );
-    stream.write_all(call.as_bytes()).map_err(told)?;
-    let mut news = Instant::now();
-    let mut heard = Instant::now();
-    let (mut ring, mut head) = (Ring::new(limits.read_buffer), Vec::new());
-    let mut chunked: Option<Option<Chunked>> = None; // known once the head has been read
-    let (mut events, mut line) = (Events::default(), Vec::new());
-    loop {
-        match ring.fill(&mut stream) {
-            Ok(0) => return Err("closed".to_owned().into()),
-            Ok(_) => heard = Instant::now(),
-            Err(e) if timed_out(&e) && heard.elapsed() < limits.silence_timeout => {}
-            Err(e) if timed_out(&e) => return Err("silent".to_owned().into()),
-            Err(e) => return Err(e.to_string().into()),
+impl Client<'_> {
+    /// Makes a request, reads its events to the end, and returns the pause before the next one.
+    fn request(&mut self) -> Duration {
+        let address = self.service.get();
+        let last_event = self.state.last_event();
+        let error = self.read_events(address);
+        if matches!(error, ConnectionError::NoEvents) {
+            return Duration::ZERO;
         }
-        // Guards against waiting at an address where nothing is told any more.
-        if board.address() != Some(address) {
-            return Err("the board has moved".to_owned().into());
+        if let Some(address) = address {
+            let last_event = self.state.last_event();
+            note!(
+                "{}",
+                log_lines::connection_ended(address, last_event, &error)
+            );
         }
-        line.clear();
-        ring.take(usize::MAX, &mut line);
-        for &byte in &line {
-            match &mut chunked {
-                None => {
-                    head.push(byte);
-                    if head.ends_with(b"\r\n\r\n") {
-                        let answer = Head::answer(&head)?;
-                        if answer.status != 200 {
-                            return Err(format!("status {}", answer.status).into());
-                        }
-                        chunked = Some(answer.chunked.then(Chunked::default));
-                    } else if head.len() > limits.response_head {
-                        return Err("the answer's head is too long".to_owned().into());
-                    }
-                }
-                Some(coding) => {
-                    let content = match coding
-                        .as_mut()
-                        .map_or(Ok(Coded::Byte(byte)), |c| c.byte(byte))?
-                    {
-                        Coded::Byte(byte) => Some(byte),
-                        Coded::Nothing => None,
-                        Coded::End => return Err("the stream ended".to_owned().into()),
-                    };
-                    let told = match content.map_or(Said::Nothing, |b| events.byte(b)) {
-                        Said::Nothing => None,
-                        Said::Comment => watch.comment()?,
-                        Said::Event(id, data) => {
-                            news = Instant::now();
-                            watch.event(id.as_deref(), &data)?
-                        }
-                    };
-                    if let Some(News { full, members }) = told {
-                        core.endpoint_update(TransportProtocol::Frames, full, members);
-                    }
-                    if events.size() > limits.event_bytes {
-                        return Err("an event is too long".to_owned().into());
-                    }
+        // A service that is down is not called at once again and again.
+        let unsuccessful = self.state.last_event() == last_event && self.service.get() == address;
+        if unsuccessful {
+            self.backoff.after_failure()
+        } else {
+            self.backoff.after_success()
+        }
+    }
+
+    fn read_events(&mut self, address: Option<SocketAddr>) -> ConnectionError {
+        let Some(address) = address else {
+            return ConnectionError::NoAddress;
+        };
+        let event_timeout = self.backoff.event_timeout();
+        let mut connection = match self.connect(address) {
+            Ok(connection) => connection,
+            Err(error) => return error,
+        };
+        loop {
+            if let Err(error) = self.receive(&mut connection, event_timeout) {
+                return error;
+            }
+        }
+    }
+
+    fn connect(&mut self, address: SocketAddr) -> Result<Connection, ConnectionError> {
+        let mut stream = TcpStream::connect_timeout(&address, self.limits.connect_timeout)?;
+        stream.set_read_timeout(Some(self.limits.address_check_interval))?;
+        let last_event = self.state.begin_request();
+        let request = format!(
+            "GET /board/poll HTTP/1.1\r\nHost: {address}\r\nAccept: text/event-stream\r\nLast-Event-ID: {last_event}\r\n\r\n"
+        );
+        stream.write_all(request.as_bytes())?;
+        let now = Instant::now();
+        Ok(Connection {
+            address,
+            stream,
+            buffer: Ring::new(self.limits.read_buffer),
+            bytes: Vec::new(),
+            response: EventStreamResponse::new(self.limits),
+            last_read_at: now,
+            last_event_at: now,
+        })
+    }
+
+    /// One read, and what came by it.
+    fn receive(
+        &mut self,
+        connection: &mut Connection,
+        event_timeout: Duration,
+    ) -> Result<(), ConnectionError> {
+        connection.read(self.limits.silence_timeout)?;
+        if self.service.get() != Some(connection.address) {
+            return Err(ConnectionError::AddressChanged);
+        }
+        self.handle_bytes(connection)?;
+        // A service that sends comments only may have an event that never comes on this connection. Checked last, so
+        // that what has come is not requested again.
+        if connection.last_event_at.elapsed() >= event_timeout {
+            return Err(ConnectionError::NoEvents);
+        }
+        Ok(())
+    }
+
+    fn handle_bytes(&mut self, connection: &mut Connection) -> Result<(), ConnectionError> {
+        for &byte in &connection.bytes {
+            let update = match connection.response.push(byte)? {
+                StreamItem::Incomplete => continue,
+                StreamItem::Comment => self.state.comment()?,
+                StreamItem::Event(event) => {
+                    connection.last_event_at = Instant::now();
+                    self.state.event(event.id.as_deref(), &event.data)?
                 }
+            };
+            if let Some(update) = update {
+                self.core.endpoint_update(
+                    TransportProtocol::Frames,
+                    update.complete,
+                    update.endpoints,
+                );
             }
         }
-        // Guards against a watch that stands and comments and has nothing told any more: what the board has to
-        // tell counts as told though it never came. Asked last, so that what has come is not asked for again.
-        if news.elapsed() >= within {
-            return Err(End::Quiet);
+        Ok(())
+    }
+}
+
+impl Connection {
+    /// Replaces `bytes` by what has come, which may be nothing.
+    fn read(&mut self, silence_timeout: Duration) -> Result<(), ConnectionError> {
+        match self.buffer.fill(&mut self.stream) {
+            Ok(0) => return Err(ConnectionError::Closed),
+            Ok(_) => self.last_read_at = Instant::now(),
+            Err(error) if timed_out(&error) => {
+                if self.last_read_at.elapsed() >= silence_timeout {
+                    return Err(ConnectionError::Silent);
+                }
+            }
+            Err(error) => return Err(error.into()),
         }
+        self.bytes.clear();
+        self.buffer.take(usize::MAX, &mut self.bytes);
+        Ok(())
     }
 }
--- a/wrenseam/src/discovery/etcd.rs
+++ b/wrenseam/src/discovery/etcd.rs
@@ -1,6 +1,6 @@
 //! The worker list from an etcd v3 registry, read by its JSON gateway: range and watch bodies in, member news
 //! out. No I/O and no clock: time is handed in. See docs/registry.md.
-use crate::discovery::event::instance;
+use crate::discovery::event::parse_instance;
 use crate::model::Endpoint;
 use base64::{engine::general_purpose::STANDARD, Engine};
 use miniserde::json::{Object, Value};
@@ -106,7 +106,7 @@
         let value = decoded(kv, "value").and_then(|v| parse(&v).ok());
         let mut fields = value.as_ref().and_then(object).cloned().unwrap_or_default();
         fields.insert("instanceId".to_owned(), Value::String(id.clone()));
-        let Ok(mut member) = instance(&fields) else {
+        let Ok(mut member) = parse_instance(&fields) else {
             self.unreadable += 1;
             return self.keys.get(&key).map(|h| (key.clone(), h.member.clone()));
         };
--- a/wrenseam/src/discovery/event_stream.rs
+++ b/wrenseam/src/discovery/event_stream.rs
@@ -1,62 +1,208 @@
-//! Server-sent events.
+//! The discovery service's response: an HTTP/1.1 head, then server-sent events, plain or in chunked coding. Bytes go
+//! in, events come out; no I/O.
+use crate::http::{Chunked, Coded, Head};
+use crate::limits::DiscoveryLimits;
+use thiserror::Error;
 
-/// Puts server-sent events together from bytes as they come.
+const STATUS_OK: u16 = 200;
+
+/// What a byte completes.
+#[derive(Debug, PartialEq, Eq)]
+pub enum StreamItem {
+    /// Nothing yet, or what has no meaning here.
+    Incomplete,
+    /// A comment, which services send to show that they are there.
+    Comment,
+    /// An event.
+    Event(ServerSentEvent),
+}
+
+/// An event of the stream.
+#[derive(Debug, PartialEq, Eq)]
+pub struct ServerSentEvent {
+    /// Its own id, where it has one.
+    pub id: Option<String>,
+    /// Its data, lines joined by line feeds.
+    pub data: String,
+}
+
+/// Parses server-sent events byte by byte.
 #[derive(Default)]
-pub struct Events {
+pub struct EventStreamParser {
     line: Vec<u8>,
     id: Option<String>,
     data: String,
 }
 
-/// What a byte of the stream completes.
-#[derive(Debug, PartialEq)]
-pub enum Said {
-    /// Nothing yet, or what means nothing here.
-    Nothing,
-    /// A comment.
-    Comment,
-    /// An event: its own id, where it has one, and its data.
-    Event(Option<String>, String),
-}
-
-impl Events {
-    /// Takes one byte. An id does not go over to the next event: one that has none would pass for a repeat.
-    pub fn byte(&mut self, byte: u8) -> Said {
+impl EventStreamParser {
+    /// Takes the next byte.
+    ///
+    /// Unlike the HTML standard's, an id does not carry over to the next event: an event without one would pass for a
+    /// repetition.
+    pub fn push(&mut self, byte: u8) -> StreamItem {
         if byte != b'\n' {
             self.line.push(byte);
-            return Said::Nothing;
+            return StreamItem::Incomplete;
         }
-        // Not copied once more where it is text: the list of all workers is one line.
+        // Text is not copied: the list of all workers is one line.
         let mut line = String::from_utf8(std::mem::take(&mut self.line))
-            .unwrap_or_else(|e| String::from_utf8_lossy(e.as_bytes()).into_owned());
+            .unwrap_or_else(|error| String::from_utf8_lossy(error.as_bytes()).into_owned());
         if line.ends_with('\r') {
             line.pop();
         }
-        let value = |rest: &str| rest.strip_prefix(' ').unwrap_or(rest).to_owned();
         if line.is_empty() {
-            let (id, data) = (self.id.take(), std::mem::take(&mut self.data));
-            return if data.is_empty() {
-                Said::Nothing
-            } else {
-                Said::Event(id, data)
-            };
-        } else if line.starts_with(':') {
-            return Said::Comment;
-        } else if let Some(rest) = line.strip_prefix("id:") {
-            self.id = Some(value(rest));
-        } else if let Some(rest) = line.strip_prefix("data:") {
-            if self.data.is_empty() {
-                line.drain(..line.len() - rest.strip_prefix(' ').unwrap_or(rest).len());
-                self.data = line;
-            } else {
-                self.data.push('\n');
-                self.data.push_str(&value(rest));
-            }
+            return self.finish_event();
+        }
+        if line.starts_with(':') {
+            return StreamItem::Comment;
         }
-        Said::Nothing // other fields mean nothing here
+        self.take_field(line);
+        StreamItem::Incomplete
     }
 
-    pub(super) fn size(&self) -> usize {
+    /// Bytes held of the event that is being read.
+    pub fn buffered_bytes(&self) -> usize {
         self.line.len() + self.data.len()
     }
+
+    fn finish_event(&mut self) -> StreamItem {
+        let id = self.id.take();
+        let data = std::mem::take(&mut self.data);
+        if data.is_empty() {
+            return StreamItem::Incomplete;
+        }
+        StreamItem::Event(ServerSentEvent { id, data })
+    }
+
+    /// Fields other than `id` and `data` have no meaning here.
+    fn take_field(&mut self, mut line: String) {
+        if let Some(value) = line.strip_prefix("id:") {
+            self.id = Some(without_leading_space(value).to_owned());
+            return;
+        }
+        let Some(value) = line.strip_prefix("data:") else {
+            return;
+        };
+        let value = without_leading_space(value);
+        if self.data.is_empty() {
+            let value_start = line.len() - value.len();
+            line.drain(..value_start);
+            self.data = line;
+        } else {
+            self.data.push('\n');
+            self.data.push_str(value);
+        }
+    }
+}
+
+fn without_leading_space(value: &str) -> &str {
+    value.strip_prefix(' ').unwrap_or(value)
+}
+
+/// Why a response cannot be read on.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum EventStreamError {
+    /// The head is not one of HTTP/1.1.
+    #[error("{reason}")]
+    InvalidHead {
+        /// What is wrong with it.
+        reason: String,
+    },
+    /// The head is longer than allowed.
+    #[error("the answer's head is too long")]
+    HeadTooLong,
+    /// The service answered with another status than 200.
+    #[error("status {0}")]
+    Status(u16),
+    /// The chunked coding is malformed.
+    #[error("{reason}")]
+    InvalidChunk {
+        /// What is wrong with it.
+        reason: String,
+    },
+    /// The service ended the stream.
+    #[error("the stream ended")]
+    Ended,
+    /// An event is longer than allowed.
+    #[error("an event is too long")]
+    EventTooLong,
+}
+
+/// Parses a whole response byte by byte.
+pub struct EventStreamResponse {
+    part: ResponsePart,
+    events: EventStreamParser,
+    max_head_bytes: usize,
+    max_event_bytes: usize,
+}
+
+enum ResponsePart {
+    Head(Vec<u8>),
+    PlainBody,
+    ChunkedBody(Chunked),
+}
+
+impl EventStreamResponse {
+    /// A response of which nothing has come.
+    pub fn new(limits: &DiscoveryLimits) -> Self {
+        EventStreamResponse {
+            part: ResponsePart::Head(Vec::new()),
+            events: EventStreamParser::default(),
+            max_head_bytes: limits.response_head,
+            max_event_bytes: limits.event_bytes,
+        }
+    }
+
+    /// Takes the next byte.
+    ///
+    /// # Errors
+    ///
+    /// An [`EventStreamError`] if nothing after this byte can be used.
+    pub fn push(&mut self, byte: u8) -> Result<StreamItem, EventStreamError> {
+        match &mut self.part {
+            ResponsePart::Head(head) => {
+                head.push(byte);
+                if head.ends_with(b"\r\n\r\n") {
+                    self.part = parse_head(head)?;
+                } else if head.len() > self.max_head_bytes {
+                    return Err(EventStreamError::HeadTooLong);
+                }
+                Ok(StreamItem::Incomplete)
+            }
+            ResponsePart::PlainBody => self.push_content(byte),
+            ResponsePart::ChunkedBody(chunked) => {
+                let coded = chunked
+                    .byte(byte)
+                    .map_err(|error| EventStreamError::InvalidChunk {
+                        reason: error.to_string(),
+                    })?;
+                match coded {
+                    Coded::Byte(content) => self.push_content(content),
+                    Coded::Nothing => Ok(StreamItem::Incomplete),
+                    Coded::End => Err(EventStreamError::Ended),
+                }
+            }
+        }
+    }
+
+    fn push_content(&mut self, byte: u8) -> Result<StreamItem, EventStreamError> {
+        let item = self.events.push(byte);
+        if self.events.buffered_bytes() > self.max_event_bytes {
+            return Err(EventStreamError::EventTooLong);
+        }
+        Ok(item)
+    }
+}
+
+fn parse_head(head: &[u8]) -> Result<ResponsePart, EventStreamError> {
+    let head = Head::answer(head).map_err(|error| EventStreamError::InvalidHead {
+        reason: error.to_string(),
+    })?;
+    if head.status != STATUS_OK {
+        return Err(EventStreamError::Status(head.status));
+    }
+    if head.chunked {
+        return Ok(ResponsePart::ChunkedBody(Chunked::default()));
+    }
+    Ok(ResponsePart::PlainBody)
 }
--- a/wrenseam/src/discovery/watch.rs
+++ b/wrenseam/src/discovery/watch.rs
@@ -1,277 +1,469 @@
-//! What a watch of the notice board has told, and from where it is to be asked next. No sockets and no clock.
+//! What the discovery service's events change, and from which event on the next request asks. No sockets and no clock.
 //!
-//! Events bear numbers, and an event that came late must not undo what came after it. While an event is owed (it
-//! came spoilt), the last news of each instance named since is kept, so that what is got again is put in its place.
-use crate::discovery::event::{instances, Told};
+//! Events are numbered, and an event that comes late must not undo what a later one changed. While an event is
+//! incomplete (a part of it could not be read) the latest endpoint of each instance listed since is kept, so that the
+//! event can be applied in its place when it is received again.
+use crate::discovery::event::{parse_event, EndpointEvent, EventError};
+use crate::discovery::log_lines;
 use crate::model::Endpoint;
 use miniserde::json::{Object, Value};
-use std::collections::BTreeMap;
-use wrenseam_policy::json::{parse, whole};
+use std::collections::{BTreeMap, HashSet};
+use thiserror::Error;
+use wrenseam_policy::json::{list, object, parse, whole};
 
-/// How often a spoilt event is asked for besides the first time, before what was wrong in it is given up.
-const OWED_CALLS: u32 = 3;
-/// Comments without an event between them (one comes each second) after which a board has told all it has.
-const QUIET: u32 = 2;
+/// How often an incomplete event is requested again, besides the first time, before its faults are ignored.
+const MAX_REPEATED_REQUESTS: u32 = 3;
 
-/// News for the list of workers.
+/// Comments without an event between them (one comes each second) after which a service has sent all events it has.
+const COMMENTS_AFTER_ALL_EVENTS: u32 = 2;
+
+/// Makes the service send its complete list: no event has this number.
+const BEFORE_ALL_EVENTS: u64 = 0;
+
+/// A change of the endpoint list.
 #[derive(Debug, Default, PartialEq)]
-pub struct News {
-    /// Whether this is the whole list.
-    pub full: bool,
-    /// The members named.
-    pub members: Vec<Endpoint>,
+pub struct EndpointListUpdate {
+    /// Whether this is the complete list, which replaces all before.
+    pub complete: bool,
+    /// The endpoints listed.
+    pub endpoints: Vec<Endpoint>,
+}
+
+/// Why a new request is to be made.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum WatchError {
+    /// The service numbers its events anew, and its complete list is needed.
+    #[error("it counts lower than event {last}")]
+    NumbersRestarted {
+        /// The last event received before.
+        last: u64,
+    },
+    /// Events may have been lost.
+    #[error("event {number} came after {last}")]
+    Gap {
+        /// The event received.
+        number: u64,
+        /// The last event received before.
+        last: u64,
+    },
+    /// An event, or a part of it, cannot be read.
+    #[error("event {number}: {source}")]
+    Fault {
+        /// The event's number.
+        number: u64,
+        /// The first thing wrong with it.
+        source: EventError,
+    },
+    /// An event has no number that can be read.
+    #[error("an event without a number: {id}")]
+    Unnumbered {
+        /// The id that stands in the number's place.
+        id: String,
+    },
+}
+
+/// The state at the start, from the events that the configuration holds.
+pub struct InitialWatch {
+    /// The state after these events.
+    pub state: WatchState,
+    /// What they change.
+    pub updates: Vec<EndpointListUpdate>,
 }
 
-/// What a call of the board brought and is to bring.
+/// What has been received, over all requests.
 #[derive(Default)]
-pub struct Watch {
-    /// Number of the last event.
-    last: u64,
-    /// Events that came spoilt, and how often each was asked for.
-    owed: BTreeMap<u64, u32>,
-    /// While something is owed: the last news of each instance named since, and its event.
-    since: BTreeMap<String, (u64, Endpoint)>,
-    /// An event that was asked for once more, for a gap before it or a fault in it; `None` in it: one without a number.
-    again: Option<Option<u64>>,
-    /// Whether the whole list is asked for, as the board seems to count anew.
-    anew: bool,
-    call: Call,
+pub struct WatchState {
+    last_event: u64,
+    /// Events with faults, and how often each was requested again.
+    incomplete: BTreeMap<u64, u32>,
+    /// While events are incomplete: the latest endpoint of each instance listed since, by id.
+    latest: BTreeMap<String, LatestEndpoint>,
+    /// What was requested once more; when it comes so again it is used as it is.
+    repeated: Option<RepeatedRequest>,
+    /// Whether the complete list is to be requested.
+    needs_complete_list: bool,
+    request: RequestProgress,
+}
+
+struct LatestEndpoint {
+    event: u64,
+    endpoint: Endpoint,
+}
+
+/// Why an event was requested once more.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RepeatedRequest {
+    /// There was a gap before this event, or a fault in it.
+    Numbered(u64),
+    /// The event had no number.
+    Unnumbered,
 }
 
-/// What one call brought.
+/// What one request has brought.
 #[derive(Default)]
-struct Call {
-    /// Whether an event as high as the last one came.
-    level: bool,
-    /// Whether events came that were lower.
-    lower: bool,
-    /// The list of a board that counts anew, and its last event, should it be one.
-    list: Option<(u64, BTreeMap<String, Endpoint>)>,
-    comments: u32,
+struct RequestProgress {
+    /// Whether an event as high as the last one has come.
+    reached_last_event: bool,
+    /// Whether events with lower numbers have come.
+    has_older_events: bool,
+    /// The list of a service that numbers its events anew, should it be one.
+    restarted_list: Option<RestartedList>,
+    comments_since_event: u32,
 }
 
-impl Watch {
-    /// Begins with what the configuration tells: the events so far, and the number of the last.
-    pub fn new(known: &Object) -> (Watch, Vec<News>) {
-        let mut watch = Watch::default();
-        let mut news = Vec::new();
-        for event in crate::config::notices(known) {
-            let number = whole(event, "rev").unwrap_or(watch.last);
-            watch.last = watch.last.max(number);
-            match instances(event) {
-                Ok(told) => {
-                    for fault in &told.faults {
-                        note!("start: in known notice {number}: {fault}");
-                    }
-                    news.extend(watch.apply(number, told));
-                }
-                Err(why) => {
-                    note!("start: known notice {number} skipped: {why}");
-                    watch.owed.insert(number, 0);
+struct RestartedList {
+    last_event: u64,
+    endpoints: BTreeMap<String, Endpoint>,
+}
+
+/// An event's text, as far as it can be read.
+struct ParsedEvent {
+    number: Option<u64>,
+    event: Result<EndpointEvent, EventError>,
+}
+
+impl ParsedEvent {
+    /// The stream's id is the number; without one the event's own number counts.
+    fn parse(id: Option<&str>, data: &str) -> ParsedEvent {
+        let id_number = id.and_then(|id| id.parse().ok());
+        let Ok(Value::Object(fields)) = parse(data) else {
+            return ParsedEvent {
+                number: id_number,
+                event: Err(EventError::NotAnObject),
+            };
+        };
+        ParsedEvent {
+            number: id_number.or_else(|| whole(&fields, "rev")),
+            event: parse_event(&fields),
+        }
+    }
+}
+
+impl WatchState {
+    /// Begins with what the configuration holds: the events so far, and the number of the last.
+    pub fn from_known_events(known: &Object) -> InitialWatch {
+        let mut state = WatchState::default();
+        let mut updates = Vec::new();
+        for event in list(known, "notices").iter().filter_map(object) {
+            updates.extend(state.apply_known_event(event));
+        }
+        state.last_event = whole(known, "rev").unwrap_or(state.last_event);
+        state.forget_latest_if_complete();
+        InitialWatch { state, updates }
+    }
+
+    fn apply_known_event(&mut self, fields: &Object) -> Option<EndpointListUpdate> {
+        let number = whole(fields, "rev").unwrap_or(self.last_event);
+        self.last_event = self.last_event.max(number);
+        match parse_event(fields) {
+            Ok(event) => {
+                for fault in &event.faults {
+                    note!("{}", log_lines::known_event_fault(number, fault));
                 }
+                self.apply(number, event)
+            }
+            Err(error) => {
+                note!("{}", log_lines::known_event_skipped(number, &error));
+                self.incomplete.insert(number, 0);
+                None
             }
         }
-        watch.last = whole(known, "rev").unwrap_or(watch.last);
-        watch.settle();
-        (watch, news)
     }
 
-    /// Number of the last event seen.
-    pub fn last(&self) -> u64 {
-        self.last
+    /// Number of the last event received.
+    pub fn last_event(&self) -> u64 {
+        self.last_event
     }
 
-    /// A call begins: the last event to tell the board, so that it goes on behind it.
-    pub fn ask(&mut self) -> u64 {
-        self.call = Call::default();
-        if std::mem::take(&mut self.anew) {
-            return 0;
+    /// Begins a request. Returns the event after which the service is to go on: the last one, or the one before an
+    /// incomplete one.
+    pub fn begin_request(&mut self) -> u64 {
+        self.request = RequestProgress::default();
+        if std::mem::take(&mut self.needs_complete_list) {
+            return BEFORE_ALL_EVENTS;
         }
-        self.owed.retain(|owed, tries| {
-            let kept = *tries < OWED_CALLS;
-            if !kept {
-                note!("board: event {owed}: what is unfit in it is given up");
+        self.ignore_lasting_faults();
+        let Some((&number, repeated_requests)) = self.incomplete.iter_mut().next() else {
+            return self.last_event;
+        };
+        *repeated_requests += 1;
+        number.saturating_sub(1)
+    }
+
+    fn ignore_lasting_faults(&mut self) {
+        self.incomplete.retain(|&number, repeated_requests| {
+            let request_again = *repeated_requests < MAX_REPEATED_REQUESTS;
+            if !request_again {
+                note!("{}", log_lines::event_fault_ignored(number));
             }
-            kept
+            request_again
         });
-        self.settle();
-        let Some((&owed, tries)) = self.owed.iter_mut().next() else {
-            return self.last;
-        };
-        *tries += 1;
-        owed.saturating_sub(1)
+        self.forget_latest_if_complete();
     }
 
-    /// Takes an event. `Ok(None)`: nothing new.
+    /// Takes an event. `Ok(None)`: it changes nothing.
     ///
     /// # Errors
-    /// The board is to be asked anew; the text says why.
-    pub fn event(&mut self, id: Option<&str>, data: &str) -> Result<Option<News>, String> {
-        self.call.comments = 0;
-        let event = match parse(data) {
-            Ok(Value::Object(event)) => Ok(event),
-            _ => Err("it is no JSON object".to_owned()),
-        };
-        let rev = || event.as_ref().ok().and_then(|e| whole(e, "rev"));
-        let number = id.and_then(|id| id.parse().ok()).or_else(rev);
-        let told = event.and_then(|e| instances(&e));
-        let Some(number) = number else {
-            // Without a number it has no place in the order: taken as the newest once it comes so again.
-            self.once_more(
-                None,
-                &format!("an event without a number: {}", id.unwrap_or("none")),
-            )?;
-            self.again = None;
-            let Ok(Told {
-                full,
-                members,
-                faults,
-            }) = told
-            else {
-                return Ok(None);
-            };
-            return Ok(Some(News {
-                full: full && faults.is_empty(),
-                members,
-            }));
+    ///
+    /// A [`WatchError`] if a new request is to be made.
+    pub fn event(
+        &mut self,
+        id: Option<&str>,
+        data: &str,
+    ) -> Result<Option<EndpointListUpdate>, WatchError> {
+        self.request.comments_since_event = 0;
+        let parsed = ParsedEvent::parse(id, data);
+        let Some(number) = parsed.number else {
+            return self.unnumbered_event(id, parsed.event);
         };
-        if number <= self.last && !self.owed.contains_key(&number) {
-            self.lower(number, told);
+        if number <= self.last_event && !self.incomplete.contains_key(&number) {
+            self.older_event(number, parsed.event);
             return Ok(None);
         }
-        (self.call.level, self.call.list) = (true, None);
-        if number > self.last + 1 && self.last > 0 {
-            // What lies between may have been lost on its way; if it comes so again there is nothing between.
-            self.once_more(
-                Some(number),
-                &format!("event {number} came after {}", self.last),
-            )?;
-        }
-        let bad = match &told {
-            Ok(told) => told.faults.first().cloned(),
-            Err(why) => Some(why.clone()),
+        self.newer_or_repeated_event(number, parsed.event)
+    }
+
+    /// An event without a number has no place in the order: it counts as the newest once it comes so again.
+    fn unnumbered_event(
+        &mut self,
+        id: Option<&str>,
+        event: Result<EndpointEvent, EventError>,
+    ) -> Result<Option<EndpointListUpdate>, WatchError> {
+        let error = WatchError::Unnumbered {
+            id: id.unwrap_or("none").to_owned(),
         };
-        if let Some(why) = &bad {
-            if !self.owed.contains_key(&number) {
-                self.once_more(Some(number), &format!("event {number}: {why}"))?;
-            }
-            note!("board: event {number}: {why}; what is sound in it is used, the rest asked for again");
+        self.request_once_more(RepeatedRequest::Unnumbered, error)?;
+        self.repeated = None;
+        let Ok(event) = event else {
+            return Ok(None);
+        };
+        Ok(Some(EndpointListUpdate {
+            complete: event.complete && event.faults.is_empty(),
+            endpoints: event.endpoints,
+        }))
+    }
+
+    fn newer_or_repeated_event(
+        &mut self,
+        number: u64,
+        event: Result<EndpointEvent, EventError>,
+    ) -> Result<Option<EndpointListUpdate>, WatchError> {
+        self.request.reached_last_event = true;
+        self.request.restarted_list = None;
+        self.check_gap(number)?;
+        if let Some(fault) = first_fault(&event) {
+            self.check_fault(number, fault)?;
         }
-        self.last = self.last.max(number);
-        let news = match told {
-            Ok(told) => self.apply(number, told),
+        self.last_event = self.last_event.max(number);
+        let update = match event {
+            Ok(event) => self.apply(number, event),
             Err(_) => {
-                self.owed.entry(number).or_insert(0);
+                self.incomplete.entry(number).or_insert(0);
                 None
             }
         };
-        self.settle();
-        Ok(news)
+        self.forget_latest_if_complete();
+        Ok(update)
+    }
+
+    /// What lies between may have been lost on its way; if the gap is there again, nothing lies between.
+    fn check_gap(&mut self, number: u64) -> Result<(), WatchError> {
+        let last = self.last_event;
+        if last == 0 || number <= last + 1 {
+            return Ok(());
+        }
+        self.request_once_more(
+            RepeatedRequest::Numbered(number),
+            WatchError::Gap { number, last },
+        )
     }
 
-    /// The board has commented.
+    /// An event with a fault is requested once more, then used as far as it can be read.
+    fn check_fault(&mut self, number: u64, fault: &EventError) -> Result<(), WatchError> {
+        if !self.incomplete.contains_key(&number) {
+            let error = WatchError::Fault {
+                number,
+                source: fault.clone(),
+            };
+            self.request_once_more(RepeatedRequest::Numbered(number), error)?;
+        }
+        note!("{}", log_lines::event_fault(number, fault));
+        Ok(())
+    }
+
+    /// Takes a comment. `Ok(None)`: it changes nothing.
     ///
     /// # Errors
-    /// It counts lower than we do: the whole list is to be asked for.
-    pub fn comment(&mut self) -> Result<Option<News>, String> {
-        self.call.comments += 1;
-        if self.call.comments < QUIET || !self.call.lower || self.call.level {
+    ///
+    /// [`WatchError::NumbersRestarted`] if the service's complete list is to be requested.
+    pub fn comment(&mut self) -> Result<Option<EndpointListUpdate>, WatchError> {
+        self.request.comments_since_event += 1;
+        if self.request.comments_since_event < COMMENTS_AFTER_ALL_EVENTS
+            || !self.request.has_older_events
+            || self.request.reached_last_event
+        {
             return Ok(None);
         }
-        self.call.lower = false;
-        let Some((last, list)) = self.call.list.take() else {
-            self.anew = true;
-            return Err(format!("it counts lower than event {}", self.last));
+        self.request.has_older_events = false;
+        let Some(restarted) = self.request.restarted_list.take() else {
+            self.needs_complete_list = true;
+            return Err(WatchError::NumbersRestarted {
+                last: self.last_event,
+            });
         };
+        Ok(Some(self.adopt(restarted)))
+    }
+
+    /// The list of a service that numbers its events anew replaces what was received before.
+    fn adopt(&mut self, restarted: RestartedList) -> EndpointListUpdate {
         note!(
-            "board: it counts anew, event {last} where {} was the last; its list holds",
-            self.last
+            "{}",
+            log_lines::numbers_restarted(restarted.last_event, self.last_event)
         );
-        (self.last, self.again) = (last, None);
-        self.owed.clear();
-        self.settle();
-        Ok(Some(News {
-            full: true,
-            members: list.into_values().collect(),
-        }))
+        self.last_event = restarted.last_event;
+        self.repeated = None;
+        self.incomplete.clear();
+        self.forget_latest_if_complete();
+        EndpointListUpdate {
+            complete: true,
+            endpoints: restarted.endpoints.into_values().collect(),
+        }
     }
 
-    /// Asks for an event once more; the second time it is taken as it is.
-    fn once_more(&mut self, number: Option<u64>, why: &str) -> Result<(), String> {
-        if self.again == Some(number) {
+    /// Fails with this error, but not twice in a row for the same event.
+    fn request_once_more(
+        &mut self,
+        event: RepeatedRequest,
+        error: WatchError,
+    ) -> Result<(), WatchError> {
+        if self.repeated == Some(event) {
             return Ok(());
         }
-        self.again = Some(number);
-        Err(why.to_owned())
+        self.repeated = Some(event);
+        Err(error)
     }
 
-    /// An event that was seen before: written twice, told again on request, or of a board that counts anew.
-    fn lower(&mut self, number: u64, told: Result<Told, String>) {
-        if number == self.last {
-            (self.call.level, self.call.list) = (true, None);
+    /// An event with a number received before: written twice, sent again on request, or from a service that numbers its
+    /// events anew.
+    fn older_event(&mut self, number: u64, event: Result<EndpointEvent, EventError>) {
+        if number == self.last_event {
+            self.request.reached_last_event = true;
+            self.request.restarted_list = None;
         }
-        if self.call.level {
+        if self.request.reached_last_event {
             return;
         }
-        self.call.lower = true;
-        let Ok(told) = told else { return };
-        if told.full {
-            self.call.list = Some((number, BTreeMap::new()));
+        self.request.has_older_events = true;
+        let Ok(event) = event else {
+            return;
+        };
+        if event.complete {
+            self.request.restarted_list = Some(RestartedList {
+                last_event: number,
+                endpoints: BTreeMap::new(),
+            });
         }
-        if let Some((last, list)) = &mut self.call.list {
-            *last = number.max(*last);
-            list.extend(told.members.into_iter().map(|m| (m.id.clone(), m)));
+        let Some(restarted) = &mut self.request.restarted_list else {
+            return;
+        };
+        restarted.last_event = number.max(restarted.last_event);
+        for endpoint in event.endpoints {
+            restarted.endpoints.insert(endpoint.id.clone(), endpoint);
         }
     }
 
-    /// What an event changes, as far as later ones have not told otherwise.
-    fn apply(&mut self, number: u64, told: Told) -> Option<News> {
-        let Told {
-            full,
-            members,
-            faults,
-        } = told;
-        let whole = faults.is_empty();
-        if whole {
-            self.owed.remove(&number);
+    /// What an event changes, as far as no later one has changed it otherwise.
+    fn apply(&mut self, number: u64, event: EndpointEvent) -> Option<EndpointListUpdate> {
+        let has_faults = !event.faults.is_empty();
+        if has_faults {
+            self.incomplete.entry(number).or_insert(0);
         } else {
-            self.owed.entry(number).or_insert(0);
+            self.incomplete.remove(&number);
         }
-        // While part of a list cannot be read nobody is taken for gone that it does not name.
-        let full = full && whole;
-        let mut news = News {
-            full,
-            members: Vec::new(),
-        };
-        for member in members {
-            match self.since.get(&member.id) {
-                Some((at, later)) if *at > number => {
-                    news.members.extend(full.then(|| later.clone()))
+        // While a part of a list cannot be read, no endpoint is gone because the rest does not list it.
+        let complete = event.complete && !has_faults;
+        let mut endpoints = self.without_outdated(number, complete, event.endpoints);
+        if complete {
+            self.add_listed_later(number, &mut endpoints);
+        }
+        if !self.incomplete.is_empty() {
+            self.keep_latest(number, &endpoints);
+        }
+        if !complete && endpoints.is_empty() {
+            return None;
+        }
+        Some(EndpointListUpdate {
+            complete,
+            endpoints,
+        })
+    }
+
+    /// The endpoints of this event without those that a later event lists. A complete list has the later ones in their
+    /// place, as whoever is not in it is gone.
+    fn without_outdated(
+        &self,
+        number: u64,
+        complete: bool,
+        endpoints: Vec<Endpoint>,
+    ) -> Vec<Endpoint> {
+        let mut current = Vec::new();
+        for endpoint in endpoints {
+            match self.latest.get(&endpoint.id) {
+                Some(later) if later.event > number => {
+                    if complete {
+                        current.push(later.endpoint.clone());
+                    }
                 }
-                _ => news.members.push(member),
+                _ => current.push(endpoint),
             }
         }
-        if full {
-            let named: Vec<String> = news.members.iter().map(|m| m.id.clone()).collect();
-            let later = self
-                .since
-                .iter()
-                .filter(|(id, l)| l.0 > number && !named.contains(id));
-            news.members.extend(later.map(|(_, l)| l.1.clone()));
+        current
+    }
+
+    /// Adds to a complete list what only later events list.
+    fn add_listed_later(&self, number: u64, endpoints: &mut Vec<Endpoint>) {
+        if self.latest.is_empty() {
+            return;
         }
-        if !self.owed.is_empty() {
-            for m in &news.members {
-                let at = self.since.get(&m.id).map_or(number, |l| l.0.max(number));
-                self.since.insert(m.id.clone(), (at, m.clone()));
-            }
+        let listed: HashSet<&str> = endpoints
+            .iter()
+            .map(|endpoint| endpoint.id.as_str())
+            .collect();
+        let later: Vec<Endpoint> = self
+            .latest
+            .iter()
+            .filter(|(id, later)| later.event > number && !listed.contains(id.as_str()))
+            .map(|(_, later)| later.endpoint.clone())
+            .collect();
+        endpoints.extend(later);
+    }
+
+    fn keep_latest(&mut self, number: u64, endpoints: &[Endpoint]) {
+        for endpoint in endpoints {
+            let event = self
+                .latest
+                .get(&endpoint.id)
+                .map_or(number, |latest| latest.event.max(number));
+            let latest = LatestEndpoint {
+                event,
+                endpoint: endpoint.clone(),
+            };
+            self.latest.insert(endpoint.id.clone(), latest);
         }
-        (full || !news.members.is_empty()).then_some(news)
     }
 
-    /// With nothing owed all events so far are known whole, and nothing need be kept.
-    fn settle(&mut self) {
-        if self.owed.is_empty() {
-            self.since.clear();
+    /// With no incomplete event nothing received so far can be applied late.
+    fn forget_latest_if_complete(&mut self) {
+        if self.incomplete.is_empty() {
+            self.latest.clear();
         }
     }
 }
+
+/// What is wrong with an event, if anything is.
+fn first_fault(event: &Result<EndpointEvent, EventError>) -> Option<&EventError> {
+    match event {
+        Ok(event) => event.faults.first(),
+        Err(error) => Some(error),
+    }
+}
--- a/wrenseam/src/discovery/xds.rs
+++ b/wrenseam/src/discovery/xds.rs
@@ -1,55 +1,111 @@
-//! Endpoints of KServe v2 workers in Envoy's xDS JSON form.
+//! Endpoints of KServe v2 workers in Envoy's xDS JSON form: `ClusterLoadAssignment` resources.
+//!
+//! What this project needs beyond xDS stands in each endpoint's `metadata.filter_metadata["wrenseam"]`.
 use crate::model::{Endpoint, TransportProtocol};
 use miniserde::json::{Object, Value};
+use std::net::{AddrParseError, SocketAddr};
+use thiserror::Error;
 use wrenseam_policy::json::{list, object, part, span, text, whole};
 use wrenseam_policy::WorkerState;
 
-/// Members of an xDS discovery response (or a single resource) of `ClusterLoadAssignment`s. What this
-/// project needs beyond xDS stands in each endpoint's `metadata.filter_metadata["wrenseam"]`.
-pub fn endpoints(response: &Object) -> Result<Vec<Endpoint>, String> {
-    let single = [Value::Object(response.clone())];
-    let resources = if response.contains_key("resources") {
-        list(response, "resources")
-    } else {
-        &single
-    };
-    let mut members = Vec::new();
-    let empty = Object::new();
-    for assignment in resources.iter().filter_map(object) {
-        for locality in list(assignment, "endpoints").iter().filter_map(object) {
-            let zone = part(locality, "locality")
-                .and_then(|l| text(l, "zone"))
-                .unwrap_or_default();
-            for lb in list(locality, "lb_endpoints").iter().filter_map(object) {
-                let socket = part(lb, "endpoint")
-                    .and_then(|e| part(e, "address"))
-                    .and_then(|a| part(a, "socket_address"))
-                    .ok_or("an endpoint without endpoint.address.socket_address")?;
-                let host = text(socket, "address").ok_or("a socket_address without address")?;
-                let port =
-                    whole(socket, "port_value").ok_or("a socket_address without port_value")?;
-                let address = format!("{host}:{port}");
-                let own = part(lb, "metadata").and_then(|m| part(m, "filter_metadata"));
-                let own = own.and_then(|m| part(m, "wrenseam")).unwrap_or(&empty);
-                members.push(Endpoint {
-                    id: text(own, "id").unwrap_or(&address).to_owned(),
-                    address: address
-                        .parse()
-                        .map_err(|_| format!("not an address: {address}"))?,
-                    // As Envoy reads it: what is not told counts as healthy.
-                    state: match text(lb, "health_status") {
-                        None | Some("UNKNOWN" | "HEALTHY" | "DEGRADED") => WorkerState::Ready,
-                        Some("DRAINING") => WorkerState::Draining,
-                        _ => WorkerState::Gone,
-                    },
-                    started_at: span(own, "started_at_ms"),
-                    zone: zone.to_owned(),
-                    kind: text(own, "kind").unwrap_or_default().to_owned(),
-                    cell: whole(own, "cell"),
-                    protocol: TransportProtocol::Kserve,
-                });
-            }
+/// Key of this project's own fields in an endpoint's filter metadata.
+const METADATA_KEY: &str = "wrenseam";
+
+/// Why a list of endpoints cannot be read.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum XdsError {
+    /// An endpoint has no socket address.
+    #[error("an endpoint without endpoint.address.socket_address")]
+    NoSocketAddress,
+    /// A socket address has no host.
+    #[error("a socket_address without address")]
+    NoHost,
+    /// A socket address has no port number.
+    #[error("a socket_address without port_value")]
+    NoPort,
+    /// A socket address is not an IP address and a port.
+    #[error("not an address: {address}")]
+    InvalidAddress {
+        /// The host and port as they were given.
+        address: String,
+        /// What is wrong with them.
+        source: AddrParseError,
+    },
+}
+
+/// Reads the endpoints of a discovery response, or of a single `ClusterLoadAssignment`.
+///
+/// # Errors
+///
+/// An [`XdsError`] for the first endpoint whose address cannot be read.
+pub fn parse_endpoints(response: &Object) -> Result<Vec<Endpoint>, XdsError> {
+    let mut endpoints = Vec::new();
+    if !response.contains_key("resources") {
+        read_assignment(response, &mut endpoints)?;
+        return Ok(endpoints);
+    }
+    for assignment in objects(response, "resources") {
+        read_assignment(assignment, &mut endpoints)?;
+    }
+    Ok(endpoints)
+}
+
+fn read_assignment(assignment: &Object, endpoints: &mut Vec<Endpoint>) -> Result<(), XdsError> {
+    for locality in objects(assignment, "endpoints") {
+        let zone = part(locality, "locality")
+            .and_then(|fields| text(fields, "zone"))
+            .unwrap_or_default();
+        for endpoint in objects(locality, "lb_endpoints") {
+            endpoints.push(parse_endpoint(endpoint, zone)?);
         }
     }
-    Ok(members)
+    Ok(())
+}
+
+fn parse_endpoint(fields: &Object, zone: &str) -> Result<Endpoint, XdsError> {
+    let socket = part(fields, "endpoint")
+        .and_then(|endpoint| part(endpoint, "address"))
+        .and_then(|address| part(address, "socket_address"))
+        .ok_or(XdsError::NoSocketAddress)?;
+    let host = text(socket, "address").ok_or(XdsError::NoHost)?;
+    let port = whole(socket, "port_value").ok_or(XdsError::NoPort)?;
+    let host_port = format!("{host}:{port}");
+    let empty = Object::new();
+    let metadata = part(fields, "metadata")
+        .and_then(|metadata| part(metadata, "filter_metadata"))
+        .and_then(|filters| part(filters, METADATA_KEY))
+        .unwrap_or(&empty);
+    Ok(Endpoint {
+        id: text(metadata, "id").unwrap_or(&host_port).to_owned(),
+        address: parse_address(&host_port)?,
+        state: parse_health(text(fields, "health_status")),
+        started_at: span(metadata, "started_at_ms"),
+        zone: zone.to_owned(),
+        kind: text(metadata, "kind").unwrap_or_default().to_owned(),
+        cell: whole(metadata, "cell"),
+        protocol: TransportProtocol::Kserve,
+    })
+}
+
+fn parse_address(host_port: &str) -> Result<SocketAddr, XdsError> {
+    host_port
+        .parse()
+        .map_err(|source| XdsError::InvalidAddress {
+            address: host_port.to_owned(),
+            source,
+        })
+}
+
+/// As Envoy reads it: an endpoint without a status counts as healthy.
+fn parse_health(status: Option<&str>) -> WorkerState {
+    match status {
+        None | Some("UNKNOWN" | "HEALTHY" | "DEGRADED") => WorkerState::Ready,
+        Some("DRAINING") => WorkerState::Draining,
+        Some(_) => WorkerState::Gone,
+    }
+}
+
+fn objects<'a>(fields: &'a Object, key: &str) -> impl Iterator<Item = &'a Object> {
+    let items: &'a [Value] = list(fields, key);
+    items.iter().filter_map(object)
 }
--- a/wrenseam/src/lib.rs
+++ b/wrenseam/src/lib.rs
@@ -30,6 +30,8 @@
 use crate::process_state::ProcessState;
 use crate::queue::{CoreHandle, Message};
 use config::Config;
+use discovery::address::DiscoveryAddress;
+use discovery::watch::WatchState;
 use front::Doors;
 use may::net::TcpListener;
 use memory_budget::MemoryBudget;
@@ -100,14 +102,16 @@
             }
         })
         .map_err(|e| format!("core thread: {e}"))?;
-    let (watch, known) = discovery::watch::Watch::new(&std::mem::take(&mut config.known)); // it may be long
-    for discovery::watch::News { full, members } in known {
-        core_handle.endpoint_update(TransportProtocol::Frames, full, members);
+    let known = std::mem::take(&mut config.known); // it may be long
+    let watch = WatchState::from_known_events(&known);
+    drop(known);
+    for update in watch.updates {
+        core_handle.endpoint_update(TransportProtocol::Frames, update.complete, update.endpoints);
     }
-    let board = Arc::new(discovery::address::Board::new(config.board));
-    let (own, within, core) = (board.clone(), limits.clone(), core_handle.clone());
+    let service = Arc::new(DiscoveryAddress::new(config.board));
+    let (own, within, core) = (service.clone(), limits.clone(), core_handle.clone());
     net::spawn(limits.stack, move || {
-        discovery::client::follow(&own, watch, seed, &within.discovery, &core)
+        discovery::client::follow(&own, watch.state, seed, &within.discovery, &core)
     })
     .map_err(|e| format!("board: {e}"))?;
     if config.admin.is_some() {
@@ -126,8 +130,8 @@
     let mut listeners = vec![main];
     if let Some(kserve) = config.kserve {
         if let Some(endpoints) = &kserve.endpoints {
-            let members =
-                discovery::xds::endpoints(endpoints).map_err(|e| format!("endpoints: {e}"))?;
+            let members = discovery::xds::parse_endpoints(endpoints)
+                .map_err(|e| format!("endpoints: {e}"))?;
             core_handle.endpoint_update(TransportProtocol::Kserve, true, members);
         }
         let front = listen(kserve.listen, &doors, "kserve", front::kserve::serve)?;
@@ -150,7 +154,13 @@
         net::spawn(limits.stack, move || front::admin::follow(&inside, named))
             .map_err(|e| format!("exclusions: {e}"))?;
     }
-    shutdown::wait(signals, config.settings_digest, &listeners, &doors, &board);
+    shutdown::wait(
+        signals,
+        config.settings_digest,
+        &listeners,
+        &doors,
+        &service,
+    );
     if config.fleet.is_some() {
         gossip::leave(&shared);
     }
--- a/wrenseam/src/shutdown.rs
+++ b/wrenseam/src/shutdown.rs
@@ -1,7 +1,7 @@
 //! Signals. SIGHUP has the configuration read again; SIGTERM lets the program go on for a while, then it ends
 //! once nothing is open.
 use crate::config::Config;
-use crate::discovery::address::Board;
+use crate::discovery::address::DiscoveryAddress;
 use crate::front::{Doors, Listener};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
@@ -17,7 +17,7 @@
     settings_digest: u64,
     listeners: &[Listener],
     doors: &Doors,
-    board: &Board,
+    service: &DiscoveryAddress,
 ) {
     for signal in signals.forever() {
         if signal != SIGHUP {
@@ -29,7 +29,7 @@
                 eprintln!("reload: the board is at {address}");
                 let digest = Config::digest_with(settings_digest, Some(address));
                 doors.shared.config_digest.store(digest, Ordering::Release);
-                board.moved(address);
+                service.set(address);
             }
             Err(why) => eprintln!("reload: nothing changed: {why}"),
         }
--- a/wrenseam/tests/codecs.rs
+++ b/wrenseam/tests/codecs.rs
@@ -1,8 +1,8 @@
 //! Readers of the wires, fed by hand.
 use rstest::rstest;
-use wrenseam::discovery::event::instances;
-use wrenseam::discovery::event_stream::{Events, Said};
-use wrenseam::discovery::xds::endpoints;
+use wrenseam::discovery::event::parse_event;
+use wrenseam::discovery::event_stream::{EventStreamParser, ServerSentEvent, StreamItem};
+use wrenseam::discovery::xds::parse_endpoints;
 use wrenseam::http::{Chunked, Coded, Head};
 use wrenseam::model::TransportProtocol;
 use wrenseam::ring::Ring;
@@ -64,21 +64,35 @@
 
 #[test]
 fn events_of_the_board_are_read() {
-    let mut events = Events::default();
+    let mut events = EventStreamParser::default();
     let text =
         ": comment\nid: 7\r\ndata: {\"a\":\r\ndata: 1}\r\n\r\n: more\n\nid:8\ndata:x\n\ndata:y\n\n";
     let found: Vec<_> = text
         .bytes()
-        .map(|b| events.byte(b))
-        .filter(|s| *s != Said::Nothing)
+        .map(|b| events.push(b))
+        .filter(|s| *s != StreamItem::Incomplete)
         .collect();
-    let event = |id: Option<&str>, data: &str| Said::Event(id.map(str::to_owned), data.to_owned());
+    let event = |id: Option<&str>, data: &str| {
+        StreamItem::Event(ServerSentEvent {
+            id: id.map(str::to_owned),
+            data: data.to_owned(),
+        })
+    };
     let (first, second, third) = (
         event(Some("7"), "{\"a\":\n1}"),
         event(Some("8"), "x"),
         event(None, "y"),
     );
-    assert_eq!(found, [Said::Comment, first, Said::Comment, second, third]);
+    assert_eq!(
+        found,
+        [
+            StreamItem::Comment,
+            first,
+            StreamItem::Comment,
+            second,
+            third
+        ]
+    );
 }
 
 /// What others can cause at full speed is written a few times a second, then counted.
@@ -133,10 +147,10 @@
     let text = r#"{"rev":41,"pool":{"generation":7,"reset":true,"instances":[{"instanceId":"s-1","hostPort":
         "127.0.0.1:9","zone":"east","machineType":"std","cell":2,"lifecycle":"draining","startedAtMs":5}]}}"#;
     let json = parse(text).expect("JSON");
-    let told = instances(object(&json).expect("an object")).expect("sound");
-    let m = &told.members[0];
+    let told = parse_event(object(&json).expect("an object")).expect("sound");
+    let m = &told.endpoints[0];
     assert!(
-        told.full
+        told.complete
             && told.faults.is_empty()
             && m.state == WorkerState::Draining
             && m.started_at == 5_000
@@ -158,7 +172,7 @@
         "metadata":{{"filter_metadata":{{"wrenseam":{{"id":"w1","cell":3}}}}}}}}]}}]}}]}}"#
     );
     let json = parse(&text).expect("JSON");
-    let members = endpoints(object(&json).expect("an object")).expect("sound");
+    let members = parse_endpoints(object(&json).expect("an object")).expect("sound");
     let m = &members[0];
     assert_eq!(
         (m.state, m.protocol, &m.id[..], &m.zone[..], m.cell),
--- a/wrenseam/tests/discovery_backoff.rs
+++ b/wrenseam/tests/discovery_backoff.rs
@@ -1,10 +1,10 @@
 //! When many and few front ends call a source of workers again.
 use std::time::Duration;
-use wrenseam::discovery::backoff::Redial;
+use wrenseam::discovery::backoff::ReconnectBackoff;
 use wrenseam::limits::Limits;
 use wrenseam_policy::Settings;
 
-fn fleet(gateways: u32) -> Vec<Redial> {
+fn fleet(gateways: u32) -> Vec<ReconnectBackoff> {
     let limits = Limits::new(
         48,
         384,
@@ -14,7 +14,7 @@
         },
     );
     (0..u64::from(gateways))
-        .map(|seed| Redial::new(seed, &limits.discovery))
+        .map(|seed| ReconnectBackoff::new(seed, &limits.discovery))
         .collect()
 }
 
@@ -28,7 +28,10 @@
 #[test]
 fn a_hundred_front_ends_do_not_redial_in_step() {
     let mut fleet = fleet(100);
-    let broke: Vec<Duration> = fleet.iter_mut().map(Redial::after_news).collect();
+    let broke: Vec<Duration> = fleet
+        .iter_mut()
+        .map(ReconnectBackoff::after_success)
+        .collect();
     assert!(crowd(&broke) <= 20, "{broke:?}");
     // Still well before what a board had to tell counts as told, 2 s after a break.
     assert!(broke.iter().all(|w| *w <= Duration::from_millis(500)));
@@ -37,7 +40,10 @@
             .iter_mut()
             .for_each(|r| assert!(r.after_failure() > Duration::ZERO));
     }
-    let away: Vec<Duration> = fleet.iter_mut().map(Redial::after_failure).collect();
+    let away: Vec<Duration> = fleet
+        .iter_mut()
+        .map(ReconnectBackoff::after_failure)
+        .collect();
     assert!(crowd(&away) <= 20, "{away:?}");
     assert!(away
         .iter()
@@ -47,7 +53,7 @@
 #[test]
 fn few_front_ends_call_again_at_once_and_then_at_a_steady_pace() {
     let mut few = fleet(3);
-    assert!(few.iter_mut().all(|r| r.after_news().is_zero()));
+    assert!(few.iter_mut().all(|r| r.after_success().is_zero()));
     for _ in 0..3 {
         assert!(few
             .iter_mut()
--- a/wrenseam/tests/discovery_watch.rs
+++ b/wrenseam/tests/discovery_watch.rs
@@ -2,7 +2,7 @@
 use miniserde::json::{Object, Value};
 use rstest::rstest;
 use std::collections::BTreeMap;
-use wrenseam::discovery::watch::{News, Watch};
+use wrenseam::discovery::watch::{EndpointListUpdate, InitialWatch, WatchState};
 use wrenseam_policy::json::parse;
 use wrenseam_policy::WorkerState;
 
@@ -41,33 +41,36 @@
     let Ok(Value::Object(known)) = known else {
         panic!("an object")
     };
-    let (mut watch, first) = Watch::new(&known);
+    let InitialWatch {
+        state: mut watch,
+        updates,
+    } = WatchState::from_known_events(&known);
     let mut list: BTreeMap<String, WorkerState> = BTreeMap::new();
-    let mut take = |news: News| {
-        if news.full {
+    let mut take = |update: EndpointListUpdate| {
+        if update.complete {
             list.clear();
         }
-        list.extend(news.members.into_iter().map(|m| (m.id, m.state)));
+        list.extend(update.endpoints.into_iter().map(|e| (e.id, e.state)));
     };
-    first.into_iter().for_each(&mut take);
-    let mut calls = vec![watch.ask()];
+    updates.into_iter().for_each(&mut take);
+    let mut calls = vec![watch.begin_request()];
     for step in steps {
         let told = match *step {
-            ";" => watch.comment(),
-            "call" => Err(String::new()),
-            "garbage" => watch.event(Some("6"), "{\"rev\":6,"),
+            ";" => watch.comment().map_err(drop),
+            "call" => Err(()),
+            "garbage" => watch.event(Some("6"), "{\"rev\":6,").map_err(drop),
             event_ => {
                 let (number, rest) = event_.split_once(' ').expect("N instances");
                 let (full, rest) = rest
                     .strip_prefix("list ")
                     .map_or((false, rest), |r| (true, r));
                 let id = Some(number).filter(|n| *n != "-");
-                watch.event(id, &event(number, full, rest))
+                watch.event(id, &event(number, full, rest)).map_err(drop)
             }
         };
         match told {
             Ok(news) => news.into_iter().for_each(&mut take),
-            Err(_) => calls.push(watch.ask()),
+            Err(_) => calls.push(watch.begin_request()),
         }
     }
     let list: Vec<String> = list
@@ -110,7 +113,7 @@
 /// An event without an id is numbered by what it says itself, and never passes for the one before.
 #[test]
 fn an_event_without_an_id_is_not_lost() {
-    let (mut watch, _) = Watch::new(&Object::new());
+    let mut watch = WatchState::from_known_events(&Object::new()).state;
     assert!(watch
         .event(Some("1"), &event("1", true, "a:r"))
         .expect("sound")
@@ -123,5 +126,5 @@
         .event(Some("x"), &event("3", false, "a:g"))
         .expect("sound")
         .is_some());
-    assert_eq!(watch.last(), 3);
+    assert_eq!(watch.last_event(), 3);
 }
