--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -215,7 +215,7 @@
                 self.tally.ended(class, how);
             }
             Message::Exclusions(set) => {
-                let changes = self.members.hand_over(set, self.clock.now());
+                let changes = self.members.replace_exclusions(set, self.clock.now());
                 self.apply(changes);
             }
             Message::Standby(aside) => self.controller.set_standby(aside),
--- a/wrenseam/src/core/peers.rs
+++ b/wrenseam/src/core/peers.rs
@@ -1,6 +1,6 @@
 //! Members and the connections to them: what a change of the list does to both, and how many connections may stand.
 use super::Core;
-use crate::discovery::membership::{Change, Duty};
+use crate::discovery::membership::{Change, ConnectionAction};
 use crate::limits::RESERVED_DESCRIPTORS;
 use crate::model::{AttemptKey, Endpoint, TransportProtocol};
 use crate::worker::{pool, transport, GiveUp, Transport};
@@ -84,7 +84,7 @@
         complete: bool,
         endpoints: Vec<Endpoint>,
     ) {
-        let changes = self.members.take(source, complete, endpoints);
+        let changes = self.members.apply(source, complete, endpoints);
         self.apply(changes);
         self.shared.ready.store(true, Ordering::Release);
     }
@@ -92,7 +92,11 @@
     /// Carries out changes of members: their connections, and the module's list.
     pub(super) fn apply(&mut self, changes: Vec<Change>) {
         let mut entries = Vec::new();
-        for Change { member, duty } in changes {
+        for Change {
+            endpoint: member,
+            action,
+        } in changes
+        {
             entries.push(wrenseam_policy::Endpoint {
                 worker: member.id.clone(),
                 state: member.state,
@@ -107,10 +111,10 @@
             );
             let mut former = Vec::new();
             if let Some(mut peer) = self.peers.remove(&member.id) {
-                if duty != Duty::Keep {
+                if action != ConnectionAction::Keep {
                     peer.transport.retire();
                 }
-                if duty != Duty::Reach {
+                if action != ConnectionAction::Connect {
                     peer.endpoint = member;
                     self.peers.insert(peer.endpoint.id.clone(), peer);
                     continue;
--- a/wrenseam/src/discovery/etcd.rs
+++ b/wrenseam/src/discovery/etcd.rs
@@ -1,73 +1,83 @@
-//! The worker list from an etcd v3 registry, read by its JSON gateway: range and watch bodies in, member news
-//! out. No I/O and no clock: time is handed in. See docs/registry.md.
+//! Endpoints under a key prefix of an etcd v3 registry, read by its JSON gateway: range and watch bodies in, endpoint
+//! updates out. No I/O and no clock: time is handed in. See docs/registry.md.
 use crate::discovery::event::parse_instance;
 use crate::model::Endpoint;
 use base64::{engine::general_purpose::STANDARD, Engine};
 use miniserde::json::{Object, Value};
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, HashSet};
+use thiserror::Error;
 use wrenseam_policy::json::{list, object, parse, part, text};
 use wrenseam_policy::{Micros, WorkerState};
 
-/// What a body from the registry asks of its follower.
+/// What a body asks of whoever follows the registry.
 #[derive(Debug, PartialEq)]
-pub enum News {
-    /// Changes of members; `full` lists replace all that was told before.
-    Members {
-        /// Whether this is the whole list.
-        full: bool,
-        /// The members.
-        members: Vec<Endpoint>,
-    },
-    /// Nothing to act on (progress notices, events already held).
-    Nothing,
-    /// What is held cannot be followed on: read the whole prefix again.
-    Reread(&'static str),
+pub enum EtcdUpdate {
+    /// Endpoints changed.
+    Endpoints(Vec<Endpoint>),
+    /// Nothing changed: a progress notice, or events received before.
+    Unchanged,
+    /// The watch cannot go on: the whole prefix is to be read again.
+    ResyncRequired(ResyncReason),
 }
 
-/// Why a body cannot be read at all.
-#[derive(Debug, PartialEq, Eq)]
-pub struct Unreadable(pub String);
+/// Why the whole prefix is to be read again.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum ResyncReason {
+    /// The registry no longer has the events after the revision held.
+    #[error("the held revision was compacted")]
+    Compacted,
+    /// The registry cancelled the watch.
+    #[error("the watch was cancelled")]
+    Cancelled,
+    /// The answer is another cluster's.
+    #[error("another cluster answers")]
+    OtherCluster,
+    /// The registry's revision is lower than the one held, as after a restore.
+    #[error("the registry's revision went back")]
+    RevisionWentBack,
+}
 
-/// What the follower holds of one key.
-struct Held {
-    created: i64,
-    member: Endpoint,
+/// Why a body cannot be read at all.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum EtcdError {
+    /// It is not JSON.
+    #[error("not JSON")]
+    NotJson,
+    /// It is JSON, but not an object.
+    #[error("not a JSON object")]
+    NotAnObject,
 }
 
-/// Follows one prefix: the revision and cluster held, and what each key last said.
-pub struct Follow {
-    prefix: String,
-    revision: i64,
-    cluster: Option<String>,
-    keys: BTreeMap<String, Held>,
-    /// Values that could not be read; the last good member stays.
-    pub unreadable: u64,
+/// What is held of one key.
+struct KeyState {
+    create_revision: i64,
+    endpoint: Endpoint,
 }
 
-/// A 64-bit number as the gateway writes it: a string, sometimes a bare number; 0 where absent.
-fn int(fields: &Object, key: &str) -> i64 {
-    match fields.get(key) {
-        Some(Value::String(s)) => s.parse().unwrap_or(0),
-        Some(Value::Number(n)) => n.to_string().parse().unwrap_or(0),
-        _ => 0,
-    }
+/// A key and the endpoint that its value holds.
+struct KeyEndpoint {
+    key: String,
+    endpoint: Endpoint,
 }
 
-fn decoded(fields: &Object, key: &str) -> Option<String> {
-    let bytes = STANDARD.decode(text(fields, key)?).ok()?;
-    String::from_utf8(bytes).ok()
+/// Follows one prefix: the revision and cluster held, and each key's last endpoint.
+pub struct EtcdFollower {
+    prefix: String,
+    revision: i64,
+    cluster: Option<String>,
+    keys: BTreeMap<String, KeyState>,
+    unreadable_values: u64,
 }
 
-impl Follow {
+impl EtcdFollower {
     /// A follower of the keys under `prefix`, holding nothing yet.
     pub fn new(prefix: &str) -> Self {
-        let (prefix, keys) = (prefix.to_owned(), BTreeMap::new());
-        Follow {
-            prefix,
+        EtcdFollower {
+            prefix: prefix.to_owned(),
             revision: 0,
             cluster: None,
-            keys,
-            unreadable: 0,
+            keys: BTreeMap::new(),
+            unreadable_values: 0,
         }
     }
 
@@ -76,147 +86,175 @@
         self.revision
     }
 
-    /// A header's revision and cluster; a reread if the registry went back or is another one.
-    fn header(&mut self, body: &Object) -> Result<i64, &'static str> {
-        let header =
-            part(body, "header").or_else(|| part(body, "result").and_then(|r| part(r, "header")));
-        let Some(header) = header else {
-            return Ok(self.revision);
-        };
-        let cluster = text(header, "cluster_id").map(str::to_owned);
-        if cluster.is_some() && self.cluster.is_some() && cluster != self.cluster {
-            return Err("another cluster answers");
-        }
-        self.cluster = cluster.or(self.cluster.take());
-        let revision = int(header, "revision");
-        if revision < self.revision {
-            return Err("the registry's revision went back");
-        }
-        Ok(revision)
-    }
-
-    /// One key's value, as a member; the last good one where it cannot be read.
-    fn member(&mut self, kv: &Object, now: Micros) -> Option<(String, Endpoint)> {
-        let key = decoded(kv, "key")?;
-        let id = key
-            .strip_prefix(&self.prefix)?
-            .trim_start_matches('/')
-            .to_owned();
-        let created = int(kv, "create_revision");
-        let value = decoded(kv, "value").and_then(|v| parse(&v).ok());
-        let mut fields = value.as_ref().and_then(object).cloned().unwrap_or_default();
-        fields.insert("instanceId".to_owned(), Value::String(id.clone()));
-        let Ok(mut member) = parse_instance(&fields) else {
-            self.unreadable += 1;
-            return self.keys.get(&key).map(|h| (key.clone(), h.member.clone()));
-        };
-        // The same id made anew is another process: cold, whatever its value says.
-        if self.keys.get(&key).is_some_and(|h| h.created != created) && member.started_at == 0 {
-            member.started_at = now;
-        }
-        self.keys.insert(
-            key.clone(),
-            Held {
-                created,
-                member: member.clone(),
-            },
-        );
-        Some((key, member))
+    /// How many values could not be read; the last valid endpoint of their key stays.
+    pub fn unreadable_values(&self) -> u64 {
+        self.unreadable_values
     }
 
-    /// The body of `/v3/kv/range` over the prefix: the whole list at its revision.
-    pub fn range(&mut self, body: &str, now: Micros) -> Result<News, Unreadable> {
-        let body = body_object(body)?;
-        let revision = match self.header(&body) {
+    /// Applies the body of `/v3/kv/range` over the prefix: the complete list at its revision.
+    ///
+    /// # Errors
+    ///
+    /// An [`EtcdError`] if the body cannot be read.
+    pub fn apply_range(&mut self, body: &str, now: Micros) -> Result<EtcdUpdate, EtcdError> {
+        let body = parse_body(body)?;
+        let revision = match self.check_header(&body) {
             Ok(revision) => revision,
-            Err(_) => {
-                // A reread after a restore: what the registry says now is the truth, whatever was held.
-                self.cluster = part(&body, "header")
-                    .and_then(|h| text(h, "cluster_id"))
-                    .map(str::to_owned);
-                part(&body, "header").map_or(0, |h| int(h, "revision"))
-            }
+            Err(_) => self.adopt_header(&body),
         };
-        let before: Vec<String> = self.keys.keys().cloned().collect();
-        let mut members = Vec::new();
-        let mut seen = Vec::new();
-        for kv in list(&body, "kvs").iter().filter_map(object) {
-            if let Some((key, member)) = self.member(kv, now) {
-                seen.push(key);
-                members.push(member);
+        let keys_before: Vec<String> = self.keys.keys().cloned().collect();
+        let mut endpoints = Vec::new();
+        let mut keys_listed = HashSet::new();
+        for key_value in list(&body, "kvs").iter().filter_map(object) {
+            if let Some(read) = self.read_key_value(key_value, now) {
+                keys_listed.insert(read.key);
+                endpoints.push(read.endpoint);
             }
         }
-        // A key that vanished between two reads is a drain notice, not silence.
-        for key in before.iter().filter(|k| !seen.contains(k)) {
-            if let Some(held) = self.keys.remove(key) {
-                members.push(Endpoint {
-                    state: WorkerState::Draining,
-                    ..held.member
-                });
+        for key in keys_before {
+            if !keys_listed.contains(&key) {
+                endpoints.extend(self.remove_key(&key));
             }
         }
         self.revision = revision;
-        Ok(News::Members {
-            full: false,
-            members,
-        })
+        Ok(EtcdUpdate::Endpoints(endpoints))
     }
 
-    /// One message of `/v3/watch`.
-    pub fn watch(&mut self, body: &str, now: Micros) -> Result<News, Unreadable> {
-        let body = body_object(body)?;
-        let result = part(&body, "result").cloned().unwrap_or_default();
-        if int(&result, "compact_revision") > 0 {
-            return Ok(News::Reread("the held revision was compacted"));
+    /// Applies one message of `/v3/watch`.
+    ///
+    /// # Errors
+    ///
+    /// An [`EtcdError`] if the body cannot be read.
+    pub fn apply_watch(&mut self, body: &str, now: Micros) -> Result<EtcdUpdate, EtcdError> {
+        let body = parse_body(body)?;
+        let empty = Object::new();
+        let result = part(&body, "result").unwrap_or(&empty);
+        if int(result, "compact_revision") > 0 {
+            return Ok(EtcdUpdate::ResyncRequired(ResyncReason::Compacted));
+        }
+        if matches!(result.get("canceled"), Some(Value::Bool(true))) {
+            return Ok(EtcdUpdate::ResyncRequired(ResyncReason::Cancelled));
         }
-        if result
-            .get("canceled")
-            .is_some_and(|c| matches!(c, Value::Bool(true)))
-        {
-            return Ok(News::Reread("the watch was cancelled"));
+        if let Err(reason) = self.check_header(&body) {
+            return Ok(EtcdUpdate::ResyncRequired(reason));
         }
-        if let Err(why) = self.header(&body) {
-            return Ok(News::Reread(why));
+        let endpoints = self.apply_events(result, now);
+        if endpoints.is_empty() {
+            return Ok(EtcdUpdate::Unchanged);
         }
-        let mut members = Vec::new();
+        Ok(EtcdUpdate::Endpoints(endpoints))
+    }
+
+    fn apply_events(&mut self, result: &Object, now: Micros) -> Vec<Endpoint> {
+        let mut endpoints = Vec::new();
         let mut newest = self.revision;
-        for event in list(&result, "events").iter().filter_map(object) {
-            let Some(kv) = part(event, "kv") else {
+        for event in list(result, "events").iter().filter_map(object) {
+            let Some(key_value) = part(event, "kv") else {
                 continue;
             };
-            let revision = int(kv, "mod_revision");
+            let revision = int(key_value, "mod_revision");
             if revision <= self.revision {
-                continue; // replayed or held already
+                continue; // received before
             }
             newest = newest.max(revision);
             if text(event, "type") == Some("DELETE") {
-                let key = decoded(kv, "key").unwrap_or_default();
-                if let Some(held) = self.keys.remove(&key) {
-                    members.push(Endpoint {
-                        state: WorkerState::Draining,
-                        ..held.member
-                    });
-                }
-            } else if let Some((_, member)) = self.member(kv, now) {
-                members.push(member);
+                let key = base64_text(key_value, "key").unwrap_or_default();
+                endpoints.extend(self.remove_key(&key));
+            } else if let Some(read) = self.read_key_value(key_value, now) {
+                endpoints.push(read.endpoint);
             }
         }
         self.revision = newest;
-        Ok(if members.is_empty() {
-            News::Nothing
-        } else {
-            News::Members {
-                full: false,
-                members,
-            }
+        endpoints
+    }
+
+    /// The revision that a body's header states, if the body goes on from what is held.
+    fn check_header(&mut self, body: &Object) -> Result<i64, ResyncReason> {
+        let header = part(body, "header")
+            .or_else(|| part(body, "result").and_then(|result| part(result, "header")));
+        let Some(header) = header else {
+            return Ok(self.revision);
+        };
+        let cluster = text(header, "cluster_id").map(str::to_owned);
+        if cluster.is_some() && self.cluster.is_some() && cluster != self.cluster {
+            return Err(ResyncReason::OtherCluster);
+        }
+        if cluster.is_some() {
+            self.cluster = cluster;
+        }
+        let revision = int(header, "revision");
+        if revision < self.revision {
+            return Err(ResyncReason::RevisionWentBack);
+        }
+        Ok(revision)
+    }
+
+    /// A range after a restore: what the registry states now holds, whatever was held before.
+    fn adopt_header(&mut self, body: &Object) -> i64 {
+        let header = part(body, "header");
+        self.cluster = header
+            .and_then(|header| text(header, "cluster_id"))
+            .map(str::to_owned);
+        header.map_or(0, |header| int(header, "revision"))
+    }
+
+    /// The endpoint of a key's value; the last valid one where the value cannot be read.
+    fn read_key_value(&mut self, key_value: &Object, now: Micros) -> Option<KeyEndpoint> {
+        let key = base64_text(key_value, "key")?;
+        let id = key.strip_prefix(&self.prefix)?.trim_start_matches('/');
+        let create_revision = int(key_value, "create_revision");
+        let value = base64_text(key_value, "value").and_then(|value| parse(&value).ok());
+        let mut fields = value.as_ref().and_then(object).cloned().unwrap_or_default();
+        fields.insert("instanceId".to_owned(), Value::String(id.to_owned()));
+        let Ok(mut endpoint) = parse_instance(&fields) else {
+            self.unreadable_values += 1;
+            let endpoint = self.keys.get(&key)?.endpoint.clone();
+            return Some(KeyEndpoint { key, endpoint });
+        };
+        // A key that was deleted and created again is another process: it starts now, unless its value says when.
+        let created_again = self
+            .keys
+            .get(&key)
+            .is_some_and(|held| held.create_revision != create_revision);
+        if created_again && endpoint.started_at == 0 {
+            endpoint.started_at = now;
+        }
+        let state = KeyState {
+            create_revision,
+            endpoint: endpoint.clone(),
+        };
+        self.keys.insert(key.clone(), state);
+        Some(KeyEndpoint { key, endpoint })
+    }
+
+    /// Forgets a key that is deleted, or that vanished between two ranges. Its endpoint drains.
+    fn remove_key(&mut self, key: &str) -> Option<Endpoint> {
+        let held = self.keys.remove(key)?;
+        Some(Endpoint {
+            state: WorkerState::Draining,
+            ..held.endpoint
         })
     }
 }
 
-fn body_object(body: &str) -> Result<Object, Unreadable> {
+fn parse_body(body: &str) -> Result<Object, EtcdError> {
     match parse(body) {
         Ok(Value::Object(fields)) => Ok(fields),
-        Ok(_) => Err(Unreadable("not a JSON object".to_owned())),
-        Err(e) => Err(Unreadable(e)),
+        Ok(_) => Err(EtcdError::NotAnObject),
+        Err(_) => Err(EtcdError::NotJson),
     }
 }
+
+/// A 64-bit number as the gateway writes it: a string, sometimes a bare number; 0 where absent.
+fn int(fields: &Object, key: &str) -> i64 {
+    match fields.get(key) {
+        Some(Value::String(digits)) => digits.parse().unwrap_or(0),
+        Some(Value::Number(number)) => number.to_string().parse().unwrap_or(0),
+        _ => 0,
+    }
+}
+
+fn base64_text(fields: &Object, key: &str) -> Option<String> {
+    let bytes = STANDARD.decode(text(fields, key)?).ok()?;
+    String::from_utf8(bytes).ok()
+}
--- a/wrenseam/src/discovery/membership.rs
+++ b/wrenseam/src/discovery/membership.rs
@@ -1,127 +1,162 @@
-//! Who the members are, over all sources: the one place that decides when a worker is new, draining, gone or back
-//! with a new process. Snapshots and events come in, changes go out, each once. No sockets and no clock.
+//! The endpoints of all sources: decides when a worker is new, draining, gone or back with a new process. Complete
+//! lists and single changes come in, each change goes out once. No sockets and no clock.
 use crate::model::{Endpoint, TransportProtocol};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
+use std::net::SocketAddr;
+use thiserror::Error;
 use wrenseam_policy::{Micros, WorkerState};
 
-/// What a change asks of whoever holds the connections to a member.
+/// What a change asks of whoever holds the connections to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Duty {
-    /// It is new, or stands elsewhere or speaks otherwise: what is open to the one before stays there.
-    Reach,
-    /// The process reached so far takes nothing new: it drains, is gone, or was started anew.
-    Retire,
-    /// What is open there stays in use.
+pub enum ConnectionAction {
+    /// It is new, at another address, or speaks another protocol: new connections; those to the former address drain.
+    Connect,
+    /// The process that is connected takes nothing new: it drains, is gone, or was started anew.
+    Drain,
+    /// The connections stay in use.
     Keep,
 }
 
 /// One change of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// The member as it stands now.
-    pub member: Endpoint,
+    /// The endpoint as it is now.
+    pub endpoint: Endpoint,
     /// What to do about its connections.
-    pub duty: Duty,
+    pub action: ConnectionAction,
 }
 
-/// The members of all sources, as told, and the ids that operators excluded.
+/// An id that no list has named.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("no list has named this id")]
+pub struct Unknown;
+
+/// The endpoints of all sources, and the ids that operators excluded.
 #[derive(Default)]
 pub struct Membership {
-    told: BTreeMap<String, Endpoint>,
-    /// What the core was last shown of each member: as told, or draining while excluded.
-    shown: BTreeMap<String, Endpoint>,
+    /// Each endpoint as its source lists it, by id.
+    listed: BTreeMap<String, Endpoint>,
+    /// Each endpoint as the last change gave it: as listed, or draining while it is excluded.
+    published: BTreeMap<String, Endpoint>,
     excluded: BTreeSet<String>,
 }
 
-/// An id that no list has named.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unknown;
-
 impl Membership {
-    /// Takes a source's news; `full` lists replace what it told before, so whoever is not in one is gone. What
-    /// has been told already changes nothing: news may be written twice, or come again in a list.
-    pub fn take(
+    /// Applies an update of one source. A complete list replaces what the source listed before, so whoever is not in it
+    /// is gone. What is listed already changes nothing: sources may repeat themselves.
+    pub fn apply(
         &mut self,
         source: TransportProtocol,
-        full: bool,
-        told: Vec<Endpoint>,
+        complete: bool,
+        endpoints: Vec<Endpoint>,
     ) -> Vec<Change> {
-        let gone = |m: &Endpoint| Endpoint {
-            state: WorkerState::Gone,
-            ..m.clone()
-        };
-        let mut news = Vec::new();
-        // Guards a new worker from what is meant for the one that stood at its address before: the list may
-        // tell of that one's end later than of the new one, and calls would go by the old one's account.
-        let new = |m: &&Endpoint| m.state == WorkerState::Ready && !self.told.contains_key(&m.id);
-        let taken: HashSet<_> = told.iter().filter(new).map(|m| m.address).collect();
-        let named: HashSet<_> = told.iter().map(|m| m.id.as_str()).collect();
-        let of = || self.told.values().filter(|m| m.protocol == source);
-        news.extend(of().filter(|m| taken.contains(&m.address)).map(gone));
-        let left = |m: &&Endpoint| full && !named.contains(m.id.as_str());
-        news.extend(of().filter(left).map(gone));
-        news.extend(told);
-        news.into_iter().filter_map(|m| self.change(m)).collect()
+        let mut updates = self.replaced_at_their_address(source, &endpoints);
+        if complete {
+            updates.extend(self.missing_from(source, &endpoints));
+        }
+        updates.extend(endpoints);
+        updates
+            .into_iter()
+            .filter_map(|endpoint| self.update(endpoint))
+            .collect()
+    }
+
+    /// Endpoints at whose address a new worker is, as gone. The list may report their end later than the new worker,
+    /// which would be taken for theirs.
+    fn replaced_at_their_address(
+        &self,
+        source: TransportProtocol,
+        endpoints: &[Endpoint],
+    ) -> Vec<Endpoint> {
+        let new_addresses: HashSet<SocketAddr> = endpoints
+            .iter()
+            .filter(|new| new.state == WorkerState::Ready && !self.listed.contains_key(&new.id))
+            .map(|new| new.address)
+            .collect();
+        self.listed_by(source)
+            .filter(|listed| new_addresses.contains(&listed.address))
+            .map(gone)
+            .collect()
+    }
+
+    /// Endpoints that a complete list names no more, as gone.
+    fn missing_from(&self, source: TransportProtocol, endpoints: &[Endpoint]) -> Vec<Endpoint> {
+        let named: HashSet<&str> = endpoints
+            .iter()
+            .map(|endpoint| endpoint.id.as_str())
+            .collect();
+        self.listed_by(source)
+            .filter(|listed| !named.contains(listed.id.as_str()))
+            .map(gone)
+            .collect()
+    }
+
+    fn listed_by(&self, source: TransportProtocol) -> impl Iterator<Item = &Endpoint> {
+        self.listed
+            .values()
+            .filter(move |endpoint| endpoint.protocol == source)
     }
 
-    fn change(&mut self, mut member: Endpoint) -> Option<Change> {
-        let known = self.told.get(&member.id);
-        if known.is_none() && member.state == WorkerState::Gone {
+    fn update(&mut self, mut endpoint: Endpoint) -> Option<Change> {
+        let listed = self.listed.get(&endpoint.id);
+        if listed.is_none() && endpoint.state == WorkerState::Gone {
             return None; // the end of what was never here
         }
-        if let Some(known) = known.filter(|_| member.started_at == 0) {
-            member.started_at = known.started_at; // not told anew
+        if let Some(listed) = listed {
+            if endpoint.started_at == 0 {
+                endpoint.started_at = listed.started_at; // not stated again
+            }
         }
-        if known == Some(&member) {
+        if listed == Some(&endpoint) {
             return None;
         }
-        self.told.insert(member.id.clone(), member.clone());
-        self.show(member)
+        self.listed.insert(endpoint.id.clone(), endpoint.clone());
+        self.publish(endpoint)
     }
 
-    /// What the core is to be shown of a member as it is told now: draining while it is excluded.
-    fn show(&mut self, mut member: Endpoint) -> Option<Change> {
-        if self.excluded.contains(&member.id) && member.state == WorkerState::Ready {
-            member.state = WorkerState::Draining;
+    /// The change that an endpoint's listing comes to: it is published as draining while it is excluded.
+    fn publish(&mut self, mut endpoint: Endpoint) -> Option<Change> {
+        if self.excluded.contains(&endpoint.id) && endpoint.state == WorkerState::Ready {
+            endpoint.state = WorkerState::Draining;
         }
-        let known = self.shown.get(&member.id);
-        if known == Some(&member) {
+        let published = self.published.get(&endpoint.id);
+        if published == Some(&endpoint) {
             return None;
         }
-        let same = known.filter(|k| k.address == member.address && k.protocol == member.protocol);
-        let duty = match same {
-            None => Duty::Reach,
-            Some(k) if member.state != WorkerState::Ready || k.started_at != member.started_at => {
-                Duty::Retire
-            }
-            Some(_) => Duty::Keep,
-        };
-        self.shown.insert(member.id.clone(), member.clone());
-        Some(Change { member, duty })
+        let action = connection_action(published, &endpoint);
+        self.published.insert(endpoint.id.clone(), endpoint.clone());
+        Some(Change { endpoint, action })
     }
 
-    /// Leaves a member out, whatever the lists say, until it is included again. `Unknown` if no list has
-    /// named it; excluding it twice changes nothing.
+    /// Excludes an endpoint, whatever the lists say, until it is included again. Excluding it twice changes nothing.
+    ///
+    /// # Errors
+    ///
+    /// [`Unknown`] if no list has named it.
     pub fn exclude(&mut self, id: &str) -> Result<Vec<Change>, Unknown> {
-        let member = self.told.get(id).cloned().ok_or(Unknown)?;
+        let endpoint = self.listed.get(id).cloned().ok_or(Unknown)?;
         self.excluded.insert(id.to_owned());
-        Ok(self.show(member).into_iter().collect())
+        Ok(self.publish(endpoint).into_iter().collect())
     }
 
-    /// Puts a member back as a new process started at `now` (Unix time): operators restarted it while it
-    /// was out, so it holds nothing. `Unknown` for an id neither named nor excluded; a member that was not
-    /// excluded stays as it is.
+    /// Includes an endpoint again as a new process started at `now` (Unix time): operators restarted it while it was
+    /// excluded, so it has nothing loaded. One that was not excluded stays as it is.
+    ///
+    /// # Errors
+    ///
+    /// [`Unknown`] if no list has named it and it was not excluded.
     pub fn include(&mut self, id: &str, now: Micros) -> Result<Vec<Change>, Unknown> {
-        let was = self.excluded.remove(id);
-        let Some(member) = self.told.get_mut(id) else {
-            return if was { Ok(vec![]) } else { Err(Unknown) };
-        };
-        if !was {
-            return Ok(vec![]);
+        let was_excluded = self.excluded.remove(id);
+        let listed = self.listed.get_mut(id);
+        if !was_excluded {
+            return listed.map(|_| vec![]).ok_or(Unknown);
         }
-        member.started_at = now;
-        let member = member.clone();
-        Ok(self.show(member).into_iter().collect())
+        let Some(endpoint) = listed else {
+            return Ok(vec![]);
+        };
+        endpoint.started_at = now;
+        let endpoint = endpoint.clone();
+        Ok(self.publish(endpoint).into_iter().collect())
     }
 
     /// The excluded ids.
@@ -129,33 +164,58 @@
         &self.excluded
     }
 
-    /// Takes the whole set of exclusions, as another process of this front end left it: whatever is new in
-    /// it is excluded (named or not yet), whatever is missing included.
-    pub fn hand_over(&mut self, set: BTreeSet<String>, now: Micros) -> Vec<Change> {
+    /// Takes the complete set of exclusions, as another process of this front end left it: what is new in it is
+    /// excluded, named by a list or not yet; what is missing is included.
+    pub fn replace_exclusions(&mut self, excluded: BTreeSet<String>, now: Micros) -> Vec<Change> {
         let mut changes = Vec::new();
-        for id in self.excluded.difference(&set).cloned().collect::<Vec<_>>() {
+        let included: Vec<String> = self.excluded.difference(&excluded).cloned().collect();
+        for id in included {
             changes.extend(self.include(&id, now).unwrap_or_default());
         }
-        for id in set.difference(&self.excluded.clone()) {
-            match self.exclude(id) {
+        for id in excluded {
+            if self.excluded.contains(&id) {
+                continue;
+            }
+            match self.exclude(&id) {
                 Ok(more) => changes.extend(more),
                 Err(Unknown) => {
-                    self.excluded.insert(id.clone()); // held until a list names it
+                    self.excluded.insert(id); // in effect once a list names it
                 }
             }
         }
         changes
     }
 
-    /// Forgets a member that is gone and to which nothing is open any more.
+    /// Forgets an endpoint that is gone and to which nothing is open any more.
     pub fn forget(&mut self, id: &str) {
-        if self
-            .told
+        let is_gone = self
+            .listed
             .get(id)
-            .is_some_and(|m| m.state == WorkerState::Gone)
-        {
-            self.told.remove(id);
-            self.shown.remove(id);
+            .is_some_and(|endpoint| endpoint.state == WorkerState::Gone);
+        if is_gone {
+            self.listed.remove(id);
+            self.published.remove(id);
         }
     }
 }
+
+/// What becomes of the connections to an endpoint that was published so before.
+fn connection_action(published: Option<&Endpoint>, endpoint: &Endpoint) -> ConnectionAction {
+    let Some(published) = published else {
+        return ConnectionAction::Connect;
+    };
+    if published.address != endpoint.address || published.protocol != endpoint.protocol {
+        return ConnectionAction::Connect;
+    }
+    if endpoint.state != WorkerState::Ready || published.started_at != endpoint.started_at {
+        return ConnectionAction::Drain;
+    }
+    ConnectionAction::Keep
+}
+
+fn gone(endpoint: &Endpoint) -> Endpoint {
+    Endpoint {
+        state: WorkerState::Gone,
+        ..endpoint.clone()
+    }
+}
--- a/wrenseam/tests/discovery_etcd.rs
+++ b/wrenseam/tests/discovery_etcd.rs
@@ -1,6 +1,6 @@
 //! Range and watch bodies of an etcd v3 registry, followed without I/O.
 use base64::{engine::general_purpose::STANDARD, Engine};
-use wrenseam::discovery::etcd::{Follow, News};
+use wrenseam::discovery::etcd::{EtcdFollower, EtcdUpdate, ResyncReason};
 use wrenseam_policy::{Micros, WorkerState};
 
 fn b64(text: &str) -> String {
@@ -17,9 +17,9 @@
     )
 }
 
-fn states(news: &News) -> Vec<(String, WorkerState, Micros)> {
+fn states(news: &EtcdUpdate) -> Vec<(String, WorkerState, Micros)> {
     match news {
-        News::Members { members, .. } => members
+        EtcdUpdate::Endpoints(endpoints) => endpoints
             .iter()
             .map(|m| (m.id.clone(), m.state, m.started_at))
             .collect(),
@@ -29,13 +29,13 @@
 
 #[test]
 fn a_range_then_watch_events_each_once() {
-    let mut follow = Follow::new("/workers");
+    let mut follow = EtcdFollower::new("/workers");
     let range = format!(
         r#"{{"header":{{"cluster_id":"7","revision":"10"}},"kvs":[{},{}]}}"#,
         kv("a", 1, "ready", 3, 3),
         kv("b", 2, "ready", 4, 4)
     );
-    let news = follow.range(&range, 0).expect("read");
+    let news = follow.apply_range(&range, 0).expect("read");
     assert_eq!(states(&news).len(), 2);
     assert_eq!(follow.revision(), 10);
     let put = |rev: i64, body: &str| {
@@ -47,14 +47,14 @@
         11,
         &format!(r#"{{"kv":{}}}"#, kv("a", 1, "draining", 3, 11)),
     );
-    let news = follow.watch(&drain, 5).expect("read");
+    let news = follow.apply_watch(&drain, 5).expect("read");
     assert_eq!(
         states(&news),
         vec![("a".to_owned(), WorkerState::Draining, 0)]
     );
     assert_eq!(
-        follow.watch(&drain, 6),
-        Ok(News::Nothing),
+        follow.apply_watch(&drain, 6),
+        Ok(EtcdUpdate::Unchanged),
         "a replay changes nothing"
     );
     let gone = put(
@@ -65,11 +65,11 @@
         ),
     );
     assert_eq!(
-        states(&follow.watch(&gone, 7).expect("read")),
+        states(&follow.apply_watch(&gone, 7).expect("read")),
         vec![("b".to_owned(), WorkerState::Draining, 0)]
     );
     let again = put(13, &format!(r#"{{"kv":{}}}"#, kv("a", 1, "ready", 13, 13)));
-    let news = follow.watch(&again, 99).expect("read");
+    let news = follow.apply_watch(&again, 99).expect("read");
     assert_eq!(
         states(&news),
         vec![("a".to_owned(), WorkerState::Ready, 99)],
@@ -79,23 +79,32 @@
 
 #[test]
 fn compaction_going_back_and_another_cluster_ask_for_a_reread() {
-    let mut follow = Follow::new("/workers");
+    let mut follow = EtcdFollower::new("/workers");
     let range = format!(
         r#"{{"header":{{"cluster_id":"7","revision":"10"}},"kvs":[{}]}}"#,
         kv("a", 1, "ready", 3, 3)
     );
-    follow.range(&range, 0).expect("read");
+    follow.apply_range(&range, 0).expect("read");
     let compacted = r#"{"result":{"compact_revision":"12","canceled":true}}"#;
-    assert!(matches!(follow.watch(compacted, 1), Ok(News::Reread(_))));
+    assert_eq!(
+        follow.apply_watch(compacted, 1),
+        Ok(EtcdUpdate::ResyncRequired(ResyncReason::Compacted))
+    );
     let back = r#"{"result":{"header":{"cluster_id":"7","revision":"4"},"events":[]}}"#;
-    assert!(matches!(follow.watch(back, 1), Ok(News::Reread(_))));
+    assert_eq!(
+        follow.apply_watch(back, 1),
+        Ok(EtcdUpdate::ResyncRequired(ResyncReason::RevisionWentBack))
+    );
     let other = r#"{"result":{"header":{"cluster_id":"8","revision":"20"},"events":[]}}"#;
-    assert!(matches!(follow.watch(other, 1), Ok(News::Reread(_))));
-    assert!(follow.watch("<html>", 1).is_err());
+    assert_eq!(
+        follow.apply_watch(other, 1),
+        Ok(EtcdUpdate::ResyncRequired(ResyncReason::OtherCluster))
+    );
+    assert!(follow.apply_watch("<html>", 1).is_err());
     // The reread finds a gone: that key is a drain notice.
     let reread = r#"{"header":{"cluster_id":"8","revision":"30"},"kvs":[]}"#;
     assert_eq!(
-        states(&follow.range(reread, 2).expect("read")),
+        states(&follow.apply_range(reread, 2).expect("read")),
         vec![("a".to_owned(), WorkerState::Draining, 0)]
     );
     assert_eq!(follow.revision(), 30);
@@ -103,16 +112,16 @@
 
 #[test]
 fn an_unreadable_value_keeps_the_last_good_member_and_is_counted() {
-    let mut follow = Follow::new("/workers");
+    let mut follow = EtcdFollower::new("/workers");
     follow
-        .range(&format!(r#"{{"kvs":[{}]}}"#, kv("a", 1, "ready", 3, 3)), 0)
+        .apply_range(&format!(r#"{{"kvs":[{}]}}"#, kv("a", 1, "ready", 3, 3)), 0)
         .expect("read");
     let bad = format!(
         r#"{{"result":{{"events":[{{"kv":{{"key":"{}","value":"{}","create_revision":"3","mod_revision":"5"}}}}]}}}}"#,
         b64("/workers/a"),
         b64("not json")
     );
-    let news = follow.watch(&bad, 1).expect("read");
+    let news = follow.apply_watch(&bad, 1).expect("read");
     assert_eq!(states(&news), vec![("a".to_owned(), WorkerState::Ready, 0)]);
-    assert_eq!(follow.unreadable, 1);
+    assert_eq!(follow.unreadable_values(), 1);
 }
--- a/wrenseam/tests/membership.rs
+++ b/wrenseam/tests/membership.rs
@@ -1,10 +1,10 @@
 //! Who the members are, over all sources.
 use rstest::rstest;
 use std::collections::BTreeSet;
-use wrenseam::discovery::membership::{Change, Duty, Membership, Unknown};
+use wrenseam::discovery::membership::{Change, ConnectionAction, Membership, Unknown};
 use wrenseam::model::{Endpoint, TransportProtocol};
 use wrenseam_policy::WorkerState;
-use Duty::{Keep, Reach, Retire};
+use ConnectionAction::{Connect, Drain, Keep};
 use WorkerState::{Draining, Gone, Ready};
 
 fn member(id: &str, port: u16, state: WorkerState, started_at: u64) -> Endpoint {
@@ -31,30 +31,30 @@
 /// After `a` at 1 and `b` at 2 are known: what this news changes.
 #[rstest]
 #[case::told_again((true, vec![("a", 1, Ready, 0), ("b", 2, Ready, 0)]), vec![])]
-#[case::drain((false, vec![("a", 1, Draining, 0)]), vec![("a", Draining, Retire)])]
-#[case::left_out_of_a_list((true, vec![("b", 2, Ready, 0)]), vec![("a", Gone, Retire)])]
-#[case::back_cold_under_its_id((false, vec![("a", 1, Ready, 9)]), vec![("a", Ready, Retire)])]
-#[case::moved((false, vec![("a", 3, Ready, 0)]), vec![("a", Ready, Reach)])]
-#[case::new_at_an_old_address((false, vec![("c", 1, Ready, 9)]), vec![("a", Gone, Retire), ("c", Ready, Reach)])]
+#[case::drain((false, vec![("a", 1, Draining, 0)]), vec![("a", Draining, Drain)])]
+#[case::left_out_of_a_list((true, vec![("b", 2, Ready, 0)]), vec![("a", Gone, Drain)])]
+#[case::back_cold_under_its_id((false, vec![("a", 1, Ready, 9)]), vec![("a", Ready, Drain)])]
+#[case::moved((false, vec![("a", 3, Ready, 0)]), vec![("a", Ready, Connect)])]
+#[case::new_at_an_old_address((false, vec![("c", 1, Ready, 9)]), vec![("a", Gone, Drain), ("c", Ready, Connect)])]
 #[case::end_of_a_stranger((false, vec![("d", 4, Gone, 0)]), vec![])]
 #[case::drain_twice(
     (false, vec![("a", 1, Draining, 0), ("a", 1, Draining, 0), ("a", 1, Gone, 0)]),
-    vec![("a", Draining, Retire), ("a", Gone, Retire)]
+    vec![("a", Draining, Drain), ("a", Gone, Drain)]
 )]
-#[case::never_mind((false, vec![("a", 1, Draining, 0), ("a", 1, Ready, 0)]), vec![("a", Draining, Retire), ("a", Ready, Keep)])]
+#[case::never_mind((false, vec![("a", 1, Draining, 0), ("a", 1, Ready, 0)]), vec![("a", Draining, Drain), ("a", Ready, Keep)])]
 fn news_changes_each_member_once(
     #[case] news: News,
-    #[case] changes: Vec<(&str, WorkerState, Duty)>,
+    #[case] changes: Vec<(&str, WorkerState, ConnectionAction)>,
 ) {
     let mut members = Membership::default();
     let first = vec![member("a", 1, Ready, 0), member("b", 2, Ready, 0)];
     assert!(members
-        .take(TransportProtocol::Frames, true, first)
+        .apply(TransportProtocol::Frames, true, first)
         .iter()
-        .all(|c| c.duty == Reach));
+        .all(|c| c.action == Connect));
     // The list of another source says nothing of these.
     assert_eq!(
-        members.take(TransportProtocol::Kserve, true, vec![]),
+        members.apply(TransportProtocol::Kserve, true, vec![]),
         vec![]
     );
     let told = news
@@ -62,10 +62,10 @@
         .iter()
         .map(|&(id, port, state, at)| member(id, port, state, at))
         .collect();
-    let got = members.take(TransportProtocol::Frames, news.0, told);
+    let got = members.apply(TransportProtocol::Frames, news.0, told);
     let got: Vec<_> = got
         .iter()
-        .map(|c| (c.member.id.as_str(), c.member.state, c.duty))
+        .map(|c| (c.endpoint.id.as_str(), c.endpoint.state, c.action))
         .collect();
     assert_eq!(got, changes);
 }
@@ -74,7 +74,7 @@
 #[test]
 fn an_excluded_member_drains_until_it_is_included() {
     let mut members = Membership::default();
-    members.take(
+    members.apply(
         TransportProtocol::Frames,
         true,
         vec![member("a", 1, Ready, 0)],
@@ -82,12 +82,12 @@
     assert_eq!(members.exclude("nobody"), Err(Unknown));
     let state = |c: &[Change]| {
         c.iter()
-            .map(|c| (c.member.state, c.duty))
+            .map(|c| (c.endpoint.state, c.action))
             .collect::<Vec<_>>()
     };
     assert_eq!(
         state(&members.exclude("a").expect("known")),
-        vec![(Draining, Retire)]
+        vec![(Draining, Drain)]
     );
     assert_eq!(
         members.exclude("a"),
@@ -95,15 +95,15 @@
         "a second exclude changes nothing"
     );
     // The list tells it ready again, as after a restart: it stays out.
-    let again = members.take(
+    let again = members.apply(
         TransportProtocol::Frames,
         true,
         vec![member("a", 1, Ready, 7)],
     );
-    assert_eq!(state(&again), vec![(Draining, Retire)]);
+    assert_eq!(state(&again), vec![(Draining, Drain)]);
     let back = members.include("a", 99).expect("excluded");
-    assert_eq!(state(&back), vec![(Ready, Retire)]);
-    assert_eq!(back[0].member.started_at, 99, "back as a new process");
+    assert_eq!(state(&back), vec![(Ready, Drain)]);
+    assert_eq!(back[0].endpoint.started_at, 99, "back as a new process");
     assert_eq!(
         members.include("a", 100),
         Ok(vec![]),
@@ -117,20 +117,20 @@
 fn exclusions_are_handed_over() {
     let mut members = Membership::default();
     let set = |ids: &[&str]| ids.iter().map(|&id| id.to_owned()).collect::<BTreeSet<_>>();
-    assert_eq!(members.hand_over(set(&["a"]), 5), vec![]);
-    let told = members.take(
+    assert_eq!(members.replace_exclusions(set(&["a"]), 5), vec![]);
+    let told = members.apply(
         TransportProtocol::Frames,
         true,
         vec![member("a", 1, Ready, 0)],
     );
     assert_eq!(
-        told.iter().map(|c| c.member.state).collect::<Vec<_>>(),
+        told.iter().map(|c| c.endpoint.state).collect::<Vec<_>>(),
         vec![Draining]
     );
-    let back = members.hand_over(set(&[]), 9);
+    let back = members.replace_exclusions(set(&[]), 9);
     assert_eq!(
         back.iter()
-            .map(|c| (c.member.state, c.member.started_at))
+            .map(|c| (c.endpoint.state, c.endpoint.started_at))
             .collect::<Vec<_>>(),
         vec![(Ready, 9)]
     );
