--- a/wrenseam/src/cli.rs
+++ b/wrenseam/src/cli.rs
@@ -1,7 +1,8 @@
 //! The command line: `serve`, also what is done without arguments, and `check` of configuration files.
-use crate::config::Config;
+use crate::config::{Config, ConfigError, Fleet};
 use clap::{Parser, Subcommand};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
+use thiserror::Error;
 
 /// Front end of a tile service: FastCGI and KServe v2 before, workers behind.
 #[derive(Debug, Parser)]
@@ -30,40 +31,75 @@
     },
 }
 
-/// Reads the files; what they say in one line, or what is wrong.
+/// Why configuration files cannot be used together.
+#[derive(Debug, Error)]
+pub enum CheckError {
+    /// One of them cannot be used.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The fleet's file sheds a class that the settings do not have.
+    #[error("the fleet's shed_order names {class}, which is no class of the settings")]
+    UnknownClass {
+        /// The class's name.
+        class: String,
+    },
+}
+
+/// Reads the files and describes what they come to.
+///
+/// # Errors
+///
+/// A [`CheckError`] for the first file that cannot be used, or if they contradict each other.
 pub fn check(
-    config: &std::path::Path,
-    kserve: Option<&std::path::Path>,
-    fleet: Option<&std::path::Path>,
-) -> Result<String, String> {
+    config: &Path,
+    kserve: Option<&Path>,
+    fleet: Option<&Path>,
+) -> Result<String, CheckError> {
     let config = Config::from_files(config, kserve)?;
-    let fleet = fleet
-        .map(|f| crate::config::Fleet::read(&f.to_string_lossy()))
-        .transpose()?;
-    if let Some(unknown) = fleet
-        .iter()
-        .flat_map(|f| &f.shed_order)
-        .find(|n| config.settings.class(n) >= config.settings.classes.len())
-    {
-        return Err(format!(
-            "the fleet's shed_order names {unknown}, which is no class of the settings"
-        ));
+    let fleet = match fleet {
+        Some(path) => Some(Fleet::read(&path.to_string_lossy())?),
+        None => None,
+    };
+    if let Some(fleet) = &fleet {
+        check_shed_order(&config, fleet)?;
+    }
+    Ok(describe(&config, fleet.as_ref()))
+}
+
+fn check_shed_order(config: &Config, fleet: &Fleet) -> Result<(), CheckError> {
+    for class in &fleet.shed_order {
+        if config.settings.class(class) >= config.settings.classes.len() {
+            return Err(CheckError::UnknownClass {
+                class: class.clone(),
+            });
+        }
+    }
+    Ok(())
+}
+
+/// One line, and one more for each setting that cannot be used.
+fn describe(config: &Config, fleet: Option<&Fleet>) -> String {
+    let admin = match config.admin {
+        Some(address) => format!(", the operators' door at {address}"),
+        None => String::new(),
+    };
+    let gossip = match fleet {
+        Some(fleet) => format!(
+            ", gossip at {} with {} seeds",
+            fleet.listen,
+            fleet.seeds.len()
+        ),
+        None => String::new(),
+    };
+    let mut description = format!(
+        "{} would listen on {}{admin}{gossip}, with {} classes and {} tenants",
+        config.name,
+        config.listen,
+        config.settings.classes.len(),
+        config.settings.tenants.len(),
+    );
+    for fault in &config.faults {
+        description.push_str(&format!("\nsettings: {fault}; taken as not stated"));
     }
-    let (classes, tenants) = (config.settings.classes.len(), config.settings.tenants.len());
-    let listen = config.listen;
-    let door = config
-        .admin
-        .map_or(String::new(), |a| format!(", the operators' door at {a}"));
-    let fleet = fleet.map_or(String::new(), |f| {
-        format!(", gossip at {} with {} seeds", f.listen, f.seeds.len())
-    });
-    let faults: String = config
-        .faults
-        .iter()
-        .map(|why| format!("\nsettings: {why}; taken as not stated"))
-        .collect();
-    Ok(format!(
-        "{} would listen on {listen}{door}{fleet}, with {classes} classes and {tenants} tenants{faults}",
-        config.name
-    ))
+    description
 }
--- a/wrenseam/src/config/kserve.rs
+++ b/wrenseam/src/config/kserve.rs
@@ -1,8 +1,9 @@
-//! The file of the KServe v2 front.
-use super::file::{address, file, Read};
+//! The file of the KServe v2 front, which `WRENSEAM_KSERVE` names.
+use super::json_file::JsonFile;
+use super::ConfigError;
 use miniserde::json::Object;
 use std::net::SocketAddr;
-use wrenseam_policy::json::text;
+use std::path::Path;
 
 /// The KServe v2 front's file.
 pub struct Kserve {
@@ -15,22 +16,22 @@
 }
 
 impl Kserve {
-    pub(super) fn read(path: &str) -> Read<Kserve> {
-        let fields = file(path)?;
-        let endpoints = match text(&fields, "endpoints") {
-            Some(beside) => {
-                let folder = std::path::Path::new(path)
-                    .parent()
-                    .unwrap_or(std::path::Path::new("."));
-                Some(file(&folder.join(beside).to_string_lossy())?)
-            }
-            None => None,
-        };
-        let listen = address(&fields, "listen")?.ok_or(format!("{path}: no 'listen'"))?;
+    pub(super) fn read(path: &str) -> Result<Kserve, ConfigError> {
+        let file = JsonFile::read(path)?;
         Ok(Kserve {
-            listen,
-            admin: address(&fields, "admin")?,
-            endpoints,
+            endpoints: endpoints(&file, path)?,
+            listen: file.required_address("listen")?,
+            admin: file.address("admin")?,
         })
     }
 }
+
+/// The file of endpoints lies beside this one, unless its path is absolute.
+fn endpoints(file: &JsonFile, path: &str) -> Result<Option<Object>, ConfigError> {
+    let Some(name) = file.text("endpoints") else {
+        return Ok(None);
+    };
+    let folder = Path::new(path).parent().unwrap_or(Path::new("."));
+    let endpoints = JsonFile::read(&folder.join(name).to_string_lossy())?;
+    Ok(Some(endpoints.into_fields()))
+}
--- a/wrenseam/src/config/mod.rs
+++ b/wrenseam/src/config/mod.rs
@@ -1,30 +1,53 @@
-//! What a front end is told at its start: environment, NODE_CONFIG and the file of the KServe v2 front.
-mod file;
+//! The start configuration: environment, the platform's file (`NODE_CONFIG`) and the files of the KServe v2 front and of
+//! the fleet.
+mod error;
 mod fleet;
+mod json_file;
 mod kserve;
 
 use crate::fleet::identity::{address_hash, mix};
 use crate::limits::Limits;
-use file::{address, file, Read};
+use json_file::JsonFile;
 use miniserde::json::{self, Object};
 use std::net::SocketAddr;
 use std::path::Path;
-use wrenseam_policy::json::{number, part, text};
+use wrenseam_policy::json::number;
 use wrenseam_policy::Settings;
 
+pub use error::ConfigError;
 pub use fleet::Fleet;
 pub use kserve::Kserve;
 
+/// Names the platform's file.
+const CONFIG_VARIABLE: &str = "NODE_CONFIG";
+/// Replaces the file's `name`.
+const NAME_VARIABLE: &str = "NODE_NAME";
+/// Replaces the file's `listen`.
+const LISTEN_VARIABLE: &str = "NODE_LISTEN";
+/// Replaces the file's `admin`.
+const ADMIN_VARIABLE: &str = "NODE_ADMIN";
+/// Names the KServe v2 front's file; off on the platform, which does not set it.
+const KSERVE_VARIABLE: &str = "WRENSEAM_KSERVE";
+/// Names the fleet's file; off on the platform too.
+const FLEET_VARIABLE: &str = "WRENSEAM_FLEET";
+
+/// The key of the discovery service's address in the platform's file.
+const DISCOVERY_SERVICE_KEY: &str = "board";
+
+/// Memory in MB and descriptors of the process, where the platform's file has no limits.
+const DEFAULT_MEMORY_MB: f64 = 192.0;
+const DEFAULT_SOCKETS: f64 = 1024.0;
+
 /// The start configuration.
 pub struct Config {
     /// The front end's name.
     pub name: String,
     /// Where FastCGI clients connect.
     pub listen: SocketAddr,
-    /// Address of the notice board, if there is one.
-    pub board: Option<SocketAddr>,
-    /// The board's events up to now.
-    pub known: Object,
+    /// Address of the discovery service, if there is one.
+    pub discovery_service: Option<SocketAddr>,
+    /// The discovery service's events up to now.
+    pub known_events: Object,
     /// Seed of the random numbers.
     pub seed: u64,
     /// The settings of the deployment.
@@ -33,115 +56,167 @@
     pub faults: Vec<String>,
     /// All limits.
     pub limits: Limits,
-    /// A digest of the settings; with the board's address it shows front ends that run by another configuration.
+    /// A digest of the settings; with the discovery service's address it shows front ends that run by another
+    /// configuration.
     pub settings_digest: u64,
     /// The KServe v2 front, where it is on.
     pub kserve: Option<Kserve>,
-    /// Where the operators' door listens (`admin`, or `NODE_ADMIN`), if it is wanted.
+    /// Where the admin endpoint listens (`admin`, or `NODE_ADMIN`), if it is wanted.
     pub admin: Option<SocketAddr>,
     /// Membership and budgets of the fleet, where `WRENSEAM_FLEET` names their file.
     pub fleet: Option<Fleet>,
 }
 
 impl Config {
-    /// Reads the variables NODE_CONFIG, NODE_NAME, NODE_LISTEN and WRENSEAM_KSERVE.
-    pub fn from_environment() -> Read<Config> {
-        let variable = |name: &str| std::env::var(name).ok().filter(|v| !v.is_empty());
-        let path = variable("NODE_CONFIG").ok_or("NODE_CONFIG names no file")?;
-        let mut config = Config::read(
-            &file(&path)?,
-            variable("NODE_LISTEN"),
-            variable("NODE_NAME"),
-        )?;
-        if let Some(admin) = variable("NODE_ADMIN") {
-            let admin: SocketAddr = admin
-                .parse()
-                .map_err(|_| format!("NODE_ADMIN is not HOST:PORT: {admin}"))?;
-            if admin.port() != 0 && admin == config.listen {
-                return Err(format!(
-                    "NODE_ADMIN is the clients' address {admin}: the door needs one of its own"
-                ));
-            }
+    /// Reads the environment and the files that it names.
+    ///
+    /// # Errors
+    ///
+    /// A [`ConfigError`] for the first variable or file that cannot be used.
+    pub fn from_environment() -> Result<Config, ConfigError> {
+        let path = variable(CONFIG_VARIABLE).ok_or(ConfigError::NoFileNamed {
+            variable: CONFIG_VARIABLE,
+        })?;
+        let file = JsonFile::read(&path)?;
+        let mut config = Config::parse(&file, variable_address(LISTEN_VARIABLE))?;
+        if let Some(name) = variable(NAME_VARIABLE) {
+            config.name = name;
+        }
+        if let Some(admin) = variable_address(ADMIN_VARIABLE).transpose()? {
+            check_admin_address(ADMIN_VARIABLE, admin, Some(config.listen))?;
             config.admin = Some(admin);
         }
-        // Off on the platform: only an environment that names the file turns the v2 front on.
-        if let Some(path) = variable("WRENSEAM_KSERVE") {
+        if let Some(path) = variable(KSERVE_VARIABLE) {
             config.kserve = Some(Kserve::read(&path)?);
         }
-        // Off on the platform too: talk between front ends only where an environment names its file.
-        if let Some(path) = variable("WRENSEAM_FLEET") {
+        if let Some(path) = variable(FLEET_VARIABLE) {
             config.fleet = Some(Fleet::read(&path)?);
         }
         Ok(config)
     }
 
     /// Reads these files, whatever the environment says.
-    pub fn from_files(config: &Path, kserve: Option<&Path>) -> Read<Config> {
-        let mut read = Config::read(&file(&config.to_string_lossy())?, None, None)?;
-        read.kserve = kserve
-            .map(|path| Kserve::read(&path.to_string_lossy()))
-            .transpose()?;
-        Ok(read)
+    ///
+    /// # Errors
+    ///
+    /// A [`ConfigError`] for the first file that cannot be used.
+    pub fn from_files(config: &Path, kserve: Option<&Path>) -> Result<Config, ConfigError> {
+        let file = JsonFile::read(&config.to_string_lossy())?;
+        let mut config = Config::parse(&file, None)?;
+        if let Some(path) = kserve {
+            config.kserve = Some(Kserve::read(&path.to_string_lossy())?);
+        }
+        Ok(config)
     }
 
-    /// The board's address as NODE_CONFIG tells it now; all else in the file holds from start to end.
-    pub fn board_now() -> Read<SocketAddr> {
-        let path = std::env::var("NODE_CONFIG").map_err(|e| format!("NODE_CONFIG: {e}"))?;
-        address(&file(&path)?, "board")?.ok_or(format!("{path}: no 'board'"))
+    /// The discovery service's address as the platform's file has it now; all else in the file holds from start to end.
+    ///
+    /// # Errors
+    ///
+    /// A [`ConfigError`] if the file cannot be read or names no address.
+    pub fn discovery_service_now() -> Result<SocketAddr, ConfigError> {
+        let path =
+            std::env::var(CONFIG_VARIABLE).map_err(|source| ConfigError::UnreadableVariable {
+                variable: CONFIG_VARIABLE,
+                source,
+            })?;
+        JsonFile::read(&path)?.required_address(DISCOVERY_SERVICE_KEY)
     }
 
-    /// The digest of this configuration with the board at another address.
-    pub fn digest_with(settings_digest: u64, board: Option<SocketAddr>) -> u64 {
-        mix(settings_digest ^ board.map_or(0, address_hash))
+    /// The digest of this configuration with the discovery service at another address.
+    pub fn digest_with(settings_digest: u64, discovery_service: Option<SocketAddr>) -> u64 {
+        mix(settings_digest ^ discovery_service.map_or(0, address_hash))
     }
 
-    fn read(fields: &Object, listen: Option<String>, name: Option<String>) -> Read<Config> {
+    /// Reads the platform's file; `listen` replaces its address for clients.
+    fn parse(
+        file: &JsonFile,
+        listen: Option<Result<SocketAddr, ConfigError>>,
+    ) -> Result<Config, ConfigError> {
         let empty = Object::new();
-        let part = |key: &str| part(fields, key).unwrap_or(&empty);
-        let (settings, faults) = (
-            Settings::from_json(part("settings")),
-            Settings::faults(part("settings")),
-        );
-        if settings.classes.is_empty() {
-            return Err("the settings name no classes: every request would fail".to_owned());
-        }
-        let limit = |key: &str, other: f64| number(part("limits"), key).unwrap_or(other) as u64;
+        let settings_fields = file.object("settings").unwrap_or(&empty);
+        let settings = parse_settings(settings_fields)?;
         let listen = match listen {
-            Some(l) => Some(
-                l.parse()
-                    .map_err(|_| format!("NODE_LISTEN is not HOST:PORT: {l}"))?,
-            ),
-            None => address(fields, "listen")?,
+            Some(address) => Some(address?),
+            None => file.address("listen")?,
         };
-        let admin = address(fields, "admin")?;
-        // Both would listen by SO_REUSEPORT, and clients and callers would be shared between them.
-        if let Some(same) = admin.filter(|a| a.port() != 0 && Some(*a) == listen) {
-            return Err(format!(
-                "'admin' is the clients' address {same}: the door needs one of its own"
-            ));
+        let admin = file.address("admin")?;
+        if let Some(admin) = admin {
+            check_admin_address("'admin'", admin, listen)?;
         }
-        let seed = text(fields, "seed").unwrap_or("0");
-        let settings_digest = crc32fast::hash(json::to_string(part("settings")).as_bytes());
         Ok(Config {
-            settings_digest: u64::from(settings_digest),
-            name: name
-                .or(text(fields, "name").map(str::to_owned))
-                .unwrap_or_default(),
-            listen: listen.ok_or("no address to listen on")?,
-            board: address(fields, "board")?,
-            known: part("known").clone(),
-            seed: u64::from_str_radix(seed, 16)
-                .map_err(|_| format!("'seed' is not hex: {seed}"))?,
-            limits: Limits::new(
-                limit("memory_mb", 192.0),
-                limit("sockets", 1024.0),
-                &settings,
-            ),
+            settings_digest: settings_digest(settings_fields),
+            name: file.text("name").unwrap_or_default().to_owned(),
+            listen: listen.ok_or(ConfigError::NoListenAddress)?,
+            discovery_service: file.address(DISCOVERY_SERVICE_KEY)?,
+            known_events: file.object("known").cloned().unwrap_or_default(),
+            seed: parse_seed(file)?,
+            limits: parse_limits(file.object("limits").unwrap_or(&empty), &settings),
+            faults: Settings::faults(settings_fields),
             settings,
-            faults,
             kserve: None,
             admin,
             fleet: None,
         })
     }
 }
+
+fn parse_settings(fields: &Object) -> Result<Settings, ConfigError> {
+    let settings = Settings::from_json(fields);
+    if settings.classes.is_empty() {
+        return Err(ConfigError::NoClasses);
+    }
+    Ok(settings)
+}
+
+fn settings_digest(fields: &Object) -> u64 {
+    u64::from(crc32fast::hash(json::to_string(fields).as_bytes()))
+}
+
+fn parse_limits(fields: &Object, settings: &Settings) -> Limits {
+    let memory_mb = number(fields, "memory_mb").unwrap_or(DEFAULT_MEMORY_MB);
+    let sockets = number(fields, "sockets").unwrap_or(DEFAULT_SOCKETS);
+    Limits::new(memory_mb as u64, sockets as u64, settings)
+}
+
+fn parse_seed(file: &JsonFile) -> Result<u64, ConfigError> {
+    let seed = file.text("seed").unwrap_or("0");
+    u64::from_str_radix(seed, 16).map_err(|source| ConfigError::NotHexadecimal {
+        file: file.path(),
+        key: "seed",
+        value: seed.to_owned(),
+        source,
+    })
+}
+
+/// Port 0 is never the clients' port: each socket gets one of its own.
+fn check_admin_address(
+    setting: &'static str,
+    admin: SocketAddr,
+    listen: Option<SocketAddr>,
+) -> Result<(), ConfigError> {
+    if admin.port() != 0 && Some(admin) == listen {
+        return Err(ConfigError::AdminOnClientAddress {
+            setting,
+            address: admin,
+        });
+    }
+    Ok(())
+}
+
+/// A variable's text; an empty one counts as not set.
+fn variable(name: &str) -> Option<String> {
+    std::env::var(name).ok().filter(|value| !value.is_empty())
+}
+
+fn variable_address(name: &'static str) -> Option<Result<SocketAddr, ConfigError>> {
+    let value = variable(name)?;
+    let address = value
+        .parse()
+        .map_err(|source| ConfigError::InvalidVariableAddress {
+            variable: name,
+            value,
+            source,
+        });
+    Some(address)
+}
--- a/wrenseam/src/lib.rs
+++ b/wrenseam/src/lib.rs
@@ -55,7 +55,7 @@
     let core_handle = CoreHandle::new(sender);
     let shared = Arc::new(ProcessState::default());
     shared.config_digest.store(
-        Config::digest_with(config.settings_digest, config.board),
+        Config::digest_with(config.settings_digest, config.discovery_service),
         Ordering::Release,
     );
     let doors = Doors {
@@ -102,13 +102,13 @@
             }
         })
         .map_err(|e| format!("core thread: {e}"))?;
-    let known = std::mem::take(&mut config.known); // it may be long
+    let known = std::mem::take(&mut config.known_events); // it may be long
     let watch = WatchState::from_known_events(&known);
     drop(known);
     for update in watch.updates {
         core_handle.endpoint_update(TransportProtocol::Frames, update.complete, update.endpoints);
     }
-    let service = Arc::new(DiscoveryAddress::new(config.board));
+    let service = Arc::new(DiscoveryAddress::new(config.discovery_service));
     let (own, within, core) = (service.clone(), limits.clone(), core_handle.clone());
     net::spawn(limits.stack, move || {
         discovery::client::follow(&own, watch.state, seed, &within.discovery, &core)
--- a/wrenseam/src/shutdown.rs
+++ b/wrenseam/src/shutdown.rs
@@ -24,7 +24,7 @@
             break;
         }
         // Guards against a file that is missing or half written: what held before goes on to hold.
-        match Config::board_now() {
+        match Config::discovery_service_now() {
             Ok(address) => {
                 eprintln!("reload: the board is at {address}");
                 let digest = Config::digest_with(settings_digest, Some(address));
--- a/wrenseam/tests/config_errors.rs
+++ b/wrenseam/tests/config_errors.rs
@@ -229,7 +229,7 @@
     let folder = Folder::new("reload");
     let text = |path: &Path| {
         std::env::set_var("NODE_CONFIG", path);
-        wrenseam::config::Config::board_now()
+        wrenseam::config::Config::discovery_service_now()
             .expect_err("unusable")
             .to_string()
     };
@@ -250,7 +250,7 @@
     );
     std::env::remove_var("NODE_CONFIG");
     assert_eq!(
-        wrenseam::config::Config::board_now()
+        wrenseam::config::Config::discovery_service_now()
             .expect_err("unusable")
             .to_string(),
         "NODE_CONFIG: environment variable not found"
--- a/wrenseam/tests/fleet_average.rs
+++ b/wrenseam/tests/fleet_average.rs
@@ -272,7 +272,9 @@
         more.len()
     ));
     std::fs::write(&path, format!(r#"{{"listen":"127.0.0.1:0"{more}}}"#)).expect("written");
-    let read = Fleet::read(&path.to_string_lossy()).map(|f| f.summaries);
+    let read = Fleet::read(&path.to_string_lossy())
+        .map(|f| f.summaries)
+        .map_err(|e| e.to_string());
     std::fs::remove_file(&path).expect("removed");
     match want {
         Ok(want) => assert_eq!(read, Ok(want)),
