--- a/wrenseam/src/discovery/client.rs
+++ b/wrenseam/src/discovery/client.rs
@@ -19,10 +19,10 @@
 #[derive(Debug, Error)]
 pub enum ConnectionError {
     /// The configuration names no service.
-    #[error("no board is named")]
+    #[error("no discovery service is named")]
     NoAddress,
     /// The service is at another address now.
-    #[error("the board has moved")]
+    #[error("the discovery service has moved")]
     AddressChanged,
     /// A system call failed.
     #[error(transparent)]
--- a/wrenseam/src/discovery/event.rs
+++ b/wrenseam/src/discovery/event.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EventError {
     /// The event's data is something else than a JSON object.
-    #[error("it is no JSON object")]
+    #[error("not a JSON object")]
     NotAnObject,
     /// The event has no pool.
     #[error("no 'pool'")]
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InstanceError {
     /// It is something else than a JSON object.
-    #[error("an instance is no object")]
+    #[error("an instance is not an object")]
     NotAnObject,
     /// A field that it must have is missing, or is no text.
     #[error("an instance without '{key}'")]
--- a/wrenseam/src/discovery/event_stream.rs
+++ b/wrenseam/src/discovery/event_stream.rs
@@ -109,7 +109,7 @@
         reason: String,
     },
     /// The head is longer than allowed.
-    #[error("the answer's head is too long")]
+    #[error("the response head is too long")]
     HeadTooLong,
     /// The service answered with another status than 200.
     #[error("status {0}")]
--- a/wrenseam/src/discovery/log_lines.rs
+++ b/wrenseam/src/discovery/log_lines.rs
@@ -5,32 +5,32 @@
 
 /// An instance of an event of the start configuration cannot be read.
 pub fn known_event_fault(number: u64, fault: &EventError) -> String {
-    format!("start: in known notice {number}: {fault}")
+    format!("start: in known event {number}: {fault}")
 }
 
 /// An event of the start configuration cannot be read at all.
 pub fn known_event_skipped(number: u64, error: &EventError) -> String {
-    format!("start: known notice {number} skipped: {error}")
+    format!("start: known event {number} skipped: {error}")
 }
 
 /// The connection to the discovery service ended.
 pub fn connection_ended(address: SocketAddr, last_event: u64, error: impl Display) -> String {
-    format!("board: connection to {address} ended after event {last_event}: {error}")
+    format!("discovery: connection to {address} ended after event {last_event}: {error}")
 }
 
 /// An event was received twice with a fault in it, and is used as far as it can be read.
 pub fn event_fault(number: u64, fault: &EventError) -> String {
-    format!("board: event {number}: {fault}; what is sound in it is used, the rest asked for again")
+    format!("discovery: event {number}: {fault}; its valid instances are used, the rest is requested again")
 }
 
 /// An event with a fault is not requested again.
 pub fn event_fault_ignored(number: u64) -> String {
-    format!("board: event {number}: what is unfit in it is given up")
+    format!("discovery: event {number}: its invalid instances are not requested again")
 }
 
 /// The discovery service numbers its events anew.
 pub fn numbers_restarted(last_event: u64, former_last_event: u64) -> String {
     format!(
-        "board: it counts anew, event {last_event} where {former_last_event} was the last; its list holds"
+        "discovery: events are numbered anew, {last_event} where {former_last_event} was the last; the new list is used"
     )
 }
--- a/wrenseam/src/discovery/watch.rs
+++ b/wrenseam/src/discovery/watch.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WatchError {
     /// The service numbers its events anew, and its complete list is needed.
-    #[error("it counts lower than event {last}")]
+    #[error("events are numbered lower than {last}")]
     NumbersRestarted {
         /// The last event received before.
         last: u64,
