--- a/wrenseam/src/limits.rs
+++ b/wrenseam/src/limits.rs
@@ -10,7 +10,7 @@
 const KIB: usize = 1024;
 const MIB: usize = 1024 * KIB;
 
-/// From more front ends than this the workers are shared by so many that keepalive checks cost more than they tell,
+/// From more front ends than this the workers are shared by so many that keepalive checks cost more than they are worth,
 /// and calls of the discovery service are spread.
 const LARGE_FLEET_FRONT_ENDS: u32 = 16;
 
@@ -36,6 +36,9 @@
 /// copy, and rings and stacks come on top.
 const HELD_MEMORY_DIVISOR: usize = 4;
 
+/// Most bytes of a request's body.
+const REQUEST_BODY_BYTES: usize = 16 * KIB;
+
 /// Most bytes of the head of a request or a response.
 const HEAD_BYTES: usize = 16 * KIB;
 
@@ -45,12 +48,51 @@
 /// Most bytes of answers, both of one from a worker and of those waiting on a client connection.
 const ANSWER_BYTES: usize = MIB;
 
-/// A client that sends nothing of use is owed a close within 3 s.
+/// A slow client may take this long to send a request, from its first byte to its last.
+const REQUEST_READ: Duration = Duration::from_millis(2_000);
+
+/// The longest wait that a client may name (10 minutes), and the one where it names none.
+const CLIENT_WAIT_MAX: Micros = 600_000_000;
+const CLIENT_WAIT_DEFAULT: Micros = 4_000_000;
+
+/// An answer needs this time on its way to the client.
+const ANSWER_MARGIN: Micros = 80_000;
+
+/// The largest figures of a replica that a request may state; larger ones are mistakes.
+const REPLICA_MEMORY_MB_MAX: f64 = 1e6;
+const REPLICA_CONCURRENCY_MAX: f64 = 1024.0;
+
+/// Open requests on one client connection.
+const REQUESTS_PER_CONNECTION: usize = 32;
+
+/// How often a client connection looks at its times, the shortest of which are 2 s.
+const CLIENT_CHECK: Duration = Duration::from_millis(250);
+
+/// A client has this long to close after our half-close, within the time that a stopping process has.
+const LINGER: Duration = Duration::from_millis(320);
+
+/// Bytes of a malformed request that are read and dropped, so that its client can read the answer.
+const DISCARD_BYTES: usize = 64 * KIB;
+
+/// Clients that send nothing of use expect a close within 3 s.
 const FIRST_REQUEST: Duration = Duration::from_millis(2_000);
 
 /// Usual clients close an idle connection themselves at 4 s.
 const CLIENT_IDLE: Duration = Duration::from_millis(5_000);
 
+/// Size of a worker connection's rings, which carry many exchanges.
+const WORKER_RING_BYTES: usize = 64 * KIB;
+
+/// A write that moves nothing for this long gives its connection up, and how often it looks for cancels meanwhile.
+const WRITE_STALL: Duration = Duration::from_secs(5);
+const WRITE_CHECK: Duration = Duration::from_millis(50);
+
+/// The rest of an answer that has begun comes within this, or never.
+const FRAME_STALL: Duration = Duration::from_millis(200);
+
+/// Workers may answer for this long after the client's wait is over.
+const LATE_ANSWER: Duration = Duration::from_secs(1);
+
 /// Used where the settings name no idle time of worker connections, ms.
 const WORKER_IDLE_DEFAULT_MS: u64 = 15_000;
 
@@ -70,10 +112,22 @@
 const KEEPALIVE_QUIET: Duration = Duration::from_millis(200);
 const KEEPALIVE_QUIET_LARGE_FLEET: Duration = Duration::from_millis(300);
 
+/// A worker has this long to answer a keepalive check.
+const KEEPALIVE_ANSWER: Duration = Duration::from_millis(200);
+
+/// How often worker connections are looked at for keepalive checks.
+const KEEPALIVE_CHECK: Micros = 50_000;
+
 /// The part of an exchange's age after which a keepalive check is repeated, in hundredths.
 const KEEPALIVE_REPEAT_PERCENT: u32 = 50;
 const KEEPALIVE_REPEAT_PERCENT_LARGE_FLEET: u32 = 90;
 
+/// Stack of a coroutine.
+const STACK_BYTES: usize = 64 * KIB;
+
+/// Whoever sends to this front end goes on for a while after SIGTERM.
+const STOP_LISTENING: Duration = Duration::from_millis(700);
+
 /// The process ends this long behind the longest wait of any class, and not before `STOP_MIN`.
 const STOP_MARGIN: Duration = Duration::from_secs(1);
 const STOP_MIN: Duration = Duration::from_secs(10);
@@ -100,7 +154,7 @@
     pub lanes: f64,
 
     // Client connections.
-    /// Client connections held at once, over all fronts.
+    /// Client connections open at once, over all fronts.
     pub client_connections: usize,
     /// Open requests on one client connection.
     pub requests_per_connection: usize,
@@ -110,9 +164,9 @@
     pub client_ring: usize,
     /// A client connection that has asked for nothing of use closes after this.
     pub first_request: Duration,
-    /// A client connection on which nothing is owed closes after this.
+    /// A client connection without a request in flight closes after this.
     pub client_idle: Duration,
-    /// While the front end drains, a client connection on which nothing is owed closes after this.
+    /// While the front end drains, a client connection without a request in flight closes after this.
     pub drain_idle: Duration,
     /// How often a client connection looks at these times.
     pub client_check: Duration,
@@ -156,7 +210,7 @@
     pub link_check: Micros,
 
     // The process.
-    /// Bytes of bodies and unsent answers held over all requests.
+    /// Bytes of bodies and unsent answers that all requests may reserve.
     pub held_bytes: usize,
     /// Stack of a coroutine, in bytes.
     pub stack: usize,
@@ -173,50 +227,47 @@
 impl Limits {
     /// From the platform's memory and descriptor limits and the settings.
     pub fn new(memory_mb: u64, sockets: u64, settings: &Settings) -> Self {
-        let descriptors = sockets.clamp(DESCRIPTORS_MIN, DESCRIPTORS_MAX) as usize;
-        let memory = memory_mb.clamp(MEMORY_MB_MIN, MEMORY_MB_MAX) as usize * MIB;
-        let connect = duration_or(settings.connect_timeout, CONNECT_DEFAULT_MS);
-        let keepalive = KeepaliveTimes::new(settings);
+        let process = ProcessSize::new(memory_mb, sockets);
         Limits {
-            body: 16 * KIB,
+            body: REQUEST_BODY_BYTES,
             head: HEAD_BYTES,
-            request_read: Duration::from_millis(2_000),
-            longest_wait: 600_000_000,
-            default_wait: 4_000_000,
-            answer_margin: 80_000,
-            memory_mb: 1e6,
-            lanes: 1024.0,
-            client_connections: client_connections(descriptors),
-            requests_per_connection: 32,
+            request_read: REQUEST_READ,
+            longest_wait: CLIENT_WAIT_MAX,
+            default_wait: CLIENT_WAIT_DEFAULT,
+            answer_margin: ANSWER_MARGIN,
+            memory_mb: REPLICA_MEMORY_MB_MAX,
+            lanes: REPLICA_CONCURRENCY_MAX,
+            client_connections: client_connections(process.descriptors),
+            requests_per_connection: REQUESTS_PER_CONNECTION,
             unsent_per_connection: ANSWER_BYTES,
             client_ring: SMALL_RING_BYTES,
             first_request: FIRST_REQUEST,
             client_idle: CLIENT_IDLE,
             drain_idle: Duration::ZERO,
-            client_check: Duration::from_millis(250),
-            linger: Duration::from_millis(320),
-            discard: 64 * KIB,
-            descriptors,
-            lanes_per_worker: (descriptors / DESCRIPTORS_PER_V2_CONNECTION).max(V2_CONNECTIONS_MIN),
+            client_check: CLIENT_CHECK,
+            linger: LINGER,
+            discard: DISCARD_BYTES,
+            descriptors: process.descriptors,
+            lanes_per_worker: v2_connections(process.descriptors),
             streams: streams(settings),
-            worker_ring: 64 * KIB,
+            worker_ring: WORKER_RING_BYTES,
             answer: ANSWER_BYTES,
-            connect,
+            connect: connect_timeout(settings),
             worker_idle: worker_idle(settings),
-            write_stall: Duration::from_secs(5),
-            write_check: Duration::from_millis(50),
-            frame_stall: Duration::from_millis(200),
-            late_answer: Duration::from_secs(1),
+            write_stall: WRITE_STALL,
+            write_check: WRITE_CHECK,
+            frame_stall: FRAME_STALL,
+            late_answer: LATE_ANSWER,
             order: load_order(settings),
-            link_quiet: keepalive.quiet,
-            link_again: keepalive.repeat_percent,
-            link_answer: Duration::from_millis(200),
-            link_check: 50_000,
-            held_bytes: memory / HELD_MEMORY_DIVISOR,
-            stack: 64 * KIB,
-            stop_listening: Duration::from_millis(700),
+            link_quiet: keepalive_quiet(settings),
+            link_again: keepalive_repeat_percent(settings),
+            link_answer: KEEPALIVE_ANSWER,
+            link_check: KEEPALIVE_CHECK,
+            held_bytes: process.memory_bytes / HELD_MEMORY_DIVISOR,
+            stack: STACK_BYTES,
+            stop_listening: STOP_LISTENING,
             stop_at_last: stop_at_last(settings),
-            discovery: DiscoveryLimits::new(memory, connect, settings),
+            discovery: DiscoveryLimits::new(process.memory_bytes, settings),
         }
     }
 
@@ -257,7 +308,7 @@
     pub connect_timeout: Duration,
     /// A connection on which nothing comes for so long has ended.
     pub silence_timeout: Duration,
-    /// A request that brings no event for so long, drawn from here to `event_timeout_max`, is made anew though
+    /// A request that brings no event for so long, drawn from here to `event_timeout_max`, is replaced by a new one though
     /// comments come.
     pub event_timeout_min: Duration,
     /// The longest such time.
@@ -280,11 +331,10 @@
 }
 
 impl DiscoveryLimits {
-    /// For a process of so many bytes of memory.
-    fn new(memory: usize, connect_timeout: Duration, settings: &Settings) -> Self {
+    fn new(memory_bytes: usize, settings: &Settings) -> Self {
         let large_fleet = is_large_fleet(settings);
         DiscoveryLimits {
-            connect_timeout,
+            connect_timeout: connect_timeout(settings),
             silence_timeout: DISCOVERY_SILENCE,
             event_timeout_min: DISCOVERY_EVENT_TIMEOUT_MIN,
             event_timeout_max: DISCOVERY_EVENT_TIMEOUT_MAX,
@@ -302,32 +352,43 @@
             },
             read_buffer: SMALL_RING_BYTES,
             response_head: HEAD_BYTES,
-            event_bytes: (memory / DISCOVERY_EVENT_MEMORY_DIVISOR).max(DISCOVERY_EVENT_BYTES_MIN),
+            event_bytes: (memory_bytes / DISCOVERY_EVENT_MEMORY_DIVISOR)
+                .max(DISCOVERY_EVENT_BYTES_MIN),
         }
     }
 }
 
-/// When a quiet worker connection is checked.
-struct KeepaliveTimes {
-    quiet: Duration,
-    repeat_percent: u32,
+/// What the platform gives the process, within what can be worked with.
+struct ProcessSize {
+    memory_bytes: usize,
+    descriptors: usize,
 }
 
-impl KeepaliveTimes {
-    fn new(settings: &Settings) -> Self {
-        if is_large_fleet(settings) {
-            return KeepaliveTimes {
-                quiet: KEEPALIVE_QUIET_LARGE_FLEET,
-                repeat_percent: KEEPALIVE_REPEAT_PERCENT_LARGE_FLEET,
-            };
-        }
-        KeepaliveTimes {
-            quiet: KEEPALIVE_QUIET,
-            repeat_percent: KEEPALIVE_REPEAT_PERCENT,
+impl ProcessSize {
+    fn new(memory_mb: u64, sockets: u64) -> Self {
+        ProcessSize {
+            memory_bytes: memory_mb.clamp(MEMORY_MB_MIN, MEMORY_MB_MAX) as usize * MIB,
+            descriptors: sockets.clamp(DESCRIPTORS_MIN, DESCRIPTORS_MAX) as usize,
         }
     }
 }
 
+fn keepalive_quiet(settings: &Settings) -> Duration {
+    if is_large_fleet(settings) {
+        KEEPALIVE_QUIET_LARGE_FLEET
+    } else {
+        KEEPALIVE_QUIET
+    }
+}
+
+fn keepalive_repeat_percent(settings: &Settings) -> u32 {
+    if is_large_fleet(settings) {
+        KEEPALIVE_REPEAT_PERCENT_LARGE_FLEET
+    } else {
+        KEEPALIVE_REPEAT_PERCENT
+    }
+}
+
 fn is_large_fleet(settings: &Settings) -> bool {
     settings.front_ends > LARGE_FLEET_FRONT_ENDS
 }
@@ -338,6 +399,14 @@
     (descriptors - workers - RESERVED_DESCRIPTORS) / DESCRIPTORS_PER_CLIENT
 }
 
+fn v2_connections(descriptors: usize) -> usize {
+    (descriptors / DESCRIPTORS_PER_V2_CONNECTION).max(V2_CONNECTIONS_MIN)
+}
+
+fn connect_timeout(settings: &Settings) -> Duration {
+    duration_or(settings.connect_timeout, CONNECT_DEFAULT_MS)
+}
+
 fn streams(settings: &Settings) -> usize {
     if settings.streams_per_connection > 0 {
         settings.streams_per_connection as usize
