--- a/wrenseam/src/discovery/etcd.rs
+++ b/wrenseam/src/discovery/etcd.rs
@@ -9,7 +9,7 @@
 use wrenseam_policy::json::{list, object, parse, part, text};
 use wrenseam_policy::{Micros, WorkerState};
 
-/// What a body asks of whoever follows the registry.
+/// What a body changes, or requires.
 #[derive(Debug, PartialEq)]
 pub enum EtcdUpdate {
     /// Endpoints changed.
@@ -23,8 +23,8 @@
 /// Why the whole prefix is to be read again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ResyncReason {
-    /// The registry no longer has the events after the revision held.
-    #[error("the held revision was compacted")]
+    /// The registry no longer has the events after the last known revision.
+    #[error("the last known revision was compacted")]
     Compacted,
     /// The registry cancelled the watch.
     #[error("the watch was cancelled")]
@@ -32,7 +32,7 @@
     /// The answer is another cluster's.
     #[error("another cluster answers")]
     OtherCluster,
-    /// The registry's revision is lower than the one held, as after a restore.
+    /// The registry's revision is lower than the last known one, as after a restore.
     #[error("the registry's revision went back")]
     RevisionWentBack,
 }
@@ -48,7 +48,7 @@
     NotAnObject,
 }
 
-/// What is held of one key.
+/// What is known of one key.
 struct KeyState {
     create_revision: i64,
     endpoint: Endpoint,
@@ -60,7 +60,7 @@
     endpoint: Endpoint,
 }
 
-/// Follows one prefix: the revision and cluster held, and each key's last endpoint.
+/// Follows one prefix: its last known revision, its cluster and each key's last endpoint.
 pub struct EtcdFollower {
     prefix: String,
     revision: i64,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The revision held: a watch goes on from the next one.
+    /// The last known revision: a watch goes on from the next one.
     pub fn revision(&self) -> i64 {
         self.revision
     }
@@ -168,7 +168,7 @@
         endpoints
     }
 
-    /// The revision that a body's header states, if the body goes on from what is held.
+    /// The revision that a body's header states, if the body continues what is known.
     fn check_header(&mut self, body: &Object) -> Result<i64, ResyncReason> {
         let header = part(body, "header")
             .or_else(|| part(body, "result").and_then(|result| part(result, "header")));
@@ -189,7 +189,7 @@
         Ok(revision)
     }
 
-    /// A range after a restore: what the registry states now holds, whatever was held before.
+    /// A range after a restore: what the registry states now counts, whatever was known before.
     fn adopt_header(&mut self, body: &Object) -> i64 {
         let header = part(body, "header");
         self.cluster = header
@@ -215,7 +215,7 @@
         let created_again = self
             .keys
             .get(&key)
-            .is_some_and(|held| held.create_revision != create_revision);
+            .is_some_and(|known| known.create_revision != create_revision);
         if created_again && endpoint.started_at == 0 {
             endpoint.started_at = now;
         }
@@ -229,10 +229,10 @@
 
     /// Forgets a key that is deleted, or that vanished between two ranges. Its endpoint drains.
     fn remove_key(&mut self, key: &str) -> Option<Endpoint> {
-        let held = self.keys.remove(key)?;
+        let known = self.keys.remove(key)?;
         Some(Endpoint {
             state: WorkerState::Draining,
-            ..held.endpoint
+            ..known.endpoint
         })
     }
 }
--- a/wrenseam/src/discovery/event_stream.rs
+++ b/wrenseam/src/discovery/event_stream.rs
@@ -60,7 +60,7 @@
         StreamItem::Incomplete
     }
 
-    /// Bytes held of the event that is being read.
+    /// Bytes buffered of the event that is being read.
     pub fn buffered_bytes(&self) -> usize {
         self.line.len() + self.data.len()
     }
--- a/wrenseam/src/discovery/log_lines.rs
+++ b/wrenseam/src/discovery/log_lines.rs
@@ -28,9 +28,9 @@
     format!("discovery: event {number}: its invalid instances are not requested again")
 }
 
-/// The discovery service numbers its events anew.
+/// The discovery service has restarted its event numbers.
 pub fn numbers_restarted(last_event: u64, former_last_event: u64) -> String {
     format!(
-        "discovery: events are numbered anew, {last_event} where {former_last_event} was the last; the new list is used"
+        "discovery: event numbers restarted, {last_event} is the last after {former_last_event}; the new list is used"
     )
 }
--- a/wrenseam/src/discovery/membership.rs
+++ b/wrenseam/src/discovery/membership.rs
@@ -6,12 +6,12 @@
 use thiserror::Error;
 use wrenseam_policy::{Micros, WorkerState};
 
-/// What a change asks of whoever holds the connections to an endpoint.
+/// What a change requires of the connections to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionAction {
     /// It is new, at another address, or speaks another protocol: new connections; those to the former address drain.
     Connect,
-    /// The process that is connected takes nothing new: it drains, is gone, or was started anew.
+    /// The process that is connected takes nothing new: it drains, is gone, or was restarted.
     Drain,
     /// The connections stay in use.
     Keep,
--- a/wrenseam/src/discovery/watch.rs
+++ b/wrenseam/src/discovery/watch.rs
@@ -32,7 +32,7 @@
 /// Why a new request is to be made.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WatchError {
-    /// The service numbers its events anew, and its complete list is needed.
+    /// The service has restarted its event numbers, and its complete list is needed.
     #[error("events are numbered lower than {last}")]
     NumbersRestarted {
         /// The last event received before.
@@ -57,7 +57,7 @@
     /// An event has no number that can be read.
     #[error("an event without a number: {id}")]
     Unnumbered {
-        /// The id that stands in the number's place.
+        /// The id that was sent in place of a number.
         id: String,
     },
 }
@@ -106,7 +106,7 @@
     reached_last_event: bool,
     /// Whether events with lower numbers have come.
     has_older_events: bool,
-    /// The list of a service that numbers its events anew, should it be one.
+    /// The list of a service that has restarted its event numbers, should it be one.
     restarted_list: Option<RestartedList>,
     comments_since_event: u32,
 }
@@ -314,7 +314,7 @@
         Ok(Some(self.adopt(restarted)))
     }
 
-    /// The list of a service that numbers its events anew replaces what was received before.
+    /// The list of a service that has restarted its event numbers replaces what was received before.
     fn adopt(&mut self, restarted: RestartedList) -> EndpointListUpdate {
         note!(
             "{}",
@@ -343,8 +343,8 @@
         Err(error)
     }
 
-    /// An event with a number received before: written twice, sent again on request, or from a service that numbers its
-    /// events anew.
+    /// An event with a number received before: written twice, sent again on request, or from a service that has
+    /// restarted its event numbers.
     fn older_event(&mut self, number: u64, event: Result<EndpointEvent, EventError>) {
         if number == self.last_event {
             self.request.reached_last_event = true;
--- a/wrenseam/src/discovery/xds.rs
+++ b/wrenseam/src/discovery/xds.rs
@@ -1,6 +1,6 @@
 //! Endpoints of KServe v2 workers in Envoy's xDS JSON form: `ClusterLoadAssignment` resources.
 //!
-//! What this project needs beyond xDS stands in each endpoint's `metadata.filter_metadata["wrenseam"]`.
+//! What this project needs beyond xDS is in each endpoint's `metadata.filter_metadata["wrenseam"]`.
 use crate::model::{Endpoint, TransportProtocol};
 use miniserde::json::{Object, Value};
 use std::net::{AddrParseError, SocketAddr};
