--- a/wrenseam/src/config/mod.rs
+++ b/wrenseam/src/config/mod.rs
@@ -79,6 +79,8 @@
         })?;
         let file = JsonFile::read(&path)?;
         let mut config = Config::parse(&file, variable_address(LISTEN_VARIABLE))?;
+        // Its known events may take much of the memory.
+        drop(file);
         if let Some(name) = variable(NAME_VARIABLE) {
             config.name = name;
         }
@@ -136,6 +138,9 @@
         let empty = Object::new();
         let settings_fields = file.object("settings").unwrap_or(&empty);
         let settings = parse_settings(settings_fields)?;
+        // Before the known events are copied: what is allocated behind them keeps the heap from shrinking once they are
+        // freed (`tests/large_list.rs`: at most 64 MB instead of 86 MB with 20,000 workers).
+        let faults = Settings::faults(settings_fields);
         let listen = match listen {
             Some(address) => Some(address?),
             None => file.address("listen")?,
@@ -152,8 +157,8 @@
             known_events: file.object("known").cloned().unwrap_or_default(),
             seed: parse_seed(file)?,
             limits: parse_limits(file.object("limits").unwrap_or(&empty), &settings),
-            faults: Settings::faults(settings_fields),
             settings,
+            faults,
             kserve: None,
             admin,
             fleet: None,
--- a/wrenseam/src/discovery/watch.rs
+++ b/wrenseam/src/discovery/watch.rs
@@ -422,19 +422,15 @@
 
     /// Adds to a complete list what only later events list.
     fn add_listed_later(&self, number: u64, endpoints: &mut Vec<Endpoint>) {
-        if self.latest.is_empty() {
-            return;
-        }
-        let listed: HashSet<&str> = endpoints
+        let listed: HashSet<String> = endpoints
             .iter()
-            .map(|endpoint| endpoint.id.as_str())
+            .map(|endpoint| endpoint.id.clone())
             .collect();
-        let later: Vec<Endpoint> = self
+        let later = self
             .latest
             .iter()
-            .filter(|(id, later)| later.event > number && !listed.contains(id.as_str()))
-            .map(|(_, later)| later.endpoint.clone())
-            .collect();
+            .filter(|(id, later)| later.event > number && !listed.contains(*id))
+            .map(|(_, later)| later.endpoint.clone());
         endpoints.extend(later);
     }
 
