--- a/wrenseam/tests/discovery_backoff.rs
+++ b/wrenseam/tests/discovery_backoff.rs
@@ -1,19 +1,19 @@
-//! When many and few front ends call a source of workers again.
+//! When many and few front ends reconnect to a source of endpoints.
 use std::time::Duration;
 use wrenseam::discovery::backoff::ReconnectBackoff;
 use wrenseam::limits::Limits;
 use wrenseam_policy::Settings;
 
-fn fleet(gateways: u32) -> Vec<ReconnectBackoff> {
+fn fleet(front_ends: u32) -> Vec<ReconnectBackoff> {
     let limits = Limits::new(
         48,
         384,
         &Settings {
-            front_ends: gateways,
+            front_ends,
             ..Settings::default()
         },
     );
-    (0..u64::from(gateways))
+    (0..u64::from(front_ends))
         .map(|seed| ReconnectBackoff::new(seed, &limits.discovery))
         .collect()
 }
@@ -26,14 +26,14 @@
 }
 
 #[test]
-fn a_hundred_front_ends_do_not_redial_in_step() {
+fn a_hundred_front_ends_do_not_reconnect_in_step() {
     let mut fleet = fleet(100);
     let broke: Vec<Duration> = fleet
         .iter_mut()
         .map(ReconnectBackoff::after_success)
         .collect();
     assert!(crowd(&broke) <= 20, "{broke:?}");
-    // Still well before what a board had to tell counts as told, 2 s after a break.
+    // Well before an event counts as received, 2 s after the connection ended.
     assert!(broke.iter().all(|w| *w <= Duration::from_millis(500)));
     for _ in 0..5 {
         fleet
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn few_front_ends_call_again_at_once_and_then_at_a_steady_pace() {
+fn few_front_ends_reconnect_at_once_and_retry_at_a_steady_pace() {
     let mut few = fleet(3);
     assert!(few.iter_mut().all(|r| r.after_success().is_zero()));
     for _ in 0..3 {
--- a/wrenseam/tests/discovery_etcd.rs
+++ b/wrenseam/tests/discovery_etcd.rs
@@ -73,12 +73,12 @@
     assert_eq!(
         states(&news),
         vec![("a".to_owned(), WorkerState::Ready, 99)],
-        "made anew: cold"
+        "created again: cold"
     );
 }
 
 #[test]
-fn compaction_going_back_and_another_cluster_ask_for_a_reread() {
+fn compaction_a_lower_revision_and_another_cluster_require_a_resync() {
     let mut follow = EtcdFollower::new("/workers");
     let range = format!(
         r#"{{"header":{{"cluster_id":"7","revision":"10"}},"kvs":[{}]}}"#,
@@ -101,17 +101,17 @@
         Ok(EtcdUpdate::ResyncRequired(ResyncReason::OtherCluster))
     );
     assert!(follow.apply_watch("<html>", 1).is_err());
-    // The reread finds a gone: that key is a drain notice.
-    let reread = r#"{"header":{"cluster_id":"8","revision":"30"},"kvs":[]}"#;
+    // The resync finds no key a: its endpoint drains.
+    let resync = r#"{"header":{"cluster_id":"8","revision":"30"},"kvs":[]}"#;
     assert_eq!(
-        states(&follow.apply_range(reread, 2).expect("read")),
+        states(&follow.apply_range(resync, 2).expect("read")),
         vec![("a".to_owned(), WorkerState::Draining, 0)]
     );
     assert_eq!(follow.revision(), 30);
 }
 
 #[test]
-fn an_unreadable_value_keeps_the_last_good_member_and_is_counted() {
+fn an_unreadable_value_keeps_the_last_valid_endpoint_and_is_counted() {
     let mut follow = EtcdFollower::new("/workers");
     follow
         .apply_range(&format!(r#"{{"kvs":[{}]}}"#, kv("a", 1, "ready", 3, 3)), 0)
--- a/wrenseam/tests/limits.rs
+++ b/wrenseam/tests/limits.rs
@@ -3,15 +3,15 @@
 use wrenseam::limits::Limits;
 use wrenseam_policy::Settings;
 
-/// A process that ends leaves nothing behind that was taken: its last moment follows the longest wait.
+/// A process that stops leaves nothing unanswered that it admitted.
 #[test]
-fn the_last_moment_of_an_ending_process_lies_behind_the_longest_wait() {
-    for (told, least) in [(250_000, 10), (12_000_000, 13), (0, 10)] {
+fn a_stopping_process_outlives_the_longest_wait() {
+    for (longest_wait, least) in [(250_000, 10), (12_000_000, 13), (0, 10)] {
         let limits = Limits::new(
             192,
             1024,
             &Settings {
-                longest_wait: told,
+                longest_wait,
                 ..Settings::default()
             },
         );
@@ -24,14 +24,14 @@
 }
 
 #[test]
-fn a_short_wait_is_not_all_kept_for_the_answers_way() {
+fn of_a_short_wait_a_quarter_is_kept_for_the_answer() {
     let limits = Limits::new(192, 1024, &Settings::default());
     let margins = [100_000, 280_000, 4_000_000].map(|wait| limits.margin(wait));
     assert_eq!(margins, [25_000, 70_000, 80_000]);
 }
 
 #[test]
-fn clients_leave_descriptors_for_workers_and_board() {
+fn clients_leave_descriptors_for_workers_and_discovery() {
     let limits = Limits::new(192, 1024, &Settings::default());
     assert!(
         limits.client_connections > 1024 / 3,
@@ -40,7 +40,7 @@
     assert!(2 * limits.client_connections + 100 < 1024);
 }
 
-/// Halved limits: clients at their most still leave room for what the program holds besides them.
+/// Halved limits: clients at their most still leave descriptors for what else the program needs.
 #[test]
 fn small_limits_keep_room_for_the_program() {
     let limits = Limits::new(24, 192, &Settings::default());
--- a/wrenseam/tests/membership.rs
+++ b/wrenseam/tests/membership.rs
@@ -7,7 +7,7 @@
 use ConnectionAction::{Connect, Drain, Keep};
 use WorkerState::{Draining, Gone, Ready};
 
-fn member(id: &str, port: u16, state: WorkerState, started_at: u64) -> Endpoint {
+fn endpoint(id: &str, port: u16, state: WorkerState, started_at: u64) -> Endpoint {
     let address = ([127, 0, 0, 1], port).into();
     let (zone, kind, protocol) = (
         "hall-a".to_owned(),
@@ -26,43 +26,43 @@
     }
 }
 
-type News = (bool, Vec<(&'static str, u16, WorkerState, u64)>);
+type Update = (bool, Vec<(&'static str, u16, WorkerState, u64)>);
 
-/// After `a` at 1 and `b` at 2 are known: what this news changes.
+/// After `a` at 1 and `b` at 2 are known: what this update changes.
 #[rstest]
-#[case::told_again((true, vec![("a", 1, Ready, 0), ("b", 2, Ready, 0)]), vec![])]
+#[case::repeated((true, vec![("a", 1, Ready, 0), ("b", 2, Ready, 0)]), vec![])]
 #[case::drain((false, vec![("a", 1, Draining, 0)]), vec![("a", Draining, Drain)])]
 #[case::left_out_of_a_list((true, vec![("b", 2, Ready, 0)]), vec![("a", Gone, Drain)])]
 #[case::back_cold_under_its_id((false, vec![("a", 1, Ready, 9)]), vec![("a", Ready, Drain)])]
 #[case::moved((false, vec![("a", 3, Ready, 0)]), vec![("a", Ready, Connect)])]
 #[case::new_at_an_old_address((false, vec![("c", 1, Ready, 9)]), vec![("a", Gone, Drain), ("c", Ready, Connect)])]
-#[case::end_of_a_stranger((false, vec![("d", 4, Gone, 0)]), vec![])]
+#[case::end_of_an_unknown_one((false, vec![("d", 4, Gone, 0)]), vec![])]
 #[case::drain_twice(
     (false, vec![("a", 1, Draining, 0), ("a", 1, Draining, 0), ("a", 1, Gone, 0)]),
     vec![("a", Draining, Drain), ("a", Gone, Drain)]
 )]
-#[case::never_mind((false, vec![("a", 1, Draining, 0), ("a", 1, Ready, 0)]), vec![("a", Draining, Drain), ("a", Ready, Keep)])]
-fn news_changes_each_member_once(
-    #[case] news: News,
+#[case::drain_cancelled((false, vec![("a", 1, Draining, 0), ("a", 1, Ready, 0)]), vec![("a", Draining, Drain), ("a", Ready, Keep)])]
+fn an_update_changes_each_endpoint_once(
+    #[case] update: Update,
     #[case] changes: Vec<(&str, WorkerState, ConnectionAction)>,
 ) {
     let mut members = Membership::default();
-    let first = vec![member("a", 1, Ready, 0), member("b", 2, Ready, 0)];
+    let first = vec![endpoint("a", 1, Ready, 0), endpoint("b", 2, Ready, 0)];
     assert!(members
         .apply(TransportProtocol::Frames, true, first)
         .iter()
         .all(|c| c.action == Connect));
-    // The list of another source says nothing of these.
+    // The list of another source changes nothing of these.
     assert_eq!(
         members.apply(TransportProtocol::Kserve, true, vec![]),
         vec![]
     );
-    let told = news
+    let endpoints = update
         .1
         .iter()
-        .map(|&(id, port, state, at)| member(id, port, state, at))
+        .map(|&(id, port, state, at)| endpoint(id, port, state, at))
         .collect();
-    let got = members.apply(TransportProtocol::Frames, news.0, told);
+    let got = members.apply(TransportProtocol::Frames, update.0, endpoints);
     let got: Vec<_> = got
         .iter()
         .map(|c| (c.endpoint.id.as_str(), c.endpoint.state, c.action))
@@ -70,14 +70,14 @@
     assert_eq!(got, changes);
 }
 
-/// Excluded: shown as draining whatever the list says, until included; then a new process, cold.
+/// Excluded: published as draining whatever the list says, until included; then a new process, cold.
 #[test]
-fn an_excluded_member_drains_until_it_is_included() {
+fn an_excluded_endpoint_drains_until_it_is_included() {
     let mut members = Membership::default();
     members.apply(
         TransportProtocol::Frames,
         true,
-        vec![member("a", 1, Ready, 0)],
+        vec![endpoint("a", 1, Ready, 0)],
     );
     assert_eq!(members.exclude("nobody"), Err(Unknown));
     let state = |c: &[Change]| {
@@ -94,11 +94,11 @@
         Ok(vec![]),
         "a second exclude changes nothing"
     );
-    // The list tells it ready again, as after a restart: it stays out.
+    // The list has it ready again, as after a restart: it stays excluded.
     let again = members.apply(
         TransportProtocol::Frames,
         true,
-        vec![member("a", 1, Ready, 7)],
+        vec![endpoint("a", 1, Ready, 7)],
     );
     assert_eq!(state(&again), vec![(Draining, Drain)]);
     let back = members.include("a", 99).expect("excluded");
@@ -112,7 +112,7 @@
     assert_eq!(members.include("nobody", 100), Err(Unknown));
 }
 
-/// A replacing process takes the set, also for ids that its list does not name yet.
+/// A replacing process takes the set over, also ids that its list does not name yet.
 #[test]
 fn exclusions_are_handed_over() {
     let mut members = Membership::default();
@@ -121,7 +121,7 @@
     let told = members.apply(
         TransportProtocol::Frames,
         true,
-        vec![member("a", 1, Ready, 0)],
+        vec![endpoint("a", 1, Ready, 0)],
     );
     assert_eq!(
         told.iter().map(|c| c.endpoint.state).collect::<Vec<_>>(),
