--- a/wrenseam/src/discovery/event_stream.rs
+++ b/wrenseam/src/discovery/event_stream.rs
@@ -2,6 +2,7 @@
 //! in, events come out; no I/O.
 use crate::http::{Chunked, Coded, Head};
 use crate::limits::DiscoveryLimits;
+use std::fmt::Display;
 use thiserror::Error;
 
 const STATUS_OK: u16 = 200;
@@ -174,7 +175,7 @@
                 let coded = chunked
                     .byte(byte)
                     .map_err(|error| EventStreamError::InvalidChunk {
-                        reason: error.to_string(),
+                        reason: reason(error),
                     })?;
                 match coded {
                     Coded::Byte(content) => self.push_content(content),
@@ -196,7 +197,7 @@
 
 fn parse_head(head: &[u8]) -> Result<ResponsePart, EventStreamError> {
     let head = Head::answer(head).map_err(|error| EventStreamError::InvalidHead {
-        reason: error.to_string(),
+        reason: reason(error),
     })?;
     if head.status != STATUS_OK {
         return Err(EventStreamError::Status(head.status));
@@ -206,3 +207,7 @@
     }
     Ok(ResponsePart::PlainBody)
 }
+
+fn reason(error: impl Display) -> String {
+    error.to_string()
+}
