--- a/wrenseam/src/core/endpoints.rs
+++ b/wrenseam/src/core/endpoints.rs
@@ -3,7 +3,9 @@
 use super::log_lines::LogLine;
 use super::Core;
 use crate::discovery::membership::Change;
+use crate::limits::RESERVED_DESCRIPTORS;
 use crate::model::{Endpoint, TransportProtocol};
+use crate::worker::pool::Pool;
 use crate::worker::transport;
 use std::sync::atomic::Ordering;
 use wrenseam_policy::json::position;
@@ -17,7 +19,7 @@
         complete: bool,
         endpoints: Vec<Endpoint>,
     ) {
-        let changes = self.membership.take(source, complete, endpoints);
+        let changes = self.membership.apply(source, complete, endpoints);
         self.apply_changes(changes);
         self.process_state.ready.store(true, Ordering::Release);
     }
@@ -26,7 +28,7 @@
     pub(super) fn apply_changes(&mut self, changes: Vec<Change>) {
         let mut endpoints = Vec::with_capacity(changes.len());
         for change in changes {
-            endpoints.push(self.policy_endpoint(&change.member));
+            endpoints.push(self.policy_endpoint(&change.endpoint));
             self.apply_change(change);
         }
         if !endpoints.is_empty() {
@@ -38,11 +40,11 @@
     }
 
     fn apply_change(&mut self, change: Change) {
-        let endpoint = change.member;
+        let endpoint = change.endpoint;
         eprintln!("{}", LogLine::EndpointChanged(&endpoint));
         let address = endpoint.address;
         let protocol = endpoint.protocol;
-        self.workers.update(endpoint, change.duty, || {
+        self.workers.update(endpoint, change.action, || {
             transport(
                 protocol,
                 address,
@@ -68,6 +70,12 @@
     /// Whether a worker's transport has a connection or may open one; see [`super::tables::WorkerTable::make_room`].
     pub(super) fn make_room(&mut self, worker: &str) -> bool {
         let clients = self.process_state.clients.load(Ordering::Acquire);
-        self.workers.make_room(worker, self.limits.pool, clients)
+        self.workers
+            .make_room(worker, self.connection_pool(), clients)
+    }
+
+    /// How many connections to workers there may be.
+    pub(super) fn connection_pool(&self) -> Pool {
+        Pool::new(self.limits.descriptors, RESERVED_DESCRIPTORS)
     }
 }
--- a/wrenseam/src/core/messages.rs
+++ b/wrenseam/src/core/messages.rs
@@ -45,7 +45,9 @@
     }
 
     fn replace_exclusions(&mut self, excluded: BTreeSet<String>) {
-        let changes = self.membership.hand_over(excluded, self.clock.now());
+        let changes = self
+            .membership
+            .replace_exclusions(excluded, self.clock.now());
         self.apply_changes(changes);
     }
 
--- a/wrenseam/src/core/tables/workers.rs
+++ b/wrenseam/src/core/tables/workers.rs
@@ -1,5 +1,5 @@
 //! The listed workers with the transports that lead to them, and the bound on connections over all of them.
-use crate::discovery::membership::Duty;
+use crate::discovery::membership::ConnectionAction;
 use crate::model::{AttemptKey, Endpoint};
 use crate::worker::pool::{longest_idle, Pool};
 use crate::worker::{GiveUp, Transport};
@@ -35,13 +35,13 @@
     fn update(
         &mut self,
         endpoint: Endpoint,
-        duty: Duty,
+        action: ConnectionAction,
         connect: impl FnOnce() -> Box<dyn Transport>,
     ) {
-        if duty != Duty::Keep {
+        if action != ConnectionAction::Keep {
             self.transport.retire();
         }
-        if duty == Duty::Reach {
+        if action == ConnectionAction::Connect {
             let former = std::mem::replace(&mut self.transport, connect());
             self.former_transports.push(former);
         }
@@ -83,15 +83,15 @@
         self.0.values().map(|worker| &worker.endpoint)
     }
 
-    /// Adds or changes a worker; `connect` makes its transport where `duty` asks for a new one.
+    /// Adds or changes a worker; `connect` makes its transport where `action` asks for a new one.
     pub fn update(
         &mut self,
         endpoint: Endpoint,
-        duty: Duty,
+        action: ConnectionAction,
         connect: impl FnOnce() -> Box<dyn Transport>,
     ) {
         match self.0.entry(endpoint.id.clone()) {
-            Entry::Occupied(mut worker) => worker.get_mut().update(endpoint, duty, connect),
+            Entry::Occupied(mut worker) => worker.get_mut().update(endpoint, action, connect),
             Entry::Vacant(slot) => {
                 slot.insert(Worker::new(endpoint, connect()));
             }
--- a/wrenseam/src/core/timer_events.rs
+++ b/wrenseam/src/core/timer_events.rs
@@ -42,7 +42,7 @@
         if now < self.last_liveness_check + 2 * period {
             self.workers.check_liveness();
             let clients = self.process_state.clients.load(Ordering::Acquire);
-            self.workers.trim(0, self.limits.pool, clients);
+            self.workers.trim(0, self.connection_pool(), clients);
         }
         self.last_liveness_check = now;
         self.timers.set(now + period, TimerEvent::LivenessCheck);
--- a/wrenseam/src/lib.rs
+++ b/wrenseam/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod gossip;
 pub mod http;
 pub mod limits;
+pub mod memory_budget;
 pub mod model;
 pub mod net;
 pub mod process_state;
--- a/wrenseam/src/server.rs
+++ b/wrenseam/src/server.rs
@@ -4,11 +4,13 @@
 //! accepted before the parts that serve it run.
 use crate::config::{Config, Kserve};
 use crate::core::{Core, FleetAdmission};
-use crate::discovery::client::{self, Board};
-use crate::discovery::watch::{News, Watch};
+use crate::discovery::address::DiscoveryAddress;
+use crate::discovery::watch::WatchState;
+use crate::discovery::{client, xds};
 use crate::front::admin::{self, Named};
 use crate::front::{self, Doors, Listener};
-use crate::limits::{Budget, Limits};
+use crate::limits::Limits;
+use crate::memory_budget::MemoryBudget;
 use crate::model::TransportProtocol;
 use crate::net::{spawn, Seats};
 use crate::process_state::ProcessState;
@@ -41,11 +43,11 @@
     let (core_handle, inbox) = core_queue();
     let mut server = Server::new(config, core_handle);
     server.start_core(inbox)?;
-    let board = server.start_discovery()?;
+    let discovery = server.start_discovery()?;
     let succession = server.read_predecessor_state();
     let listeners = server.start_listeners()?;
     server.start_admin_endpoint(succession)?;
-    server.wait(signals, &listeners, &board);
+    server.wait(signals, &listeners, &discovery);
     Ok(())
 }
 
@@ -82,12 +84,12 @@
     fn new(config: Config, core: CoreHandle) -> Self {
         let limits = Arc::new(config.limits.clone());
         let process_state = Arc::new(ProcessState::default());
-        let digest = Config::digest_with(config.settings_digest, config.board);
+        let digest = Config::digest_with(config.settings_digest, config.discovery_service);
         process_state.config_digest.store(digest, Ordering::Release);
         let doors = Doors {
             core: core.clone(),
             limits: limits.clone(),
-            budget: Budget::new(limits.held_bytes),
+            budget: MemoryBudget::new(limits.held_bytes),
             seats: Seats::new(
                 limits.client_connections,
                 process_state.draining.clone(),
@@ -148,23 +150,25 @@
     }
 
     /// Hands the endpoints of the start configuration to the core and starts the watch of the endpoint list.
-    fn start_discovery(&mut self) -> Result<Arc<Board>, StartError> {
+    fn start_discovery(&mut self) -> Result<Arc<DiscoveryAddress>, StartError> {
         // The known events may be long: they are dropped as soon as they are read.
-        let (watch, known) = Watch::new(&std::mem::take(&mut self.config.known));
-        for News { full, members } in known {
+        let known = std::mem::take(&mut self.config.known_events);
+        let watch = WatchState::from_known_events(&known);
+        drop(known);
+        for update in watch.updates {
             self.core
-                .endpoint_update(TransportProtocol::Frames, full, members);
+                .endpoint_update(TransportProtocol::Frames, update.complete, update.endpoints);
         }
-        let board = Arc::new(Board::new(self.config.board));
-        let watched = board.clone();
+        let address = Arc::new(DiscoveryAddress::new(self.config.discovery_service));
+        let followed = address.clone();
         let seed = self.config.seed;
         let limits = self.limits.clone();
         let core = self.core.clone();
         spawn(self.limits.stack, move || {
-            client::follow(&watched, watch, seed, &limits, &core);
+            client::follow(&followed, watch.state, seed, &limits.discovery, &core);
         })
         .map_err(StartError::Discovery)?;
-        Ok(board)
+        Ok(address)
     }
 
     /// Reads what another process of this front end left in `$TMPDIR`, where there is an admin endpoint. Done
@@ -197,7 +201,7 @@
         listeners: &mut Vec<Listener>,
     ) -> Result<(), StartError> {
         if let Some(endpoints) = &kserve.endpoints {
-            let endpoints = client::endpoints(endpoints)
+            let endpoints = xds::parse_endpoints(endpoints)
                 .map_err(|error| StartError::Endpoints(error.into()))?;
             self.core
                 .endpoint_update(TransportProtocol::Kserve, true, endpoints);
@@ -250,9 +254,9 @@
     }
 
     /// Serves until a signal ends the process, then closes in order. The fleet is notified last.
-    fn wait(&self, signals: Signals, listeners: &[Listener], board: &Board) {
+    fn wait(&self, signals: Signals, listeners: &[Listener], discovery: &DiscoveryAddress) {
         let settings_digest = self.config.settings_digest;
-        shutdown::wait(signals, settings_digest, listeners, &self.doors, board);
+        shutdown::wait(signals, settings_digest, listeners, &self.doors, discovery);
         if self.config.fleet.is_some() {
             gossip::leave(&self.process_state);
         }
--- a/wrenseam/tests/worker_table.rs
+++ b/wrenseam/tests/worker_table.rs
@@ -2,7 +2,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use wrenseam::core::tables::WorkerTable;
-use wrenseam::discovery::membership::Duty;
+use wrenseam::discovery::membership::ConnectionAction;
 use wrenseam::model::{AttemptKey, Endpoint, Request, TransportProtocol};
 use wrenseam::worker::pool::Pool;
 use wrenseam::worker::{GiveUp, Terms, Transport};
@@ -122,12 +122,14 @@
 /// Adds a worker, or moves it to another address, with this transport.
 fn connect(table: &mut WorkerTable, id: &str, transport: FakeTransport) {
     let endpoint = endpoint(id, WorkerState::Ready);
-    table.update(endpoint, Duty::Reach, || Box::new(transport));
+    table.update(endpoint, ConnectionAction::Connect, || Box::new(transport));
 }
 
 /// Changes a worker that keeps its address.
-fn change(table: &mut WorkerTable, id: &str, state: WorkerState, duty: Duty) {
-    table.update(endpoint(id, state), duty, || panic!("the transport stays"));
+fn change(table: &mut WorkerTable, id: &str, state: WorkerState, action: ConnectionAction) {
+    table.update(endpoint(id, state), action, || {
+        panic!("the transport stays")
+    });
 }
 
 #[test]
@@ -147,9 +149,14 @@
     let calls = Calls::default();
     let mut table = WorkerTable::default();
     connect(&mut table, "w1", FakeTransport::new("first", &calls));
-    change(&mut table, "w1", WorkerState::Ready, Duty::Keep);
+    change(&mut table, "w1", WorkerState::Ready, ConnectionAction::Keep);
     assert!(calls.take().is_empty());
-    change(&mut table, "w1", WorkerState::Draining, Duty::Retire);
+    change(
+        &mut table,
+        "w1",
+        WorkerState::Draining,
+        ConnectionAction::Drain,
+    );
     assert_eq!(calls.take(), ["first drains"]);
 }
 
@@ -186,7 +193,12 @@
     connect(&mut table, "w1", FakeTransport::new("first", &calls));
     assert!(table.ready_transport("w1").is_some());
     assert!(table.ready_transport("w2").is_none());
-    change(&mut table, "w1", WorkerState::Draining, Duty::Retire);
+    change(
+        &mut table,
+        "w1",
+        WorkerState::Draining,
+        ConnectionAction::Drain,
+    );
     assert!(table.ready_transport("w1").is_none());
     assert!(table.transport("w1").is_some(), "it may still be asked");
 }
@@ -202,8 +214,8 @@
     connect(&mut table, "w1", busy);
     connect(&mut table, "w2", FakeTransport::new("idle", &calls));
     connect(&mut table, "w3", FakeTransport::new("ready", &calls));
-    change(&mut table, "w1", WorkerState::Gone, Duty::Retire);
-    change(&mut table, "w2", WorkerState::Gone, Duty::Retire);
+    change(&mut table, "w1", WorkerState::Gone, ConnectionAction::Drain);
+    change(&mut table, "w2", WorkerState::Gone, ConnectionAction::Drain);
     assert_eq!(table.remove_gone(), ["w2"]);
     let left: Vec<&str> = table.endpoints().map(|e| e.id.as_str()).collect();
     assert_eq!(left, ["w1", "w3"]);
