--- a/wrenseam/src/worker/frames/connection.rs
+++ b/wrenseam/src/worker/frames/connection.rs
@@ -1,5 +1,5 @@
 //! What the transport, the writer and the reader of one connection share, and how everything open on it ends.
-use super::super::ticket::Ticket;
+use super::super::dispatch::Ticket;
 use super::progress::Progress;
 use crate::model::{AttemptKey, AttemptReport};
 use crate::queue::CoreHandle;
--- a/wrenseam/src/worker/frames/mod.rs
+++ b/wrenseam/src/worker/frames/mod.rs
@@ -9,7 +9,7 @@
 
 pub use codec::{encode, Decoder, Frame};
 
-use super::ticket::Ticket;
+use super::dispatch::Ticket;
 use super::{GiveUp, Terms, Transport};
 use crate::limits::Limits;
 use crate::model::{AttemptKey, Request};
--- a/wrenseam/src/worker/frames/send_queue.rs
+++ b/wrenseam/src/worker/frames/send_queue.rs
@@ -1,6 +1,6 @@
 //! The frames that wait to be written to one connection, in the order of its stream: which may be begun, and which are
 //! cut out again. No sockets, and time is an argument.
-use super::super::ticket::{Begin, Ticket};
+use super::super::dispatch::{Begin, Ticket};
 use crate::model::AttemptKey;
 use std::collections::VecDeque;
 use std::sync::Arc;
--- a/wrenseam/src/worker/frames/writer.rs
+++ b/wrenseam/src/worker/frames/writer.rs
@@ -1,5 +1,5 @@
 //! The writing side of one connection to a worker: what goes out, in which order, and what is taken back before it does.
-use super::super::ticket::LOOK_AGAIN;
+use super::super::dispatch::LOOK_AGAIN;
 use super::codec;
 use super::connection::{break_up, report, Command, Exchange, Opening, State, What};
 use super::reader::{nothing_lies, read_answers};
--- a/wrenseam/src/worker/kserve/lane.rs
+++ b/wrenseam/src/worker/kserve/lane.rs
@@ -1,5 +1,5 @@
 //! One connection to a v2 worker: an exchange at a time, and what is known of each when the connection ends.
-use super::super::ticket::{Begin, LOOK_AGAIN};
+use super::super::dispatch::{Begin, LOOK_AGAIN};
 use super::messages::{attempt_report, named, order_report, Named, Reply};
 use super::{Job, State, What};
 use crate::http::{Chunked, Coded, Head};
--- a/wrenseam/src/worker/kserve/mod.rs
+++ b/wrenseam/src/worker/kserve/mod.rs
@@ -5,7 +5,7 @@
 
 pub use messages::{unwrap_answer, wrap_answer};
 
-use super::ticket::Ticket;
+use super::dispatch::Ticket;
 use super::{GiveUp, Terms, Transport};
 use crate::limits::Limits;
 use crate::model::{AttemptKey, Payload, Request};
--- a/wrenseam/src/worker/mod.rs
+++ b/wrenseam/src/worker/mod.rs
@@ -1,8 +1,8 @@
 //! Transports: what carries attempts, orders and cancels to one worker and reports how they end.
+pub mod dispatch;
 pub mod frames;
 pub mod kserve;
 pub mod pool;
-pub mod ticket;
 
 use crate::limits::Limits;
 use crate::model::{AttemptKey, Request, TransportProtocol};
--- a/wrenseam/tests/leaving.rs
+++ b/wrenseam/tests/leaving.rs
@@ -15,7 +15,7 @@
 use wrenseam::net::Seats;
 use wrenseam::process_state::ProcessState;
 use wrenseam::queue::{CoreHandle, Message};
-use wrenseam::worker::ticket::{Begin, Ticket};
+use wrenseam::worker::dispatch::{Begin, Ticket};
 use wrenseam::worker::{frames::Frames, kserve::Kserve, Terms, Transport};
 use wrenseam_policy::{Outcome, Settings};
 use Speech::{Kserve as V2, Platform};
--- a/wrenseam/tests/send_queue.rs
+++ b/wrenseam/tests/send_queue.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use wrenseam::model::AttemptKey;
+use wrenseam::worker::dispatch::{Begin, Ticket};
 use wrenseam::worker::frames::send_queue::{Cut, QueuedFrame, SendQueue};
-use wrenseam::worker::ticket::{Begin, Ticket};
 
 fn ticket() -> Arc<Ticket> {
     Ticket::new(Arc::default(), Instant::now() + Duration::from_secs(60))
