--- a/wrenseam/src/core/attempts.rs
+++ b/wrenseam/src/core/attempts.rs
@@ -1,7 +1,7 @@
 //! Attempts: how they are sent, called off, and how they end.
 use super::peers::Peer;
 use super::{Answer, Attempt, AttemptKey, AttemptReport, Core, Due};
-use crate::worker::{GiveUp, Terms};
+use crate::worker::{AttemptLimits, CancelOutcome};
 use std::sync::atomic::Ordering;
 use std::time::Instant;
 use wrenseam_policy::{Event, Micros, Outcome, WorkerState};
@@ -62,10 +62,10 @@
         };
         let owed = !open.answered;
         let peer = self.peers.get_mut(&attempt.worker);
-        let outcome = match peer.map_or(GiveUp::Unknown, |p| p.cancel(key)) {
-            GiveUp::NeverBegun => Outcome::NotSent,
-            GiveUp::Pending if owed => return, // its report follows; its time-out should that stay out
-            GiveUp::Pending | GiveUp::Unknown => Outcome::Cancelled,
+        let outcome = match peer.map_or(CancelOutcome::Unknown, |p| p.cancel(key)) {
+            CancelOutcome::NeverStarted => Outcome::NotSent,
+            CancelOutcome::PendingConfirmation if owed => return, // its report follows; its time-out should that stay out
+            CancelOutcome::PendingConfirmation | CancelOutcome::Unknown => Outcome::Cancelled,
         };
         self.end(key, AttemptReport::without_payload(outcome));
         self.forget(key.request);
@@ -113,8 +113,14 @@
             Some(peer)
                 if !open.request.client_gone.load(Ordering::Acquire) && budget > 0 && allowed =>
             {
-                peer.transport
-                    .send(key, &open.request, Terms { budget, whole_by });
+                peer.transport.send(
+                    key,
+                    &open.request,
+                    AttemptLimits {
+                        answer_timeout: budget,
+                        write_deadline: whole_by,
+                    },
+                );
                 if let Some(attempt) = open.attempts.last_mut() {
                     attempt.carried = true;
                 }
--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -19,7 +19,7 @@
 use crate::net::{DirectCalls, SystemCalls};
 use crate::process_state::ProcessState;
 use crate::queue::{CoreHandle, Message};
-use crate::worker::GiveUp;
+use crate::worker::CancelOutcome;
 use peers::Peer;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
@@ -267,8 +267,8 @@
                 if let Some(attempt) = open.filter(|a| a.open) {
                     let peer = self.peers.get_mut(&attempt.worker);
                     // What was taken back in time has not run: its class may allow more.
-                    let given_up = peer.map_or(GiveUp::Unknown, |p| p.cancel(key));
-                    let never_ran = given_up == GiveUp::NeverBegun;
+                    let given_up = peer.map_or(CancelOutcome::Unknown, |p| p.cancel(key));
+                    let never_ran = given_up == CancelOutcome::NeverStarted;
                     let outcome = if never_ran {
                         Outcome::ConnectFailed
                     } else {
@@ -281,7 +281,7 @@
                 // Guards connections: one that waits for the answer to a lost order would never be idle.
                 let worker = self.orders.get(&order).map(|o| &o.0);
                 if let Some(peer) = worker.and_then(|w| self.peers.get_mut(w)) {
-                    peer.each().for_each(|t| t.lapse(order));
+                    peer.each().for_each(|t| t.abandon_order(order));
                 }
                 self.ordered(order, Outcome::Timeout, 0);
             }
@@ -296,7 +296,7 @@
                     self.peers
                         .values_mut()
                         .flat_map(Peer::each)
-                        .for_each(|t| t.pulse());
+                        .for_each(|t| t.check_keepalive());
                     self.trim(0);
                 }
                 self.pulsed = now;
--- a/wrenseam/src/core/peers.rs
+++ b/wrenseam/src/core/peers.rs
@@ -2,7 +2,7 @@
 use super::Core;
 use crate::discovery::membership::{Change, Duty};
 use crate::model::{AttemptKey, Endpoint, TransportProtocol};
-use crate::worker::{pool, transport, GiveUp, Transport};
+use crate::worker::{pool, transport, CancelOutcome, Transport};
 use std::sync::atomic::Ordering;
 use wrenseam_policy::json::position;
 use wrenseam_policy::Event;
@@ -21,11 +21,11 @@
     }
 
     /// Gives an attempt up, wherever it is.
-    pub(super) fn cancel(&mut self, key: AttemptKey) -> GiveUp {
+    pub(super) fn cancel(&mut self, key: AttemptKey) -> CancelOutcome {
         self.each()
             .map(|t| t.cancel(key))
-            .fold(GiveUp::Unknown, |found, told| match told {
-                GiveUp::Unknown => found,
+            .fold(CancelOutcome::Unknown, |found, told| match told {
+                CancelOutcome::Unknown => found,
                 told => told,
             })
     }
@@ -47,7 +47,7 @@
         if !self
             .peers
             .get(worker)
-            .is_some_and(|p| p.transport.connections().1)
+            .is_some_and(|p| p.transport.connections().next_attempt_opens)
         {
             return true;
         }
@@ -58,7 +58,7 @@
     pub(super) fn trim(&mut self, more: usize) -> bool {
         let clients = self.shared.clients.load(Ordering::Acquire);
         let each = self.peers.values_mut().flat_map(Peer::each);
-        let open: usize = each.map(|t| t.connections().0).sum();
+        let open: usize = each.map(|t| t.connections().open).sum();
         let over = self.limits.pool.over(open, more, clients);
         if over == 0 {
             return true;
@@ -106,7 +106,7 @@
             let mut former = Vec::new();
             if let Some(mut peer) = self.peers.remove(&member.id) {
                 if duty != Duty::Keep {
-                    peer.transport.retire();
+                    peer.transport.drain();
                 }
                 if duty != Duty::Reach {
                     peer.endpoint = member;
--- a/wrenseam/src/worker/frames/codec.rs
+++ b/wrenseam/src/worker/frames/codec.rs
@@ -1,5 +1,5 @@
 //! The frames of the platform's protocol as bytes, and answers put together from a stream. No sockets.
-use super::super::Terms;
+use super::super::AttemptLimits;
 use crate::model::Request;
 use crate::ring::Ring;
 use wrenseam_policy::{FunctionId, Outcome};
@@ -117,12 +117,12 @@
     })
 }
 
-/// A call, whose answer is waited for as the terms say.
-pub(super) fn call(request: &Request, terms: Terms) -> Vec<u8> {
+/// A call, whose answer is waited for as the limits say.
+pub(super) fn call(request: &Request, limits: AttemptLimits) -> Vec<u8> {
     let (class, function, budget) = (
         &request.class,
         request.function,
-        (terms.budget / 1000).max(1),
+        (limits.answer_timeout / 1000).max(1),
     );
     let mut fields = format!("queue={class},path={function:016x},budget={budget}");
     if let Some(token) = &request.idempotency_key {
--- a/wrenseam/src/worker/frames/connection.rs
+++ b/wrenseam/src/worker/frames/connection.rs
@@ -1,5 +1,5 @@
 //! What the transport, the writer and the reader of one connection share, and how everything open on it ends.
-use super::super::dispatch::Ticket;
+use super::super::dispatch::Dispatch;
 use super::progress::Progress;
 use crate::model::{AttemptKey, AttemptReport};
 use crate::queue::CoreHandle;
@@ -35,7 +35,7 @@
     pub(super) function: FunctionId,
     pub(super) frame: Vec<u8>,
     pub(super) bound: bool,
-    pub(super) ticket: Arc<Ticket>,
+    pub(super) dispatch: Arc<Dispatch>,
 }
 
 /// An exchange in the ring or out: where in the stream its frame ends.
@@ -44,7 +44,7 @@
     pub(super) end: u64,
     pub(super) since: Instant,
     pub(super) function: FunctionId,
-    pub(super) ticket: Arc<Ticket>,
+    pub(super) dispatch: Arc<Dispatch>,
 }
 
 /// The exchanges of a connection, by the id that the worker sees.
@@ -96,7 +96,7 @@
         } else {
             Outcome::ConnectFailed
         };
-        if exchange.ticket.end() {
+        if exchange.dispatch.end() {
             report(reports, state, exchange.what, outcome);
         }
     }
--- a/wrenseam/src/worker/frames/mod.rs
+++ b/wrenseam/src/worker/frames/mod.rs
@@ -9,8 +9,8 @@
 
 pub use codec::{encode, Decoder, Frame};
 
-use super::dispatch::Ticket;
-use super::{GiveUp, Terms, Transport};
+use super::dispatch::Dispatch;
+use super::{AttemptLimits, CancelOutcome, ConnectionUsage, Transport};
 use crate::limits::Limits;
 use crate::model::{AttemptKey, Request};
 use crate::net::{connection_number, spawn, DirectCalls, SystemCalls};
@@ -35,7 +35,7 @@
     /// For how long it has been mute since.
     mute: Duration,
     /// What was handed to it and may still be taken back.
-    tickets: HashMap<What, Arc<Ticket>>,
+    dispatches: HashMap<What, Arc<Dispatch>>,
     /// The ids of calls that it carried, and until when one of them may come again.
     carried: HashMap<u64, Instant>,
 }
@@ -114,14 +114,14 @@
                     note!("worker {address}: no coroutine: {e}"); // the commands' timers end them
                 }
                 let (used, asked, mute) = (Instant::now(), None, Duration::ZERO);
-                let (tickets, carried) = (HashMap::new(), HashMap::new());
+                let (dispatches, carried) = (HashMap::new(), HashMap::new());
                 self.links.push(Link {
                     commands,
                     state,
                     used,
                     asked,
                     mute,
-                    tickets,
+                    dispatches,
                     carried,
                 });
                 self.links.len() - 1
@@ -130,28 +130,28 @@
         &mut self.links[at]
     }
 
-    fn give_up(&mut self, what: What) -> GiveUp {
-        let Some((link, ticket)) = self
+    fn give_up(&mut self, what: What) -> CancelOutcome {
+        let Some((link, dispatch)) = self
             .links
             .iter_mut()
-            .find_map(|l| Some((l.tickets.remove(&what)?, l)))
+            .find_map(|l| Some((l.dispatches.remove(&what)?, l)))
             .map(|(t, l)| (l, t))
         else {
-            return GiveUp::Unknown;
+            return CancelOutcome::Unknown;
         };
-        if ticket.take_back() {
+        if dispatch.reclaim() {
             link.state.load.fetch_sub(1, Ordering::AcqRel);
-            return GiveUp::NeverBegun;
+            return CancelOutcome::NeverStarted;
         }
         let _ = link.commands.send(Command::Cancel(what)); // a writer that has ended has ended it too
-        GiveUp::Pending
+        CancelOutcome::PendingConfirmation
     }
 
     fn open(&mut self, opening: Opening, until: Option<Instant>) {
-        let (what, ticket) = (opening.what, opening.ticket.clone());
+        let (what, dispatch) = (opening.what, opening.dispatch.clone());
         let link = self.link(until.map(|_| opening.id));
         link.state.load.fetch_add(1, Ordering::AcqRel);
-        link.tickets.insert(what, ticket);
+        link.dispatches.insert(what, dispatch);
         if let Some(until) = until {
             link.carried.insert(opening.id, until);
         }
@@ -160,10 +160,10 @@
 }
 
 impl Transport for Frames {
-    fn send(&mut self, key: AttemptKey, request: &Arc<Request>, terms: Terms) {
+    fn send(&mut self, key: AttemptKey, request: &Arc<Request>, limits: AttemptLimits) {
         let (id, function) = (request.wire_id, request.function);
-        let frame = codec::call(request, terms);
-        let ticket = Ticket::call(request, terms, Instant::now());
+        let frame = codec::call(request, limits);
+        let dispatch = Dispatch::for_attempt(request, limits, Instant::now());
         let what = What::Attempt(key);
         // Its id may come again as long as its client waits, and answers to it a little longer.
         let until =
@@ -175,17 +175,17 @@
                 function,
                 frame,
                 bound: true,
-                ticket,
+                dispatch,
             },
             Some(until),
         );
     }
 
-    fn cancel(&mut self, key: AttemptKey) -> GiveUp {
+    fn cancel(&mut self, key: AttemptKey) -> CancelOutcome {
         self.give_up(What::Attempt(key))
     }
 
-    fn lapse(&mut self, order: u64) {
+    fn abandon_order(&mut self, order: u64) {
         self.give_up(What::Order(order));
     }
 
@@ -199,7 +199,7 @@
         let frame = codec::hold(id, function, copies);
         // Guards the ration: it counts an order when it arrives, and several that a late connection held back would
         // arrive in one span.
-        let ticket = Ticket::new(
+        let dispatch = Dispatch::new(
             Arc::default(),
             Instant::now() + self.limits.connect + self.limits.write_check,
         );
@@ -211,7 +211,7 @@
                 function,
                 frame,
                 bound: copies > 0,
-                ticket,
+                dispatch,
             },
             None,
         );
@@ -222,7 +222,7 @@
         let _ = self.link(None).commands.send(Command::Plain(frame)); // owed no answer
     }
 
-    fn retire(&mut self) {
+    fn drain(&mut self) {
         self.links
             .iter()
             .for_each(|l| l.state.retired.store(true, Ordering::Release));
@@ -231,7 +231,7 @@
     /// Guards calls from a connection that stays open and carries nothing any more: what is open there would
     /// wait for its full time, and new calls would join it. A question of no effect shows whether it lives. Only the
     /// time counts as silence in which we looked, and the writer had the question: a busy machine may hold either up.
-    fn pulse(&mut self) {
+    fn check_keepalive(&mut self) {
         if self.links.is_empty() {
             self.pulsed = None; // most of ten thousand workers: no look at a clock for each
             return;
@@ -273,14 +273,14 @@
                         let (id, what) = (u64::MAX / 2 - connection_number(), What::Probe);
                         link.state.load.fetch_add(1, Ordering::AcqRel);
                         let frame = codec::hold(id, function, 0);
-                        let ticket = Ticket::new(Arc::default(), now + limits.write_stall);
+                        let dispatch = Dispatch::new(Arc::default(), now + limits.write_stall);
                         let opening = Opening {
                             what,
                             id,
                             function,
                             frame,
                             bound: false,
-                            ticket,
+                            dispatch,
                         };
                         link.state.asking.store(false, Ordering::Release);
                         (link.asked, link.mute) = (Some(now), Duration::ZERO);
@@ -296,7 +296,7 @@
         let (idle, now) = (self.limits.worker_idle, Instant::now());
         // Dropping the sender lets the writer close. Guards against a send that crosses the worker's own close.
         self.links.retain_mut(|l| {
-            l.tickets.retain(|_, t| Arc::strong_count(t) > 1);
+            l.dispatches.retain(|_, t| Arc::strong_count(t) > 1);
             l.carried.retain(|_, until| *until > now);
             let quiet = l.state.load.load(Ordering::Acquire) == 0;
             let old = quiet && l.quiet_since().elapsed() > idle
@@ -305,13 +305,16 @@
         });
     }
 
-    fn connections(&self) -> (usize, bool) {
-        let standing = self
+    fn connections(&self) -> ConnectionUsage {
+        let open = self
             .links
             .iter()
             .filter(|l| !l.state.broken.load(Ordering::Acquire))
             .count();
-        (standing, !self.links.iter().any(|l| self.usable(l)))
+        ConnectionUsage {
+            open,
+            next_attempt_opens: !self.links.iter().any(|l| self.usable(l)),
+        }
     }
 
     fn idle_since(&self) -> Option<Instant> {
--- a/wrenseam/src/worker/frames/reader.rs
+++ b/wrenseam/src/worker/frames/reader.rs
@@ -82,7 +82,7 @@
         };
         // An answer to what has ended already comes late and is dropped.
         let Some(exchange) = exchange else { continue };
-        exchange.ticket.end();
+        exchange.dispatch.end();
         state.load.fetch_sub(1, Ordering::AcqRel);
         let number = |name: &str| frame.field(name).and_then(|v| v.parse().ok());
         match exchange.what {
--- a/wrenseam/src/worker/frames/send_queue.rs
+++ b/wrenseam/src/worker/frames/send_queue.rs
@@ -1,6 +1,6 @@
 //! The frames that wait to be written to one connection, in the order of its stream: which may be begun, and which are
 //! cut out again. No sockets, and time is an argument.
-use super::super::dispatch::{Begin, Ticket};
+use super::super::dispatch::{Dispatch, StartResult};
 use crate::model::AttemptKey;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
     /// Whether it may not go after a drain.
     pub bound: bool,
     /// Who decides on it.
-    pub ticket: Option<Arc<Ticket>>,
+    pub dispatch: Option<Arc<Dispatch>>,
     /// The attempt that it gives up.
     pub confirms: Option<AttemptKey>,
 }
@@ -87,8 +87,8 @@
             .filter(|p| p.claimed && p.begin >= written)
         {
             p.claimed = false;
-            if let Some(ticket) = &p.frame.ticket {
-                ticket.release();
+            if let Some(dispatch) = &p.frame.dispatch {
+                dispatch.revert_start();
             }
         }
         confirmed
@@ -105,8 +105,8 @@
     pub fn is_overdue(&self, written: u64, now: Instant) -> bool {
         let begun = self.pieces.front().filter(|p| p.begin < written);
         begun
-            .and_then(|p| p.frame.ticket.as_ref())
-            .is_some_and(|ticket| ticket.is_overdue(now))
+            .and_then(|p| p.frame.dispatch.as_ref())
+            .is_some_and(|dispatch| dispatch.is_past_write_deadline(now))
     }
 
     /// Begins what may be written next: all, or (`one`) the first frame alone. What is no longer wanted is to be
@@ -116,17 +116,17 @@
         let (mut cuts, mut at) = (Vec::new(), 0);
         while let Some(p) = self.pieces.get_mut(at).filter(|_| !(one && at > 0)) {
             let begun = p.begin < written || p.claimed;
-            let go = match p.frame.ticket.as_ref().filter(|_| !begun) {
-                Some(ticket) => ticket.begin(now),
-                None => Begin::Go,
+            let go = match p.frame.dispatch.as_ref().filter(|_| !begun) {
+                Some(dispatch) => dispatch.try_start(now),
+                None => StartResult::Started,
             };
-            if go == Begin::Unread {
+            if go == StartResult::ClientInputUnread {
                 break;
-            } else if go == Begin::Go {
+            } else if go == StartResult::Started {
                 p.claimed = true;
                 at += 1;
             } else {
-                cuts.push(self.cut(at, written, go == Begin::Void));
+                cuts.push(self.cut(at, written, go == StartResult::Discarded));
             }
         }
         let to = at
@@ -142,7 +142,7 @@
         let mut at = 0;
         while let Some(p) = self.pieces.get(at) {
             if p.begin >= written && fits(&p.frame) {
-                let ends = p.frame.ticket.as_ref().is_none_or(|t| t.end());
+                let ends = p.frame.dispatch.as_ref().is_none_or(|t| t.end());
                 cuts.push(self.cut(at, written, ends));
             } else {
                 at += 1;
--- a/wrenseam/src/worker/frames/writer.rs
+++ b/wrenseam/src/worker/frames/writer.rs
@@ -1,5 +1,5 @@
 //! The writing side of one connection to a worker: what goes out, in which order, and what is taken back before it does.
-use super::super::dispatch::LOOK_AGAIN;
+use super::super::dispatch::CLIENT_INPUT_WAIT;
 use super::codec;
 use super::connection::{break_up, report, Command, Exchange, Opening, State, What};
 use super::reader::{nothing_lies, read_answers};
@@ -79,8 +79,8 @@
     }
 
     fn refuse(&self, command: Command) {
-        if let Command::Open(Opening { what, ticket, .. }) = command {
-            if ticket.end() {
+        if let Command::Open(Opening { what, dispatch, .. }) = command {
+            if dispatch.end() {
                 report(&self.reports, &self.state, what, Outcome::ConnectFailed);
             }
         }
@@ -179,7 +179,7 @@
                 continue; // all that was in it has been cut: what did not fit comes next
             }
             if most == 0 {
-                pause(LOOK_AGAIN);
+                pause(CLIENT_INPUT_WAIT);
                 continue;
             }
             let front = self.ring.front();
@@ -241,10 +241,10 @@
                 Command::Open(Opening {
                     what,
                     bound: true,
-                    ticket,
+                    dispatch,
                     ..
                 }) => {
-                    if ticket.end() {
+                    if dispatch.end() {
                         report(&self.reports, &self.state, what, Outcome::NotSent);
                     }
                 }
@@ -321,7 +321,7 @@
             function,
             frame,
             bound,
-            ticket,
+            dispatch,
         } = opening;
         let Ok(mut table) = self.state.table.lock() else {
             return Err("poisoned".to_owned());
@@ -329,17 +329,17 @@
         if table.broken || table.open.contains_key(&id) {
             // Two exchanges under one id could not be told apart: the later one is not sent.
             drop(table);
-            if ticket.end() {
+            if dispatch.end() {
                 report(&self.reports, &self.state, what, Outcome::ConnectFailed);
             }
             return Ok(());
         }
-        let ticket_too = Some(ticket.clone());
+        let dispatch_too = Some(dispatch.clone());
         let end = self.line.join(QueuedFrame {
             len: frame.len(),
             id: Some(id),
             bound,
-            ticket: ticket_too,
+            dispatch: dispatch_too,
             confirms: None,
         });
         table.open.insert(
@@ -349,7 +349,7 @@
                 end,
                 since: Instant::now(),
                 function,
-                ticket,
+                dispatch,
             },
         );
         self.ring.push(&frame);
--- a/wrenseam/src/worker/kserve/lane.rs
+++ b/wrenseam/src/worker/kserve/lane.rs
@@ -1,5 +1,5 @@
 //! One connection to a v2 worker: an exchange at a time, and what is known of each when the connection ends.
-use super::super::dispatch::{Begin, LOOK_AGAIN};
+use super::super::dispatch::{StartResult, CLIENT_INPUT_WAIT};
 use super::messages::{attempt_report, named, order_report, Named, Reply};
 use super::{Job, State, What};
 use crate::http::{Chunked, Coded, Head};
@@ -90,10 +90,10 @@
     /// Whether its first byte may be written now.
     fn begin(&self, job: &Job) -> bool {
         loop {
-            match job.ticket.begin(Instant::now()) {
+            match job.dispatch.try_start(Instant::now()) {
                 _ if self.withheld(job) => return false,
-                Begin::Unread => pause(LOOK_AGAIN),
-                begin => return begin == Begin::Go,
+                StartResult::ClientInputUnread => pause(CLIENT_INPUT_WAIT),
+                begin => return begin == StartResult::Started,
             }
         }
     }
@@ -150,7 +150,7 @@
             if kept.usable(&self.limits) {
                 return Ok(kept.stream);
             }
-            job.ticket.release();
+            job.dispatch.revert_start();
         }
         self.fresh_stream(job)
     }
@@ -191,14 +191,14 @@
                     // As with frames: nothing is claimed while it waits.
                     let whole = ring.len() == job.bytes.len();
                     if whole {
-                        job.ticket.release();
+                        job.dispatch.revert_start();
                     }
                     pause(nap);
                     stalled += nap;
                     if whole && !self.begin(job) {
                         return Err(Outcome::NotSent);
                     }
-                    if job.ticket.is_overdue(Instant::now()) {
+                    if job.dispatch.is_past_write_deadline(Instant::now()) {
                         return Err(Outcome::ConnectFailed); // it never comes whole: the connection ends here
                     }
                 }
--- a/wrenseam/src/worker/kserve/mod.rs
+++ b/wrenseam/src/worker/kserve/mod.rs
@@ -5,8 +5,8 @@
 
 pub use messages::{unwrap_answer, wrap_answer};
 
-use super::dispatch::Ticket;
-use super::{GiveUp, Terms, Transport};
+use super::dispatch::Dispatch;
+use super::{AttemptLimits, CancelOutcome, Transport};
 use crate::limits::Limits;
 use crate::model::{AttemptKey, Payload, Request};
 use crate::net::{spawn, DirectCalls, SystemCalls};
@@ -40,7 +40,7 @@
     what: What,
     bytes: Vec<u8>,
     /// Who decides whether it is begun.
-    ticket: Arc<Ticket>,
+    dispatch: Arc<Dispatch>,
     cancelled: Arc<AtomicBool>,
     /// Of which life of the worker this is; calls and loads of a past one are not written.
     epoch: u64,
@@ -67,7 +67,7 @@
     state: Arc<State>,
     jobs: Sender<Job>,
     queue: Receiver<Job>,
-    out: Vec<(AttemptKey, Arc<Ticket>, Arc<AtomicBool>)>,
+    out: Vec<(AttemptKey, Arc<Dispatch>, Arc<AtomicBool>)>,
 }
 
 impl Kserve {
@@ -100,8 +100,8 @@
         } else {
             Duration::from_micros(self.limits.order)
         };
-        let ticket = Ticket::new(Arc::default(), Instant::now() + begun);
-        self.start(what, bytes, bound, self.limits.order, ticket);
+        let dispatch = Dispatch::new(Arc::default(), Instant::now() + begun);
+        self.start(what, bytes, bound, self.limits.order, dispatch);
     }
 
     fn start(
@@ -110,12 +110,12 @@
         bytes: Vec<u8>,
         bound: bool,
         budget: Micros,
-        ticket: Arc<Ticket>,
+        dispatch: Arc<Dispatch>,
     ) {
         let cancelled = Arc::new(AtomicBool::new(false));
         if let What::Attempt(key, _) = what {
             self.out.retain(|(_, _, flag)| Arc::strong_count(flag) > 1);
-            self.out.push((key, ticket.clone(), cancelled.clone()));
+            self.out.push((key, dispatch.clone(), cancelled.clone()));
         }
         let epoch = self.state.epoch.load(Ordering::Acquire);
         let until = Instant::now() + Duration::from_micros(budget);
@@ -123,7 +123,7 @@
         let _ = self.jobs.send(Job {
             what,
             bytes,
-            ticket,
+            dispatch,
             cancelled,
             epoch,
             bound,
@@ -165,8 +165,8 @@
 }
 
 impl Transport for Kserve {
-    fn send(&mut self, key: AttemptKey, request: &Arc<Request>, terms: Terms) {
-        let budget = terms.budget;
+    fn send(&mut self, key: AttemptKey, request: &Arc<Request>, limits: AttemptLimits) {
+        let budget = limits.answer_timeout;
         let path = format!("/v2/models/{:016x}/infer", request.function);
         let (bytes, wrapped) = match &request.payload {
             Payload::Json(body) => (self.post(&path, budget, body), false),
@@ -175,7 +175,7 @@
                 true,
             ),
         };
-        let ticket = Ticket::call(request, terms, Instant::now());
+        let dispatch = Dispatch::for_attempt(request, limits, Instant::now());
         self.start(
             What::Attempt(
                 key,
@@ -187,24 +187,24 @@
             bytes,
             true,
             budget,
-            ticket,
+            dispatch,
         );
     }
 
-    fn cancel(&mut self, key: AttemptKey) -> GiveUp {
+    fn cancel(&mut self, key: AttemptKey) -> CancelOutcome {
         let Some(at) = self.out.iter().position(|o| o.0 == key) else {
-            return GiveUp::Unknown;
+            return CancelOutcome::Unknown;
         };
-        let (_, ticket, cancelled) = self.out.swap_remove(at);
+        let (_, dispatch, cancelled) = self.out.swap_remove(at);
         cancelled.store(true, Ordering::Release);
-        if ticket.take_back() {
-            GiveUp::NeverBegun
+        if dispatch.reclaim() {
+            CancelOutcome::NeverStarted
         } else {
-            GiveUp::Pending
+            CancelOutcome::PendingConfirmation
         }
     }
 
-    fn lapse(&mut self, _order: u64) {} // each exchange ends its connection by itself, see `Job::until`
+    fn abandon_order(&mut self, _order: u64) {} // each exchange ends its connection by itself, see `Job::until`
 
     fn is_idle(&self) -> bool {
         self.state.load.load(Ordering::Acquire) == 0
@@ -231,11 +231,11 @@
         self.start_order(What::Unload, bytes, false);
     }
 
-    fn retire(&mut self) {
+    fn drain(&mut self) {
         self.state.epoch.fetch_add(1, Ordering::AcqRel);
     }
 
-    fn pulse(&mut self) {} // a connection carries one exchange: its silence is the exchange's
+    fn check_keepalive(&mut self) {} // a connection carries one exchange: its silence is the exchange's
 
     fn sweep(&mut self) {
         self.out.retain(|(_, _, flag)| Arc::strong_count(flag) > 1); // idle connections close by themselves
--- a/wrenseam/src/worker/mod.rs
+++ b/wrenseam/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! Transports: what carries attempts, orders and cancels to one worker and reports how they end.
+//! Transports: each carries attempts, orders and cancellations to one worker and reports how they end.
 pub mod dispatch;
 pub mod frames;
 pub mod kserve;
@@ -13,66 +13,77 @@
 use std::time::Instant;
 use wrenseam_policy::{FunctionId, Micros};
 
-/// What is known of an attempt that is given up.
+/// What is known of an attempt that was cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GiveUp {
-    /// No byte of it was or will be written: it never ran, and nothing is reported of it.
-    NeverBegun,
-    /// It may run. Its end is reported once its worker has been told, or its connection has ended.
-    Pending,
-    /// Nothing of it is open here.
+pub enum CancelOutcome {
+    /// No byte of it was or will be written: it never ran, and no report follows.
+    NeverStarted,
+    /// It may run. A report follows once its worker has been told, or its connection has ended.
+    PendingConfirmation,
+    /// This transport has no such attempt open.
     Unknown,
 }
 
-/// How long an attempt may wait, and may take to be written.
+/// How long an attempt may wait for its answer, and may take to be written.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct AttemptLimits {
     /// How long its answer is waited for.
-    pub budget: Micros,
-    /// For an attempt that repeats one that may have run: it must have been written whole by then, as later no worker
-    /// drops it.
-    pub whole_by: Option<Instant>,
+    pub answer_timeout: Micros,
+    /// For a retry of an attempt that may have run: it must have been written completely by then, as its worker does
+    /// not recognise a duplicate that comes later.
+    pub write_deadline: Option<Instant>,
 }
 
-impl Terms {
-    /// A first attempt, or one that nothing but its budget bounds.
-    pub fn within(budget: Micros) -> Self {
-        Terms {
-            budget,
-            whole_by: None,
+impl AttemptLimits {
+    /// Limits of a first attempt, or of one that nothing but its timeout bounds.
+    pub fn with_timeout(answer_timeout: Micros) -> Self {
+        AttemptLimits {
+            answer_timeout,
+            write_deadline: None,
         }
     }
 }
 
-/// The way to one worker. No call blocks; everything is carried out by coroutines.
+/// The connections that a transport has.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct ConnectionUsage {
+    /// Connections that are established or being established.
+    pub open: usize,
+    /// Whether an attempt sent now would open one more.
+    pub next_attempt_opens: bool,
+}
+
+/// The connections to one worker. No call blocks; everything is carried out by coroutines.
 pub trait Transport: Send {
-    /// Sends an attempt; exactly one report follows, unless it is given up before it was begun.
-    fn send(&mut self, key: AttemptKey, request: &Arc<Request>, terms: Terms);
-    /// Gives an attempt up; what is not yet begun is not written.
-    fn cancel(&mut self, key: AttemptKey) -> GiveUp;
-    /// Gives an order's answer up: it is awaited no more.
-    fn lapse(&mut self, order: u64);
+    /// Sends an attempt; exactly one report follows, unless it is cancelled before it was started.
+    fn send(&mut self, key: AttemptKey, request: &Arc<Request>, limits: AttemptLimits);
+    /// Cancels an attempt; what is not started is not written.
+    fn cancel(&mut self, key: AttemptKey) -> CancelOutcome;
+    /// Stops waiting for the answer to an order. The order itself stands.
+    fn abandon_order(&mut self, order: u64);
     /// Whether no connection is left.
     fn is_idle(&self) -> bool;
-    /// Orders the worker to hold copies; 0 only asks.
-    fn order(&mut self, order: u64, function: FunctionId, copies: u32);
-    /// Has idle copies unloaded.
+    /// Orders the worker to hold this many replicas; 0 only asks how many it holds.
+    fn order(&mut self, order: u64, function: FunctionId, replicas: u32);
+    /// Has idle replicas unloaded.
     fn unload(&mut self, function: FunctionId);
-    /// The worker drains or is gone: calls and orders of which no byte is written yet are not written.
-    fn retire(&mut self);
-    /// Looks whether connections on which answers are awaited still carry any. Called often.
-    fn pulse(&mut self);
+    /// The worker drains or is gone: attempts and orders of which no byte is written yet are not written.
+    fn drain(&mut self);
+    /// Sends a keepalive probe where answers are overdue, and closes connections that do not answer theirs. Called
+    /// often.
+    fn check_keepalive(&mut self);
     /// Closes connections that have been idle for long.
     fn sweep(&mut self);
-    /// Connections that stand or come up, and whether a call now would take one more.
-    fn connections(&self) -> (usize, bool) {
-        (0, false) // those of other speeches are bounded for each worker and close by themselves
+    /// How many connections there are. Transports whose connections are bounded for each worker and close by
+    /// themselves count none.
+    fn connections(&self) -> ConnectionUsage {
+        ConnectionUsage::default()
     }
-    /// Since when one of them has been idle, the longest.
+    /// Since when the connection that has been idle longest is so.
     fn idle_since(&self) -> Option<Instant> {
         None
     }
-    /// Closes the one idle longest.
+    /// Closes the connection that has been idle longest.
     fn close_idle(&mut self) {}
 }
 
@@ -84,7 +95,9 @@
     reports: &CoreHandle,
     calls: &Arc<dyn SystemCalls>,
 ) -> Box<dyn Transport> {
-    let (limits, reports, calls) = (limits.clone(), reports.clone(), calls.clone());
+    let limits = limits.clone();
+    let reports = reports.clone();
+    let calls = calls.clone();
     match protocol {
         TransportProtocol::Frames => {
             Box::new(frames::Frames::new(address, limits, reports).with_calls(calls))
--- a/wrenseam/tests/broken_connections.rs
+++ b/wrenseam/tests/broken_connections.rs
@@ -16,7 +16,7 @@
 use wrenseam::queue::{CoreHandle, Message};
 use wrenseam::worker::frames::progress::Progress;
 use wrenseam::worker::frames::Frames;
-use wrenseam::worker::{GiveUp, Terms, Transport};
+use wrenseam::worker::{AttemptLimits, CancelOutcome, Transport};
 use wrenseam_policy::{Outcome, Settings};
 
 const LONG: u64 = 20_000_000;
@@ -88,7 +88,7 @@
         written: Mutex::new(written),
         go_on,
     }));
-    transport.send(FIRST, &request(9), Terms::within(LONG));
+    transport.send(FIRST, &request(9), AttemptLimits::with_timeout(LONG));
     let stream = listener.accept().expect("a connection").0;
     Held {
         transport,
@@ -184,7 +184,7 @@
     } = held_call();
     assert_eq!(frame(&mut stream), (9, 2));
     is_written.recv().expect("written");
-    assert_eq!(transport.cancel(FIRST), GiveUp::Pending);
+    assert_eq!(transport.cancel(FIRST), CancelOutcome::PendingConfirmation);
     assert!(
         reports.try_recv().is_err(),
         "the writer has not even got to it"
@@ -198,7 +198,11 @@
     let_go.send(()).expect("the write waits");
     assert_eq!(outcome(&reports), (0, Outcome::Cancelled));
     assert_eq!(frame(&mut stream), (9, 3));
-    assert_eq!(transport.cancel(FIRST), GiveUp::Unknown, "it has ended");
+    assert_eq!(
+        transport.cancel(FIRST),
+        CancelOutcome::Unknown,
+        "it has ended"
+    );
 }
 
 /// A worker turns a call away of which it has half. The connection ends: the other half does not follow what has been
@@ -209,7 +213,7 @@
     let (mut transport, reports, listener) = transport_with(Arc::new(ShortWrites {
         allowed: allowed.clone(),
     }));
-    transport.send(FIRST, &request(9), Terms::within(LONG));
+    transport.send(FIRST, &request(9), AttemptLimits::with_timeout(LONG));
     let mut stream = listener.accept().expect("a connection").0;
     stream.read_exact(&mut [0; 30]).expect("the beginning");
     say(&mut stream, 203, 9, "", b"");
@@ -231,7 +235,7 @@
 fn a_spoilt_code_proves_nothing(#[values(202, 203, 205)] code: u8) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |_| {});
-    transport.send(FIRST, &request(9), Terms::within(LONG));
+    transport.send(FIRST, &request(9), AttemptLimits::with_timeout(LONG));
     let mut stream = listener.accept().expect("a connection").0;
     assert_eq!(frame(&mut stream), (9, 2));
     say(&mut stream, code, 9, "detail=resident", b"DONE");
--- a/wrenseam/tests/golden_worker_protocols.rs
+++ b/wrenseam/tests/golden_worker_protocols.rs
@@ -12,7 +12,7 @@
 use wrenseam::ring::Ring;
 use wrenseam::worker::frames::{encode, Decoder, Frame};
 use wrenseam::worker::kserve::wrap_answer;
-use wrenseam::worker::{GiveUp, Terms, Transport};
+use wrenseam::worker::{AttemptLimits, CancelOutcome, Transport};
 use wrenseam_policy::Outcome;
 
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -82,7 +82,8 @@
     }
 
     fn send(&mut self, request: &Arc<Request>) {
-        self.transport.send(FIRST, request, Terms::within(BUDGET));
+        self.transport
+            .send(FIRST, request, AttemptLimits::with_timeout(BUDGET));
     }
 
     fn attempt_report(&self) -> AttemptReport {
@@ -163,7 +164,10 @@
     );
     link.send(&bytes_request(None, false));
     raw_frame(&mut worker);
-    assert_eq!(link.transport.cancel(FIRST), GiveUp::Pending);
+    assert_eq!(
+        link.transport.cancel(FIRST),
+        CancelOutcome::PendingConfirmation
+    );
     pinned(
         &raw_frame(&mut worker),
         "7e030000000000000123456789abcdef00000000",
--- a/wrenseam/tests/kserve_proofs.rs
+++ b/wrenseam/tests/kserve_proofs.rs
@@ -13,7 +13,7 @@
 use wrenseam::limits::Limits;
 use wrenseam::model::{AttemptKey, ClientProbe, ClientState, Request};
 use wrenseam::queue::Message;
-use wrenseam::worker::{Terms, Transport};
+use wrenseam::worker::{AttemptLimits, Transport};
 use wrenseam_policy::Outcome;
 
 const LONG: u64 = 20_000_000;
@@ -130,7 +130,7 @@
 fn an_answer_proves(#[case] answer: &str, #[case] proves: Outcome) {
     let (address, calls) = worker();
     let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_LANE);
-    transport.send(attempt(1), &request(9), Terms::within(LONG));
+    transport.send(attempt(1), &request(9), AttemptLimits::with_timeout(LONG));
     let (_, mut back) = next(&calls);
     back.write_all(answer.as_bytes()).expect("answered");
     back.shutdown(Shutdown::Both).expect("open");
@@ -149,7 +149,7 @@
 fn served_call() -> Served {
     let (address, calls) = worker();
     let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_LANE);
-    transport.send(attempt(1), &request(1), Terms::within(LONG));
+    transport.send(attempt(1), &request(1), AttemptLimits::with_timeout(LONG));
     let (first, mut back) = next(&calls);
     back.write_all(served(Some(1)).as_bytes())
         .expect("answered");
@@ -169,11 +169,11 @@
 fn a_second_refusal_is_not_taken_for_that_of_the_next_call() {
     let (address, calls) = worker();
     let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_LANE);
-    transport.send(attempt(1), &request(1), Terms::within(LONG));
+    transport.send(attempt(1), &request(1), AttemptLimits::with_timeout(LONG));
     let (first, mut back) = next(&calls);
     back.write_all(REFUSED.as_bytes()).expect("answered");
     assert_eq!(outcome(&reports), (1, Outcome::Rejected));
-    transport.send(attempt(2), &request(2), Terms::within(LONG));
+    transport.send(attempt(2), &request(2), AttemptLimits::with_timeout(LONG));
     let (second, mut other) = next(&calls);
     let _ = back.write_all(REFUSED.as_bytes()); // the connection may be closed
     other
@@ -194,7 +194,7 @@
         first,
         ..
     } = served_call();
-    transport.send(attempt(2), &request(2), Terms::within(LONG));
+    transport.send(attempt(2), &request(2), AttemptLimits::with_timeout(LONG));
     let (second, mut back) = next(&calls);
     assert_eq!(first, second, "a kept connection is used again");
     back.write_all(served(Some(1)).as_bytes())
@@ -212,11 +212,11 @@
 ) {
     let (address, calls) = worker();
     let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_LANE);
-    transport.send(attempt(1), &request(1), Terms::within(LONG));
+    transport.send(attempt(1), &request(1), AttemptLimits::with_timeout(LONG));
     let (first, mut back) = next(&calls);
     back.write_all(served(id).as_bytes()).expect("answered");
     assert_eq!(outcome(&reports), (1, Outcome::Ok));
-    transport.send(attempt(2), &request(2), Terms::within(LONG));
+    transport.send(attempt(2), &request(2), AttemptLimits::with_timeout(LONG));
     assert_eq!(next(&calls).0 == first, kept);
 }
 
@@ -238,7 +238,7 @@
     back.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
         .expect("answered");
     assert_eq!(outcome(&reports), (usize::MAX, Outcome::Ok));
-    transport.send(attempt(2), &request(2), Terms::within(LONG));
+    transport.send(attempt(2), &request(2), AttemptLimits::with_timeout(LONG));
     assert_eq!(
         next(&calls).0,
         first,
@@ -306,7 +306,7 @@
         client_probe: Some(Arc::new(client_probe)),
         ..plain
     });
-    transport.send(attempt(2), &call, Terms::within(LONG));
+    transport.send(attempt(2), &call, AttemptLimits::with_timeout(LONG));
     let (second, mut back) = next(&calls);
     back.write_all(served(Some(2)).as_bytes())
         .expect("answered");
--- a/wrenseam/tests/leaving.rs
+++ b/wrenseam/tests/leaving.rs
@@ -15,8 +15,8 @@
 use wrenseam::net::Seats;
 use wrenseam::process_state::ProcessState;
 use wrenseam::queue::{CoreHandle, Message};
-use wrenseam::worker::dispatch::{Begin, Ticket};
-use wrenseam::worker::{frames::Frames, kserve::Kserve, Terms, Transport};
+use wrenseam::worker::dispatch::{Dispatch, StartResult};
+use wrenseam::worker::{frames::Frames, kserve::Kserve, AttemptLimits, Transport};
 use wrenseam_policy::{Outcome, Settings};
 use Speech::{Kserve as V2, Platform};
 
@@ -182,14 +182,18 @@
         "its reader is held back"
     );
     assert_eq!(request.client_probe.as_ref().expect("told").state(), shows);
-    let ticket = Ticket::call(&request, Terms::within(20_000_000), Instant::now());
-    let first = ticket.begin(Instant::now());
+    let dispatch = Dispatch::for_attempt(
+        &request,
+        AttemptLimits::with_timeout(20_000_000),
+        Instant::now(),
+    );
+    let first = dispatch.try_start(Instant::now());
     assert_eq!(
         first,
         if shows == ClientState::Disconnected {
-            Begin::Void
+            StartResult::Discarded
         } else {
-            Begin::Unread
+            StartResult::ClientInputUnread
         }
     );
     drop(starved.0);
@@ -201,7 +205,7 @@
         );
         std::thread::yield_now();
     }
-    assert_ne!(ticket.begin(Instant::now()), Begin::Go);
+    assert_ne!(dispatch.try_start(Instant::now()), StartResult::Started);
 }
 
 /// A call waits for a connection that comes up late; its client closes, and nobody has read that when it is up.
@@ -246,7 +250,7 @@
         request: 1,
         attempt: 0,
     };
-    transport.send(key, &unread, Terms::within(20_000_000));
+    transport.send(key, &unread, AttemptLimits::with_timeout(20_000_000));
     drop(starved.0);
     match reports.recv_timeout(Duration::from_secs(20)) {
         Ok(Message::AttemptEnded { key: of, report }) => {
--- a/wrenseam/tests/mute.rs
+++ b/wrenseam/tests/mute.rs
@@ -9,7 +9,7 @@
 use wrenseam::model::{AttemptKey, Payload, Request};
 use wrenseam::queue::{CoreHandle, Message};
 use wrenseam::worker::frames::{encode, Frames};
-use wrenseam::worker::{Terms, Transport};
+use wrenseam::worker::{AttemptLimits, Transport};
 use wrenseam_policy::{Outcome, Settings};
 
 const CALL: u8 = 2;
@@ -94,14 +94,14 @@
             attempt: 0,
         },
         &request(),
-        Terms::within(60_000_000),
+        AttemptLimits::with_timeout(60_000_000),
     );
     let mut worker = listener.accept().expect("a connection").0;
     assert_eq!(frame(&mut worker), (9, CALL));
     let outlast = |transport: &mut Frames| {
         let (since, all) = (Instant::now(), 2 * (limits.link_quiet + limits.link_answer));
         while since.elapsed() <= all {
-            transport.pulse();
+            transport.check_keepalive();
             std::thread::yield_now();
         }
     };
@@ -114,7 +114,7 @@
     let since = Instant::now();
     while worker.peek(&mut [0]).is_err() {
         assert!(since.elapsed() < PATIENCE, "no question");
-        transport.pulse();
+        transport.check_keepalive();
     }
     worker.set_nonblocking(false).expect("set");
     let (question, code) = frame(&mut worker);
@@ -132,7 +132,7 @@
     let outcome = loop {
         match reports.try_recv() {
             Ok(Message::AttemptEnded { key: _, report }) => break report.outcome,
-            _ if held.is_none() => transport.pulse(),
+            _ if held.is_none() => transport.check_keepalive(),
             _ => std::thread::yield_now(),
         }
         assert!(since.elapsed() < PATIENCE, "nothing ended");
--- a/wrenseam/tests/repeat_window.rs
+++ b/wrenseam/tests/repeat_window.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use wrenseam::model::{AttemptKey, Payload, Request};
-use wrenseam::worker::Terms;
+use wrenseam::worker::AttemptLimits;
 use wrenseam_policy::Outcome;
 
 const LONG: u64 = 20_000_000;
@@ -27,9 +27,9 @@
     transport.send(
         FIRST,
         &request(9),
-        Terms {
-            budget: LONG,
-            whole_by: Some(Instant::now() + Duration::from_micros(window)),
+        AttemptLimits {
+            answer_timeout: LONG,
+            write_deadline: Some(Instant::now() + Duration::from_micros(window)),
         },
     );
     let since = Instant::now();
@@ -64,9 +64,9 @@
         (l.streams, l.write_stall) = (1_000, Duration::from_secs(60));
     });
     let all = 900;
-    let terms = Terms {
-        budget: 60_000_000,
-        whole_by: Some(Instant::now() + Duration::from_millis(500)),
+    let terms = AttemptLimits {
+        answer_timeout: 60_000_000,
+        write_deadline: Some(Instant::now() + Duration::from_millis(500)),
     };
     for n in 0..all {
         let plain = Arc::into_inner(request(n)).expect("ours alone");
--- a/wrenseam/tests/send_queue.rs
+++ b/wrenseam/tests/send_queue.rs
@@ -1,41 +1,13 @@
 //! Who decides whether a waiting frame is begun, and what is cut out of a connection's queue.
 use rstest::rstest;
-use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use wrenseam::model::AttemptKey;
-use wrenseam::worker::dispatch::{Begin, Ticket};
+use wrenseam::worker::dispatch::Dispatch;
 use wrenseam::worker::frames::send_queue::{Cut, QueuedFrame, SendQueue};
 
-fn ticket() -> Arc<Ticket> {
-    Ticket::new(Arc::default(), Instant::now() + Duration::from_secs(60))
-}
-
-/// Of two that cross, the first decides and the other is told.
-#[test]
-fn a_call_is_begun_or_taken_back_never_both() {
-    let now = Instant::now();
-    let (first, second) = (ticket(), ticket());
-    assert!(first.take_back() && first.begin(now) == Begin::Back && !first.end());
-    assert!(second.begin(now) == Begin::Go && !second.take_back() && second.end());
-    let third = ticket();
-    assert_eq!(third.begin(now), Begin::Go);
-    third.release(); // no byte of it was written
-    assert!(third.take_back());
-}
-
-/// A client that has left, or a time that is up, voids what has not begun.
-#[test]
-fn nothing_is_begun_for_a_client_that_left_or_after_its_time() {
-    let (gone, now) = (Arc::new(AtomicBool::new(false)), Instant::now());
-    let for_client = Ticket::new(gone.clone(), now + Duration::from_secs(60));
-    gone.store(true, Ordering::Release);
-    assert_eq!(
-        (for_client.begin(now), for_client.take_back()),
-        (Begin::Void, false)
-    );
-    let late = Ticket::new(Arc::default(), now);
-    assert_eq!(late.begin(now + Duration::from_millis(1)), Begin::Void);
+fn dispatch() -> Arc<Dispatch> {
+    Dispatch::new(Arc::default(), Instant::now() + Duration::from_secs(60))
 }
 
 /// Frames 1, 2 (an unload, owed nothing) and 3 of ten bytes each, of which so many are written; then one is taken
@@ -57,7 +29,7 @@
         line.join(QueuedFrame {
             id,
             bound: id.is_some(),
-            ticket: id.map(|_| ticket()),
+            dispatch: id.map(|_| dispatch()),
             len: 10,
             ..QueuedFrame::default()
         });
@@ -82,19 +54,19 @@
 #[test]
 fn a_stalled_write_holds_one_frame_at_the_most() {
     let (mut line, now) = (SendQueue::default(), Instant::now());
-    let tickets = [ticket(), ticket(), ticket()];
-    for (n, t) in tickets.iter().enumerate() {
+    let dispatches = [dispatch(), dispatch(), dispatch()];
+    for (n, t) in dispatches.iter().enumerate() {
         line.join(QueuedFrame {
             id: Some(n as u64),
             bound: true,
-            ticket: Some(t.clone()),
+            dispatch: Some(t.clone()),
             len: 10,
             ..QueuedFrame::default()
         });
     }
     assert_eq!(line.claim(0, now, false), (30, vec![]));
     line.written(0); // nothing could be written
-    assert!(tickets[1].take_back());
+    assert!(dispatches[1].reclaim());
     assert_eq!(line.claim(0, now, true), (10, vec![]));
     line.written(10);
     let cut = Cut {
@@ -110,14 +82,14 @@
 #[test]
 fn a_give_up_is_confirmed_by_its_last_byte() {
     let (mut line, now) = (SendQueue::default(), Instant::now());
-    let taken = ticket();
+    let taken = dispatch();
     let key = AttemptKey {
         request: 7,
         attempt: 1,
     };
     line.join(QueuedFrame {
         id: Some(1),
-        ticket: Some(taken.clone()),
+        dispatch: Some(taken.clone()),
         len: 10,
         ..QueuedFrame::default()
     });
@@ -126,7 +98,7 @@
         len: 20,
         ..QueuedFrame::default()
     });
-    assert!(taken.take_back());
+    assert!(taken.reclaim());
     assert_eq!(line.claim(0, now, false).0, 20);
     assert_eq!(line.written(19), []);
     assert_eq!(line.written(20), [key]);
--- a/wrenseam/tests/transport.rs
+++ b/wrenseam/tests/transport.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use wrenseam::model::{AttemptKey, Payload, Request};
 use wrenseam::queue::Message;
-use wrenseam::worker::{GiveUp, Terms, Transport};
+use wrenseam::worker::{AttemptLimits, CancelOutcome, ConnectionUsage, Transport};
 use wrenseam_policy::Outcome;
 
 const SECOND: AttemptKey = AttemptKey {
@@ -39,15 +39,15 @@
     let (request, budget) = (request(9), if event == "late" { 1_000 } else { 20_000_000 });
     match what {
         "order" => transport.order(1, 7, 1),
-        _ => transport.send(FIRST, &request, Terms::within(budget)),
+        _ => transport.send(FIRST, &request, AttemptLimits::with_timeout(budget)),
     }
     match event {
-        "drain" => transport.retire(),
+        "drain" => transport.drain(),
         "leave" => request.client_gone.store(true, Ordering::Release),
         "cancel" => {
             assert_eq!(
                 transport.cancel(FIRST),
-                GiveUp::NeverBegun,
+                CancelOutcome::NeverStarted,
                 "no byte of it can have been written"
             )
         }
@@ -65,7 +65,11 @@
         Some(end) => assert_eq!(outcome(&reports).1, end),
         None => {
             // The next call goes out on that connection, and nothing before it.
-            transport.send(SECOND, &self::request(10), Terms::within(budget));
+            transport.send(
+                SECOND,
+                &self::request(10),
+                AttemptLimits::with_timeout(budget),
+            );
             assert_eq!(frame(accepted.last_mut().expect("the late one")), (10, 2));
             say(accepted.last_mut().expect("the late one"), 203, 10, "", b"");
             assert_eq!(outcome(&reports), (1, Outcome::Rejected));
@@ -86,12 +90,12 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |_| {});
     let request = request(9);
-    transport.send(FIRST, &request, Terms::within(20_000_000));
+    transport.send(FIRST, &request, AttemptLimits::with_timeout(20_000_000));
     let mut first = listener.accept().expect("a connection").0;
     assert_eq!(frame(&mut first), (9, 2));
     assert_eq!(
         transport.cancel(FIRST),
-        GiveUp::Pending,
+        CancelOutcome::PendingConfirmation,
         "it has been written"
     );
     assert_eq!(frame(&mut first), (9, 3), "given up");
@@ -100,7 +104,7 @@
         (0, Outcome::Cancelled),
         "its worker has been told"
     );
-    transport.send(SECOND, &request, Terms::within(20_000_000));
+    transport.send(SECOND, &request, AttemptLimits::with_timeout(20_000_000));
     let mut second = listener.accept().expect("a connection of its own").0;
     assert_eq!(frame(&mut second), (9, 2));
     say(&mut first, 203, 9, "", b"");
@@ -112,7 +116,7 @@
             attempt: 7,
         },
         &self::request(10),
-        Terms::within(20_000_000),
+        AttemptLimits::with_timeout(20_000_000),
     );
     assert_eq!(frame(&mut first), (10, 2));
     say(&mut first, 200, 10, "", b"x");
@@ -120,7 +124,7 @@
     say(&mut second, 200, 9, "", b"DONE");
     assert_eq!(outcome(&reports), (1, Outcome::Ok));
     // Nothing is counted twice: both connections are idle, and close once they have been for long.
-    transport.retire();
+    transport.drain();
     transport.sweep();
     assert!(transport.is_idle());
 }
@@ -138,18 +142,30 @@
         request: n,
         attempt: 0,
     };
-    transport.send(call(1), &request(1), Terms::within(20_000_000));
+    transport.send(
+        call(1),
+        &request(1),
+        AttemptLimits::with_timeout(20_000_000),
+    );
     let mut first = listener.accept().expect("a connection").0;
     frame(&mut first);
     std::thread::sleep(idle + idle / 4); // a long call is no idle time
     say(&mut first, 200, 1, "", b"x");
     assert_eq!(outcome(&reports).1, Outcome::Ok);
-    transport.send(call(2), &request(2), Terms::within(20_000_000));
+    transport.send(
+        call(2),
+        &request(2),
+        AttemptLimits::with_timeout(20_000_000),
+    );
     assert_eq!(frame(&mut first), (2, 2));
     say(&mut first, 200, 2, "", b"x");
     assert_eq!(outcome(&reports).1, Outcome::Ok);
     std::thread::sleep(idle + idle / 4);
-    transport.send(call(3), &request(3), Terms::within(20_000_000));
+    transport.send(
+        call(3),
+        &request(3),
+        AttemptLimits::with_timeout(20_000_000),
+    );
     assert_eq!(
         frame(&mut listener.accept().expect("another connection").0),
         (3, 2)
@@ -221,7 +237,7 @@
                 attempt: 0,
             },
             &call(n),
-            Terms::within(20_000_000),
+            AttemptLimits::with_timeout(20_000_000),
         );
     }
     let mut stream = listener.accept().expect("a connection").0;
@@ -270,8 +286,8 @@
     transport.order(1, 7, 1);
     let (mut stream, _) = listener.accept().expect("a connection");
     stream.read_exact(&mut [0; 52]).expect("the order");
-    transport.lapse(1);
-    transport.retire();
+    transport.abandon_order(1);
+    transport.drain();
     let since = Instant::now();
     while !transport.is_idle() {
         assert!(since.elapsed() < Duration::from_secs(10), "still open");
@@ -285,6 +301,13 @@
     );
 }
 
+fn usage(open: usize, next_attempt_opens: bool) -> ConnectionUsage {
+    ConnectionUsage {
+        open,
+        next_attempt_opens,
+    }
+}
+
 /// Guards descriptors before hundreds of workers: what is in use stays, what has been idle longest can be closed
 /// for another's sake, and a later call opens it anew.
 #[test]
@@ -294,7 +317,7 @@
     let (mut transport, reports) = transport(address, |_| {});
     assert_eq!(
         (transport.connections(), transport.idle_since()),
-        ((0, true), None)
+        (usage(0, true), None)
     );
     transport.order(1, 7, 1);
     let (mut stream, _) = listener.accept().expect("a connection");
@@ -302,11 +325,11 @@
     stream.read_exact(&mut frame).expect("the order");
     assert_eq!(
         (transport.connections(), transport.idle_since()),
-        ((1, false), None),
+        (usage(1, false), None),
         "an answer is owed on it"
     );
     transport.close_idle();
-    assert_eq!(transport.connections().0, 1);
+    assert_eq!(transport.connections().open, 1);
     let id = u64::from_be_bytes(frame[8..16].try_into().expect("eight bytes"));
     let mut answer = wrenseam::worker::frames::encode(200, id, "slots_up=1", &[]);
     answer[0] = 127;
@@ -326,7 +349,7 @@
             transport.connections(),
             stream.read(&mut [0; 8]).expect("closed")
         ),
-        ((0, true), 0)
+        (usage(0, true), 0)
     );
     transport.order(2, 7, 1);
     listener
