--- /dev/null
+++ b/wrenseam/src/worker/frames/exchange.rs
@@ -0,0 +1,115 @@
+//! Exchanges: a frame that goes out and the answer that is awaited to it.
+use super::super::dispatch::Dispatch;
+use super::codec::EMPTY_FRAME_BYTES;
+use super::keepalive::OldestExchange;
+use crate::model::AttemptKey;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Instant;
+use wrenseam_policy::FunctionId;
+
+/// What an exchange is for.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+pub(super) enum ExchangeKind {
+    /// An attempt of a request.
+    Attempt(AttemptKey),
+    /// An order of this number to hold replicas.
+    Order(u64),
+    /// A keepalive probe, of which the core does not know.
+    Probe,
+}
+
+/// An exchange that is to be opened.
+pub(super) struct NewExchange {
+    pub(super) kind: ExchangeKind,
+    /// The id that the worker sees.
+    pub(super) id: u64,
+    pub(super) function: FunctionId,
+    pub(super) frame: Vec<u8>,
+    /// Whether it is withheld once the worker drains.
+    pub(super) withheld_on_drain: bool,
+    pub(super) dispatch: Arc<Dispatch>,
+}
+
+/// What is to be written, in the order in which it was handed over.
+pub(super) enum Outbound {
+    /// The frame that opens an exchange.
+    Open(NewExchange),
+    /// The cancellation of an exchange, if it has been written.
+    Cancel(ExchangeKind),
+    /// A frame that gets no answer.
+    OneWay(Vec<u8>),
+}
+
+impl Outbound {
+    /// Bytes that it takes in the ring at the most.
+    pub(super) fn len(&self) -> usize {
+        match self {
+            Outbound::Open(exchange) => exchange.frame.len(),
+            Outbound::Cancel(_) => EMPTY_FRAME_BYTES,
+            Outbound::OneWay(frame) => frame.len(),
+        }
+    }
+}
+
+/// What the core's side asks of the writer.
+pub(super) enum Command {
+    /// Write this.
+    Write(Outbound),
+    /// Close the connection, unless something has come on it since this time.
+    CloseIfSilentSince(Instant),
+}
+
+/// An exchange in the ring, or one whose answer is awaited.
+pub(super) struct Exchange {
+    pub(super) kind: ExchangeKind,
+    /// Position in the stream behind its frame.
+    pub(super) frame_end: u64,
+    pub(super) opened_at: Instant,
+    pub(super) function: FunctionId,
+    pub(super) dispatch: Arc<Dispatch>,
+}
+
+/// The open exchanges of a connection, by the id that the worker sees.
+#[derive(Default)]
+pub(super) struct ExchangeTable {
+    pub(super) open: BTreeMap<u64, Exchange>,
+    /// The connection has ended: no exchange is opened any more.
+    pub(super) closed: bool,
+    /// When an answer was last read.
+    pub(super) last_answer_at: Option<Instant>,
+}
+
+impl ExchangeTable {
+    /// The oldest open exchange, probes aside.
+    pub(super) fn oldest(&self) -> Option<OldestExchange> {
+        self.without_probes()
+            .min_by_key(|exchange| exchange.opened_at)
+            .map(|exchange| OldestExchange {
+                opened_at: exchange.opened_at,
+                function: exchange.function,
+            })
+    }
+
+    /// Whether an exchange other than a probe was opened since the last answer.
+    pub(super) fn opened_since_answer(&self) -> bool {
+        self.without_probes().any(|exchange| {
+            self.last_answer_at
+                .is_none_or(|answer_at| exchange.opened_at > answer_at)
+        })
+    }
+
+    /// The id of the open exchange that is for this.
+    pub(super) fn id_of(&self, kind: ExchangeKind) -> Option<u64> {
+        self.open
+            .iter()
+            .find(|(_, exchange)| exchange.kind == kind)
+            .map(|(&id, _)| id)
+    }
+
+    fn without_probes(&self) -> impl Iterator<Item = &Exchange> {
+        self.open
+            .values()
+            .filter(|exchange| exchange.kind != ExchangeKind::Probe)
+    }
+}
--- a/wrenseam/src/worker/frames/mod.rs
+++ b/wrenseam/src/worker/frames/mod.rs
@@ -1,52 +1,42 @@
-//! The platform's binary frames: attempts, orders and cancels over shared connections to one worker.
+//! The platform's binary frames: attempts, orders and cancellations over shared connections to one worker.
 mod codec;
 mod connection;
-pub mod liveness;
+mod exchange;
+mod handle;
+pub mod keepalive;
+mod outgoing;
 pub mod progress;
 mod reader;
 pub mod send_queue;
 mod writer;
 
-pub use codec::{encode, Decoder, Frame};
+pub use codec::{encode, Decoder, Frame, FrameError};
+pub use reader::ReadError;
+pub use writer::WriteError;
 
 use super::dispatch::Dispatch;
-use super::{AttemptLimits, CancelOutcome, ConnectionUsage, Transport};
+use super::{log_lines, AttemptLimits, CancelOutcome, ConnectionUsage, Transport};
 use crate::limits::Limits;
 use crate::model::{AttemptKey, Request};
-use crate::net::{connection_number, spawn, DirectCalls, SystemCalls};
+use crate::net::{spawn, DirectCalls, SystemCalls};
 use crate::queue::CoreHandle;
-use connection::{Command, Opening, State, What};
-use liveness::probe_due;
-use may::sync::mpsc::{channel, Sender};
-use std::collections::HashMap;
+use connection::ConnectionState;
+use exchange::{ExchangeKind, NewExchange, Outbound};
+use handle::ConnectionHandle;
+use may::sync::mpsc::channel;
+use outgoing::Outgoing;
 use std::net::SocketAddr;
-use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use wrenseam_policy::FunctionId;
 use writer::Writer;
 
-struct Link {
-    commands: Sender<Command>,
-    state: Arc<State>,
-    used: Instant,
-    /// When it was asked for a word that has not come.
-    asked: Option<Instant>,
-    /// For how long it has been mute since.
-    mute: Duration,
-    /// What was handed to it and may still be taken back.
-    dispatches: HashMap<What, Arc<Dispatch>>,
-    /// The ids of calls that it carried, and until when one of them may come again.
-    carried: HashMap<u64, Instant>,
-}
+/// Ids of orders count down from here, away from those that clients draw at random.
+const FIRST_ORDER_ID: u64 = u64::MAX;
 
-impl Link {
-    /// Since when no byte went or came here that we know of.
-    fn quiet_since(&self) -> Instant {
-        let heard = self.state.table.lock().ok().and_then(|t| t.heard);
-        heard.map_or(self.used, |h| h.max(self.used))
-    }
-}
+/// Of the time between two keepalive checks no more than this many intervals counts as silence: a longer one means that
+/// the core was held up.
+const MAX_COUNTED_INTERVALS: u64 = 2;
 
 /// The transport to one worker.
 pub struct Frames {
@@ -54,22 +44,20 @@
     limits: Arc<Limits>,
     reports: CoreHandle,
     calls: Arc<dyn SystemCalls>,
-    links: Vec<Link>,
-    /// When they were last looked at.
-    pulsed: Option<Instant>,
+    connections: Vec<ConnectionHandle>,
+    last_keepalive_check: Option<Instant>,
 }
 
 impl Frames {
     /// No connection is opened before it is needed.
     pub fn new(address: SocketAddr, limits: Arc<Limits>, reports: CoreHandle) -> Self {
-        let calls = Arc::new(DirectCalls);
         Frames {
             address,
             limits,
             reports,
-            calls,
-            links: Vec::new(),
-            pulsed: None,
+            calls: Arc::new(DirectCalls),
+            connections: Vec::new(),
+            last_keepalive_check: None,
         }
     }
 
@@ -79,260 +67,174 @@
         Frames { calls, ..self }
     }
 
-    /// Whether a connection takes one more exchange. One that has lain idle for long is not taken even where the
-    /// sweep has not closed it yet: the worker may be closing it just now.
-    fn usable(&self, l: &Link) -> bool {
-        let state = &l.state;
-        let load = state.load.load(Ordering::Acquire);
-        !state.broken.load(Ordering::Acquire)
-            && !state.retired.load(Ordering::Acquire)
-            && load < self.limits.streams
-            && (load > 0 || l.quiet_since().elapsed() <= self.limits.worker_idle)
-    }
-
-    fn idle(l: &Link) -> bool {
-        !l.state.broken.load(Ordering::Acquire) && l.state.load.load(Ordering::Acquire) == 0
-    }
-
-    /// A connection with room, a new one if need be. None that carried this id before: an answer to the first
+    /// A connection with capacity, a new one if need be. None that carried this id before: an answer to the first
     /// exchange under it that comes late, or twice, would be taken for the second's.
-    fn link(&mut self, id: Option<u64>) -> &mut Link {
-        let fresh = |l: &Link| id.is_none_or(|id| !l.carried.contains_key(&id));
-        let at = self
-            .links
-            .iter()
-            .position(|l| self.usable(l) && fresh(l))
-            .unwrap_or_else(|| {
-                let (commands, queue) = channel();
-                let state = Arc::new(State::default());
-                let (address, limits) = (self.address, self.limits.clone());
-                let (reports, of, calls) =
-                    (self.reports.clone(), state.clone(), self.calls.clone());
-                let write = move || Writer::run(address, queue, of, limits, reports, calls);
-                let started = spawn(self.limits.stack, write);
-                if let Err(e) = started {
-                    note!("worker {address}: no coroutine: {e}"); // the commands' timers end them
-                }
-                let (used, asked, mute) = (Instant::now(), None, Duration::ZERO);
-                let (dispatches, carried) = (HashMap::new(), HashMap::new());
-                self.links.push(Link {
-                    commands,
-                    state,
-                    used,
-                    asked,
-                    mute,
-                    dispatches,
-                    carried,
-                });
-                self.links.len() - 1
-            });
-        self.links[at].used = Instant::now();
-        &mut self.links[at]
+    fn connection_for(&mut self, id: Option<u64>) -> &mut ConnectionHandle {
+        let limits = &self.limits;
+        let found = self.connections.iter().position(|connection| {
+            connection.is_usable(limits) && id.is_none_or(|id| !connection.has_reserved(id))
+        });
+        let index = match found {
+            Some(index) => index,
+            None => {
+                self.connections.push(self.open_connection());
+                self.connections.len() - 1
+            }
+        };
+        let connection = &mut self.connections[index];
+        connection.touch();
+        connection
+    }
+
+    fn open_connection(&self) -> ConnectionHandle {
+        let (sender, commands) = channel();
+        let state = Arc::new(ConnectionState::default());
+        let reports = self.reports.clone();
+        let writer = Writer {
+            address: self.address,
+            state: state.clone(),
+            reports: reports.clone(),
+            limits: self.limits.clone(),
+            calls: self.calls.clone(),
+            outgoing: Outgoing::new(state.clone(), reports, self.limits.worker_ring),
+            close_requests: Vec::new(),
+        };
+        if let Err(error) = spawn(self.limits.stack, move || writer.run(&commands)) {
+            // The timers of what is handed over end it.
+            note!("{}", log_lines::coroutine_not_started(self.address, &error));
+        }
+        ConnectionHandle::new(sender, state)
     }
 
-    fn give_up(&mut self, what: What) -> CancelOutcome {
-        let Some((link, dispatch)) = self
-            .links
-            .iter_mut()
-            .find_map(|l| Some((l.dispatches.remove(&what)?, l)))
-            .map(|(t, l)| (l, t))
-        else {
-            return CancelOutcome::Unknown;
-        };
-        if dispatch.reclaim() {
-            link.state.load.fetch_sub(1, Ordering::AcqRel);
-            return CancelOutcome::NeverStarted;
+    fn cancel_exchange(&mut self, kind: ExchangeKind) -> CancelOutcome {
+        for connection in &mut self.connections {
+            let outcome = connection.cancel(kind);
+            if outcome != CancelOutcome::Unknown {
+                return outcome;
+            }
         }
-        let _ = link.commands.send(Command::Cancel(what)); // a writer that has ended has ended it too
-        CancelOutcome::PendingConfirmation
+        CancelOutcome::Unknown
     }
 
-    fn open(&mut self, opening: Opening, until: Option<Instant>) {
-        let (what, dispatch) = (opening.what, opening.dispatch.clone());
-        let link = self.link(until.map(|_| opening.id));
-        link.state.load.fetch_add(1, Ordering::AcqRel);
-        link.dispatches.insert(what, dispatch);
-        if let Some(until) = until {
-            link.carried.insert(opening.id, until);
+    /// The time since the last keepalive check that counts as silence.
+    fn observed_since_last_check(&mut self, now: Instant) -> Duration {
+        let counted = Duration::from_micros(MAX_COUNTED_INTERVALS * self.limits.link_check);
+        match self.last_keepalive_check.replace(now) {
+            Some(last) => (now - last).min(counted),
+            None => Duration::ZERO,
         }
-        let _ = link.commands.send(Command::Open(opening)); // its timer ends it at last
     }
 }
 
 impl Transport for Frames {
     fn send(&mut self, key: AttemptKey, request: &Arc<Request>, limits: AttemptLimits) {
-        let (id, function) = (request.wire_id, request.function);
+        let id = request.wire_id;
         let frame = codec::call(request, limits);
         let dispatch = Dispatch::for_attempt(request, limits, Instant::now());
-        let what = What::Attempt(key);
         // Its id may come again as long as its client waits, and answers to it a little longer.
-        let until =
+        let reserved_until =
             request.received_at + Duration::from_micros(request.timeout) + self.limits.late_answer;
-        self.open(
-            Opening {
-                what,
-                id,
-                function,
-                frame,
-                bound: true,
-                dispatch,
-            },
-            Some(until),
-        );
+        let connection = self.connection_for(Some(id));
+        connection.reserve_id(id, reserved_until);
+        connection.open(NewExchange {
+            kind: ExchangeKind::Attempt(key),
+            id,
+            function: request.function,
+            frame,
+            withheld_on_drain: true,
+            dispatch,
+        });
     }
 
     fn cancel(&mut self, key: AttemptKey) -> CancelOutcome {
-        self.give_up(What::Attempt(key))
+        self.cancel_exchange(ExchangeKind::Attempt(key))
     }
 
     fn abandon_order(&mut self, order: u64) {
-        self.give_up(What::Order(order));
+        self.cancel_exchange(ExchangeKind::Order(order));
     }
 
     fn is_idle(&self) -> bool {
-        self.links.is_empty()
-    }
-
-    fn order(&mut self, order: u64, function: FunctionId, copies: u32) {
-        // Orders' ids come from the far end of the range, away from chance: clients draw theirs at random.
-        let id = u64::MAX - order;
-        let frame = codec::hold(id, function, copies);
-        // Guards the ration: it counts an order when it arrives, and several that a late connection held back would
-        // arrive in one span.
-        let dispatch = Dispatch::new(
-            Arc::default(),
-            Instant::now() + self.limits.connect + self.limits.write_check,
-        );
-        let what = What::Order(order);
-        self.open(
-            Opening {
-                what,
-                id,
-                function,
-                frame,
-                bound: copies > 0,
-                dispatch,
-            },
-            None,
-        );
+        self.connections.is_empty()
+    }
+
+    fn order(&mut self, order: u64, function: FunctionId, replicas: u32) {
+        let id = FIRST_ORDER_ID - order;
+        let frame = codec::hold(id, function, replicas);
+        // Guards the worker's ration of loads: it counts an order when it arrives, and several that a late connection
+        // held back would arrive within one period.
+        let start_deadline = Instant::now() + self.limits.connect + self.limits.write_check;
+        self.connection_for(None).open(NewExchange {
+            kind: ExchangeKind::Order(order),
+            id,
+            function,
+            frame,
+            withheld_on_drain: replicas > 0,
+            dispatch: Dispatch::new(Arc::default(), start_deadline),
+        });
     }
 
     fn unload(&mut self, function: FunctionId) {
         let frame = codec::unload(function);
-        let _ = self.link(None).commands.send(Command::Plain(frame)); // owed no answer
+        self.connection_for(None).write(Outbound::OneWay(frame));
     }
 
     fn drain(&mut self) {
-        self.links
-            .iter()
-            .for_each(|l| l.state.retired.store(true, Ordering::Release));
+        for connection in &self.connections {
+            connection.start_draining();
+        }
     }
 
-    /// Guards calls from a connection that stays open and carries nothing any more: what is open there would
-    /// wait for its full time, and new calls would join it. A question of no effect shows whether it lives. Only the
-    /// time counts as silence in which we looked, and the writer had the question: a busy machine may hold either up.
+    /// Guards attempts from a connection that stays open and carries nothing any more: what is open there would
+    /// wait for its full time, and new attempts would join it.
     fn check_keepalive(&mut self) {
-        if self.links.is_empty() {
-            self.pulsed = None; // most of ten thousand workers: no look at a clock for each
+        if self.connections.is_empty() {
+            self.last_keepalive_check = None; // most of ten thousand workers: the clock is not read for each
             return;
         }
-        let (limits, now) = (self.limits.clone(), Instant::now());
-        let looked = Duration::from_micros(2 * limits.link_check);
-        let looked = self
-            .pulsed
-            .replace(now)
-            .map_or(Duration::ZERO, |last| (now - last).min(looked));
-        for link in self
-            .links
-            .iter_mut()
-            .filter(|l| !l.state.broken.load(Ordering::Acquire))
-        {
-            let Ok(table) = link.state.table.lock() else {
-                continue;
-            };
-            let open = || table.open.values().filter(|e| e.what != What::Probe);
-            let oldest = open()
-                .min_by_key(|e| e.since)
-                .map(|e| (e.since, e.function));
-            let heard = table.heard;
-            let new = open().any(|e| heard.is_none_or(|h| e.since > h));
-            drop(table);
-            match (link.asked, oldest) {
-                (Some(asked), _) if heard.is_some_and(|h| h >= asked) => link.asked = None,
-                (Some(asked), _) => {
-                    if link.state.asking.load(Ordering::Acquire) {
-                        link.mute += looked;
-                    }
-                    if link.mute > limits.link_answer {
-                        let _ = link.commands.send(Command::Close(asked));
-                    }
-                }
-                (None, Some((since, function))) => {
-                    let quiet = heard.map_or(since, |h| h.max(since)).elapsed();
-                    if probe_due(new, quiet, since.elapsed(), &limits) {
-                        let (id, what) = (u64::MAX / 2 - connection_number(), What::Probe);
-                        link.state.load.fetch_add(1, Ordering::AcqRel);
-                        let frame = codec::hold(id, function, 0);
-                        let dispatch = Dispatch::new(Arc::default(), now + limits.write_stall);
-                        let opening = Opening {
-                            what,
-                            id,
-                            function,
-                            frame,
-                            bound: false,
-                            dispatch,
-                        };
-                        link.state.asking.store(false, Ordering::Release);
-                        (link.asked, link.mute) = (Some(now), Duration::ZERO);
-                        let _ = link.commands.send(Command::Open(opening));
-                    }
-                }
-                _ => {}
+        let now = Instant::now();
+        let observed = self.observed_since_last_check(now);
+        for connection in &mut self.connections {
+            if !connection.is_closed() {
+                connection.check_keepalive(now, observed, &self.limits);
             }
         }
     }
 
+    /// Guards against an exchange that crosses the worker's own close of an idle connection.
     fn sweep(&mut self) {
-        let (idle, now) = (self.limits.worker_idle, Instant::now());
-        // Dropping the sender lets the writer close. Guards against a send that crosses the worker's own close.
-        self.links.retain_mut(|l| {
-            l.dispatches.retain(|_, t| Arc::strong_count(t) > 1);
-            l.carried.retain(|_, until| *until > now);
-            let quiet = l.state.load.load(Ordering::Acquire) == 0;
-            let old = quiet && l.quiet_since().elapsed() > idle
-                || l.state.retired.load(Ordering::Acquire);
-            !(l.state.broken.load(Ordering::Acquire) || quiet && old)
-        });
+        let now = Instant::now();
+        let limits = &self.limits;
+        self.connections
+            .retain_mut(|connection| connection.sweep(now, limits));
     }
 
     fn connections(&self) -> ConnectionUsage {
-        let open = self
-            .links
-            .iter()
-            .filter(|l| !l.state.broken.load(Ordering::Acquire))
-            .count();
+        let is_open = |connection: &&ConnectionHandle| !connection.is_closed();
+        let is_usable = |connection: &ConnectionHandle| connection.is_usable(&self.limits);
         ConnectionUsage {
-            open,
-            next_attempt_opens: !self.links.iter().any(|l| self.usable(l)),
+            open: self.connections.iter().filter(is_open).count(),
+            next_attempt_opens: !self.connections.iter().any(is_usable),
         }
     }
 
     fn idle_since(&self) -> Option<Instant> {
-        self.links
+        self.connections
             .iter()
-            .filter(|l| Frames::idle(l))
-            .map(Link::quiet_since)
+            .filter(|connection| connection.is_idle())
+            .map(ConnectionHandle::quiet_since)
             .min()
     }
 
     fn close_idle(&mut self) {
-        let idle = self
-            .links
+        let idle_longest = self
+            .connections
             .iter()
             .enumerate()
-            .filter(|(_, l)| Frames::idle(l));
-        if let Some((at, _)) = idle.min_by_key(|(_, l)| l.quiet_since()) {
-            self.links.swap_remove(at); // dropping the sender lets the writer close
+            .filter(|(_, connection)| connection.is_idle())
+            .min_by_key(|(_, connection)| connection.quiet_since());
+        if let Some((index, _)) = idle_longest {
+            self.connections.swap_remove(index);
         }
     }
 }
--- /dev/null
+++ b/wrenseam/src/worker/frames/outgoing.rs
@@ -0,0 +1,270 @@
+//! What is to be written to one connection: what waits, what lies in its ring, and what is taken out again before a
+//! byte of it is written. No sockets.
+use super::codec;
+use super::connection::ConnectionState;
+use super::exchange::{Exchange, ExchangeKind, NewExchange, Outbound};
+use super::send_queue::{ClaimScope, Cut, QueuedFrame, SendQueue};
+use super::writer::WriteError;
+use crate::model::{AttemptKey, AttemptReport};
+use crate::queue::CoreHandle;
+use crate::ring::Ring;
+use std::collections::VecDeque;
+use std::sync::Arc;
+use std::time::Instant;
+use wrenseam_policy::Outcome;
+
+/// How far a cancelled exchange had come.
+enum Withdrawn {
+    /// A byte of it is written: its worker is to be told, by this id.
+    Written(u64),
+    /// No byte of it was or will be written.
+    Cut,
+}
+
+/// The outgoing side of one connection.
+pub(super) struct Outgoing {
+    state: Arc<ConnectionState>,
+    reports: CoreHandle,
+    /// What does not lie in the ring yet.
+    waiting: VecDeque<Outbound>,
+    /// The frames in the ring.
+    queue: SendQueue,
+    ring: Ring,
+}
+
+impl Outgoing {
+    pub(super) fn new(state: Arc<ConnectionState>, reports: CoreHandle, max_bytes: usize) -> Self {
+        Outgoing {
+            state,
+            reports,
+            waiting: VecDeque::new(),
+            queue: SendQueue::default(),
+            ring: Ring::new(max_bytes),
+        }
+    }
+
+    /// Appends what is to be written.
+    pub(super) fn push(&mut self, outbound: Outbound) {
+        if let Outbound::Open(exchange) = &outbound {
+            if exchange.kind == ExchangeKind::Probe {
+                self.state.set_probe_taken(true);
+            }
+        }
+        self.waiting.push_back(outbound);
+    }
+
+    /// Whether nothing waits to be moved into the ring.
+    pub(super) fn is_nothing_waiting(&self) -> bool {
+        self.waiting.is_empty()
+    }
+
+    /// Whether the ring is empty.
+    pub(super) fn is_ring_empty(&self) -> bool {
+        self.ring.is_empty()
+    }
+
+    /// Moves what waits into the ring, as far as whole frames fit.
+    ///
+    /// # Errors
+    ///
+    /// A frame does not fit into the empty ring, or the exchange table is poisoned.
+    pub(super) fn fill_ring(&mut self) -> Result<(), WriteError> {
+        while let Some(next) = self.waiting.front() {
+            let len = next.len();
+            if len > self.ring.free() {
+                if self.ring.is_empty() {
+                    return Err(WriteError::FrameTooLarge(len));
+                }
+                return Ok(());
+            }
+            let Some(next) = self.waiting.pop_front() else {
+                return Ok(());
+            };
+            match next {
+                Outbound::Open(exchange) => self.open(exchange)?,
+                Outbound::Cancel(kind) => self.cancel(kind),
+                Outbound::OneWay(frame) => self.push_one_way(&frame, None),
+            }
+        }
+        Ok(())
+    }
+
+    /// Starts what may be written next and takes out what is no longer wanted. Returns how many bytes of the ring may be
+    /// written.
+    pub(super) fn claim(&mut self, written: u64, scope: ClaimScope) -> usize {
+        let claim = self.queue.claim(written, Instant::now(), scope);
+        self.take_out(claim.cuts, Outcome::NotSent);
+        claim.writable
+    }
+
+    /// The next bytes to be written, at most `writable` ones.
+    pub(super) fn next_bytes(&self, writable: usize) -> &[u8] {
+        let front = self.ring.front();
+        &front[..writable.min(front.len())]
+    }
+
+    /// `count` more bytes have been written, `written` in all. Reports the attempts whose cancellation is among them.
+    pub(super) fn advance(&mut self, count: usize, written: u64) {
+        self.ring.consume(count);
+        for key in self.queue.advance(written) {
+            self.report_cancelled(key);
+        }
+    }
+
+    /// No byte could be written: what was claimed waits again.
+    pub(super) fn revert_claims(&mut self, written: u64) {
+        self.queue.advance(written);
+    }
+
+    /// Whether a retry has been written in part and must not come completely any more.
+    pub(super) fn is_past_write_deadline(&self, written: u64) -> bool {
+        self.queue.is_past_write_deadline(written, Instant::now())
+    }
+
+    /// The worker drains: withholds what waits and what lies unwritten in the ring.
+    pub(super) fn withhold_for_drain(&mut self) {
+        for outbound in std::mem::take(&mut self.waiting) {
+            match outbound {
+                Outbound::Open(exchange) if exchange.withheld_on_drain => {
+                    self.end_unwritten(&exchange, Outcome::NotSent);
+                }
+                other => self.waiting.push_back(other),
+            }
+        }
+        let written = self.state.progress.bytes();
+        let cuts = self
+            .queue
+            .cut_where(written, |frame| frame.withheld_on_drain);
+        self.take_out(cuts, Outcome::NotSent);
+    }
+
+    /// The connection has ended, which cancels what was open on it; what waits was never written.
+    pub(super) fn end_all(&mut self) {
+        for key in self.queue.take_confirmations() {
+            self.report_cancelled(key);
+        }
+        for outbound in std::mem::take(&mut self.waiting) {
+            self.refuse(outbound);
+        }
+    }
+
+    /// Ends what came after the connection had ended.
+    pub(super) fn refuse(&self, outbound: Outbound) {
+        if let Outbound::Open(exchange) = outbound {
+            self.end_unwritten(&exchange, Outcome::ConnectFailed);
+        }
+    }
+
+    fn end_unwritten(&self, exchange: &NewExchange, outcome: Outcome) {
+        if exchange.dispatch.end() {
+            self.state.report_end(&self.reports, exchange.kind, outcome);
+        }
+    }
+
+    /// Puts the frame that opens an exchange into the ring.
+    fn open(&mut self, exchange: NewExchange) -> Result<(), WriteError> {
+        let Ok(mut table) = self.state.table.lock() else {
+            return Err(WriteError::Poisoned);
+        };
+        if table.closed || table.open.contains_key(&exchange.id) {
+            // Two exchanges under one id could not be told apart: the later one is not sent.
+            drop(table);
+            self.end_unwritten(&exchange, Outcome::ConnectFailed);
+            return Ok(());
+        }
+        let frame_end = self.queue.push(QueuedFrame {
+            len: exchange.frame.len(),
+            id: Some(exchange.id),
+            withheld_on_drain: exchange.withheld_on_drain,
+            dispatch: Some(exchange.dispatch.clone()),
+            confirms: None,
+        });
+        let opened = Exchange {
+            kind: exchange.kind,
+            frame_end,
+            opened_at: Instant::now(),
+            function: exchange.function,
+            dispatch: exchange.dispatch,
+        };
+        table.open.insert(exchange.id, opened);
+        self.ring.push(&exchange.frame);
+        Ok(())
+    }
+
+    /// Puts a frame that gets no answer into the ring. Once it is written, the attempt that it `confirms` is cancelled.
+    fn push_one_way(&mut self, frame: &[u8], confirms: Option<AttemptKey>) {
+        self.queue.push(QueuedFrame {
+            len: frame.len(),
+            confirms,
+            ..QueuedFrame::default()
+        });
+        self.ring.push(frame);
+    }
+
+    /// Cancels an exchange. An order stands, whether its answer is awaited or not: its worker is not told.
+    fn cancel(&mut self, kind: ExchangeKind) {
+        let withdrawn = self.withdraw(kind);
+        let ExchangeKind::Attempt(key) = kind else {
+            return;
+        };
+        match withdrawn {
+            Some(Withdrawn::Written(id)) => self.push_one_way(&codec::cancel(id), Some(key)),
+            Some(Withdrawn::Cut) => {
+                let report = AttemptReport::without_payload(Outcome::NotSent);
+                self.reports.attempt_ended(key, report);
+            }
+            None => {}
+        }
+    }
+
+    /// Takes an open exchange out of the table, and its frame out of the ring if no byte of it is written; `None` if it
+    /// has ended already.
+    fn withdraw(&mut self, kind: ExchangeKind) -> Option<Withdrawn> {
+        let id = self.state.table.lock().ok()?.id_of(kind)?;
+        let written = self.state.progress.bytes();
+        let mut cuts = self.queue.cut_where(written, |frame| frame.id == Some(id));
+        self.state.count_ended();
+        if cuts.is_empty() {
+            self.state.table.lock().ok()?.open.remove(&id);
+            return Some(Withdrawn::Written(id));
+        }
+        for cut in &mut cuts {
+            cut.ends = false; // the caller accounts for its end
+        }
+        self.take_out(cuts, Outcome::NotSent);
+        Some(Withdrawn::Cut)
+    }
+
+    /// Takes frames out of the ring of which no byte is written, and reports the exchanges that end by that.
+    fn take_out(&mut self, cuts: Vec<Cut>, outcome: Outcome) {
+        if cuts.is_empty() {
+            return;
+        }
+        let Ok(mut table) = self.state.table.lock() else {
+            return;
+        };
+        let mut ended = Vec::new();
+        for cut in cuts {
+            self.ring.cut(cut.at, cut.len);
+            let exchange = cut.id.and_then(|id| table.open.remove(&id));
+            if let Some(exchange) = exchange.filter(|_| cut.ends) {
+                ended.push(exchange.kind);
+            }
+        }
+        for (&id, exchange) in &mut table.open {
+            // Those behind have moved up.
+            if let Some(frame_end) = self.queue.end_of(id) {
+                exchange.frame_end = frame_end;
+            }
+        }
+        drop(table);
+        for kind in ended {
+            self.state.report_end(&self.reports, kind, outcome);
+        }
+    }
+
+    fn report_cancelled(&self, key: AttemptKey) {
+        let report = AttemptReport::without_payload(Outcome::Cancelled);
+        self.reports.attempt_ended(key, report);
+    }
+}
--- a/wrenseam/src/worker/frames/reader.rs
+++ b/wrenseam/src/worker/frames/reader.rs
@@ -1,115 +1,168 @@
 //! The reading side of one connection to a worker: answers, each to the exchange that it belongs to.
-use super::codec::{outcome, Decoder};
-use super::connection::{State, What};
+use super::super::socket::has_no_unread_input;
+use super::super::{log_lines, replica_loaded};
+use super::codec::{outcome, Decoder, Frame, FrameError};
+use super::connection::ConnectionState;
+use super::exchange::{Exchange, ExchangeKind};
 use crate::limits::Limits;
 use crate::model::{AttemptReport, Payload};
-use crate::net::{receive, timed_out, Received};
+use crate::net::{receive, Received};
 use crate::queue::CoreHandle;
 use crate::ring::Ring;
 use may::net::TcpStream;
-use std::net::Shutdown;
-use std::sync::atomic::Ordering;
+use std::io;
+use std::net::{Shutdown, SocketAddr};
+use std::sync::Arc;
 use std::time::Instant;
 use wrenseam_policy::Outcome;
 
-/// Reads answers until the connection ends.
-pub(super) fn read_answers(
-    mut stream: TcpStream,
-    state: &State,
-    reports: &CoreHandle,
-    limits: &Limits,
-) -> Result<(), String> {
-    let (mut ring, mut decoder) = (Ring::new(limits.worker_ring), Decoder::default());
-    stream
-        .set_read_timeout(Some(limits.frame_stall))
-        .map_err(|e| e.to_string())?;
-    let end = loop {
-        let asked = Instant::now();
-        match receive(&mut ring, &mut stream) {
-            Ok(Received::End) => break Ok(()),
-            Ok(Received::Bytes) => {}
-            // Guards against an answer that stops short: nothing more comes behind it.
-            // (What came while we stood still lies there unread: that is no stop. Nor is a read that failed at once.)
-            Ok(Received::Nothing) => {
-                let waited = asked.elapsed() >= limits.frame_stall / 2;
-                if waited && decoder.midway() && nothing_lies(&stream) {
-                    break Err("a frame stopped midway".to_owned());
-                }
-                continue;
-            }
-            Err(why) => break Err(why),
-        }
-        match answers(&mut decoder, &mut ring, state, reports, limits.answer) {
-            Ok(()) => {}
-            // Guards against a stream that is out of step: nothing after this can be trusted.
-            Err(why) => break Err(format!("bad frame: {why}")),
-        }
-    };
-    let _ = stream.shutdown(Shutdown::Both);
-    end
+/// Why a connection is not read any further.
+#[derive(Debug, thiserror::Error)]
+pub enum ReadError {
+    /// Nothing more of a frame came for too long.
+    #[error("incomplete frame")]
+    IncompleteFrame,
+    /// What came cannot be trusted.
+    #[error("invalid frame: {0}")]
+    InvalidFrame(#[from] FrameError),
+    /// The socket could not be set up.
+    #[error(transparent)]
+    Socket(#[from] io::Error),
+    /// A read failed.
+    #[error("{0}")]
+    Receive(String),
 }
 
-/// Whether nothing that came lies unread.
-pub(super) fn nothing_lies(stream: &TcpStream) -> bool {
-    matches!(stream.inner().peek(&mut [0]), Err(e) if timed_out(&e))
+/// The reading coroutine of one connection.
+pub(super) struct AnswerReader {
+    stream: TcpStream,
+    ring: Ring,
+    decoder: Decoder,
+    state: Arc<ConnectionState>,
+    reports: CoreHandle,
+    limits: Arc<Limits>,
 }
 
-fn answers(
-    decoder: &mut Decoder,
-    ring: &mut Ring,
-    state: &State,
-    reports: &CoreHandle,
-    most: usize,
-) -> Result<(), String> {
-    while let Some(frame) = decoder.next(ring, most)? {
-        let outcome = outcome(frame.code).ok_or_else(|| format!("code {}", frame.code))?;
-        // Guards against a spoilt code, which the check does not cover: what never ran has no body.
-        if outcome.proves_not_executed() && !frame.body.is_empty() {
-            return Err(format!("a body behind code {}", frame.code));
+impl AnswerReader {
+    pub(super) fn new(
+        stream: TcpStream,
+        state: Arc<ConnectionState>,
+        reports: CoreHandle,
+        limits: Arc<Limits>,
+    ) -> Self {
+        AnswerReader {
+            stream,
+            ring: Ring::new(limits.worker_ring),
+            decoder: Decoder::default(),
+            state,
+            reports,
+            limits,
+        }
+    }
+
+    /// Reads answers until the connection ends, and ends everything open on it.
+    pub(super) fn run(mut self, address: SocketAddr) {
+        if let Err(reason) = self.read_and_shut_down() {
+            note!("{}", log_lines::connection_closed(address, &reason));
+        }
+        self.state.close(&self.reports);
+    }
+
+    fn read_and_shut_down(&mut self) -> Result<(), ReadError> {
+        self.stream
+            .set_read_timeout(Some(self.limits.frame_stall))?;
+        let end = self.read_answers();
+        let _ = self.stream.shutdown(Shutdown::Both); // the writer sees it, or has gone
+        end
+    }
+
+    fn read_answers(&mut self) -> Result<(), ReadError> {
+        loop {
+            let read_started_at = Instant::now();
+            let received = receive(&mut self.ring, &mut self.stream);
+            match received.map_err(|error| ReadError::Receive(error.to_string()))? {
+                Received::End => return Ok(()),
+                Received::Bytes => self.handle_answers()?,
+                Received::Nothing => self.check_incomplete_frame(read_started_at)?,
+            }
+        }
+    }
+
+    /// Guards against an answer that stops short: nothing more comes behind it. What came while the process stood still
+    /// lies there unread: that is no stop. Nor is a read that failed at once.
+    fn check_incomplete_frame(&self, read_started_at: Instant) -> Result<(), ReadError> {
+        let has_waited = read_started_at.elapsed() >= self.limits.frame_stall / 2;
+        if has_waited && self.decoder.is_mid_frame() && has_no_unread_input(&self.stream) {
+            return Err(ReadError::IncompleteFrame);
         }
-        let exchange = {
-            let mut table = state.table.lock().map_err(|_| "poisoned")?;
-            table.heard = Some(Instant::now());
-            // Guards against an answer to a frame that is not wholly out: the rest of it would follow, and might run.
-            if table
-                .open
-                .get(&frame.id)
-                .is_some_and(|e| e.end > state.progress.bytes())
-            {
-                return Err("an answer to what was not written".to_owned());
+        Ok(())
+    }
+
+    /// Handles the complete frames that have come. After an invalid one nothing can be trusted: the stream is out of
+    /// step.
+    fn handle_answers(&mut self) -> Result<(), FrameError> {
+        while let Some(frame) = self.decoder.next(&mut self.ring, self.limits.answer)? {
+            let outcome = outcome(frame.code)?;
+            // Guards against a damaged code, which the checksum does not cover: what never ran has no body.
+            if outcome.proves_not_executed() && !frame.body.is_empty() {
+                return Err(FrameError::UnexpectedBody(frame.code));
             }
-            table.open.remove(&frame.id)
-        };
-        // An answer to what has ended already comes late and is dropped.
-        let Some(exchange) = exchange else { continue };
-        exchange.dispatch.end();
-        state.load.fetch_sub(1, Ordering::AcqRel);
-        let number = |name: &str| frame.field(name).and_then(|v| v.parse().ok());
-        match exchange.what {
-            What::Order(order) => {
-                reports.load_order_ended(order, outcome, number("slots_up").unwrap_or(0))
+            // An answer to an exchange that has ended already comes late and is dropped.
+            if let Some(exchange) = self.take_exchange(frame.id)? {
+                exchange.dispatch.end();
+                self.state.count_ended();
+                self.report_answer(exchange.kind, outcome, frame);
             }
-            What::Probe => {}
-            What::Attempt(key) => {
-                let warm = match frame.field("detail") {
-                    Some("resident") => Some(true),
-                    Some("booted" | "rode") => Some(false),
-                    _ => None,
-                };
-                let told = matches!(outcome, Outcome::Ok | Outcome::Rejected);
-                let crowd = if told { number("company") } else { None };
-                let payload = (outcome == Outcome::Ok).then_some(Payload::Bytes(frame.body));
-                reports.attempt_ended(
-                    key,
-                    AttemptReport {
-                        outcome,
-                        replica_loaded: warm,
-                        queue_depth: crowd,
-                        payload,
-                    },
-                );
+        }
+        Ok(())
+    }
+
+    /// Takes the exchange that this id belongs to out of the table.
+    fn take_exchange(&self, id: u64) -> Result<Option<Exchange>, FrameError> {
+        let mut table = self.state.table.lock().map_err(|_| FrameError::Poisoned)?;
+        table.last_answer_at = Some(Instant::now());
+        // Guards against an answer to a frame that is not completely written: the rest of it would follow, and might
+        // run.
+        let is_incomplete = table
+            .open
+            .get(&id)
+            .is_some_and(|exchange| exchange.frame_end > self.state.progress.bytes());
+        if is_incomplete {
+            return Err(FrameError::IncompleteCall);
+        }
+        Ok(table.open.remove(&id))
+    }
+
+    fn report_answer(&self, kind: ExchangeKind, outcome: Outcome, frame: Frame) {
+        match kind {
+            ExchangeKind::Probe => {}
+            ExchangeKind::Order(order) => {
+                let replicas = frame.number("slots_up").unwrap_or(0);
+                self.reports.load_order_ended(order, outcome, replicas);
+            }
+            ExchangeKind::Attempt(key) => {
+                self.reports
+                    .attempt_ended(key, attempt_report(outcome, frame));
             }
         }
     }
-    Ok(())
+}
+
+/// What an answer says of an attempt.
+fn attempt_report(outcome: Outcome, frame: Frame) -> AttemptReport {
+    let replica_loaded = replica_loaded(frame.field("detail"));
+    let queue_depth = match outcome {
+        Outcome::Ok | Outcome::Rejected => frame.number("company"),
+        _ => None,
+    };
+    let payload = match outcome {
+        Outcome::Ok => Some(Payload::Bytes(frame.body)),
+        _ => None,
+    };
+    AttemptReport {
+        outcome,
+        replica_loaded,
+        queue_depth,
+        payload,
+    }
 }
--- a/wrenseam/src/worker/frames/send_queue.rs
+++ b/wrenseam/src/worker/frames/send_queue.rs
@@ -1,5 +1,5 @@
-//! The frames that wait to be written to one connection, in the order of its stream: which may be begun, and which are
-//! cut out again. No sockets, and time is an argument.
+//! The frames that wait to be written to one connection, in the order of its stream: which may be started, and which
+//! are cut out again. No sockets, and time is an argument.
 use super::super::dispatch::{Dispatch, StartResult};
 use crate::model::AttemptKey;
 use std::collections::VecDeque;
@@ -11,165 +11,194 @@
 pub struct QueuedFrame {
     /// Its bytes.
     pub len: usize,
-    /// The id of the exchange that it opens; none for what is owed no answer.
+    /// The id of the exchange that it opens; none for a frame that gets no answer.
     pub id: Option<u64>,
-    /// Whether it may not go after a drain.
-    pub bound: bool,
-    /// Who decides on it.
+    /// Whether it is withheld once its worker drains.
+    pub withheld_on_drain: bool,
+    /// Decides whether it is still written.
     pub dispatch: Option<Arc<Dispatch>>,
-    /// The attempt that it gives up.
+    /// The attempt whose cancellation it carries.
     pub confirms: Option<AttemptKey>,
 }
 
 /// A frame in the ring of a connection.
 #[derive(Debug)]
-struct Piece {
-    /// Where in the stream it begins.
-    begin: u64,
-    /// The byte behind its last.
+struct PlacedFrame {
+    /// Position in the stream of its first byte.
+    start: u64,
+    /// Position in the stream behind its last byte.
     end: u64,
     frame: QueuedFrame,
+    /// Whether it has been started, and no byte of it is known to be written.
     claimed: bool,
 }
 
-/// The frames in a connection's ring, in the order of the stream.
-#[derive(Debug, Default)]
-pub struct SendQueue {
-    pieces: VecDeque<Piece>,
-    queued: u64,
+impl PlacedFrame {
+    /// Whether no byte of it is among the `written` ones.
+    fn is_unwritten(&self, written: u64) -> bool {
+        self.start >= written
+    }
 }
 
 /// Bytes to be cut out of the ring, and the exchange they would have opened.
 #[derive(Debug, PartialEq)]
 pub struct Cut {
-    /// From which byte of the ring on.
+    /// Position in the ring of the first one.
     pub at: usize,
     /// How many.
     pub len: usize,
     /// The exchange.
     pub id: Option<u64>,
-    /// Whether it ends here; else whoever took it back has ended it.
+    /// Whether it ends by this cut; else whoever reclaimed it has accounted for its end.
     pub ends: bool,
 }
 
+/// Which frames a claim may start.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ClaimScope {
+    /// All that wait.
+    AllFrames,
+    /// The next one alone, as writes stall: those behind it can still be reclaimed.
+    NextFrame,
+}
+
+/// What may be written next.
+#[derive(Debug, PartialEq)]
+pub struct Claim {
+    /// Bytes of the ring that may be written once the cuts are made. 0, though there are some, while the first frame
+    /// waits for the reader of its client's connection.
+    pub writable: usize,
+    /// What is no longer wanted, to be cut in this order.
+    pub cuts: Vec<Cut>,
+}
+
+/// The frames in a connection's ring, in the order of the stream.
+#[derive(Debug, Default)]
+pub struct SendQueue {
+    frames: VecDeque<PlacedFrame>,
+    /// Position in the stream behind the last frame.
+    end: u64,
+}
+
 impl SendQueue {
-    /// A frame joins behind the others; where it ends in the stream.
-    pub fn join(&mut self, frame: QueuedFrame) -> u64 {
-        let begin = self.queued;
-        self.queued += frame.len as u64;
-        self.pieces.push_back(Piece {
-            begin,
-            end: self.queued,
+    /// Appends a frame. Returns the position in the stream behind its last byte.
+    pub fn push(&mut self, frame: QueuedFrame) -> u64 {
+        let start = self.end;
+        self.end += frame.len as u64;
+        self.frames.push_back(PlacedFrame {
+            start,
+            end: self.end,
             frame,
             claimed: false,
         });
-        self.queued
+        self.end
     }
 
-    /// Where an exchange's frame ends in the stream.
-    pub fn end(&self, id: u64) -> Option<u64> {
-        self.pieces
+    /// Position in the stream behind the frame that opens an exchange.
+    pub fn end_of(&self, id: u64) -> Option<u64> {
+        self.frames
             .iter()
-            .find(|p| p.frame.id == Some(id))
-            .map(|p| p.end)
+            .find(|placed| placed.frame.id == Some(id))
+            .map(|placed| placed.end)
     }
 
-    /// So many bytes have been written in all: whole frames leave, what was not begun waits again. Tells the attempts
-    /// that have been given up by that.
-    pub fn written(&mut self, written: u64) -> Vec<AttemptKey> {
+    /// Takes note of the bytes written in all: complete frames leave, and what was claimed but not written waits again.
+    /// Returns the attempts whose cancellation has been written by that.
+    pub fn advance(&mut self, written: u64) -> Vec<AttemptKey> {
         let mut confirmed = Vec::new();
-        while let Some(whole) = self.pieces.pop_front_if(|p| p.end <= written) {
-            confirmed.extend(whole.frame.confirms);
+        while let Some(complete) = self.frames.pop_front_if(|placed| placed.end <= written) {
+            confirmed.extend(complete.frame.confirms);
         }
-        for p in self
-            .pieces
-            .iter_mut()
-            .filter(|p| p.claimed && p.begin >= written)
-        {
-            p.claimed = false;
-            if let Some(dispatch) = &p.frame.dispatch {
+        for placed in &mut self.frames {
+            if !placed.claimed || !placed.is_unwritten(written) {
+                continue;
+            }
+            placed.claimed = false;
+            if let Some(dispatch) = &placed.frame.dispatch {
                 dispatch.revert_start();
             }
         }
         confirmed
     }
 
-    /// The attempts that were to be given up by what is still queued.
+    /// Empties the queue. Returns the attempts whose cancellation was still in it.
     pub fn take_confirmations(&mut self) -> impl Iterator<Item = AttemptKey> + use<> {
-        std::mem::take(&mut self.pieces)
+        std::mem::take(&mut self.frames)
             .into_iter()
-            .filter_map(|p| p.frame.confirms)
+            .filter_map(|placed| placed.frame.confirms)
     }
 
-    /// Whether the frame that has been written in part must not come whole any more.
-    pub fn is_overdue(&self, written: u64, now: Instant) -> bool {
-        let begun = self.pieces.front().filter(|p| p.begin < written);
-        begun
-            .and_then(|p| p.frame.dispatch.as_ref())
+    /// Whether a frame has been written in part and is past its write deadline.
+    pub fn is_past_write_deadline(&self, written: u64, now: Instant) -> bool {
+        self.frames
+            .front()
+            .filter(|placed| !placed.is_unwritten(written))
+            .and_then(|placed| placed.frame.dispatch.as_ref())
             .is_some_and(|dispatch| dispatch.is_past_write_deadline(now))
     }
 
-    /// Begins what may be written next: all, or (`one`) the first frame alone. What is no longer wanted is to be
-    /// cut, in the order told. Tells how many bytes of the ring may be written once that is done; none though there are
-    /// some if the first waits for its client's reader.
-    pub fn claim(&mut self, written: u64, now: Instant, one: bool) -> (usize, Vec<Cut>) {
-        let (mut cuts, mut at) = (Vec::new(), 0);
-        while let Some(p) = self.pieces.get_mut(at).filter(|_| !(one && at > 0)) {
-            let begun = p.begin < written || p.claimed;
-            let go = match p.frame.dispatch.as_ref().filter(|_| !begun) {
-                Some(dispatch) => dispatch.try_start(now),
-                None => StartResult::Started,
-            };
-            if go == StartResult::ClientInputUnread {
+    /// Starts what may be written next.
+    pub fn claim(&mut self, written: u64, now: Instant, scope: ClaimScope) -> Claim {
+        let mut cuts = Vec::new();
+        let mut index = 0;
+        let mut writable_end = written;
+        while let Some(placed) = self.frames.get_mut(index) {
+            if scope == ClaimScope::NextFrame && index > 0 {
                 break;
-            } else if go == StartResult::Started {
-                p.claimed = true;
-                at += 1;
-            } else {
-                cuts.push(self.cut(at, written, go == StartResult::Discarded));
             }
+            let is_started = placed.claimed || !placed.is_unwritten(written);
+            let start = match &placed.frame.dispatch {
+                Some(dispatch) if !is_started => dispatch.try_start(now),
+                _ => StartResult::Started,
+            };
+            match start {
+                StartResult::Started => {
+                    placed.claimed = true;
+                    writable_end = placed.end;
+                    index += 1;
+                }
+                StartResult::ClientInputUnread => break,
+                StartResult::Discarded => cuts.extend(self.cut(index, written, true)),
+                StartResult::AlreadyFinal => cuts.extend(self.cut(index, written, false)),
+            }
+        }
+        Claim {
+            writable: (writable_end - written) as usize,
+            cuts,
         }
-        let to = at
-            .checked_sub(1)
-            .and_then(|last| self.pieces.get(last))
-            .map_or(written, |p| p.end);
-        ((to - written) as usize, cuts)
     }
 
-    /// Cuts what has not begun and fits, as it stands: those behind move up.
-    pub fn cut_where(&mut self, written: u64, fits: impl Fn(&QueuedFrame) -> bool) -> Vec<Cut> {
+    /// Ends and cuts the frames that match and of which no byte is written: those behind them move up.
+    pub fn cut_where(&mut self, written: u64, matches: impl Fn(&QueuedFrame) -> bool) -> Vec<Cut> {
         let mut cuts = Vec::new();
-        let mut at = 0;
-        while let Some(p) = self.pieces.get(at) {
-            if p.begin >= written && fits(&p.frame) {
-                let ends = p.frame.dispatch.as_ref().is_none_or(|t| t.end());
-                cuts.push(self.cut(at, written, ends));
-            } else {
-                at += 1;
+        let mut index = 0;
+        while let Some(placed) = self.frames.get(index) {
+            if !placed.is_unwritten(written) || !matches(&placed.frame) {
+                index += 1;
+                continue;
             }
+            let ends = match &placed.frame.dispatch {
+                Some(dispatch) => dispatch.end(),
+                None => true,
+            };
+            cuts.extend(self.cut(index, written, ends));
         }
         cuts
     }
 
-    fn cut(&mut self, at: usize, written: u64, ends: bool) -> Cut {
-        let Some(p) = self.pieces.remove(at) else {
-            return Cut {
-                at: 0,
-                len: 0,
-                id: None,
-                ends: false,
-            };
-        };
-        let len = p.end - p.begin;
-        for behind in self.pieces.iter_mut().skip(at) {
-            (behind.begin, behind.end) = (behind.begin - len, behind.end - len);
+    fn cut(&mut self, index: usize, written: u64, ends: bool) -> Option<Cut> {
+        let removed = self.frames.remove(index)?;
+        let len = removed.end - removed.start;
+        for behind in self.frames.iter_mut().skip(index) {
+            behind.start -= len;
+            behind.end -= len;
         }
-        self.queued -= len;
-        Cut {
-            at: (p.begin - written) as usize,
+        self.end -= len;
+        Some(Cut {
+            at: (removed.start - written) as usize,
             len: len as usize,
-            id: p.frame.id,
+            id: removed.frame.id,
             ends,
-        }
+        })
     }
 }
--- a/wrenseam/src/worker/frames/writer.rs
+++ b/wrenseam/src/worker/frames/writer.rs
@@ -1,383 +1,206 @@
-//! The writing side of one connection to a worker: what goes out, in which order, and what is taken back before it does.
+//! The writing side of one connection to a worker: establishes it and writes what is to go out.
 use super::super::dispatch::CLIENT_INPUT_WAIT;
-use super::codec;
-use super::connection::{break_up, report, Command, Exchange, Opening, State, What};
-use super::reader::{nothing_lies, read_answers};
-use super::send_queue::{Cut, QueuedFrame, SendQueue};
+use super::super::log_lines;
+use super::super::socket::{has_no_unread_input, stalled_write_pause};
+use super::connection::ConnectionState;
+use super::exchange::Command;
+use super::outgoing::Outgoing;
+use super::reader::AnswerReader;
+use super::send_queue::ClaimScope;
 use crate::limits::Limits;
-use crate::model::{AttemptKey, AttemptReport};
 use crate::net::{pause, spawn, Failure, SystemCalls};
 use crate::queue::CoreHandle;
-use crate::ring::Ring;
 use may::net::TcpStream;
 use may::sync::mpsc::Receiver;
-use std::collections::VecDeque;
+use std::io;
 use std::net::{Shutdown, SocketAddr};
-use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use wrenseam_policy::Outcome;
 
-/// How far a call had come when it was given up.
-enum GivenUp {
-    /// A byte of it was written: its worker is told, by this id.
-    Written(u64),
-    /// None was, and none will be.
-    Cut,
+/// Why nothing more is written to a connection.
+#[derive(Debug, thiserror::Error)]
+pub enum WriteError {
+    /// A keepalive probe was not answered.
+    #[error("keepalive timed out")]
+    KeepaliveTimedOut,
+    /// A write took nothing.
+    #[error("write returned 0 bytes")]
+    WriteZero,
+    /// A retry was half written when its deadline passed.
+    #[error("write deadline of a retry passed")]
+    WriteDeadlinePassed,
+    /// Writes made no progress for too long.
+    #[error("write stalled")]
+    WriteStalled,
+    /// A frame does not fit into the empty ring.
+    #[error("frame of {0} bytes exceeds the send buffer")]
+    FrameTooLarge(usize),
+    /// A panic left the table of open exchanges in doubt.
+    #[error("exchange table poisoned")]
+    Poisoned,
+    /// The connection could not be established, or a write failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
 }
 
 /// The writing coroutine of one connection.
 pub(super) struct Writer {
-    address: SocketAddr,
-    state: Arc<State>,
-    reports: CoreHandle,
-    limits: Arc<Limits>,
-    calls: Arc<dyn SystemCalls>,
-    waiting: VecDeque<Command>,
-    /// The frames in the ring.
-    line: SendQueue,
-    ring: Ring,
+    pub(super) address: SocketAddr,
+    pub(super) state: Arc<ConnectionState>,
+    pub(super) reports: CoreHandle,
+    pub(super) limits: Arc<Limits>,
+    pub(super) calls: Arc<dyn SystemCalls>,
+    pub(super) outgoing: Outgoing,
+    /// Requests of the keepalive check that have not been looked at.
+    pub(super) close_requests: Vec<Instant>,
 }
 
 impl Writer {
-    pub(super) fn run(
-        address: SocketAddr,
-        queue: Receiver<Command>,
-        state: Arc<State>,
-        limits: Arc<Limits>,
-        reports: CoreHandle,
-        calls: Arc<dyn SystemCalls>,
-    ) {
-        let ring = Ring::new(limits.worker_ring);
-        let (waiting, line) = (VecDeque::new(), SendQueue::default());
-        let mut writer = Writer {
-            address,
-            state,
-            reports,
-            limits,
-            calls,
-            waiting,
-            line,
-            ring,
-        };
-        if let Err(why) = writer.connection(&queue) {
-            note!("worker {address}: connection ended: {why}");
+    /// Writes until the connection ends, and ends everything that is or comes still in the queue.
+    pub(super) fn run(mut self, commands: &Receiver<Command>) {
+        if let Err(reason) = self.serve(commands) {
+            note!("{}", log_lines::connection_ended(self.address, &reason));
         }
-        break_up(&writer.state, &writer.reports);
-        // A connection that has ended gives up whatever was open on it.
-        writer
-            .line
-            .take_confirmations()
-            .for_each(|key| writer.given_up(key));
-        // What is or comes still in the queue was never written. The core lets go of the queue at its sweep.
-        for command in std::mem::take(&mut writer.waiting) {
-            writer.refuse(command);
-        }
-        while let Ok(command) = queue.recv() {
-            writer.refuse(command);
+        self.state.close(&self.reports);
+        self.outgoing.end_all();
+        // The core drops its end of the queue at its sweep.
+        while let Ok(command) = commands.recv() {
+            if let Command::Write(outbound) = command {
+                self.outgoing.refuse(outbound);
+            }
         }
     }
 
-    fn refuse(&self, command: Command) {
-        if let Command::Open(Opening { what, dispatch, .. }) = command {
-            if dispatch.end() {
-                report(&self.reports, &self.state, what, Outcome::ConnectFailed);
-            }
+    fn serve(&mut self, commands: &Receiver<Command>) -> Result<(), WriteError> {
+        let stream = self.connect()?;
+        self.start_reader(&stream)?;
+        let mut end = Ok(());
+        while end.is_ok() {
+            // Nothing is left to write here: wait for more. The core drops idle connections.
+            let Ok(command) = commands.recv() else { break };
+            self.accept(command);
+            end = self.write_pending(&stream, commands);
         }
+        let _ = stream.shutdown(Shutdown::Both); // the reader sees the end and leaves
+        end
+    }
+
+    fn connect(&self) -> io::Result<TcpStream> {
+        let stream = self.calls.connect(&self.address, self.limits.connect)?;
+        stream.set_nodelay(true)?;
+        Ok(stream)
     }
 
-    fn connection(&mut self, queue: &Receiver<Command>) -> Result<(), String> {
+    fn start_reader(&self, stream: &TcpStream) -> io::Result<()> {
         let address = self.address;
-        let text = |e: std::io::Error| e.to_string();
-        let stream = self
-            .calls
-            .connect(&address, self.limits.connect)
-            .map_err(text)?;
-        stream.set_nodelay(true).map_err(text)?;
-        let reader = stream.try_clone().map_err(text)?;
-        let (state, reports, limits) = (
+        let reader = AnswerReader::new(
+            stream.try_clone()?,
             self.state.clone(),
             self.reports.clone(),
             self.limits.clone(),
         );
-        spawn(self.limits.stack, move || {
-            if let Err(why) = read_answers(reader, &state, &reports, &limits) {
-                note!("worker {address}: connection closed: {why}");
-            }
-            break_up(&state, &reports);
-        })
-        .map_err(text)?;
-        let mut end = Ok(());
-        while end.is_ok() {
-            // Nothing is left to write here: wait for more. The core lets go of idle connections.
-            let Ok(command) = queue.recv() else { break };
-            self.take(command);
-            end = self.write_all(&stream, queue);
-        }
-        let _ = stream.shutdown(Shutdown::Both); // the reader sees the end and leaves
-        end
+        spawn(self.limits.stack, move || reader.run(address))
     }
 
-    fn take(&mut self, command: Command) {
-        if matches!(
-            command,
-            Command::Open(Opening {
-                what: What::Probe,
-                ..
-            })
-        ) {
-            self.state.asking.store(true, Ordering::Release);
+    fn accept(&mut self, command: Command) {
+        match command {
+            Command::Write(outbound) => self.outgoing.push(outbound),
+            Command::CloseIfSilentSince(asked_at) => self.close_requests.push(asked_at),
         }
-        self.waiting.push_back(command);
-    }
-
-    /// Whether nothing has come since a question was asked, read or unread: what came while we stood still lies there.
-    fn mute(&self, asked: Instant, stream: &TcpStream) -> bool {
-        let heard = self.state.table.lock().ok().and_then(|t| t.heard);
-        heard.is_none_or(|h| h < asked) && nothing_lies(stream)
     }
 
-    /// Writes until nothing waits.
-    fn write_all(&mut self, stream: &TcpStream, queue: &Receiver<Command>) -> Result<(), String> {
+    /// Writes until nothing waits. Nothing waits inside a write: what is claimed goes out now or is not claimed, so that
+    /// a claim is never older than the look at its client.
+    fn write_pending(
+        &mut self,
+        stream: &TcpStream,
+        commands: &Receiver<Command>,
+    ) -> Result<(), WriteError> {
         let mut stalled = Duration::ZERO;
-        // Nothing waits inside a write: what is claimed goes out now or is not claimed, so that it is never older than
-        // the look at its client.
-        let nap = self.limits.write_check / 10;
         loop {
-            while let Ok(command) = queue.try_recv() {
-                self.take(command);
-            }
-            let close = |c: &Command| match c {
-                Command::Close(asked) => Some(*asked),
-                _ => None,
-            };
-            if self
-                .waiting
-                .iter()
-                .filter_map(close)
-                .any(|asked| self.mute(asked, stream))
-            {
-                note!(
-                    "worker {}: connection closed: no word from it",
-                    self.address
-                );
-                return Err("given up".to_owned());
+            while let Ok(command) = commands.try_recv() {
+                self.accept(command);
             }
-            self.waiting.retain(|c| close(c).is_none());
-            if self.state.retired.load(Ordering::Acquire) {
-                self.withhold();
+            self.check_close_requests(stream)?;
+            if self.state.is_draining() {
+                self.outgoing.withhold_for_drain();
             }
-            self.fill()?;
-            // While writes stall only the next frame is begun: what is behind it can be taken back.
+            self.outgoing.fill_ring()?;
             let written = self.state.progress.bytes();
-            let (most, cuts) = self.line.claim(written, Instant::now(), !stalled.is_zero());
-            self.cut(cuts, Outcome::NotSent);
-            if self.ring.is_empty() {
-                if self.waiting.is_empty() {
+            let writable = self.outgoing.claim(written, claim_scope(stalled));
+            if self.outgoing.is_ring_empty() {
+                if self.outgoing.is_nothing_waiting() {
                     return Ok(());
                 }
                 continue; // all that was in it has been cut: what did not fit comes next
             }
-            if most == 0 {
+            if writable == 0 {
                 pause(CLIENT_INPUT_WAIT);
                 continue;
             }
-            let front = self.ring.front();
-            let next = &front[..most.min(front.len())];
-            match self.state.progress.write(|| self.calls.write(stream, next)) {
-                Ok(0) => return Err("closed".to_owned()),
-                Ok(n) => {
-                    stalled = Duration::ZERO;
-                    self.ring.consume(n);
-                    let confirmed = self.line.written(written + n as u64);
-                    confirmed.into_iter().for_each(|key| self.given_up(key));
-                }
-                Err(e) if Failure::of(&e) != Failure::Over => {
-                    self.line.written(written); // nothing was: what was claimed waits again
-                    pause(nap);
-                    stalled += nap;
-                    if self.line.is_overdue(written, Instant::now()) {
-                        return Err(
-                            "a repeat was not written while its worker would drop it".to_owned()
-                        );
-                    }
-                    if stalled >= self.limits.write_stall {
-                        return Err("nothing could be written for long".to_owned());
-                    }
-                }
-                Err(e) => return Err(e.to_string()),
-            }
+            stalled = self.write_once(stream, written, writable, stalled)?;
         }
     }
 
-    /// Takes frames out of the ring of which no byte was written; those that had not ended yet end so.
-    fn cut(&mut self, cuts: Vec<Cut>, outcome: Outcome) {
-        if cuts.is_empty() {
-            return;
-        }
-        let Ok(mut table) = self.state.table.lock() else {
-            return;
-        };
-        let mut ended = Vec::new();
-        for Cut { at, len, id, ends } in cuts {
-            self.ring.cut(at, len);
-            let exchange = id.and_then(|id| table.open.remove(&id));
-            ended.extend(exchange.filter(|_| ends).map(|e| e.what));
-        }
-        for (&id, exchange) in &mut table.open {
-            exchange.end = self.line.end(id).unwrap_or(exchange.end); // those behind have moved up
+    /// Makes one write. Returns for how long writes have been stalled after it.
+    fn write_once(
+        &mut self,
+        stream: &TcpStream,
+        written: u64,
+        writable: usize,
+        stalled: Duration,
+    ) -> Result<Duration, WriteError> {
+        let bytes = self.outgoing.next_bytes(writable);
+        let write = || self.calls.write(stream, bytes);
+        match self.state.progress.write(write) {
+            Ok(0) => Err(WriteError::WriteZero),
+            Ok(count) => {
+                self.outgoing.advance(count, written + count as u64);
+                Ok(Duration::ZERO)
+            }
+            Err(error) if Failure::of(&error) == Failure::Over => Err(error.into()),
+            Err(_) => self.wait_stalled(written, stalled),
         }
-        drop(table);
-        ended
-            .into_iter()
-            .for_each(|what| report(&self.reports, &self.state, what, outcome));
     }
 
-    /// After a drain: takes back what waits and what lies unbegun in the ring.
-    fn withhold(&mut self) {
-        let mut kept = VecDeque::new();
-        for command in std::mem::take(&mut self.waiting) {
-            match command {
-                Command::Open(Opening {
-                    what,
-                    bound: true,
-                    dispatch,
-                    ..
-                }) => {
-                    if dispatch.end() {
-                        report(&self.reports, &self.state, what, Outcome::NotSent);
-                    }
-                }
-                other => kept.push_back(other),
-            }
+    /// Waits before a write is tried again. Returns for how long writes have been stalled then.
+    fn wait_stalled(&mut self, written: u64, stalled: Duration) -> Result<Duration, WriteError> {
+        self.outgoing.revert_claims(written);
+        let span = stalled_write_pause(&self.limits);
+        pause(span);
+        let stalled = stalled + span;
+        if self.outgoing.is_past_write_deadline(written) {
+            return Err(WriteError::WriteDeadlinePassed);
         }
-        self.waiting = kept;
-        let written = self.state.progress.bytes();
-        let cuts = self.line.cut_where(written, |p| p.bound);
-        self.cut(cuts, Outcome::NotSent);
+        if stalled >= self.limits.write_stall {
+            return Err(WriteError::WriteStalled);
+        }
+        Ok(stalled)
     }
 
-    /// Moves what waits into the ring, as far as whole frames fit.
-    fn fill(&mut self) -> Result<(), String> {
-        while let Some(command) = self.waiting.front() {
-            let len = match command {
-                Command::Open(opening) => opening.frame.len(),
-                Command::Plain(frame) => frame.len(),
-                Command::Close(_) => 0,
-                Command::Cancel(_) => codec::BARE,
-            };
-            if len > self.ring.free() {
-                if self.ring.is_empty() {
-                    return Err(format!("a frame of {len} bytes is larger than the ring"));
-                }
-                return Ok(());
-            }
-            let Some(command) = self.waiting.pop_front() else {
-                return Ok(());
-            };
-            match command {
-                Command::Open(opening) => self.join(opening)?,
-                Command::Plain(frame) => self.plain(&frame, None),
-                Command::Close(_) => {} // decided where it came in
-                Command::Cancel(what) => {
-                    // An order stands, whether its answer is awaited or not.
-                    match (self.give_up(what), what) {
-                        (Some(GivenUp::Written(id)), What::Attempt(key)) => {
-                            self.plain(&codec::give_up(id), Some(key));
-                        }
-                        (Some(GivenUp::Cut), What::Attempt(key)) => {
-                            self.reports.attempt_ended(
-                                key,
-                                AttemptReport::without_payload(Outcome::NotSent),
-                            );
-                        }
-                        _ => {}
-                    }
-                }
+    /// Ends the connection if a keepalive probe has not been answered.
+    fn check_close_requests(&mut self, stream: &TcpStream) -> Result<(), WriteError> {
+        for asked_at in std::mem::take(&mut self.close_requests) {
+            if self.is_silent_since(asked_at, stream) {
+                note!("{}", log_lines::keepalive_timed_out(self.address));
+                return Err(WriteError::KeepaliveTimedOut);
             }
         }
         Ok(())
     }
 
-    /// Queues a frame that is owed no answer. Once it is written, `confirms` has been given up.
-    fn plain(&mut self, frame: &[u8], confirms: Option<AttemptKey>) {
-        self.line.join(QueuedFrame {
-            len: frame.len(),
-            confirms,
-            ..QueuedFrame::default()
-        });
-        self.ring.push(frame);
-    }
-
-    fn given_up(&self, key: AttemptKey) {
-        self.reports
-            .attempt_ended(key, AttemptReport::without_payload(Outcome::Cancelled));
-    }
-
-    fn join(&mut self, opening: Opening) -> Result<(), String> {
-        let Opening {
-            what,
-            id,
-            function,
-            frame,
-            bound,
-            dispatch,
-        } = opening;
-        let Ok(mut table) = self.state.table.lock() else {
-            return Err("poisoned".to_owned());
-        };
-        if table.broken || table.open.contains_key(&id) {
-            // Two exchanges under one id could not be told apart: the later one is not sent.
-            drop(table);
-            if dispatch.end() {
-                report(&self.reports, &self.state, what, Outcome::ConnectFailed);
-            }
-            return Ok(());
-        }
-        let dispatch_too = Some(dispatch.clone());
-        let end = self.line.join(QueuedFrame {
-            len: frame.len(),
-            id: Some(id),
-            bound,
-            dispatch: dispatch_too,
-            confirms: None,
-        });
-        table.open.insert(
-            id,
-            Exchange {
-                what,
-                end,
-                since: Instant::now(),
-                function,
-                dispatch,
-            },
-        );
-        self.ring.push(&frame);
-        Ok(())
+    /// Whether nothing has come since then, read or unread: what came while the process stood still lies there.
+    fn is_silent_since(&self, asked_at: Instant, stream: &TcpStream) -> bool {
+        let last_answer_at = self.state.last_answer_at();
+        last_answer_at.is_none_or(|at| at < asked_at) && has_no_unread_input(stream)
     }
+}
 
-    /// Closes what is out here; `None` if it has ended already.
-    fn give_up(&mut self, what: What) -> Option<GivenUp> {
-        let id = {
-            let table = self.state.table.lock().ok()?;
-            table
-                .open
-                .iter()
-                .find(|(_, e)| e.what == what)
-                .map(|(&id, _)| id)?
-        };
-        let written = self.state.progress.bytes();
-        let cuts = self.line.cut_where(written, |p| p.id == Some(id));
-        self.state.load.fetch_sub(1, Ordering::AcqRel);
-        if cuts.is_empty() {
-            self.state.table.lock().ok()?.open.remove(&id);
-            return Some(GivenUp::Written(id));
-        }
-        // Whoever gave it up has ended it.
-        self.cut(
-            cuts.into_iter().map(|c| Cut { ends: false, ..c }).collect(),
-            Outcome::NotSent,
-        );
-        Some(GivenUp::Cut)
+/// While writes stall only the next frame is started: what is behind it can be reclaimed.
+fn claim_scope(stalled: Duration) -> ClaimScope {
+    if stalled.is_zero() {
+        ClaimScope::AllFrames
+    } else {
+        ClaimScope::NextFrame
     }
 }
--- a/wrenseam/src/worker/mod.rs
+++ b/wrenseam/src/worker/mod.rs
@@ -2,7 +2,9 @@
 pub mod dispatch;
 pub mod frames;
 pub mod kserve;
+pub mod log_lines;
 pub mod pool;
+mod socket;
 
 use crate::limits::Limits;
 use crate::model::{AttemptKey, Request, TransportProtocol};
@@ -107,3 +109,12 @@
         }
     }
 }
+
+/// Whether the replica was loaded before the attempt came, as a worker's answer says in its `detail`.
+fn replica_loaded(detail: Option<&str>) -> Option<bool> {
+    match detail {
+        Some("resident") => Some(true),
+        Some("booted" | "rode") => Some(false),
+        _ => None,
+    }
+}
--- a/wrenseam/tests/liveness.rs
+++ b/wrenseam/tests/liveness.rs
@@ -1,7 +1,7 @@
 //! How often a quiet connection to a worker is probed.
 use std::time::Duration;
 use wrenseam::limits::Limits;
-use wrenseam::worker::frames::liveness::probe_due;
+use wrenseam::worker::frames::keepalive::probe_due;
 use wrenseam_policy::Settings;
 
 /// Probes of a connection during one long call, each answered at once, looked at every 50 ms.
--- /dev/null
+++ b/wrenseam/tests/worker_log_lines.rs
@@ -0,0 +1,58 @@
+//! The text of each log line about connections to workers. docs/oncall.md lists them for whoever reads the log.
+use rstest::rstest;
+use std::net::SocketAddr;
+use wrenseam::worker::frames::{FrameError, ReadError, WriteError};
+use wrenseam::worker::log_lines;
+
+fn address() -> SocketAddr {
+    "10.0.0.7:9000".parse().expect("an address")
+}
+
+#[test]
+fn lines_name_the_worker_and_the_reason() {
+    let lines = [
+        log_lines::coroutine_not_started(address(), &"no memory").to_string(),
+        log_lines::connection_ended(address(), &"timeout").to_string(),
+        log_lines::connection_closed(address(), &"reset").to_string(),
+        log_lines::keepalive_timed_out(address()).to_string(),
+    ];
+    assert_eq!(
+        lines,
+        [
+            "worker 10.0.0.7:9000: coroutine not started: no memory",
+            "worker 10.0.0.7:9000: connection ended: timeout",
+            "worker 10.0.0.7:9000: connection closed: reset",
+            "worker 10.0.0.7:9000: connection closed: keepalive timed out",
+        ]
+    );
+}
+
+#[rstest]
+#[case(WriteError::KeepaliveTimedOut, "keepalive timed out")]
+#[case(WriteError::WriteZero, "write returned 0 bytes")]
+#[case(WriteError::WriteDeadlinePassed, "write deadline of a retry passed")]
+#[case(WriteError::WriteStalled, "write stalled")]
+#[case(
+    WriteError::FrameTooLarge(9),
+    "frame of 9 bytes exceeds the send buffer"
+)]
+#[case(WriteError::Poisoned, "exchange table poisoned")]
+#[case(WriteError::Io(std::io::ErrorKind::TimedOut.into()), "timed out")]
+fn a_write_error_says_why_the_connection_ended(#[case] error: WriteError, #[case] text: &str) {
+    assert_eq!(error.to_string(), text);
+}
+
+#[rstest]
+#[case(ReadError::IncompleteFrame, "incomplete frame")]
+#[case(ReadError::Receive("reset".to_owned()), "reset")]
+#[case(ReadError::Socket(std::io::ErrorKind::TimedOut.into()), "timed out")]
+#[case(FrameError::Magic(126).into(), "invalid frame: magic byte 126")]
+#[case(FrameError::BodyLength(9).into(), "invalid frame: body length 9")]
+#[case(FrameError::Checksum.into(), "invalid frame: checksum mismatch")]
+#[case(FrameError::UnknownCode(9).into(), "invalid frame: unknown code 9")]
+#[case(FrameError::UnexpectedBody(203).into(), "invalid frame: unexpected body with code 203")]
+#[case(FrameError::IncompleteCall.into(), "invalid frame: answer to an incomplete call")]
+#[case(FrameError::Poisoned.into(), "invalid frame: exchange table poisoned")]
+fn a_read_error_says_why_the_connection_was_closed(#[case] error: ReadError, #[case] text: &str) {
+    assert_eq!(error.to_string(), text);
+}
