--- a/wrenseam/src/worker/frames/reader.rs
+++ b/wrenseam/src/worker/frames/reader.rs
@@ -80,7 +80,7 @@
         loop {
             let read_started_at = Instant::now();
             let received = receive(&mut self.ring, &mut self.stream);
-            match received.map_err(|error| ReadError::Receive(error.to_string()))? {
+            match received.map_err(ReadError::Receive)? {
                 Received::End => return Ok(()),
                 Received::Bytes => self.handle_answers()?,
                 Received::Nothing => self.check_incomplete_frame(read_started_at)?,
--- a/wrenseam/src/worker/kserve/mod.rs
+++ b/wrenseam/src/worker/kserve/mod.rs
@@ -1,6 +1,6 @@
 //! KServe v2 over HTTP/1.1 to one worker: each connection carries one exchange at a time. Loads, questions
 //! and unloads use the model repository extension.
-mod lane;
+mod connection;
 mod messages;
 
 pub use messages::{unwrap_answer, wrap_answer};
@@ -11,7 +11,7 @@
 use crate::model::{AttemptKey, Payload, Request};
 use crate::net::{spawn, DirectCalls, SystemCalls};
 use crate::queue::CoreHandle;
-use lane::Lane;
+use connection::Lane;
 use may::sync::mpmc::{channel, Receiver, Sender};
 use messages::wrap_call;
 use std::net::SocketAddr;
