--- a/wrenseam/src/worker/frames/codec.rs
+++ b/wrenseam/src/worker/frames/codec.rs
@@ -2,7 +2,7 @@
 //!
 //! A frame is a header of 16 bytes (magic byte, code, length of the fields, length of the body, id; big endian), the
 //! fields as `name=value,name=value`, the body, and a CRC-32 of fields and body.
-use super::super::AttemptLimits;
+use super::super::{AttemptLimits, MICROS_PER_MILLI};
 use crate::model::Request;
 use crate::ring::Ring;
 use wrenseam_policy::{FunctionId, Micros, Outcome};
@@ -28,9 +28,6 @@
 /// Bytes of a frame without fields and body.
 pub(super) const EMPTY_FRAME_BYTES: usize = HEADER_BYTES + CHECKSUM_BYTES;
 
-/// The protocol states times in milliseconds.
-const MICROS_PER_MILLI: Micros = 1000;
-
 /// Why a stream of answers cannot be read any further. Nothing that follows can be trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
--- a/wrenseam/src/worker/frames/mod.rs
+++ b/wrenseam/src/worker/frames/mod.rs
@@ -15,7 +15,8 @@
 pub use writer::WriteError;
 
 use super::dispatch::Dispatch;
-use super::{log_lines, AttemptLimits, CancelOutcome, ConnectionUsage, Transport};
+use super::{log_lines, order_start_deadline};
+use super::{AttemptLimits, CancelOutcome, ConnectionUsage, Transport};
 use crate::limits::Limits;
 use crate::model::{AttemptKey, Request};
 use crate::net::{spawn, DirectCalls, SystemCalls};
@@ -161,9 +162,7 @@
     fn order(&mut self, order: u64, function: FunctionId, replicas: u32) {
         let id = FIRST_ORDER_ID - order;
         let frame = codec::hold(id, function, replicas);
-        // Guards the worker's ration of loads: it counts an order when it arrives, and several that a late connection
-        // held back would arrive within one period.
-        let start_deadline = Instant::now() + self.limits.connect + self.limits.write_check;
+        let start_deadline = order_start_deadline(&self.limits);
         self.connection_for(None).open(NewExchange {
             kind: ExchangeKind::Order(order),
             id,
--- a/wrenseam/src/worker/kserve/connection.rs
+++ b/wrenseam/src/worker/kserve/connection.rs
@@ -1,167 +1,189 @@
 //! One connection to a v2 worker: an exchange at a time, and what is known of each when the connection ends.
 use super::super::dispatch::{StartResult, CLIENT_INPUT_WAIT};
-use super::messages::{attempt_report, named, order_report, Named, Reply};
-use super::{Job, State, What};
-use crate::http::{Chunked, Coded, Head};
+use super::super::log_lines;
+use super::super::socket::{has_no_unread_input, stalled_write_pause};
+use super::answer::{Answer, AnswerReader};
+use super::exchange::{Call, Exchange, ExchangeKind, Order, WorkerConnections};
+use super::messages::{answer_owner, attempt_report, load_report, AnswerOwner, LoadReport, Reply};
 use crate::limits::Limits;
 use crate::model::AttemptReport;
-use crate::net::{back, pause, receive, timed_out, Failure, Received, SystemCalls};
+use crate::net::{back, pause, Failure, SystemCalls};
 use crate::queue::CoreHandle;
-use crate::ring::Ring;
 use may::net::TcpStream;
 use may::sync::mpmc::Receiver;
 use std::net::SocketAddr;
-use std::sync::atomic::Ordering;
+use std::sync::mpsc::RecvTimeoutError;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use wrenseam_policy::Outcome;
 
-/// A connection that stands idle, and since when.
-pub(super) struct Kept {
+/// A connection that is idle, and since when.
+pub(super) struct IdleStream {
     stream: TcpStream,
     since: Instant,
 }
 
-impl Kept {
-    /// Whether a job may go out on it: the worker is not about to close it, and nothing lies in it.
-    fn usable(&self, limits: &Limits) -> bool {
-        self.since.elapsed() < limits.worker_idle && still_open(&self.stream)
+impl IdleStream {
+    /// Whether an exchange may go out on it: the worker is not about to close it, and nothing lies in it.
+    fn is_usable(&self, limits: &Limits) -> bool {
+        self.since.elapsed() < limits.worker_idle && has_no_unread_input(&self.stream)
     }
 }
 
-/// One connection's coroutine.
-pub(super) struct Lane {
+/// The coroutine of one connection.
+pub(super) struct Connection {
     pub(super) address: SocketAddr,
     pub(super) limits: Arc<Limits>,
     pub(super) reports: CoreHandle,
     pub(super) calls: Arc<dyn SystemCalls>,
-    pub(super) state: Arc<State>,
-    pub(super) stream: Option<Kept>,
+    pub(super) shared: Arc<WorkerConnections>,
+    pub(super) idle: Option<IdleStream>,
 }
 
-impl Lane {
-    pub(super) fn run(mut self, queue: &Receiver<Job>) {
+impl Connection {
+    /// Carries out exchanges until the transport is dropped.
+    pub(super) fn run(mut self, queue: &Receiver<Exchange>) {
         loop {
             let next = queue.recv_timeout(self.limits.worker_idle);
             back();
             match next {
-                Ok(job) => {
-                    self.job(&job);
-                    self.state.load.fetch_sub(1, Ordering::AcqRel);
+                Ok(exchange) => {
+                    self.carry_out(&exchange);
+                    self.shared.count_ended();
                 }
-                // Guards against a call that crosses the worker's own close of an idle connection.
-                Err(std::sync::mpsc::RecvTimeoutError::Timeout) => self.stream = None,
-                Err(std::sync::mpsc::RecvTimeoutError::Disconnected) => return,
+                // Guards against an exchange that crosses the worker's own close of an idle connection.
+                Err(RecvTimeoutError::Timeout) => self.idle = None,
+                Err(RecvTimeoutError::Disconnected) => return,
             }
         }
     }
 
-    fn job(&mut self, job: &Job) {
-        let ended = match self.exchange(job) {
+    /// Carries out an exchange and reports its end.
+    fn carry_out(&mut self, exchange: &Exchange) {
+        let end = match self.exchange(exchange) {
             // The connection has ended, by which the worker is told.
-            Err(Outcome::Reset) if job.cancelled.load(Ordering::Acquire) => Err(Outcome::Cancelled),
-            ended => ended,
+            Err(Outcome::Reset) if exchange.is_cancelled() => Err(Outcome::Cancelled),
+            end => end,
         };
-        match &job.what {
-            What::Attempt(key, call) => {
-                let report = match ended {
-                    Ok(reply) => attempt_report(reply, call.wrapped),
-                    Err(outcome) => AttemptReport::without_payload(outcome),
-                };
-                self.reports.attempt_ended(*key, report);
-            }
-            What::Order(order, function, copies) => {
-                let (outcome, stand) = match ended {
-                    Ok(reply) => order_report(&reply, *function, *copies),
-                    Err(outcome) => (outcome, 0),
-                };
-                self.reports.load_order_ended(*order, outcome, stand);
-            }
-            What::Unload => {}
+        match &exchange.kind {
+            ExchangeKind::Call(call) => self.report_call(call, end),
+            ExchangeKind::Order(order) => self.report_order(order, end),
+            ExchangeKind::Unload => {}
         }
     }
 
-    /// Whether the job may no longer be begun.
-    fn withheld(&self, job: &Job) -> bool {
-        let past = job.epoch != self.state.epoch.load(Ordering::Acquire);
-        job.cancelled.load(Ordering::Acquire) || past && job.bound
+    fn report_call(&self, call: &Call, end: Result<Reply, Outcome>) {
+        let report = match end {
+            Ok(reply) => attempt_report(reply, call.is_wrapped),
+            Err(outcome) => AttemptReport::without_payload(outcome),
+        };
+        self.reports.attempt_ended(call.key, report);
     }
 
-    /// Whether its first byte may be written now.
-    fn begin(&self, job: &Job) -> bool {
-        loop {
-            match job.dispatch.try_start(Instant::now()) {
-                _ if self.withheld(job) => return false,
-                StartResult::ClientInputUnread => pause(CLIENT_INPUT_WAIT),
-                begin => return begin == StartResult::Started,
-            }
-        }
+    fn report_order(&self, order: &Order, end: Result<Reply, Outcome>) {
+        let report = match end {
+            Ok(reply) => load_report(&reply, order),
+            Err(outcome) => LoadReport {
+                outcome,
+                replicas: 0,
+            },
+        };
+        self.reports
+            .load_order_ended(order.number, report.outcome, report.replicas);
     }
 
-    /// Sends the request and reads the whole answer, or tells how far it came.
-    fn exchange(&mut self, job: &Job) -> Result<Reply, Outcome> {
-        if self.withheld(job) {
+    /// Sends the request and reads the complete answer, or tells how far it came.
+    fn exchange(&mut self, exchange: &Exchange) -> Result<Reply, Outcome> {
+        if self.is_withheld(exchange) {
             return Err(Outcome::NotSent);
         }
-        let mut stream = match &job.what {
-            What::Attempt(..) => self.begun_stream(job)?,
+        let mut stream = match &exchange.kind {
+            ExchangeKind::Call(_) => self.started_stream(exchange)?,
             // Their answers name no call: one that came twice would put every later answer on its connection off by one.
-            What::Order(..) | What::Unload => self.fresh_stream(job)?,
+            ExchangeKind::Order(_) | ExchangeKind::Unload => self.new_started_stream(exchange)?,
         };
-        self.write(&stream, job)?;
-        let (reply, reusable) = self.read(&mut stream, job).map_err(|why| {
-            if !job.cancelled.load(Ordering::Acquire) {
-                note!("worker {}: answer lost: {why}", self.address);
-            }
-            // Wholly written and no whole answer: it may have run.
-            Outcome::Reset
-        })?;
-        let named = match &job.what {
-            What::Attempt(_, call) => named(&reply, call.wire_id),
-            What::Order(..) | What::Unload => Named::None,
+        self.write(&stream, exchange)?;
+        let answer = AnswerReader::new(&self.limits)
+            .read(&mut stream, exchange)
+            .map_err(|reason| {
+                if !exchange.is_cancelled() {
+                    note!("{}", log_lines::answer_lost(self.address, &reason));
+                }
+                // Completely written and no complete answer: it may have run.
+                Outcome::Reset
+            })?;
+        let owner = match &exchange.kind {
+            ExchangeKind::Call(call) => answer_owner(&answer.reply, call.wire_id),
+            ExchangeKind::Order(_) | ExchangeKind::Unload => AnswerOwner::Unstated,
         };
-        if named == Named::Another {
-            note!(
-                "worker {}: answer lost: one to another call came",
-                self.address
-            );
+        if owner == AnswerOwner::OtherCall {
+            note!("{}", log_lines::answer_mismatched(self.address));
             return Err(Outcome::Reset); // nothing is known of this one
         }
-        // Only an answer that names its call leaves the connection to another. Were a second one to come late, the next
-        // call would else take it for its own, and its own would reach the call after it: a refusal among them proves
-        // of the wrong call that it never ran.
-        if reusable && reply.status == 200 && named == Named::This {
-            self.stream = Some(Kept {
+        if owner == AnswerOwner::ThisCall {
+            self.keep_reusable(stream, &answer);
+        }
+        Ok(answer.reply)
+    }
+
+    /// Keeps the connection for the next call, if it can carry another. Only an answer that names its call allows that.
+    /// Were a second one to come late, the next call would else take it for its own, and its own would reach the call
+    /// after it: a rejection among them proves of the wrong call that it never ran.
+    fn keep_reusable(&mut self, stream: TcpStream, answer: &Answer) {
+        if answer.is_reusable && answer.reply.status == 200 {
+            self.idle = Some(IdleStream {
                 stream,
                 since: Instant::now(),
             });
         }
-        Ok(reply)
     }
 
-    /// A connection on which the job has been begun: its first byte is to be written now.
-    fn begun_stream(&mut self, job: &Job) -> Result<TcpStream, Outcome> {
-        if let Some(kept) = self.stream.take().filter(|kept| kept.usable(&self.limits)) {
-            if !self.begin(job) {
-                self.stream = Some(kept);
-                return Err(Outcome::NotSent);
+    /// Whether an exchange may no longer be started.
+    fn is_withheld(&self, exchange: &Exchange) -> bool {
+        let has_drained = exchange.drain_epoch != self.shared.drain_epoch();
+        exchange.is_cancelled() || has_drained && exchange.withheld_on_drain
+    }
+
+    /// Starts an exchange. Returns whether its first byte may be written now.
+    fn try_start(&self, exchange: &Exchange) -> bool {
+        loop {
+            let start = exchange.dispatch.try_start(Instant::now());
+            if self.is_withheld(exchange) {
+                return false;
             }
-            // What came while the job waited to be begun is no answer to it.
-            if kept.usable(&self.limits) {
-                return Ok(kept.stream);
+            match start {
+                StartResult::Started => return true,
+                StartResult::Discarded | StartResult::AlreadyFinal => return false,
+                StartResult::ClientInputUnread => pause(CLIENT_INPUT_WAIT),
+            }
+        }
+    }
+
+    /// A connection on which the exchange has been started: its first byte is to be written now.
+    fn started_stream(&mut self, exchange: &Exchange) -> Result<TcpStream, Outcome> {
+        if let Some(idle) = self.idle.take() {
+            if idle.is_usable(&self.limits) {
+                if !self.try_start(exchange) {
+                    self.idle = Some(idle);
+                    return Err(Outcome::NotSent);
+                }
+                // What came while the exchange waited to be started is no answer to it.
+                if idle.is_usable(&self.limits) {
+                    return Ok(idle.stream);
+                }
+                exchange.dispatch.revert_start();
             }
-            job.dispatch.revert_start();
         }
-        self.fresh_stream(job)
+        self.new_started_stream(exchange)
     }
 
-    /// A new connection on which the job has been begun.
-    fn fresh_stream(&self, job: &Job) -> Result<TcpStream, Outcome> {
-        let stream = self.connect().map_err(|why| {
-            note!("worker {}: no connection: {why}", self.address);
+    /// A new connection on which the exchange has been started.
+    fn new_started_stream(&self, exchange: &Exchange) -> Result<TcpStream, Outcome> {
+        let stream = self.connect().map_err(|reason| {
+            note!("{}", log_lines::not_connected(self.address, &reason));
             Outcome::ConnectFailed
         })?;
-        if self.begin(job) {
+        if self.try_start(exchange) {
             Ok(stream)
         } else {
             Err(Outcome::NotSent)
@@ -175,123 +197,43 @@
         Ok(stream)
     }
 
-    fn write(&self, stream: &TcpStream, job: &Job) -> Result<(), Outcome> {
-        let (mut ring, mut rest, mut stalled) =
-            (Ring::new(job.bytes.len()), &job.bytes[..], Duration::ZERO);
-        let nap = self.limits.write_check / 10;
-        rest = &rest[ring.push(rest)..];
-        debug_assert!(rest.is_empty());
-        while !ring.is_empty() {
-            match self.calls.write(stream, ring.front()) {
-                Ok(n) if n > 0 => {
+    /// Writes the request. On an error it is not completely written, and nothing can have run.
+    fn write(&self, stream: &TcpStream, exchange: &Exchange) -> Result<(), Outcome> {
+        let mut remaining = &exchange.request[..];
+        let mut stalled = Duration::ZERO;
+        while !remaining.is_empty() {
+            match self.calls.write(stream, remaining) {
+                Ok(count) if count > 0 => {
                     stalled = Duration::ZERO;
-                    ring.consume(n);
+                    remaining = &remaining[count..];
                 }
-                Err(e) if Failure::of(&e) != Failure::Over && stalled < self.limits.write_stall => {
-                    // As with frames: nothing is claimed while it waits.
-                    let whole = ring.len() == job.bytes.len();
-                    if whole {
-                        job.dispatch.revert_start();
-                    }
-                    pause(nap);
-                    stalled += nap;
-                    if whole && !self.begin(job) {
-                        return Err(Outcome::NotSent);
-                    }
-                    if job.dispatch.is_past_write_deadline(Instant::now()) {
-                        return Err(Outcome::ConnectFailed); // it never comes whole: the connection ends here
-                    }
+                Err(error)
+                    if Failure::of(&error) != Failure::Over
+                        && stalled < self.limits.write_stall =>
+                {
+                    let is_unwritten = remaining.len() == exchange.request.len();
+                    stalled += self.wait_stalled(exchange, is_unwritten)?;
                 }
-                // Not wholly written: nothing can have run.
                 _ => return Err(Outcome::ConnectFailed),
             }
         }
         Ok(())
     }
 
-    /// Reads one answer; whether the connection can carry another exchange.
-    fn read(&self, stream: &mut TcpStream, job: &Job) -> Result<(Reply, bool), String> {
-        let mut ring = Ring::new(self.limits.client_ring);
-        let (mut head, mut body) = (Vec::new(), Vec::new());
-        let mut told: Option<Head> = None;
-        let mut chunks = Chunked::default();
-        let mut heard = Instant::now();
-        loop {
-            if let Some(known) = told.as_ref() {
-                let whole = match known.length {
-                    Some(length) => {
-                        ring.take(length - body.len(), &mut body);
-                        body.len() == length
-                    }
-                    None if known.chunked => chunked(&mut chunks, &mut ring, &mut body)?,
-                    None => return Err("an answer of no stated length".to_owned()),
-                };
-                if whole {
-                    let reusable = !known.close && !known.chunked && ring.is_empty();
-                    let (status, retry_after) = (known.status, known.retry_after);
-                    return Ok((
-                        Reply {
-                            status,
-                            body,
-                            retry_after,
-                        },
-                        reusable,
-                    ));
-                }
-                if body.len() > self.limits.answer {
-                    return Err("the answer is too long".to_owned());
-                }
-            }
-            while told.is_none() && ring.take(1, &mut head) > 0 {
-                if head.ends_with(b"\r\n\r\n") {
-                    let known = Head::answer(&head)?;
-                    if known.length.is_some_and(|l| l > self.limits.answer) {
-                        return Err("the answer is too long".to_owned());
-                    }
-                    head.clear();
-                    told = (known.status >= 200).then_some(known); // 100 Continue is passed over
-                } else if head.len() > self.limits.head {
-                    return Err("the head is too long".to_owned());
-                }
-            }
-            if told.is_some()
-                && (!ring.is_empty() || told.as_ref().is_some_and(|t| t.length == Some(0)))
-            {
-                continue;
-            }
-            match receive(&mut ring, stream)? {
-                Received::End => return Err("cut".to_owned()),
-                Received::Bytes => heard = Instant::now(),
-                Received::Nothing => {
-                    // Guards against an answer that stops short, as with frames.
-                    let begun = told.is_some() || !head.is_empty();
-                    if begun && heard.elapsed() > self.limits.frame_stall {
-                        return Err("an answer stopped midway".to_owned());
-                    }
-                    // Closing the connection is how an exchange is given up.
-                    if job.cancelled.load(Ordering::Acquire) || Instant::now() > job.until {
-                        return Err("given up".to_owned());
-                    }
-                }
-            }
+    /// Waits before a write is tried again, and returns for how long. As with frames, nothing is claimed while it waits:
+    /// an exchange of which no byte is written has to be started anew.
+    fn wait_stalled(&self, exchange: &Exchange, is_unwritten: bool) -> Result<Duration, Outcome> {
+        if is_unwritten {
+            exchange.dispatch.revert_start();
         }
-    }
-}
-
-/// Whether a connection that lay idle still stands: nothing may wait in it, least of all its end.
-fn still_open(stream: &TcpStream) -> bool {
-    matches!(stream.inner().peek(&mut [0]), Err(e) if timed_out(&e))
-}
-
-fn chunked(chunks: &mut Chunked, ring: &mut Ring, body: &mut Vec<u8>) -> Result<bool, String> {
-    let mut bytes = Vec::new();
-    ring.take(usize::MAX, &mut bytes);
-    for byte in bytes {
-        match chunks.byte(byte)? {
-            Coded::Byte(byte) => body.push(byte),
-            Coded::Nothing => {}
-            Coded::End => return Ok(true),
+        let span = stalled_write_pause(&self.limits);
+        pause(span);
+        if is_unwritten && !self.try_start(exchange) {
+            return Err(Outcome::NotSent);
+        }
+        if exchange.dispatch.is_past_write_deadline(Instant::now()) {
+            return Err(Outcome::ConnectFailed); // it never comes completely: the connection ends here
         }
+        Ok(span)
     }
-    Ok(false)
 }
--- /dev/null
+++ b/wrenseam/src/worker/kserve/exchange.rs
@@ -0,0 +1,103 @@
+//! Exchanges: a request to a v2 worker and the answer that is awaited to it.
+use super::super::dispatch::Dispatch;
+use crate::model::AttemptKey;
+use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
+use std::sync::Arc;
+use std::time::Instant;
+use wrenseam_policy::FunctionId;
+
+/// An attempt on its way.
+pub(super) struct Call {
+    pub(super) key: AttemptKey,
+    /// The id that the worker is told.
+    pub(super) wire_id: u64,
+    /// Whether its body is one of the platform's protocol, so that the answer must be unwrapped.
+    pub(super) is_wrapped: bool,
+}
+
+/// An order on its way.
+pub(super) struct Order {
+    pub(super) number: u64,
+    pub(super) function: FunctionId,
+    /// Replicas to hold; 0 only asks how many there are.
+    pub(super) replicas: u32,
+}
+
+/// What an exchange is for.
+pub(super) enum ExchangeKind {
+    Call(Call),
+    Order(Order),
+    /// An order to unload idle replicas, whose answer says nothing.
+    Unload,
+}
+
+/// One exchange, and how it is cancelled.
+pub(super) struct Exchange {
+    pub(super) kind: ExchangeKind,
+    /// The request as bytes.
+    pub(super) request: Vec<u8>,
+    /// Decides whether it is started.
+    pub(super) dispatch: Arc<Dispatch>,
+    /// Set once it is cancelled.
+    pub(super) cancelled: Arc<AtomicBool>,
+    /// The worker's drain epoch when it was handed over.
+    pub(super) drain_epoch: u64,
+    /// Whether it is withheld once the worker drains.
+    pub(super) withheld_on_drain: bool,
+    /// A worker silent beyond this has its connection closed, so that none is lost to it.
+    pub(super) answer_deadline: Instant,
+}
+
+impl Exchange {
+    /// Whether it is cancelled.
+    pub(super) fn is_cancelled(&self) -> bool {
+        self.cancelled.load(Ordering::Acquire)
+    }
+}
+
+/// What the core's side and the connections to one worker share.
+#[derive(Default)]
+pub(super) struct WorkerConnections {
+    /// Counts the drains of the worker: what was handed over before one is not written after it.
+    drain_epoch: AtomicU64,
+    /// Exchanges handed over and not ended.
+    open_exchanges: AtomicUsize,
+    /// Connection coroutines.
+    connections: AtomicUsize,
+}
+
+impl WorkerConnections {
+    pub(super) fn drain_epoch(&self) -> u64 {
+        self.drain_epoch.load(Ordering::Acquire)
+    }
+
+    /// The worker drains or is gone.
+    pub(super) fn start_draining(&self) {
+        self.drain_epoch.fetch_add(1, Ordering::AcqRel);
+    }
+
+    pub(super) fn open_exchanges(&self) -> usize {
+        self.open_exchanges.load(Ordering::Acquire)
+    }
+
+    /// Counts an exchange that is handed over. Returns how many are open with it.
+    pub(super) fn count_opened(&self) -> usize {
+        self.open_exchanges.fetch_add(1, Ordering::AcqRel) + 1
+    }
+
+    pub(super) fn count_ended(&self) {
+        self.open_exchanges.fetch_sub(1, Ordering::AcqRel);
+    }
+
+    pub(super) fn connections(&self) -> usize {
+        self.connections.load(Ordering::Acquire)
+    }
+
+    pub(super) fn count_connected(&self) {
+        self.connections.fetch_add(1, Ordering::AcqRel);
+    }
+
+    pub(super) fn count_disconnected(&self) {
+        self.connections.fetch_sub(1, Ordering::AcqRel);
+    }
+}
--- a/wrenseam/src/worker/kserve/messages.rs
+++ b/wrenseam/src/worker/kserve/messages.rs
@@ -1,56 +1,78 @@
 //! The messages of KServe v2 as JSON, and what answers say of calls and orders. No sockets.
+use super::super::{replica_loaded, MICROS_PER_MILLI};
+use super::exchange::Order;
 use crate::model::{AttemptReport, Payload, Request};
 use base64::{engine::general_purpose::STANDARD, Engine};
 use miniserde::json::{self, Array, Number, Object, Value};
 use wrenseam_policy::json::{as_text, list, object, parse, part, text, whole};
 use wrenseam_policy::{FunctionId, Micros, Outcome};
 
-fn map(fields: Vec<(&str, Value)>) -> Value {
-    Value::Object(fields.into_iter().map(|(k, v)| (k.to_owned(), v)).collect())
+/// Numbers that an answer states count no higher than this.
+const MAX_STATED_NUMBER: u64 = 1 << 16;
+
+/// Digits of an id that a front end gave.
+const ID_DIGITS: usize = 16;
+
+fn json_object(fields: Vec<(&str, Value)>) -> Value {
+    let owned = fields
+        .into_iter()
+        .map(|(key, value)| (key.to_owned(), value));
+    Value::Object(owned.collect())
 }
 
-fn word(text: &str) -> Value {
+fn json_string(text: &str) -> Value {
     Value::String(text.to_owned())
 }
 
-fn items(values: Vec<Value>) -> Value {
+fn json_number(number: u64) -> Value {
+    Value::Number(Number::U64(number))
+}
+
+fn json_array(values: Vec<Value>) -> Value {
     Value::Array(values.into_iter().collect::<Array>())
 }
 
 /// Bytes as one BYTES tensor; base64 carries those that are no text, and the tensor says so.
 fn tensor(bytes: &[u8]) -> Value {
-    map(vec![
-        ("name", word("body")),
-        ("shape", items(vec![Value::Number(Number::U64(1))])),
-        ("datatype", word("BYTES")),
-        ("parameters", map(vec![("content_type", word("base64"))])),
-        ("data", items(vec![word(&STANDARD.encode(bytes))])),
+    json_object(vec![
+        ("name", json_string("body")),
+        ("shape", json_array(vec![json_number(1)])),
+        ("datatype", json_string("BYTES")),
+        (
+            "parameters",
+            json_object(vec![("content_type", json_string("base64"))]),
+        ),
+        (
+            "data",
+            json_array(vec![json_string(&STANDARD.encode(bytes))]),
+        ),
     ])
 }
 
 /// The body of a v2 answer that carries these bytes.
 pub fn wrap_answer(bytes: &[u8]) -> Vec<u8> {
-    json::to_string(&map(vec![("outputs", items(vec![tensor(bytes)]))])).into_bytes()
+    json::to_string(&json_object(vec![(
+        "outputs",
+        json_array(vec![tensor(bytes)]),
+    )]))
+    .into_bytes()
 }
 
 /// The body of a v2 call that carries a body of the platform's protocol.
 pub(super) fn wrap_call(request: &Request, bytes: &[u8], budget: Micros) -> Vec<u8> {
-    let mut told = vec![
-        ("class", word(&request.class)),
-        ("tenant", word(&request.tenant)),
-        ("wait_ms", Value::Number(Number::U64(budget / 1000))),
+    let mut parameters = vec![
+        ("class", json_string(&request.class)),
+        ("tenant", json_string(&request.tenant)),
+        ("wait_ms", json_number(budget / MICROS_PER_MILLI)),
         ("retry", Value::Bool(request.is_retry)),
     ];
-    told.extend(
-        request
-            .idempotency_key
-            .as_deref()
-            .map(|t| ("token", word(t))),
-    );
-    let call = map(vec![
-        ("id", word(&format!("{:016x}", request.wire_id))),
-        ("parameters", map(told)),
-        ("inputs", items(vec![tensor(bytes)])),
+    if let Some(idempotency_key) = &request.idempotency_key {
+        parameters.push(("token", json_string(idempotency_key)));
+    }
+    let call = json_object(vec![
+        ("id", json_string(&format!("{:016x}", request.wire_id))),
+        ("parameters", json_object(parameters)),
+        ("inputs", json_array(vec![tensor(bytes)])),
     ]);
     json::to_string(&call).into_bytes()
 }
@@ -59,147 +81,176 @@
 pub fn unwrap_answer(answer: &Object) -> Option<Vec<u8>> {
     let output = list(answer, "outputs").first().and_then(object)?;
     let data = list(output, "data").first().and_then(as_text)?;
-    let coded = part(output, "parameters").and_then(|p| text(p, "content_type")) == Some("base64");
-    if coded {
+    let content_type =
+        part(output, "parameters").and_then(|parameters| text(parameters, "content_type"));
+    if content_type == Some("base64") {
         STANDARD.decode(data).ok()
     } else {
         Some(data.as_bytes().to_vec())
     }
 }
 
-/// The body of an order to hold copies.
-pub(super) fn hold(copies: u32) -> String {
-    let told = map(vec![(
-        "slots_up",
-        Value::Number(Number::U64(copies.into())),
-    )]);
-    json::to_string(&map(vec![("parameters", told)]))
+/// The body of an order to hold replicas.
+pub(super) fn hold(replicas: u32) -> String {
+    let parameters = json_object(vec![("slots_up", json_number(replicas.into()))]);
+    json::to_string(&json_object(vec![("parameters", parameters)]))
 }
 
-/// An answer read whole.
+/// A complete answer.
 pub(super) struct Reply {
     pub(super) status: u16,
     pub(super) body: Vec<u8>,
-    /// Whether it says when to come back.
-    pub(super) retry_after: bool,
+    /// Whether it says when to retry.
+    pub(super) has_retry_after: bool,
 }
 
-fn fields(body: &[u8]) -> Option<Value> {
-    std::str::from_utf8(body).ok().and_then(|t| parse(t).ok())
+fn parse_body(body: &[u8]) -> Option<Value> {
+    let text = std::str::from_utf8(body).ok()?;
+    parse(text).ok()
 }
 
 /// What an answer proves. A worker that lacks the model says 404, one that has too many calls 429, one that takes none
-/// for a while 503 and when to come back: none of them has run anything. A 503 that does not say when may come from a
+/// for a while 503 with Retry-After: none of them has run anything. A 503 without it may come from a
 /// proxy before the worker, which lost the answer to a call that it had passed on.
 fn outcome(reply: &Reply) -> Outcome {
     match reply.status {
         200 => Outcome::Ok,
         404 => Outcome::NotLoaded,
         429 => Outcome::Rejected,
-        503 if reply.retry_after => Outcome::Rejected,
+        503 if reply.has_retry_after => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
 
 /// Which call an answer says that it belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Named {
-    /// This one.
-    This,
-    /// Another, that was before it on its connection.
-    Another,
+pub(super) enum AnswerOwner {
+    /// The call that was sent last.
+    ThisCall,
+    /// Another one, that was before it on its connection.
+    OtherCall,
     /// It does not say.
-    None,
+    Unstated,
 }
 
 /// Which call an answer names, as seen from the call with this id.
-pub(super) fn named(reply: &Reply, wire_id: u64) -> Named {
-    let whole = fields(&reply.body);
-    match whole
+pub(super) fn answer_owner(reply: &Reply, wire_id: u64) -> AnswerOwner {
+    let body = parse_body(&reply.body);
+    let id = body
         .as_ref()
         .and_then(object)
         .and_then(|answer| text(answer, "id"))
-        .and_then(hex_id)
-    {
-        Some(id) if id == wire_id => Named::This,
-        Some(_) => Named::Another,
-        None => Named::None,
+        .and_then(parse_id);
+    match id {
+        Some(id) if id == wire_id => AnswerOwner::ThisCall,
+        Some(_) => AnswerOwner::OtherCall,
+        None => AnswerOwner::Unstated,
     }
 }
 
-/// An id of 16 hex digits; others were given by whoever drew them and say nothing here.
-fn hex_id(text: &str) -> Option<u64> {
-    let fits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    fits.then(|| u64::from_str_radix(text, 16).ok()).flatten()
+/// An id as a front end gives it; others were given by whoever chose them and say nothing here.
+fn parse_id(text: &str) -> Option<u64> {
+    let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    if text.len() != ID_DIGITS || !is_hex {
+        return None;
+    }
+    u64::from_str_radix(text, 16).ok()
 }
 
-pub(super) fn attempt_report(reply: Reply, foreign: bool) -> AttemptReport {
-    let whole = fields(&reply.body);
-    let answer = whole.as_ref().and_then(object);
-    let told = answer.and_then(|a| part(a, "parameters"));
-    let warm = match told.and_then(|t| text(t, "detail")) {
-        Some("resident") => Some(true),
-        Some("booted" | "rode") => Some(false),
-        _ => None,
-    };
-    let crowd = told
-        .and_then(|t| wrenseam_policy::json::whole(t, "company"))
-        .map(|n| n.min(1 << 16) as u32);
+/// A number that an answer states.
+fn stated_number(answer: &Object, name: &str) -> Option<u32> {
+    let number = whole(answer, name)?;
+    Some(number.min(MAX_STATED_NUMBER) as u32)
+}
+
+/// What an answer says of an attempt. `is_wrapped` tells that it carries a body of the platform's protocol.
+pub(super) fn attempt_report(reply: Reply, is_wrapped: bool) -> AttemptReport {
+    let body = parse_body(&reply.body);
+    let answer = body.as_ref().and_then(object);
+    let parameters = answer.and_then(|answer| part(answer, "parameters"));
+    let detail = parameters.and_then(|parameters| text(parameters, "detail"));
+    let queue_depth = parameters.and_then(|parameters| stated_number(parameters, "company"));
     let mut outcome = outcome(&reply);
     let payload = match outcome {
-        Outcome::Ok if foreign => answer.and_then(unwrap_answer).map(Payload::Bytes),
+        Outcome::Ok if is_wrapped => answer.and_then(unwrap_answer).map(Payload::Bytes),
         Outcome::Ok => answer.is_some().then_some(Payload::Json(reply.body)),
         _ => None,
     };
     if outcome == Outcome::Ok && payload.is_none() {
-        outcome = Outcome::Error; // it ran, but what it said cannot be passed on
+        outcome = Outcome::Error; // it ran, but what it said cannot be forwarded
     }
     AttemptReport {
         outcome,
-        replica_loaded: warm,
-        queue_depth: crowd,
+        replica_loaded: replica_loaded(detail),
+        queue_depth,
         payload,
     }
 }
 
-pub(super) fn order_report(reply: &Reply, function: FunctionId, copies: u32) -> (Outcome, u32) {
-    let (outcome, whole_body) = (outcome(reply), fields(&reply.body));
-    let copies_told = |o: &Object| whole(o, "slots_up").map(|n| n.min(1 << 16) as u32);
-    if copies > 0 {
-        let told = whole_body
-            .as_ref()
-            .and_then(object)
-            .and_then(|o| part(o, "parameters").and_then(copies_told));
-        let stand = if outcome == Outcome::Ok {
-            told.unwrap_or(copies)
-        } else {
-            told.unwrap_or(0)
-        };
-        return (
-            if outcome == Outcome::NotLoaded {
-                Outcome::Error
-            } else {
-                outcome
-            },
-            stand,
-        );
+/// What an answer says of an order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct LoadReport {
+    /// How the order ended.
+    pub(super) outcome: Outcome,
+    /// Replicas that are loaded.
+    pub(super) replicas: u32,
+}
+
+/// What an answer says of an order to hold replicas, or to tell how many there are.
+pub(super) fn load_report(reply: &Reply, order: &Order) -> LoadReport {
+    let body = parse_body(&reply.body);
+    let outcome = outcome(reply);
+    if order.replicas > 0 {
+        hold_report(outcome, body.as_ref(), order.replicas)
+    } else {
+        index_report(outcome, body.as_ref(), order.function)
     }
-    let name = format!("{function:016x}");
-    let Some(Value::Array(models)) = &whole_body else {
-        return (
-            if outcome == Outcome::Ok {
-                Outcome::Error
-            } else {
-                outcome
+}
+
+/// The answer to an order to hold replicas. One that was carried out without saying how many there are holds what was
+/// ordered.
+fn hold_report(outcome: Outcome, body: Option<&Value>, ordered: u32) -> LoadReport {
+    let stated = body
+        .and_then(object)
+        .and_then(|answer| part(answer, "parameters"))
+        .and_then(|parameters| stated_number(parameters, "slots_up"));
+    let unstated = match outcome {
+        Outcome::Ok => ordered,
+        _ => 0,
+    };
+    LoadReport {
+        outcome: match outcome {
+            Outcome::NotLoaded => Outcome::Error,
+            outcome => outcome,
+        },
+        replicas: stated.unwrap_or(unstated),
+    }
+}
+
+/// The answer to the question which models are ready. A model that does not say how many replicas it has counts as one.
+fn index_report(outcome: Outcome, body: Option<&Value>, function: FunctionId) -> LoadReport {
+    let Some(Value::Array(models)) = body else {
+        return LoadReport {
+            outcome: match outcome {
+                Outcome::Ok => Outcome::Error,
+                outcome => outcome,
             },
-            0,
-        );
+            replicas: 0,
+        };
+    };
+    let name = format!("{function:016x}");
+    let is_ready = |model: &&Object| {
+        text(model, "name") == Some(&name) && text(model, "state") == Some("READY")
     };
-    let ready = |m: &&Object| text(m, "name") == Some(&name) && text(m, "state") == Some("READY");
-    let stand = models
+    let replicas = models
         .iter()
         .filter_map(object)
-        .filter(ready)
-        .map(|m| part(m, "parameters").and_then(copies_told).unwrap_or(1));
-    (outcome, stand.sum())
+        .filter(is_ready)
+        .map(|model| {
+            part(model, "parameters")
+                .and_then(|parameters| stated_number(parameters, "slots_up"))
+                .unwrap_or(1)
+        })
+        .sum();
+    LoadReport { outcome, replicas }
 }
--- a/wrenseam/src/worker/kserve/mod.rs
+++ b/wrenseam/src/worker/kserve/mod.rs
@@ -1,61 +1,51 @@
-//! KServe v2 over HTTP/1.1 to one worker: each connection carries one exchange at a time. Loads, questions
-//! and unloads use the model repository extension.
+//! KServe v2 over HTTP/1.1 to one worker: each connection carries one exchange at a time. Orders to load, questions and
+//! orders to unload use the model repository extension.
+mod answer;
 mod connection;
+mod exchange;
 mod messages;
 
+pub use answer::AnswerError;
 pub use messages::{unwrap_answer, wrap_answer};
 
 use super::dispatch::Dispatch;
+use super::{log_lines, order_start_deadline, MICROS_PER_MILLI};
 use super::{AttemptLimits, CancelOutcome, Transport};
 use crate::limits::Limits;
 use crate::model::{AttemptKey, Payload, Request};
 use crate::net::{spawn, DirectCalls, SystemCalls};
 use crate::queue::CoreHandle;
-use connection::Lane;
+use connection::Connection;
+use exchange::{Call, Exchange, ExchangeKind, Order, WorkerConnections};
 use may::sync::mpmc::{channel, Receiver, Sender};
 use messages::wrap_call;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use wrenseam_policy::{FunctionId, Micros};
 
-/// What an answer has to be told apart by.
-struct Call {
-    /// The id that the worker was told.
-    wire_id: u64,
-    /// Whether its body is the platform's, so that the answer must be unwrapped.
-    wrapped: bool,
+/// An attempt that was handed over, as a cancellation finds it.
+struct OpenAttempt {
+    key: AttemptKey,
+    dispatch: Arc<Dispatch>,
+    cancelled: Arc<AtomicBool>,
 }
 
-enum What {
-    Attempt(AttemptKey, Call),
-    /// An order to hold copies of this function, 0 to ask.
-    Order(u64, FunctionId, u32),
-    Unload,
+impl OpenAttempt {
+    /// Whether it has ended: its exchange is dropped then.
+    fn has_ended(&self) -> bool {
+        Arc::strong_count(&self.cancelled) == 1
+    }
 }
 
-/// One exchange: its request as bytes, and how it is taken back.
-struct Job {
-    what: What,
-    bytes: Vec<u8>,
-    /// Who decides whether it is begun.
+/// The request of an exchange that is to be opened.
+struct NewExchange {
+    kind: ExchangeKind,
+    request: Vec<u8>,
+    withheld_on_drain: bool,
+    answer_timeout: Micros,
     dispatch: Arc<Dispatch>,
-    cancelled: Arc<AtomicBool>,
-    /// Of which life of the worker this is; calls and loads of a past one are not written.
-    epoch: u64,
-    bound: bool,
-    /// A worker silent beyond this has its connection closed, so that no lane is lost to it.
-    until: Instant,
-}
-
-/// What the core's side and the connections share.
-#[derive(Default)]
-struct State {
-    epoch: AtomicU64,
-    /// Jobs handed over and not ended.
-    load: AtomicUsize,
-    lanes: AtomicUsize,
 }
 
 /// The transport to one v2 worker.
@@ -64,26 +54,25 @@
     limits: Arc<Limits>,
     reports: CoreHandle,
     calls: Arc<dyn SystemCalls>,
-    state: Arc<State>,
-    jobs: Sender<Job>,
-    queue: Receiver<Job>,
-    out: Vec<(AttemptKey, Arc<Dispatch>, Arc<AtomicBool>)>,
+    shared: Arc<WorkerConnections>,
+    exchanges: Sender<Exchange>,
+    queue: Receiver<Exchange>,
+    open_attempts: Vec<OpenAttempt>,
 }
 
 impl Kserve {
     /// No connection is opened before it is needed.
     pub fn new(address: SocketAddr, limits: Arc<Limits>, reports: CoreHandle) -> Self {
-        let (jobs, queue) = channel();
-        let (state, calls) = (Arc::default(), Arc::new(DirectCalls));
+        let (exchanges, queue) = channel();
         Kserve {
             address,
             limits,
             reports,
-            calls,
-            state,
-            jobs,
+            calls: Arc::new(DirectCalls),
+            shared: Arc::default(),
+            exchanges,
             queue,
-            out: Vec::new(),
+            open_attempts: Vec::new(),
         }
     }
 
@@ -93,72 +82,82 @@
         Kserve { calls, ..self }
     }
 
-    /// An order, a question or an unload: an order that waited for long is not begun, it would count when it arrives.
-    fn start_order(&mut self, what: What, bytes: Vec<u8>, bound: bool) {
-        let begun = if matches!(what, What::Order(..)) {
-            self.limits.connect + self.limits.write_check
-        } else {
-            Duration::from_micros(self.limits.order)
-        };
-        let dispatch = Dispatch::new(Arc::default(), Instant::now() + begun);
-        self.start(what, bytes, bound, self.limits.order, dispatch);
-    }
-
-    fn start(
+    /// Hands over an order, a question or an order to unload.
+    fn open_order(
         &mut self,
-        what: What,
-        bytes: Vec<u8>,
-        bound: bool,
-        budget: Micros,
-        dispatch: Arc<Dispatch>,
+        kind: ExchangeKind,
+        request: Vec<u8>,
+        start_deadline: Instant,
+        withheld_on_drain: bool,
     ) {
+        self.open(NewExchange {
+            kind,
+            request,
+            withheld_on_drain,
+            answer_timeout: self.limits.order,
+            dispatch: Dispatch::new(Arc::default(), start_deadline),
+        });
+    }
+
+    /// Hands over an exchange, and adds a connection if all are in use.
+    fn open(&mut self, exchange: NewExchange) {
         let cancelled = Arc::new(AtomicBool::new(false));
-        if let What::Attempt(key, _) = what {
-            self.out.retain(|(_, _, flag)| Arc::strong_count(flag) > 1);
-            self.out.push((key, dispatch.clone(), cancelled.clone()));
+        if let ExchangeKind::Call(call) = &exchange.kind {
+            self.forget_ended_attempts();
+            self.open_attempts.push(OpenAttempt {
+                key: call.key,
+                dispatch: exchange.dispatch.clone(),
+                cancelled: cancelled.clone(),
+            });
         }
-        let epoch = self.state.epoch.load(Ordering::Acquire);
-        let until = Instant::now() + Duration::from_micros(budget);
-        let load = self.state.load.fetch_add(1, Ordering::AcqRel) + 1;
-        let _ = self.jobs.send(Job {
-            what,
-            bytes,
-            dispatch,
+        let drain_epoch = self.shared.drain_epoch();
+        let answer_deadline = Instant::now() + Duration::from_micros(exchange.answer_timeout);
+        let open_exchanges = self.shared.count_opened();
+        // The core's timer ends it should no connection take it.
+        let _ = self.exchanges.send(Exchange {
+            kind: exchange.kind,
+            request: exchange.request,
+            dispatch: exchange.dispatch,
             cancelled,
-            epoch,
-            bound,
-            until,
-        }); // its timer ends it at last
-        let lanes = self.state.lanes.load(Ordering::Acquire);
-        if load > lanes && lanes < self.limits.lanes_per_worker {
-            self.state.lanes.fetch_add(1, Ordering::AcqRel);
-            let (address, limits, reports) =
-                (self.address, self.limits.clone(), self.reports.clone());
-            let (state, queue, calls) =
-                (self.state.clone(), self.queue.clone(), self.calls.clone());
-            let lane = move || {
-                Lane {
-                    address,
-                    limits,
-                    reports,
-                    calls,
-                    state,
-                    stream: None,
-                }
-                .run(&queue)
-            };
-            if let Err(e) = spawn(self.limits.stack, lane) {
-                self.state.lanes.fetch_sub(1, Ordering::AcqRel);
-                note!("worker {}: no coroutine: {e}", self.address);
-            }
+            drain_epoch,
+            withheld_on_drain: exchange.withheld_on_drain,
+            answer_deadline,
+        });
+        let connections = self.shared.connections();
+        if open_exchanges > connections && connections < self.limits.lanes_per_worker {
+            self.add_connection();
+        }
+    }
+
+    fn add_connection(&self) {
+        self.shared.count_connected();
+        let connection = Connection {
+            address: self.address,
+            limits: self.limits.clone(),
+            reports: self.reports.clone(),
+            calls: self.calls.clone(),
+            shared: self.shared.clone(),
+            idle: None,
+        };
+        let queue = self.queue.clone();
+        if let Err(error) = spawn(self.limits.stack, move || connection.run(&queue)) {
+            self.shared.count_disconnected();
+            note!("{}", log_lines::coroutine_not_started(self.address, &error));
         }
     }
 
+    fn forget_ended_attempts(&mut self) {
+        self.open_attempts.retain(|attempt| !attempt.has_ended());
+    }
+
+    /// A POST request as bytes.
     fn post(&self, path: &str, budget: Micros, body: &[u8]) -> Vec<u8> {
-        let (host, length, budget) = (self.address, body.len(), budget / 1000);
+        let host = self.address;
+        let length = body.len();
+        let budget_ms = budget / MICROS_PER_MILLI;
         let head = format!(
             "POST {path} HTTP/1.1\r\nHost: {host}\r\nContent-Type: application/json\r\n\
-             Content-Length: {length}\r\nX-Budget-Ms: {budget}\r\n\r\n"
+             Content-Length: {length}\r\nX-Budget-Ms: {budget_ms}\r\n\r\n"
         );
         [head.as_bytes(), body].concat()
     }
@@ -168,76 +167,84 @@
     fn send(&mut self, key: AttemptKey, request: &Arc<Request>, limits: AttemptLimits) {
         let budget = limits.answer_timeout;
         let path = format!("/v2/models/{:016x}/infer", request.function);
-        let (bytes, wrapped) = match &request.payload {
+        let (bytes, is_wrapped) = match &request.payload {
             Payload::Json(body) => (self.post(&path, budget, body), false),
-            Payload::Bytes(body) => (
-                self.post(&path, budget, &wrap_call(request, body, budget)),
-                true,
-            ),
+            Payload::Bytes(body) => {
+                let wrapped = wrap_call(request, body, budget);
+                (self.post(&path, budget, &wrapped), true)
+            }
         };
-        let dispatch = Dispatch::for_attempt(request, limits, Instant::now());
-        self.start(
-            What::Attempt(
+        self.open(NewExchange {
+            kind: ExchangeKind::Call(Call {
                 key,
-                Call {
-                    wire_id: request.wire_id,
-                    wrapped,
-                },
-            ),
-            bytes,
-            true,
-            budget,
-            dispatch,
-        );
+                wire_id: request.wire_id,
+                is_wrapped,
+            }),
+            request: bytes,
+            withheld_on_drain: true,
+            answer_timeout: budget,
+            dispatch: Dispatch::for_attempt(request, limits, Instant::now()),
+        });
     }
 
     fn cancel(&mut self, key: AttemptKey) -> CancelOutcome {
-        let Some(at) = self.out.iter().position(|o| o.0 == key) else {
+        let found = self
+            .open_attempts
+            .iter()
+            .position(|attempt| attempt.key == key);
+        let Some(index) = found else {
             return CancelOutcome::Unknown;
         };
-        let (_, dispatch, cancelled) = self.out.swap_remove(at);
-        cancelled.store(true, Ordering::Release);
-        if dispatch.reclaim() {
+        let attempt = self.open_attempts.swap_remove(index);
+        attempt.cancelled.store(true, Ordering::Release);
+        if attempt.dispatch.reclaim() {
             CancelOutcome::NeverStarted
         } else {
             CancelOutcome::PendingConfirmation
         }
     }
 
-    fn abandon_order(&mut self, _order: u64) {} // each exchange ends its connection by itself, see `Job::until`
+    /// Each exchange ends its connection by itself, see `Exchange::answer_deadline`.
+    fn abandon_order(&mut self, _order: u64) {}
 
     fn is_idle(&self) -> bool {
-        self.state.load.load(Ordering::Acquire) == 0
+        self.shared.open_exchanges() == 0
     }
 
-    fn order(&mut self, order: u64, function: FunctionId, copies: u32) {
-        let bytes = if copies > 0 {
-            let body = messages::hold(copies);
+    fn order(&mut self, order: u64, function: FunctionId, replicas: u32) {
+        let request = if replicas > 0 {
             let path = format!("/v2/repository/models/{function:016x}/load");
+            let body = messages::hold(replicas);
             self.post(&path, self.limits.order, body.as_bytes())
         } else {
-            self.post(
-                "/v2/repository/index",
-                self.limits.order,
-                b"{\"ready\":true}",
-            )
+            let body = b"{\"ready\":true}";
+            self.post("/v2/repository/index", self.limits.order, body)
         };
-        self.start_order(What::Order(order, function, copies), bytes, copies > 0);
+        let start_deadline = order_start_deadline(&self.limits);
+        let kind = ExchangeKind::Order(Order {
+            number: order,
+            function,
+            replicas,
+        });
+        self.open_order(kind, request, start_deadline, replicas > 0);
     }
 
     fn unload(&mut self, function: FunctionId) {
         let path = format!("/v2/repository/models/{function:016x}/unload");
-        let bytes = self.post(&path, self.limits.order, b"{}");
-        self.start_order(What::Unload, bytes, false);
+        let request = self.post(&path, self.limits.order, b"{}");
+        let start_deadline = Instant::now() + Duration::from_micros(self.limits.order);
+        self.open_order(ExchangeKind::Unload, request, start_deadline, false);
     }
 
     fn drain(&mut self) {
-        self.state.epoch.fetch_add(1, Ordering::AcqRel);
+        self.shared.start_draining();
     }
 
-    fn check_keepalive(&mut self) {} // a connection carries one exchange: its silence is the exchange's
+    /// A connection carries one exchange: its silence is the exchange's.
+    fn check_keepalive(&mut self) {}
 
+    /// Idle connections close by themselves.
     fn sweep(&mut self) {
-        self.out.retain(|(_, _, flag)| Arc::strong_count(flag) > 1); // idle connections close by themselves
+        self.forget_ended_attempts();
     }
 }
--- a/wrenseam/src/worker/mod.rs
+++ b/wrenseam/src/worker/mod.rs
@@ -15,6 +15,9 @@
 use std::time::Instant;
 use wrenseam_policy::{FunctionId, Micros};
 
+/// Both protocols state times in milliseconds.
+const MICROS_PER_MILLI: Micros = 1000;
+
 /// What is known of an attempt that was cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelOutcome {
@@ -110,6 +113,12 @@
     }
 }
 
+/// Until when an order may be started. Guards the worker's ration of loads: it counts an order when it arrives, and
+/// several that a late connection held back would arrive within one period.
+fn order_start_deadline(limits: &Limits) -> Instant {
+    Instant::now() + limits.connect + limits.write_check
+}
+
 /// Whether the replica was loaded before the attempt came, as a worker's answer says in its `detail`.
 fn replica_loaded(detail: Option<&str>) -> Option<bool> {
     match detail {
--- a/wrenseam/tests/worker_log_lines.rs
+++ b/wrenseam/tests/worker_log_lines.rs
@@ -2,6 +2,7 @@
 use rstest::rstest;
 use std::net::SocketAddr;
 use wrenseam::worker::frames::{FrameError, ReadError, WriteError};
+use wrenseam::worker::kserve::AnswerError;
 use wrenseam::worker::log_lines;
 
 fn address() -> SocketAddr {
@@ -15,6 +16,9 @@
         log_lines::connection_ended(address(), &"timeout").to_string(),
         log_lines::connection_closed(address(), &"reset").to_string(),
         log_lines::keepalive_timed_out(address()).to_string(),
+        log_lines::not_connected(address(), &"timeout").to_string(),
+        log_lines::answer_lost(address(), &"reset").to_string(),
+        log_lines::answer_mismatched(address()).to_string(),
     ];
     assert_eq!(
         lines,
@@ -23,6 +27,9 @@
             "worker 10.0.0.7:9000: connection ended: timeout",
             "worker 10.0.0.7:9000: connection closed: reset",
             "worker 10.0.0.7:9000: connection closed: keepalive timed out",
+            "worker 10.0.0.7:9000: not connected: timeout",
+            "worker 10.0.0.7:9000: answer lost: reset",
+            "worker 10.0.0.7:9000: answer lost: it belongs to another call",
         ]
     );
 }
@@ -56,3 +63,16 @@
 fn a_read_error_says_why_the_connection_was_closed(#[case] error: ReadError, #[case] text: &str) {
     assert_eq!(error.to_string(), text);
 }
+
+#[rstest]
+#[case(AnswerError::ClosedEarly, "connection closed early")]
+#[case(AnswerError::NoLength, "answer without length")]
+#[case(AnswerError::TooLong, "answer too long")]
+#[case(AnswerError::HeadTooLong, "head too long")]
+#[case(AnswerError::Incomplete, "incomplete answer")]
+#[case(AnswerError::TimedOut, "timed out")]
+#[case(AnswerError::InvalidHttp("two lengths".to_owned()), "two lengths")]
+#[case(AnswerError::Receive("reset".to_owned()), "reset")]
+fn an_answer_error_says_why_the_answer_was_lost(#[case] error: AnswerError, #[case] text: &str) {
+    assert_eq!(error.to_string(), text);
+}
