--- a/scalelab/src/links.rs
+++ b/scalelab/src/links.rs
@@ -69,7 +69,7 @@
 
 /// Connections that the pool lets stand beside the test's clients.
 pub fn most(sockets: usize) -> f64 {
-    Pool::new(sockets, KEPT).most(CLIENTS as usize) as f64
+    Pool::new(sockets, KEPT).max_connections(CLIENTS as usize) as f64
 }
 
 /// The functions' parts of all calls, by rank.
--- a/wrenseam/src/core/peers.rs
+++ b/wrenseam/src/core/peers.rs
@@ -2,6 +2,7 @@
 use super::Core;
 use crate::discovery::membership::{Change, Duty};
 use crate::model::{AttemptKey, Endpoint, TransportProtocol};
+use crate::worker::pool::{ConnectionCounts, IdleConnection};
 use crate::worker::{pool, transport, CancelOutcome, Transport};
 use std::sync::atomic::Ordering;
 use wrenseam_policy::json::position;
@@ -59,14 +60,20 @@
         let clients = self.shared.clients.load(Ordering::Acquire);
         let each = self.peers.values_mut().flat_map(Peer::each);
         let open: usize = each.map(|t| t.connections().open).sum();
-        let over = self.limits.pool.over(open, more, clients);
+        let over = self.limits.pool.excess(ConnectionCounts {
+            open,
+            additional: more,
+            clients,
+        });
         if over == 0 {
             return true;
         }
-        let idle = self
-            .peers
-            .iter()
-            .filter_map(|(id, p)| Some((id.clone(), p.transport.idle_since()?)));
+        let idle = self.peers.iter().filter_map(|(id, p)| {
+            Some(IdleConnection {
+                worker: id.clone(),
+                idle_since: p.transport.idle_since()?,
+            })
+        });
         let closed = pool::longest_idle(idle.collect(), over);
         for id in &closed {
             if let Some(peer) = self.peers.get_mut(id) {
--- a/wrenseam/src/worker/frames/codec.rs
+++ b/wrenseam/src/worker/frames/codec.rs
@@ -5,7 +5,7 @@
 use super::super::{AttemptLimits, MICROS_PER_MILLI};
 use crate::model::Request;
 use crate::ring::Ring;
-use wrenseam_policy::{FunctionId, Micros, Outcome};
+use wrenseam_policy::{FunctionId, Outcome};
 
 /// First byte of the frames that a front end sends.
 const MAGIC_FROM_FRONT_END: u8 = 126;
--- a/wrenseam/src/worker/pool.rs
+++ b/wrenseam/src/worker/pool.rs
@@ -1,85 +1,81 @@
-//! How many connections to workers may stand, and which one gives way: no sockets and no clock here.
+//! How many connections to workers may be open, and which ones are closed when there are too many: no sockets and no
+//! clock here.
 //!
-//! Clients and workers share the descriptors of one process. Workers may be hundreds, and a front end has seldom a call for
-//! each; so a connection is kept while descriptors are plenty, and the one idle longest is closed when they run short.
+//! Clients and workers share the file descriptors of one process. There may be hundreds of workers, and a front end has
+//! seldom an attempt for each; so a connection is kept while descriptors are plenty, and the one that has been idle
+//! longest is closed when they run short.
 
-/// Descriptors that a connection takes, a client's or a worker's: one a direction.
-const EACH: usize = 2;
+/// Descriptors that a connection to a client or a worker takes: one a direction.
+pub const DESCRIPTORS_PER_CONNECTION: usize = 2;
+
+/// The part of all descriptors that workers may use whatever the clients take.
+const RESERVED_PART: usize = 8;
+
+/// The part of all descriptors that is left free for clients that connect meanwhile, and for connections that are being
+/// closed.
+const SPARE_PART: usize = 16;
 
 /// The bound on worker connections.
 #[derive(Clone, Copy, Debug)]
 pub struct Pool {
-    /// Descriptors for clients and workers together.
-    all: usize,
-    /// Worker connections that may stand whatever the clients take.
-    least: usize,
-    /// Connections left free for clients that come meanwhile, and for those that are being closed.
+    /// Connections of clients and workers together.
+    total: usize,
+    /// Worker connections that may be open whatever the clients take.
+    reserved: usize,
+    /// Connections left free.
     spare: usize,
 }
 
+/// The connections that a process has and wants.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ConnectionCounts {
+    /// Worker connections that are open.
+    pub open: usize,
+    /// Worker connections that are to be opened.
+    pub additional: usize,
+    /// Client connections.
+    pub clients: usize,
+}
+
+/// An idle connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct IdleConnection<W, T> {
+    /// Its worker.
+    pub worker: W,
+    /// Since when it is idle.
+    pub idle_since: T,
+}
+
 impl Pool {
-    /// From the descriptor limit and what is kept back of it for other use.
-    pub fn new(sockets: usize, kept: usize) -> Pool {
-        let all = sockets.saturating_sub(kept);
+    /// The bound under a limit of descriptors, of which `reserved_descriptors` are kept for other use.
+    pub fn new(descriptors: usize, reserved_descriptors: usize) -> Pool {
+        let shared = descriptors.saturating_sub(reserved_descriptors);
+        let reserved = descriptors / RESERVED_PART / DESCRIPTORS_PER_CONNECTION;
         Pool {
-            all,
-            least: (sockets / 8 / EACH).max(1),
-            spare: sockets / 16 / EACH,
+            total: shared / DESCRIPTORS_PER_CONNECTION,
+            reserved: reserved.max(1),
+            spare: descriptors / SPARE_PART / DESCRIPTORS_PER_CONNECTION,
         }
     }
 
-    /// Worker connections that may stand beside so many clients.
-    pub fn most(&self, clients: usize) -> usize {
-        (self.all / EACH)
-            .saturating_sub(clients + self.spare)
-            .max(self.least)
+    /// Worker connections that may be open beside so many clients.
+    pub fn max_connections(&self, clients: usize) -> usize {
+        let free = self.total.saturating_sub(clients + self.spare);
+        free.max(self.reserved)
     }
 
-    /// How many of the `open` ones are to be closed so that `more` may be opened.
-    pub fn over(&self, open: usize, more: usize, clients: usize) -> usize {
-        (open + more).saturating_sub(self.most(clients))
+    /// How many of the open worker connections are to be closed so that the additional ones may be opened.
+    pub fn excess(&self, counts: ConnectionCounts) -> usize {
+        let wanted = counts.open + counts.additional;
+        wanted.saturating_sub(self.max_connections(counts.clients))
     }
 }
 
-/// Which connections give way: the places of the `count` ones idle longest, of (place, idle since).
-pub fn longest_idle<P, T: Ord>(mut idle: Vec<(P, T)>, count: usize) -> Vec<P> {
-    idle.sort_by(|a, b| a.1.cmp(&b.1));
+/// The workers whose connections are closed: those of the `count` connections that have been idle longest.
+pub fn longest_idle<W, T: Ord>(mut idle: Vec<IdleConnection<W, T>>, count: usize) -> Vec<W> {
+    idle.sort_by(|first, second| first.idle_since.cmp(&second.idle_since));
+    idle.truncate(count);
     idle.into_iter()
-        .take(count)
-        .map(|(place, _)| place)
+        .map(|connection| connection.worker)
         .collect()
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use rstest::rstest;
-
-    #[rstest]
-    #[case::plenty(100, 341, 0)]
-    #[case::as_clients_come(200, 341, 81)]
-    #[case::the_least_stays(64, 492, 0)]
-    #[case::beyond_the_least(80, 492, 16)]
-    fn connections_give_way_as_descriptors_run_short(
-        #[case] open: usize,
-        #[case] clients: usize,
-        #[case] over: usize,
-    ) {
-        let pool = Pool::new(1024, 40);
-        assert_eq!(pool.over(open, 0, clients), over);
-        assert!(
-            EACH * (pool.most(341) + 341) + 40 <= 1024,
-            "a third of the limit are clients'"
-        );
-    }
-
-    #[test]
-    fn the_one_idle_longest_goes_first() {
-        assert_eq!(
-            longest_idle(vec![("b", 7), ("a", 3), ("c", 9)], 2),
-            ["a", "b"]
-        );
-        assert!(longest_idle(vec![("a", 3)], 0).is_empty());
-        assert!(Pool::new(0, 40).most(1_000) > 0);
-    }
-}
