--- a/wrenseam/tests/keepalive.rs
+++ b/wrenseam/tests/keepalive.rs
@@ -4,46 +4,44 @@
 use wrenseam::worker::frames::keepalive::probe_due;
 use wrenseam_policy::Settings;
 
-/// Probes of a connection during one long call, each answered at once, looked at every 50 ms.
-fn probes(gateways: u32, call: u64) -> Vec<u64> {
-    let limits = Limits::new(
-        48,
-        384,
-        &Settings {
-            front_ends: gateways,
-            ..Settings::default()
-        },
-    );
-    let ms = Duration::from_millis;
-    let (mut heard, mut asked) = (None, Vec::new());
-    for at in (0..call).step_by(50) {
-        if probe_due(
-            heard.is_none(),
-            ms(at - heard.unwrap_or(0)),
-            ms(at),
-            &limits,
-        ) {
-            asked.push(at);
-            heard = Some(at);
+/// Milliseconds between two keepalive checks.
+const CHECK_INTERVAL_MS: u64 = 50;
+
+/// When a connection is probed during one call of `call_ms`, each probe being answered at once.
+fn probe_times_ms(front_ends: u32, call_ms: u64) -> Vec<u64> {
+    let settings = Settings {
+        front_ends,
+        ..Settings::default()
+    };
+    let limits = Limits::new(48, 384, &settings);
+    let mut last_answer_ms = None;
+    let mut probes = Vec::new();
+    for now_ms in (0..call_ms).step_by(CHECK_INTERVAL_MS as usize) {
+        let quiet = Duration::from_millis(now_ms - last_answer_ms.unwrap_or(0));
+        let age = Duration::from_millis(now_ms);
+        if probe_due(last_answer_ms.is_none(), quiet, age, &limits) {
+            probes.push(now_ms);
+            last_answer_ms = Some(now_ms);
         }
     }
-    asked
+    probes
 }
 
-/// Guards against questions that are nothing at one front end and, at a hundred, one for every third call.
+/// Guards against probes that are nothing at one front end and, at a hundred, one for every third call.
 #[test]
-fn a_large_fleet_asks_a_slow_connection_seldom_and_still_in_time() {
-    let (few, many) = (probes(3, 2_000), probes(100, 2_000));
+fn a_large_fleet_probes_a_slow_connection_seldom_and_still_in_time() {
+    let few = probe_times_ms(3, 2_000);
+    let many = probe_times_ms(100, 2_000);
     assert!(
         many.len() * 2 <= few.len() && !many.is_empty(),
         "{few:?} {many:?}"
     );
     assert!(
         many[0] <= 350,
-        "silence is seen well before the aim is far gone: {many:?}"
+        "silence is seen well before the latency objective is far gone: {many:?}"
     );
     assert!(
-        probes(100, 300).is_empty(),
-        "a call within its aim costs no question"
+        probe_times_ms(100, 300).is_empty(),
+        "a call within its latency objective costs no probe"
     );
 }
--- a/wrenseam/tests/unresponsive.rs
+++ b/wrenseam/tests/unresponsive.rs
@@ -1,64 +1,44 @@
-//! When a connection counts as mute, whatever holds the scheduler up meanwhile.
+//! When a connection counts as unresponsive, whatever holds the scheduler up meanwhile.
+mod link;
+
+use link::{frame, request, say, FIRST};
 use rstest::rstest;
-use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
-use std::sync::mpsc::{channel, Sender};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::mpsc::{channel, Receiver, Sender};
+use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 use wrenseam::limits::Limits;
-use wrenseam::model::{AttemptKey, Payload, Request};
-use wrenseam::queue::{CoreHandle, Message};
-use wrenseam::worker::frames::{encode, Frames};
+use wrenseam::queue::Message;
+use wrenseam::worker::frames::Frames;
 use wrenseam::worker::{AttemptLimits, Transport};
 use wrenseam_policy::{Outcome, Settings};
 
-const CALL: u8 = 2;
-const HOLD: u8 = 6;
-const PATIENCE: Duration = Duration::from_secs(20);
+const CODE_CALL: u8 = 2;
+const CODE_HOLD: u8 = 6;
+const CODE_OK: u8 = 200;
 
-fn request() -> Arc<Request> {
-    Arc::new(Request {
-        wire_id: 9,
-        class: "c".to_owned(),
-        tenant: "t".to_owned(),
-        function: 7,
-        timeout: 60_000_000,
-        received_at: Instant::now(),
-        idempotency_key: None,
-        is_retry: false,
-        memory_mb: 0.0,
-        concurrency: 0,
-        load_time: 0,
-        payload: Payload::Bytes(Vec::new()),
-        reserved_bytes: None,
-        client_gone: Arc::default(),
-        client_probe: None,
-    })
-}
+/// The id of the call under test.
+const CALL: u64 = 9;
 
-/// The next frame, its id and code.
-fn frame(stream: &mut TcpStream) -> (u64, u8) {
-    let mut head = [0; 16];
-    stream.read_exact(&mut head).expect("a frame");
-    let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
-    stream
-        .read_exact(&mut vec![0; fields + 4])
-        .expect("the rest of it, without a body");
-    (
-        u64::from_be_bytes(head[8..].try_into().expect("eight")),
-        head[1],
-    )
-}
+/// How long its answer is awaited, in microseconds: the test ends long before.
+const ANSWER_TIMEOUT: u64 = 60_000_000;
 
-fn say(stream: &mut TcpStream, id: u64, fields: &str) {
-    let mut answer = encode(200, id, fields, &[]);
-    answer[0] = 127;
-    stream.write_all(&answer).expect("answered");
+/// How long the test waits for what must come, also on a busy machine.
+const PATIENCE: Duration = Duration::from_secs(20);
+
+/// When the scheduler stands still, for longer than a worker has time to answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Stall {
+    BeforeProbeIsWritten,
+    BeforeAnswerIsRead,
+    /// Never, and the worker does not answer.
+    NeverAndNoAnswer,
 }
 
 /// Has the scheduler stand still until the sender is dropped.
-fn stand_still() -> Sender<()> {
-    let ((stands, stood), (go_on, held)) = (channel(), channel::<()>());
+fn stall_scheduler() -> Sender<()> {
+    let (stands, stood) = channel();
+    let (go_on, held) = channel::<()>();
     wrenseam::net::spawn(64 * 1024, move || {
         stands.send(()).expect("the test waits");
         let _ = held.recv();
@@ -68,74 +48,86 @@
     go_on
 }
 
-/// The scheduler's stand-still outlasts all that a worker is given for its word, and is no silence of the worker's.
-#[rstest]
-#[case::before_the_question_is_written(Some(false), Outcome::Ok)]
-#[case::before_the_answer_is_read(Some(true), Outcome::Ok)]
-#[case::never_and_no_answer_comes(None, Outcome::Reset)]
-fn a_connection_ends_if_its_worker_is_mute_and_not_if_we_are_held_up(
-    #[case] held: Option<bool>,
-    #[case] end: Outcome,
-) {
-    static ONE: Mutex<()> = Mutex::new(()); // there is one scheduler
-    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
-    may::config().set_workers(1).set_worker_pin(false); // as the program has it
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let limits = Arc::new(Limits::new(192, 1024, &Settings::default()));
-    let (queue, reports) = channel();
-    let mut transport = Frames::new(
-        listener.local_addr().expect("bound"),
-        limits.clone(),
-        CoreHandle::new(queue),
-    );
-    transport.send(
-        AttemptKey {
-            request: 1,
-            attempt: 0,
-        },
-        &request(),
-        AttemptLimits::with_timeout(60_000_000),
-    );
-    let mut worker = listener.accept().expect("a connection").0;
-    assert_eq!(frame(&mut worker), (9, CALL));
-    let outlast = |transport: &mut Frames| {
-        let (since, all) = (Instant::now(), 2 * (limits.link_quiet + limits.link_answer));
-        while since.elapsed() <= all {
-            transport.check_keepalive();
-            std::thread::yield_now();
-        }
-    };
-    let mut still = (held == Some(false)).then(stand_still);
-    if still.is_some() {
-        outlast(&mut transport);
+/// Makes keepalive checks for longer than a worker has time to answer a probe.
+fn check_beyond_timeouts(transport: &mut Frames) {
+    let limits = Limits::new(192, 1024, &Settings::default());
+    let span = 2 * (limits.link_quiet + limits.link_answer);
+    let since = Instant::now();
+    while since.elapsed() <= span {
+        transport.check_keepalive();
+        std::thread::yield_now();
     }
-    drop(still.take());
+}
+
+/// Makes keepalive checks until the worker has received a probe. Returns its id.
+fn receive_probe(transport: &mut Frames, worker: &mut TcpStream) -> u64 {
     worker.set_nonblocking(true).expect("set");
     let since = Instant::now();
     while worker.peek(&mut [0]).is_err() {
-        assert!(since.elapsed() < PATIENCE, "no question");
+        assert!(since.elapsed() < PATIENCE, "no probe");
         transport.check_keepalive();
     }
     worker.set_nonblocking(false).expect("set");
-    let (question, code) = frame(&mut worker);
-    assert_eq!(code, HOLD);
-    if held.is_some() {
-        still = (held == Some(true)).then(stand_still);
-        say(&mut worker, question, "slots_up=1");
-        if still.is_some() {
-            outlast(&mut transport);
-        }
-        drop(still);
-        say(&mut worker, 9, "detail=resident");
-    }
+    let (probe, code) = frame(worker);
+    assert_eq!(code, CODE_HOLD);
+    probe
+}
+
+/// The outcome of the call. Keepalive checks go on meanwhile if its worker does not answer.
+fn outcome_of_call(
+    transport: &mut Frames,
+    reports: &Receiver<Message>,
+    goes_on_checking: bool,
+) -> Outcome {
     let since = Instant::now();
-    let outcome = loop {
-        match reports.try_recv() {
-            Ok(Message::AttemptEnded { key: _, report }) => break report.outcome,
-            _ if held.is_none() => transport.check_keepalive(),
-            _ => std::thread::yield_now(),
+    loop {
+        if let Ok(Message::AttemptEnded { key: _, report }) = reports.try_recv() {
+            return report.outcome;
+        }
+        if goes_on_checking {
+            transport.check_keepalive();
+        } else {
+            std::thread::yield_now();
         }
         assert!(since.elapsed() < PATIENCE, "nothing ended");
-    };
-    assert_eq!(outcome, end);
+    }
+}
+
+/// A stall of the scheduler outlasts all the time that a worker has to answer, and is no silence of the worker's.
+#[rstest]
+#[case::before_the_probe_is_written(Stall::BeforeProbeIsWritten, Outcome::Ok)]
+#[case::before_the_answer_is_read(Stall::BeforeAnswerIsRead, Outcome::Ok)]
+#[case::never_and_no_answer_comes(Stall::NeverAndNoAnswer, Outcome::Reset)]
+fn a_connection_ends_if_its_worker_is_unresponsive_and_not_if_we_are_held_up(
+    #[case] stall: Stall,
+    #[case] end: Outcome,
+) {
+    static ONE: Mutex<()> = Mutex::new(()); // there is one scheduler
+    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let (mut transport, reports) = link::transport(listener.local_addr().expect("bound"), |_| {});
+    let limits = AttemptLimits::with_timeout(ANSWER_TIMEOUT);
+    transport.send(FIRST, &request(CALL), limits);
+    let mut worker = listener.accept().expect("a connection").0;
+    assert_eq!(frame(&mut worker), (CALL, CODE_CALL));
+    if stall == Stall::BeforeProbeIsWritten {
+        let stalled = stall_scheduler();
+        check_beyond_timeouts(&mut transport);
+        drop(stalled);
+    }
+    let probe = receive_probe(&mut transport, &mut worker);
+    if stall == Stall::BeforeAnswerIsRead {
+        let stalled = stall_scheduler();
+        say(&mut worker, CODE_OK, probe, "slots_up=1", b"");
+        check_beyond_timeouts(&mut transport);
+        drop(stalled);
+    }
+    if stall == Stall::BeforeProbeIsWritten {
+        say(&mut worker, CODE_OK, probe, "slots_up=1", b"");
+    }
+    let is_answered = stall != Stall::NeverAndNoAnswer;
+    if is_answered {
+        say(&mut worker, CODE_OK, CALL, "detail=resident", b"");
+    }
+    assert_eq!(outcome_of_call(&mut transport, &reports, !is_answered), end);
 }
