--- a/wrenseam/tests/transport.rs
+++ b/wrenseam/tests/transport.rs
@@ -13,102 +13,132 @@
 use wrenseam::worker::{AttemptLimits, CancelOutcome, ConnectionUsage, Transport};
 use wrenseam_policy::Outcome;
 
+/// The codes of frames that the tests see or send.
+const CODE_CALL: u8 = 2;
+const CODE_CANCEL: u8 = 3;
+const CODE_OK: u8 = 200;
+const CODE_REJECTED: u8 = 203;
+
 const SECOND: AttemptKey = AttemptKey {
     request: 1,
     attempt: 1,
 };
 
+/// What waits for its connection.
+#[derive(Clone, Copy, Debug)]
+enum Waiting {
+    Order,
+    Attempt,
+}
+
+/// What ends it meanwhile.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum EndedBy {
+    Drain,
+    ClientLeft,
+    Timeout,
+    Cancel,
+}
+
+/// How long an attempt's answer is awaited, in microseconds: longer than the test lasts.
+const LONG_TIMEOUT: u64 = 20_000_000;
+
 /// What ends while it waits for a connection that comes up late: it is never written, and it is known that it never
 /// ran. The connection is held back until the other event has happened.
 #[rstest]
-// Guards rule 3.
-#[case::an_order_and_a_drain("order", "drain", Some(Outcome::NotSent))]
-#[case::a_call_and_a_drain("call", "drain", Some(Outcome::NotSent))]
-// Guards workers from calls for nobody.
-#[case::its_client_leaves("call", "leave", Some(Outcome::NotSent))]
-#[case::its_time_is_up("call", "late", Some(Outcome::NotSent))]
-// Whoever takes it back ends it, and is told that nothing ran.
-#[case::it_is_called_off("call", "cancel", None)]
+#[case::an_order_and_a_drain(Waiting::Order, EndedBy::Drain)]
+#[case::an_attempt_and_a_drain(Waiting::Attempt, EndedBy::Drain)]
+// Guards workers from attempts for nobody.
+#[case::its_client_leaves(Waiting::Attempt, EndedBy::ClientLeft)]
+#[case::its_time_is_up(Waiting::Attempt, EndedBy::Timeout)]
+// Whoever cancels it ends it, and is told that nothing ran.
+#[case::it_is_cancelled(Waiting::Attempt, EndedBy::Cancel)]
 fn what_ends_while_its_connection_comes_up_is_not_written(
-    #[case] what: &str,
-    #[case] event: &str,
-    #[case] end: Option<Outcome>,
+    #[case] waiting: Waiting,
+    #[case] ended_by: EndedBy,
 ) {
     let (listener, address, fillers) = late_worker();
-    let (mut transport, reports) = transport(address, |l| l.connect = Duration::from_secs(20));
-    let (request, budget) = (request(9), if event == "late" { 1_000 } else { 20_000_000 });
-    match what {
-        "order" => transport.order(1, 7, 1),
-        _ => transport.send(FIRST, &request, AttemptLimits::with_timeout(budget)),
-    }
-    match event {
-        "drain" => transport.drain(),
-        "leave" => request.client_gone.store(true, Ordering::Release),
-        "cancel" => {
-            assert_eq!(
-                transport.cancel(FIRST),
-                CancelOutcome::NeverStarted,
-                "no byte of it can have been written"
-            )
-        }
-        _ => {
-            let since = Instant::now();
-            while since.elapsed() <= Duration::from_micros(budget) {
-                std::thread::yield_now();
-            }
+    let (mut transport, reports) = transport(address, |limits| {
+        limits.connect = Duration::from_secs(20);
+    });
+    let request = request(9);
+    let answer_timeout = match ended_by {
+        EndedBy::Timeout => 1_000,
+        _ => LONG_TIMEOUT,
+    };
+    match waiting {
+        Waiting::Order => transport.order(1, 7, 1),
+        Waiting::Attempt => {
+            let limits = AttemptLimits::with_timeout(answer_timeout);
+            transport.send(FIRST, &request, limits);
         }
     }
+    match ended_by {
+        EndedBy::Drain => transport.drain(),
+        EndedBy::ClientLeft => request.client_gone.store(true, Ordering::Release),
+        EndedBy::Timeout => spin_for(Duration::from_micros(answer_timeout)),
+        EndedBy::Cancel => assert_eq!(
+            transport.cancel(FIRST),
+            CancelOutcome::NeverStarted,
+            "no byte of it can have been written"
+        ),
+    }
     let mut accepted: Vec<TcpStream> = (0..=fillers.len())
         .map(|_| listener.accept().expect("one").0)
         .collect();
-    match end {
-        Some(end) => assert_eq!(outcome(&reports).1, end),
-        None => {
-            // The next call goes out on that connection, and nothing before it.
-            transport.send(
-                SECOND,
-                &self::request(10),
-                AttemptLimits::with_timeout(budget),
-            );
-            assert_eq!(frame(accepted.last_mut().expect("the late one")), (10, 2));
-            say(accepted.last_mut().expect("the late one"), 203, 10, "", b"");
-            assert_eq!(outcome(&reports), (1, Outcome::Rejected));
-        }
+    let late = accepted.last_mut().expect("the late one");
+    if ended_by == EndedBy::Cancel {
+        // The next attempt goes out on that connection, and nothing before it.
+        let limits = AttemptLimits::with_timeout(answer_timeout);
+        transport.send(SECOND, &self::request(10), limits);
+        assert_eq!(frame(late), (10, CODE_CALL));
+        say(late, CODE_REJECTED, 10, "", b"");
+        assert_eq!(outcome(&reports), (1, Outcome::Rejected));
+    } else {
+        assert_eq!(outcome(&reports).1, Outcome::NotSent);
     }
     drop((transport, fillers)); // closes every connection from this side
     for mut stream in accepted {
-        let mut got = Vec::new();
-        stream.read_to_end(&mut got).expect("closed");
-        assert!(got.is_empty(), "{got:?}");
+        let mut received = Vec::new();
+        stream.read_to_end(&mut received).expect("closed");
+        assert!(received.is_empty(), "{received:?}");
+    }
+}
+
+/// Waits for more than this span.
+fn spin_for(span: Duration) {
+    let since = Instant::now();
+    while since.elapsed() <= span {
+        std::thread::yield_now();
     }
 }
 
-/// A call given up is repeated at the same worker; then the answer to the first comes after all. It is not taken for
+/// A cancelled attempt is retried at the same worker; then the answer to the first comes after all. It is not taken for
 /// the answer to the second, of which nobody could say then whether it runs.
 #[test]
 fn a_late_answer_is_not_taken_for_that_of_the_next_attempt() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |_| {});
     let request = request(9);
-    transport.send(FIRST, &request, AttemptLimits::with_timeout(20_000_000));
+    transport.send(FIRST, &request, AttemptLimits::with_timeout(LONG_TIMEOUT));
     let mut first = listener.accept().expect("a connection").0;
-    assert_eq!(frame(&mut first), (9, 2));
+    assert_eq!(frame(&mut first), (9, CODE_CALL));
     assert_eq!(
         transport.cancel(FIRST),
         CancelOutcome::PendingConfirmation,
         "it has been written"
     );
-    assert_eq!(frame(&mut first), (9, 3), "given up");
+    assert_eq!(frame(&mut first), (9, CODE_CANCEL), "cancelled");
     assert_eq!(
         outcome(&reports),
         (0, Outcome::Cancelled),
         "its worker has been told"
     );
-    transport.send(SECOND, &request, AttemptLimits::with_timeout(20_000_000));
+    transport.send(SECOND, &request, AttemptLimits::with_timeout(LONG_TIMEOUT));
     let mut second = listener.accept().expect("a connection of its own").0;
-    assert_eq!(frame(&mut second), (9, 2));
-    say(&mut first, 203, 9, "", b"");
-    say(&mut first, 203, 9, "", b"");
+    assert_eq!(frame(&mut second), (9, CODE_CALL));
+    say(&mut first, CODE_REJECTED, 9, "", b"");
+    say(&mut first, CODE_REJECTED, 9, "", b"");
     // Another call on the first connection shows that both have been read.
     transport.send(
         AttemptKey {
@@ -116,12 +146,12 @@
             attempt: 7,
         },
         &self::request(10),
-        AttemptLimits::with_timeout(20_000_000),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
     );
-    assert_eq!(frame(&mut first), (10, 2));
-    say(&mut first, 200, 10, "", b"x");
+    assert_eq!(frame(&mut first), (10, CODE_CALL));
+    say(&mut first, CODE_OK, 10, "", b"x");
     assert_eq!(outcome(&reports), (7, Outcome::Ok));
-    say(&mut second, 200, 9, "", b"DONE");
+    say(&mut second, CODE_OK, 9, "", b"DONE");
     assert_eq!(outcome(&reports), (1, Outcome::Ok));
     // Nothing is counted twice: both connections are idle, and close once they have been for long.
     transport.drain();
@@ -145,30 +175,30 @@
     transport.send(
         call(1),
         &request(1),
-        AttemptLimits::with_timeout(20_000_000),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
     );
     let mut first = listener.accept().expect("a connection").0;
     frame(&mut first);
     std::thread::sleep(idle + idle / 4); // a long call is no idle time
-    say(&mut first, 200, 1, "", b"x");
+    say(&mut first, CODE_OK, 1, "", b"x");
     assert_eq!(outcome(&reports).1, Outcome::Ok);
     transport.send(
         call(2),
         &request(2),
-        AttemptLimits::with_timeout(20_000_000),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
     );
-    assert_eq!(frame(&mut first), (2, 2));
-    say(&mut first, 200, 2, "", b"x");
+    assert_eq!(frame(&mut first), (2, CODE_CALL));
+    say(&mut first, CODE_OK, 2, "", b"x");
     assert_eq!(outcome(&reports).1, Outcome::Ok);
     std::thread::sleep(idle + idle / 4);
     transport.send(
         call(3),
         &request(3),
-        AttemptLimits::with_timeout(20_000_000),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
     );
     assert_eq!(
         frame(&mut listener.accept().expect("another connection").0),
-        (3, 2)
+        (3, CODE_CALL)
     );
 }
 
@@ -237,7 +267,7 @@
                 attempt: 0,
             },
             &call(n),
-            AttemptLimits::with_timeout(20_000_000),
+            AttemptLimits::with_timeout(LONG_TIMEOUT),
         );
     }
     let mut stream = listener.accept().expect("a connection").0;
@@ -261,7 +291,13 @@
         (begun as u64) < all - 100,
         "{begun} of {all} were written: no stall"
     );
-    (0..begun).for_each(|_| assert_eq!(frame(&mut stream).1, 2, "what was begun comes whole"));
+    (0..begun).for_each(|_| {
+        assert_eq!(
+            frame(&mut stream).1,
+            CODE_CALL,
+            "what was begun comes whole"
+        )
+    });
     stream
         .set_read_timeout(Some(Duration::from_secs(1)))
         .expect("set");
@@ -271,15 +307,15 @@
         "more than the {begun} calls that were begun when their clients left: {more:?}"
     );
     // All others end at once, also those that did not fit into the ring.
-    let moot = (begun as u64..all)
+    let not_sent = (begun as u64..all)
         .filter(|_| outcome(&reports).1 == Outcome::NotSent)
         .count();
-    assert_eq!(moot as u64, all - begun as u64);
+    assert_eq!(not_sent as u64, all - begun as u64);
 }
 
 /// Guards descriptors: an order that gets no answer must not hold its connection for ever.
 #[test]
-fn a_connection_whose_order_was_lost_closes_after_it_lapsed() {
+fn a_connection_whose_order_was_lost_closes_once_it_is_abandoned() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let (mut transport, _reports) = transport(address, |_| {});
@@ -331,7 +367,7 @@
     transport.close_idle();
     assert_eq!(transport.connections().open, 1);
     let id = u64::from_be_bytes(frame[8..16].try_into().expect("eight bytes"));
-    let mut answer = wrenseam::worker::frames::encode(200, id, "slots_up=1", &[]);
+    let mut answer = wrenseam::worker::frames::encode(CODE_OK, id, "slots_up=1", &[]);
     answer[0] = 127;
     stream.write_all(&answer).expect("answered");
     assert!(matches!(
