--- a/wrenseam/tests/broken_connections.rs
+++ b/wrenseam/tests/broken_connections.rs
@@ -174,7 +174,7 @@
 /// An attempt that is called off has ended once its worker has been told so, and not before: another attempt of its
 /// request may follow at once, and where two must not be out together the first is over by then.
 #[test]
-fn an_attempt_is_called_off_once_its_worker_has_been_told() {
+fn an_attempt_is_cancelled_once_its_worker_has_been_notified() {
     let Held {
         mut transport,
         reports,
@@ -208,7 +208,7 @@
 /// A worker turns a call away of which it has half. The connection ends: the other half does not follow what has been
 /// told to have never run.
 #[test]
-fn a_call_that_is_turned_away_in_the_middle_never_comes_whole() {
+fn a_call_rejected_midway_never_comes_completely() {
     let allowed = Arc::new(AtomicUsize::new(30));
     let (mut transport, reports, listener) = transport_with(Arc::new(ShortWrites {
         allowed: allowed.clone(),
@@ -232,7 +232,7 @@
 /// A code that was spoilt on its way reads as one that proves that nothing ran: the check covers fields and body alone.
 /// But a body came with it, as only with an answer to what ran.
 #[rstest]
-fn a_spoilt_code_proves_nothing(#[values(202, 203, 205)] code: u8) {
+fn a_damaged_code_proves_nothing(#[values(202, 203, 205)] code: u8) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |_| {});
     transport.send(FIRST, &request(9), AttemptLimits::with_timeout(LONG));
--- a/wrenseam/tests/kserve_proofs.rs
+++ b/wrenseam/tests/kserve_proofs.rs
@@ -166,7 +166,7 @@
 /// A refusal comes twice, the second time behind the next call: it is not taken for that call's answer. Refusals name no
 /// call, so the connection that carried one carries no other call.
 #[test]
-fn a_second_refusal_is_not_taken_for_that_of_the_next_call() {
+fn a_second_rejection_is_not_taken_for_that_of_the_next_call() {
     let (address, calls) = worker();
     let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_LANE);
     transport.send(attempt(1), &request(1), AttemptLimits::with_timeout(LONG));
--- a/wrenseam/tests/retry_window.rs
+++ b/wrenseam/tests/retry_window.rs
@@ -1,5 +1,5 @@
-//! A repeat of a keyed request that may have run: workers drop it only for a while, so it is not written later, whatever
-//! held it up.
+//! A retry, with its idempotency key, of an attempt that may have run: workers recognise a duplicate only for a while,
+//! so it is not written later, whatever held it up.
 mod link;
 
 use link::{late_worker, outcome, request, transport, transport_of, Protocol, FIRST};
@@ -9,31 +9,38 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use wrenseam::model::{AttemptKey, Payload, Request};
-use wrenseam::worker::AttemptLimits;
+use wrenseam::worker::{AttemptLimits, Transport};
 use wrenseam_policy::Outcome;
 
+/// Longer than the tests last, in microseconds.
 const LONG: u64 = 20_000_000;
 
-/// The connection comes up once the window has passed: the repeat is not written, and reported as never run. One whose
+/// A window that is over at once, in microseconds.
+const SHORT_WINDOW: u64 = 1_000;
+
+/// Bytes of a frame's header, body and checksum, which do not include its fields.
+const HEADER_BYTES: usize = 16;
+const BODY_BYTES: usize = 16_000;
+const CHECKSUM_BYTES: usize = 4;
+
+/// The connection comes up once the window has passed: the retry is not written, and reported as never run. One whose
 /// window is still open is written.
 #[rstest]
-fn a_repeat_that_waits_for_its_connection_past_the_window_is_not_written(
+fn a_retry_that_waits_for_its_connection_past_the_window_is_not_written(
     #[values(Protocol::Frames, Protocol::Kserve)] protocol: Protocol,
-    #[values(1_000, LONG)] window: u64,
+    #[values(SHORT_WINDOW, LONG)] window: u64,
 ) {
     let (listener, address, fillers) = late_worker();
-    let (mut transport, reports) =
-        transport_of(protocol, address, |l| l.connect = Duration::from_secs(20));
-    transport.send(
-        FIRST,
-        &request(9),
-        AttemptLimits {
-            answer_timeout: LONG,
-            write_deadline: Some(Instant::now() + Duration::from_micros(window)),
-        },
-    );
+    let (mut transport, reports) = transport_of(protocol, address, |limits| {
+        limits.connect = Duration::from_secs(20);
+    });
+    let limits = AttemptLimits {
+        answer_timeout: LONG,
+        write_deadline: Some(Instant::now() + Duration::from_micros(window)),
+    };
+    transport.send(FIRST, &request(9), limits);
     let since = Instant::now();
-    while since.elapsed() <= Duration::from_micros(1_000) {
+    while since.elapsed() <= Duration::from_micros(SHORT_WINDOW) {
         std::thread::yield_now();
     }
     let mut accepted: Vec<TcpStream> = (0..=fillers.len())
@@ -41,69 +48,78 @@
         .collect();
     let late = accepted.last_mut().expect("the late one");
     if window == LONG {
-        late.read_exact(&mut [0; 16]).expect("written");
+        late.read_exact(&mut [0; HEADER_BYTES]).expect("written");
         return;
     }
     assert_eq!(outcome(&reports), (0, Outcome::NotSent));
     drop((transport, reports));
     late.set_read_timeout(Some(Duration::from_millis(300)))
         .expect("set");
-    assert!(
-        !matches!(late.read(&mut [0; 16]), Ok(n) if n > 0),
-        "it was written"
-    );
+    let read = late.read(&mut [0; HEADER_BYTES]);
+    assert!(!matches!(read, Ok(count) if count > 0), "it was written");
 }
 
-/// Repeats lie behind a write that stalls until the window has passed. The one that is written in part ends its
-/// connection and never comes whole; what the worker has read whole is what was reported as possibly run.
+/// Retries lie behind a write that stalls until the window has passed. The one that is written in part ends its
+/// connection and never comes completely; what the worker has read completely is what was reported as possibly run.
 #[test]
-fn a_repeat_that_is_half_written_at_the_windows_end_never_comes_whole() {
+fn a_retry_that_is_half_written_at_the_windows_end_never_comes_completely() {
+    const RETRIES: u64 = 900;
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    let (mut transport, reports) = transport(address, |l| {
-        (l.streams, l.write_stall) = (1_000, Duration::from_secs(60));
+    let (mut transport, reports) = transport(address, |limits| {
+        limits.streams = 1_000;
+        limits.write_stall = Duration::from_secs(60);
     });
-    let all = 900;
-    let terms = AttemptLimits {
+    let limits = AttemptLimits {
         answer_timeout: 60_000_000,
         write_deadline: Some(Instant::now() + Duration::from_millis(500)),
     };
-    for n in 0..all {
-        let plain = Arc::into_inner(request(n)).expect("ours alone");
-        let call = Arc::new(Request {
-            payload: Payload::Bytes(vec![n as u8; 16_000]),
-            ..plain
-        });
-        wrenseam::worker::Transport::send(
-            &mut transport,
-            AttemptKey {
-                request: n,
-                attempt: 0,
-            },
-            &call,
-            terms,
-        );
+    for number in 0..RETRIES {
+        let key = AttemptKey {
+            request: number,
+            attempt: 0,
+        };
+        transport.send(key, &large_request(number), limits);
     }
     let mut stream = listener.accept().expect("a connection").0;
     // Nothing is read until all have ended: only the window ends them so soon.
-    let outcomes: Vec<Outcome> = (0..all).map(|_| outcome(&reports).1).collect();
-    let may_have_run = outcomes.iter().filter(|o| **o == Outcome::Reset).count();
-    assert!(may_have_run > 0 && outcomes.iter().all(|o| *o != Outcome::Ok));
-    let mut whole = 0;
-    while stream.peek(&mut [0; 1]).is_ok_and(|n| n > 0) {
-        let mut head = [0; 16];
-        if stream.read_exact(&mut head).is_err() {
+    let outcomes: Vec<Outcome> = (0..RETRIES).map(|_| outcome(&reports).1).collect();
+    let may_have_run = outcomes
+        .iter()
+        .filter(|outcome| **outcome == Outcome::Reset)
+        .count();
+    assert!(may_have_run > 0 && outcomes.iter().all(|outcome| *outcome != Outcome::Ok));
+    let complete = count_complete_frames(&mut stream);
+    assert!(
+        complete <= may_have_run,
+        "{complete} came completely, {may_have_run} were reported as possibly run"
+    );
+    assert!(complete < RETRIES as usize, "the write stalled");
+}
+
+/// A request with a body of `BODY_BYTES`.
+fn large_request(number: u64) -> Arc<Request> {
+    let plain = Arc::into_inner(request(number)).expect("ours alone");
+    Arc::new(Request {
+        payload: Payload::Bytes(vec![number as u8; BODY_BYTES]),
+        ..plain
+    })
+}
+
+/// How many frames came completely before the connection ended.
+fn count_complete_frames(stream: &mut TcpStream) -> usize {
+    let mut complete = 0;
+    while stream.peek(&mut [0; 1]).is_ok_and(|count| count > 0) {
+        let mut header = [0; HEADER_BYTES];
+        if stream.read_exact(&mut header).is_err() {
             break;
         }
-        let rest = usize::from(u16::from_be_bytes([head[2], head[3]])) + 16_000 + 4;
-        if stream.read_exact(&mut vec![0; rest]).is_err() {
+        let fields = usize::from(u16::from_be_bytes([header[2], header[3]]));
+        let mut rest = vec![0; fields + BODY_BYTES + CHECKSUM_BYTES];
+        if stream.read_exact(&mut rest).is_err() {
             break;
         }
-        whole += 1;
+        complete += 1;
     }
-    assert!(
-        whole <= may_have_run,
-        "{whole} came whole, {may_have_run} were told to may have run"
-    );
-    assert!(whole < all as usize, "the write stalled");
+    complete
 }
--- a/wrenseam/tests/send_queue.rs
+++ b/wrenseam/tests/send_queue.rs
@@ -1,4 +1,4 @@
-//! Who decides whether a waiting frame is begun, and what is cut out of a connection's queue.
+//! What is claimed from a connection's queue, and what is cut out of it.
 use rstest::rstest;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,7 +6,7 @@
 use wrenseam::worker::dispatch::Dispatch;
 use wrenseam::worker::frames::send_queue::{Claim, ClaimScope, Cut, QueuedFrame, SendQueue};
 
-fn dispatch() -> Arc<Dispatch> {
+fn waiting() -> Arc<Dispatch> {
     Dispatch::new(Arc::default(), Instant::now() + Duration::from_secs(60))
 }
 
@@ -14,59 +14,78 @@
     Claim { writable, cuts }
 }
 
-/// Frames 1, 2 (an unload, owed nothing) and 3 of ten bytes each, of which so many are written; then one is taken
-/// back, or all bound ones are withheld. What is cut, and where the last one ends now.
+/// Bytes of each queued frame.
+const FRAME_BYTES: usize = 10;
+
+/// What is taken out of the queue.
+#[derive(Clone, Copy, Debug)]
+enum TakenOut {
+    /// The frame of one exchange.
+    Exchange(u64),
+    /// All that is withheld on a drain.
+    Withheld,
+}
+
+/// A frame that opens an exchange.
+fn opening(id: u64, dispatch: Arc<Dispatch>) -> QueuedFrame {
+    QueuedFrame {
+        len: FRAME_BYTES,
+        id: Some(id),
+        withheld_on_drain: true,
+        dispatch: Some(dispatch),
+        confirms: None,
+    }
+}
+
+/// A frame that gets no answer.
+fn one_way(len: usize) -> QueuedFrame {
+    QueuedFrame {
+        len,
+        ..QueuedFrame::default()
+    }
+}
+
+/// Frames 1, 2 (an unload, which gets no answer) and 3, of which so many bytes are written; then one is taken out, or
+/// all that are withheld on a drain. What is cut, and where the last one ends now.
 #[rstest]
-#[case::none_begun(0, Some(1), vec![(0, Some(1))], 20)]
-#[case::begun_in_part(1, Some(1), vec![], 30)]
-#[case::behind_a_begun_one(4, Some(3), vec![(16, Some(3))], 20)]
-#[case::a_drain(4, None, vec![(16, Some(3))], 20)]
-#[case::a_drain_before_any(0, None, vec![(0, Some(1)), (10, Some(3))], 10)]
-fn what_is_not_begun_is_cut_and_the_rest_moves_up(
+#[case::none_started(0, TakenOut::Exchange(1), vec![(0, Some(1))], 20)]
+#[case::started_in_part(1, TakenOut::Exchange(1), vec![], 30)]
+#[case::behind_a_started_one(4, TakenOut::Exchange(3), vec![(16, Some(3))], 20)]
+#[case::a_drain(4, TakenOut::Withheld, vec![(16, Some(3))], 20)]
+#[case::a_drain_before_any(0, TakenOut::Withheld, vec![(0, Some(1)), (10, Some(3))], 10)]
+fn what_is_not_started_is_cut_and_the_rest_moves_up(
     #[case] written: u64,
-    #[case] taken: Option<u64>,
-    #[case] cuts: Vec<(usize, Option<u64>)>,
+    #[case] taken_out: TakenOut,
+    #[case] expected: Vec<(usize, Option<u64>)>,
     #[case] end: u64,
 ) {
     let mut queue = SendQueue::default();
-    for id in [Some(1), None, Some(3)] {
-        queue.push(QueuedFrame {
-            id,
-            withheld_on_drain: id.is_some(),
-            dispatch: id.map(|_| dispatch()),
-            len: 10,
-            ..QueuedFrame::default()
-        });
-    }
+    queue.push(opening(1, waiting()));
+    queue.push(one_way(FRAME_BYTES));
+    queue.push(opening(3, waiting()));
     queue.advance(written);
-    let got = queue.cut_where(written, |p| {
-        p.withheld_on_drain && taken.is_none_or(|t| p.id == Some(t))
+    let cuts = queue.cut_where(written, |frame| match taken_out {
+        TakenOut::Exchange(id) => frame.id == Some(id),
+        TakenOut::Withheld => frame.withheld_on_drain,
     });
-    assert_eq!(got.iter().map(|c| (c.at, c.id)).collect::<Vec<_>>(), cuts);
-    assert!(got.iter().all(|c| c.ends && c.len == 10));
+    let places: Vec<_> = cuts.iter().map(|cut| (cut.at, cut.id)).collect();
+    assert_eq!(places, expected);
+    assert!(cuts.iter().all(|cut| cut.ends && cut.len == FRAME_BYTES));
     assert_eq!(
-        queue.push(QueuedFrame {
-            len: 5,
-            ..QueuedFrame::default()
-        }),
+        queue.push(one_way(5)),
         end + 5,
         "where the last one ends now"
     );
 }
 
-/// While a write stalls only the next frame is claimed: those behind can still be taken back.
+/// While a write stalls only the next frame is claimed: those behind can still be reclaimed.
 #[test]
-fn a_stalled_write_holds_one_frame_at_the_most() {
-    let (mut queue, now) = (SendQueue::default(), Instant::now());
-    let dispatches = [dispatch(), dispatch(), dispatch()];
-    for (n, t) in dispatches.iter().enumerate() {
-        queue.push(QueuedFrame {
-            id: Some(n as u64),
-            withheld_on_drain: true,
-            dispatch: Some(t.clone()),
-            len: 10,
-            ..QueuedFrame::default()
-        });
+fn a_stalled_write_claims_one_frame_at_the_most() {
+    let now = Instant::now();
+    let mut queue = SendQueue::default();
+    let dispatches = [waiting(), waiting(), waiting()];
+    for (id, dispatch) in (0..).zip(&dispatches) {
+        queue.push(opening(id, dispatch.clone()));
     }
     assert_eq!(
         queue.claim(0, now, ClaimScope::AllFrames),
@@ -81,7 +100,7 @@
     queue.advance(10);
     let cut = Cut {
         at: 0,
-        len: 10,
+        len: FRAME_BYTES,
         id: Some(1),
         ends: false,
     };
@@ -91,27 +110,23 @@
     );
 }
 
-/// An attempt counts as given up once the frame that says so is written whole, also where frames before it are cut.
+/// An attempt counts as cancelled once the frame that says so is completely written, also where frames before it are
+/// cut.
 #[test]
-fn a_give_up_is_confirmed_by_its_last_byte() {
-    let (mut queue, now) = (SendQueue::default(), Instant::now());
-    let taken = dispatch();
+fn a_cancellation_is_confirmed_by_its_last_byte() {
+    let now = Instant::now();
+    let mut queue = SendQueue::default();
+    let reclaimed = waiting();
     let key = AttemptKey {
         request: 7,
         attempt: 1,
     };
-    queue.push(QueuedFrame {
-        id: Some(1),
-        dispatch: Some(taken.clone()),
-        len: 10,
-        ..QueuedFrame::default()
-    });
+    queue.push(opening(1, reclaimed.clone()));
     queue.push(QueuedFrame {
         confirms: Some(key),
-        len: 20,
-        ..QueuedFrame::default()
+        ..one_way(20)
     });
-    assert!(taken.reclaim());
+    assert!(reclaimed.reclaim());
     assert_eq!(queue.claim(0, now, ClaimScope::AllFrames).writable, 20);
     assert_eq!(queue.advance(19), []);
     assert_eq!(queue.advance(20), [key]);
--- a/wrenseam/tests/transport.rs
+++ b/wrenseam/tests/transport.rs
@@ -231,7 +231,7 @@
 /// Calls lie behind a write that stalls while their clients leave. Once the worker reads, the half-written call is finished
 /// and no other is begun: nothing was claimed over the wait, however long that took.
 #[test]
-fn nothing_is_begun_behind_a_stalled_write_once_its_client_left() {
+fn nothing_is_started_behind_a_stalled_write_once_its_client_left() {
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     socket
