--- a/wrenseam/src/worker/frames/keepalive.rs
+++ b/wrenseam/src/worker/frames/keepalive.rs
@@ -94,9 +94,9 @@
     }
 }
 
-/// Whether a connection is probed that has been `quiet` for so long. `oldest_age` is the age of its oldest open exchange,
-/// `opened_since_answer` whether one was opened since the last answer. A connection that only waits for a load is
-/// probed ever more seldom.
+/// Whether a connection is probed that has been `quiet` for so long. `oldest_age` is the age of its oldest open
+/// exchange, `opened_since_answer` whether one was opened since the last answer. A connection that only waits for a
+/// load is probed ever more seldom.
 pub fn probe_due(
     opened_since_answer: bool,
     quiet: Duration,
--- a/wrenseam/src/worker/frames/outgoing.rs
+++ b/wrenseam/src/worker/frames/outgoing.rs
@@ -89,8 +89,8 @@
         Ok(())
     }
 
-    /// Starts what may be written next and takes out what is no longer wanted. Returns how many bytes of the ring may be
-    /// written.
+    /// Starts what may be written next and takes out what is no longer wanted. Returns how many bytes of the ring may
+    /// be written.
     pub(super) fn claim(&mut self, written: u64, scope: ClaimScope) -> usize {
         let claim = self.queue.claim(written, Instant::now(), scope);
         self.take_out(claim.cuts, Outcome::NotSent);
--- a/wrenseam/src/worker/frames/writer.rs
+++ b/wrenseam/src/worker/frames/writer.rs
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Writes until nothing waits. Nothing waits inside a write: what is claimed goes out now or is not claimed, so that
-    /// a claim is never older than the look at its client.
+    /// Writes until nothing waits. Nothing waits inside a write: what is claimed goes out now or is not claimed, so
+    /// that a claim is never older than the look at its client.
     fn write_pending(
         &mut self,
         stream: &TcpStream,
--- a/wrenseam/src/worker/kserve/connection.rs
+++ b/wrenseam/src/worker/kserve/connection.rs
@@ -99,7 +99,8 @@
         }
         let mut stream = match &exchange.kind {
             ExchangeKind::Call(_) => self.started_stream(exchange)?,
-            // Their answers name no call: one that came twice would put every later answer on its connection off by one.
+            // Their answers name no call: one that came twice would put every later answer on its connection off by
+            // one.
             ExchangeKind::Order(_) | ExchangeKind::Unload => self.new_started_stream(exchange)?,
         };
         self.write(&stream, exchange)?;
@@ -220,8 +221,8 @@
         Ok(())
     }
 
-    /// Waits before a write is tried again, and returns for how long. As with frames, nothing is claimed while it waits:
-    /// an exchange of which no byte is written has to be started anew.
+    /// Waits before a write is tried again, and returns for how long. As with frames, nothing is claimed while it
+    /// waits: an exchange of which no byte is written has to be started anew.
     fn wait_stalled(&self, exchange: &Exchange, is_unwritten: bool) -> Result<Duration, Outcome> {
         if is_unwritten {
             exchange.dispatch.revert_start();
--- a/wrenseam/tests/broken_connections.rs
+++ b/wrenseam/tests/broken_connections.rs
@@ -19,6 +19,12 @@
 use wrenseam::worker::{AttemptLimits, CancelOutcome, Transport};
 use wrenseam_policy::{Outcome, Settings};
 
+/// Codes of frames.
+const CODE_CALL: u8 = 2;
+const CODE_CANCEL: u8 = 3;
+const CODE_REJECTED: u8 = 203;
+
+/// How long an answer is awaited, in microseconds: longer than the tests last.
 const LONG: u64 = 20_000_000;
 
 /// How long a write is held for whoever should not get on before it returns.
@@ -37,10 +43,10 @@
     }
 
     fn write(&self, stream: &MayStream, bytes: &[u8]) -> io::Result<usize> {
-        let n = DirectCalls.write(stream, bytes)?;
-        let _ = self.written.lock().expect("sound").send(n);
+        let count = DirectCalls.write(stream, bytes)?;
+        let _ = self.written.lock().expect("sound").send(count);
         let _ = self.go_on.recv();
-        Ok(n)
+        Ok(count)
     }
 }
 
@@ -55,13 +61,13 @@
     }
 
     fn write(&self, stream: &MayStream, bytes: &[u8]) -> io::Result<usize> {
-        let n = bytes.len().min(self.allowed.load(Ordering::Acquire));
-        if n == 0 {
+        let allowed = bytes.len().min(self.allowed.load(Ordering::Acquire));
+        if allowed == 0 {
             return Err(io::ErrorKind::WouldBlock.into());
         }
-        let n = DirectCalls.write(stream, &bytes[..n])?;
-        self.allowed.fetch_sub(n, Ordering::AcqRel);
-        Ok(n)
+        let count = DirectCalls.write(stream, &bytes[..allowed])?;
+        self.allowed.fetch_sub(count, Ordering::AcqRel);
+        Ok(count)
     }
 }
 
@@ -128,7 +134,7 @@
         let_go,
         mut stream,
     } = held_call();
-    assert_eq!(frame(&mut stream), (9, 2), "it has come whole");
+    assert_eq!(frame(&mut stream), (9, CODE_CALL), "it has come whole");
     is_written
         .recv_timeout(Duration::from_secs(20))
         .expect("written");
@@ -171,7 +177,7 @@
     assert!(progress.write(|| panic!("written after the end")).is_err());
 }
 
-/// An attempt that is called off has ended once its worker has been told so, and not before: another attempt of its
+/// A cancelled attempt has ended once its worker has been told so, and not before: another attempt of its
 /// request may follow at once, and where two must not be out together the first is over by then.
 #[test]
 fn an_attempt_is_cancelled_once_its_worker_has_been_notified() {
@@ -182,7 +188,7 @@
         let_go,
         mut stream,
     } = held_call();
-    assert_eq!(frame(&mut stream), (9, 2));
+    assert_eq!(frame(&mut stream), (9, CODE_CALL));
     is_written.recv().expect("written");
     assert_eq!(transport.cancel(FIRST), CancelOutcome::PendingConfirmation);
     assert!(
@@ -190,14 +196,14 @@
         "the writer has not even got to it"
     );
     let_go.send(()).expect("the write waits");
-    is_written.recv().expect("the give-up is written");
+    is_written.recv().expect("the cancellation is written");
     assert!(
         reports.try_recv().is_err(),
         "told before its write returned"
     );
     let_go.send(()).expect("the write waits");
     assert_eq!(outcome(&reports), (0, Outcome::Cancelled));
-    assert_eq!(frame(&mut stream), (9, 3));
+    assert_eq!(frame(&mut stream), (9, CODE_CANCEL));
     assert_eq!(
         transport.cancel(FIRST),
         CancelOutcome::Unknown,
@@ -205,8 +211,8 @@
     );
 }
 
-/// A worker turns a call away of which it has half. The connection ends: the other half does not follow what has been
-/// told to have never run.
+/// A worker rejects a call of which it has half. The connection ends: the other half does not follow what was reported
+/// as never run.
 #[test]
 fn a_call_rejected_midway_never_comes_completely() {
     let allowed = Arc::new(AtomicUsize::new(30));
@@ -216,7 +222,7 @@
     transport.send(FIRST, &request(9), AttemptLimits::with_timeout(LONG));
     let mut stream = listener.accept().expect("a connection").0;
     stream.read_exact(&mut [0; 30]).expect("the beginning");
-    say(&mut stream, 203, 9, "", b"");
+    say(&mut stream, CODE_REJECTED, 9, "", b"");
     assert_eq!(outcome(&reports), (0, Outcome::ConnectFailed));
     allowed.store(usize::MAX / 2, Ordering::Release);
     stream
@@ -224,12 +230,12 @@
         .expect("set");
     let rest = stream.read(&mut [0; 1024]);
     assert!(
-        !matches!(rest, Ok(n) if n > 0),
+        !matches!(rest, Ok(count) if count > 0),
         "the rest followed: {rest:?}"
     );
 }
 
-/// A code that was spoilt on its way reads as one that proves that nothing ran: the check covers fields and body alone.
+/// A code that was damaged on its way reads as one that proves that nothing ran: the checksum covers fields and body alone.
 /// But a body came with it, as only with an answer to what ran.
 #[rstest]
 fn a_damaged_code_proves_nothing(#[values(202, 203, 205)] code: u8) {
@@ -237,7 +243,7 @@
     let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |_| {});
     transport.send(FIRST, &request(9), AttemptLimits::with_timeout(LONG));
     let mut stream = listener.accept().expect("a connection").0;
-    assert_eq!(frame(&mut stream), (9, 2));
+    assert_eq!(frame(&mut stream), (9, CODE_CALL));
     say(&mut stream, code, 9, "detail=resident", b"DONE");
     assert_eq!(outcome(&reports), (0, Outcome::Reset));
 }
--- a/wrenseam/tests/kserve_proofs.rs
+++ b/wrenseam/tests/kserve_proofs.rs
@@ -18,13 +18,15 @@
 
 const LONG: u64 = 20_000_000;
 
-/// One exchange at a time: which connection the next one takes does not hang on which lane is quicker. Connects have time
-/// on a busy machine: one that fails ends its call before the worker sees it.
-const ONE_LANE: fn(&mut Limits) =
-    |limits| (limits.lanes_per_worker, limits.connect) = (1, Duration::from_secs(20));
+/// One exchange at a time: which connection the next one takes does not hang on which coroutine is quicker. Connects
+/// have time on a busy machine: one that fails ends its call before the worker sees it.
+const ONE_CONNECTION: fn(&mut Limits) = |limits| {
+    limits.lanes_per_worker = 1;
+    limits.connect = Duration::from_secs(20);
+};
 
-/// A refusal that says when to come back.
-const REFUSED: &str =
+/// A rejection that says when to retry.
+const REJECTED: &str =
     "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 2\r\n\r\n{}";
 
 /// An answer that carries a body and, if any, the call's id.
@@ -39,20 +41,33 @@
     )
 }
 
-/// A call that has come whole: on the how manieth connection, and the way back.
-type Come = (usize, TcpStream);
+/// A call that has come completely.
+struct ReceivedCall {
+    /// On which connection it came, counted from the first.
+    connection: usize,
+    /// Where its answer goes.
+    stream: TcpStream,
+}
+
+impl ReceivedCall {
+    /// Answers it.
+    fn answer(&mut self, answer: &str) {
+        self.stream.write_all(answer.as_bytes()).expect("answered");
+    }
+}
 
 /// A worker that tells of each call and leaves the answer to the test.
-fn worker() -> (SocketAddr, Receiver<Come>) {
+fn worker() -> (SocketAddr, Receiver<ReceivedCall>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    let (told, calls) = channel();
+    let (sender, calls) = channel();
     std::thread::spawn(move || {
-        for (n, stream) in listener.incoming().map_while(Result::ok).enumerate() {
-            let told = told.clone();
+        let streams = listener.incoming().map_while(Result::ok);
+        for (connection, accepted) in streams.enumerate() {
+            let sender = sender.clone();
             std::thread::spawn(move || {
-                while let Some(back) = read_call(&stream) {
-                    if told.send((n, back)).is_err() {
+                while let Some(stream) = read_call(&accepted) {
+                    if sender.send(ReceivedCall { connection, stream }).is_err() {
                         return;
                     }
                 }
@@ -62,6 +77,7 @@
     (address, calls)
 }
 
+/// Reads a call completely. Returns where its answer goes.
 fn read_call(mut stream: &TcpStream) -> Option<TcpStream> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -72,14 +88,14 @@
     let head = String::from_utf8_lossy(&head).into_owned();
     let length = head
         .lines()
-        .find_map(|l| l.strip_prefix("Content-Length: "))?
+        .find_map(|line| line.strip_prefix("Content-Length: "))?
         .parse()
         .ok()?;
     stream.read_exact(&mut vec![0; length]).ok()?;
     stream.try_clone().ok()
 }
 
-fn next(calls: &Receiver<Come>) -> Come {
+fn next_call(calls: &Receiver<ReceivedCall>) -> ReceivedCall {
     calls.recv_timeout(Duration::from_secs(20)).expect("a call")
 }
 
@@ -99,8 +115,8 @@
     "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n",
     Outcome::Rejected
 )]
-#[case::refused(REFUSED, Outcome::Rejected)]
-#[case::refused_behind_an_interim_answer(&format!("HTTP/1.1 103 Early Hints\r\n\r\n{REFUSED}"), Outcome::Rejected)]
+#[case::rejected(REJECTED, Outcome::Rejected)]
+#[case::rejected_behind_an_interim_answer(&format!("HTTP/1.1 103 Early Hints\r\n\r\n{REJECTED}"), Outcome::Rejected)]
 // A proxy says so too when it has lost the answer to a call that it passed on.
 #[case::unavailable(
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
@@ -120,7 +136,7 @@
 )]
 #[case::an_interim_answer_alone("HTTP/1.1 100 Continue\r\n\r\n", Outcome::Reset)]
 #[case::nothing("", Outcome::Reset)]
-#[case::half_a_refusal(
+#[case::half_a_rejection(
     "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Le",
     Outcome::Reset
 )]
@@ -129,11 +145,11 @@
 #[case::served_by_the_id_of_another(&served(Some(8)), Outcome::Reset)]
 fn an_answer_proves(#[case] answer: &str, #[case] proves: Outcome) {
     let (address, calls) = worker();
-    let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_LANE);
+    let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_CONNECTION);
     transport.send(attempt(1), &request(9), AttemptLimits::with_timeout(LONG));
-    let (_, mut back) = next(&calls);
-    back.write_all(answer.as_bytes()).expect("answered");
-    back.shutdown(Shutdown::Both).expect("open");
+    let mut call = next_call(&calls);
+    call.answer(answer);
+    call.stream.shutdown(Shutdown::Both).expect("open");
     assert_eq!(outcome(&reports), (1, proves));
 }
 
@@ -141,46 +157,44 @@
 struct Served {
     transport: Box<dyn Transport>,
     reports: Receiver<Message>,
-    calls: Receiver<Come>,
-    first: usize,
-    back: TcpStream,
+    calls: Receiver<ReceivedCall>,
+    first: ReceivedCall,
 }
 
 fn served_call() -> Served {
     let (address, calls) = worker();
-    let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_LANE);
+    let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_CONNECTION);
     transport.send(attempt(1), &request(1), AttemptLimits::with_timeout(LONG));
-    let (first, mut back) = next(&calls);
-    back.write_all(served(Some(1)).as_bytes())
-        .expect("answered");
+    let mut first = next_call(&calls);
+    first.answer(&served(Some(1)));
     assert_eq!(outcome(&reports), (1, Outcome::Ok));
     Served {
         transport,
         reports,
         calls,
         first,
-        back,
     }
 }
 
-/// A refusal comes twice, the second time behind the next call: it is not taken for that call's answer. Refusals name no
-/// call, so the connection that carried one carries no other call.
+/// A rejection comes twice, the second time behind the next call: it is not taken for that call's answer. Rejections
+/// name no call, so the connection that carried one carries no other call.
 #[test]
 fn a_second_rejection_is_not_taken_for_that_of_the_next_call() {
     let (address, calls) = worker();
-    let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_LANE);
+    let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_CONNECTION);
     transport.send(attempt(1), &request(1), AttemptLimits::with_timeout(LONG));
-    let (first, mut back) = next(&calls);
-    back.write_all(REFUSED.as_bytes()).expect("answered");
+    let mut first = next_call(&calls);
+    first.answer(REJECTED);
     assert_eq!(outcome(&reports), (1, Outcome::Rejected));
     transport.send(attempt(2), &request(2), AttemptLimits::with_timeout(LONG));
-    let (second, mut other) = next(&calls);
-    let _ = back.write_all(REFUSED.as_bytes()); // the connection may be closed
-    other
-        .write_all(served(Some(2)).as_bytes())
-        .expect("answered");
+    let mut second = next_call(&calls);
+    let _ = first.stream.write_all(REJECTED.as_bytes()); // the connection may be closed
+    second.answer(&served(Some(2)));
     assert_eq!(outcome(&reports), (2, Outcome::Ok));
-    assert_ne!(first, second, "a connection of its own");
+    assert_ne!(
+        first.connection, second.connection,
+        "a connection of its own"
+    );
 }
 
 /// An answer comes twice, the second time behind the next call on the connection: it names another, so what became of
@@ -192,13 +206,14 @@
         reports,
         calls,
         first,
-        ..
     } = served_call();
     transport.send(attempt(2), &request(2), AttemptLimits::with_timeout(LONG));
-    let (second, mut back) = next(&calls);
-    assert_eq!(first, second, "a kept connection is used again");
-    back.write_all(served(Some(1)).as_bytes())
-        .expect("answered");
+    let mut second = next_call(&calls);
+    assert_eq!(
+        first.connection, second.connection,
+        "a kept connection is used again"
+    );
+    second.answer(&served(Some(1)));
     assert_eq!(outcome(&reports), (2, Outcome::Reset));
 }
 
@@ -211,17 +226,18 @@
     #[case] kept: bool,
 ) {
     let (address, calls) = worker();
-    let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_LANE);
+    let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_CONNECTION);
     transport.send(attempt(1), &request(1), AttemptLimits::with_timeout(LONG));
-    let (first, mut back) = next(&calls);
-    back.write_all(served(id).as_bytes()).expect("answered");
+    let mut first = next_call(&calls);
+    first.answer(&served(id));
     assert_eq!(outcome(&reports), (1, Outcome::Ok));
     transport.send(attempt(2), &request(2), AttemptLimits::with_timeout(LONG));
-    assert_eq!(next(&calls).0 == first, kept);
+    let second = next_call(&calls);
+    assert_eq!(second.connection == first.connection, kept);
 }
 
 /// An answer comes twice and an order follows it: the order is not on that connection, where it would take the second
-/// answer for its own, leave its own to the next call and that one's to the call after it. A refusal of the one would
+/// answer for its own, leave its own to the next call and that one's to the call after it. A rejection of the one would
 /// prove of the other that it never ran; a schedule under load found that (`tests/schedules.rs`).
 #[test]
 fn an_order_does_not_share_a_connection_with_calls() {
@@ -230,18 +246,19 @@
         reports,
         calls,
         first,
-        ..
     } = served_call();
     transport.order(1, 7, 1);
-    let (ordered, mut back) = next(&calls);
-    assert_ne!(first, ordered, "a connection of its own");
-    back.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
-        .expect("answered");
+    let mut ordered = next_call(&calls);
+    assert_ne!(
+        first.connection, ordered.connection,
+        "a connection of its own"
+    );
+    ordered.answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
     assert_eq!(outcome(&reports), (usize::MAX, Outcome::Ok));
     transport.send(attempt(2), &request(2), AttemptLimits::with_timeout(LONG));
     assert_eq!(
-        next(&calls).0,
-        first,
+        next_call(&calls).connection,
+        first.connection,
         "the call's connection is still in use, the order's is not"
     );
 }
@@ -257,7 +274,7 @@
     fn state(&self) -> ClientState {
         if !self.said.swap(true, Ordering::AcqRel) {
             let mut worker = self.worker.lock().expect("sound");
-            worker.write_all(REFUSED.as_bytes()).expect("said");
+            worker.write_all(REJECTED.as_bytes()).expect("said");
             let since = Instant::now();
             while unacknowledged(&worker) && since.elapsed() < Duration::from_secs(20) {
                 std::thread::yield_now();
@@ -295,11 +312,10 @@
         reports,
         calls,
         first,
-        back,
     } = served_call();
     let plain = Arc::into_inner(request(2)).expect("ours alone");
     let client_probe = Meanwhile {
-        worker: Mutex::new(back),
+        worker: Mutex::new(first.stream),
         said: AtomicBool::new(false),
     };
     let call = Arc::new(Request {
@@ -307,9 +323,11 @@
         ..plain
     });
     transport.send(attempt(2), &call, AttemptLimits::with_timeout(LONG));
-    let (second, mut back) = next(&calls);
-    back.write_all(served(Some(2)).as_bytes())
-        .expect("answered");
+    let mut second = next_call(&calls);
+    second.answer(&served(Some(2)));
     assert_eq!(outcome(&reports), (2, Outcome::Ok));
-    assert_ne!(first, second, "a connection of its own");
+    assert_ne!(
+        first.connection, second.connection,
+        "a connection of its own"
+    );
 }
