--- a/wrenseam/tests/codecs.rs
+++ b/wrenseam/tests/codecs.rs
@@ -3,63 +3,9 @@
 use wrenseam::discovery::client::{endpoints, instances, Events, Said};
 use wrenseam::http::{Chunked, Coded, Head};
 use wrenseam::model::TransportProtocol;
-use wrenseam::ring::Ring;
-use wrenseam::worker::frames::Decoder;
 use wrenseam_policy::json::{object, parse};
 use wrenseam_policy::WorkerState;
 
-fn answer(code: u8, body: &[u8]) -> Vec<u8> {
-    let mut frame = vec![
-        127,
-        code,
-        0,
-        0,
-        0,
-        0,
-        0,
-        body.len() as u8,
-        0,
-        0,
-        0,
-        0,
-        0,
-        0,
-        0,
-        9,
-    ];
-    frame.extend(body);
-    frame.extend(crc32fast::hash(body).to_be_bytes());
-    frame
-}
-
-/// Frames come out whole however they are cut, also across the ring's edge.
-#[rstest]
-fn frames_are_put_together(#[values(1, 3, 7, 50)] piece: usize) {
-    let (mut ring, mut decoder, mut bodies) = (Ring::new(64), Decoder::default(), Vec::new());
-    let stream = [answer(200, b"one"), answer(202, b""), answer(200, b"three")].concat();
-    for part in stream.chunks(piece) {
-        assert_eq!(ring.push(part), part.len());
-        while let Some(frame) = decoder.next(&mut ring, 100).expect("sound") {
-            assert_eq!(frame.id, 9);
-            bodies.push(frame.body);
-        }
-    }
-    assert_eq!(bodies, [&b"one"[..], b"", b"three"]);
-}
-
-/// A stream out of step is told from one that is merely not whole yet.
-#[rstest]
-#[case::mark(0, 126)]
-#[case::length(4, 255)]
-#[case::check_sum(19, 1)]
-fn bad_frames_are_refused(#[case] at: usize, #[case] byte: u8) {
-    let mut bytes = answer(200, b"body");
-    bytes[at] = byte;
-    let mut ring = Ring::new(64);
-    ring.push(&bytes);
-    assert!(Decoder::default().next(&mut ring, 100).is_err());
-}
-
 #[test]
 fn events_of_the_board_are_read() {
     let mut events = Events::default();
--- a/wrenseam/tests/transport.rs
+++ b/wrenseam/tests/transport.rs
@@ -5,11 +5,13 @@
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::atomic::Ordering;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::Receiver;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use wrenseam::model::{AttemptKey, Payload, Request};
 use wrenseam::queue::Message;
+use wrenseam::worker::frames::{encode, Frames};
 use wrenseam::worker::{AttemptLimits, CancelOutcome, ConnectionUsage, Transport};
 use wrenseam_policy::Outcome;
 
@@ -228,89 +230,144 @@
     table.lines().filter_map(queue).sum()
 }
 
-/// Calls lie behind a write that stalls while their clients leave. Once the worker reads, the half-written call is finished
-/// and no other is begun: nothing was claimed over the wait, however long that took.
-#[test]
-fn nothing_is_started_behind_a_stalled_write_once_its_client_left() {
-    let socket =
-        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    socket
-        .bind(
-            &"127.0.0.1:0"
-                .parse::<SocketAddr>()
-                .expect("an address")
-                .into(),
-        )
-        .expect("bound");
-    socket.listen(8).expect("listens");
-    let listener = TcpListener::from(socket);
+/// Bytes of a frame's header, of the bodies that cause a stall, and of a frame's checksum.
+const HEADER_BYTES: usize = 16;
+const LARGE_BODY_BYTES: usize = 16_000;
+const CHECKSUM_BYTES: usize = 4;
+
+/// Attempts of a stalled transport: many more than its worker's buffers hold.
+const STALLED_ATTEMPTS: u64 = 900;
+
+/// A transport whose writes stall, as its worker does not read.
+struct StalledTransport {
+    transport: Frames,
+    reports: Receiver<Message>,
+    /// The worker's side of the connection.
+    stream: TcpStream,
+    /// Set once the client of all attempts has left.
+    client_gone: Arc<AtomicBool>,
+    /// Attempts of which a byte is written.
+    started: u64,
+}
+
+/// The key of an attempt of a stalled transport.
+fn stalled_key(number: u64) -> AttemptKey {
+    AttemptKey {
+        request: number,
+        attempt: 0,
+    }
+}
+
+/// Sends attempts until writes stall.
+fn stalled_transport() -> StalledTransport {
+    let listener = listener_with_backlog(8);
     let address = listener.local_addr().expect("bound");
-    let (mut transport, reports) = transport(address, |l| {
-        (l.streams, l.write_check, l.write_stall) =
-            (1_000, Duration::from_secs(1), Duration::from_secs(20));
+    let (mut transport, reports) = transport(address, |limits| {
+        limits.streams = 1_000;
+        limits.write_check = Duration::from_secs(1);
+        limits.write_stall = Duration::from_secs(20);
     });
-    let gone = Arc::new(std::sync::atomic::AtomicBool::new(false));
-    let call = |n: u64| {
-        let body = Payload::Bytes(vec![n as u8; 16_000]);
-        let plain = Arc::into_inner(request(n)).expect("ours alone");
-        Arc::new(Request {
-            payload: body,
-            client_gone: gone.clone(),
+    let client_gone = Arc::new(AtomicBool::new(false));
+    for number in 0..STALLED_ATTEMPTS {
+        let plain = Arc::into_inner(request(number)).expect("ours alone");
+        let large = Arc::new(Request {
+            payload: Payload::Bytes(vec![number as u8; LARGE_BODY_BYTES]),
+            client_gone: client_gone.clone(),
             ..plain
-        })
-    };
-    let all = 900;
-    for n in 0..all {
-        transport.send(
-            AttemptKey {
-                request: n,
-                attempt: 0,
-            },
-            &call(n),
-            AttemptLimits::with_timeout(LONG_TIMEOUT),
-        );
+        });
+        let limits = AttemptLimits::with_timeout(LONG_TIMEOUT);
+        transport.send(stalled_key(number), &large, limits);
     }
-    let mut stream = listener.accept().expect("a connection").0;
-    let (mut written, mut same) = (0, 0);
-    while same < 60 {
+    let stream = listener.accept().expect("a connection").0;
+    let written = written_once_stalled(&stream);
+    let mut header = [0; HEADER_BYTES];
+    stream.peek(&mut header).expect("a frame");
+    let fields = usize::from(u16::from_be_bytes([header[2], header[3]]));
+    let started = written.div_ceil(HEADER_BYTES + fields + LARGE_BODY_BYTES + CHECKSUM_BYTES);
+    assert!(
+        (started as u64) < STALLED_ATTEMPTS - 100,
+        "{started} of {STALLED_ATTEMPTS} were written: no stall"
+    );
+    StalledTransport {
+        transport,
+        reports,
+        stream,
+        client_gone,
+        started: started as u64,
+    }
+}
+
+/// A listener whose queue holds so many connections.
+fn listener_with_backlog(backlog: i32) -> TcpListener {
+    let socket =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    let address: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+    socket.bind(&address.into()).expect("bound");
+    socket.listen(backlog).expect("listens");
+    TcpListener::from(socket)
+}
+
+/// Waits until nothing more is written to a connection for 0.6 s. Returns the bytes that were.
+fn written_once_stalled(stream: &TcpStream) -> usize {
+    const LOOKS: usize = 60;
+    let mut written = 0;
+    let mut unchanged = 0;
+    while unchanged < LOOKS {
         std::thread::sleep(Duration::from_millis(10));
-        let now = unread(&stream);
-        same = if now == written && now > 0 {
-            same + 1
+        let now = unread(stream);
+        if now == written && now > 0 {
+            unchanged += 1;
         } else {
-            0
-        };
+            unchanged = 0;
+        }
         written = now;
     }
-    gone.store(true, Ordering::Release);
-    let mut head = [0; 16];
-    stream.peek(&mut head).expect("a frame");
-    let begun =
-        written.div_ceil(16 + usize::from(u16::from_be_bytes([head[2], head[3]])) + 16_000 + 4);
-    assert!(
-        (begun as u64) < all - 100,
-        "{begun} of {all} were written: no stall"
-    );
-    (0..begun).for_each(|_| {
-        assert_eq!(
-            frame(&mut stream).1,
-            CODE_CALL,
-            "what was begun comes whole"
-        )
-    });
+    written
+}
+
+/// Attempts lie behind a write that stalls while their clients leave. Once the worker reads, the half-written one is
+/// finished and no other is started: nothing was claimed over the wait, however long that took.
+#[test]
+fn nothing_is_started_behind_a_stalled_write_once_its_client_left() {
+    let StalledTransport {
+        transport: _transport,
+        reports,
+        mut stream,
+        client_gone,
+        started,
+    } = stalled_transport();
+    client_gone.store(true, Ordering::Release);
+    for _ in 0..started {
+        let (_, code) = frame(&mut stream);
+        assert_eq!(code, CODE_CALL, "what was started comes completely");
+    }
     stream
         .set_read_timeout(Some(Duration::from_secs(1)))
         .expect("set");
-    let more = stream.peek(&mut head);
+    let more = stream.peek(&mut [0; HEADER_BYTES]);
     assert!(
         more.is_err(),
-        "more than the {begun} calls that were begun when their clients left: {more:?}"
+        "more than the {started} attempts that were started when their clients left: {more:?}"
     );
     // All others end at once, also those that did not fit into the ring.
-    let not_sent = (begun as u64..all)
+    let not_sent = (started..STALLED_ATTEMPTS)
         .filter(|_| outcome(&reports).1 == Outcome::NotSent)
         .count();
-    assert_eq!(not_sent as u64, all - begun as u64);
+    assert_eq!(not_sent as u64, STALLED_ATTEMPTS - started);
+}
+
+/// What lies behind a stalled write, in the ring of its connection, can be reclaimed: it is known that it never ran.
+#[test]
+fn what_lies_behind_a_stalled_write_is_reclaimed() {
+    let mut stalled = stalled_transport();
+    // The next frame may just be tried; the one behind it is not, and lies in the ring too.
+    let key = stalled_key(stalled.started + 1);
+    assert_eq!(stalled.transport.cancel(key), CancelOutcome::NeverStarted);
+    assert_eq!(
+        stalled.transport.cancel(stalled_key(0)),
+        CancelOutcome::PendingConfirmation,
+        "it has been written"
+    );
 }
 
 /// Guards descriptors: an order that gets no answer must not hold its connection for ever.
@@ -367,7 +424,7 @@
     transport.close_idle();
     assert_eq!(transport.connections().open, 1);
     let id = u64::from_be_bytes(frame[8..16].try_into().expect("eight bytes"));
-    let mut answer = wrenseam::worker::frames::encode(CODE_OK, id, "slots_up=1", &[]);
+    let mut answer = encode(CODE_OK, id, "slots_up=1", &[]);
     answer[0] = 127;
     stream.write_all(&answer).expect("answered");
     assert!(matches!(
