--- a/wrenseam/src/worker/dispatch.rs
+++ b/wrenseam/src/worker/dispatch.rs
@@ -17,7 +17,7 @@
 /// How long the writer waits each time, so that the reader has its turn.
 pub const CLIENT_INPUT_WAIT: Duration = Duration::from_millis(1);
 
-/// Where a dispatch stands.
+/// The state of a dispatch.
 ///
 /// | from | to | by |
 /// | --- | --- | --- |
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Where it stands now.
+    /// Its current state.
     pub fn state(&self) -> DispatchState {
         self.state.load()
     }
--- a/wrenseam/src/worker/frames/outgoing.rs
+++ b/wrenseam/src/worker/frames/outgoing.rs
@@ -15,7 +15,7 @@
 
 /// How far a cancelled exchange had come.
 enum Withdrawn {
-    /// A byte of it is written: its worker is to be told, by this id.
+    /// A byte of it is written: its worker is to be notified, by this id.
     Written(u64),
     /// No byte of it was or will be written.
     Cut,
@@ -144,12 +144,12 @@
             self.report_cancelled(key);
         }
         for outbound in std::mem::take(&mut self.waiting) {
-            self.refuse(outbound);
+            self.end_refused(outbound);
         }
     }
 
     /// Ends what came after the connection had ended.
-    pub(super) fn refuse(&self, outbound: Outbound) {
+    pub(super) fn end_refused(&self, outbound: Outbound) {
         if let Outbound::Open(exchange) = outbound {
             self.end_unwritten(&exchange, Outcome::ConnectFailed);
         }
@@ -167,7 +167,7 @@
             return Err(WriteError::Poisoned);
         };
         if table.closed || table.open.contains_key(&exchange.id) {
-            // Two exchanges under one id could not be told apart: the later one is not sent.
+            // Two exchanges under one id could not be distinguished: the later one is not sent.
             drop(table);
             self.end_unwritten(&exchange, Outcome::ConnectFailed);
             return Ok(());
@@ -201,7 +201,7 @@
         self.ring.push(frame);
     }
 
-    /// Cancels an exchange. An order stands, whether its answer is awaited or not: its worker is not told.
+    /// Cancels an exchange. An order stands, whether its answer is awaited or not: its worker is not notified.
     fn cancel(&mut self, kind: ExchangeKind) {
         let withdrawn = self.withdraw(kind);
         let ExchangeKind::Attempt(key) = kind else {
--- a/wrenseam/src/worker/frames/writer.rs
+++ b/wrenseam/src/worker/frames/writer.rs
@@ -66,7 +66,7 @@
         // The core drops its end of the queue at its sweep.
         while let Ok(command) = commands.recv() {
             if let Command::Write(outbound) = command {
-                self.outgoing.refuse(outbound);
+                self.outgoing.end_refused(outbound);
             }
         }
     }
--- a/wrenseam/src/worker/kserve/connection.rs
+++ b/wrenseam/src/worker/kserve/connection.rs
@@ -61,7 +61,7 @@
     /// Carries out an exchange and reports its end.
     fn carry_out(&mut self, exchange: &Exchange) {
         let end = match self.exchange(exchange) {
-            // The connection has ended, by which the worker is told.
+            // The connection has ended, by which the worker is notified.
             Err(Outcome::Reset) if exchange.is_cancelled() => Err(Outcome::Cancelled),
             end => end,
         };
--- a/wrenseam/src/worker/kserve/exchange.rs
+++ b/wrenseam/src/worker/kserve/exchange.rs
@@ -9,7 +9,7 @@
 /// An attempt on its way.
 pub(super) struct Call {
     pub(super) key: AttemptKey,
-    /// The id that the worker is told.
+    /// The id that the worker sees.
     pub(super) wire_id: u64,
     /// Whether its body is one of the platform's protocol, so that the answer must be unwrapped.
     pub(super) is_wrapped: bool,
--- a/wrenseam/src/worker/kserve/messages.rs
+++ b/wrenseam/src/worker/kserve/messages.rs
@@ -148,7 +148,7 @@
     }
 }
 
-/// An id as a front end gives it; others were given by whoever chose them and say nothing here.
+/// An id as a front end writes it; any other says nothing here.
 fn parse_id(text: &str) -> Option<u64> {
     let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
     if text.len() != ID_DIGITS || !is_hex {
--- a/wrenseam/src/worker/kserve/mod.rs
+++ b/wrenseam/src/worker/kserve/mod.rs
@@ -167,12 +167,10 @@
     fn send(&mut self, key: AttemptKey, request: &Arc<Request>, limits: AttemptLimits) {
         let budget = limits.answer_timeout;
         let path = format!("/v2/models/{:016x}/infer", request.function);
-        let (bytes, is_wrapped) = match &request.payload {
-            Payload::Json(body) => (self.post(&path, budget, body), false),
-            Payload::Bytes(body) => {
-                let wrapped = wrap_call(request, body, budget);
-                (self.post(&path, budget, &wrapped), true)
-            }
+        let is_wrapped = matches!(request.payload, Payload::Bytes(_));
+        let bytes = match &request.payload {
+            Payload::Json(body) => self.post(&path, budget, body),
+            Payload::Bytes(body) => self.post(&path, budget, &wrap_call(request, body, budget)),
         };
         self.open(NewExchange {
             kind: ExchangeKind::Call(Call {
--- a/wrenseam/src/worker/mod.rs
+++ b/wrenseam/src/worker/mod.rs
@@ -23,7 +23,7 @@
 pub enum CancelOutcome {
     /// No byte of it was or will be written: it never ran, and no report follows.
     NeverStarted,
-    /// It may run. A report follows once its worker has been told, or its connection has ended.
+    /// It may run. A report follows once its worker has been notified, or its connection has ended.
     PendingConfirmation,
     /// This transport has no such attempt open.
     Unknown,
--- a/wrenseam/tests/broken_connections.rs
+++ b/wrenseam/tests/broken_connections.rs
@@ -123,7 +123,7 @@
     )
 }
 
-/// The worker has read the frame whole and ends its connection while the write that carried it has not returned: the
+/// The worker has read the complete frame and ends its connection while the write that carried it has not returned: the
 /// call may have run, and is not reported as one that never did.
 #[rstest]
 fn a_frame_whose_write_has_not_returned_may_have_run(#[values("close", "reset")] end: &str) {
@@ -134,7 +134,7 @@
         let_go,
         mut stream,
     } = held_call();
-    assert_eq!(frame(&mut stream), (9, CODE_CALL), "it has come whole");
+    assert_eq!(frame(&mut stream), (9, CODE_CALL), "it has come completely");
     is_written
         .recv_timeout(Duration::from_secs(20))
         .expect("written");
@@ -144,7 +144,7 @@
     }
     if let Ok(Message::AttemptEnded { key: _, report }) = reports.recv_timeout(HELD) {
         panic!(
-            "{:?} was told while the write had not returned",
+            "{:?} was reported while the write had not returned",
             report.outcome
         );
     }
@@ -156,12 +156,12 @@
 #[test]
 fn an_end_counts_the_write_that_is_being_made() {
     let progress = Arc::new(Progress::default());
-    let (told, total) = channel();
+    let (sender, total) = channel();
     let (ending, begins) = channel();
     let ended = progress.clone();
     let other = std::thread::spawn(move || {
         begins.recv().expect("a write is being made");
-        told.send(ended.end()).expect("heard");
+        sender.send(ended.end()).expect("heard");
     });
     let during = progress.write(|| {
         ending.send(()).expect("the other waits");
@@ -172,7 +172,7 @@
         Ok(10)
     });
     assert_eq!(during.expect("written"), 10);
-    assert_eq!(total.recv().expect("told"), 10);
+    assert_eq!(total.recv().expect("reported"), 10);
     other.join().expect("ended");
     assert!(progress.write(|| panic!("written after the end")).is_err());
 }
@@ -199,7 +199,7 @@
     is_written.recv().expect("the cancellation is written");
     assert!(
         reports.try_recv().is_err(),
-        "told before its write returned"
+        "reported before its write returned"
     );
     let_go.send(()).expect("the write waits");
     assert_eq!(outcome(&reports), (0, Outcome::Cancelled));
--- a/wrenseam/tests/dispatch.rs
+++ b/wrenseam/tests/dispatch.rs
@@ -9,7 +9,7 @@
     Dispatch::new(Arc::default(), Instant::now() + Duration::from_secs(60))
 }
 
-/// Of two that cross, the first decides and the other is told.
+/// Of two that cross, the first decides and the other is notified.
 #[test]
 fn an_attempt_is_started_or_reclaimed_never_both() {
     let now = Instant::now();
--- a/wrenseam/tests/transport.rs
+++ b/wrenseam/tests/transport.rs
@@ -53,7 +53,7 @@
 // Guards workers from attempts for nobody.
 #[case::its_client_leaves(Waiting::Attempt, EndedBy::ClientLeft)]
 #[case::its_time_is_up(Waiting::Attempt, EndedBy::Timeout)]
-// Whoever cancels it ends it, and is told that nothing ran.
+// Whoever cancels it ends it, and is notified that nothing ran.
 #[case::it_is_cancelled(Waiting::Attempt, EndedBy::Cancel)]
 fn what_ends_while_its_connection_comes_up_is_not_written(
     #[case] waiting: Waiting,
@@ -134,7 +134,7 @@
     assert_eq!(
         outcome(&reports),
         (0, Outcome::Cancelled),
-        "its worker has been told"
+        "its worker has been notified"
     );
     transport.send(SECOND, &request, AttemptLimits::with_timeout(LONG_TIMEOUT));
     let mut second = listener.accept().expect("a connection of its own").0;
