--- a/wrenseam/src/core/attempts.rs
+++ b/wrenseam/src/core/attempts.rs
@@ -2,7 +2,7 @@
 use super::timers::TimerEvent;
 use super::Core;
 use crate::model::{Answer, AttemptKey, AttemptReport, Request};
-use crate::worker::{GiveUp, Terms};
+use crate::worker::{AttemptLimits, CancelOutcome};
 use std::sync::atomic::Ordering;
 use std::time::Instant;
 use wrenseam_policy::{AttemptResult, Event, Micros, Outcome};
@@ -38,11 +38,11 @@
                 self.end_attempt(key, AttemptReport::without_payload(Outcome::Rejected));
             }
             Some(transport) if startable => {
-                let terms = Terms {
-                    budget,
-                    whole_by: write_by,
+                let limits = AttemptLimits {
+                    answer_timeout: budget,
+                    write_deadline: write_by,
                 };
-                transport.send(key, &request, terms);
+                transport.send(key, &request, limits);
                 self.requests.mark_handed_over(key);
                 self.request_counters.record_attempt_sent();
                 let timeout_at = now.saturating_add(budget);
@@ -77,9 +77,11 @@
         };
         let answer_owed = !self.requests.is_answered(key.request);
         match self.workers.cancel(attempt.worker(), key) {
-            GiveUp::NeverBegun => self.finish_attempt(key, Outcome::NotSent),
-            GiveUp::Pending if answer_owed => {}
-            GiveUp::Pending | GiveUp::Unknown => self.finish_attempt(key, Outcome::Cancelled),
+            CancelOutcome::NeverStarted => self.finish_attempt(key, Outcome::NotSent),
+            CancelOutcome::PendingConfirmation if answer_owed => {}
+            CancelOutcome::PendingConfirmation | CancelOutcome::Unknown => {
+                self.finish_attempt(key, Outcome::Cancelled)
+            }
         }
     }
 
--- a/wrenseam/src/core/tables/workers.rs
+++ b/wrenseam/src/core/tables/workers.rs
@@ -1,8 +1,8 @@
 //! The listed workers with the transports that lead to them, and the bound on connections over all of them.
 use crate::discovery::membership::ConnectionAction;
 use crate::model::{AttemptKey, Endpoint};
-use crate::worker::pool::{longest_idle, Pool};
-use crate::worker::{GiveUp, Transport};
+use crate::worker::pool::{longest_idle, ConnectionCounts, IdleConnection, Pool};
+use crate::worker::{CancelOutcome, Transport};
 use std::collections::btree_map::{BTreeMap, Entry};
 use wrenseam_policy::{FunctionId, WorkerState};
 
@@ -39,7 +39,7 @@
         connect: impl FnOnce() -> Box<dyn Transport>,
     ) {
         if action != ConnectionAction::Keep {
-            self.transport.retire();
+            self.transport.drain();
         }
         if action == ConnectionAction::Connect {
             let former = std::mem::replace(&mut self.transport, connect());
@@ -49,11 +49,11 @@
     }
 
     /// Cancels an attempt at whichever transport holds it.
-    fn cancel(&mut self, key: AttemptKey) -> GiveUp {
-        let mut result = GiveUp::Unknown;
+    fn cancel(&mut self, key: AttemptKey) -> CancelOutcome {
+        let mut result = CancelOutcome::Unknown;
         for transport in self.transports_mut() {
             let cancelled = transport.cancel(key);
-            if cancelled != GiveUp::Unknown {
+            if cancelled != CancelOutcome::Unknown {
                 result = cancelled;
             }
         }
@@ -111,17 +111,17 @@
     }
 
     /// Cancels an attempt at a worker.
-    pub fn cancel(&mut self, worker: &str, key: AttemptKey) -> GiveUp {
+    pub fn cancel(&mut self, worker: &str, key: AttemptKey) -> CancelOutcome {
         self.0
             .get_mut(worker)
-            .map_or(GiveUp::Unknown, |worker| worker.cancel(key))
+            .map_or(CancelOutcome::Unknown, |worker| worker.cancel(key))
     }
 
     /// Stops waiting for the answer to a load order, at whichever transport it went to.
     pub fn abandon_load_order(&mut self, worker: &str, order: u64) {
         if let Some(worker) = self.0.get_mut(worker) {
             for transport in worker.transports_mut() {
-                transport.lapse(order);
+                transport.abandon_order(order);
             }
         }
     }
@@ -137,7 +137,7 @@
     pub fn check_liveness(&mut self) {
         for worker in self.0.values_mut() {
             for transport in worker.transports_mut() {
-                transport.pulse();
+                transport.check_keepalive();
             }
         }
     }
@@ -168,20 +168,29 @@
         let needs_connection = self
             .0
             .get(worker)
-            .is_some_and(|worker| worker.transport.connections().1);
+            .is_some_and(|worker| worker.transport.connections().next_attempt_opens);
         !needs_connection || self.trim(1, pool, clients)
     }
 
     /// Closes the connections idle longest until `more` may be opened; false if too many are in use.
     pub fn trim(&mut self, more: usize, pool: Pool, clients: usize) -> bool {
-        let excess = pool.over(self.connections(), more, clients);
+        let excess = pool.excess(ConnectionCounts {
+            open: self.connections(),
+            additional: more,
+            clients,
+        });
         if excess == 0 {
             return true;
         }
         let idle = self
             .0
             .iter()
-            .filter_map(|(id, worker)| Some((id.clone(), worker.transport.idle_since()?)))
+            .filter_map(|(id, worker)| {
+                Some(IdleConnection {
+                    worker: id.clone(),
+                    idle_since: worker.transport.idle_since()?,
+                })
+            })
             .collect();
         let closing = longest_idle(idle, excess);
         for id in &closing {
@@ -197,7 +206,7 @@
         self.0
             .values()
             .flat_map(Worker::transports)
-            .map(|transport| transport.connections().0)
+            .map(|transport| transport.connections().open)
             .sum()
     }
 }
--- a/wrenseam/src/core/timer_events.rs
+++ b/wrenseam/src/core/timer_events.rs
@@ -2,7 +2,7 @@
 use super::timers::TimerEvent;
 use super::{Core, IDLE_SWEEP_PERIOD};
 use crate::model::{Answer, AttemptKey, AttemptReport};
-use crate::worker::GiveUp;
+use crate::worker::CancelOutcome;
 use std::sync::atomic::Ordering;
 use wrenseam_policy::{Event, Outcome};
 
@@ -26,8 +26,8 @@
         };
         let outcome = match self.workers.cancel(attempt.worker(), key) {
             // It provably never ran, so its class may allow another attempt.
-            GiveUp::NeverBegun => Outcome::ConnectFailed,
-            GiveUp::Pending | GiveUp::Unknown => Outcome::Timeout,
+            CancelOutcome::NeverStarted => Outcome::ConnectFailed,
+            CancelOutcome::PendingConfirmation | CancelOutcome::Unknown => Outcome::Timeout,
         };
         self.handle_attempt_end(key, AttemptReport::without_payload(outcome));
     }
--- /dev/null
+++ b/wrenseam/src/worker/kserve/connection.rs
@@ -0,0 +1,240 @@
+//! One connection to a v2 worker: an exchange at a time, and what is known of each when the connection ends.
+use super::super::dispatch::{StartResult, CLIENT_INPUT_WAIT};
+use super::super::log_lines;
+use super::super::socket::{has_no_unread_input, stalled_write_pause};
+use super::answer::{Answer, AnswerReader};
+use super::exchange::{Call, Exchange, ExchangeKind, Order, WorkerConnections};
+use super::messages::{answer_owner, attempt_report, load_report, AnswerOwner, LoadReport, Reply};
+use crate::limits::Limits;
+use crate::model::AttemptReport;
+use crate::net::{back, pause, Failure, SystemCalls};
+use crate::queue::CoreHandle;
+use may::net::TcpStream;
+use may::sync::mpmc::Receiver;
+use std::net::SocketAddr;
+use std::sync::mpsc::RecvTimeoutError;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use wrenseam_policy::Outcome;
+
+/// A connection that is idle, and since when.
+pub(super) struct IdleStream {
+    stream: TcpStream,
+    since: Instant,
+}
+
+impl IdleStream {
+    /// Whether an exchange may go out on it: the worker is not about to close it, and nothing lies in it.
+    fn is_usable(&self, limits: &Limits) -> bool {
+        self.since.elapsed() < limits.worker_idle && has_no_unread_input(&self.stream)
+    }
+}
+
+/// The coroutine of one connection.
+pub(super) struct Connection {
+    pub(super) address: SocketAddr,
+    pub(super) limits: Arc<Limits>,
+    pub(super) reports: CoreHandle,
+    pub(super) calls: Arc<dyn SystemCalls>,
+    pub(super) shared: Arc<WorkerConnections>,
+    pub(super) idle: Option<IdleStream>,
+}
+
+impl Connection {
+    /// Carries out exchanges until the transport is dropped.
+    pub(super) fn run(mut self, queue: &Receiver<Exchange>) {
+        loop {
+            let next = queue.recv_timeout(self.limits.worker_idle);
+            back();
+            match next {
+                Ok(exchange) => {
+                    self.carry_out(&exchange);
+                    self.shared.count_ended();
+                }
+                // Guards against an exchange that crosses the worker's own close of an idle connection.
+                Err(RecvTimeoutError::Timeout) => self.idle = None,
+                Err(RecvTimeoutError::Disconnected) => return,
+            }
+        }
+    }
+
+    /// Carries out an exchange and reports its end.
+    fn carry_out(&mut self, exchange: &Exchange) {
+        let end = match self.exchange(exchange) {
+            // The connection has ended, by which the worker is notified.
+            Err(Outcome::Reset) if exchange.is_cancelled() => Err(Outcome::Cancelled),
+            end => end,
+        };
+        match &exchange.kind {
+            ExchangeKind::Call(call) => self.report_call(call, end),
+            ExchangeKind::Order(order) => self.report_order(order, end),
+            ExchangeKind::Unload => {}
+        }
+    }
+
+    fn report_call(&self, call: &Call, end: Result<Reply, Outcome>) {
+        let report = match end {
+            Ok(reply) => attempt_report(reply, call.is_wrapped),
+            Err(outcome) => AttemptReport::without_payload(outcome),
+        };
+        self.reports.attempt_ended(call.key, report);
+    }
+
+    fn report_order(&self, order: &Order, end: Result<Reply, Outcome>) {
+        let report = match end {
+            Ok(reply) => load_report(&reply, order),
+            Err(outcome) => LoadReport {
+                outcome,
+                replicas: 0,
+            },
+        };
+        self.reports
+            .load_order_ended(order.number, report.outcome, report.replicas);
+    }
+
+    /// Sends the request and reads the complete answer, or tells how far it came.
+    fn exchange(&mut self, exchange: &Exchange) -> Result<Reply, Outcome> {
+        if self.is_withheld(exchange) {
+            return Err(Outcome::NotSent);
+        }
+        let mut stream = match &exchange.kind {
+            ExchangeKind::Call(_) => self.started_stream(exchange)?,
+            // Their answers name no call: one that came twice would put every later answer on its connection off by
+            // one.
+            ExchangeKind::Order(_) | ExchangeKind::Unload => self.new_started_stream(exchange)?,
+        };
+        self.write(&stream, exchange)?;
+        let answer = AnswerReader::new(&self.limits)
+            .read(&mut stream, exchange)
+            .map_err(|reason| {
+                if !exchange.is_cancelled() {
+                    note!("{}", log_lines::answer_lost(self.address, &reason));
+                }
+                // Completely written and no complete answer: it may have run.
+                Outcome::Reset
+            })?;
+        let owner = match &exchange.kind {
+            ExchangeKind::Call(call) => answer_owner(&answer.reply, call.wire_id),
+            ExchangeKind::Order(_) | ExchangeKind::Unload => AnswerOwner::Unstated,
+        };
+        if owner == AnswerOwner::OtherCall {
+            note!("{}", log_lines::answer_mismatched(self.address));
+            return Err(Outcome::Reset); // nothing is known of this one
+        }
+        if owner == AnswerOwner::ThisCall {
+            self.keep_reusable(stream, &answer);
+        }
+        Ok(answer.reply)
+    }
+
+    /// Keeps the connection for the next call, if it can carry another. Only an answer that names its call allows that.
+    /// Were a second one to come late, the next call would else take it for its own, and its own would reach the call
+    /// after it: a rejection among them proves of the wrong call that it never ran.
+    fn keep_reusable(&mut self, stream: TcpStream, answer: &Answer) {
+        if answer.is_reusable && answer.reply.status == 200 {
+            self.idle = Some(IdleStream {
+                stream,
+                since: Instant::now(),
+            });
+        }
+    }
+
+    /// Whether an exchange may no longer be started.
+    fn is_withheld(&self, exchange: &Exchange) -> bool {
+        let has_drained = exchange.drain_epoch != self.shared.drain_epoch();
+        exchange.is_cancelled() || has_drained && exchange.withheld_on_drain
+    }
+
+    /// Starts an exchange. Returns whether its first byte may be written now.
+    fn try_start(&self, exchange: &Exchange) -> bool {
+        loop {
+            let start = exchange.dispatch.try_start(Instant::now());
+            if self.is_withheld(exchange) {
+                return false;
+            }
+            match start {
+                StartResult::Started => return true,
+                StartResult::Discarded | StartResult::AlreadyFinal => return false,
+                StartResult::ClientInputUnread => pause(CLIENT_INPUT_WAIT),
+            }
+        }
+    }
+
+    /// A connection on which the exchange has been started: its first byte is to be written now.
+    fn started_stream(&mut self, exchange: &Exchange) -> Result<TcpStream, Outcome> {
+        if let Some(idle) = self.idle.take() {
+            if idle.is_usable(&self.limits) {
+                if !self.try_start(exchange) {
+                    self.idle = Some(idle);
+                    return Err(Outcome::NotSent);
+                }
+                // What came while the exchange waited to be started is no answer to it.
+                if idle.is_usable(&self.limits) {
+                    return Ok(idle.stream);
+                }
+                exchange.dispatch.revert_start();
+            }
+        }
+        self.new_started_stream(exchange)
+    }
+
+    /// A new connection on which the exchange has been started.
+    fn new_started_stream(&self, exchange: &Exchange) -> Result<TcpStream, Outcome> {
+        let stream = self.connect().map_err(|reason| {
+            note!("{}", log_lines::not_connected(self.address, &reason));
+            Outcome::ConnectFailed
+        })?;
+        if self.try_start(exchange) {
+            Ok(stream)
+        } else {
+            Err(Outcome::NotSent)
+        }
+    }
+
+    fn connect(&self) -> std::io::Result<TcpStream> {
+        let stream = self.calls.connect(&self.address, self.limits.connect)?;
+        stream.set_nodelay(true)?;
+        stream.set_read_timeout(Some(self.limits.write_check))?;
+        Ok(stream)
+    }
+
+    /// Writes the request. On an error it is not completely written, and nothing can have run.
+    fn write(&self, stream: &TcpStream, exchange: &Exchange) -> Result<(), Outcome> {
+        let mut remaining = &exchange.request[..];
+        let mut stalled = Duration::ZERO;
+        while !remaining.is_empty() {
+            match self.calls.write(stream, remaining) {
+                Ok(count) if count > 0 => {
+                    stalled = Duration::ZERO;
+                    remaining = &remaining[count..];
+                }
+                Err(error)
+                    if Failure::of(&error) != Failure::Over
+                        && stalled < self.limits.write_stall =>
+                {
+                    let is_unwritten = remaining.len() == exchange.request.len();
+                    stalled += self.wait_stalled(exchange, is_unwritten)?;
+                }
+                _ => return Err(Outcome::ConnectFailed),
+            }
+        }
+        Ok(())
+    }
+
+    /// Waits before a write is tried again, and returns for how long. As with frames, nothing is claimed while it
+    /// waits: an exchange of which no byte is written has to be started anew.
+    fn wait_stalled(&self, exchange: &Exchange, is_unwritten: bool) -> Result<Duration, Outcome> {
+        if is_unwritten {
+            exchange.dispatch.revert_start();
+        }
+        let span = stalled_write_pause(&self.limits);
+        pause(span);
+        if is_unwritten && !self.try_start(exchange) {
+            return Err(Outcome::NotSent);
+        }
+        if exchange.dispatch.is_past_write_deadline(Instant::now()) {
+            return Err(Outcome::ConnectFailed); // it never comes completely: the connection ends here
+        }
+        Ok(span)
+    }
+}
--- a/wrenseam/tests/send_queue.rs
+++ b/wrenseam/tests/send_queue.rs
@@ -1,134 +1,134 @@
-//! Who decides whether a waiting frame is begun, and what is cut out of a connection's queue.
+//! What is claimed from a connection's queue, and what is cut out of it.
 use rstest::rstest;
-use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use wrenseam::model::AttemptKey;
-use wrenseam::worker::frames::send_queue::{Cut, QueuedFrame, SendQueue};
-use wrenseam::worker::ticket::{Begin, Ticket};
+use wrenseam::worker::dispatch::Dispatch;
+use wrenseam::worker::frames::send_queue::{Claim, ClaimScope, Cut, QueuedFrame, SendQueue};
 
-fn ticket() -> Arc<Ticket> {
-    Ticket::new(Arc::default(), Instant::now() + Duration::from_secs(60))
+fn waiting() -> Arc<Dispatch> {
+    Dispatch::new(Arc::default(), Instant::now() + Duration::from_secs(60))
 }
 
-/// Of two that cross, the first decides and the other is told.
-#[test]
-fn a_call_is_begun_or_taken_back_never_both() {
-    let now = Instant::now();
-    let (first, second) = (ticket(), ticket());
-    assert!(first.take_back() && first.begin(now) == Begin::Back && !first.end());
-    assert!(second.begin(now) == Begin::Go && !second.take_back() && second.end());
-    let third = ticket();
-    assert_eq!(third.begin(now), Begin::Go);
-    third.release(); // no byte of it was written
-    assert!(third.take_back());
+fn claim(writable: usize, cuts: Vec<Cut>) -> Claim {
+    Claim { writable, cuts }
 }
 
-/// A client that has left, or a time that is up, voids what has not begun.
-#[test]
-fn nothing_is_begun_for_a_client_that_left_or_after_its_time() {
-    let (gone, now) = (Arc::new(AtomicBool::new(false)), Instant::now());
-    let for_client = Ticket::new(gone.clone(), now + Duration::from_secs(60));
-    gone.store(true, Ordering::Release);
-    assert_eq!(
-        (for_client.begin(now), for_client.take_back()),
-        (Begin::Void, false)
-    );
-    let late = Ticket::new(Arc::default(), now);
-    assert_eq!(late.begin(now + Duration::from_millis(1)), Begin::Void);
+/// Bytes of each queued frame.
+const FRAME_BYTES: usize = 10;
+
+/// What is taken out of the queue.
+#[derive(Clone, Copy, Debug)]
+enum TakenOut {
+    /// The frame of one exchange.
+    Exchange(u64),
+    /// All that is withheld on a drain.
+    Withheld,
+}
+
+/// A frame that opens an exchange.
+fn opening(id: u64, dispatch: Arc<Dispatch>) -> QueuedFrame {
+    QueuedFrame {
+        len: FRAME_BYTES,
+        id: Some(id),
+        withheld_on_drain: true,
+        dispatch: Some(dispatch),
+        confirms: None,
+    }
+}
+
+/// A frame that gets no answer.
+fn one_way(len: usize) -> QueuedFrame {
+    QueuedFrame {
+        len,
+        ..QueuedFrame::default()
+    }
 }
 
-/// Frames 1, 2 (an unload, owed nothing) and 3 of ten bytes each, of which so many are written; then one is taken
-/// back, or all bound ones are withheld. What is cut, and where the last one ends now.
+/// Frames 1, 2 (an unload, which gets no answer) and 3, of which so many bytes are written; then one is taken out, or
+/// all that are withheld on a drain. What is cut, and where the last one ends now.
 #[rstest]
-#[case::none_begun(0, Some(1), vec![(0, Some(1))], 20)]
-#[case::begun_in_part(1, Some(1), vec![], 30)]
-#[case::behind_a_begun_one(4, Some(3), vec![(16, Some(3))], 20)]
-#[case::a_drain(4, None, vec![(16, Some(3))], 20)]
-#[case::a_drain_before_any(0, None, vec![(0, Some(1)), (10, Some(3))], 10)]
-fn what_is_not_begun_is_cut_and_the_rest_moves_up(
+#[case::none_started(0, TakenOut::Exchange(1), vec![(0, Some(1))], 20)]
+#[case::started_in_part(1, TakenOut::Exchange(1), vec![], 30)]
+#[case::behind_a_started_one(4, TakenOut::Exchange(3), vec![(16, Some(3))], 20)]
+#[case::a_drain(4, TakenOut::Withheld, vec![(16, Some(3))], 20)]
+#[case::a_drain_before_any(0, TakenOut::Withheld, vec![(0, Some(1)), (10, Some(3))], 10)]
+fn what_is_not_started_is_cut_and_the_rest_moves_up(
     #[case] written: u64,
-    #[case] taken: Option<u64>,
-    #[case] cuts: Vec<(usize, Option<u64>)>,
+    #[case] taken_out: TakenOut,
+    #[case] expected: Vec<(usize, Option<u64>)>,
     #[case] end: u64,
 ) {
-    let mut line = SendQueue::default();
-    for id in [Some(1), None, Some(3)] {
-        line.join(QueuedFrame {
-            id,
-            bound: id.is_some(),
-            ticket: id.map(|_| ticket()),
-            len: 10,
-            ..QueuedFrame::default()
-        });
-    }
-    line.written(written);
-    let got = line.cut_where(written, |p| {
-        p.bound && taken.is_none_or(|t| p.id == Some(t))
+    let mut queue = SendQueue::default();
+    queue.push(opening(1, waiting()));
+    queue.push(one_way(FRAME_BYTES));
+    queue.push(opening(3, waiting()));
+    queue.advance(written);
+    let cuts = queue.cut_where(written, |frame| match taken_out {
+        TakenOut::Exchange(id) => frame.id == Some(id),
+        TakenOut::Withheld => frame.withheld_on_drain,
     });
-    assert_eq!(got.iter().map(|c| (c.at, c.id)).collect::<Vec<_>>(), cuts);
-    assert!(got.iter().all(|c| c.ends && c.len == 10));
+    let places: Vec<_> = cuts.iter().map(|cut| (cut.at, cut.id)).collect();
+    assert_eq!(places, expected);
+    assert!(cuts.iter().all(|cut| cut.ends && cut.len == FRAME_BYTES));
     assert_eq!(
-        line.join(QueuedFrame {
-            len: 5,
-            ..QueuedFrame::default()
-        }),
+        queue.push(one_way(5)),
         end + 5,
         "where the last one ends now"
     );
 }
 
-/// While a write stalls only the next frame is claimed: those behind can still be taken back.
+/// While a write stalls only the next frame is claimed: those behind can still be reclaimed.
 #[test]
-fn a_stalled_write_holds_one_frame_at_the_most() {
-    let (mut line, now) = (SendQueue::default(), Instant::now());
-    let tickets = [ticket(), ticket(), ticket()];
-    for (n, t) in tickets.iter().enumerate() {
-        line.join(QueuedFrame {
-            id: Some(n as u64),
-            bound: true,
-            ticket: Some(t.clone()),
-            len: 10,
-            ..QueuedFrame::default()
-        });
+fn a_stalled_write_claims_one_frame_at_the_most() {
+    let now = Instant::now();
+    let mut queue = SendQueue::default();
+    let dispatches = [waiting(), waiting(), waiting()];
+    for (id, dispatch) in (0..).zip(&dispatches) {
+        queue.push(opening(id, dispatch.clone()));
     }
-    assert_eq!(line.claim(0, now, false), (30, vec![]));
-    line.written(0); // nothing could be written
-    assert!(tickets[1].take_back());
-    assert_eq!(line.claim(0, now, true), (10, vec![]));
-    line.written(10);
+    assert_eq!(
+        queue.claim(0, now, ClaimScope::AllFrames),
+        claim(30, vec![])
+    );
+    queue.advance(0); // nothing could be written
+    assert!(dispatches[1].reclaim());
+    assert_eq!(
+        queue.claim(0, now, ClaimScope::NextFrame),
+        claim(10, vec![])
+    );
+    queue.advance(10);
     let cut = Cut {
         at: 0,
-        len: 10,
+        len: FRAME_BYTES,
         id: Some(1),
         ends: false,
     };
-    assert_eq!(line.claim(10, now, true), (10, vec![cut]));
+    assert_eq!(
+        queue.claim(10, now, ClaimScope::NextFrame),
+        claim(10, vec![cut])
+    );
 }
 
-/// An attempt counts as given up once the frame that says so is written whole, also where frames before it are cut.
+/// An attempt counts as cancelled once the frame that says so is completely written, also where frames before it are
+/// cut.
 #[test]
-fn a_give_up_is_confirmed_by_its_last_byte() {
-    let (mut line, now) = (SendQueue::default(), Instant::now());
-    let taken = ticket();
+fn a_cancellation_is_confirmed_by_its_last_byte() {
+    let now = Instant::now();
+    let mut queue = SendQueue::default();
+    let reclaimed = waiting();
     let key = AttemptKey {
         request: 7,
         attempt: 1,
     };
-    line.join(QueuedFrame {
-        id: Some(1),
-        ticket: Some(taken.clone()),
-        len: 10,
-        ..QueuedFrame::default()
-    });
-    line.join(QueuedFrame {
+    queue.push(opening(1, reclaimed.clone()));
+    queue.push(QueuedFrame {
         confirms: Some(key),
-        len: 20,
-        ..QueuedFrame::default()
+        ..one_way(20)
     });
-    assert!(taken.take_back());
-    assert_eq!(line.claim(0, now, false).0, 20);
-    assert_eq!(line.written(19), []);
-    assert_eq!(line.written(20), [key]);
-    assert_eq!(line.take_confirmations().count(), 0, "it is told once");
+    assert!(reclaimed.reclaim());
+    assert_eq!(queue.claim(0, now, ClaimScope::AllFrames).writable, 20);
+    assert_eq!(queue.advance(19), []);
+    assert_eq!(queue.advance(20), [key]);
+    assert_eq!(queue.take_confirmations().count(), 0, "it is told once");
 }
--- a/wrenseam/tests/transport.rs
+++ b/wrenseam/tests/transport.rs
@@ -5,106 +5,142 @@
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::atomic::Ordering;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::Receiver;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use wrenseam::model::{AttemptKey, Payload, Request};
 use wrenseam::queue::Message;
-use wrenseam::worker::{GiveUp, Terms, Transport};
+use wrenseam::worker::frames::{encode, Frames};
+use wrenseam::worker::{AttemptLimits, CancelOutcome, ConnectionUsage, Transport};
 use wrenseam_policy::Outcome;
 
+/// The codes of frames that the tests see or send.
+const CODE_CALL: u8 = 2;
+const CODE_CANCEL: u8 = 3;
+const CODE_OK: u8 = 200;
+const CODE_REJECTED: u8 = 203;
+
 const SECOND: AttemptKey = AttemptKey {
     request: 1,
     attempt: 1,
 };
 
+/// What waits for its connection.
+#[derive(Clone, Copy, Debug)]
+enum Waiting {
+    Order,
+    Attempt,
+}
+
+/// What ends it meanwhile.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum EndedBy {
+    Drain,
+    ClientLeft,
+    Timeout,
+    Cancel,
+}
+
+/// How long an attempt's answer is awaited, in microseconds: longer than the test lasts.
+const LONG_TIMEOUT: u64 = 20_000_000;
+
 /// What ends while it waits for a connection that comes up late: it is never written, and it is known that it never
 /// ran. The connection is held back until the other event has happened.
 #[rstest]
-// Guards rule 3.
-#[case::an_order_and_a_drain("order", "drain", Some(Outcome::NotSent))]
-#[case::a_call_and_a_drain("call", "drain", Some(Outcome::NotSent))]
-// Guards workers from calls for nobody.
-#[case::its_client_leaves("call", "leave", Some(Outcome::NotSent))]
-#[case::its_time_is_up("call", "late", Some(Outcome::NotSent))]
-// Whoever takes it back ends it, and is told that nothing ran.
-#[case::it_is_called_off("call", "cancel", None)]
+#[case::an_order_and_a_drain(Waiting::Order, EndedBy::Drain)]
+#[case::an_attempt_and_a_drain(Waiting::Attempt, EndedBy::Drain)]
+// Guards workers from attempts for nobody.
+#[case::its_client_leaves(Waiting::Attempt, EndedBy::ClientLeft)]
+#[case::its_time_is_up(Waiting::Attempt, EndedBy::Timeout)]
+// Whoever cancels it ends it, and is notified that nothing ran.
+#[case::it_is_cancelled(Waiting::Attempt, EndedBy::Cancel)]
 fn what_ends_while_its_connection_comes_up_is_not_written(
-    #[case] what: &str,
-    #[case] event: &str,
-    #[case] end: Option<Outcome>,
+    #[case] waiting: Waiting,
+    #[case] ended_by: EndedBy,
 ) {
     let (listener, address, fillers) = late_worker();
-    let (mut transport, reports) = transport(address, |l| l.connect = Duration::from_secs(20));
-    let (request, budget) = (request(9), if event == "late" { 1_000 } else { 20_000_000 });
-    match what {
-        "order" => transport.order(1, 7, 1),
-        _ => transport.send(FIRST, &request, Terms::within(budget)),
-    }
-    match event {
-        "drain" => transport.retire(),
-        "leave" => request.client_gone.store(true, Ordering::Release),
-        "cancel" => {
-            assert_eq!(
-                transport.cancel(FIRST),
-                GiveUp::NeverBegun,
-                "no byte of it can have been written"
-            )
-        }
-        _ => {
-            let since = Instant::now();
-            while since.elapsed() <= Duration::from_micros(budget) {
-                std::thread::yield_now();
-            }
+    let (mut transport, reports) = transport(address, |limits| {
+        limits.connect = Duration::from_secs(20);
+    });
+    let request = request(9);
+    let answer_timeout = match ended_by {
+        EndedBy::Timeout => 1_000,
+        _ => LONG_TIMEOUT,
+    };
+    match waiting {
+        Waiting::Order => transport.order(1, 7, 1),
+        Waiting::Attempt => {
+            let limits = AttemptLimits::with_timeout(answer_timeout);
+            transport.send(FIRST, &request, limits);
         }
     }
+    match ended_by {
+        EndedBy::Drain => transport.drain(),
+        EndedBy::ClientLeft => request.client_gone.store(true, Ordering::Release),
+        EndedBy::Timeout => spin_for(Duration::from_micros(answer_timeout)),
+        EndedBy::Cancel => assert_eq!(
+            transport.cancel(FIRST),
+            CancelOutcome::NeverStarted,
+            "no byte of it can have been written"
+        ),
+    }
     let mut accepted: Vec<TcpStream> = (0..=fillers.len())
         .map(|_| listener.accept().expect("one").0)
         .collect();
-    match end {
-        Some(end) => assert_eq!(outcome(&reports).1, end),
-        None => {
-            // The next call goes out on that connection, and nothing before it.
-            transport.send(SECOND, &self::request(10), Terms::within(budget));
-            assert_eq!(frame(accepted.last_mut().expect("the late one")), (10, 2));
-            say(accepted.last_mut().expect("the late one"), 203, 10, "", b"");
-            assert_eq!(outcome(&reports), (1, Outcome::Rejected));
-        }
+    let late = accepted.last_mut().expect("the late one");
+    if ended_by == EndedBy::Cancel {
+        // The next attempt goes out on that connection, and nothing before it.
+        let limits = AttemptLimits::with_timeout(answer_timeout);
+        transport.send(SECOND, &self::request(10), limits);
+        assert_eq!(frame(late), (10, CODE_CALL));
+        say(late, CODE_REJECTED, 10, "", b"");
+        assert_eq!(outcome(&reports), (1, Outcome::Rejected));
+    } else {
+        assert_eq!(outcome(&reports).1, Outcome::NotSent);
     }
     drop((transport, fillers)); // closes every connection from this side
     for mut stream in accepted {
-        let mut got = Vec::new();
-        stream.read_to_end(&mut got).expect("closed");
-        assert!(got.is_empty(), "{got:?}");
+        let mut received = Vec::new();
+        stream.read_to_end(&mut received).expect("closed");
+        assert!(received.is_empty(), "{received:?}");
     }
 }
 
-/// A call given up is repeated at the same worker; then the answer to the first comes after all. It is not taken for
+/// Waits for more than this span.
+fn spin_for(span: Duration) {
+    let since = Instant::now();
+    while since.elapsed() <= span {
+        std::thread::yield_now();
+    }
+}
+
+/// A cancelled attempt is retried at the same worker; then the answer to the first comes after all. It is not taken for
 /// the answer to the second, of which nobody could say then whether it runs.
 #[test]
 fn a_late_answer_is_not_taken_for_that_of_the_next_attempt() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |_| {});
     let request = request(9);
-    transport.send(FIRST, &request, Terms::within(20_000_000));
+    transport.send(FIRST, &request, AttemptLimits::with_timeout(LONG_TIMEOUT));
     let mut first = listener.accept().expect("a connection").0;
-    assert_eq!(frame(&mut first), (9, 2));
+    assert_eq!(frame(&mut first), (9, CODE_CALL));
     assert_eq!(
         transport.cancel(FIRST),
-        GiveUp::Pending,
+        CancelOutcome::PendingConfirmation,
         "it has been written"
     );
-    assert_eq!(frame(&mut first), (9, 3), "given up");
+    assert_eq!(frame(&mut first), (9, CODE_CANCEL), "cancelled");
     assert_eq!(
         outcome(&reports),
         (0, Outcome::Cancelled),
-        "its worker has been told"
+        "its worker has been notified"
     );
-    transport.send(SECOND, &request, Terms::within(20_000_000));
+    transport.send(SECOND, &request, AttemptLimits::with_timeout(LONG_TIMEOUT));
     let mut second = listener.accept().expect("a connection of its own").0;
-    assert_eq!(frame(&mut second), (9, 2));
-    say(&mut first, 203, 9, "", b"");
-    say(&mut first, 203, 9, "", b"");
+    assert_eq!(frame(&mut second), (9, CODE_CALL));
+    say(&mut first, CODE_REJECTED, 9, "", b"");
+    say(&mut first, CODE_REJECTED, 9, "", b"");
     // Another call on the first connection shows that both have been read.
     transport.send(
         AttemptKey {
@@ -112,15 +148,15 @@
             attempt: 7,
         },
         &self::request(10),
-        Terms::within(20_000_000),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
     );
-    assert_eq!(frame(&mut first), (10, 2));
-    say(&mut first, 200, 10, "", b"x");
+    assert_eq!(frame(&mut first), (10, CODE_CALL));
+    say(&mut first, CODE_OK, 10, "", b"x");
     assert_eq!(outcome(&reports), (7, Outcome::Ok));
-    say(&mut second, 200, 9, "", b"DONE");
+    say(&mut second, CODE_OK, 9, "", b"DONE");
     assert_eq!(outcome(&reports), (1, Outcome::Ok));
     // Nothing is counted twice: both connections are idle, and close once they have been for long.
-    transport.retire();
+    transport.drain();
     transport.sweep();
     assert!(transport.is_idle());
 }
@@ -138,21 +174,33 @@
         request: n,
         attempt: 0,
     };
-    transport.send(call(1), &request(1), Terms::within(20_000_000));
+    transport.send(
+        call(1),
+        &request(1),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
+    );
     let mut first = listener.accept().expect("a connection").0;
     frame(&mut first);
     std::thread::sleep(idle + idle / 4); // a long call is no idle time
-    say(&mut first, 200, 1, "", b"x");
+    say(&mut first, CODE_OK, 1, "", b"x");
     assert_eq!(outcome(&reports).1, Outcome::Ok);
-    transport.send(call(2), &request(2), Terms::within(20_000_000));
-    assert_eq!(frame(&mut first), (2, 2));
-    say(&mut first, 200, 2, "", b"x");
+    transport.send(
+        call(2),
+        &request(2),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
+    );
+    assert_eq!(frame(&mut first), (2, CODE_CALL));
+    say(&mut first, CODE_OK, 2, "", b"x");
     assert_eq!(outcome(&reports).1, Outcome::Ok);
     std::thread::sleep(idle + idle / 4);
-    transport.send(call(3), &request(3), Terms::within(20_000_000));
+    transport.send(
+        call(3),
+        &request(3),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
+    );
     assert_eq!(
         frame(&mut listener.accept().expect("another connection").0),
-        (3, 2)
+        (3, CODE_CALL)
     );
 }
 
@@ -182,96 +230,157 @@
     table.lines().filter_map(queue).sum()
 }
 
-/// Calls lie behind a write that stalls while their clients leave. Once the worker reads, the half-written call is finished
-/// and no other is begun: nothing was claimed over the wait, however long that took.
-#[test]
-fn nothing_is_begun_behind_a_stalled_write_once_its_client_left() {
-    let socket =
-        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-    socket
-        .bind(
-            &"127.0.0.1:0"
-                .parse::<SocketAddr>()
-                .expect("an address")
-                .into(),
-        )
-        .expect("bound");
-    socket.listen(8).expect("listens");
-    let listener = TcpListener::from(socket);
+/// Bytes of a frame's header, of the bodies that cause a stall, and of a frame's checksum.
+const HEADER_BYTES: usize = 16;
+const LARGE_BODY_BYTES: usize = 16_000;
+const CHECKSUM_BYTES: usize = 4;
+
+/// Attempts of a stalled transport: many more than its worker's buffers hold.
+const STALLED_ATTEMPTS: u64 = 900;
+
+/// A transport whose writes stall, as its worker does not read.
+struct StalledTransport {
+    transport: Frames,
+    reports: Receiver<Message>,
+    /// The worker's side of the connection.
+    stream: TcpStream,
+    /// Set once the client of all attempts has left.
+    client_gone: Arc<AtomicBool>,
+    /// Attempts of which a byte is written.
+    started: u64,
+}
+
+/// The key of an attempt of a stalled transport.
+fn stalled_key(number: u64) -> AttemptKey {
+    AttemptKey {
+        request: number,
+        attempt: 0,
+    }
+}
+
+/// Sends attempts until writes stall.
+fn stalled_transport() -> StalledTransport {
+    let listener = listener_with_backlog(8);
     let address = listener.local_addr().expect("bound");
-    let (mut transport, reports) = transport(address, |l| {
-        (l.streams, l.write_check, l.write_stall) =
-            (1_000, Duration::from_secs(1), Duration::from_secs(20));
+    let (mut transport, reports) = transport(address, |limits| {
+        limits.streams = 1_000;
+        limits.write_check = Duration::from_secs(1);
+        limits.write_stall = Duration::from_secs(20);
     });
-    let gone = Arc::new(std::sync::atomic::AtomicBool::new(false));
-    let call = |n: u64| {
-        let body = Payload::Bytes(vec![n as u8; 16_000]);
-        let plain = Arc::into_inner(request(n)).expect("ours alone");
-        Arc::new(Request {
-            payload: body,
-            client_gone: gone.clone(),
+    let client_gone = Arc::new(AtomicBool::new(false));
+    for number in 0..STALLED_ATTEMPTS {
+        let plain = Arc::into_inner(request(number)).expect("ours alone");
+        let large = Arc::new(Request {
+            payload: Payload::Bytes(vec![number as u8; LARGE_BODY_BYTES]),
+            client_gone: client_gone.clone(),
             ..plain
-        })
-    };
-    let all = 900;
-    for n in 0..all {
-        transport.send(
-            AttemptKey {
-                request: n,
-                attempt: 0,
-            },
-            &call(n),
-            Terms::within(20_000_000),
-        );
+        });
+        let limits = AttemptLimits::with_timeout(LONG_TIMEOUT);
+        transport.send(stalled_key(number), &large, limits);
+    }
+    let stream = listener.accept().expect("a connection").0;
+    let written = written_once_stalled(&stream);
+    let mut header = [0; HEADER_BYTES];
+    stream.peek(&mut header).expect("a frame");
+    let fields = usize::from(u16::from_be_bytes([header[2], header[3]]));
+    let started = written.div_ceil(HEADER_BYTES + fields + LARGE_BODY_BYTES + CHECKSUM_BYTES);
+    assert!(
+        (started as u64) < STALLED_ATTEMPTS - 100,
+        "{started} of {STALLED_ATTEMPTS} were written: no stall"
+    );
+    StalledTransport {
+        transport,
+        reports,
+        stream,
+        client_gone,
+        started: started as u64,
     }
-    let mut stream = listener.accept().expect("a connection").0;
-    let (mut written, mut same) = (0, 0);
-    while same < 60 {
+}
+
+/// A listener whose queue holds so many connections.
+fn listener_with_backlog(backlog: i32) -> TcpListener {
+    let socket =
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+    let address: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+    socket.bind(&address.into()).expect("bound");
+    socket.listen(backlog).expect("listens");
+    TcpListener::from(socket)
+}
+
+/// Waits until nothing more is written to a connection for 0.6 s. Returns the bytes that were.
+fn written_once_stalled(stream: &TcpStream) -> usize {
+    const LOOKS: usize = 60;
+    let mut written = 0;
+    let mut unchanged = 0;
+    while unchanged < LOOKS {
         std::thread::sleep(Duration::from_millis(10));
-        let now = unread(&stream);
-        same = if now == written && now > 0 {
-            same + 1
+        let now = unread(stream);
+        if now == written && now > 0 {
+            unchanged += 1;
         } else {
-            0
-        };
+            unchanged = 0;
+        }
         written = now;
     }
-    gone.store(true, Ordering::Release);
-    let mut head = [0; 16];
-    stream.peek(&mut head).expect("a frame");
-    let begun =
-        written.div_ceil(16 + usize::from(u16::from_be_bytes([head[2], head[3]])) + 16_000 + 4);
-    assert!(
-        (begun as u64) < all - 100,
-        "{begun} of {all} were written: no stall"
-    );
-    (0..begun).for_each(|_| assert_eq!(frame(&mut stream).1, 2, "what was begun comes whole"));
+    written
+}
+
+/// Attempts lie behind a write that stalls while their clients leave. Once the worker reads, the half-written one is
+/// finished and no other is started: nothing was claimed over the wait, however long that took.
+#[test]
+fn nothing_is_started_behind_a_stalled_write_once_its_client_left() {
+    let StalledTransport {
+        transport: _transport,
+        reports,
+        mut stream,
+        client_gone,
+        started,
+    } = stalled_transport();
+    client_gone.store(true, Ordering::Release);
+    for _ in 0..started {
+        let (_, code) = frame(&mut stream);
+        assert_eq!(code, CODE_CALL, "what was started comes completely");
+    }
     stream
         .set_read_timeout(Some(Duration::from_secs(1)))
         .expect("set");
-    let more = stream.peek(&mut head);
+    let more = stream.peek(&mut [0; HEADER_BYTES]);
     assert!(
         more.is_err(),
-        "more than the {begun} calls that were begun when their clients left: {more:?}"
+        "more than the {started} attempts that were started when their clients left: {more:?}"
     );
     // All others end at once, also those that did not fit into the ring.
-    let moot = (begun as u64..all)
+    let not_sent = (started..STALLED_ATTEMPTS)
         .filter(|_| outcome(&reports).1 == Outcome::NotSent)
         .count();
-    assert_eq!(moot as u64, all - begun as u64);
+    assert_eq!(not_sent as u64, STALLED_ATTEMPTS - started);
+}
+
+/// What lies behind a stalled write, in the ring of its connection, can be reclaimed: it is known that it never ran.
+#[test]
+fn what_lies_behind_a_stalled_write_is_reclaimed() {
+    let mut stalled = stalled_transport();
+    // The next frame may just be tried; the one behind it is not, and lies in the ring too.
+    let key = stalled_key(stalled.started + 1);
+    assert_eq!(stalled.transport.cancel(key), CancelOutcome::NeverStarted);
+    assert_eq!(
+        stalled.transport.cancel(stalled_key(0)),
+        CancelOutcome::PendingConfirmation,
+        "it has been written"
+    );
 }
 
 /// Guards descriptors: an order that gets no answer must not hold its connection for ever.
 #[test]
-fn a_connection_whose_order_was_lost_closes_after_it_lapsed() {
+fn a_connection_whose_order_was_lost_closes_once_it_is_abandoned() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let (mut transport, _reports) = transport(address, |_| {});
     transport.order(1, 7, 1);
     let (mut stream, _) = listener.accept().expect("a connection");
     stream.read_exact(&mut [0; 52]).expect("the order");
-    transport.lapse(1);
-    transport.retire();
+    transport.abandon_order(1);
+    transport.drain();
     let since = Instant::now();
     while !transport.is_idle() {
         assert!(since.elapsed() < Duration::from_secs(10), "still open");
@@ -285,6 +394,13 @@
     );
 }
 
+fn usage(open: usize, next_attempt_opens: bool) -> ConnectionUsage {
+    ConnectionUsage {
+        open,
+        next_attempt_opens,
+    }
+}
+
 /// Guards descriptors before hundreds of workers: what is in use stays, what has been idle longest can be closed
 /// for another's sake, and a later call opens it anew.
 #[test]
@@ -294,7 +410,7 @@
     let (mut transport, reports) = transport(address, |_| {});
     assert_eq!(
         (transport.connections(), transport.idle_since()),
-        ((0, true), None)
+        (usage(0, true), None)
     );
     transport.order(1, 7, 1);
     let (mut stream, _) = listener.accept().expect("a connection");
@@ -302,13 +418,13 @@
     stream.read_exact(&mut frame).expect("the order");
     assert_eq!(
         (transport.connections(), transport.idle_since()),
-        ((1, false), None),
+        (usage(1, false), None),
         "an answer is owed on it"
     );
     transport.close_idle();
-    assert_eq!(transport.connections().0, 1);
+    assert_eq!(transport.connections().open, 1);
     let id = u64::from_be_bytes(frame[8..16].try_into().expect("eight bytes"));
-    let mut answer = wrenseam::worker::frames::encode(200, id, "slots_up=1", &[]);
+    let mut answer = encode(CODE_OK, id, "slots_up=1", &[]);
     answer[0] = 127;
     stream.write_all(&answer).expect("answered");
     assert!(matches!(
@@ -326,7 +442,7 @@
             transport.connections(),
             stream.read(&mut [0; 8]).expect("closed")
         ),
-        ((0, true), 0)
+        (usage(0, true), 0)
     );
     transport.order(2, 7, 1);
     listener
--- a/wrenseam/tests/worker_table.rs
+++ b/wrenseam/tests/worker_table.rs
@@ -5,7 +5,7 @@
 use wrenseam::discovery::membership::ConnectionAction;
 use wrenseam::model::{AttemptKey, Endpoint, Request, TransportProtocol};
 use wrenseam::worker::pool::Pool;
-use wrenseam::worker::{GiveUp, Terms, Transport};
+use wrenseam::worker::{AttemptLimits, CancelOutcome, ConnectionUsage, Transport};
 use wrenseam_policy::{FunctionId, WorkerState};
 
 const KEY: AttemptKey = AttemptKey {
@@ -32,7 +32,7 @@
 struct FakeTransport {
     name: &'static str,
     calls: Calls,
-    cancel_result: GiveUp,
+    cancel_result: CancelOutcome,
     connections: usize,
     idle_since: Option<Instant>,
 }
@@ -43,7 +43,7 @@
         FakeTransport {
             name,
             calls: calls.clone(),
-            cancel_result: GiveUp::Unknown,
+            cancel_result: CancelOutcome::Unknown,
             connections: 0,
             idle_since: None,
         }
@@ -55,15 +55,15 @@
 }
 
 impl Transport for FakeTransport {
-    fn send(&mut self, _key: AttemptKey, _request: &Arc<Request>, _terms: Terms) {
+    fn send(&mut self, _key: AttemptKey, _request: &Arc<Request>, _terms: AttemptLimits) {
         self.note("send");
     }
 
-    fn cancel(&mut self, _key: AttemptKey) -> GiveUp {
+    fn cancel(&mut self, _key: AttemptKey) -> CancelOutcome {
         self.cancel_result
     }
 
-    fn lapse(&mut self, order: u64) {
+    fn abandon_order(&mut self, order: u64) {
         self.note(&format!("abandons order {order}"));
     }
 
@@ -79,11 +79,11 @@
         self.note("unload");
     }
 
-    fn retire(&mut self) {
+    fn drain(&mut self) {
         self.note("drains");
     }
 
-    fn pulse(&mut self) {
+    fn check_keepalive(&mut self) {
         self.note("liveness");
     }
 
@@ -91,8 +91,11 @@
         self.note("sweep");
     }
 
-    fn connections(&self) -> (usize, bool) {
-        (self.connections, true)
+    fn connections(&self) -> ConnectionUsage {
+        ConnectionUsage {
+            open: self.connections,
+            next_attempt_opens: true,
+        }
     }
 
     fn idle_since(&self) -> Option<Instant> {
@@ -165,13 +168,17 @@
     let calls = Calls::default();
     let mut table = WorkerTable::default();
     let first = FakeTransport {
-        cancel_result: GiveUp::Pending,
+        cancel_result: CancelOutcome::PendingConfirmation,
         ..FakeTransport::new("first", &calls)
     };
     connect(&mut table, "w1", first);
     connect(&mut table, "w1", FakeTransport::new("second", &calls));
-    assert_eq!(table.cancel("w1", KEY), GiveUp::Pending);
-    assert_eq!(table.cancel("w2", KEY), GiveUp::Unknown, "no such worker");
+    assert_eq!(table.cancel("w1", KEY), CancelOutcome::PendingConfirmation);
+    assert_eq!(
+        table.cancel("w2", KEY),
+        CancelOutcome::Unknown,
+        "no such worker"
+    );
 }
 
 #[test]
