--- a/policy/src/controller.rs
+++ b/policy/src/controller.rs
@@ -51,7 +51,7 @@
 
     /// Whether requests are kept away from this worker now as it cannot be reached. Workers that are not known are
     /// not ejected.
-    pub fn is_ejected(&self, worker: &str) -> bool {
+    pub fn is_unreachable(&self, worker: &str) -> bool {
         let workers = &self.state.workers;
         workers
             .find(worker)
--- a/policy/tests/characterization.rs
+++ b/policy/tests/characterization.rs
@@ -204,7 +204,7 @@
         }
         if step % 500 == 0 {
             (0..scenario.workers)
-                .for_each(|w| digest.byte(u8::from(controller.is_ejected(&format!("worker-{w}")))));
+                .for_each(|w| digest.byte(u8::from(controller.is_unreachable(&format!("worker-{w}")))));
         }
     }
     (digest, counts)
--- a/wrenseam/src/core/admin.rs
+++ b/wrenseam/src/core/admin.rs
@@ -50,7 +50,7 @@
                 continue;
             }
             gauges.members += 1;
-            if endpoint.state != WorkerState::Ready || self.controller.is_ejected(&endpoint.id) {
+            if endpoint.state != WorkerState::Ready || self.controller.is_unreachable(&endpoint.id) {
                 gauges.unavailable += 1;
             }
         }
