--- a/scalelab/src/net.rs
+++ b/scalelab/src/net.rs
@@ -11,7 +11,8 @@
 use wrenseam::fleet::node::EXTRA_TRANSMISSIONS;
 use wrenseam::fleet::record::Record;
 use wrenseam::fleet::{
-    Facts, FleetNews, Lifecycle, Node, NodeSettings, PeerEvent, PeerId, Summary, Swim, SwimSettings,
+    FleetStatus, Lifecycle, Metadata, Node, NodeSettings, PeerEvent, PeerId, Summary, Swim,
+    SwimSettings,
 };
 
 /// A millisecond, in simulated microseconds.
@@ -63,7 +64,7 @@
         }
     }
 
-    fn publish(&mut self, now: u64, own: u32, seeds: &[SocketAddr]) -> FleetNews {
+    fn publish(&mut self, now: u64, own: u32, seeds: &[SocketAddr]) -> FleetStatus {
         let summary = Summary {
             pressure: own,
             ..Summary::default()
@@ -75,12 +76,12 @@
                 if s.alive() == 0 {
                     seeds.iter().for_each(|&a| s.join(now, a));
                 }
-                FleetNews {
+                FleetStatus {
                     alive: s.alive(),
                     pressure: s.pressure(now, own),
                     edges: (s.summaries(now).len(), s.alive()),
                     dropped: s.dropped,
-                    ..FleetNews::default()
+                    ..FleetStatus::default()
                 }
             }
         }
@@ -119,7 +120,7 @@
     /// It stands still, as after SIGSTOP; what comes for it waits, as far as there is room.
     pub stopped: bool,
     /// What it last made of the fleet.
-    pub news: FleetNews,
+    pub news: FleetStatus,
     /// What waits for it while it is stopped.
     waiting: Vec<Vec<u8>>,
     kind: Kind,
@@ -210,7 +211,7 @@
                 mute: false,
                 stopped: false,
                 waiting: Vec::new(),
-                news: FleetNews::default(),
+                news: FleetStatus::default(),
                 kind,
                 incarnation: FIRST_INCARNATION + i as u64,
                 publish_at: 0,
@@ -270,7 +271,7 @@
     }
 
     /// Changes what front end `i` says of itself.
-    pub fn update(&mut self, i: usize, change: impl FnOnce(&mut Facts)) {
+    pub fn update(&mut self, i: usize, change: impl FnOnce(&mut Metadata)) {
         let now = self.now;
         if let Some(node) = self.running_node(i) {
             let _ = node.update(now, change);
@@ -379,16 +380,16 @@
                     extra_transmissions: EXTRA_TRANSMISSIONS,
                     ..self.settings
                 };
-                let facts = Facts {
+                let metadata = Metadata {
                     lifecycle: Lifecycle::Ready,
                     zone: format!("zone-{}", i % ZONES),
                     program: env!("CARGO_PKG_VERSION").to_owned(),
                     config_digest: 7,
-                    ..Facts::default()
+                    ..Metadata::default()
                 };
                 let settings = NodeSettings {
                     swim,
-                    facts,
+                    metadata,
                     seeds: self.seeds.clone(),
                     summaries: true,
                 };
@@ -402,7 +403,7 @@
             ))),
         });
         f.publish_at = at;
-        f.news = FleetNews::default();
+        f.news = FleetStatus::default();
         self.wake(i, at);
     }
 
--- a/scalelab/tests/gossip.rs
+++ b/scalelab/tests/gossip.rs
@@ -6,7 +6,7 @@
 use wrenseam::fleet::average::{Exchange, MAX_FLOW, RINGS};
 use wrenseam::fleet::identity::AVERAGE_VERSION;
 use wrenseam::fleet::message::RECORDS_VERSION;
-use wrenseam::fleet::FleetNews;
+use wrenseam::fleet::FleetStatus;
 
 const S: u64 = 1000 * MS;
 
@@ -400,7 +400,7 @@
     }
     net.run(net.now + S);
     for (f, before) in net.fronts.iter().zip(before) {
-        let counts = |n: &FleetNews| {
+        let counts = |n: &FleetStatus| {
             let (d, v) = (n.dropped, n.average_dropped);
             [
                 d.oversized,
--- a/wrenseam/src/core/fleet.rs
+++ b/wrenseam/src/core/fleet.rs
@@ -2,7 +2,7 @@
 //! The decisions are `crate::fleet`'s; this keeps their state in the core and counts for the summary.
 use crate::config::Fleet;
 use crate::fleet::traffic::TrafficKind;
-use crate::fleet::{FleetNews, FleetSize, Lifecycle, RetryBudget, Shedder, Summary};
+use crate::fleet::{FleetSize, FleetStatus, Lifecycle, RetryBudget, Shedder, Summary};
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use std::fmt::Write;
 use wrenseam_policy::{Micros, Settings};
@@ -18,7 +18,7 @@
     rng: SmallRng,
     wait: Micros,
     capacity: u32,
-    news: FleetNews,
+    news: FleetStatus,
     shed_total: u64,
     denied_total: u64,
     extras_total: u64,
@@ -40,7 +40,7 @@
             rng: SmallRng::seed_from_u64(seed ^ 0x5eed_f1ee),
             wait: fleet.shed_wait_ms * 1000,
             capacity: fleet.capacity.max(1),
-            news: FleetNews::default(),
+            news: FleetStatus::default(),
             shed_total: 0,
             denied_total: 0,
             extras_total: 0,
@@ -48,7 +48,7 @@
     }
 
     /// News of the fleet from gossip.
-    pub fn news(&mut self, now: Micros, news: FleetNews) {
+    pub fn news(&mut self, now: Micros, news: FleetStatus) {
         self.news = news;
         self.size.departed(news.departed);
         self.size.seen(now, news.ready());
@@ -114,7 +114,7 @@
         }
         let _ = writeln!(out, "app.fleet.view_digest:{}|g", n.digest);
         let _ = writeln!(out, "app.fleet.view_stood_ms:{}|g", n.digest_stood / 1000);
-        let _ = writeln!(out, "app.fleet.doubt_factor:{}|g", n.doubt_factor);
+        let _ = writeln!(out, "app.fleet.doubt_factor:{}|g", n.health_multiplier);
         for kind in TrafficKind::ALL {
             let (name, sent, held) = (
                 kind.name(),
--- a/wrenseam/src/fleet/average.rs
+++ b/wrenseam/src/fleet/average.rs
@@ -314,14 +314,14 @@
         e.incarnation = x.from.incarnation;
         e.heard = now;
         e.flow = -x.flow.clamp(-FLOW, FLOW);
-        let theirs = x.estimate.clamp(0, MAX);
-        e.estimate = Some(theirs);
+        let remote = x.estimate.clamp(0, MAX);
+        e.estimate = Some(remote);
         (e.awaits, e.unanswered, e.ask_at) = (false, 0, now);
         if x.answer {
             return Some(x.from);
         }
         e.seq = x.seq;
-        let middle = (self.estimate() - theirs) / 2;
+        let middle = (self.estimate() - remote) / 2;
         let e = self.edges.get_mut(&x.from.addr)?;
         e.flow = e.flow.saturating_add(middle).clamp(-FLOW, FLOW);
         let flow = e.flow;
--- a/wrenseam/src/fleet/budget.rs
+++ b/wrenseam/src/fleet/budget.rs
@@ -31,7 +31,7 @@
 
 /// The sums of the window as it stands.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
-pub struct Spent {
+pub struct BudgetUsage {
     /// First attempts in the window.
     pub firsts: u32,
     /// Extra attempts let through in the window.
@@ -76,13 +76,13 @@
     }
 
     /// The sums over the buckets still inside the window at `now`.
-    pub fn spent(&self, now: Micros) -> Spent {
+    pub fn spent(&self, now: Micros) -> BudgetUsage {
         let stretch = now / self.width;
         let inside = |b: &&Bucket| b.stretch + BUCKETS as u64 > stretch && b.stretch <= stretch;
         self.buckets
             .iter()
             .filter(inside)
-            .fold(Spent::default(), |s, b| Spent {
+            .fold(BudgetUsage::default(), |s, b| BudgetUsage {
                 firsts: s.firsts + b.firsts,
                 extras: s.extras + b.extras,
                 denied: s.denied + b.denied,
--- a/wrenseam/src/fleet/detector.rs
+++ b/wrenseam/src/fleet/detector.rs
@@ -12,7 +12,7 @@
 use wrenseam_policy::Micros;
 
 /// The most that doubts in oneself add up to: probes and suspicions are at most so many times longer, and once more.
-pub const MAX_DOUBT: u32 = 3;
+pub const MAX_HEALTH_SCORE: u32 = 3;
 
 /// So many probes that fail one after another are a gap in the proof that we hear and are heard.
 const GAP: u32 = 2;
@@ -36,13 +36,13 @@
 
 /// What becomes of a suspicion whose time is up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sentence {
+pub enum SuspicionOutcome {
     /// The peer is declared down.
-    Down,
+    Confirmed,
     /// It was heard from: the suspicion is dropped.
-    Dropped,
+    Cleared,
     /// We have no proof that we hear and are heard: the suspicion goes on.
-    Postponed,
+    Extended,
 }
 
 /// This front end's failure detection, as it sees itself.
@@ -58,7 +58,7 @@
     probe_period: Micros,
     /// For how long we have to have heard and been heard before we accuse.
     proof_for: Micros,
-    doubt: u32,
+    health_score: u32,
     suspicions: BTreeMap<SocketAddr, Suspicion>,
     /// When each peer was last heard from, by any datagram of its own.
     heard: BTreeMap<SocketAddr, Micros>,
@@ -92,7 +92,7 @@
     /// in whose time nobody was heard, are rather ours.
     fn probe_ended(&mut self, probe: Probe) {
         if probe.acknowledged {
-            self.doubt /= 2; // an answer proves that we hear and are heard
+            self.health_score /= 2; // an answer proves that we hear and are heard
             self.failed = 0;
             return;
         }
@@ -101,7 +101,7 @@
             self.proven_since = None;
         }
         if self.failed >= FAILED_IN_A_ROW || self.heard_any < Some(probe.began) {
-            self.doubt = (self.doubt + 1).min(MAX_DOUBT);
+            self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
         }
     }
 
@@ -117,12 +117,12 @@
 
     /// This front end did not run for a while.
     pub fn stalled(&mut self) {
-        self.doubt = (self.doubt + 1).min(MAX_DOUBT);
+        self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
     }
 
     /// How many times longer probes and suspicions are.
     pub fn factor(&self) -> u32 {
-        1 + self.doubt
+        1 + self.health_score
     }
 
     /// A datagram of this peer's own came.
@@ -153,30 +153,30 @@
     }
 
     /// The time of a suspicion is up.
-    pub fn sentence(&mut self, now: Micros, id: PeerId) -> Sentence {
+    pub fn suspicion_timed_out(&mut self, now: Micros, id: PeerId) -> SuspicionOutcome {
         let Some(suspicion) = self
             .suspicions
             .get(&id.addr)
             .copied()
             .filter(|s| s.id == id)
         else {
-            return Sentence::Dropped;
+            return SuspicionOutcome::Cleared;
         };
-        let sentence = if self.last_heard(id.addr) >= Some(suspicion.since) {
-            Sentence::Dropped
-        } else if self.may_accuse(now, suspicion.since) {
-            Sentence::Down
+        let suspicion_timed_out = if self.last_heard(id.addr) >= Some(suspicion.since) {
+            SuspicionOutcome::Cleared
+        } else if self.may_declare_down(now, suspicion.since) {
+            SuspicionOutcome::Confirmed
         } else {
-            Sentence::Postponed
+            SuspicionOutcome::Extended
         };
-        if sentence != Sentence::Postponed {
+        if suspicion_timed_out != SuspicionOutcome::Extended {
             self.suspicions.remove(&id.addr);
         }
-        sentence
+        suspicion_timed_out
     }
 
     /// Whether we heard and were heard for long enough since then, without a gap and up to now.
-    pub fn may_accuse(&self, now: Micros, since: Micros) -> bool {
+    pub fn may_declare_down(&self, now: Micros, since: Micros) -> bool {
         let lately = now.saturating_sub(self.probe_period * 9 / 4).max(since);
         let up_to_now = self.proven >= Some(lately);
         let for_long = self
--- a/wrenseam/src/fleet/directory.rs
+++ b/wrenseam/src/fleet/directory.rs
@@ -1,7 +1,7 @@
 //! What one front end knows of the fleet's members: who is alive, who is gone, and everybody's record, with a
 //! digest by which two members see at once whether they hold the same. No I/O; time is handed in.
 use super::identity::{address_hash, mix, PeerId};
-use super::record::{Facts, Lifecycle, Record, Stamp};
+use super::record::{Lifecycle, Metadata, Record, Stamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
@@ -37,7 +37,7 @@
 
 /// What somebody holds of a member, in short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Claim {
+pub struct MemberDigest {
     /// The member.
     pub owner: SocketAddr,
     /// Its incarnation, and the version of the record held; version 0: none.
@@ -48,33 +48,33 @@
     pub checksum: u32,
 }
 
-/// What a claim or record means against what is held here. Only the owner writes a record, so the larger
+/// What a member digest or record means against what is held here. Only the owner writes a record, so the larger
 /// (incarnation, version) wins, and among equal incarnations gone wins over alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum MergeAction {
     /// Both hold the same, or neither has anything that the other needs.
-    Same,
+    NoChange,
     /// Ours is newer: the other is to be told.
-    Behind,
+    SendNewer,
     /// A member, or an incarnation of it, that is not known here.
-    Learn,
+    AddMember,
     /// A newer record of a known incarnation.
-    Fetch,
+    FetchRecord,
     /// A newer stamp on the content held here.
-    Restamp,
+    AdoptStamp,
     /// The other holds as gone who is alive here: the member itself is asked first.
-    Dispute,
+    CheckLiveness,
     /// The member told that it leaves.
-    Left,
+    MarkLeft,
     /// Somebody holds of us what we did not say, or holds our incarnation as gone: a larger stamp is needed.
-    Outbid,
+    Refute,
 }
 
 /// A record held of a member, and the stamp under which it is known to hold.
 #[derive(Clone, Debug)]
 struct HeldRecord {
     stamp: Stamp,
-    facts: Facts,
+    metadata: Metadata,
     checksum: u32,
 }
 
@@ -101,7 +101,7 @@
             .filter(|held| held.stamp.incarnation == self.incarnation)
     }
 
-    fn claim(&self, owner: SocketAddr) -> Claim {
+    fn member_digest(&self, owner: SocketAddr) -> MemberDigest {
         let (version, checksum) = self
             .current()
             .map_or((0, 0), |held| (held.stamp.version, held.checksum));
@@ -109,7 +109,7 @@
             incarnation: self.incarnation,
             version,
         };
-        Claim {
+        MemberDigest {
             owner,
             stamp,
             liveness: self.liveness,
@@ -132,7 +132,7 @@
 impl Directory {
     /// A directory that knows only its own front end.
     pub fn new(own: Record) -> Directory {
-        let own_checksum = own.facts.checksum();
+        let own_checksum = own.metadata.checksum();
         let mut directory = Directory {
             own,
             own_checksum,
@@ -140,7 +140,7 @@
             lost: BTreeSet::new(),
             parts: [0; PARTS],
         };
-        directory.toggle(directory.own_claim());
+        directory.toggle(directory.own_digest());
         directory
     }
 
@@ -149,9 +149,9 @@
         &self.own
     }
 
-    fn own_claim(&self) -> Claim {
+    fn own_digest(&self) -> MemberDigest {
         let (owner, stamp) = (self.own.owner, self.own.stamp);
-        Claim {
+        MemberDigest {
             owner,
             stamp,
             liveness: Liveness::Alive,
@@ -161,16 +161,16 @@
 
     /// Puts this front end's own record in place; its stamp is the caller's to raise.
     pub fn set_own(&mut self, own: Record) {
-        self.toggle(self.own_claim());
-        self.own_checksum = own.facts.checksum();
+        self.toggle(self.own_digest());
+        self.own_checksum = own.metadata.checksum();
         self.own = own;
-        self.toggle(self.own_claim());
+        self.toggle(self.own_digest());
     }
 
     /// Takes a live member's part out of the digest, or puts it in.
-    fn toggle(&mut self, claim: Claim) {
-        if !claim.liveness.is_gone() {
-            self.parts[part_of(claim.owner)] ^= claim_hash(&claim);
+    fn toggle(&mut self, member_digest: MemberDigest) {
+        if !member_digest.liveness.is_gone() {
+            self.parts[part_of(member_digest.owner)] ^= member_digest_hash(&member_digest);
         }
     }
 
@@ -179,13 +179,13 @@
         let Some(member) = self.members.get(&addr) else {
             return;
         };
-        self.toggle(member.claim(addr));
+        self.toggle(member.member_digest(addr));
         let Some(member) = self.members.get_mut(&addr) else {
             return;
         };
         change(member);
-        let claim = member.claim(addr);
-        self.toggle(claim);
+        let member_digest = member.member_digest(addr);
+        self.toggle(member_digest);
     }
 
     /// Membership counts `id` alive since `now`.
@@ -220,7 +220,7 @@
     }
 
     /// Membership replaced an incarnation by `id`, without a change of who is alive.
-    pub fn renamed(&mut self, id: PeerId) {
+    pub fn update_incarnation(&mut self, id: PeerId) {
         self.change(id.addr, |member| {
             member.incarnation = member.incarnation.max(id.incarnation)
         });
@@ -264,68 +264,83 @@
     }
 
     /// Weighs what somebody holds of a member against what is held here.
-    pub fn weigh(&self, claim: &Claim) -> Verdict {
-        if claim.owner == self.own.owner {
-            return self.weigh_own(claim);
+    pub fn merge_action(&self, member_digest: &MemberDigest) -> MergeAction {
+        if member_digest.owner == self.own.owner {
+            return self.own_merge_action(member_digest);
         }
-        let Some(mine) = self.claim(claim.owner) else {
-            return if claim.liveness.is_gone() {
-                Verdict::Same
+        let Some(local) = self.member_digest(member_digest.owner) else {
+            return if member_digest.liveness.is_gone() {
+                MergeAction::NoChange
             } else {
-                Verdict::Learn
+                MergeAction::AddMember
             };
         };
-        let (mine_gone, theirs_gone) = (mine.liveness.is_gone(), claim.liveness.is_gone());
+        let (local_gone, remote_gone) =
+            (local.liveness.is_gone(), member_digest.liveness.is_gone());
         match (
-            claim.stamp.incarnation.cmp(&mine.stamp.incarnation),
-            mine_gone,
-            theirs_gone,
+            member_digest
+                .stamp
+                .incarnation
+                .cmp(&local.stamp.incarnation),
+            local_gone,
+            remote_gone,
         ) {
-            (_, true, true) => Verdict::Same,
-            (std::cmp::Ordering::Less, _, _) => Verdict::Behind,
-            (std::cmp::Ordering::Greater, _, false) => Verdict::Learn,
-            (_, false, true) if claim.liveness == Liveness::Left => Verdict::Left,
-            (_, false, true) => Verdict::Dispute,
-            (std::cmp::Ordering::Equal, true, false) => Verdict::Behind,
-            (std::cmp::Ordering::Equal, false, false) => self.weigh_record(&mine, claim),
+            (_, true, true) => MergeAction::NoChange,
+            (std::cmp::Ordering::Less, _, _) => MergeAction::SendNewer,
+            (std::cmp::Ordering::Greater, _, false) => MergeAction::AddMember,
+            (_, false, true) if member_digest.liveness == Liveness::Left => MergeAction::MarkLeft,
+            (_, false, true) => MergeAction::CheckLiveness,
+            (std::cmp::Ordering::Equal, true, false) => MergeAction::SendNewer,
+            (std::cmp::Ordering::Equal, false, false) => {
+                self.record_merge_action(&local, member_digest)
+            }
         }
     }
 
-    fn weigh_own(&self, claim: &Claim) -> Verdict {
-        let own = self.own_claim();
-        let gone = claim.liveness.is_gone() && claim.stamp.incarnation >= own.stamp.incarnation;
-        let not_ours = claim.stamp == own.stamp && claim.checksum != own.checksum;
+    fn own_merge_action(&self, member_digest: &MemberDigest) -> MergeAction {
+        let own = self.own_digest();
+        let gone = member_digest.liveness.is_gone()
+            && member_digest.stamp.incarnation >= own.stamp.incarnation;
+        let not_ours = member_digest.stamp == own.stamp && member_digest.checksum != own.checksum;
         match () {
-            () if gone || claim.stamp > own.stamp || not_ours => Verdict::Outbid,
-            () if claim.stamp < own.stamp => Verdict::Behind,
-            () => Verdict::Same,
+            () if gone || member_digest.stamp > own.stamp || not_ours => MergeAction::Refute,
+            () if member_digest.stamp < own.stamp => MergeAction::SendNewer,
+            () => MergeAction::NoChange,
         }
     }
 
     /// Both hold the same incarnation alive.
-    fn weigh_record(&self, mine: &Claim, claim: &Claim) -> Verdict {
-        let order = (claim.stamp.version, claim.checksum).cmp(&(mine.stamp.version, mine.checksum));
+    fn record_merge_action(
+        &self,
+        local: &MemberDigest,
+        member_digest: &MemberDigest,
+    ) -> MergeAction {
+        let order = (member_digest.stamp.version, member_digest.checksum)
+            .cmp(&(local.stamp.version, local.checksum));
         match order {
-            std::cmp::Ordering::Equal => Verdict::Same,
-            std::cmp::Ordering::Less => Verdict::Behind,
-            std::cmp::Ordering::Greater if self.has_content(claim) => Verdict::Restamp,
-            std::cmp::Ordering::Greater => Verdict::Fetch,
+            std::cmp::Ordering::Equal => MergeAction::NoChange,
+            std::cmp::Ordering::Less => MergeAction::SendNewer,
+            std::cmp::Ordering::Greater if self.has_content(member_digest) => {
+                MergeAction::AdoptStamp
+            }
+            std::cmp::Ordering::Greater => MergeAction::FetchRecord,
         }
     }
 
-    /// Whether the content that a claim is of is held, if under an older stamp.
-    pub fn has_content(&self, claim: &Claim) -> bool {
+    /// Whether the content that a member digest is of is held, if under an older stamp.
+    pub fn has_content(&self, member_digest: &MemberDigest) -> bool {
         let held = self
             .members
-            .get(&claim.owner)
+            .get(&member_digest.owner)
             .and_then(|member| member.record.as_ref());
-        claim.checksum != 0 && held.is_some_and(|held| held.checksum == claim.checksum)
+        member_digest.checksum != 0
+            && held.is_some_and(|held| held.checksum == member_digest.checksum)
     }
 
     /// Takes a newer stamp for the content held; the caller has weighed it.
-    pub fn restamp(&mut self, claim: &Claim) {
-        let stamp = claim.stamp;
-        self.change(claim.owner, |member| {
+    pub fn adopt_stamp(&mut self, member_digest: &MemberDigest) {
+        let stamp = member_digest.stamp;
+        self.change(member_digest.owner, |member| {
             if let Some(held) = member.record.as_mut().filter(|held| held.stamp < stamp) {
                 held.stamp = stamp;
             }
@@ -334,8 +349,8 @@
 
     /// Takes a member's record unless what is held is as new; whether it was taken. Its incarnation has to be the
     /// one that membership counts.
-    pub fn offer(&mut self, record: Record) -> bool {
-        let checksum = record.facts.checksum();
+    pub fn merge_record(&mut self, record: Record) -> bool {
+        let checksum = record.metadata.checksum();
         let newer = self.members.get(&record.owner).is_some_and(|member| {
             let (version, held) = member
                 .current()
@@ -346,7 +361,7 @@
         if newer {
             let held = HeldRecord {
                 stamp: record.stamp,
-                facts: record.facts,
+                metadata: record.metadata,
                 checksum,
             };
             self.change(record.owner, |member| {
@@ -358,11 +373,13 @@
     }
 
     /// What is held of a member, or of this front end itself.
-    pub fn claim(&self, addr: SocketAddr) -> Option<Claim> {
+    pub fn member_digest(&self, addr: SocketAddr) -> Option<MemberDigest> {
         if addr == self.own.owner {
-            return Some(self.own_claim());
+            return Some(self.own_digest());
         }
-        self.members.get(&addr).map(|member| member.claim(addr))
+        self.members
+            .get(&addr)
+            .map(|member| member.member_digest(addr))
     }
 
     /// The record held of a member's present incarnation, or this front end's own.
@@ -374,19 +391,21 @@
         Some(Record {
             owner: addr,
             stamp: held.stamp,
-            facts: held.facts.clone(),
+            metadata: held.metadata.clone(),
         })
     }
 
     /// What is held of the live members in a set of parts, this front end among them.
-    pub fn claims_in(&self, parts: u16) -> impl Iterator<Item = Claim> + '_ {
-        let own = std::iter::once(self.own_claim());
+    pub fn member_digests_in(&self, parts: u16) -> impl Iterator<Item = MemberDigest> + '_ {
+        let own = std::iter::once(self.own_digest());
         let others = self
             .members
             .iter()
-            .map(|(&addr, member)| member.claim(addr));
-        let alive = own.chain(others).filter(|claim| !claim.liveness.is_gone());
-        alive.filter(move |claim| parts & (1 << part_of(claim.owner)) != 0)
+            .map(|(&addr, member)| member.member_digest(addr));
+        let alive = own
+            .chain(others)
+            .filter(|member_digest| !member_digest.liveness.is_gone());
+        alive.filter(move |member_digest| parts & (1 << part_of(member_digest.owner)) != 0)
     }
 
     /// The digest of the whole view: who is alive, of which incarnation, with which record.
@@ -433,7 +452,7 @@
             self.lost.pop_first();
         }
         self.parts = [0; PARTS];
-        self.toggle(self.own_claim());
+        self.toggle(self.own_digest());
     }
 
     /// What a member is doing; one without a record (a front end from before records, or one just heard of) counts as
@@ -441,7 +460,7 @@
     fn lifecycle(member: &Member) -> Lifecycle {
         member
             .current()
-            .map_or(Lifecycle::Ready, |held| held.facts.lifecycle)
+            .map_or(Lifecycle::Ready, |held| held.metadata.lifecycle)
     }
 
     /// Members besides this front end that take clients.
@@ -517,14 +536,14 @@
     (mix(address_hash(addr)) % PARTS as u64) as usize
 }
 
-fn claim_hash(claim: &Claim) -> u64 {
-    let content = u64::from(claim.stamp.version) << 32 | u64::from(claim.checksum);
-    mix(mix(mix(address_hash(claim.owner)) ^ claim.stamp.incarnation) ^ content)
+fn member_digest_hash(member_digest: &MemberDigest) -> u64 {
+    let content = u64::from(member_digest.stamp.version) << 32 | u64::from(member_digest.checksum);
+    mix(mix(mix(address_hash(member_digest.owner)) ^ member_digest.stamp.incarnation) ^ content)
 }
 
-/// A claim's hash as messages tell it.
-pub fn short_hash(claim: &Claim) -> u32 {
-    short(claim_hash(claim))
+/// A member digest's hash as messages tell it.
+pub fn short_hash(member_digest: &MemberDigest) -> u32 {
+    short(member_digest_hash(member_digest))
 }
 
 fn short(hash: u64) -> u32 {
--- a/wrenseam/src/fleet/inquiry.rs
+++ b/wrenseam/src/fleet/liveness_check.rs
@@ -9,7 +9,7 @@
 const HELD: usize = 24;
 
 #[derive(Clone, Copy, Debug)]
-struct Dispute {
+struct LivenessCheck {
     id: PeerId,
     began: Micros,
     ask_at: Micros,
@@ -18,16 +18,16 @@
 
 /// What is to be done about a disputed member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum CheckAction {
     /// It is to be asked.
-    Ask {
+    Query {
         /// The incarnation that is disputed.
         id: PeerId,
         /// Whether it was asked before in vain: others may have a way to it.
         again: bool,
     },
     /// Its time to answer is up.
-    TimeUp {
+    Expired {
         /// The incarnation that is disputed.
         id: PeerId,
         /// When it was first asked.
@@ -37,16 +37,16 @@
 
 /// The disputes under way.
 #[derive(Debug)]
-pub struct Disputes {
-    held: BTreeMap<SocketAddr, Dispute>,
+pub struct LivenessChecks {
+    held: BTreeMap<SocketAddr, LivenessCheck>,
     every: Micros,
     answer_within: Micros,
 }
 
-impl Disputes {
+impl LivenessChecks {
     /// Each is asked about `every` so often at first, then half as often each time, and has so long to answer.
-    pub fn new(every: Micros, answer_within: Micros) -> Disputes {
-        Disputes {
+    pub fn new(every: Micros, answer_within: Micros) -> LivenessChecks {
+        LivenessChecks {
             held: BTreeMap::new(),
             every,
             answer_within,
@@ -65,7 +65,7 @@
         if self.held.len() < HELD || self.held.contains_key(&id.addr) {
             self.held.insert(
                 id.addr,
-                Dispute {
+                LivenessCheck {
                     id,
                     began: now,
                     ask_at: now,
@@ -76,7 +76,7 @@
     }
 
     /// Ends the dispute about a member that is alive in a larger incarnation, or is gone here too.
-    pub fn settle(&mut self, id: PeerId, gone: bool) {
+    pub fn sync_directory(&mut self, id: PeerId, gone: bool) {
         if self
             .held
             .get(&id.addr)
@@ -87,7 +87,7 @@
     }
 
     /// What is due at `now`.
-    pub fn due(&mut self, now: Micros) -> Vec<Step> {
+    pub fn due(&mut self, now: Micros) -> Vec<CheckAction> {
         let mut steps = Vec::new();
         for dispute in self
             .held
@@ -95,12 +95,12 @@
             .filter(|dispute| now >= dispute.ask_at)
         {
             if now.saturating_sub(dispute.began) >= self.answer_within {
-                steps.push(Step::TimeUp {
+                steps.push(CheckAction::Expired {
                     id: dispute.id,
                     began: dispute.began,
                 });
             } else {
-                steps.push(Step::Ask {
+                steps.push(CheckAction::Query {
                     id: dispute.id,
                     again: dispute.asked > 0,
                 });
--- a/wrenseam/src/fleet/members.rs
+++ b/wrenseam/src/fleet/members.rs
@@ -4,11 +4,11 @@
 
 use super::directory::{Directory, Liveness};
 use super::identity::{header, PeerId, HEADER_BYTES};
-use super::inquiry::{Disputes, Step};
+use super::liveness_check::{CheckAction, LivenessChecks};
 use super::message::{records_in_messages, Envelope, Message, RECORDS_VERSION};
-use super::record::{Facts, Lifecycle, Record, RecordError, Stamp};
-use super::repair::Pace;
-use super::rumor::{Rumors, FANOUT};
+use super::record::{Lifecycle, Metadata, Record, RecordError, Stamp};
+use super::repair::RepairSchedule;
+use super::rumor::{RumorQueue, FANOUT};
 use super::swim::{Outgoing, PeerEvent, Swim, SwimSettings};
 use super::traffic::TrafficKind;
 use rand::{rngs::SmallRng, seq::IteratorRandom, RngExt, SeedableRng};
@@ -29,7 +29,7 @@
     pub garbled: u64,
     /// Dropped: from a sender that is no member, or whose incarnation is past.
     pub stranger: u64,
-    /// Records and claims of what this front end never said of itself.
+    /// Records and member digests of what this front end never said of itself.
     pub impostor: u64,
     /// Repairs in which the views differed.
     pub repairs: u64,
@@ -43,9 +43,9 @@
 pub struct Members {
     swim: Swim,
     directory: Directory,
-    rumors: Rumors,
-    disputes: Disputes,
-    pace: Pace,
+    rumors: RumorQueue,
+    liveness_checks: LivenessChecks,
+    repair_schedule: RepairSchedule,
     rng: SmallRng,
     header: [u8; HEADER_BYTES],
     probe: Micros,
@@ -54,13 +54,13 @@
     /// Since when there was anybody to hear.
     accompanied: Micros,
     rumor_at: Micros,
-    inquire_at: Micros,
+    query_at: Micros,
     leaving: bool,
     out: Vec<Outgoing>,
     events: Vec<(Micros, PeerEvent)>,
     changed: bool,
     /// Whether the budget of bytes leaves no room for a whole repair: none is begun, and no rumor passed on.
-    is_tight: bool,
+    is_budget_low: bool,
     digest: u64,
     digest_since: Micros,
     /// What became of the datagrams of records.
@@ -69,7 +69,7 @@
 
 impl Members {
     /// The front end at `own` in its `incarnation`, which says this of itself.
-    pub fn new(own: PeerId, facts: Facts, settings: SwimSettings, seed: u64) -> Members {
+    pub fn new(own: PeerId, metadata: Metadata, settings: SwimSettings, seed: u64) -> Members {
         let swim = Swim::new(own.addr, own.incarnation, settings, seed);
         let stamp = Stamp {
             incarnation: swim.own().incarnation,
@@ -78,7 +78,7 @@
         let directory = Directory::new(Record {
             owner: own.addr,
             stamp,
-            facts,
+            metadata,
         });
         let mut rng = SmallRng::seed_from_u64(seed ^ 0x7265_636f);
         let probe = settings.probe.max(10_000);
@@ -86,11 +86,11 @@
         Members {
             swim,
             directory,
-            rumors: Rumors::default(),
-            disputes: Disputes::new(probe / 2, settings.suspect_for + probe),
-            pace: Pace::new(probe, &mut rng),
+            rumors: RumorQueue::default(),
+            liveness_checks: LivenessChecks::new(probe / 2, settings.suspect_for + probe),
+            repair_schedule: RepairSchedule::new(probe, &mut rng),
             rumor_at: rng.random_range(0..probe / 4),
-            inquire_at: rng.random_range(0..probe / 2),
+            query_at: rng.random_range(0..probe / 2),
             rng,
             header: header(RECORDS_VERSION, settings.cluster),
             probe,
@@ -100,7 +100,7 @@
             out: Vec::new(),
             events: Vec::new(),
             changed: true,
-            is_tight: false,
+            is_budget_low: false,
             digest,
             digest_since: 0,
             counts: RecordCounts::default(),
@@ -108,8 +108,8 @@
     }
 
     /// Whether the budget of bytes leaves no room for a whole repair.
-    pub fn set_tight(&mut self, is_tight: bool) {
-        self.is_tight = is_tight;
+    pub fn set_budget_low(&mut self, is_budget_low: bool) {
+        self.is_budget_low = is_budget_low;
     }
 
     /// Membership.
@@ -129,7 +129,7 @@
 
     /// The other members that take clients, if this front end does so itself; else none.
     pub fn ready(&self) -> Vec<SocketAddr> {
-        if self.directory.own().facts.lifecycle != Lifecycle::Ready {
+        if self.directory.own().metadata.lifecycle != Lifecycle::Ready {
             return Vec::new();
         }
         self.directory.ready().collect()
@@ -161,24 +161,24 @@
     ///
     /// # Errors
     /// [`RecordError`] where the record would be beyond its bounds; the former one holds on.
-    pub fn set_facts(&mut self, now: Micros, facts: Facts) -> Result<(), RecordError> {
-        if facts == self.directory.own().facts {
+    pub fn set_metadata(&mut self, now: Micros, metadata: Metadata) -> Result<(), RecordError> {
+        if metadata == self.directory.own().metadata {
             return Ok(());
         }
         let next = Record {
-            facts,
+            metadata,
             ..self.directory.own().clone()
         };
         if let Err(error) = next.encode() {
             self.counts.refused += 1;
             return Err(error);
         }
-        self.publish_own(now, next.facts, self.directory.own().stamp);
+        self.publish_own(now, next.metadata, self.directory.own().stamp);
         Ok(())
     }
 
-    /// Publishes these facts under a stamp larger than `past`.
-    fn publish_own(&mut self, now: Micros, facts: Facts, past: Stamp) {
+    /// Publishes these metadata under a stamp larger than `past`.
+    fn publish_own(&mut self, now: Micros, metadata: Metadata, past: Stamp) {
         let Some(stamp) = past.max(self.directory.own().stamp).next() else {
             return;
         };
@@ -186,15 +186,15 @@
         self.directory.set_own(Record {
             owner,
             stamp,
-            facts,
+            metadata,
         });
         if stamp.incarnation > self.swim.own().incarnation {
             self.swim.renew(now, stamp.incarnation);
         }
         self.rumors.add_own(owner);
         self.rumor_at = self.rumor_at.min(now);
-        self.pace.differs(now);
-        self.settle(now);
+        self.repair_schedule.views_differ(now);
+        self.sync_directory(now);
     }
 
     /// Tells the fleet that this front end leaves; it takes part in nothing from here on.
@@ -202,11 +202,11 @@
         if self.leaving {
             return;
         }
-        let facts = Facts {
+        let metadata = Metadata {
             lifecycle: Lifecycle::Leaving,
-            ..self.directory.own().facts.clone()
+            ..self.directory.own().metadata.clone()
         };
-        let _ = self.set_facts(now, facts); // no larger than the one before
+        let _ = self.set_metadata(now, metadata); // no larger than the one before
         let own = self.directory.own().clone();
         let peers: Vec<SocketAddr> = self.directory.alive().map(|id| id.addr).collect();
         for to in pick(&mut self.rng, peers, TOLD_OF_LEAVE) {
@@ -218,7 +218,7 @@
         }
         self.leaving = true;
         self.swim.leave(now, self.directory.is_mixed());
-        self.settle(now);
+        self.sync_directory(now);
     }
 
     /// When [`Members::tick`] is wanted next.
@@ -231,7 +231,7 @@
         } else {
             self.rumor_at
         };
-        let own = self.pace.next().min(rumor).min(self.inquire_at);
+        let own = self.repair_schedule.next().min(rumor).min(self.query_at);
         self.swim.next().unwrap_or(Micros::MAX).min(own)
     }
 
@@ -239,7 +239,7 @@
     pub fn stalled(&mut self, now: Micros, span: Micros) {
         self.swim.stalled(span);
         self.accompanied = now;
-        self.settle(now);
+        self.sync_directory(now);
         if span > STALE_AFTER {
             self.restart(now);
         }
@@ -250,7 +250,7 @@
     fn restart(&mut self, now: Micros) {
         self.swim.restart(now);
         self.directory.forget_all();
-        self.settle(now);
+        self.sync_directory(now);
     }
 
     /// Runs what is due at `now`.
@@ -259,23 +259,23 @@
             return;
         }
         self.swim.tick(now);
-        self.settle(now);
-        if self.pace.is_due(now, &mut self.rng) && !self.is_tight {
-            self.begin_repair(now);
+        self.sync_directory(now);
+        if self.repair_schedule.is_due(now, &mut self.rng) && !self.is_budget_low {
+            self.start_repair(now);
         }
         if now >= self.rumor_at {
             self.rumor_at = now + self.probe / 4;
-            self.pass_rumors_on();
+            self.send_rumors();
         }
-        if now >= self.inquire_at {
-            self.inquire_at = now + self.probe / 2;
-            self.inquire(now);
-            self.look_after_ourselves(now);
+        if now >= self.query_at {
+            self.query_at = now + self.probe / 2;
+            self.query_suspects(now);
+            self.restart_if_isolated(now);
         }
     }
 
     /// Who hears nobody for long knows nothing of the others any more, and forgets what it knew before it tells it.
-    fn look_after_ourselves(&mut self, now: Micros) {
+    fn restart_if_isolated(&mut self, now: Micros) {
         if self.swim.alive() == 0 {
             self.accompanied = now;
         }
@@ -294,38 +294,38 @@
     }
 
     /// Brings the directory in line with what membership noticed, and our own record with our incarnation.
-    fn settle(&mut self, now: Micros) {
+    fn sync_directory(&mut self, now: Micros) {
         for (at, event) in self.swim.events() {
             let told = match event {
                 PeerEvent::Up(id) => {
                     self.directory.up(at, id);
-                    self.disputes.settle(id, false);
-                    self.pace.differs(now);
+                    self.liveness_checks.sync_directory(id, false);
+                    self.repair_schedule.views_differ(now);
                     event
                 }
                 PeerEvent::Down(id) => {
-                    self.disputes.settle(id, true);
+                    self.liveness_checks.sync_directory(id, true);
                     match self.directory.gone(at, id) {
                         Liveness::Left => PeerEvent::Left(id),
                         _ => event,
                     }
                 }
-                PeerEvent::Renamed(id) => {
-                    self.directory.renamed(id);
-                    self.disputes.settle(id, false);
+                PeerEvent::NewIncarnation(id) => {
+                    self.directory.update_incarnation(id);
+                    self.liveness_checks.sync_directory(id, false);
                     event
                 }
-                PeerEvent::Left(_) | PeerEvent::Alone | PeerEvent::Rejoined => event,
+                PeerEvent::Left(_) | PeerEvent::Isolated | PeerEvent::Rejoined => event,
             };
             self.changed = true;
             self.events.push((at, told));
         }
         let incarnation = self.swim.own().incarnation;
         if incarnation > self.directory.own().stamp.incarnation {
-            let facts = self.directory.own().facts.clone();
+            let metadata = self.directory.own().metadata.clone();
             self.publish_own(
                 now,
-                facts,
+                metadata,
                 Stamp {
                     incarnation,
                     version: 0,
@@ -339,7 +339,7 @@
     }
 
     /// Begins a repair with a random member.
-    fn begin_repair(&mut self, _now: Micros) {
+    fn start_repair(&mut self, _now: Micros) {
         let members = self
             .directory
             .alive()
@@ -356,7 +356,7 @@
         );
     }
 
-    fn pass_rumors_on(&mut self) {
+    fn send_rumors(&mut self) {
         if self.rumors.is_empty() {
             return;
         }
@@ -377,17 +377,17 @@
         }
     }
 
-    /// Asks suspects, themselves and by way of others, whether they are there, and judges disputes.
-    fn inquire(&mut self, now: Micros) {
+    /// Asks suspects, themselves and by way of others, whether they are there, and judges liveness_checks.
+    fn query_suspects(&mut self, now: Micros) {
         let suspects: Vec<PeerId> = self.swim.detector().suspects().collect();
         suspects
             .into_iter()
-            .for_each(|id| self.ask_about(id, false, RELAYS));
-        self.ask_disputed(now);
+            .for_each(|id| self.send_alive_queries(id, false, RELAYS));
+        self.run_liveness_checks(now);
     }
 
     /// Asks a member whether it is there, itself and by way of so many others.
-    fn ask_about(&mut self, about: PeerId, gone: bool, relays: usize) {
+    fn send_alive_queries(&mut self, about: PeerId, gone: bool, relays: usize) {
         let mut others = Vec::new();
         if relays > 0 {
             others.extend(
@@ -404,7 +404,7 @@
             self.send(
                 to,
                 TrafficKind::Probe,
-                Message::Inquiry {
+                Message::AliveQuery {
                     about,
                     gone,
                     origin,
@@ -413,15 +413,17 @@
         }
     }
 
-    fn ask_disputed(&mut self, now: Micros) {
-        for step in self.disputes.due(now) {
+    fn run_liveness_checks(&mut self, now: Micros) {
+        for step in self.liveness_checks.due(now) {
             match step {
-                Step::Ask { id, again } => self.ask_about(id, true, if again { RELAYS } else { 0 }),
-                Step::TimeUp { id, began } => {
+                CheckAction::Query { id, again } => {
+                    self.send_alive_queries(id, true, if again { RELAYS } else { 0 })
+                }
+                CheckAction::Expired { id, began } => {
                     let heard = self.swim.detector().last_heard(id.addr) >= Some(began);
-                    if !heard && self.swim.detector().may_accuse(now, began) {
+                    if !heard && self.swim.detector().may_declare_down(now, began) {
                         self.swim.learn(now, id, true, true);
-                        self.settle(now);
+                        self.sync_directory(now);
                     }
                 }
             }
--- a/wrenseam/src/fleet/members/exchange.rs
+++ b/wrenseam/src/fleet/members/exchange.rs
@@ -1,6 +1,6 @@
 //! What a front end makes of the datagrams of membership and records, and what it answers.
 use super::Members;
-use crate::fleet::directory::{Claim, Liveness, Verdict, PARTS};
+use crate::fleet::directory::{Liveness, MemberDigest, MergeAction, PARTS};
 use crate::fleet::identity::PeerId;
 use crate::fleet::message::{records_in_messages, Envelope, Message, RECORDS_VERSION};
 use crate::fleet::record::{Lifecycle, Record, Stamp};
@@ -17,65 +17,68 @@
         }
         if !self.swim.is_ours(bytes, RECORDS_VERSION) {
             if let Some(from) = self.swim.datagram(now, bytes) {
-                self.correct(now, from);
+                self.notify_outdated_sender(now, from);
             }
-            self.settle(now);
+            self.sync_directory(now);
             return;
         }
         let Ok(Envelope { from, message }) = Envelope::decode(bytes) else {
             self.counts.garbled += 1;
             return;
         };
-        if !self.greet(now, from) {
+        if !self.accept_sender(now, from) {
             self.counts.stranger += 1;
             return;
         }
         match message {
-            Message::Digest(theirs) => self.answer_digest(now, from, &theirs),
+            Message::Digest(remote) => self.answer_digest(now, from, &remote),
             Message::Hashes { parts, hashes } => self.answer_hashes(now, from, parts, &hashes),
-            Message::Claims { unmatched, claims } => {
-                self.take_claims(now, from, &claims, &unmatched)
-            }
+            Message::MemberDigests {
+                unmatched,
+                member_digests,
+            } => self.take_member_digests(now, from, &member_digests, &unmatched),
             Message::Records { news, records } => {
                 records
                     .into_iter()
                     .for_each(|record| self.take_record(now, record, news));
             }
             Message::Wanted(addresses) => self.send_records(from.addr, addresses.into_iter()),
-            Message::Inquiry {
+            Message::AliveQuery {
                 about,
                 gone,
                 origin,
-            } => self.answer_inquiry(now, from, about, gone, origin),
-            Message::Present { record, origin } => self.take_presence(now, from, *record, origin),
+            } => self.answer_alive_query(now, from, about, gone, origin),
+            Message::AliveReply { record, origin } => {
+                self.take_alive_reply(now, from, *record, origin)
+            }
         }
-        self.settle(now);
+        self.sync_directory(now);
     }
 
     /// A datagram came from `from` itself: takes it up as a member if it is a new one. Whether its word counts; one
     /// whose incarnation is past is told which it needs.
-    fn greet(&mut self, now: Micros, from: PeerId) -> bool {
+    fn accept_sender(&mut self, now: Micros, from: PeerId) -> bool {
         if from.addr == self.directory.own().owner {
             return false;
         }
         self.swim.detector().heard(now, from.addr);
-        if self.correct(now, from) {
+        if self.notify_outdated_sender(now, from) {
             return false;
         }
         if self
             .directory
-            .claim(from.addr)
+            .member_digest(from.addr)
             .is_none_or(|held| held.stamp.incarnation < from.incarnation)
         {
             self.swim.learn(now, from, false, true);
-            self.settle(now);
+            self.sync_directory(now);
         }
         true
     }
 
     /// Tells a sender whose incarnation is past, or held as gone, so; whether it had to be told.
-    fn correct(&mut self, _now: Micros, from: PeerId) -> bool {
-        let Some(held) = self.directory.claim(from.addr) else {
+    fn notify_outdated_sender(&mut self, _now: Micros, from: PeerId) -> bool {
+        let Some(held) = self.directory.member_digest(from.addr) else {
             return false;
         };
         let (known, gone) = (held.stamp.incarnation, held.liveness.is_gone());
@@ -90,7 +93,7 @@
         self.send(
             from.addr,
             TrafficKind::Join,
-            Message::Inquiry {
+            Message::AliveQuery {
                 about,
                 gone,
                 origin,
@@ -99,13 +102,13 @@
         true
     }
 
-    fn answer_digest(&mut self, now: Micros, from: PeerId, theirs: &[u32; PARTS]) {
-        let differing = repair::differing(&self.directory.part_digests(), theirs);
+    fn answer_digest(&mut self, now: Micros, from: PeerId, remote: &[u32; PARTS]) {
+        let differing = repair::differing(&self.directory.part_digests(), remote);
         if differing == 0 {
             return;
         }
-        self.pace.differs(now);
-        if self.is_tight {
+        self.repair_schedule.views_differ(now);
+        if self.is_budget_low {
             return;
         }
         self.counts.repairs += 1;
@@ -117,78 +120,84 @@
         );
     }
 
-    fn answer_hashes(&mut self, now: Micros, from: PeerId, parts: u16, theirs: &[u32]) {
-        self.pace.differs(now);
-        let (claims, unmatched) = repair::mismatches(&self.directory, parts, theirs, &mut self.rng);
-        if !claims.is_empty() || !unmatched.is_empty() {
+    fn answer_hashes(&mut self, now: Micros, from: PeerId, parts: u16, remote: &[u32]) {
+        self.repair_schedule.views_differ(now);
+        let (member_digests, unmatched) =
+            repair::mismatches(&self.directory, parts, remote, &mut self.rng);
+        if !member_digests.is_empty() || !unmatched.is_empty() {
             self.send(
                 from.addr,
                 TrafficKind::Repair,
-                Message::Claims { unmatched, claims },
+                Message::MemberDigests {
+                    unmatched,
+                    member_digests,
+                },
             );
         }
     }
 
-    fn take_claims(&mut self, now: Micros, from: PeerId, claims: &[Claim], unmatched: &[u32]) {
-        let found = repair::compare(&self.directory, claims);
-        let mut newer = found.newer;
-        newer.extend(repair::claims_of(&self.directory, unmatched, claims));
+    fn take_member_digests(
+        &mut self,
+        now: Micros,
+        from: PeerId,
+        member_digests: &[MemberDigest],
+        unmatched: &[u32],
+    ) {
+        let plan = repair::compare(&self.directory, member_digests);
+        let mut newer = plan.newer;
+        newer.extend(repair::member_digests_of(
+            &self.directory,
+            unmatched,
+            member_digests,
+        ));
         // Only what is newer than the other's, so that no answer calls for another without end.
-        for claims in repair::in_datagrams(&newer) {
+        for member_digests in repair::in_datagrams(&newer) {
             self.send(
                 from.addr,
                 TrafficKind::Repair,
-                Message::Claims {
+                Message::MemberDigests {
                     unmatched: Vec::new(),
-                    claims,
+                    member_digests,
                 },
             );
         }
-        if !found.wanted.is_empty() {
-            self.send(
-                from.addr,
-                TrafficKind::Repair,
-                Message::Wanted(found.wanted),
-            );
+        if !plan.wanted.is_empty() {
+            self.send(from.addr, TrafficKind::Repair, Message::Wanted(plan.wanted));
         }
-        found
-            .learn
+        plan.add
             .into_iter()
             .for_each(|id| self.swim.learn(now, id, false, false));
-        found
-            .left
+        plan.left
             .into_iter()
             .for_each(|id| self.take_leave(now, id));
-        self.settle(now);
-        found
-            .restamps
+        self.sync_directory(now);
+        plan.adopt_stamps
             .iter()
-            .for_each(|claim| self.directory.restamp(claim));
-        found
-            .disputes
+            .for_each(|member_digest| self.directory.adopt_stamp(member_digest));
+        plan.check_liveness
             .into_iter()
-            .for_each(|id| self.dispute(now, id));
-        if let Some(past) = found.outbid {
-            self.outbid(now, past);
+            .for_each(|id| self.check_liveness(now, id));
+        if let Some(past) = plan.refute_above {
+            self.refute(now, past);
         }
-        self.ask_disputed(now);
+        self.run_liveness_checks(now);
     }
 
     /// Another holds as gone who is alive here. Whom we suspect too is gone; others are asked first.
-    fn dispute(&mut self, now: Micros, id: PeerId) {
+    fn check_liveness(&mut self, now: Micros, id: PeerId) {
         if self.swim.detector().suspects().any(|suspect| suspect == id) {
             self.swim.learn(now, id, true, true);
-            self.settle(now);
+            self.sync_directory(now);
         } else {
-            self.disputes.open(now, id);
+            self.liveness_checks.open(now, id);
         }
     }
 
     /// Somebody holds of us what is not so: our next stamp is larger than that.
-    fn outbid(&mut self, now: Micros, past: Stamp) {
+    fn refute(&mut self, now: Micros, past: Stamp) {
         self.counts.impostor += 1;
-        let facts = self.directory.own().facts.clone();
-        self.publish_own(now, facts, past);
+        let metadata = self.directory.own().metadata.clone();
+        self.publish_own(now, metadata, past);
     }
 
     fn send_records(&mut self, to: SocketAddr, owners: impl Iterator<Item = SocketAddr>) {
@@ -201,27 +210,27 @@
     }
 
     fn take_record(&mut self, now: Micros, record: Record, news: bool) {
-        let (owner, id, lifecycle) = (record.owner, record.id(), record.facts.lifecycle);
-        let claim = Claim {
+        let (owner, id, lifecycle) = (record.owner, record.id(), record.metadata.lifecycle);
+        let member_digest = MemberDigest {
             owner,
             stamp: record.stamp,
             liveness: Liveness::Alive,
-            checksum: record.facts.checksum(),
+            checksum: record.metadata.checksum(),
         };
-        match self.directory.weigh(&claim) {
-            Verdict::Outbid => return self.outbid(now, record.stamp),
-            Verdict::Learn if lifecycle != Lifecycle::Leaving => {
+        match self.directory.merge_action(&member_digest) {
+            MergeAction::Refute => return self.refute(now, record.stamp),
+            MergeAction::AddMember if lifecycle != Lifecycle::Leaving => {
                 self.swim.learn(now, id, false, false);
-                self.settle(now);
+                self.sync_directory(now);
             }
-            Verdict::Fetch | Verdict::Restamp => {}
+            MergeAction::FetchRecord | MergeAction::AdoptStamp => {}
             _ => return,
         }
-        if !self.directory.offer(record) {
+        if !self.directory.merge_record(record) {
             return;
         }
         self.counts.taken += 1;
-        if news && !self.is_tight && self.rumors.add(owner) {
+        if news && !self.is_budget_low && self.rumors.add(owner) {
             self.rumor_at = self.rumor_at.min(now + self.probe / 4);
         }
         if lifecycle == Lifecycle::Leaving {
@@ -237,7 +246,7 @@
         self.swim.learn(now, id, true, spread);
     }
 
-    fn answer_inquiry(
+    fn answer_alive_query(
         &mut self,
         now: Micros,
         from: PeerId,
@@ -252,7 +261,7 @@
                 self.send(
                     about.addr,
                     TrafficKind::Probe,
-                    Message::Inquiry {
+                    Message::AliveQuery {
                         about,
                         gone,
                         origin,
@@ -266,18 +275,18 @@
                 incarnation: about.incarnation,
                 version: u32::MAX,
             };
-            let facts = self.directory.own().facts.clone();
-            self.publish_own(now, facts, past);
+            let metadata = self.directory.own().metadata.clone();
+            self.publish_own(now, metadata, past);
         }
         let record = Box::new(self.directory.own().clone());
-        let present = Message::Present { record, origin };
+        let present = Message::AliveReply { record, origin };
         if from.addr != origin {
             self.send(from.addr, TrafficKind::Probe, present.clone());
         }
         self.send(origin, TrafficKind::Probe, present);
     }
 
-    fn take_presence(&mut self, now: Micros, from: PeerId, record: Record, origin: SocketAddr) {
+    fn take_alive_reply(&mut self, now: Micros, from: PeerId, record: Record, origin: SocketAddr) {
         if origin == self.directory.own().owner {
             self.swim.detector().heard(now, record.owner);
             self.take_record(now, record, true);
@@ -285,7 +294,7 @@
             self.send(
                 origin,
                 TrafficKind::Probe,
-                Message::Present {
+                Message::AliveReply {
                     record: Box::new(record),
                     origin,
                 },
--- a/wrenseam/src/fleet/message.rs
+++ b/wrenseam/src/fleet/message.rs
@@ -1,6 +1,6 @@
 //! The datagrams by which members share and repair their records: typed, checked by a CRC, and bounded by the
 //! largest datagram. No I/O; docs/fleet-view.md has the exchange.
-use super::directory::{Claim, Liveness, PARTS};
+use super::directory::{Liveness, MemberDigest, PARTS};
 use super::identity::{
     put_address, take, take_address, PeerId, HEADER_BYTES, MAX_DATAGRAM, MAX_INCARNATION,
 };
@@ -15,11 +15,11 @@
 const CRC_BYTES: usize = 4;
 const KIND_DIGEST: u8 = 0;
 const KIND_HASHES: u8 = 1;
-const KIND_CLAIMS: u8 = 2;
+const KIND_MEMBER_DIGESTS: u8 = 2;
 const KIND_RECORDS: u8 = 3;
 const KIND_WANTED: u8 = 4;
-const KIND_INQUIRY: u8 = 5;
-const KIND_PRESENT: u8 = 6;
+const KIND_ALIVE_QUERY: u8 = 5;
+const KIND_ALIVE_REPLY: u8 = 6;
 
 /// One datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,11 +43,11 @@
         hashes: Vec<u32>,
     },
     /// What is held of members where it differs; who holds newer answers with that.
-    Claims {
+    MemberDigests {
         /// The other's hashes that are of nothing held here.
         unmatched: Vec<u32>,
         /// What is held.
-        claims: Vec<Claim>,
+        member_digests: Vec<MemberDigest>,
     },
     /// Records whole, of any member.
     Records {
@@ -59,7 +59,7 @@
     /// Asks for the records of these members.
     Wanted(Vec<SocketAddr>),
     /// Asks whether a member is there, itself or a relay that passes this on to it.
-    Inquiry {
+    AliveQuery {
         /// The member, and the incarnation known of it.
         about: PeerId,
         /// Whether that incarnation is known as gone: its owner needs a larger one.
@@ -68,7 +68,7 @@
         origin: SocketAddr,
     },
     /// A member's own word that it is there; a relay passes it on to `origin`.
-    Present {
+    AliveReply {
         /// Its record.
         record: Box<Record>,
         /// Who asked.
@@ -89,7 +89,7 @@
     Record(RecordError),
     /// An incarnation above [`MAX_INCARNATION`].
     IncarnationOutOfRange(u64),
-    /// A claim of a liveness that this program does not know.
+    /// A member digest of a liveness that this program does not know.
     UnknownLiveness(u8),
 }
 
@@ -147,13 +147,18 @@
                     .iter()
                     .for_each(|hash| bytes.extend(hash.to_be_bytes()));
             }
-            Message::Claims { unmatched, claims } => {
-                bytes.push(KIND_CLAIMS);
+            Message::MemberDigests {
+                unmatched,
+                member_digests,
+            } => {
+                bytes.push(KIND_MEMBER_DIGESTS);
                 bytes.extend((unmatched.len() as u16).to_be_bytes());
                 unmatched
                     .iter()
                     .for_each(|hash| bytes.extend(hash.to_be_bytes()));
-                claims.iter().for_each(|claim| put_claim(bytes, claim));
+                member_digests
+                    .iter()
+                    .for_each(|member_digest| put_member_digest(bytes, member_digest));
             }
             Message::Records { news, records } => {
                 bytes.push(KIND_RECORDS);
@@ -168,18 +173,18 @@
                     .iter()
                     .for_each(|&address| put_address(bytes, address));
             }
-            Message::Inquiry {
+            Message::AliveQuery {
                 about,
                 gone,
                 origin,
             } => {
-                bytes.push(KIND_INQUIRY);
+                bytes.push(KIND_ALIVE_QUERY);
                 put_id(bytes, *about);
                 bytes.push(u8::from(*gone));
                 put_address(bytes, *origin);
             }
-            Message::Present { record, origin } => {
-                bytes.push(KIND_PRESENT);
+            Message::AliveReply { record, origin } => {
+                bytes.push(KIND_ALIVE_REPLY);
                 put_address(bytes, *origin);
                 put_record(bytes, record)?;
             }
@@ -202,13 +207,16 @@
                 let hashes = until_empty(rest, take_hash)?;
                 Ok(Message::Hashes { parts, hashes })
             }
-            KIND_CLAIMS => {
+            KIND_MEMBER_DIGESTS => {
                 let count = u16::from_be_bytes(need(rest)?);
                 let unmatched = (0..count)
                     .map(|_| take_hash(rest))
                     .collect::<Result<_, _>>()?;
-                let claims = until_empty(rest, take_claim)?;
-                Ok(Message::Claims { unmatched, claims })
+                let member_digests = until_empty(rest, take_member_digest)?;
+                Ok(Message::MemberDigests {
+                    unmatched,
+                    member_digests,
+                })
             }
             KIND_RECORDS => {
                 let news = take_flag(rest)?;
@@ -219,20 +227,20 @@
                 let address = |rest: &mut &[u8]| take_address(rest).ok_or(MessageError::Length);
                 Ok(Message::Wanted(until_empty(rest, address)?))
             }
-            KIND_INQUIRY => {
+            KIND_ALIVE_QUERY => {
                 let about = take_id(rest)?;
                 let gone = take_flag(rest)?;
                 let origin = take_address(rest).ok_or(MessageError::Length)?;
-                Ok(Message::Inquiry {
+                Ok(Message::AliveQuery {
                     about,
                     gone,
                     origin,
                 })
             }
-            KIND_PRESENT => {
+            KIND_ALIVE_REPLY => {
                 let origin = take_address(rest).ok_or(MessageError::Length)?;
                 let record = Box::new(take_record(rest)?);
-                Ok(Message::Present { record, origin })
+                Ok(Message::AliveReply { record, origin })
             }
             other => Err(MessageError::UnknownKind(other)),
         }
@@ -309,15 +317,15 @@
     Ok(incarnation)
 }
 
-fn put_claim(bytes: &mut Vec<u8>, claim: &Claim) {
-    put_address(bytes, claim.owner);
-    bytes.extend(claim.stamp.incarnation.to_be_bytes());
-    bytes.extend(claim.stamp.version.to_be_bytes());
-    bytes.push(claim.liveness as u8);
-    bytes.extend(claim.checksum.to_be_bytes());
+fn put_member_digest(bytes: &mut Vec<u8>, member_digest: &MemberDigest) {
+    put_address(bytes, member_digest.owner);
+    bytes.extend(member_digest.stamp.incarnation.to_be_bytes());
+    bytes.extend(member_digest.stamp.version.to_be_bytes());
+    bytes.push(member_digest.liveness as u8);
+    bytes.extend(member_digest.checksum.to_be_bytes());
 }
 
-fn take_claim(rest: &mut &[u8]) -> Result<Claim, MessageError> {
+fn take_member_digest(rest: &mut &[u8]) -> Result<MemberDigest, MessageError> {
     let owner = take_address(rest).ok_or(MessageError::Length)?;
     let incarnation = take_incarnation(rest)?;
     let version = u32::from_be_bytes(need(rest)?);
@@ -326,7 +334,7 @@
         .get(usize::from(liveness))
         .ok_or(MessageError::UnknownLiveness(liveness))?;
     let checksum = u32::from_be_bytes(need(rest)?);
-    Ok(Claim {
+    Ok(MemberDigest {
         owner,
         stamp: Stamp {
             incarnation,
--- a/wrenseam/src/fleet/mod.rs
+++ b/wrenseam/src/fleet/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`identity`]: who a peer is, the header of all datagrams;
 //! - [`record`], [`directory`]: what each member says of itself, and what is known of all;
-//! - [`message`], [`repair`], [`rumor`], [`inquiry`]: how these are kept the same everywhere;
+//! - [`message`], [`repair`], [`rumor`], [`liveness_check`]: how these are kept the same everywhere;
 //! - [`detector`], [`swim`]: who is alive; [`members`]: membership and records as one;
 //! - [`average`]: the mean pressure at bounded cost; [`summary`]: loads for front ends from before it;
 //! - [`traffic`]: the budget of bytes; [`node`]: one front end's gossip as a whole;
@@ -14,7 +14,7 @@
 pub mod detector;
 pub mod directory;
 pub mod identity;
-pub mod inquiry;
+pub mod liveness_check;
 pub mod members;
 pub mod message;
 pub mod node;
@@ -27,10 +27,10 @@
 pub mod traffic;
 
 pub use average::Average;
-pub use budget::{FleetSize, RetryBudget, Spent};
+pub use budget::{BudgetUsage, FleetSize, RetryBudget};
 pub use identity::PeerId;
-pub use node::{FleetNews, Node, NodeSettings};
-pub use record::{Facts, Lifecycle};
+pub use node::{FleetStatus, Node, NodeSettings};
+pub use record::{Lifecycle, Metadata};
 pub use shed::Shedder;
 pub use summary::{Summaries, Summary};
 pub use swim::{PeerEvent, Swim, SwimSettings};
--- a/wrenseam/src/fleet/node.rs
+++ b/wrenseam/src/fleet/node.rs
@@ -4,7 +4,7 @@
 use super::average::{Average, AverageDropped};
 use super::identity::{PeerId, AVERAGE_VERSION};
 use super::members::{Members, RecordCounts};
-use super::record::{Facts, Lifecycle, RecordError};
+use super::record::{Lifecycle, Metadata, RecordError};
 use super::swim::{Dropped, Outgoing, PeerEvent, SwimSettings};
 use super::traffic::{Traffic, TrafficKind};
 use super::Summary;
@@ -23,12 +23,12 @@
 /// Peers asked for their lists in a probe period while one's own is filling.
 const ASK_FILLING: usize = 2;
 
-/// What waited in the socket while the process did not run for longer than a suspicion is old news, and may declare
+/// What waited in the socket while the process did not run for longer than a suspicion is out of date, and may declare
 /// down who has come back since: so long takes reading it, and it is dropped.
 const BACKLOG_READ_IN: Micros = 20_000;
 
-/// Times that news of a member are passed on besides foca's 4 log10 N. As a zone or a region goes, up to half of
-/// those times are spent on peers that are gone too: of 11 at 660 some 5 are left, and one in 200 misses the news.
+/// Times that an update of a member is retransmitted besides foca's 4 log10 N. As a zone or a region goes, up to half of
+/// those times are spent on peers that are gone too: of 11 at 660 some 5 are left, and one in 200 misses it.
 pub const EXTRA_TRANSMISSIONS: u8 = 5;
 
 /// The settings of a node: those of membership, what it says of itself, and whether to bear with summaries.
@@ -37,7 +37,7 @@
     /// Membership's settings.
     pub swim: SwimSettings,
     /// What this front end says of itself at its start.
-    pub facts: Facts,
+    pub metadata: Metadata,
     /// Peers asked to let us join; asked again when not counted alive.
     pub seeds: Vec<SocketAddr>,
     /// Whether to publish summaries while a front end from before the averaging is heard.
@@ -46,12 +46,12 @@
 
 /// What a front end makes of its fleet at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct FleetNews {
+pub struct FleetStatus {
     /// Peers counted alive, besides itself.
     pub alive: usize,
     /// Of these, by lifecycle in the order of [`Lifecycle::ALL`].
     pub by_lifecycle: [usize; Lifecycle::ALL.len()],
-    /// Peers that told that they drain or leave since the news before.
+    /// Peers that told that they drain or leave since the status before.
     pub departed: usize,
     /// The digest of the whole view, and for how long it has stood, in microseconds.
     pub digest: u64,
@@ -64,7 +64,7 @@
     /// Whether a front end from before the averaging is in the fleet, and the mean is of summaries.
     pub mixed: bool,
     /// How many times longer this front end's probes and suspicions are, since it doubts itself.
-    pub doubt_factor: u32,
+    pub health_multiplier: u32,
     /// Bytes sent, and held back by the budget, in the order of [`TrafficKind::ALL`].
     pub bytes_sent: [u64; TrafficKind::ALL.len()],
     /// See `bytes_sent`.
@@ -77,7 +77,7 @@
     pub average_dropped: AverageDropped,
 }
 
-impl FleetNews {
+impl FleetStatus {
     /// Peers that take clients.
     pub fn ready(&self) -> usize {
         self.by_lifecycle[Lifecycle::Ready as usize]
@@ -114,7 +114,7 @@
             incarnation,
         };
         Node {
-            members: Members::new(id, settings.facts.clone(), settings.swim, seed),
+            members: Members::new(id, settings.metadata.clone(), settings.swim, seed),
             average: Average::new(id, cluster, probe, seed),
             traffic: Traffic::default(),
             settings,
@@ -136,7 +136,7 @@
         if now < self.stale_until {
             return;
         }
-        self.members.set_tight(self.traffic.is_tight(now));
+        self.members.set_budget_low(self.traffic.is_budget_low(now));
         if self.members.swim().is_ours(bytes, AVERAGE_VERSION) {
             if let Some(from) = self.average.datagram(now, bytes) {
                 self.members.swim().detector().heard(now, from.addr);
@@ -154,11 +154,11 @@
     /// Runs what is due at `now`.
     pub fn tick(&mut self, now: Micros) {
         self.now = now;
-        self.look_for_stall(now);
-        self.members.set_tight(self.traffic.is_tight(now));
+        self.detect_stall(now);
+        self.members.set_budget_low(self.traffic.is_budget_low(now));
         self.members.tick(now);
         if now >= self.average.next() {
-            self.regroup(now);
+            self.update_neighbours(now);
         }
         self.average.tick(now);
         self.expected_at = Some(self.next().max(now));
@@ -166,7 +166,7 @@
 
     /// Whoever was stopped or starved for more than half a probe period must not take the others' silence in that time
     /// for theirs.
-    fn look_for_stall(&mut self, now: Micros) {
+    fn detect_stall(&mut self, now: Micros) {
         let late = self.expected_at.map_or(0, |at| now.saturating_sub(at));
         if late > self.settings.swim.probe / 2 {
             self.members.stalled(now, late);
@@ -177,7 +177,7 @@
     }
 
     /// The averaging's neighbours follow a change of the members: when its turn comes, and not with each datagram.
-    fn regroup(&mut self, now: Micros) {
+    fn update_neighbours(&mut self, now: Micros) {
         if self.members.changed() {
             let ready = self.members.ready();
             self.average.members(now, ready.into_iter());
@@ -191,12 +191,12 @@
     pub fn update(
         &mut self,
         now: Micros,
-        change: impl FnOnce(&mut Facts),
+        change: impl FnOnce(&mut Metadata),
     ) -> Result<(), RecordError> {
         self.now = now;
-        let mut facts = self.members.directory().own().facts.clone();
-        change(&mut facts);
-        self.members.set_facts(now, facts)
+        let mut metadata = self.members.directory().own().metadata.clone();
+        change(&mut metadata);
+        self.members.set_metadata(now, metadata)
     }
 
     /// Tells the fleet that this front end leaves; it takes part in nothing from here on.
@@ -206,7 +206,7 @@
     }
 
     /// Each probe period: tells the fleet our load, asks for peers that are missing, and says how the fleet is.
-    pub fn publish(&mut self, now: Micros, own: Summary) -> FleetNews {
+    pub fn publish(&mut self, now: Micros, own: Summary) -> FleetStatus {
         self.now = now;
         self.average.set(own.pressure);
         let swim = self.members.swim();
@@ -214,9 +214,9 @@
         if mixed {
             swim.publish(now, Summary { views: true, ..own });
         } else {
-            swim.publish_no_more();
+            swim.stop_publishing();
         }
-        swim.spare(self.traffic.is_tight(now));
+        swim.set_reduced_gossip(self.traffic.is_budget_low(now));
         if std::mem::take(&mut self.came) * FILLING > swim.alive() {
             (0..ASK_FILLING).for_each(|_| swim.ask_for_members(now, self.rng.random()));
         }
@@ -228,10 +228,10 @@
             self.average.pressure()
         };
         let (alive, dropped) = (swim.alive(), swim.dropped);
-        let doubt_factor = swim.detector().factor();
+        let health_multiplier = swim.detector().factor();
         let by_lifecycle = self.members.directory().by_lifecycle();
         let (digest, since) = self.members.digest();
-        FleetNews {
+        FleetStatus {
             alive,
             by_lifecycle,
             departed: self.departed(&by_lifecycle),
@@ -240,7 +240,7 @@
             pressure: self.pressure,
             edges: self.average.edges(),
             mixed,
-            doubt_factor,
+            health_multiplier,
             bytes_sent: self.traffic.sent,
             bytes_held_back: self.traffic.held_back,
             records: self.members.counts,
--- a/wrenseam/src/fleet/record.rs
+++ b/wrenseam/src/fleet/record.rs
@@ -58,7 +58,7 @@
 
 /// What a member says of itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Facts {
+pub struct Metadata {
     /// What it is doing.
     pub lifecycle: Lifecycle,
     /// Its zone; empty where none is configured.
@@ -67,7 +67,7 @@
     pub program: String,
     /// A digest of the configuration in force.
     pub config_digest: u64,
-    /// Small facts by name.
+    /// Small metadata by name.
     pub entries: BTreeMap<String, Entry>,
 }
 
@@ -102,7 +102,7 @@
     /// How new it is.
     pub stamp: Stamp,
     /// What it says.
-    pub facts: Facts,
+    pub metadata: Metadata,
 }
 
 /// Why a record cannot be written or read.
@@ -152,7 +152,7 @@
 
 impl std::error::Error for RecordError {}
 
-impl Facts {
+impl Metadata {
     /// The bytes, big-endian: format (1), lifecycle (1), configuration digest (8), zone and program (length 1 and
     /// text each), entries (count 1; each: name, version 4, value length 2 and text).
     ///
@@ -178,11 +178,11 @@
         Ok(bytes)
     }
 
-    /// Reads what [`Facts::encode`] wrote.
+    /// Reads what [`Metadata::encode`] wrote.
     ///
     /// # Errors
     /// [`RecordError`] for anything else.
-    pub fn decode(rest: &mut &[u8]) -> Result<Facts, RecordError> {
+    pub fn decode(rest: &mut &[u8]) -> Result<Metadata, RecordError> {
         let [format] = need(rest)?;
         if format != RECORD_FORMAT {
             return Err(RecordError::UnknownFormat(format));
@@ -213,7 +213,7 @@
             }
             entries.insert(name, Entry { version, value });
         }
-        Ok(Facts {
+        Ok(Metadata {
             lifecycle,
             zone,
             program,
@@ -238,7 +238,7 @@
         }
     }
 
-    /// The bytes, big-endian: owner, incarnation (8), version (4), the facts.
+    /// The bytes, big-endian: owner, incarnation (8), version (4), the metadata.
     ///
     /// # Errors
     /// [`RecordError`] where it is larger than [`MAX_RECORD_BYTES`], or a part of it beyond its bound.
@@ -247,7 +247,7 @@
         put_address(&mut bytes, self.owner);
         bytes.extend(self.stamp.incarnation.to_be_bytes());
         bytes.extend(self.stamp.version.to_be_bytes());
-        bytes.extend(self.facts.encode()?);
+        bytes.extend(self.metadata.encode()?);
         if bytes.len() > MAX_RECORD_BYTES {
             return Err(RecordError::TooLarge(bytes.len()));
         }
@@ -269,7 +269,7 @@
             return Err(RecordError::IncarnationOutOfRange(incarnation));
         }
         let version = u32::from_be_bytes(need(&mut rest)?);
-        let facts = Facts::decode(&mut rest)?;
+        let metadata = Metadata::decode(&mut rest)?;
         if !rest.is_empty() {
             return Err(RecordError::Truncated);
         }
@@ -279,7 +279,7 @@
                 incarnation,
                 version,
             },
-            facts,
+            metadata,
         })
     }
 }
--- a/wrenseam/src/fleet/rumor.rs
+++ b/wrenseam/src/fleet/rumor.rs
@@ -12,11 +12,11 @@
 
 /// What is to be passed on.
 #[derive(Debug, Default)]
-pub struct Rumors {
+pub struct RumorQueue {
     rounds: BTreeMap<SocketAddr, u8>,
 }
 
-impl Rumors {
+impl RumorQueue {
     /// This member's record is to be passed on; whether there was room.
     pub fn add(&mut self, owner: SocketAddr) -> bool {
         let room = self.rounds.len() < HELD || self.rounds.contains_key(&owner);
--- a/wrenseam/src/fleet/summary.rs
+++ b/wrenseam/src/fleet/summary.rs
@@ -155,11 +155,11 @@
     held: BTreeMap<SocketAddr, (Summary, Micros)>,
 }
 
-/// What came of a summary offered to [`Summaries::offer`].
+/// What came of a summary offered to [`Summaries::insert`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offered {
+pub enum InsertOutcome {
     /// Newer than what was held: kept, and to be passed on.
-    Newer,
+    Updated,
     /// Not newer than what is held (a repeat, or one that came out of order): dropped.
     Stale,
     /// No origin, or our own.
@@ -177,12 +177,12 @@
     }
 
     /// Takes a summary that came at `now`, unless it is ours (`own`) or not newer.
-    pub fn offer(&mut self, now: Micros, own: SocketAddr, s: Summary) -> Offered {
+    pub fn insert(&mut self, now: Micros, own: SocketAddr, s: Summary) -> InsertOutcome {
         let Some(origin) = s.origin.filter(|&o| o != own) else {
-            return Offered::Foreign;
+            return InsertOutcome::Foreign;
         };
         if self.held.get(&origin).is_some_and(|(h, _)| h.seq >= s.seq) {
-            return Offered::Stale;
+            return InsertOutcome::Stale;
         }
         if !self.held.contains_key(&origin) && self.held.len() >= self.capacity {
             let oldest = self
@@ -193,7 +193,7 @@
             oldest.map(|a| self.held.remove(&a));
         }
         self.held.insert(origin, (s, now));
-        Offered::Newer
+        InsertOutcome::Updated
     }
 
     /// Forgets a peer that membership holds for gone.
--- a/wrenseam/src/fleet/swim.rs
+++ b/wrenseam/src/fleet/swim.rs
@@ -5,16 +5,16 @@
 //!
 //! Foca's timers pass through here: those of probes and suspicions are lengthened, and suspicions judged, by the
 //! [`Detector`]. Foca's time stands still while the process did not run.
-mod outside;
+mod runtime;
 
-use super::detector::{Detector, Sentence};
+use super::detector::{Detector, SuspicionOutcome};
 use super::directory::GONE_FOR;
 use super::identity::{header, PeerId, HEADER_BYTES, MAX_DATAGRAM, MAX_INCARNATION, SWIM_VERSION};
 use super::summary::{Summaries, Summary};
 use super::traffic::TrafficKind;
 use foca::{Config, Foca, Member, Message, PostcardCodec, State, Timer};
-use outside::{read_header, Gossiped, Outside, TimerSlot};
 use rand::{rngs::SmallRng, SeedableRng};
+use runtime::{read_header, FocaRuntime, SummaryHandler, TimerSlot};
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 use std::num::{NonZeroU32, NonZeroUsize};
@@ -31,9 +31,9 @@
     pub probe: Micros,
     /// After how long a suspect is declared down.
     pub suspect_for: Micros,
-    /// The fleet's expected size, for how often news is passed on.
+    /// The fleet's expected size, for how often an update is retransmitted.
     pub expected: usize,
-    /// Times that news of a member are passed on besides foca's 4 log10 of the expected size.
+    /// Times that an update of a member is retransmitted besides foca's 4 log10 of the expected size.
     pub extra_transmissions: u8,
     /// How long a summary counts after it came.
     pub fresh_for: Micros,
@@ -62,9 +62,9 @@
     /// A peer told that it leaves.
     Left(PeerId),
     /// A peer goes on under a larger incarnation.
-    Renamed(PeerId),
+    NewIncarnation(PeerId),
     /// This front end lost all its peers.
-    Alone,
+    Isolated,
     /// This front end was declared down by the others and came back under a new incarnation.
     Rejoined,
 }
@@ -82,8 +82,8 @@
 
 /// One front end's membership and the summaries it holds.
 pub struct Swim {
-    foca: Foca<PeerId, PostcardCodec, SmallRng, Gossiped>,
-    outside: Outside,
+    foca: Foca<PeerId, PostcardCodec, SmallRng, SummaryHandler>,
+    runtime: FocaRuntime,
     held: Arc<Mutex<(Summaries, Micros)>>,
     own: PeerId,
     settings: SwimSettings,
@@ -140,14 +140,14 @@
         };
         let foca = start(own, &config, seed, &held);
         let detector = Detector::new(settings.probe, settings.suspect_for);
-        let outside = Outside {
+        let runtime = FocaRuntime {
             header: header(SWIM_VERSION, settings.cluster),
             detector,
-            ..Outside::default()
+            ..FocaRuntime::default()
         };
         Swim {
             foca,
-            outside,
+            runtime,
             held,
             own,
             settings,
@@ -166,11 +166,11 @@
 
     /// How this front end's failure detection sees itself.
     pub fn detector(&mut self) -> &mut Detector {
-        &mut self.outside.detector
+        &mut self.runtime.detector
     }
 
     fn at(&mut self, now: Micros) {
-        self.outside.now = now;
+        self.runtime.now = now;
         self.held.lock().unwrap_or_else(PoisonError::into_inner).1 = now;
     }
 
@@ -179,22 +179,22 @@
     pub fn renew(&mut self, now: Micros, incarnation: u64) {
         let members: Vec<Member<PeerId>> = self.foca.iter_membership_state().cloned().collect();
         self.begin(now, incarnation);
-        let events = std::mem::take(&mut self.outside.events);
+        let events = std::mem::take(&mut self.runtime.events);
         // Refused only for a member that cannot be encoded, and these were decoded or made here.
         let _ = self
             .foca
-            .apply_many(members.into_iter(), false, &mut self.outside);
-        self.outside.events = events; // to others nothing has changed
-        let _ = self.foca.gossip(&mut self.outside);
+            .apply_many(members.into_iter(), false, &mut self.runtime);
+        self.runtime.events = events; // to others nothing has changed
+        let _ = self.foca.gossip(&mut self.runtime);
     }
 
     /// Begins anew as a front end that knows nobody: what it held of the members is too old to be told.
     pub fn restart(&mut self, now: Micros) {
         let incarnation = self.own.incarnation.saturating_add(1);
         self.begin(now, incarnation);
-        self.outside.detector.restart();
-        self.outside.changed = true;
-        self.outside.events.push((now, PeerEvent::Alone));
+        self.runtime.detector.restart();
+        self.runtime.changed = true;
+        self.runtime.events.push((now, PeerEvent::Isolated));
     }
 
     fn begin(&mut self, now: Micros, incarnation: u64) {
@@ -203,18 +203,18 @@
         self.seed = self.seed.wrapping_add(1);
         self.foca = start(self.own, &self.config, self.seed, &self.held);
         // They were of the foca before, whose timers this one could not tell from its own.
-        self.outside.timers.clear();
-        self.outside.defunct = false;
-        let sparing = std::mem::take(&mut self.outside.sparing);
-        self.spare(sparing);
+        self.runtime.timers.clear();
+        self.runtime.defunct = false;
+        let reduced_gossip = std::mem::take(&mut self.runtime.reduced_gossip);
+        self.set_reduced_gossip(reduced_gossip);
     }
 
     /// If the others declared us down: comes back under a new incarnation.
     fn rejoin(&mut self) {
-        if self.outside.defunct && !self.leaving {
-            let now = self.outside.now;
+        if self.runtime.defunct && !self.leaving {
+            let now = self.runtime.now;
             self.renew(now, self.own.incarnation.saturating_add(1));
-            self.outside.events.push((now, PeerEvent::Rejoined));
+            self.runtime.events.push((now, PeerEvent::Rejoined));
         }
     }
 
@@ -224,11 +224,11 @@
         self.at(now);
         self.leaving = true;
         if tell {
-            let _ = self.foca.leave_cluster(&mut self.outside); // it can only fail to encode ourselves
+            let _ = self.foca.leave_cluster(&mut self.runtime); // it can only fail to encode ourselves
         }
     }
 
-    /// Takes up that `id` is alive, or is gone, as somebody else knows; `spread`: passes it on as news.
+    /// Takes up that `id` is alive, or is gone, as somebody else knows; `spread`: disseminates it as an update.
     pub fn learn(&mut self, now: Micros, id: PeerId, gone: bool, spread: bool) {
         self.at(now);
         if id.addr == self.own.addr || self.leaving {
@@ -241,25 +241,25 @@
         };
         let _ = self
             .foca
-            .apply_many(std::iter::once(member), spread, &mut self.outside);
+            .apply_many(std::iter::once(member), spread, &mut self.runtime);
     }
 
     /// Forgets a member that is gone.
     pub fn forget(&mut self, id: PeerId) {
         let _ = self
             .foca
-            .handle_timer(Timer::RemoveDown(id), &mut self.outside);
+            .handle_timer(Timer::RemoveDown(id), &mut self.runtime);
     }
 
     /// Whether periodic gossip is to go to one peer a round from now on, instead of all that are configured, and probes
-    /// are to carry fewer news: news of many members then take longer and fewer bytes a second.
-    pub fn spare(&mut self, sparing: bool) {
-        if sparing == self.outside.sparing {
+    /// are to carry fewer updates: updates of many members then take longer and fewer bytes a second.
+    pub fn set_reduced_gossip(&mut self, reduced_gossip: bool) {
+        if reduced_gossip == self.runtime.reduced_gossip {
             return;
         }
-        self.outside.sparing = sparing;
+        self.runtime.reduced_gossip = reduced_gossip;
         let mut config = self.config.clone();
-        if let Some(g) = config.periodic_gossip.as_mut().filter(|_| sparing) {
+        if let Some(g) = config.periodic_gossip.as_mut().filter(|_| reduced_gossip) {
             g.num_members = NonZeroUsize::MIN;
         }
         let _ = self.foca.set_config(config); // refused only for a changed probe
@@ -272,7 +272,7 @@
         let which = ((n as f64 * chance) as usize).min(n.saturating_sub(1));
         let peer = self.foca.iter_members().nth(which).map(|m| *m.id());
         if let Some(peer) = peer {
-            let _ = self.foca.announce(peer, &mut self.outside);
+            let _ = self.foca.announce(peer, &mut self.runtime);
         }
     }
 
@@ -286,7 +286,7 @@
                     addr: seed,
                     incarnation: 0,
                 },
-                &mut self.outside,
+                &mut self.runtime,
             );
         }
     }
@@ -299,7 +299,7 @@
             self.dropped.oversized += 1;
             return None;
         }
-        let Some(data) = bytes.strip_prefix(&self.outside.header) else {
+        let Some(data) = bytes.strip_prefix(&self.runtime.header) else {
             self.dropped.foreign += 1;
             return None;
         };
@@ -312,9 +312,9 @@
             },
         ) = header.as_ref().map(|header| &header.message)
         {
-            self.outside.detector.acknowledged(now, *number);
+            self.runtime.detector.acknowledged(now, *number);
         }
-        if self.foca.handle_data(data, &mut self.outside).is_err() {
+        if self.foca.handle_data(data, &mut self.runtime).is_err() {
             self.dropped.garbled += 1;
             return None;
         }
@@ -322,7 +322,7 @@
         let from = header
             .map(|header| header.src)
             .filter(|src| src.addr != self.own.addr)?;
-        self.outside.detector.heard(now, from.addr);
+        self.runtime.detector.heard(now, from.addr);
         Some(from)
     }
 
@@ -334,56 +334,56 @@
 
     /// Whether the peers alive may have changed since the last call.
     pub fn changed(&mut self) -> bool {
-        std::mem::take(&mut self.outside.changed)
+        std::mem::take(&mut self.runtime.changed)
     }
 
     /// When foca wants to be woken next, if at all.
     pub fn next(&self) -> Option<Micros> {
         let due = self
-            .outside
+            .runtime
             .timers
             .peek()
             .map(|Reverse((due, _, _))| *due)?;
-        Some(due.saturating_add(self.outside.stalled))
+        Some(due.saturating_add(self.runtime.stalled))
     }
 
     /// The process did not run for so long: foca's time stood still.
     pub fn stalled(&mut self, span: Micros) {
-        self.outside.stalled += span;
-        self.outside.detector.stalled();
+        self.runtime.stalled += span;
+        self.runtime.detector.stalled();
     }
 
     /// Runs the timers due at `now`.
     pub fn tick(&mut self, now: Micros) {
         self.at(now);
         while self.next().is_some_and(|due| due <= now) {
-            let Some(Reverse((_, _, TimerSlot(timer)))) = self.outside.timers.pop() else {
+            let Some(Reverse((_, _, TimerSlot(timer)))) = self.runtime.timers.pop() else {
                 break;
             };
             if let Timer::ChangeSuspectToDown { member_id, .. } = &timer {
-                match self.outside.detector.sentence(now, *member_id) {
-                    Sentence::Down => {}
-                    Sentence::Dropped => continue,
-                    Sentence::Postponed => {
-                        let due = self.outside.running() + self.settings.probe / 2;
-                        self.outside.set(timer, due);
+                match self.runtime.detector.suspicion_timed_out(now, *member_id) {
+                    SuspicionOutcome::Confirmed => {}
+                    SuspicionOutcome::Cleared => continue,
+                    SuspicionOutcome::Extended => {
+                        let due = self.runtime.running() + self.settings.probe / 2;
+                        self.runtime.set(timer, due);
                         continue;
                     }
                 }
             }
-            let _ = self.foca.handle_timer(timer, &mut self.outside); // a stale timer is foca's to drop
+            let _ = self.foca.handle_timer(timer, &mut self.runtime); // a stale timer is foca's to drop
         }
     }
 
     /// No summary is wanted any more.
-    pub fn publish_no_more(&mut self) {
-        self.outside.untrimmed = false;
+    pub fn stop_publishing(&mut self) {
+        self.runtime.untrimmed = false;
     }
 
     /// Hands this front end's summary to be gossiped, with the next sequence number.
     pub fn publish(&mut self, now: Micros, mut summary: Summary) {
         self.at(now);
-        self.outside.untrimmed = true;
+        self.runtime.untrimmed = true;
         self.published += 1;
         summary.origin = Some(self.own.addr);
         summary.seq = self.published;
@@ -392,12 +392,12 @@
 
     /// Datagrams to send.
     pub fn outbox(&mut self) -> Vec<Outgoing> {
-        std::mem::take(&mut self.outside.out)
+        std::mem::take(&mut self.runtime.out)
     }
 
     /// Changes of membership since the last call, with when they were noticed.
     pub fn events(&mut self) -> Vec<(Micros, PeerEvent)> {
-        let events = std::mem::take(&mut self.outside.events);
+        let events = std::mem::take(&mut self.runtime.events);
         let mut held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
         for (_, e) in &events {
             if let PeerEvent::Down(id) = e {
@@ -462,8 +462,8 @@
     config: &Config,
     seed: u64,
     held: &Arc<Mutex<(Summaries, Micros)>>,
-) -> Foca<PeerId, PostcardCodec, SmallRng, Gossiped> {
-    let handler = Gossiped {
+) -> Foca<PeerId, PostcardCodec, SmallRng, SummaryHandler> {
+    let handler = SummaryHandler {
         own: own.addr,
         held: held.clone(),
     };
--- a/wrenseam/src/fleet/swim/outside.rs
+++ b/wrenseam/src/fleet/swim/runtime.rs
@@ -2,7 +2,7 @@
 use super::{Outgoing, PeerEvent};
 use crate::fleet::detector::Detector;
 use crate::fleet::identity::{PeerId, HEADER_BYTES};
-use crate::fleet::summary::{Offered, Summaries, Summary, SummaryError};
+use crate::fleet::summary::{InsertOutcome, Summaries, Summary, SummaryError};
 use crate::fleet::traffic::TrafficKind;
 use foca::{BroadcastHandler, Codec, Header, Invalidates, Member, Message, Notification};
 use foca::{PostcardCodec, Runtime, Timer};
@@ -15,8 +15,8 @@
 
 /// News of members on a probe or an acknowledgement at the most, where summaries are not wanted; and while the budget
 /// of bytes is tight.
-const NEWS_ON_PROBES: u16 = 24;
-const NEWS_WHEN_TIGHT: u16 = 12;
+const UPDATES_ON_PROBES: u16 = 24;
+const UPDATES_ON_LOW_BUDGET: u16 = 12;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SummaryKey {
@@ -31,12 +31,12 @@
 }
 
 /// The handler of custom broadcasts: takes summaries into the shared table.
-pub(super) struct Gossiped {
+pub(super) struct SummaryHandler {
     pub(super) own: SocketAddr,
     pub(super) held: Arc<Mutex<(Summaries, Micros)>>,
 }
 
-impl BroadcastHandler<PeerId> for Gossiped {
+impl BroadcastHandler<PeerId> for SummaryHandler {
     type Key = SummaryKey;
     type Error = SummaryError;
 
@@ -55,13 +55,13 @@
         }
         let mut held = self.held.lock().unwrap_or_else(PoisonError::into_inner);
         let now = held.1;
-        Ok((held.0.offer(now, self.own, s) == Offered::Newer).then_some(key))
+        Ok((held.0.insert(now, self.own, s) == InsertOutcome::Updated).then_some(key))
     }
 }
 
 /// What foca asks of the world, collected.
 #[derive(Default)]
-pub(super) struct Outside {
+pub(super) struct FocaRuntime {
     /// The time, and how much of it the process did not run: foca's time is the difference.
     pub(super) now: Micros,
     pub(super) stalled: Micros,
@@ -75,8 +75,8 @@
     pub(super) defunct: bool,
     /// Whether probes carry all that foca puts on them: summaries, for front ends that want them.
     pub(super) untrimmed: bool,
-    /// Whether the budget of bytes is tight: probes carry fewer news, and periodic gossip goes to one peer a round.
-    pub(super) sparing: bool,
+    /// Whether the budget of bytes is tight: probes carry fewer updates, and periodic gossip goes to one peer a round.
+    pub(super) reduced_gossip: bool,
     pub(super) detector: Detector,
     pub(super) header: [u8; HEADER_BYTES],
 }
@@ -97,7 +97,7 @@
     }
 }
 
-impl Outside {
+impl FocaRuntime {
     pub(super) fn set(&mut self, timer: Timer<PeerId>, due: Micros) {
         self.seq += 1;
         self.timers.push(Reverse((due, self.seq, TimerSlot(timer))));
@@ -109,20 +109,20 @@
     }
 }
 
-impl Runtime<PeerId> for Outside {
+impl Runtime<PeerId> for FocaRuntime {
     fn notify(&mut self, n: Notification<'_, PeerId>) {
         let event = match n {
             Notification::MemberUp(id) => PeerEvent::Up(*id),
             Notification::MemberDown(id) => PeerEvent::Down(*id),
-            Notification::Rename(_, new) => PeerEvent::Renamed(*new),
-            Notification::Idle => PeerEvent::Alone,
+            Notification::Rename(_, new) => PeerEvent::NewIncarnation(*new),
+            Notification::Idle => PeerEvent::Isolated,
             Notification::Defunct => {
                 self.defunct = true;
                 return;
             }
             _ => return,
         };
-        if let PeerEvent::Up(id) | PeerEvent::Down(id) | PeerEvent::Renamed(id) = event {
+        if let PeerEvent::Up(id) | PeerEvent::Down(id) | PeerEvent::NewIncarnation(id) = event {
             self.detector.forget(id.addr);
         }
         self.changed |= matches!(event, PeerEvent::Up(_) | PeerEvent::Down(_));
@@ -136,15 +136,15 @@
         }
         let kind = match message {
             Some(Message::Feed | Message::Announce) => TrafficKind::Join,
-            Some(Message::Gossip | Message::Broadcast) => TrafficKind::News,
+            Some(Message::Gossip | Message::Broadcast) => TrafficKind::MembershipGossip,
             _ => TrafficKind::Probe,
         };
         let mut bytes = Vec::with_capacity(HEADER_BYTES + data.len());
         bytes.extend_from_slice(&self.header);
-        let most = if self.sparing {
-            NEWS_WHEN_TIGHT
+        let most = if self.reduced_gossip {
+            UPDATES_ON_LOW_BUDGET
         } else {
-            NEWS_ON_PROBES
+            UPDATES_ON_PROBES
         };
         match trimmed(data, most).filter(|_| kind == TrafficKind::Probe && !self.untrimmed) {
             Some(trimmed) => bytes.extend(trimmed),
@@ -171,8 +171,8 @@
     }
 }
 
-/// A probe or an acknowledgement of foca's with so many news of members at the most, if it has more: they are never
-/// held back, and with all the news that fit each would take a tenth of the budget of a second.
+/// A probe or an acknowledgement of foca's with so many updates of members at the most, if it has more: they are never
+/// held back, and with all the updates that fit each would take a tenth of the budget of a second.
 fn trimmed(data: &[u8], most: u16) -> Option<Vec<u8>> {
     let mut rest = data;
     PostcardCodec
--- a/wrenseam/src/fleet/traffic.rs
+++ b/wrenseam/src/fleet/traffic.rs
@@ -23,8 +23,8 @@
     RepairBegin,
     /// Records that have just changed.
     Rumor,
-    /// SWIM's news of members, to some at random.
-    News,
+    /// SWIM's periodic gossip of membership updates.
+    MembershipGossip,
 }
 
 impl TrafficKind {
@@ -36,7 +36,7 @@
         TrafficKind::Repair,
         TrafficKind::RepairBegin,
         TrafficKind::Rumor,
-        TrafficKind::News,
+        TrafficKind::MembershipGossip,
     ];
 
     /// Its name in telemetry.
@@ -48,7 +48,7 @@
             TrafficKind::Repair => "repair",
             TrafficKind::RepairBegin => "repair_begin",
             TrafficKind::Rumor => "rumor",
-            TrafficKind::News => "news",
+            TrafficKind::MembershipGossip => "news",
         }
     }
 
@@ -60,7 +60,7 @@
             TrafficKind::Join => Some(0),
             TrafficKind::RepairBegin => Some(BURST / 8),
             TrafficKind::Rumor => Some(BURST / 4),
-            TrafficKind::News => Some(BURST / 4),
+            TrafficKind::MembershipGossip => Some(BURST / 4),
         }
     }
 }
@@ -107,7 +107,7 @@
     }
 
     /// Whether the budget is tight: less than a datagram's reserve is left for repair.
-    pub fn is_tight(&mut self, now: Micros) -> bool {
+    pub fn is_budget_low(&mut self, now: Micros) -> bool {
         self.refill(now);
         self.tokens < BURST / 2
     }
--- a/wrenseam/src/gossip.rs
+++ b/wrenseam/src/gossip.rs
@@ -6,7 +6,7 @@
 use crate::fleet::identity::MAX_DATAGRAM;
 use crate::fleet::node::EXTRA_TRANSMISSIONS;
 use crate::fleet::swim::Dropped;
-use crate::fleet::{Facts, Lifecycle, Node, NodeSettings, PeerEvent, SwimSettings};
+use crate::fleet::{Lifecycle, Metadata, Node, NodeSettings, PeerEvent, SwimSettings};
 use crate::process_state::ProcessState;
 use crate::queue::{CoreHandle, Message};
 use may::net::UdpSocket;
@@ -56,7 +56,7 @@
         fresh_for: 3 * fleet.probe_ms * 1000,
         capacity: CAPACITY,
     };
-    let facts = Facts {
+    let metadata = Metadata {
         lifecycle: shared.lifecycle(),
         zone: fleet.zone.clone(),
         program: env!("CARGO_PKG_VERSION").to_owned(),
@@ -65,7 +65,7 @@
     };
     let settings = NodeSettings {
         swim,
-        facts,
+        metadata,
         seeds: fleet.seeds.clone(),
         summaries: fleet.summaries,
     };
@@ -92,7 +92,7 @@
     loop {
         let now = clock.now();
         node.tick(now);
-        if tell_of_ourselves(&mut node, now, &shared) {
+        if publish_own_state(&mut node, now, &shared) {
             send(&socket, &mut node);
             shared.left.store(true, Ordering::Release);
             return;
@@ -132,8 +132,8 @@
                 PeerEvent::Up(p) => note!("fleet: peer {} up, {} alive", p.addr, node.alive()),
                 PeerEvent::Down(p) => note!("fleet: peer {} down, {} alive", p.addr, node.alive()),
                 PeerEvent::Left(p) => note!("fleet: peer {} left, {} alive", p.addr, node.alive()),
-                PeerEvent::Renamed(_) => {}
-                PeerEvent::Alone => note!("fleet: no peer alive; own budget only"),
+                PeerEvent::NewIncarnation(_) => {}
+                PeerEvent::Isolated => note!("fleet: no peer alive; own budget only"),
                 PeerEvent::Rejoined => {
                     note!("fleet: declared down by peers, rejoined under a new incarnation")
                 }
@@ -152,15 +152,15 @@
 }
 
 /// Keeps our record in step with what this front end does; true once it leaves, and the fleet is to be told.
-fn tell_of_ourselves(node: &mut Node, now: Micros, shared: &ProcessState) -> bool {
+fn publish_own_state(node: &mut Node, now: Micros, shared: &ProcessState) -> bool {
     let lifecycle = shared.lifecycle();
     if lifecycle == Lifecycle::Leaving {
         node.leave(now);
         return true;
     }
     let config_digest = shared.config_digest.load(Ordering::Acquire);
-    let told = node.update(now, |facts| {
-        (facts.lifecycle, facts.config_digest) = (lifecycle, config_digest)
+    let told = node.update(now, |metadata| {
+        (metadata.lifecycle, metadata.config_digest) = (lifecycle, config_digest)
     });
     if let Err(why) = told {
         note!("fleet: our record is not published: {why}");
--- a/wrenseam/src/queue.rs
+++ b/wrenseam/src/queue.rs
@@ -1,5 +1,5 @@
 //! The core's queue: what other parts tell the core, and the handle through which they do.
-use crate::fleet::FleetNews;
+use crate::fleet::FleetStatus;
 use crate::model::{
     AdminCommand, AttemptKey, AttemptReport, Client, Endpoint, Request, RequestEnd,
     TransportProtocol,
@@ -81,7 +81,7 @@
     /// Whether another process of this front end sends to workers in slow start in its place.
     Standby(bool),
     /// The fleet's state as gossip has it now.
-    Fleet(FleetNews),
+    Fleet(FleetStatus),
 }
 
 /// The core has ended, and the process with it.
--- a/wrenseam/tests/fleet_average.rs
+++ b/wrenseam/tests/fleet_average.rs
@@ -26,14 +26,14 @@
 fn neighbours_are_few_and_agree(#[values(2, 3, 4, 9, 50, 300)] n: usize) {
     let all = || (0..n).map(|i| addr(i * 7));
     let of: Vec<_> = (0..n).map(|i| neighbours(addr(i * 7), all())).collect();
-    for (i, mine) in of.iter().enumerate() {
+    for (i, local) in of.iter().enumerate() {
         assert!(
-            mine.len() <= 2 * RINGS && mine.values().filter(|asks| **asks).count() <= RINGS,
-            "{mine:?}"
+            local.len() <= 2 * RINGS && local.values().filter(|asks| **asks).count() <= RINGS,
+            "{local:?}"
         );
-        assert!(!mine.is_empty() && !mine.contains_key(&addr(i * 7)));
-        for (j, theirs) in of.iter().enumerate().filter(|(j, _)| *j != i) {
-            let (here, there) = (mine.get(&addr(j * 7)), theirs.get(&addr(i * 7)));
+        assert!(!local.is_empty() && !local.contains_key(&addr(i * 7)));
+        for (j, remote) in of.iter().enumerate().filter(|(j, _)| *j != i) {
+            let (here, there) = (local.get(&addr(j * 7)), remote.get(&addr(i * 7)));
             assert!(
                 here.is_none() && there.is_none() || here.copied() == there.map(|asks| !asks),
                 "{i} and {j}"
@@ -205,7 +205,7 @@
     );
 }
 
-/// A neighbour's claims of flow and estimate count up to the clamp, whatever they are.
+/// A neighbour's member digests of flow and estimate count up to the clamp, whatever they are.
 #[rstest]
 #[case(i32::MAX, i32::MAX, 4000 + MAX_FLOW)]
 #[case(i32::MIN, i32::MIN, 0)]
@@ -234,20 +234,20 @@
     );
 }
 
-/// A summary from a front end of before: what it claims counts up to the clamp, for its part of the mean.
+/// A summary from a front end of before: what it member digests counts up to the clamp, for its part of the mean.
 #[rstest]
 #[case(4, u32::MAX, 1600)]
 #[case(4, 500, 100)]
 fn a_claim_in_a_summary_counts_up_to_the_clamp(
     #[case] peers: u16,
-    #[case] claim: u32,
+    #[case] member_digest: u32,
     #[case] want: u32,
 ) {
     let mut held = Summaries::new(8, 1_000_000);
     for p in 0..peers {
         let origin = Some(SocketAddr::from(([10, 0, 0, 1], p)));
-        let pressure = if p == 0 { claim } else { 0 };
-        held.offer(
+        let pressure = if p == 0 { member_digest } else { 0 };
+        held.insert(
             0,
             addr(9),
             Summary {
--- a/wrenseam/tests/fleet_budget.rs
+++ b/wrenseam/tests/fleet_budget.rs
@@ -1,6 +1,6 @@
 //! The retry budget and the fleet size that divides its floor.
 use rstest::rstest;
-use wrenseam::fleet::{FleetSize, RetryBudget, Spent};
+use wrenseam::fleet::{BudgetUsage, FleetSize, RetryBudget};
 use wrenseam_policy::Micros;
 
 const S: Micros = 1_000_000;
@@ -22,7 +22,7 @@
     assert_eq!(let_through, want);
     assert_eq!(
         b.spent(S),
-        Spent {
+        BudgetUsage {
             firsts,
             extras: want,
             denied: 1000 - want
@@ -51,7 +51,7 @@
     assert!(b.extra(11 * S, 1));
     assert_eq!(
         b.spent(11 * S),
-        Spent {
+        BudgetUsage {
             firsts: 2,
             extras: 1,
             denied: 1
--- a/wrenseam/tests/fleet_gate.rs
+++ b/wrenseam/tests/fleet_gate.rs
@@ -2,7 +2,7 @@
 use rstest::rstest;
 use wrenseam::config::Fleet;
 use wrenseam::core::Gate;
-use wrenseam::fleet::FleetNews;
+use wrenseam::fleet::FleetStatus;
 use wrenseam_policy::Settings;
 
 fn fleet(ratio: f64, floor: f64, expected: usize) -> Fleet {
@@ -39,10 +39,10 @@
     let mut gate = Gate::new(&fleet(0.1, 3.0, expected), &Settings::default(), 1);
     gate.news(
         0,
-        FleetNews {
+        FleetStatus {
             alive: peers,
             by_lifecycle: [0, peers, 0, 0],
-            ..FleetNews::default()
+            ..FleetStatus::default()
         },
     );
     let mut sent = 0;
--- a/wrenseam/tests/fleet_records.rs
+++ b/wrenseam/tests/fleet_records.rs
@@ -1,14 +1,16 @@
-//! The rules of member records as tables: which claim wins and what follows from it, what a record may hold, what a
+//! The rules of member records as tables: which member digest wins and what follows from it, what a record may hold, what a
 //! datagram must look like, and which state follows which message.
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use rstest::rstest;
 use std::net::SocketAddr;
-use wrenseam::fleet::directory::{Claim, Directory, Liveness, Verdict, GONE_FOR, GONE_HELD};
+use wrenseam::fleet::directory::{
+    Directory, Liveness, MemberDigest, MergeAction, GONE_FOR, GONE_HELD,
+};
 use wrenseam::fleet::identity::{header, MAX_DATAGRAM, MAX_INCARNATION};
 use wrenseam::fleet::members::Members;
 use wrenseam::fleet::message::{Envelope, Message, MessageError, RECORDS_VERSION};
 use wrenseam::fleet::record::{Entry, Record, RecordError, Stamp, MAX_ENTRIES, MAX_RECORD_BYTES};
-use wrenseam::fleet::{Facts, Lifecycle, PeerEvent, PeerId, SwimSettings};
+use wrenseam::fleet::{Lifecycle, Metadata, PeerEvent, PeerId, SwimSettings};
 
 const MS: u64 = 1000;
 const CLUSTER: u32 = 7;
@@ -26,10 +28,10 @@
 
 /// A record of member `i` whose content depends on `content` alone.
 fn record(i: usize, incarnation: u64, version: u32, content: u64) -> Record {
-    let facts = Facts {
+    let metadata = Metadata {
         lifecycle: Lifecycle::Ready,
         config_digest: content,
-        ..Facts::default()
+        ..Metadata::default()
     };
     Record {
         owner: addr(i),
@@ -37,7 +39,7 @@
             incarnation,
             version,
         },
-        facts,
+        metadata,
     }
 }
 
@@ -48,7 +50,7 @@
         return directory;
     };
     directory.up(0, id(1, 5));
-    assert!(directory.offer(record(1, 5, 3, 1)));
+    assert!(directory.merge_record(record(1, 5, 3, 1)));
     if liveness == Liveness::Left {
         directory.left(id(1, 5));
     }
@@ -59,53 +61,53 @@
 }
 
 use Liveness::{Alive, Down, Left};
-use Verdict::{Behind, Dispute, Fetch, Learn, Outbid, Restamp, Same};
+use MergeAction::{AddMember, AdoptStamp, CheckLiveness, FetchRecord, NoChange, Refute, SendNewer};
 
 #[rstest]
-// Not known here: only who lives is news.
-#[case::unknown_and_alive(None, (1, 5, 3, Alive, 1), Learn)]
-#[case::unknown_and_down(None, (1, 5, 3, Down, 1), Same)]
-#[case::unknown_and_left(None, (1, 5, 3, Left, 1), Same)]
+// Not known here: only a live member is worth learning.
+#[case::unknown_and_alive(None, (1, 5, 3, Alive, 1), AddMember)]
+#[case::unknown_and_down(None, (1, 5, 3, Down, 1), NoChange)]
+#[case::unknown_and_left(None, (1, 5, 3, Left, 1), NoChange)]
 // The same incarnation: the larger version wins, and content breaks a tie the same way everywhere.
-#[case::the_same(Some(Alive), (1, 5, 3, Alive, 1), Same)]
-#[case::a_newer_version(Some(Alive), (1, 5, 4, Alive, 2), Fetch)]
-#[case::a_newer_version_of_the_same_content(Some(Alive), (1, 5, 4, Alive, 1), Restamp)]
-#[case::an_older_version(Some(Alive), (1, 5, 2, Alive, 2), Behind)]
-#[case::no_record_there(Some(Alive), (1, 5, 0, Alive, 0), Behind)]
-#[case::the_largest_version(Some(Alive), (1, 5, u32::MAX, Alive, 2), Fetch)]
+#[case::the_same(Some(Alive), (1, 5, 3, Alive, 1), NoChange)]
+#[case::a_newer_version(Some(Alive), (1, 5, 4, Alive, 2), FetchRecord)]
+#[case::a_newer_version_of_the_same_content(Some(Alive), (1, 5, 4, Alive, 1), AdoptStamp)]
+#[case::an_older_version(Some(Alive), (1, 5, 2, Alive, 2), SendNewer)]
+#[case::no_record_there(Some(Alive), (1, 5, 0, Alive, 0), SendNewer)]
+#[case::the_largest_version(Some(Alive), (1, 5, u32::MAX, Alive, 2), FetchRecord)]
 // A larger incarnation wins whatever the versions.
-#[case::a_larger_incarnation(Some(Alive), (1, 6, 0, Alive, 0), Learn)]
-#[case::a_larger_incarnation_over_gone(Some(Down), (1, 6, 1, Alive, 2), Learn)]
-#[case::a_smaller_incarnation(Some(Alive), (1, 4, u32::MAX, Alive, 2), Behind)]
-#[case::a_smaller_incarnation_gone(Some(Alive), (1, 4, 9, Down, 2), Behind)]
+#[case::a_larger_incarnation(Some(Alive), (1, 6, 0, Alive, 0), AddMember)]
+#[case::a_larger_incarnation_over_gone(Some(Down), (1, 6, 1, Alive, 2), AddMember)]
+#[case::a_smaller_incarnation(Some(Alive), (1, 4, u32::MAX, Alive, 2), SendNewer)]
+#[case::a_smaller_incarnation_gone(Some(Alive), (1, 4, 9, Down, 2), SendNewer)]
 // Gone against alive: who is said to be down is asked first, who said so itself has left.
-#[case::down_there(Some(Alive), (1, 5, 3, Down, 1), Dispute)]
-#[case::a_larger_incarnation_down_there(Some(Alive), (1, 6, 1, Down, 1), Dispute)]
-#[case::left_there(Some(Alive), (1, 5, 4, Left, 2), Verdict::Left)]
-#[case::alive_there_down_here(Some(Down), (1, 5, 9, Alive, 2), Behind)]
-#[case::alive_there_left_here(Some(Left), (1, 5, 9, Alive, 2), Behind)]
-#[case::gone_on_both_sides(Some(Down), (1, 7, 9, Left, 2), Same)]
+#[case::down_there(Some(Alive), (1, 5, 3, Down, 1), CheckLiveness)]
+#[case::a_larger_incarnation_down_there(Some(Alive), (1, 6, 1, Down, 1), CheckLiveness)]
+#[case::left_there(Some(Alive), (1, 5, 4, Left, 2), MergeAction::MarkLeft)]
+#[case::alive_there_down_here(Some(Down), (1, 5, 9, Alive, 2), SendNewer)]
+#[case::alive_there_left_here(Some(Left), (1, 5, 9, Alive, 2), SendNewer)]
+#[case::gone_on_both_sides(Some(Down), (1, 7, 9, Left, 2), NoChange)]
 // Ourselves: nobody else writes our record.
-#[case::ours(None, (0, 5, 3, Alive, 1), Same)]
-#[case::ours_before(None, (0, 5, 2, Alive, 2), Behind)]
-#[case::ours_that_we_never_said(None, (0, 5, 4, Alive, 2), Outbid)]
-#[case::ours_with_another_content(None, (0, 5, 3, Alive, 2), Outbid)]
-#[case::ours_of_a_former_clock(None, (0, 9, 1, Alive, 1), Outbid)]
-#[case::ours_held_as_down(None, (0, 5, 3, Down, 1), Outbid)]
-#[case::ours_before_held_as_down(None, (0, 4, 3, Down, 1), Behind)]
+#[case::ours(None, (0, 5, 3, Alive, 1), NoChange)]
+#[case::ours_before(None, (0, 5, 2, Alive, 2), SendNewer)]
+#[case::ours_that_we_never_said(None, (0, 5, 4, Alive, 2), Refute)]
+#[case::ours_with_another_content(None, (0, 5, 3, Alive, 2), Refute)]
+#[case::ours_of_a_former_clock(None, (0, 9, 1, Alive, 1), Refute)]
+#[case::ours_held_as_down(None, (0, 5, 3, Down, 1), Refute)]
+#[case::ours_before_held_as_down(None, (0, 4, 3, Down, 1), SendNewer)]
 fn which_claim_wins(
     #[case] held: Option<Liveness>,
-    #[case] claim: (usize, u64, u32, Liveness, u64),
-    #[case] want: Verdict,
+    #[case] member_digest: (usize, u64, u32, Liveness, u64),
+    #[case] want: MergeAction,
 ) {
-    let (owner, incarnation, version, liveness, content) = claim;
+    let (owner, incarnation, version, liveness, content) = member_digest;
     let checksum = if content == 0 {
         0
     } else {
-        record(owner, 5, 3, content).facts.checksum()
+        record(owner, 5, 3, content).metadata.checksum()
     };
     // The tie of equal stamps goes by checksum, whichever is larger.
-    let claim = Claim {
+    let member_digest = MemberDigest {
         owner: addr(owner),
         stamp: Stamp {
             incarnation,
@@ -114,7 +116,7 @@
         liveness,
         checksum,
     };
-    assert_eq!(directory(held).weigh(&claim), want);
+    assert_eq!(directory(held).merge_action(&member_digest), want);
 }
 
 #[test]
@@ -126,7 +128,7 @@
             let mut directory = directory(None);
             directory.up(0, id(1, 5));
             for record in order {
-                directory.offer((*record).clone());
+                directory.merge_record((*record).clone());
             }
             directory.digest()
         })
@@ -155,12 +157,12 @@
     let mut directory = directory(None);
     for record in order {
         if directory
-            .claim(addr(1))
+            .member_digest(addr(1))
             .is_none_or(|held| held.stamp.incarnation < record.stamp.incarnation)
         {
             directory.up(0, record.id());
         }
-        directory.offer(record.clone());
+        directory.merge_record(record.clone());
     }
     (directory.digest(), directory.record(addr(1)))
 }
@@ -177,7 +179,7 @@
     assert!(want.is_none_or(|next| next > of));
 }
 
-fn with_entries(count: usize, value: usize) -> Facts {
+fn with_entries(count: usize, value: usize) -> Metadata {
     let entry = |n: usize| {
         (
             format!("name-{n:02}"),
@@ -187,27 +189,27 @@
             },
         )
     };
-    Facts {
+    Metadata {
         entries: (0..count).map(entry).collect(),
-        ..Facts::default()
+        ..Metadata::default()
     }
 }
 
 #[rstest]
-#[case::empty(Facts::default(), None)]
+#[case::empty(Metadata::default(), None)]
 #[case::full(with_entries(MAX_ENTRIES, 10), None)]
 #[case::too_many(with_entries(MAX_ENTRIES + 1, 1), Some(RecordError::TooManyEntries(MAX_ENTRIES + 1)))]
 #[case::too_large(with_entries(10, 100), Some(RecordError::TooLarge(1172)))]
-#[case::a_long_zone(Facts { zone: "z".repeat(65), ..Facts::default() }, Some(RecordError::NameTooLong(65)))]
-#[case::a_value_of_any_text(Facts { zone: "zona-ñ".to_owned(), ..Facts::default() }, None)]
-fn a_record_is_bounded(#[case] facts: Facts, #[case] want: Option<RecordError>) {
+#[case::a_long_zone(Metadata { zone: "z".repeat(65), ..Metadata::default() }, Some(RecordError::NameTooLong(65)))]
+#[case::a_value_of_any_text(Metadata { zone: "zona-ñ".to_owned(), ..Metadata::default() }, None)]
+fn a_record_is_bounded(#[case] metadata: Metadata, #[case] want: Option<RecordError>) {
     let record = Record {
         owner: addr(1),
         stamp: Stamp {
             incarnation: 5,
             version: 3,
         },
-        facts,
+        metadata,
     };
     match (record.encode(), want) {
         (Ok(bytes), None) => {
@@ -226,9 +228,9 @@
 #[case::an_endless_incarnation(|b: &mut Vec<u8>| b[7] = 0xff, RecordError::IncarnationOutOfRange(0xff00_0000_0000_0005))]
 #[case::no_text(|b: &mut Vec<u8>| b[30] = 0xff, RecordError::NotText)]
 fn what_is_no_record_is_refused(#[case] spoil: fn(&mut Vec<u8>), #[case] want: RecordError) {
-    let facts = Facts {
+    let metadata = Metadata {
         zone: "z".to_owned(),
-        ..Facts::default()
+        ..Metadata::default()
     };
     let record = Record {
         owner: addr(1),
@@ -236,7 +238,7 @@
             incarnation: 5,
             version: 3,
         },
-        facts,
+        metadata,
     };
     let mut bytes = record.encode().expect("small");
     spoil(&mut bytes);
@@ -244,7 +246,7 @@
 }
 
 fn messages() -> Vec<Message> {
-    let claim = Claim {
+    let member_digest = MemberDigest {
         owner: addr(3),
         stamp: Stamp {
             incarnation: 5,
@@ -253,7 +255,7 @@
         liveness: Left,
         checksum: 9,
     };
-    let present = Message::Present {
+    let present = Message::AliveReply {
         record: Box::new(record(1, 5, 3, 1)),
         origin: addr(2),
     };
@@ -263,16 +265,16 @@
             parts: 0x8001,
             hashes: vec![1, u32::MAX],
         },
-        Message::Claims {
+        Message::MemberDigests {
             unmatched: vec![4],
-            claims: vec![claim; 3],
+            member_digests: vec![member_digest; 3],
         },
         Message::Records {
             news: true,
             records: vec![record(1, 5, 3, 1), record(2, 5, 3, 2)],
         },
         Message::Wanted(vec![addr(1), "[fd00::7]:9".parse().expect("an address")]),
-        Message::Inquiry {
+        Message::AliveQuery {
             about: id(1, 5),
             gone: true,
             origin: addr(2),
@@ -317,11 +319,11 @@
 }
 
 fn members() -> Members {
-    let facts = Facts {
+    let metadata = Metadata {
         lifecycle: Lifecycle::Ready,
-        ..Facts::default()
+        ..Metadata::default()
     };
-    Members::new(id(0, 5), facts, settings(), 1)
+    Members::new(id(0, 5), metadata, settings(), 1)
 }
 
 /// Hands `members` a message of member `from`; what it answers, with whom to.
@@ -356,21 +358,21 @@
 #[case::one_at_the_largest_version(news(record(0, 5, u32::MAX, 9)), (6, 1))]
 #[case::one_of_a_former_clock(news(record(0, 8, 2, 9)), (8, 3))]
 #[case::one_that_is_past(news(record(0, 4, 9, 9)), (5, 1))]
-#[case::held_as_gone(Message::Inquiry { about: id(0, 5), gone: true, origin: addr(1) }, (6, 1))]
-#[case::a_larger_one_held_as_gone(Message::Inquiry { about: id(0, 9), gone: true, origin: addr(1) }, (10, 1))]
-#[case::a_larger_one_held_alive(Message::Inquiry { about: id(0, 9), gone: false, origin: addr(1) }, (10, 1))]
-#[case::ours_asked_for(Message::Inquiry { about: id(0, 5), gone: false, origin: addr(1) }, (5, 1))]
-#[case::a_past_one_held_as_gone(Message::Inquiry { about: id(0, 4), gone: true, origin: addr(1) }, (5, 1))]
+#[case::held_as_gone(Message::AliveQuery { about: id(0, 5), gone: true, origin: addr(1) }, (6, 1))]
+#[case::a_larger_one_held_as_gone(Message::AliveQuery { about: id(0, 9), gone: true, origin: addr(1) }, (10, 1))]
+#[case::a_larger_one_held_alive(Message::AliveQuery { about: id(0, 9), gone: false, origin: addr(1) }, (10, 1))]
+#[case::ours_asked_for(Message::AliveQuery { about: id(0, 5), gone: false, origin: addr(1) }, (5, 1))]
+#[case::a_past_one_held_as_gone(Message::AliveQuery { about: id(0, 4), gone: true, origin: addr(1) }, (5, 1))]
 fn only_we_write_our_record(#[case] said: Message, #[case] want: (u64, u32)) {
     let mut members = members();
     tell(&mut members, MS, id(1, 5), said);
     let own = members.directory().own().clone();
     assert_eq!((own.stamp.incarnation, own.stamp.version), want);
     assert_eq!(
-        own.facts,
-        Facts {
+        own.metadata,
+        Metadata {
             lifecycle: Lifecycle::Ready,
-            ..Facts::default()
+            ..Metadata::default()
         }
     );
 }
@@ -381,9 +383,9 @@
 #[case::it_leaves(Some(news(leaving(1, 5))), Some((5, Left)))]
 #[case::it_left_before(Some(news(leaving(1, 4))), Some((5, Alive)))]
 #[case::it_started_again(Some(news(record(1, 6, 1, 1))), Some((6, Alive)))]
-#[case::down_there(Some(claims(1, 5, Down)), Some((5, Alive)))]
-#[case::left_there(Some(claims(1, 5, Left)), Some((5, Left)))]
-#[case::a_former_one_down(Some(claims(1, 4, Down)), Some((5, Alive)))]
+#[case::down_there(Some(member_digests(1, 5, Down)), Some((5, Alive)))]
+#[case::left_there(Some(member_digests(1, 5, Left)), Some((5, Left)))]
+#[case::a_former_one_down(Some(member_digests(1, 4, Down)), Some((5, Alive)))]
 fn which_state_follows(#[case] said: Option<Message>, #[case] want: Option<(u64, Liveness)>) {
     let mut members = members();
     tell(&mut members, MS, id(2, 5), news(record(1, 5, 1, 1)));
@@ -391,8 +393,8 @@
         .for_each(|said| drop(tell(&mut members, 2 * MS, id(2, 5), said)));
     let held = members
         .directory()
-        .claim(addr(1))
-        .map(|claim| (claim.stamp.incarnation, claim.liveness));
+        .member_digest(addr(1))
+        .map(|member_digest| (member_digest.stamp.incarnation, member_digest.liveness));
     assert_eq!(held, want);
     let downs = members
         .events()
@@ -402,25 +404,25 @@
 }
 
 fn leaving(i: usize, incarnation: u64) -> Record {
-    let facts = Facts {
+    let metadata = Metadata {
         lifecycle: Lifecycle::Leaving,
-        ..Facts::default()
+        ..Metadata::default()
     };
     Record {
-        facts,
+        metadata,
         ..record(i, incarnation, 9, 1)
     }
 }
 
-fn claims(i: usize, incarnation: u64, liveness: Liveness) -> Message {
+fn member_digests(i: usize, incarnation: u64, liveness: Liveness) -> Message {
     let stamp = Stamp {
         incarnation,
         version: 1,
     };
-    let checksum = record(i, incarnation, 1, 1).facts.checksum();
-    Message::Claims {
+    let checksum = record(i, incarnation, 1, 1).metadata.checksum();
+    Message::MemberDigests {
         unmatched: Vec::new(),
-        claims: vec![Claim {
+        member_digests: vec![MemberDigest {
             owner: addr(i),
             stamp,
             liveness,
@@ -433,7 +435,7 @@
 #[rstest]
 #[case::by_a_record(news(record(1, 5, 3, 1)), false)]
 #[case::by_a_newer_record(news(record(1, 5, 99, 1)), false)]
-#[case::by_a_claim(claims(1, 5, Alive), false)]
+#[case::by_a_claim(member_digests(1, 5, Alive), false)]
 #[case::by_a_former_incarnation(news(record(1, 4, 99, 1)), false)]
 #[case::by_its_next_incarnation(news(record(1, 6, 1, 1)), true)]
 fn none_comes_back_by_hearsay(#[case] said: Message, #[case] back: bool) {
@@ -451,14 +453,14 @@
 fn inquiries_go_one_relay_far() {
     let mut members = members();
     tell(&mut members, MS, id(1, 5), news(record(1, 5, 1, 1)));
-    let told = tell(&mut members, 2 * MS, id(2, 5), claims(1, 5, Down));
-    let inquiry = Message::Inquiry {
+    let told = tell(&mut members, 2 * MS, id(2, 5), member_digests(1, 5, Down));
+    let inquiry = Message::AliveQuery {
         about: id(1, 5),
         gone: true,
         origin: addr(0),
     };
     assert!(told.contains(&(addr(1), inquiry)), "{told:?}");
-    let of_another = Message::Inquiry {
+    let of_another = Message::AliveQuery {
         about: id(1, 5),
         gone: false,
         origin: addr(2),
@@ -469,12 +471,12 @@
     );
     assert_eq!(tell(&mut members, 4 * MS, id(3, 5), of_another), []);
     let own = Box::new(members.directory().own().clone());
-    let of_us = Message::Inquiry {
+    let of_us = Message::AliveQuery {
         about: id(0, 5),
         gone: false,
         origin: addr(2),
     };
-    let present = Message::Present {
+    let present = Message::AliveReply {
         record: own,
         origin: addr(2),
     };
@@ -482,7 +484,7 @@
         tell(&mut members, 5 * MS, id(2, 5), of_us),
         [(addr(2), present)]
     );
-    let passed = Message::Present {
+    let passed = Message::AliveReply {
         record: Box::new(record(1, 5, 1, 1)),
         origin: addr(2),
     };
@@ -503,14 +505,14 @@
         tell(&mut members, 2 * MS, id(1, 5), Message::Digest(same)),
         []
     );
-    // A digest that lies costs one answer of bounded size, and claims of what is held just so none.
+    // A digest that lies costs one answer of bounded size, and member digests of what is held just so none.
     let told = tell(&mut members, 3 * MS, id(1, 5), Message::Digest([1; 16]));
     assert!(
         matches!(&told[..], [(_, Message::Hashes { .. })]),
         "{told:?}"
     );
     assert_eq!(
-        tell(&mut members, 4 * MS, id(1, 5), claims(1, 5, Alive)),
+        tell(&mut members, 4 * MS, id(1, 5), member_digests(1, 5, Alive)),
         []
     );
     let hashes = Message::Hashes {
@@ -519,7 +521,7 @@
     };
     let told = tell(&mut members, 5 * MS, id(1, 5), hashes);
     assert!(
-        matches!(&told[..], [(_, Message::Claims { .. })]),
+        matches!(&told[..], [(_, Message::MemberDigests { .. })]),
         "{told:?}"
     );
 }
@@ -590,9 +592,9 @@
     }
     let forgotten = directory.forget_gone(after + gone as u64);
     let left = (1..=gone)
-        .filter(|&i| directory.claim(addr(i)).is_some())
+        .filter(|&i| directory.member_digest(addr(i)).is_some())
         .count();
     assert_eq!((left, forgotten.len()), (held, gone - held));
     // Those gone longest go first.
-    assert!(held == 0 || directory.claim(addr(gone)).is_some());
+    assert!(held == 0 || directory.member_digest(addr(gone)).is_some());
 }
--- a/wrenseam/tests/fleet_summary.rs
+++ b/wrenseam/tests/fleet_summary.rs
@@ -1,7 +1,7 @@
 //! Summaries: their bytes, their order, and what they make the mean.
 use rstest::rstest;
 use std::net::SocketAddr;
-use wrenseam::fleet::summary::{Offered, Summaries, Summary, SummaryError, SUMMARY_BYTES};
+use wrenseam::fleet::summary::{InsertOutcome, Summaries, Summary, SummaryError, SUMMARY_BYTES};
 
 fn at(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
@@ -52,14 +52,14 @@
 }
 
 #[rstest]
-#[case::repeat(&[(1, 3), (1, 3)], &[Offered::Newer, Offered::Stale])]
-#[case::out_of_order(&[(1, 5), (1, 4), (1, 6)], &[Offered::Newer, Offered::Stale, Offered::Newer])]
-#[case::ours(&[(0, 1)], &[Offered::Foreign])]
-fn order_and_repeats(#[case] offers: &[(u16, u64)], #[case] want: &[Offered]) {
+#[case::repeat(&[(1, 3), (1, 3)], &[InsertOutcome::Updated, InsertOutcome::Stale])]
+#[case::out_of_order(&[(1, 5), (1, 4), (1, 6)], &[InsertOutcome::Updated, InsertOutcome::Stale, InsertOutcome::Updated])]
+#[case::ours(&[(0, 1)], &[InsertOutcome::Foreign])]
+fn order_and_repeats(#[case] offers: &[(u16, u64)], #[case] want: &[InsertOutcome]) {
     let mut held = Summaries::new(8, 1_000_000);
-    let got: Vec<Offered> = offers
+    let got: Vec<InsertOutcome> = offers
         .iter()
-        .map(|&(p, seq)| held.offer(0, at(7000), of(7000 + p, seq, 0)))
+        .map(|&(p, seq)| held.insert(0, at(7000), of(7000 + p, seq, 0)))
         .collect();
     assert_eq!(got, want);
 }
@@ -68,10 +68,10 @@
 fn a_liar_moves_the_mean_by_its_share_and_old_news_counts_not() {
     let mut held = Summaries::new(8, 1_000_000);
     for p in 1..=3 {
-        held.offer(0, at(7000), of(7000 + p, 1, 2000));
+        held.insert(0, at(7000), of(7000 + p, 1, 2000));
     }
     assert_eq!(held.pressure(0, 2000), 2000);
-    held.offer(0, at(7000), of(7004, 1, 0));
+    held.insert(0, at(7000), of(7004, 1, 0));
     // Five front ends, one says zero: the mean falls by a fifth, no more.
     assert_eq!(held.pressure(0, 2000), 1600);
     assert_eq!(
@@ -85,7 +85,7 @@
 fn room_is_bounded() {
     let mut held = Summaries::new(2, 1_000_000);
     (1..=5).for_each(|p| {
-        held.offer(u64::from(p), at(7000), of(7000 + p, 1, 0));
+        held.insert(u64::from(p), at(7000), of(7000 + p, 1, 0));
     });
     assert_eq!(held.fresh(5).count(), 2);
 }
--- a/wrenseam/tests/fleet_swim.rs
+++ b/wrenseam/tests/fleet_swim.rs
@@ -136,7 +136,7 @@
                     })
         });
         let (when, _, _) = down.unwrap_or_else(|| panic!("front end {i} never noticed: {seen:?}"));
-        // Probe period, round trip and suspicion, and the news spread to all: well under a second here.
+        // Probe period, round trip and suspicion, and the updates spread to all: well under a second here.
         assert!(*when - 2000 * MS < 1000 * MS, "front end {i} at {when}");
         assert_eq!(net.swims[i].alive(), 3);
     }
--- a/wrenseam/tests/golden_admin.rs
+++ b/wrenseam/tests/golden_admin.rs
@@ -10,7 +10,7 @@
 use wrenseam::fleet::average::AverageDropped;
 use wrenseam::fleet::members::RecordCounts;
 use wrenseam::fleet::swim::Dropped;
-use wrenseam::fleet::FleetNews;
+use wrenseam::fleet::FleetStatus;
 use wrenseam::model::{AdminCommand, RequestEnd};
 use wrenseam_policy::Settings;
 
@@ -96,8 +96,8 @@
 }
 
 /// Gossip's figures, each of another value.
-fn fleet_news() -> FleetNews {
-    FleetNews {
+fn fleet_news() -> FleetStatus {
+    FleetStatus {
         alive: 10,
         by_lifecycle: [1, 2, 3, 4],
         departed: 0,
@@ -106,7 +106,7 @@
         pressure: 432,
         edges: (6, 8),
         mixed: true,
-        doubt_factor: 2,
+        health_multiplier: 2,
         bytes_sent: [101, 102, 103, 104, 105, 106, 107],
         bytes_held_back: [201, 202, 203, 204, 205, 206, 207],
         records: RecordCounts {
--- a/wrenseam/tests/golden_fleet.rs
+++ b/wrenseam/tests/golden_fleet.rs
@@ -4,13 +4,13 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use wrenseam::fleet::average::Exchange;
-use wrenseam::fleet::directory::{Claim, Liveness, PARTS};
+use wrenseam::fleet::directory::{Liveness, MemberDigest, PARTS};
 use wrenseam::fleet::identity::{
     address_hash, header, mix, put_address, take_address, AVERAGE_VERSION, SWIM_VERSION,
 };
 use wrenseam::fleet::message::{Envelope, Message, RECORDS_VERSION};
 use wrenseam::fleet::record::{Entry, Record, Stamp};
-use wrenseam::fleet::{Facts, Lifecycle, PeerId, Summary, Swim, SwimSettings};
+use wrenseam::fleet::{Lifecycle, Metadata, PeerId, Summary, Swim, SwimSettings};
 
 const CLUSTER: u32 = 0x0102_0304;
 
@@ -50,7 +50,7 @@
         ("alpha".to_owned(), entry(1, "one")),
         ("beta".to_owned(), entry(2, "")),
     ]);
-    let facts = Facts {
+    let metadata = Metadata {
         lifecycle,
         zone: "east".to_owned(),
         program: "0.1.0".to_owned(),
@@ -60,24 +60,24 @@
     Record {
         owner,
         stamp: stamp(),
-        facts,
+        metadata,
     }
 }
 
 fn bare_record(lifecycle: Lifecycle) -> Record {
-    let facts = Facts {
+    let metadata = Metadata {
         lifecycle,
-        ..Facts::default()
+        ..Metadata::default()
     };
     Record {
         owner: v4(),
         stamp: stamp(),
-        facts,
+        metadata,
     }
 }
 
-fn claim(owner: SocketAddr, liveness: Liveness) -> Claim {
-    Claim {
+fn member_digest(owner: SocketAddr, liveness: Liveness) -> MemberDigest {
+    MemberDigest {
         owner,
         stamp: stamp(),
         liveness,
@@ -99,14 +99,14 @@
 }
 
 fn claims_message() -> Message {
-    let claims = vec![
-        claim(v4(), Liveness::Alive),
-        claim(v6(), Liveness::Left),
-        claim(v4(), Liveness::Down),
+    let member_digests = vec![
+        member_digest(v4(), Liveness::Alive),
+        member_digest(v6(), Liveness::Left),
+        member_digest(v4(), Liveness::Down),
     ];
-    Message::Claims {
+    Message::MemberDigests {
         unmatched: vec![0x0a0b_0c0d],
-        claims,
+        member_digests,
     }
 }
 
@@ -126,7 +126,7 @@
 }
 
 fn inquiry_message(gone: bool) -> Message {
-    Message::Inquiry {
+    Message::AliveQuery {
         about: peer(v6()),
         gone,
         origin: v4(),
@@ -134,7 +134,7 @@
 }
 
 fn present_message() -> Message {
-    Message::Present {
+    Message::AliveReply {
         record: Box::new(record(v4(), Lifecycle::Draining)),
         origin: v6(),
     }
@@ -148,7 +148,7 @@
     hashes_message(),
     "77460301020304041f0a0a010203000011223344556601800100000001fffffffef474ff4a"
 )]
-#[case::claims(claims_message(), "77460301020304041f0a0a01020300001122334455660200010a0b0c0d041f0a0a010203000011223344556600000009\
+#[case::member_digests(claims_message(), "77460301020304041f0a0a01020300001122334455660200010a0b0c0d041f0a0a010203000011223344556600000009\
          00cafef00d061f0b20010db800000000000000000000000700001122334455660000000901cafef00d041f0a0a010203\
          00001122334455660000000902cafef00de5e8245d")]
 #[case::changed_records(records_message(true), "77460301020304041f0a0a010203000011223344556603010043041f0a0a0102030000112233445566000000090101de\
@@ -208,8 +208,11 @@
 /// Checksums are compared between processes, so they are as fixed as bytes are.
 #[test]
 fn checksums_and_hashes_keep_their_values() {
-    assert_eq!(record(v4(), Lifecycle::Ready).facts.checksum(), 0xe955_e9ab);
-    assert_eq!(Facts::default().checksum(), 0xd2e2_9f07);
+    assert_eq!(
+        record(v4(), Lifecycle::Ready).metadata.checksum(),
+        0xe955_e9ab
+    );
+    assert_eq!(Metadata::default().checksum(), 0xd2e2_9f07);
     assert_eq!(address_hash(v4()), 0xa04a_20dd_9f2f_1a6a);
     assert_eq!(address_hash(v6()), 0x4260_fd16_fab8_efd8);
     assert_eq!(mix(1), 0x5692_161d_100b_05e5);
