--- a/wrenseam/src/fleet/average.rs
+++ b/wrenseam/src/fleet/average.rs
@@ -6,18 +6,19 @@
 //! pressure passed over it; a front end's estimate is its own pressure less the sum of its flows. An exchange
 //! over an edge brings both estimates to their middle. Flows are told as they stand, not as changes: a lost or
 //! repeated datagram costs time and no mass, and an edge that ends takes its flow with it on both sides.
+mod exchange;
+mod neighbours;
+
+pub use exchange::Exchange;
+pub use neighbours::{neighbours, RINGS};
+
 use super::identity::AVERAGE_VERSION;
-use super::identity::{
-    address_hash, header, mix, put_address, take, take_address, PeerId, HEADER_BYTES, MAX_PRESSURE,
-};
+use super::identity::{header, PeerId, HEADER_BYTES, MAX_PRESSURE};
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// Rings of members: a front end asks its successor on each and is asked by its predecessor. Four make a random
-/// graph of degree 8: an estimate's error falls by a factor of e in some 0.3 s at a probe period of 500 ms.
-pub const RINGS: usize = 4;
 /// Exchanges that a front end begins in a probe period.
 pub const EXCHANGES_A_PROBE: Micros = 5;
 /// The largest flow over an edge, in thousandths: two front ends alone at 0 and [`MAX_PRESSURE`] need half of it.
@@ -37,8 +38,6 @@
 const TAKEN_UP: i32 = 4;
 /// What is told is the mean of so many turns: a probe period.
 const TOLD_TURNS: usize = EXCHANGES_A_PROBE as usize;
-const KIND_ASK: u8 = 0;
-const KIND_ANSWER: u8 = 1;
 
 /// Datagrams of the averaging that were dropped, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -51,64 +50,6 @@
     pub stranger: u64,
 }
 
-/// One datagram of an exchange, after the header that all datagrams of the fleet share.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Exchange {
-    /// Answers an ask.
-    pub answer: bool,
-    /// Who speaks: its gossip address, and its incarnation.
-    pub from: PeerId,
-    /// Numbers the asks over an edge; an answer repeats that of its ask.
-    pub seq: u32,
-    /// The speaker's flow over this edge, in millionths of capacity.
-    pub flow: i32,
-    /// The speaker's estimate of the mean, in millionths of capacity.
-    pub estimate: i32,
-}
-
-impl Exchange {
-    /// The bytes, big-endian: `header` (7), kind (1), family (1: 4 or 6), port (2), address (4 or 16), incarnation (8),
-    /// seq, flow, estimate (4 each), CRC-32 of all before it (4). 39 bytes for IPv4, 51 for IPv6.
-    pub fn encode(&self, header: &[u8; HEADER_BYTES]) -> Vec<u8> {
-        let mut b = header.to_vec();
-        b.push(if self.answer { KIND_ANSWER } else { KIND_ASK });
-        put_address(&mut b, self.from.addr);
-        b.extend(self.from.incarnation.to_be_bytes());
-        b.extend(self.seq.to_be_bytes());
-        b.extend(self.flow.to_be_bytes());
-        b.extend(self.estimate.to_be_bytes());
-        b.extend(crc32fast::hash(&b).to_be_bytes());
-        b
-    }
-
-    /// Reads what [`Exchange::encode`] wrote; `None` for anything else. The header is the caller's to check.
-    pub fn decode(bytes: &[u8]) -> Option<Exchange> {
-        let (body, crc) = bytes.split_last_chunk::<4>()?;
-        if crc32fast::hash(body).to_be_bytes() != *crc {
-            return None;
-        }
-        let mut rest = body.get(HEADER_BYTES..)?;
-        let answer = match take::<1>(&mut rest)? {
-            [KIND_ASK] => false,
-            [KIND_ANSWER] => true,
-            _ => return None,
-        };
-        let addr = take_address(&mut rest)?;
-        let incarnation = u64::from_be_bytes(take(&mut rest)?);
-        let seq = u32::from_be_bytes(take(&mut rest)?);
-        let flow = i32::from_be_bytes(take(&mut rest)?);
-        let estimate = i32::from_be_bytes(take(&mut rest)?);
-        let from = PeerId { addr, incarnation };
-        rest.is_empty().then_some(Exchange {
-            answer,
-            from,
-            seq,
-            flow,
-            estimate,
-        })
-    }
-}
-
 /// What this front end holds of one neighbour.
 #[derive(Clone, Copy, Debug)]
 struct Edge {
@@ -372,38 +313,3 @@
         ((i64::from(low) + i64::from(high)) / 2).clamp(0, i64::from(MAX)) as i32
     }
 }
-
-/// The neighbours of `own` among `members`, and for each whether `own` is the one that asks: its successor on a
-/// ring. Of two that follow each other on different rings the lower address asks. All that hold the same
-/// members agree on every edge and on who asks over it.
-pub fn neighbours(
-    own: SocketAddr,
-    members: impl Iterator<Item = SocketAddr>,
-) -> BTreeMap<SocketAddr, bool> {
-    let place = |addr: SocketAddr, ring: usize| {
-        mix(address_hash(addr) ^ (ring as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
-    };
-    let here: [u64; RINGS] = std::array::from_fn(|ring| place(own, ring));
-    let mut after = [None::<(u64, SocketAddr)>; RINGS];
-    let mut before = [None::<(u64, SocketAddr)>; RINGS];
-    for m in members.filter(|&m| m != own) {
-        for ring in 0..RINGS {
-            let there = place(m, ring);
-            let ahead = (there.wrapping_sub(here[ring]), m);
-            let behind = (here[ring].wrapping_sub(there), m);
-            after[ring] = Some(after[ring].map_or(ahead, |a| a.min(ahead)));
-            before[ring] = Some(before[ring].map_or(behind, |b| b.min(behind)));
-        }
-    }
-    let mut found = BTreeMap::new();
-    before.iter().flatten().for_each(|&(_, m)| {
-        found.insert(m, false);
-    });
-    for &(_, m) in after.iter().flatten() {
-        found
-            .entry(m)
-            .and_modify(|asks| *asks = *asks || own < m)
-            .or_insert(true);
-    }
-    found
-}
--- a/wrenseam/src/fleet/directory.rs
+++ b/wrenseam/src/fleet/directory.rs
@@ -1,123 +1,27 @@
 //! What one front end knows of the fleet's members: who is alive, who is gone, and everybody's record, with a
 //! digest by which two members see at once whether they hold the same. No I/O; time is handed in.
-use super::identity::{address_hash, mix, PeerId};
-use super::record::{Lifecycle, Metadata, Record, Stamp};
+mod member;
+mod merge;
+
+use member::Member;
+pub use merge::MergeAction;
+
+use super::identity::{mix, PeerId};
+use super::member_digest::{member_digest_hash, part_of, short, Liveness, MemberDigest, PARTS};
+use super::record::{Lifecycle, Record};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// Parts that a view's digest is told by; a bit each in a message's set of parts.
-pub const PARTS: usize = 16;
 /// How long a member that is gone is remembered, in microseconds: a day. Nobody who missed its end for longer can
 /// still tell of it (see `Swim::restart`), so that it does not come back by hearsay.
 pub const GONE_FOR: Micros = 86_400_000_000;
 /// Members gone that are remembered; beyond that those gone longest are forgotten.
 pub const GONE_HELD: usize = 1024;
 
-/// Whether a member takes part.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Liveness {
-    /// Counted alive.
-    Alive,
-    /// Told by itself that it leaves.
-    Left,
-    /// Declared down.
-    Down,
-}
-
-impl Liveness {
-    /// All of them, by their number on the wire.
-    pub const ALL: [Liveness; 3] = [Liveness::Alive, Liveness::Left, Liveness::Down];
-
-    /// Whether it no longer takes part.
-    pub fn is_gone(self) -> bool {
-        self != Liveness::Alive
-    }
-}
-
-/// What somebody holds of a member, in short.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct MemberDigest {
-    /// The member.
-    pub owner: SocketAddr,
-    /// Its incarnation, and the version of the record held; version 0: none.
-    pub stamp: Stamp,
-    /// Whether it takes part.
-    pub liveness: Liveness,
-    /// The checksum of the record's content; 0: no record.
-    pub checksum: u32,
-}
-
-/// What a member digest or record means against what is held here. Only the owner writes a record, so the larger
-/// (incarnation, version) wins, and among equal incarnations gone wins over alive.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum MergeAction {
-    /// Both hold the same, or neither has anything that the other needs.
-    NoChange,
-    /// Ours is newer: the other is to be told.
-    SendNewer,
-    /// A member, or an incarnation of it, that is not known here.
-    AddMember,
-    /// A newer record of a known incarnation.
-    FetchRecord,
-    /// A newer stamp on the content held here.
-    AdoptStamp,
-    /// The other holds as gone who is alive here: the member itself is asked first.
-    CheckLiveness,
-    /// The member told that it leaves.
-    MarkLeft,
-    /// Somebody holds of us what we did not say, or holds our incarnation as gone: a larger stamp is needed.
-    Refute,
-}
-
-/// A record held of a member, and the stamp under which it is known to hold.
-#[derive(Clone, Debug)]
-struct HeldRecord {
-    stamp: Stamp,
-    metadata: Metadata,
-    checksum: u32,
-}
-
 /// Repairs that a member may leave unanswered before it counts as one that knows no records.
 const TRIES: u8 = 3;
 
-#[derive(Clone, Debug)]
-struct Member {
-    incarnation: u64,
-    liveness: Liveness,
-    since: Micros,
-    record: Option<HeldRecord>,
-    /// Whether it told that it leaves.
-    leaving: bool,
-    /// Repairs begun with it in a row that it did not answer in any way.
-    unanswered: u8,
-}
-
-impl Member {
-    /// The record of its present incarnation.
-    fn current(&self) -> Option<&HeldRecord> {
-        self.record
-            .as_ref()
-            .filter(|held| held.stamp.incarnation == self.incarnation)
-    }
-
-    fn member_digest(&self, owner: SocketAddr) -> MemberDigest {
-        let (version, checksum) = self
-            .current()
-            .map_or((0, 0), |held| (held.stamp.version, held.checksum));
-        let stamp = Stamp {
-            incarnation: self.incarnation,
-            version,
-        };
-        MemberDigest {
-            owner,
-            stamp,
-            liveness: self.liveness,
-            checksum,
-        }
-    }
-}
-
 /// Members and their records.
 pub struct Directory {
     own: Record,
@@ -263,115 +167,6 @@
             .any(|member| member.record.is_none() && member.unanswered >= TRIES)
     }
 
-    /// Weighs what somebody holds of a member against what is held here.
-    pub fn merge_action(&self, member_digest: &MemberDigest) -> MergeAction {
-        if member_digest.owner == self.own.owner {
-            return self.own_merge_action(member_digest);
-        }
-        let Some(local) = self.member_digest(member_digest.owner) else {
-            return if member_digest.liveness.is_gone() {
-                MergeAction::NoChange
-            } else {
-                MergeAction::AddMember
-            };
-        };
-        let (local_gone, remote_gone) =
-            (local.liveness.is_gone(), member_digest.liveness.is_gone());
-        match (
-            member_digest
-                .stamp
-                .incarnation
-                .cmp(&local.stamp.incarnation),
-            local_gone,
-            remote_gone,
-        ) {
-            (_, true, true) => MergeAction::NoChange,
-            (std::cmp::Ordering::Less, _, _) => MergeAction::SendNewer,
-            (std::cmp::Ordering::Greater, _, false) => MergeAction::AddMember,
-            (_, false, true) if member_digest.liveness == Liveness::Left => MergeAction::MarkLeft,
-            (_, false, true) => MergeAction::CheckLiveness,
-            (std::cmp::Ordering::Equal, true, false) => MergeAction::SendNewer,
-            (std::cmp::Ordering::Equal, false, false) => {
-                self.record_merge_action(&local, member_digest)
-            }
-        }
-    }
-
-    fn own_merge_action(&self, member_digest: &MemberDigest) -> MergeAction {
-        let own = self.own_digest();
-        let gone = member_digest.liveness.is_gone()
-            && member_digest.stamp.incarnation >= own.stamp.incarnation;
-        let not_ours = member_digest.stamp == own.stamp && member_digest.checksum != own.checksum;
-        match () {
-            () if gone || member_digest.stamp > own.stamp || not_ours => MergeAction::Refute,
-            () if member_digest.stamp < own.stamp => MergeAction::SendNewer,
-            () => MergeAction::NoChange,
-        }
-    }
-
-    /// Both hold the same incarnation alive.
-    fn record_merge_action(
-        &self,
-        local: &MemberDigest,
-        member_digest: &MemberDigest,
-    ) -> MergeAction {
-        let order = (member_digest.stamp.version, member_digest.checksum)
-            .cmp(&(local.stamp.version, local.checksum));
-        match order {
-            std::cmp::Ordering::Equal => MergeAction::NoChange,
-            std::cmp::Ordering::Less => MergeAction::SendNewer,
-            std::cmp::Ordering::Greater if self.has_content(member_digest) => {
-                MergeAction::AdoptStamp
-            }
-            std::cmp::Ordering::Greater => MergeAction::FetchRecord,
-        }
-    }
-
-    /// Whether the content that a member digest is of is held, if under an older stamp.
-    pub fn has_content(&self, member_digest: &MemberDigest) -> bool {
-        let held = self
-            .members
-            .get(&member_digest.owner)
-            .and_then(|member| member.record.as_ref());
-        member_digest.checksum != 0
-            && held.is_some_and(|held| held.checksum == member_digest.checksum)
-    }
-
-    /// Takes a newer stamp for the content held; the caller has weighed it.
-    pub fn adopt_stamp(&mut self, member_digest: &MemberDigest) {
-        let stamp = member_digest.stamp;
-        self.change(member_digest.owner, |member| {
-            if let Some(held) = member.record.as_mut().filter(|held| held.stamp < stamp) {
-                held.stamp = stamp;
-            }
-        });
-    }
-
-    /// Takes a member's record unless what is held is as new; whether it was taken. Its incarnation has to be the
-    /// one that membership counts.
-    pub fn merge_record(&mut self, record: Record) -> bool {
-        let checksum = record.metadata.checksum();
-        let newer = self.members.get(&record.owner).is_some_and(|member| {
-            let (version, held) = member
-                .current()
-                .map_or((0, 0), |h| (h.stamp.version, h.checksum));
-            member.incarnation == record.stamp.incarnation
-                && (record.stamp.version, checksum) > (version, held)
-        });
-        if newer {
-            let held = HeldRecord {
-                stamp: record.stamp,
-                metadata: record.metadata,
-                checksum,
-            };
-            self.change(record.owner, |member| {
-                member.record = Some(held);
-                member.unanswered = 0;
-            });
-        }
-        newer
-    }
-
     /// What is held of a member, or of this front end itself.
     pub fn member_digest(&self, addr: SocketAddr) -> Option<MemberDigest> {
         if addr == self.own.owner {
@@ -531,21 +326,3 @@
         forgotten
     }
 }
-
-fn part_of(addr: SocketAddr) -> usize {
-    (mix(address_hash(addr)) % PARTS as u64) as usize
-}
-
-fn member_digest_hash(member_digest: &MemberDigest) -> u64 {
-    let content = u64::from(member_digest.stamp.version) << 32 | u64::from(member_digest.checksum);
-    mix(mix(mix(address_hash(member_digest.owner)) ^ member_digest.stamp.incarnation) ^ content)
-}
-
-/// A member digest's hash as messages tell it.
-pub fn short_hash(member_digest: &MemberDigest) -> u32 {
-    short(member_digest_hash(member_digest))
-}
-
-fn short(hash: u64) -> u32 {
-    (hash ^ (hash >> 32)) as u32
-}
--- a/wrenseam/src/fleet/members.rs
+++ b/wrenseam/src/fleet/members.rs
@@ -1,17 +1,19 @@
 //! Who is in the fleet and what each says of itself: membership ([`Swim`]), the records ([`Directory`]), and the
 //! datagrams that keep both the same everywhere. No I/O; docs/fleet-view.md has the design.
 mod exchange;
+mod periodic;
 
-use super::directory::{Directory, Liveness};
+use super::directory::Directory;
 use super::identity::{header, PeerId, HEADER_BYTES};
-use super::liveness_check::{CheckAction, LivenessChecks};
-use super::message::{records_in_messages, Envelope, Message, RECORDS_VERSION};
+use super::liveness_check::LivenessChecks;
+use super::member_digest::Liveness;
+use super::message::{Envelope, Message, RECORDS_VERSION};
 use super::record::{Lifecycle, Metadata, Record, RecordError, Stamp};
 use super::repair::RepairSchedule;
-use super::rumor::{RumorQueue, FANOUT};
-use super::swim::{Outgoing, PeerEvent, Swim, SwimSettings};
-use super::traffic::TrafficKind;
-use rand::{rngs::SmallRng, seq::IteratorRandom, RngExt, SeedableRng};
+use super::rumor::RumorQueue;
+use super::swim::{PeerEvent, Swim, SwimSettings};
+use super::traffic::{Outgoing, TrafficKind};
+use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
@@ -253,46 +255,6 @@
         self.sync_directory(now);
     }
 
-    /// Runs what is due at `now`.
-    pub fn tick(&mut self, now: Micros) {
-        if self.leaving {
-            return;
-        }
-        self.swim.tick(now);
-        self.sync_directory(now);
-        if self.repair_schedule.is_due(now, &mut self.rng) && !self.is_budget_low {
-            self.start_repair(now);
-        }
-        if now >= self.rumor_at {
-            self.rumor_at = now + self.probe / 4;
-            self.send_rumors();
-        }
-        if now >= self.query_at {
-            self.query_at = now + self.probe / 2;
-            self.query_suspects(now);
-            self.restart_if_isolated(now);
-        }
-    }
-
-    /// Who hears nobody for long knows nothing of the others any more, and forgets what it knew before it tells it.
-    fn restart_if_isolated(&mut self, now: Micros) {
-        if self.swim.alive() == 0 {
-            self.accompanied = now;
-        }
-        let heard = self
-            .swim
-            .detector()
-            .heard_any()
-            .unwrap_or(0)
-            .max(self.accompanied);
-        if self.swim.alive() > 0 && now.saturating_sub(heard) > self.isolated_after {
-            self.restart(now);
-        }
-        for id in self.directory.forget_gone(now) {
-            self.swim.forget(id);
-        }
-    }
-
     /// Brings the directory in line with what membership noticed, and our own record with our incarnation.
     fn sync_directory(&mut self, now: Micros) {
         for (at, event) in self.swim.events() {
@@ -338,98 +300,6 @@
         }
     }
 
-    /// Begins a repair with a random member.
-    fn start_repair(&mut self, _now: Micros) {
-        let members = self
-            .directory
-            .alive()
-            .map(|id| id.addr)
-            .filter(|&addr| self.directory.repairs(addr));
-        let Some(to) = members.choose(&mut self.rng) else {
-            return;
-        };
-        self.directory.tried(to);
-        self.send(
-            to,
-            TrafficKind::RepairBegin,
-            Message::Digest(self.directory.part_digests()),
-        );
-    }
-
-    fn send_rumors(&mut self) {
-        if self.rumors.is_empty() {
-            return;
-        }
-        let owners = self.rumors.round();
-        let records: Vec<Record> = owners
-            .into_iter()
-            .filter_map(|owner| self.directory.record(owner))
-            .collect();
-        let members = self
-            .directory
-            .alive()
-            .map(|id| id.addr)
-            .filter(|&addr| self.directory.repairs(addr));
-        for to in pick(&mut self.rng, members.collect(), FANOUT) {
-            for message in records_in_messages(true, records.clone()) {
-                self.send(to, TrafficKind::Rumor, message);
-            }
-        }
-    }
-
-    /// Asks suspects, themselves and by way of others, whether they are there, and judges liveness_checks.
-    fn query_suspects(&mut self, now: Micros) {
-        let suspects: Vec<PeerId> = self.swim.detector().suspects().collect();
-        suspects
-            .into_iter()
-            .for_each(|id| self.send_alive_queries(id, false, RELAYS));
-        self.run_liveness_checks(now);
-    }
-
-    /// Asks a member whether it is there, itself and by way of so many others.
-    fn send_alive_queries(&mut self, about: PeerId, gone: bool, relays: usize) {
-        let mut others = Vec::new();
-        if relays > 0 {
-            others.extend(
-                self.directory
-                    .alive()
-                    .map(|other| other.addr)
-                    .filter(|&addr| addr != about.addr),
-            );
-        }
-        let mut ways = pick(&mut self.rng, others, relays);
-        ways.push(about.addr);
-        let origin = self.directory.own().owner;
-        for to in ways {
-            self.send(
-                to,
-                TrafficKind::Probe,
-                Message::AliveQuery {
-                    about,
-                    gone,
-                    origin,
-                },
-            );
-        }
-    }
-
-    fn run_liveness_checks(&mut self, now: Micros) {
-        for step in self.liveness_checks.due(now) {
-            match step {
-                CheckAction::Query { id, again } => {
-                    self.send_alive_queries(id, true, if again { RELAYS } else { 0 })
-                }
-                CheckAction::Expired { id, began } => {
-                    let heard = self.swim.detector().last_heard(id.addr) >= Some(began);
-                    if !heard && self.swim.detector().may_declare_down(now, began) {
-                        self.swim.learn(now, id, true, true);
-                        self.sync_directory(now);
-                    }
-                }
-            }
-        }
-    }
-
     fn send(&mut self, to: SocketAddr, kind: TrafficKind, message: Message) {
         let envelope = Envelope {
             from: self.swim.own(),
--- a/wrenseam/src/fleet/members/exchange.rs
+++ b/wrenseam/src/fleet/members/exchange.rs
@@ -1,7 +1,8 @@
 //! What a front end makes of the datagrams of membership and records, and what it answers.
 use super::Members;
-use crate::fleet::directory::{Liveness, MemberDigest, MergeAction, PARTS};
+use crate::fleet::directory::MergeAction;
 use crate::fleet::identity::PeerId;
+use crate::fleet::member_digest::{Liveness, MemberDigest, PARTS};
 use crate::fleet::message::{records_in_messages, Envelope, Message, RECORDS_VERSION};
 use crate::fleet::record::{Lifecycle, Record, Stamp};
 use crate::fleet::repair;
--- a/wrenseam/src/fleet/message.rs
+++ b/wrenseam/src/fleet/message.rs
@@ -1,9 +1,9 @@
 //! The datagrams by which members share and repair their records: typed, checked by a CRC, and bounded by the
 //! largest datagram. No I/O; docs/fleet-view.md has the exchange.
-use super::directory::{Liveness, MemberDigest, PARTS};
 use super::identity::{
     put_address, take, take_address, PeerId, HEADER_BYTES, MAX_DATAGRAM, MAX_INCARNATION,
 };
+use super::member_digest::{Liveness, MemberDigest, PARTS};
 use super::record::{Record, RecordError, Stamp};
 use std::net::SocketAddr;
 
--- a/wrenseam/src/fleet/node.rs
+++ b/wrenseam/src/fleet/node.rs
@@ -1,12 +1,13 @@
 //! One front end's gossip as a whole, without I/O: membership and records ([`Members`]), the mean pressure
 //! ([`Average`]), the budget of bytes ([`Traffic`]), the way back to peers that were cut off, and the summaries that
 //! front ends from before the averaging want to hear.
-use super::average::{Average, AverageDropped};
+use super::average::Average;
 use super::identity::{PeerId, AVERAGE_VERSION};
-use super::members::{Members, RecordCounts};
+use super::members::Members;
 use super::record::{Lifecycle, Metadata, RecordError};
-use super::swim::{Dropped, Outgoing, PeerEvent, SwimSettings};
-use super::traffic::{Traffic, TrafficKind};
+use super::status::FleetStatus;
+use super::swim::{PeerEvent, SwimSettings};
+use super::traffic::{Outgoing, Traffic, TrafficKind};
 use super::Summary;
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use std::collections::BTreeSet;
@@ -44,46 +45,6 @@
     pub summaries: bool,
 }
 
-/// What a front end makes of its fleet at one moment.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct FleetStatus {
-    /// Peers counted alive, besides itself.
-    pub alive: usize,
-    /// Of these, by lifecycle in the order of [`Lifecycle::ALL`].
-    pub by_lifecycle: [usize; Lifecycle::ALL.len()],
-    /// Peers that told that they drain or leave since the status before.
-    pub departed: usize,
-    /// The digest of the whole view, and for how long it has stood, in microseconds.
-    pub digest: u64,
-    /// See `digest`.
-    pub digest_stood: Micros,
-    /// Mean in-flight over capacity of the fleet, in thousandths.
-    pub pressure: u32,
-    /// Neighbours of the averaging heard from lately, and all that are held.
-    pub edges: (usize, usize),
-    /// Whether a front end from before the averaging is in the fleet, and the mean is of summaries.
-    pub mixed: bool,
-    /// How many times longer this front end's probes and suspicions are, since it doubts itself.
-    pub health_multiplier: u32,
-    /// Bytes sent, and held back by the budget, in the order of [`TrafficKind::ALL`].
-    pub bytes_sent: [u64; TrafficKind::ALL.len()],
-    /// See `bytes_sent`.
-    pub bytes_held_back: [u64; TrafficKind::ALL.len()],
-    /// What became of the datagrams of records.
-    pub records: RecordCounts,
-    /// Datagrams dropped, by cause.
-    pub dropped: Dropped,
-    /// Datagrams of the averaging dropped, by cause.
-    pub average_dropped: AverageDropped,
-}
-
-impl FleetStatus {
-    /// Peers that take clients.
-    pub fn ready(&self) -> usize {
-        self.by_lifecycle[Lifecycle::Ready as usize]
-    }
-}
-
 /// One front end's gossip.
 pub struct Node {
     members: Members,
--- a/wrenseam/src/fleet/repair.rs
+++ b/wrenseam/src/fleet/repair.rs
@@ -1,7 +1,8 @@
 //! Anti-entropy between two members: which parts of the views to compare, what the other's member digests call for, and how
 //! often to ask. No I/O; docs/fleet-view.md weighs it against other ways.
-use super::directory::{short_hash, Directory, Liveness, MemberDigest, MergeAction, PARTS};
+use super::directory::{Directory, MergeAction};
 use super::identity::PeerId;
+use super::member_digest::{short_hash, Liveness, MemberDigest, PARTS};
 use super::message::MAX_BODY;
 use super::record::Stamp;
 use rand::{rngs::SmallRng, RngExt};
--- /dev/null
+++ b/wrenseam/src/fleet/status.rs
@@ -0,0 +1,47 @@
+//! What a front end makes of its fleet at one moment, for the core and for telemetry.
+use super::average::AverageDropped;
+use super::members::RecordCounts;
+use super::record::Lifecycle;
+use super::swim::Dropped;
+use super::traffic::TrafficKind;
+use wrenseam_policy::Micros;
+
+/// What a front end makes of its fleet at one moment.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct FleetStatus {
+    /// Peers counted alive, besides itself.
+    pub alive: usize,
+    /// Of these, by lifecycle in the order of [`Lifecycle::ALL`].
+    pub by_lifecycle: [usize; Lifecycle::ALL.len()],
+    /// Peers that told that they drain or leave since the status before.
+    pub departed: usize,
+    /// The digest of the whole view, and for how long it has stood, in microseconds.
+    pub digest: u64,
+    /// See `digest`.
+    pub digest_stood: Micros,
+    /// Mean in-flight over capacity of the fleet, in thousandths.
+    pub pressure: u32,
+    /// Neighbours of the averaging heard from lately, and all that are held.
+    pub edges: (usize, usize),
+    /// Whether a front end from before the averaging is in the fleet, and the mean is of summaries.
+    pub mixed: bool,
+    /// How many times longer this front end's probes and suspicions are, since it doubts itself.
+    pub health_multiplier: u32,
+    /// Bytes sent, and held back by the budget, in the order of [`TrafficKind::ALL`].
+    pub bytes_sent: [u64; TrafficKind::ALL.len()],
+    /// See `bytes_sent`.
+    pub bytes_held_back: [u64; TrafficKind::ALL.len()],
+    /// What became of the datagrams of records.
+    pub records: RecordCounts,
+    /// Datagrams dropped, by cause.
+    pub dropped: Dropped,
+    /// Datagrams of the averaging dropped, by cause.
+    pub average_dropped: AverageDropped,
+}
+
+impl FleetStatus {
+    /// Peers that take clients.
+    pub fn ready(&self) -> usize {
+        self.by_lifecycle[Lifecycle::Ready as usize]
+    }
+}
--- a/wrenseam/src/fleet/swim.rs
+++ b/wrenseam/src/fleet/swim.rs
@@ -6,41 +6,25 @@
 //! Foca's timers pass through here: those of probes and suspicions are lengthened, and suspicions judged, by the
 //! [`Detector`]. Foca's time stands still while the process did not run.
 mod runtime;
+mod settings;
+mod summaries;
+
+use settings::configure;
+pub use settings::SwimSettings;
 
 use super::detector::{Detector, SuspicionOutcome};
-use super::directory::GONE_FOR;
-use super::identity::{header, PeerId, HEADER_BYTES, MAX_DATAGRAM, MAX_INCARNATION, SWIM_VERSION};
-use super::summary::{Summaries, Summary};
-use super::traffic::TrafficKind;
+use super::identity::{header, PeerId, MAX_DATAGRAM, MAX_INCARNATION, SWIM_VERSION};
+use super::summary::Summaries;
+use super::traffic::Outgoing;
 use foca::{Config, Foca, Member, Message, PostcardCodec, State, Timer};
 use rand::{rngs::SmallRng, SeedableRng};
 use runtime::{read_header, FocaRuntime, SummaryHandler, TimerSlot};
 use std::cmp::Reverse;
 use std::net::SocketAddr;
-use std::num::{NonZeroU32, NonZeroUsize};
+use std::num::NonZeroUsize;
 use std::sync::{Arc, Mutex, PoisonError};
-use std::time::Duration;
 use wrenseam_policy::Micros;
 
-/// The settings of membership, in microseconds.
-#[derive(Clone, Copy, Debug)]
-pub struct SwimSettings {
-    /// A name shared by the fleet: datagrams of another are dropped.
-    pub cluster: u32,
-    /// How often a random peer is probed.
-    pub probe: Micros,
-    /// After how long a suspect is declared down.
-    pub suspect_for: Micros,
-    /// The fleet's expected size, for how often an update is retransmitted.
-    pub expected: usize,
-    /// Times that an update of a member is retransmitted besides foca's 4 log10 of the expected size.
-    pub extra_transmissions: u8,
-    /// How long a summary counts after it came.
-    pub fresh_for: Micros,
-    /// Peers of which summaries are held at the most.
-    pub capacity: usize,
-}
-
 /// Datagrams dropped, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Dropped {
@@ -69,17 +53,6 @@
     Rejoined,
 }
 
-/// A datagram to send: where to, what it is for, and its bytes.
-#[derive(Clone, Debug)]
-pub struct Outgoing {
-    /// Where to.
-    pub to: SocketAddr,
-    /// What for.
-    pub kind: TrafficKind,
-    /// The bytes.
-    pub bytes: Vec<u8>,
-}
-
 /// One front end's membership and the summaries it holds.
 pub struct Swim {
     foca: Foca<PeerId, PostcardCodec, SmallRng, SummaryHandler>,
@@ -97,35 +70,6 @@
     published: u64,
 }
 
-/// Foca's settings for ours.
-fn configure(settings: &SwimSettings) -> Config {
-    let size =
-        NonZeroU32::new(settings.expected.clamp(1, 100_000) as u32).unwrap_or(NonZeroU32::MIN);
-    let mut config = Config::new_lan(size);
-    let probe = Duration::from_micros(settings.probe.max(10_000));
-    config.probe_period = probe;
-    config.probe_rtt = probe / 2;
-    config.suspect_to_down_after = Duration::from_micros(settings.suspect_for.max(settings.probe));
-    config.max_packet_size =
-        NonZeroUsize::new(MAX_DATAGRAM - HEADER_BYTES).unwrap_or(NonZeroUsize::MIN);
-    let times = config
-        .max_transmissions
-        .saturating_add(settings.extra_transmissions);
-    config.max_transmissions = times;
-    // The directory bounds how many are remembered, and for how long.
-    config.remove_down_after = Some(Duration::from_micros(GONE_FOR));
-    if let Some(gossip) = config.periodic_gossip.as_mut() {
-        gossip.frequency = probe / 4;
-    }
-    if let Some(announce) = config.periodic_announce.as_mut() {
-        announce.frequency = probe * 5;
-    }
-    if let Some(announce) = config.periodic_announce_to_down_members.as_mut() {
-        announce.frequency = probe * 5;
-    }
-    config
-}
-
 impl Swim {
     /// Membership for the front end at `own`, in its `incarnation`, with a seeded generator.
     pub fn new(own: SocketAddr, incarnation: u64, settings: SwimSettings, seed: u64) -> Swim {
@@ -375,21 +319,6 @@
         }
     }
 
-    /// No summary is wanted any more.
-    pub fn stop_publishing(&mut self) {
-        self.runtime.untrimmed = false;
-    }
-
-    /// Hands this front end's summary to be gossiped, with the next sequence number.
-    pub fn publish(&mut self, now: Micros, mut summary: Summary) {
-        self.at(now);
-        self.runtime.untrimmed = true;
-        self.published += 1;
-        summary.origin = Some(self.own.addr);
-        summary.seq = self.published;
-        let _ = self.foca.add_broadcast(&summary.encode()); // only ever our own well-formed bytes
-    }
-
     /// Datagrams to send.
     pub fn outbox(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.runtime.out)
@@ -425,36 +354,6 @@
             .find(|member| member.id().addr == addr)?;
         Some((*member.id(), member.state() == State::Down))
     }
-
-    /// Whether a fresh summary is of a front end that takes no part in the averaging (see [`Summary::views`]).
-    pub fn mixed(&self, now: Micros) -> bool {
-        self.held
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .0
-            .fresh(now)
-            .any(|s| !s.views)
-    }
-
-    /// The fleet's pressure in thousandths (see [`Summaries::pressure`]), with ours at `own`.
-    pub fn pressure(&self, now: Micros, own: u32) -> u32 {
-        self.held
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .0
-            .pressure(now, own)
-    }
-
-    /// Fresh summaries of peers.
-    pub fn summaries(&self, now: Micros) -> Vec<Summary> {
-        self.held
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .0
-            .fresh(now)
-            .copied()
-            .collect()
-    }
 }
 
 fn start(
--- a/wrenseam/src/fleet/swim/runtime.rs
+++ b/wrenseam/src/fleet/swim/runtime.rs
@@ -1,9 +1,9 @@
 //! What foca asks of the world, collected: datagrams, timers, changes of membership, and summaries that came.
-use super::{Outgoing, PeerEvent};
+use super::PeerEvent;
 use crate::fleet::detector::Detector;
 use crate::fleet::identity::{PeerId, HEADER_BYTES};
 use crate::fleet::summary::{InsertOutcome, Summaries, Summary, SummaryError};
-use crate::fleet::traffic::TrafficKind;
+use crate::fleet::traffic::{Outgoing, TrafficKind};
 use foca::{BroadcastHandler, Codec, Header, Invalidates, Member, Message, Notification};
 use foca::{PostcardCodec, Runtime, Timer};
 use std::cmp::Reverse;
--- a/wrenseam/src/fleet/traffic.rs
+++ b/wrenseam/src/fleet/traffic.rs
@@ -1,4 +1,5 @@
 //! One budget of bytes a second for all that a front end gossips, and the bytes by kind. No I/O; time is handed in.
+use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
 /// Bytes a second that a front end sends on average at the most: with as many received, and [`BURST`] besides,
@@ -65,6 +66,17 @@
     }
 }
 
+/// A datagram to send: where to, what it is for, and its bytes.
+#[derive(Clone, Debug)]
+pub struct Outgoing {
+    /// Where to.
+    pub to: SocketAddr,
+    /// What for.
+    pub kind: TrafficKind,
+    /// The bytes.
+    pub bytes: Vec<u8>,
+}
+
 /// A token bucket over all kinds, each of which leaves a reserve to those before it.
 #[derive(Clone, Debug)]
 pub struct Traffic {
--- a/wrenseam/tests/fleet_average.rs
+++ b/wrenseam/tests/fleet_average.rs
@@ -205,7 +205,7 @@
     );
 }
 
-/// A neighbour's member digests of flow and estimate count up to the clamp, whatever they are.
+/// What a neighbour reports of its flow and estimate counts up to the clamp, whatever they are.
 #[rstest]
 #[case(i32::MAX, i32::MAX, 4000 + MAX_FLOW)]
 #[case(i32::MIN, i32::MIN, 0)]
@@ -234,19 +234,19 @@
     );
 }
 
-/// A summary from a front end of before: what it member digests counts up to the clamp, for its part of the mean.
+/// A summary from a front end of before: what it reports counts up to the clamp, for its part of the mean.
 #[rstest]
 #[case(4, u32::MAX, 1600)]
 #[case(4, 500, 100)]
 fn a_claim_in_a_summary_counts_up_to_the_clamp(
     #[case] peers: u16,
-    #[case] member_digest: u32,
+    #[case] reported: u32,
     #[case] want: u32,
 ) {
     let mut held = Summaries::new(8, 1_000_000);
     for p in 0..peers {
         let origin = Some(SocketAddr::from(([10, 0, 0, 1], p)));
-        let pressure = if p == 0 { member_digest } else { 0 };
+        let pressure = if p == 0 { reported } else { 0 };
         held.insert(
             0,
             addr(9),
--- a/wrenseam/tests/fleet_records.rs
+++ b/wrenseam/tests/fleet_records.rs
@@ -3,10 +3,9 @@
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use rstest::rstest;
 use std::net::SocketAddr;
-use wrenseam::fleet::directory::{
-    Directory, Liveness, MemberDigest, MergeAction, GONE_FOR, GONE_HELD,
-};
+use wrenseam::fleet::directory::{Directory, MergeAction, GONE_FOR, GONE_HELD};
 use wrenseam::fleet::identity::{header, MAX_DATAGRAM, MAX_INCARNATION};
+use wrenseam::fleet::member_digest::{Liveness, MemberDigest};
 use wrenseam::fleet::members::Members;
 use wrenseam::fleet::message::{Envelope, Message, MessageError, RECORDS_VERSION};
 use wrenseam::fleet::record::{Entry, Record, RecordError, Stamp, MAX_ENTRIES, MAX_RECORD_BYTES};
--- a/wrenseam/tests/golden_fleet.rs
+++ b/wrenseam/tests/golden_fleet.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use wrenseam::fleet::average::Exchange;
-use wrenseam::fleet::directory::{Liveness, MemberDigest, PARTS};
 use wrenseam::fleet::identity::{
     address_hash, header, mix, put_address, take_address, AVERAGE_VERSION, SWIM_VERSION,
 };
+use wrenseam::fleet::member_digest::{Liveness, MemberDigest, PARTS};
 use wrenseam::fleet::message::{Envelope, Message, RECORDS_VERSION};
 use wrenseam::fleet::record::{Entry, Record, Stamp};
 use wrenseam::fleet::{Lifecycle, Metadata, PeerId, Summary, Swim, SwimSettings};
