--- a/scalelab/src/gossip.rs
+++ b/scalelab/src/gossip.rs
@@ -83,7 +83,7 @@
         let heard = net
             .fronts
             .iter()
-            .map(|f| f.news.edges.0 as f64 / f.news.edges.1.max(1) as f64);
+            .map(|f| f.news.edges.heard as f64 / f.news.edges.total.max(1) as f64);
         let heard = heard.fold(1.0, f64::min);
         net.step(4000);
         let step = net.until(60_000 * MS, |net| net.error().0 <= 0.05);
--- a/scalelab/src/net.rs
+++ b/scalelab/src/net.rs
@@ -7,12 +7,14 @@
 use std::collections::{BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 use std::time::Instant;
+use wrenseam::fleet::average::EdgeCounts;
 use wrenseam::fleet::identity::MAX_PRESSURE;
 use wrenseam::fleet::node::EXTRA_TRANSMISSIONS;
 use wrenseam::fleet::record::Record;
+use wrenseam::fleet::traffic::Outgoing;
 use wrenseam::fleet::{
     FleetStatus, Lifecycle, Metadata, Node, NodeSettings, PeerEvent, PeerId, Summary, Swim,
-    SwimSettings,
+    SwimSettings, TimedPeerEvent,
 };
 
 /// A millisecond, in simulated microseconds.
@@ -43,17 +45,17 @@
 impl Program {
     fn datagram(&mut self, now: u64, bytes: &[u8]) {
         match self {
-            Program::Average(n) => n.datagram(now, bytes),
+            Program::Average(n) => n.handle_datagram(now, bytes),
             Program::Summaries(s) => {
-                s.datagram(now, bytes);
+                s.handle_datagram(now, bytes);
             }
         }
     }
 
     fn next(&self) -> u64 {
         match self {
-            Program::Average(n) => n.next(),
-            Program::Summaries(s) => s.next().unwrap_or(u64::MAX),
+            Program::Average(n) => n.next_wakeup(),
+            Program::Summaries(s) => s.next_wakeup().unwrap_or(u64::MAX),
         }
     }
 
@@ -79,7 +81,10 @@
                 FleetStatus {
                     alive: s.alive(),
                     pressure: s.pressure(now, own),
-                    edges: (s.summaries(now).len(), s.alive()),
+                    edges: EdgeCounts {
+                        heard: s.summaries(now).len(),
+                        total: s.alive(),
+                    },
                     dropped: s.dropped,
                     ..FleetStatus::default()
                 }
@@ -87,21 +92,17 @@
         }
     }
 
-    fn events(&mut self) -> Vec<(u64, PeerEvent)> {
+    fn events(&mut self) -> Vec<TimedPeerEvent> {
         match self {
             Program::Average(n) => n.events(),
             Program::Summaries(s) => s.events(),
         }
     }
 
-    fn outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    fn outbox(&mut self) -> Vec<Outgoing> {
         match self {
             Program::Average(n) => n.outbox(),
-            Program::Summaries(s) => s
-                .outbox()
-                .into_iter()
-                .map(|out| (out.to, out.bytes))
-                .collect(),
+            Program::Summaries(s) => s.outbox(),
         }
     }
 }
@@ -312,10 +313,10 @@
         let running: Vec<(usize, &Node)> =
             on_side.filter_map(|i| Some((i, self.node(i)?))).collect();
         let (first, node) = running.first()?;
-        let digest = node.members().digest().0;
+        let digest = node.members().view_digest().value;
         if let Some((other, _)) = running
             .iter()
-            .find(|(_, node)| node.members().digest().0 != digest)
+            .find(|(_, node)| node.members().view_digest().value != digest)
         {
             let wrong = self
                 .wrong_in(*other, &running)
@@ -358,7 +359,7 @@
         };
         let out = program.outbox();
         out.into_iter()
-            .for_each(|(to, bytes)| self.send(i, to, bytes));
+            .for_each(|out| self.send(i, out.to, out.bytes));
     }
 
     /// Starts front end `i` in a new incarnation `after` microseconds from now.
@@ -463,7 +464,7 @@
                 self.tally.received += bytes.len() as u64;
                 program.datagram(at, &bytes);
             }
-            for (at, event) in program.events() {
+            for TimedPeerEvent { at, event } in program.events() {
                 if let PeerEvent::Down(id) = event {
                     self.downs.push(Down {
                         at,
@@ -478,8 +479,8 @@
             if next < f.wake_at || bytes.is_empty() {
                 self.wake(i, next);
             }
-            for (to, bytes) in out {
-                self.send(i, to, bytes);
+            for out in out {
+                self.send(i, out.to, out.bytes);
             }
         }
         self.now = until;
--- a/scalelab/tests/gossip.rs
+++ b/scalelab/tests/gossip.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 use scalelab::net::{addr, Kind, Net, CLUSTER, IP_UDP, MS, ZONES};
 use scalelab::tally::Tally;
-use wrenseam::fleet::average::{Exchange, MAX_FLOW, RINGS};
+use wrenseam::fleet::average::{Exchange, ExchangeKind, MAX_FLOW, RINGS};
 use wrenseam::fleet::identity::AVERAGE_VERSION;
 use wrenseam::fleet::message::RECORDS_VERSION;
 use wrenseam::fleet::FleetStatus;
@@ -370,7 +370,7 @@
         incarnation: u64::MAX,
     };
     let stranger = Exchange {
-        answer: false,
+        kind: ExchangeKind::Request,
         from,
         seq: 1,
         flow: i32::MAX,
--- a/wrenseam/src/core/fleet.rs
+++ b/wrenseam/src/core/fleet.rs
@@ -57,7 +57,7 @@
 
     /// This front end's summary with `in_flight` requests open.
     pub fn summary(&self, now: Micros, in_flight: usize) -> Summary {
-        let spent = self.budget.spent(now);
+        let spent = self.budget.usage(now);
         let in_flight = in_flight.min(u32::MAX as usize) as u32;
         Summary {
             in_flight,
@@ -105,8 +105,8 @@
         let _ = writeln!(out, "app.fleet.extra_attempts:{}|c", self.extras_total);
         let _ = writeln!(out, "app.fleet.extra_denied:{}|c", self.denied_total);
         let _ = writeln!(out, "app.fleet.shed:{}|c", self.shed_total);
-        let _ = writeln!(out, "app.fleet.edges:{}|g", n.edges.1);
-        let _ = writeln!(out, "app.fleet.edges_heard:{}|g", n.edges.0);
+        let _ = writeln!(out, "app.fleet.edges:{}|g", n.edges.total);
+        let _ = writeln!(out, "app.fleet.edges_heard:{}|g", n.edges.heard);
         let _ = writeln!(out, "app.fleet.mixed:{}|g", u8::from(n.mixed));
         for lifecycle in Lifecycle::ALL {
             let (name, count) = (lifecycle.name(), n.by_lifecycle[lifecycle as usize]);
--- a/wrenseam/src/fleet/budget.rs
+++ b/wrenseam/src/fleet/budget.rs
@@ -5,6 +5,10 @@
 
 /// Buckets of the sliding window.
 const BUCKETS: usize = 10;
+/// The shortest stretch of a bucket, in microseconds.
+const SHORTEST_STRETCH: Micros = 1000;
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Counts of one stretch of the window.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
@@ -16,7 +20,7 @@
     denied: u32,
 }
 
-/// What one front end may spend on extra attempts (copies and retries to workers).
+/// What one front end may spend on extra attempts (hedged requests and retries to workers).
 ///
 /// The bound over a window `W`: `extras <= ratio * firsts + floor_per_s * W / size`, where `size` is the
 /// fleet's estimated size (see [`FleetSize`]). Summed over all front ends the extras stay within
@@ -34,9 +38,9 @@
 pub struct BudgetUsage {
     /// First attempts in the window.
     pub firsts: u32,
-    /// Extra attempts let through in the window.
+    /// Extra attempts admitted in the window.
     pub extras: u32,
-    /// Extra attempts refused by the budget in the window.
+    /// Extra attempts that the budget denied in the window.
     pub denied: u32,
 }
 
@@ -44,7 +48,7 @@
     /// A budget of `ratio` (0 to 1) of first attempts and `floor_per_s` retries a second for the whole fleet,
     /// over a window of `window` microseconds (at least one bucket of 1 ms).
     pub fn new(ratio: f64, floor_per_s: f64, window: Micros) -> Self {
-        let width = (window / BUCKETS as Micros).max(1000);
+        let width = (window / BUCKETS as Micros).max(SHORTEST_STRETCH);
         let ratio = if ratio.is_finite() {
             ratio.clamp(0.0, 1.0)
         } else {
@@ -63,30 +67,37 @@
         }
     }
 
+    /// Which stretch of time `now` is in; each has a bucket.
+    fn stretch(&self, now: Micros) -> u64 {
+        now / self.width
+    }
+
+    /// The bucket of `now`, emptied if it still counts an earlier stretch.
     fn bucket(&mut self, now: Micros) -> &mut Bucket {
-        let stretch = now / self.width;
-        let b = &mut self.buckets[(stretch % BUCKETS as u64) as usize];
-        if b.stretch != stretch {
-            *b = Bucket {
+        let stretch = self.stretch(now);
+        let bucket = &mut self.buckets[(stretch % BUCKETS as u64) as usize];
+        if bucket.stretch != stretch {
+            *bucket = Bucket {
                 stretch,
                 ..Bucket::default()
             };
         }
-        b
+        bucket
     }
 
     /// The sums over the buckets still inside the window at `now`.
-    pub fn spent(&self, now: Micros) -> BudgetUsage {
-        let stretch = now / self.width;
-        let inside = |b: &&Bucket| b.stretch + BUCKETS as u64 > stretch && b.stretch <= stretch;
-        self.buckets
-            .iter()
-            .filter(inside)
-            .fold(BudgetUsage::default(), |s, b| BudgetUsage {
-                firsts: s.firsts + b.firsts,
-                extras: s.extras + b.extras,
-                denied: s.denied + b.denied,
-            })
+    pub fn usage(&self, now: Micros) -> BudgetUsage {
+        let stretch = self.stretch(now);
+        let mut usage = BudgetUsage::default();
+        for bucket in &self.buckets {
+            let is_inside = bucket.stretch + BUCKETS as u64 > stretch && bucket.stretch <= stretch;
+            if is_inside {
+                usage.firsts += bucket.firsts;
+                usage.extras += bucket.extras;
+                usage.denied += bucket.denied;
+            }
+        }
+        usage
     }
 
     /// A first attempt was sent.
@@ -94,24 +105,24 @@
         self.bucket(now).firsts += 1;
     }
 
-    /// Whether an extra attempt may go now, with the fleet at `size` front ends; counts it either way.
+    /// Whether an extra attempt is admitted now, with the fleet at `size` front ends; counts it either way.
     pub fn extra(&mut self, now: Micros, size: usize) -> bool {
-        let spent = self.spent(now);
-        let window_s = (self.width * BUCKETS as Micros) as f64 / 1e6;
-        let share = self.floor_per_s * window_s / size.max(1) as f64;
-        let allowed = self.ratio * f64::from(spent.firsts) + share;
-        let may = f64::from(spent.extras) + 1.0 <= allowed;
-        let b = self.bucket(now);
-        if may {
-            b.extras += 1;
+        let usage = self.usage(now);
+        let window_s = (self.width * BUCKETS as Micros) as f64 / MICROS_PER_SECOND;
+        let floor = self.floor_per_s * window_s / size.max(1) as f64;
+        let allowed = self.ratio * f64::from(usage.firsts) + floor;
+        let is_admitted = f64::from(usage.extras) + 1.0 <= allowed;
+        let bucket = self.bucket(now);
+        if is_admitted {
+            bucket.extras += 1;
         } else {
-            b.denied += 1;
+            bucket.denied += 1;
         }
-        may
+        is_admitted
     }
 }
 
-/// The fleet's size as this front end estimates it: itself and the peers that take clients, held at its
+/// The fleet's size as this front end estimates it: itself and the peers that accept clients, held at its
 /// largest for `hold` microseconds, and never below the `expected` size of the settings. A front end cut off
 /// from its peers thus keeps its own share for the hold and, with `expected`, ever after: it does not take the
 /// floor of the whole fleet.
@@ -119,8 +130,10 @@
 pub struct FleetSize {
     expected: usize,
     hold: Micros,
-    /// The largest size seen, and when it was last seen.
-    largest: (usize, Micros),
+    /// The largest size seen.
+    largest: usize,
+    /// When it was last seen.
+    largest_at: Micros,
 }
 
 impl FleetSize {
@@ -129,25 +142,28 @@
         FleetSize {
             expected: expected.max(1),
             hold,
-            largest: (1, 0),
+            largest: 1,
+            largest_at: 0,
         }
     }
 
-    /// So many peers told that they no longer take clients: their share is not held for them.
+    /// So many peers said that they no longer accept clients: their share is not kept for them.
     pub fn departed(&mut self, peers: usize) {
-        self.largest.0 = self.largest.0.saturating_sub(peers).max(1);
+        self.largest = self.largest.saturating_sub(peers).max(1);
     }
 
-    /// This front end counts `peers` besides itself that take clients at `now`.
+    /// This front end counts `peers` besides itself that accept clients at `now`.
     pub fn seen(&mut self, now: Micros, peers: usize) {
         let size = peers + 1;
-        if size >= self.largest.0 || now.saturating_sub(self.largest.1) > self.hold {
-            self.largest = (size, now);
+        let has_expired = now.saturating_sub(self.largest_at) > self.hold;
+        if size >= self.largest || has_expired {
+            self.largest = size;
+            self.largest_at = now;
         }
     }
 
     /// The size that divides the shared floors.
     pub fn estimate(&self) -> usize {
-        self.largest.0.max(self.expected)
+        self.largest.max(self.expected)
     }
 }
--- a/wrenseam/src/fleet/detector.rs
+++ b/wrenseam/src/fleet/detector.rs
@@ -1,23 +1,25 @@
-//! How far this front end may trust its own failure detection (local health, after Lifeguard): it doubts itself
-//! before it has others declared down. No I/O; time is handed in.
+//! This front end's failure detection and how far it is to be trusted (local health, after Lifeguard): it doubts itself
+//! before it declares others down. No I/O; time is handed in.
 //!
-//! - Its own probes that fail in a row or in silence, and times in which it did not run, lengthen its probes and
-//!   suspicions.
-//! - A suspicion is dropped once the suspect is heard from, by any datagram.
-//! - It accuses nobody unless it has proof that it heard and was heard for half of the suspicion's time, without a gap
-//!   and up to now: probes of its own that were acknowledged. Who hears nobody accuses nobody.
+//! - Its own probes that fail in a row or in silence, and times in which it did not run, raise its local health score,
+//!   which makes its probes and suspicions longer.
+//! - A suspicion is cleared once the suspect is heard from, by any datagram.
+//! - It declares no peer down unless probes of its own were acknowledged for half of the suspicion's time, without a gap
+//!   and up to now: proof that it heard and was heard. A front end that hears nobody declares nobody down.
 use super::identity::PeerId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// The most that doubts in oneself add up to: probes and suspicions are at most so many times longer, and once more.
+/// The worst local health score: probes and suspicions are at most so many times longer, and once more.
 pub const MAX_HEALTH_SCORE: u32 = 3;
 
 /// So many probes that fail one after another are a gap in the proof that we hear and are heard.
-const GAP: u32 = 2;
-/// So many tell of ourselves.
-const FAILED_IN_A_ROW: u32 = 3;
+const GAP_FAILURES: u32 = 2;
+/// So many probes that fail one after another are rather our own fault.
+const OWN_FAILURES: u32 = 3;
+/// A proof is up to now if the probe that gave it began within so many quarters of a probe period.
+const PROOF_QUARTERS: Micros = 9;
 
 /// A probe of ours.
 #[derive(Clone, Copy, Debug)]
@@ -45,25 +47,26 @@
     Extended,
 }
 
-/// This front end's failure detection, as it sees itself.
+/// This front end's failure detection.
 #[derive(Debug, Default)]
 pub struct Detector {
     probe: Option<Probe>,
     /// Probes that failed, one after another.
-    failed: u32,
+    failures: u32,
     /// When the newest probe that was acknowledged had begun.
-    proven: Option<Micros>,
+    acknowledged_probe_at: Option<Micros>,
     /// Since when probes have been acknowledged without a gap.
-    proven_since: Option<Micros>,
+    acknowledged_since: Option<Micros>,
     probe_period: Micros,
-    /// For how long we have to have heard and been heard before we accuse.
+    /// For how long we have to have heard and been heard before we declare a peer down.
     proof_for: Micros,
+    /// Lifeguard's local health score: 0 is healthy.
     health_score: u32,
     suspicions: BTreeMap<SocketAddr, Suspicion>,
     /// When each peer was last heard from, by any datagram of its own.
-    heard: BTreeMap<SocketAddr, Micros>,
-    /// When anybody was.
-    heard_any: Option<Micros>,
+    heard_at: BTreeMap<SocketAddr, Micros>,
+    /// When any peer was.
+    heard_any_at: Option<Micros>,
 }
 
 impl Detector {
@@ -88,19 +91,19 @@
         });
     }
 
-    /// One failure, or two, may be the others': a third of a fleet may go at once. [`FAILED_IN_A_ROW`] of them, or one
+    /// One failure, or two, may be the others': a third of a fleet may go at once. [`OWN_FAILURES`] of them, or one
     /// in whose time nobody was heard, are rather ours.
     fn probe_ended(&mut self, probe: Probe) {
         if probe.acknowledged {
             self.health_score /= 2; // an answer proves that we hear and are heard
-            self.failed = 0;
+            self.failures = 0;
             return;
         }
-        self.failed += 1;
-        if self.failed >= GAP {
-            self.proven_since = None;
+        self.failures += 1;
+        if self.failures >= GAP_FAILURES {
+            self.acknowledged_since = None;
         }
-        if self.failed >= FAILED_IN_A_ROW || self.heard_any < Some(probe.began) {
+        if self.failures >= OWN_FAILURES || self.heard_any_at < Some(probe.began) {
             self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
         }
     }
@@ -111,8 +114,8 @@
             return;
         };
         probe.acknowledged = true;
-        self.proven_since.get_or_insert(now);
-        self.proven = Some(probe.began);
+        self.acknowledged_since.get_or_insert(now);
+        self.acknowledged_probe_at = Some(probe.began);
     }
 
     /// This front end did not run for a while.
@@ -120,25 +123,25 @@
         self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
     }
 
-    /// How many times longer probes and suspicions are.
-    pub fn factor(&self) -> u32 {
+    /// How many times longer probes and suspicions are: Lifeguard's local health multiplier.
+    pub fn health_multiplier(&self) -> u32 {
         1 + self.health_score
     }
 
     /// A datagram of this peer's own came.
     pub fn heard(&mut self, now: Micros, addr: SocketAddr) {
-        self.heard.insert(addr, now);
-        self.heard_any = Some(now);
+        self.heard_at.insert(addr, now);
+        self.heard_any_at = Some(now);
     }
 
     /// When anybody was last heard from.
     pub fn heard_any(&self) -> Option<Micros> {
-        self.heard_any
+        self.heard_any_at
     }
 
     /// When this peer was last heard from.
     pub fn last_heard(&self, addr: SocketAddr) -> Option<Micros> {
-        self.heard.get(&addr).copied()
+        self.heard_at.get(&addr).copied()
     }
 
     /// A peer is suspected from `now` on.
@@ -152,52 +155,50 @@
         self.suspicions.values().map(|suspicion| suspicion.id)
     }
 
-    /// The time of a suspicion is up.
+    /// The time of a suspicion is up: what becomes of it.
     pub fn suspicion_timed_out(&mut self, now: Micros, id: PeerId) -> SuspicionOutcome {
-        let Some(suspicion) = self
-            .suspicions
-            .get(&id.addr)
-            .copied()
-            .filter(|s| s.id == id)
-        else {
+        let suspicion = self.suspicions.get(&id.addr).copied();
+        let Some(suspicion) = suspicion.filter(|suspicion| suspicion.id == id) else {
             return SuspicionOutcome::Cleared;
         };
-        let suspicion_timed_out = if self.last_heard(id.addr) >= Some(suspicion.since) {
+        let outcome = if self.last_heard(id.addr) >= Some(suspicion.since) {
             SuspicionOutcome::Cleared
         } else if self.may_declare_down(now, suspicion.since) {
             SuspicionOutcome::Confirmed
         } else {
             SuspicionOutcome::Extended
         };
-        if suspicion_timed_out != SuspicionOutcome::Extended {
+        if outcome != SuspicionOutcome::Extended {
             self.suspicions.remove(&id.addr);
         }
-        suspicion_timed_out
+        outcome
     }
 
-    /// Whether we heard and were heard for long enough since then, without a gap and up to now.
+    /// Whether a peer that has been silent since then may be declared down: whether we heard and were heard for long
+    /// enough, without a gap and up to now.
     pub fn may_declare_down(&self, now: Micros, since: Micros) -> bool {
-        let lately = now.saturating_sub(self.probe_period * 9 / 4).max(since);
-        let up_to_now = self.proven >= Some(lately);
-        let for_long = self
-            .proven_since
+        let proof_window = self.probe_period * PROOF_QUARTERS / 4;
+        let lately = now.saturating_sub(proof_window).max(since);
+        let is_up_to_now = self.acknowledged_probe_at >= Some(lately);
+        let is_long_enough = self
+            .acknowledged_since
             .is_some_and(|began| now.saturating_sub(began.max(since)) >= self.proof_for);
-        up_to_now && for_long
+        is_up_to_now && is_long_enough
     }
 
-    /// A peer is counted out, or alive in a new incarnation: what was held of the former is void.
+    /// A peer is counted out, or alive in a new incarnation: what was known of the former is void.
     pub fn forget(&mut self, addr: SocketAddr) {
         self.suspicions.remove(&addr);
-        self.heard.remove(&addr);
+        self.heard_at.remove(&addr);
     }
 
-    /// Begins anew as a member that knows nobody; what it thinks of itself stays.
+    /// Begins anew as a member that knows nobody; its own health score stays.
     pub fn restart(&mut self) {
         self.probe = None;
-        self.proven = None;
-        self.proven_since = None;
+        self.acknowledged_probe_at = None;
+        self.acknowledged_since = None;
         self.suspicions.clear();
-        self.heard.clear();
-        self.heard_any = None;
+        self.heard_at.clear();
+        self.heard_any_at = None;
     }
 }
--- a/wrenseam/src/fleet/directory.rs
+++ b/wrenseam/src/fleet/directory.rs
@@ -3,24 +3,28 @@
 mod member;
 mod merge;
 
-use member::Member;
 pub use merge::MergeAction;
 
 use super::identity::{mix, PeerId};
 use super::member_digest::{member_digest_hash, part_of, short, Liveness, MemberDigest, PARTS};
 use super::record::{Lifecycle, Record};
+use member::Member;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// How long a member that is gone is remembered, in microseconds: a day. Nobody who missed its end for longer can
-/// still tell of it (see `Swim::restart`), so that it does not come back by hearsay.
+/// How long a member that is gone is remembered, in microseconds: a day. A front end that missed its end for longer can
+/// no longer tell of it (see `Swim::restart`), so that it does not come back by hearsay.
 pub const GONE_FOR: Micros = 86_400_000_000;
 /// Members gone that are remembered; beyond that those gone longest are forgotten.
 pub const GONE_HELD: usize = 1024;
 
-/// Repairs that a member may leave unanswered before it counts as one that knows no records.
-const TRIES: u8 = 3;
+/// A member that is gone, and since when: in order of the time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct GoneMember {
+    since: Micros,
+    id: PeerId,
+}
 
 /// Members and their records.
 pub struct Directory {
@@ -54,10 +58,9 @@
     }
 
     fn own_digest(&self) -> MemberDigest {
-        let (owner, stamp) = (self.own.owner, self.own.stamp);
         MemberDigest {
-            owner,
-            stamp,
+            owner: self.own.owner,
+            stamp: self.own.stamp,
             liveness: Liveness::Alive,
             checksum: self.own_checksum,
         }
@@ -71,136 +74,96 @@
         self.toggle(self.own_digest());
     }
 
-    /// Takes a live member's part out of the digest, or puts it in.
+    /// Takes a live member's hash out of the digest of its part, or puts it in.
     fn toggle(&mut self, member_digest: MemberDigest) {
         if !member_digest.liveness.is_gone() {
             self.parts[part_of(member_digest.owner)] ^= member_digest_hash(&member_digest);
         }
     }
 
-    /// Changes what is held of a member, and the digest with it.
+    /// Changes what is known of a member, and the digest with it.
     fn change(&mut self, addr: SocketAddr, change: impl FnOnce(&mut Member)) {
-        let Some(member) = self.members.get(&addr) else {
-            return;
-        };
-        self.toggle(member.member_digest(addr));
         let Some(member) = self.members.get_mut(&addr) else {
             return;
         };
+        let before = member.digest(addr);
         change(member);
-        let member_digest = member.member_digest(addr);
-        self.toggle(member_digest);
+        let after = member.digest(addr);
+        self.toggle(before);
+        self.toggle(after);
     }
 
     /// Membership counts `id` alive since `now`.
-    pub fn up(&mut self, now: Micros, id: PeerId) {
+    pub fn mark_alive(&mut self, now: Micros, id: PeerId) {
         if id.addr == self.own.owner {
             return;
         }
         self.lost.remove(&id.addr);
-        self.members.entry(id.addr).or_insert(Member {
-            incarnation: id.incarnation,
-            liveness: Liveness::Down,
-            since: now,
-            record: None,
-            leaving: false,
-            unanswered: 0,
-        });
-        self.change(id.addr, |member| {
-            let unanswered = if member.record.is_some() {
-                0
-            } else {
-                member.unanswered
-            };
-            *member = Member {
-                incarnation: id.incarnation,
-                liveness: Liveness::Alive,
-                since: now,
-                record: member.record.take(),
-                leaving: false,
-                unanswered,
-            };
-        });
+        self.members
+            .entry(id.addr)
+            .or_insert_with(|| Member::new(id.incarnation, now));
+        self.change(id.addr, |member| member.revive(id.incarnation, now));
     }
 
     /// Membership replaced an incarnation by `id`, without a change of who is alive.
     pub fn update_incarnation(&mut self, id: PeerId) {
         self.change(id.addr, |member| {
-            member.incarnation = member.incarnation.max(id.incarnation)
+            member.incarnation = member.incarnation.max(id.incarnation);
         });
     }
 
     /// Membership counts `id` out since `now`; how it went.
-    pub fn gone(&mut self, now: Micros, id: PeerId) -> Liveness {
+    pub fn mark_gone(&mut self, now: Micros, id: PeerId) -> Liveness {
         let mut how = Liveness::Down;
         self.change(id.addr, |member| {
-            let same = member.incarnation == id.incarnation;
-            member.incarnation = id.incarnation;
-            if same && (member.leaving || member.liveness == Liveness::Left) {
-                how = Liveness::Left;
-            }
-            member.liveness = how;
-            member.since = now;
+            how = member.end(id.incarnation, now);
         });
         how
     }
 
-    /// A member told that it leaves: once membership counts it out, that is no failure.
-    pub fn left(&mut self, id: PeerId) {
-        let leaving = self
-            .members
-            .get_mut(&id.addr)
-            .filter(|member| member.incarnation == id.incarnation);
-        if let Some(member) = leaving {
+    /// A member said that it leaves: once membership counts it out, that is no failure.
+    pub fn mark_leaving(&mut self, id: PeerId) {
+        let member = self.members.get_mut(&id.addr);
+        if let Some(member) = member.filter(|member| member.incarnation == id.incarnation) {
             member.leaving = true;
         }
     }
 
-    /// Whether there are members that know no records: front ends from before them.
+    /// Whether there are live members that know no records: front ends of an earlier version.
     pub fn is_mixed(&self) -> bool {
-        let alive = self
-            .members
-            .values()
-            .filter(|member| !member.liveness.is_gone());
-        alive
-            .into_iter()
-            .any(|member| member.record.is_none() && member.unanswered >= TRIES)
+        self.live_members()
+            .any(|(_, member)| !member.supports_records())
     }
 
-    /// What is held of a member, or of this front end itself.
+    /// What is known of a member, or of this front end itself, in short.
     pub fn member_digest(&self, addr: SocketAddr) -> Option<MemberDigest> {
         if addr == self.own.owner {
             return Some(self.own_digest());
         }
-        self.members
-            .get(&addr)
-            .map(|member| member.member_digest(addr))
+        self.members.get(&addr).map(|member| member.digest(addr))
     }
 
-    /// The record held of a member's present incarnation, or this front end's own.
+    /// The record of a member's present incarnation, or this front end's own.
     pub fn record(&self, addr: SocketAddr) -> Option<Record> {
         if addr == self.own.owner {
             return Some(self.own.clone());
         }
-        let held = self.members.get(&addr)?.current()?;
+        let replica = self.members.get(&addr)?.current_record()?;
         Some(Record {
             owner: addr,
-            stamp: held.stamp,
-            metadata: held.metadata.clone(),
+            stamp: replica.stamp,
+            metadata: replica.metadata.clone(),
         })
     }
 
-    /// What is held of the live members in a set of parts, this front end among them.
+    /// The digests of the live members in a set of parts, this front end among them.
     pub fn member_digests_in(&self, parts: u16) -> impl Iterator<Item = MemberDigest> + '_ {
         let own = std::iter::once(self.own_digest());
         let others = self
-            .members
-            .iter()
-            .map(|(&addr, member)| member.member_digest(addr));
-        let alive = own
-            .chain(others)
-            .filter(|member_digest| !member_digest.liveness.is_gone());
-        alive.filter(move |member_digest| parts & (1 << part_of(member_digest.owner)) != 0)
+            .live_members()
+            .map(|(addr, member)| member.digest(addr));
+        own.chain(others)
+            .filter(move |member_digest| parts & (1 << part_of(member_digest.owner)) != 0)
     }
 
     /// The digest of the whole view: who is alive, of which incarnation, with which record.
@@ -215,18 +178,28 @@
         self.parts.map(short)
     }
 
+    fn live_members(&self) -> impl Iterator<Item = (SocketAddr, &Member)> + '_ {
+        self.members
+            .iter()
+            .filter(|(_, member)| !member.liveness.is_gone())
+            .map(|(&addr, member)| (addr, member))
+    }
+
     /// Members counted alive besides this front end.
     pub fn alive(&self) -> impl Iterator<Item = PeerId> + '_ {
-        let alive = self
-            .members
-            .iter()
-            .filter(|(_, member)| !member.liveness.is_gone());
-        alive.map(|(&addr, member)| PeerId {
+        self.live_members().map(|(addr, member)| PeerId {
             addr,
             incarnation: member.incarnation,
         })
     }
 
+    /// Live members that take part in repair: all but those that do not seem to know records.
+    pub fn repair_partners(&self) -> impl Iterator<Item = SocketAddr> + '_ {
+        self.live_members()
+            .filter(|(_, member)| member.supports_records())
+            .map(|(addr, _)| addr)
+    }
+
     /// Members declared down, or forgotten unheard: where a part of the fleet may have been cut off.
     pub fn lost(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         let down = self
@@ -236,93 +209,71 @@
         down.map(|(&addr, _)| addr).chain(self.lost.iter().copied())
     }
 
-    /// Forgets all members and what they said, but for where they were.
-    pub fn forget_all(&mut self) {
-        let members = std::mem::take(&mut self.members);
-        let lost = members
-            .iter()
-            .filter(|(_, member)| member.liveness != Liveness::Left);
-        self.lost.extend(lost.map(|(&addr, _)| addr));
-        while self.lost.len() > GONE_HELD {
-            self.lost.pop_first();
-        }
-        self.parts = [0; PARTS];
-        self.toggle(self.own_digest());
-    }
-
-    /// What a member is doing; one without a record (a front end from before records, or one just heard of) counts as
-    /// ready.
-    fn lifecycle(member: &Member) -> Lifecycle {
-        member
-            .current()
-            .map_or(Lifecycle::Ready, |held| held.metadata.lifecycle)
-    }
-
-    /// Members besides this front end that take clients.
+    /// Members besides this front end that accept clients.
     pub fn ready(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        let alive = self
-            .members
-            .iter()
-            .filter(|(_, member)| !member.liveness.is_gone());
-        alive
-            .filter(|(_, member)| Self::lifecycle(member) == Lifecycle::Ready)
-            .map(|(&addr, _)| addr)
+        self.live_members()
+            .filter(|(_, member)| member.lifecycle() == Lifecycle::Ready)
+            .map(|(addr, _)| addr)
     }
 
     /// Members besides this front end by lifecycle, in the order of [`Lifecycle::ALL`].
     pub fn by_lifecycle(&self) -> [usize; Lifecycle::ALL.len()] {
         let mut counts = [0; Lifecycle::ALL.len()];
-        for member in self
-            .members
-            .values()
-            .filter(|member| !member.liveness.is_gone())
-        {
-            counts[Self::lifecycle(member) as usize] += 1;
+        for (_, member) in self.live_members() {
+            counts[member.lifecycle().index()] += 1;
         }
         counts
     }
 
-    /// Whether a member has answered a repair, or has not been tried often in vain: front ends from before records
-    /// never answer.
-    pub fn repairs(&self, addr: SocketAddr) -> bool {
-        self.members
-            .get(&addr)
-            .is_some_and(|member| member.record.is_some() || member.unanswered < TRIES)
-    }
-
     /// A repair was begun with this member.
-    pub fn tried(&mut self, addr: SocketAddr) {
+    pub fn repair_started(&mut self, addr: SocketAddr) {
         if let Some(member) = self.members.get_mut(&addr) {
-            member.unanswered = member.unanswered.saturating_add(1);
+            member.unanswered_repairs = member.unanswered_repairs.saturating_add(1);
+        }
+    }
+
+    /// Forgets all members and their records, but for where they were.
+    pub fn forget_all(&mut self) {
+        let members = std::mem::take(&mut self.members);
+        let lost = members
+            .iter()
+            .filter(|(_, member)| member.liveness != Liveness::Left);
+        self.lost.extend(lost.map(|(&addr, _)| addr));
+        while self.lost.len() > GONE_HELD {
+            self.lost.pop_first();
         }
+        self.parts = [0; PARTS];
+        self.toggle(self.own_digest());
     }
 
     /// Forgets members gone for longer than [`GONE_FOR`], and the oldest beyond [`GONE_HELD`]; who they were.
     pub fn forget_gone(&mut self, now: Micros) -> Vec<PeerId> {
-        let mut gone: Vec<(Micros, PeerId)> = self
-            .members
-            .iter()
-            .filter(|(_, member)| member.liveness.is_gone())
-            .map(|(&addr, member)| {
-                (
-                    member.since,
-                    PeerId {
-                        addr,
-                        incarnation: member.incarnation,
-                    },
-                )
-            })
-            .collect();
-        gone.sort_unstable_by(|a, b| b.cmp(a));
-        let kept = gone
+        let mut gone = self.gone_members();
+        gone.sort_unstable_by(|earlier, later| later.cmp(earlier));
+        let remembered = gone
             .iter()
             .take(GONE_HELD)
-            .take_while(|(since, _)| now.saturating_sub(*since) < GONE_FOR)
+            .take_while(|member| now.saturating_sub(member.since) < GONE_FOR)
             .count();
-        let forgotten: Vec<PeerId> = gone.into_iter().skip(kept).map(|(_, id)| id).collect();
-        forgotten.iter().for_each(|id| {
-            self.members.remove(&id.addr);
-        });
-        forgotten
+        let forgotten = gone.split_off(remembered);
+        for member in &forgotten {
+            self.members.remove(&member.id.addr);
+        }
+        forgotten.into_iter().map(|member| member.id).collect()
+    }
+
+    fn gone_members(&self) -> Vec<GoneMember> {
+        let gone = self
+            .members
+            .iter()
+            .filter(|(_, member)| member.liveness.is_gone());
+        gone.map(|(&addr, member)| GoneMember {
+            since: member.since,
+            id: PeerId {
+                addr,
+                incarnation: member.incarnation,
+            },
+        })
+        .collect()
     }
 }
--- a/wrenseam/src/fleet/liveness_check.rs
+++ b/wrenseam/src/fleet/liveness_check.rs
@@ -1,113 +1,121 @@
-//! Members that are to be asked whether they are there: those whom somebody else holds as gone. No I/O; time is
-//! handed in.
+//! Members whose liveness is being checked, because another member counts them as gone while they are alive here. No
+//! I/O; time is handed in.
 use super::identity::PeerId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// Members asked about at once; of others that are disputed the next repair tells again.
-const HELD: usize = 24;
+/// Checks at once; of further members the next repair reports again.
+const MAX_CHECKS: usize = 24;
+/// The pause between queries doubles up to this exponent.
+const MAX_BACKOFF_EXPONENT: u32 = 2;
 
+/// One member that is being checked.
 #[derive(Clone, Copy, Debug)]
 struct LivenessCheck {
     id: PeerId,
     began: Micros,
-    ask_at: Micros,
-    asked: u32,
+    query_at: Micros,
+    queries: u32,
 }
 
-/// What is to be done about a disputed member.
+/// What is to be done about a member that is being checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckAction {
-    /// It is to be asked.
+    /// It is to be queried.
     Query {
-        /// The incarnation that is disputed.
+        /// The incarnation that is checked.
         id: PeerId,
-        /// Whether it was asked before in vain: others may have a way to it.
-        again: bool,
+        /// Whether it did not answer a query before: others may have a way to it.
+        is_repeat: bool,
     },
     /// Its time to answer is up.
     Expired {
-        /// The incarnation that is disputed.
+        /// The incarnation that is checked.
         id: PeerId,
-        /// When it was first asked.
+        /// When it was first queried.
         began: Micros,
     },
 }
 
-/// The disputes under way.
+/// The checks under way.
 #[derive(Debug)]
 pub struct LivenessChecks {
-    held: BTreeMap<SocketAddr, LivenessCheck>,
-    every: Micros,
+    checks: BTreeMap<SocketAddr, LivenessCheck>,
+    query_pause: Micros,
     answer_within: Micros,
 }
 
 impl LivenessChecks {
-    /// Each is asked about `every` so often at first, then half as often each time, and has so long to answer.
-    pub fn new(every: Micros, answer_within: Micros) -> LivenessChecks {
+    /// Queries are `query_pause` apart at first, then the pause doubles each time up to a limit; a member has
+    /// `answer_within` to answer.
+    pub fn new(query_pause: Micros, answer_within: Micros) -> LivenessChecks {
         LivenessChecks {
-            held: BTreeMap::new(),
-            every,
+            checks: BTreeMap::new(),
+            query_pause,
             answer_within,
         }
     }
 
-    /// Somebody holds `id` as gone, which is alive here.
+    /// Another member counts `id` as gone, which is alive here.
     pub fn open(&mut self, now: Micros, id: PeerId) {
-        if self
-            .held
-            .get(&id.addr)
-            .is_some_and(|held| held.id.incarnation >= id.incarnation)
-        {
+        let open = self.checks.get(&id.addr);
+        if open.is_some_and(|check| check.id.incarnation >= id.incarnation) {
             return;
         }
-        if self.held.len() < HELD || self.held.contains_key(&id.addr) {
-            self.held.insert(
-                id.addr,
-                LivenessCheck {
-                    id,
-                    began: now,
-                    ask_at: now,
-                    asked: 0,
-                },
-            );
+        if open.is_none() && self.checks.len() >= MAX_CHECKS {
+            return;
         }
+        let check = LivenessCheck {
+            id,
+            began: now,
+            query_at: now,
+            queries: 0,
+        };
+        self.checks.insert(id.addr, check);
+    }
+
+    /// Ends the check of a member that is gone here too.
+    pub fn member_gone(&mut self, id: PeerId) {
+        self.checks.remove(&id.addr);
     }
 
-    /// Ends the dispute about a member that is alive in a larger incarnation, or is gone here too.
-    pub fn sync_directory(&mut self, id: PeerId, gone: bool) {
-        if self
-            .held
-            .get(&id.addr)
-            .is_some_and(|held| gone || held.id.incarnation < id.incarnation)
-        {
-            self.held.remove(&id.addr);
+    /// Ends the check of a member that is alive in a larger incarnation.
+    pub fn member_alive(&mut self, id: PeerId) {
+        let open = self.checks.get(&id.addr);
+        if open.is_some_and(|check| check.id.incarnation < id.incarnation) {
+            self.checks.remove(&id.addr);
         }
     }
 
     /// What is due at `now`.
     pub fn due(&mut self, now: Micros) -> Vec<CheckAction> {
-        let mut steps = Vec::new();
-        for dispute in self
-            .held
-            .values_mut()
-            .filter(|dispute| now >= dispute.ask_at)
-        {
-            if now.saturating_sub(dispute.began) >= self.answer_within {
-                steps.push(CheckAction::Expired {
-                    id: dispute.id,
-                    began: dispute.began,
-                });
-            } else {
-                steps.push(CheckAction::Query {
-                    id: dispute.id,
-                    again: dispute.asked > 0,
-                });
+        let mut actions = Vec::new();
+        for check in self.checks.values_mut() {
+            if now < check.query_at {
+                continue;
+            }
+            actions.push(check.action(now, self.answer_within));
+            let pause = self.query_pause << check.queries.min(MAX_BACKOFF_EXPONENT);
+            check.query_at = now + pause;
+            check.queries += 1;
+        }
+        actions
+    }
+}
+
+impl LivenessCheck {
+    fn action(&self, now: Micros, answer_within: Micros) -> CheckAction {
+        if now.saturating_sub(self.began) >= answer_within {
+            CheckAction::Expired {
+                id: self.id,
+                began: self.began,
+            }
+        } else {
+            CheckAction::Query {
+                id: self.id,
+                is_repeat: self.queries > 0,
             }
-            dispute.ask_at = now + (self.every << dispute.asked.min(2));
-            dispute.asked += 1;
         }
-        steps
     }
 }
--- a/wrenseam/src/fleet/member_digest.rs
+++ b/wrenseam/src/fleet/member_digest.rs
@@ -3,7 +3,7 @@
 use super::record::Stamp;
 use std::net::SocketAddr;
 
-/// Parts that a view's digest is told by; a bit each in a message's set of parts.
+/// Parts of a view that have a digest each; a bit each in a message's set of parts.
 pub const PARTS: usize = 16;
 
 /// Whether a member takes part.
@@ -11,15 +11,31 @@
 pub enum Liveness {
     /// Counted alive.
     Alive,
-    /// Told by itself that it leaves.
+    /// It said itself that it leaves.
     Left,
     /// Declared down.
     Down,
 }
 
 impl Liveness {
-    /// All of them, by their number on the wire.
-    pub const ALL: [Liveness; 3] = [Liveness::Alive, Liveness::Left, Liveness::Down];
+    /// The number that stands for it on the wire; members of other versions rely on it.
+    pub(super) fn wire_code(self) -> u8 {
+        match self {
+            Liveness::Alive => 0,
+            Liveness::Left => 1,
+            Liveness::Down => 2,
+        }
+    }
+
+    /// Reads what [`Liveness::wire_code`] gave.
+    pub(super) fn from_wire_code(code: u8) -> Option<Liveness> {
+        match code {
+            0 => Some(Liveness::Alive),
+            1 => Some(Liveness::Left),
+            2 => Some(Liveness::Down),
+            _ => None,
+        }
+    }
 
     /// Whether it no longer takes part.
     pub fn is_gone(self) -> bool {
@@ -40,20 +56,23 @@
     pub checksum: u32,
 }
 
+/// The part of the view that a member is in.
 pub(super) fn part_of(addr: SocketAddr) -> usize {
     (mix(address_hash(addr)) % PARTS as u64) as usize
 }
 
+/// A hash of all that a member digest says; the digests of parts are made of these.
 pub(super) fn member_digest_hash(member_digest: &MemberDigest) -> u64 {
     let content = u64::from(member_digest.stamp.version) << 32 | u64::from(member_digest.checksum);
     mix(mix(mix(address_hash(member_digest.owner)) ^ member_digest.stamp.incarnation) ^ content)
 }
 
-/// A member digest's hash as messages tell it.
+/// A member digest's hash as messages carry it.
 pub fn short_hash(member_digest: &MemberDigest) -> u32 {
     short(member_digest_hash(member_digest))
 }
 
+/// Folds a hash to the 32 bits that messages carry.
 pub(super) fn short(hash: u64) -> u32 {
     (hash ^ (hash >> 32)) as u32
 }
--- a/wrenseam/src/fleet/members.rs
+++ b/wrenseam/src/fleet/members.rs
@@ -1,5 +1,5 @@
-//! Who is in the fleet and what each says of itself: membership ([`Swim`]), the records ([`Directory`]), and the
-//! datagrams that keep both the same everywhere. No I/O; docs/fleet-view.md has the design.
+//! Who is in the fleet and what each member publishes about itself: membership ([`Swim`]), the records
+//! ([`Directory`]), and the datagrams that keep both the same everywhere. No I/O; docs/fleet-view.md has the design.
 mod exchange;
 mod periodic;
 
@@ -11,18 +11,22 @@
 use super::record::{Lifecycle, Metadata, Record, RecordError, Stamp};
 use super::repair::RepairSchedule;
 use super::rumor::RumorQueue;
-use super::swim::{PeerEvent, Swim, SwimSettings};
+use super::swim::{PeerEvent, Swim, SwimSettings, TimedPeerEvent, SHORTEST_PROBE};
 use super::traffic::{Outgoing, TrafficKind};
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// Members that are told at once that this front end leaves.
-const TOLD_OF_LEAVE: usize = 16;
-/// Relays asked besides a suspect itself.
-const RELAYS: usize = 2;
-/// A process that did not run for so long knows nothing any more that it could tell: it begins anew.
+/// Members that are notified at once that this front end leaves.
+const NOTIFIED_OF_LEAVE: usize = 16;
+/// A process that did not run for so long, in microseconds, knows nothing that is still worth telling: it begins anew.
 const STALE_AFTER: Micros = 60_000_000;
+/// Rounds of rumors in a probe period.
+const RUMOR_ROUNDS_A_PROBE: Micros = 4;
+/// Rounds of queries in a probe period.
+const QUERY_ROUNDS_A_PROBE: Micros = 2;
+/// Mixed into the seed, so that the records draw other numbers than membership.
+const SEED_SALT: u64 = 0x7265_636f;
 
 /// What became of the datagrams of records, counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -31,7 +35,7 @@
     pub garbled: u64,
     /// Dropped: from a sender that is no member, or whose incarnation is past.
     pub stranger: u64,
-    /// Records and member digests of what this front end never said of itself.
+    /// Records and member digests of what this front end never published.
     pub impostor: u64,
     /// Repairs in which the views differed.
     pub repairs: u64,
@@ -41,6 +45,15 @@
     pub refused: u64,
 }
 
+/// The digest of the whole view.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ViewDigest {
+    /// The digest.
+    pub value: u64,
+    /// Since when it has stood.
+    pub since: Micros,
+}
+
 /// One front end's membership and records.
 pub struct Members {
     swim: Swim,
@@ -53,63 +66,66 @@
     probe: Micros,
     /// After how long without any datagram this front end takes itself for cut off.
     isolated_after: Micros,
-    /// Since when there was anybody to hear.
-    accompanied: Micros,
+    /// When there was last nobody to hear, or the process had not run: silence counts from then on.
+    silence_excused_at: Micros,
     rumor_at: Micros,
     query_at: Micros,
     leaving: bool,
-    out: Vec<Outgoing>,
-    events: Vec<(Micros, PeerEvent)>,
+    outbox: Vec<Outgoing>,
+    events: Vec<TimedPeerEvent>,
     changed: bool,
-    /// Whether the budget of bytes leaves no room for a whole repair: none is begun, and no rumor passed on.
+    /// Whether the byte budget leaves no room for a whole repair: none is begun, and no rumor passed on.
     is_budget_low: bool,
-    digest: u64,
-    digest_since: Micros,
+    view_digest: ViewDigest,
     /// What became of the datagrams of records.
     pub counts: RecordCounts,
 }
 
 impl Members {
-    /// The front end at `own` in its `incarnation`, which says this of itself.
+    /// The front end at `own` in its `incarnation`, which publishes this about itself.
     pub fn new(own: PeerId, metadata: Metadata, settings: SwimSettings, seed: u64) -> Members {
         let swim = Swim::new(own.addr, own.incarnation, settings, seed);
-        let stamp = Stamp {
-            incarnation: swim.own().incarnation,
-            version: 1,
-        };
         let directory = Directory::new(Record {
             owner: own.addr,
-            stamp,
+            stamp: Stamp {
+                incarnation: swim.own().incarnation,
+                version: 1,
+            },
             metadata,
         });
-        let mut rng = SmallRng::seed_from_u64(seed ^ 0x7265_636f);
-        let probe = settings.probe.max(10_000);
-        let digest = directory.digest();
+        let mut rng = SmallRng::seed_from_u64(seed ^ SEED_SALT);
+        let probe = settings.probe.max(SHORTEST_PROBE);
+        let view_digest = ViewDigest {
+            value: directory.digest(),
+            since: 0,
+        };
         Members {
             swim,
             directory,
             rumors: RumorQueue::default(),
-            liveness_checks: LivenessChecks::new(probe / 2, settings.suspect_for + probe),
+            liveness_checks: LivenessChecks::new(
+                probe / QUERY_ROUNDS_A_PROBE,
+                settings.suspect_for + probe,
+            ),
             repair_schedule: RepairSchedule::new(probe, &mut rng),
-            rumor_at: rng.random_range(0..probe / 4),
-            query_at: rng.random_range(0..probe / 2),
+            rumor_at: rng.random_range(0..probe / RUMOR_ROUNDS_A_PROBE),
+            query_at: rng.random_range(0..probe / QUERY_ROUNDS_A_PROBE),
             rng,
             header: header(RECORDS_VERSION, settings.cluster),
             probe,
             isolated_after: 2 * (settings.suspect_for + 2 * probe),
-            accompanied: 0,
+            silence_excused_at: 0,
             leaving: false,
-            out: Vec::new(),
+            outbox: Vec::new(),
             events: Vec::new(),
             changed: true,
             is_budget_low: false,
-            digest,
-            digest_since: 0,
+            view_digest,
             counts: RecordCounts::default(),
         }
     }
 
-    /// Whether the budget of bytes leaves no room for a whole repair.
+    /// Whether the byte budget leaves no room for a whole repair.
     pub fn set_budget_low(&mut self, is_budget_low: bool) {
         self.is_budget_low = is_budget_low;
     }
@@ -129,7 +145,7 @@
         self.swim.alive()
     }
 
-    /// The other members that take clients, if this front end does so itself; else none.
+    /// The other members that accept clients, if this front end does so itself; else none.
     pub fn ready(&self) -> Vec<SocketAddr> {
         if self.directory.own().metadata.lifecycle != Lifecycle::Ready {
             return Vec::new();
@@ -137,32 +153,34 @@
         self.directory.ready().collect()
     }
 
-    /// Whether members, or what they say, may have changed since the last call.
+    /// Whether members, or their records, may have changed since the last call.
     pub fn changed(&mut self) -> bool {
-        std::mem::take(&mut self.changed) | self.swim.changed()
+        let own_change = std::mem::take(&mut self.changed);
+        let swim_change = self.swim.changed();
+        own_change || swim_change
     }
 
     /// The digest of the whole view, and since when it has stood.
-    pub fn digest(&self) -> (u64, Micros) {
-        (self.digest, self.digest_since)
+    pub fn view_digest(&self) -> ViewDigest {
+        self.view_digest
     }
 
-    /// Datagrams to send.
+    /// Datagrams to send; they are the caller's from then on.
     pub fn outbox(&mut self) -> Vec<Outgoing> {
         let mut out = self.swim.outbox();
-        out.append(&mut self.out);
+        out.append(&mut self.outbox);
         out
     }
 
-    /// Changes of membership since the last call, with when they were noticed.
-    pub fn events(&mut self) -> Vec<(Micros, PeerEvent)> {
+    /// Changes of membership since the last call.
+    pub fn events(&mut self) -> Vec<TimedPeerEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Changes what this front end says of itself.
+    /// Changes what this front end publishes about itself.
     ///
     /// # Errors
-    /// [`RecordError`] where the record would be beyond its bounds; the former one holds on.
+    /// [`RecordError`] where the record would be beyond its bounds; the former one stays.
     pub fn set_metadata(&mut self, now: Micros, metadata: Metadata) -> Result<(), RecordError> {
         if metadata == self.directory.own().metadata {
             return Ok(());
@@ -193,13 +211,19 @@
         if stamp.incarnation > self.swim.own().incarnation {
             self.swim.renew(now, stamp.incarnation);
         }
-        self.rumors.add_own(owner);
+        self.rumors.push_own(owner);
         self.rumor_at = self.rumor_at.min(now);
         self.repair_schedule.views_differ(now);
         self.sync_directory(now);
     }
 
-    /// Tells the fleet that this front end leaves; it takes part in nothing from here on.
+    /// Publishes what we published before under a stamp larger than `past`.
+    fn republish_own(&mut self, now: Micros, past: Stamp) {
+        let metadata = self.directory.own().metadata.clone();
+        self.publish_own(now, metadata, past);
+    }
+
+    /// Notifies the fleet that this front end leaves; it takes part in nothing from here on.
     pub fn leave(&mut self, now: Micros) {
         if self.leaving {
             return;
@@ -211,12 +235,12 @@
         let _ = self.set_metadata(now, metadata); // no larger than the one before
         let own = self.directory.own().clone();
         let peers: Vec<SocketAddr> = self.directory.alive().map(|id| id.addr).collect();
-        for to in pick(&mut self.rng, peers, TOLD_OF_LEAVE) {
-            let news = Message::Records {
-                news: true,
+        for to in pick(&mut self.rng, peers, NOTIFIED_OF_LEAVE) {
+            let message = Message::Records {
+                is_update: true,
                 records: vec![own.clone()],
             };
-            self.send(to, TrafficKind::Probe, news);
+            self.send(to, TrafficKind::Probe, message);
         }
         self.leaving = true;
         self.swim.leave(now, self.directory.is_mixed());
@@ -224,31 +248,28 @@
     }
 
     /// When [`Members::tick`] is wanted next.
-    pub fn next(&self) -> Micros {
+    pub fn next_wakeup(&self) -> Micros {
         if self.leaving {
             return Micros::MAX;
         }
-        let rumor = if self.rumors.is_empty() {
-            Micros::MAX
-        } else {
-            self.rumor_at
-        };
-        let own = self.repair_schedule.next().min(rumor).min(self.query_at);
-        self.swim.next().unwrap_or(Micros::MAX).min(own)
+        let mut next = self.repair_schedule.next_at().min(self.query_at);
+        if !self.rumors.is_empty() {
+            next = next.min(self.rumor_at);
+        }
+        self.swim.next_wakeup().unwrap_or(Micros::MAX).min(next)
     }
 
     /// The process did not run for so long, up to now.
     pub fn stalled(&mut self, now: Micros, span: Micros) {
         self.swim.stalled(span);
-        self.accompanied = now;
+        self.silence_excused_at = now;
         self.sync_directory(now);
         if span > STALE_AFTER {
             self.restart(now);
         }
     }
 
-    /// Begins anew as a front end that knows nobody, but where there were others: what it knew of them is too old to
-    /// be told.
+    /// Begins anew as a front end that knows nobody, but where there were others: what it knew of them is out of date.
     fn restart(&mut self, now: Micros) {
         self.swim.restart(now);
         self.directory.forget_all();
@@ -257,68 +278,71 @@
 
     /// Brings the directory in line with what membership noticed, and our own record with our incarnation.
     fn sync_directory(&mut self, now: Micros) {
-        for (at, event) in self.swim.events() {
-            let told = match event {
-                PeerEvent::Up(id) => {
-                    self.directory.up(at, id);
-                    self.liveness_checks.sync_directory(id, false);
-                    self.repair_schedule.views_differ(now);
-                    event
-                }
-                PeerEvent::Down(id) => {
-                    self.liveness_checks.sync_directory(id, true);
-                    match self.directory.gone(at, id) {
-                        Liveness::Left => PeerEvent::Left(id),
-                        _ => event,
-                    }
-                }
-                PeerEvent::NewIncarnation(id) => {
-                    self.directory.update_incarnation(id);
-                    self.liveness_checks.sync_directory(id, false);
-                    event
-                }
-                PeerEvent::Left(_) | PeerEvent::Isolated | PeerEvent::Rejoined => event,
-            };
-            self.changed = true;
-            self.events.push((at, told));
+        for timed in self.swim.events() {
+            self.apply_event(now, timed);
         }
         let incarnation = self.swim.own().incarnation;
         if incarnation > self.directory.own().stamp.incarnation {
-            let metadata = self.directory.own().metadata.clone();
-            self.publish_own(
-                now,
-                metadata,
-                Stamp {
-                    incarnation,
-                    version: 0,
-                },
-            );
+            let past = Stamp {
+                incarnation,
+                version: 0,
+            };
+            self.republish_own(now, past);
         }
         let digest = self.directory.digest();
-        if digest != self.digest {
-            (self.digest, self.digest_since, self.changed) = (digest, now, true);
+        if digest != self.view_digest.value {
+            self.view_digest = ViewDigest {
+                value: digest,
+                since: now,
+            };
+            self.changed = true;
+        }
+    }
+
+    /// Takes a change of membership over into the directory, and notes it; a member that goes after it said so is noted
+    /// as one that left.
+    fn apply_event(&mut self, now: Micros, timed: TimedPeerEvent) {
+        let TimedPeerEvent { at, mut event } = timed;
+        match event {
+            PeerEvent::Up(id) => {
+                self.directory.mark_alive(at, id);
+                self.liveness_checks.member_alive(id);
+                self.repair_schedule.views_differ(now);
+            }
+            PeerEvent::Down(id) => {
+                self.liveness_checks.member_gone(id);
+                if self.directory.mark_gone(at, id) == Liveness::Left {
+                    event = PeerEvent::Left(id);
+                }
+            }
+            PeerEvent::NewIncarnation(id) => {
+                self.directory.update_incarnation(id);
+                self.liveness_checks.member_alive(id);
+            }
+            PeerEvent::Left(_) | PeerEvent::Isolated | PeerEvent::Rejoined => {}
         }
+        self.changed = true;
+        self.events.push(TimedPeerEvent { at, event });
     }
 
+    /// Sends a message to another member; one that is beyond its bounds is not sent.
     fn send(&mut self, to: SocketAddr, kind: TrafficKind, message: Message) {
-        let envelope = Envelope {
-            from: self.swim.own(),
-            message,
-        };
-        if let Some(bytes) = envelope
-            .encode(&self.header)
-            .filter(|_| to != self.swim.own().addr)
-        {
-            self.out.push(Outgoing { to, kind, bytes });
+        let from = self.swim.own();
+        if to == from.addr {
+            return;
+        }
+        let envelope = Envelope { from, message };
+        if let Some(bytes) = envelope.encode(&self.header) {
+            self.outbox.push(Outgoing { to, kind, bytes });
         }
     }
 }
 
-/// So many of these at random, or all.
+/// `most` of these at random, or all.
 fn pick(rng: &mut SmallRng, mut from: Vec<SocketAddr>, most: usize) -> Vec<SocketAddr> {
-    for i in 0..most.min(from.len()) {
-        let other = rng.random_range(i..from.len());
-        from.swap(i, other);
+    for index in 0..most.min(from.len()) {
+        let other = rng.random_range(index..from.len());
+        from.swap(index, other);
     }
     from.truncate(most);
     from
--- a/wrenseam/src/fleet/members/exchange.rs
+++ b/wrenseam/src/fleet/members/exchange.rs
@@ -1,24 +1,24 @@
 //! What a front end makes of the datagrams of membership and records, and what it answers.
-use super::Members;
+use super::{Members, RUMOR_ROUNDS_A_PROBE};
 use crate::fleet::directory::MergeAction;
 use crate::fleet::identity::PeerId;
 use crate::fleet::member_digest::{Liveness, MemberDigest, PARTS};
 use crate::fleet::message::{records_in_messages, Envelope, Message, RECORDS_VERSION};
 use crate::fleet::record::{Lifecycle, Record, Stamp};
-use crate::fleet::repair;
+use crate::fleet::repair::{self, MergePlan, Mismatches, PartHashes};
 use crate::fleet::traffic::TrafficKind;
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
 impl Members {
     /// Takes a datagram of membership or of records that came at `now`.
-    pub fn datagram(&mut self, now: Micros, bytes: &[u8]) {
+    pub fn handle_datagram(&mut self, now: Micros, bytes: &[u8]) {
         if self.leaving {
             return;
         }
         if !self.swim.is_ours(bytes, RECORDS_VERSION) {
-            if let Some(from) = self.swim.datagram(now, bytes) {
-                self.notify_outdated_sender(now, from);
+            if let Some(from) = self.swim.handle_datagram(now, bytes) {
+                self.notify_outdated_sender(from);
             }
             self.sync_directory(now);
             return;
@@ -38,12 +38,12 @@
                 unmatched,
                 member_digests,
             } => self.take_member_digests(now, from, &member_digests, &unmatched),
-            Message::Records { news, records } => {
-                records
-                    .into_iter()
-                    .for_each(|record| self.take_record(now, record, news));
+            Message::Records { is_update, records } => {
+                for record in records {
+                    self.take_record(now, record, is_update);
+                }
             }
-            Message::Wanted(addresses) => self.send_records(from.addr, addresses.into_iter()),
+            Message::Wanted(owners) => self.send_records(from.addr, &owners),
             Message::AliveQuery {
                 about,
                 gone,
@@ -56,53 +56,48 @@
         self.sync_directory(now);
     }
 
-    /// A datagram came from `from` itself: takes it up as a member if it is a new one. Whether its word counts; one
-    /// whose incarnation is past is told which it needs.
+    /// A datagram came from `from` itself: takes it up as a member if it is a new one. Whether the datagram counts; one
+    /// whose incarnation is past is notified which it needs.
     fn accept_sender(&mut self, now: Micros, from: PeerId) -> bool {
         if from.addr == self.directory.own().owner {
             return false;
         }
         self.swim.detector().heard(now, from.addr);
-        if self.notify_outdated_sender(now, from) {
+        if self.notify_outdated_sender(from) {
             return false;
         }
-        if self
-            .directory
-            .member_digest(from.addr)
-            .is_none_or(|held| held.stamp.incarnation < from.incarnation)
-        {
-            self.swim.learn(now, from, false, true);
+        let known = self.directory.member_digest(from.addr);
+        if known.is_none_or(|known| known.stamp.incarnation < from.incarnation) {
+            self.swim.mark_alive(now, from, true);
             self.sync_directory(now);
         }
         true
     }
 
-    /// Tells a sender whose incarnation is past, or held as gone, so; whether it had to be told.
-    fn notify_outdated_sender(&mut self, _now: Micros, from: PeerId) -> bool {
-        let Some(held) = self.directory.member_digest(from.addr) else {
+    /// Notifies a sender whose incarnation is past, or counted as gone, so; whether it had to be notified.
+    fn notify_outdated_sender(&mut self, from: PeerId) -> bool {
+        let Some(known) = self.directory.member_digest(from.addr) else {
             return false;
         };
-        let (known, gone) = (held.stamp.incarnation, held.liveness.is_gone());
-        if known < from.incarnation || known == from.incarnation && !gone {
+        let incarnation = known.stamp.incarnation;
+        let gone = known.liveness.is_gone();
+        let is_current = incarnation == from.incarnation && !gone;
+        if incarnation < from.incarnation || is_current {
             return false;
         }
-        let about = PeerId {
-            addr: from.addr,
-            incarnation: known,
-        };
-        let origin = self.directory.own().owner;
-        self.send(
-            from.addr,
-            TrafficKind::Join,
-            Message::AliveQuery {
-                about,
-                gone,
-                origin,
+        let query = Message::AliveQuery {
+            about: PeerId {
+                addr: from.addr,
+                incarnation,
             },
-        );
+            gone,
+            origin: self.directory.own().owner,
+        };
+        self.send(from.addr, TrafficKind::Join, query);
         true
     }
 
+    /// Another member began a repair: answers with hashes of what is in some of the parts that differ.
     fn answer_digest(&mut self, now: Micros, from: PeerId, remote: &[u32; PARTS]) {
         let differing = repair::differing(&self.directory.part_digests(), remote);
         if differing == 0 {
@@ -113,30 +108,30 @@
             return;
         }
         self.counts.repairs += 1;
-        let (parts, hashes) = repair::hashes(&self.directory, differing, &mut self.rng);
-        self.send(
-            from.addr,
-            TrafficKind::RepairBegin,
-            Message::Hashes { parts, hashes },
-        );
+        let PartHashes { parts, hashes } =
+            repair::hashes(&self.directory, differing, &mut self.rng);
+        let message = Message::Hashes { parts, hashes };
+        self.send(from.addr, TrafficKind::RepairBegin, message);
     }
 
+    /// Answers another member's hashes with the member digests that do not match.
     fn answer_hashes(&mut self, now: Micros, from: PeerId, parts: u16, remote: &[u32]) {
         self.repair_schedule.views_differ(now);
-        let (member_digests, unmatched) =
-            repair::mismatches(&self.directory, parts, remote, &mut self.rng);
-        if !member_digests.is_empty() || !unmatched.is_empty() {
-            self.send(
-                from.addr,
-                TrafficKind::Repair,
-                Message::MemberDigests {
-                    unmatched,
-                    member_digests,
-                },
-            );
+        let Mismatches {
+            member_digests,
+            unmatched,
+        } = repair::mismatches(&self.directory, parts, remote, &mut self.rng);
+        if member_digests.is_empty() && unmatched.is_empty() {
+            return;
         }
+        let message = Message::MemberDigests {
+            unmatched,
+            member_digests,
+        };
+        self.send(from.addr, TrafficKind::Repair, message);
     }
 
+    /// Sends what is newer here than another member's digests, asks for what is newer there, and merges the rest.
     fn take_member_digests(
         &mut self,
         now: Micros,
@@ -144,84 +139,83 @@
         member_digests: &[MemberDigest],
         unmatched: &[u32],
     ) {
-        let plan = repair::compare(&self.directory, member_digests);
-        let mut newer = plan.newer;
-        newer.extend(repair::member_digests_of(
-            &self.directory,
-            unmatched,
-            member_digests,
-        ));
-        // Only what is newer than the other's, so that no answer calls for another without end.
-        for member_digests in repair::in_datagrams(&newer) {
-            self.send(
-                from.addr,
-                TrafficKind::Repair,
-                Message::MemberDigests {
-                    unmatched: Vec::new(),
-                    member_digests,
-                },
-            );
-        }
+        let mut plan = repair::compare(&self.directory, member_digests);
+        let also_newer = repair::member_digests_of(&self.directory, unmatched, member_digests);
+        plan.newer.extend(also_newer);
+        self.send_newer(from, &plan.newer);
         if !plan.wanted.is_empty() {
-            self.send(from.addr, TrafficKind::Repair, Message::Wanted(plan.wanted));
+            let wanted = std::mem::take(&mut plan.wanted);
+            self.send(from.addr, TrafficKind::Repair, Message::Wanted(wanted));
+        }
+        self.apply(now, &plan);
+    }
+
+    /// Sends digests of what is newer here: only those, so that no answer calls for another without end.
+    fn send_newer(&mut self, from: PeerId, newer: &[MemberDigest]) {
+        for member_digests in repair::in_datagrams(newer) {
+            let message = Message::MemberDigests {
+                unmatched: Vec::new(),
+                member_digests,
+            };
+            self.send(from.addr, TrafficKind::Repair, message);
+        }
+    }
+
+    /// Merges what another member's digests call for.
+    fn apply(&mut self, now: Micros, plan: &MergePlan) {
+        for &id in &plan.add {
+            self.swim.mark_alive(now, id, false);
+        }
+        for &id in &plan.left {
+            self.take_leave(now, id);
         }
-        plan.add
-            .into_iter()
-            .for_each(|id| self.swim.learn(now, id, false, false));
-        plan.left
-            .into_iter()
-            .for_each(|id| self.take_leave(now, id));
         self.sync_directory(now);
-        plan.adopt_stamps
-            .iter()
-            .for_each(|member_digest| self.directory.adopt_stamp(member_digest));
-        plan.check_liveness
-            .into_iter()
-            .for_each(|id| self.check_liveness(now, id));
+        for member_digest in &plan.adopt_stamps {
+            self.directory.adopt_stamp(member_digest);
+        }
+        for &id in &plan.check_liveness {
+            self.check_liveness(now, id);
+        }
         if let Some(past) = plan.refute_above {
             self.refute(now, past);
         }
         self.run_liveness_checks(now);
     }
 
-    /// Another holds as gone who is alive here. Whom we suspect too is gone; others are asked first.
+    /// Another member counts as gone one that is alive here. If we suspect it too, it is gone; else it is queried first.
     fn check_liveness(&mut self, now: Micros, id: PeerId) {
         if self.swim.detector().suspects().any(|suspect| suspect == id) {
-            self.swim.learn(now, id, true, true);
+            self.swim.mark_down(now, id, true);
             self.sync_directory(now);
         } else {
             self.liveness_checks.open(now, id);
         }
     }
 
-    /// Somebody holds of us what is not so: our next stamp is larger than that.
+    /// Another member knows of us what we did not publish: our next stamp is larger than that.
     fn refute(&mut self, now: Micros, past: Stamp) {
         self.counts.impostor += 1;
-        let metadata = self.directory.own().metadata.clone();
-        self.publish_own(now, metadata, past);
+        self.republish_own(now, past);
     }
 
-    fn send_records(&mut self, to: SocketAddr, owners: impl Iterator<Item = SocketAddr>) {
+    /// Sends the records of these members, as far as they are known.
+    fn send_records(&mut self, to: SocketAddr, owners: &[SocketAddr]) {
         let records: Vec<Record> = owners
-            .filter_map(|owner| self.directory.record(owner))
+            .iter()
+            .filter_map(|&owner| self.directory.record(owner))
             .collect();
         for message in records_in_messages(false, records) {
             self.send(to, TrafficKind::Repair, message);
         }
     }
 
-    fn take_record(&mut self, now: Micros, record: Record, news: bool) {
+    /// Merges a record; `is_update`: it has just changed and is passed on if it was new here.
+    fn take_record(&mut self, now: Micros, record: Record, is_update: bool) {
         let (owner, id, lifecycle) = (record.owner, record.id(), record.metadata.lifecycle);
-        let member_digest = MemberDigest {
-            owner,
-            stamp: record.stamp,
-            liveness: Liveness::Alive,
-            checksum: record.metadata.checksum(),
-        };
-        match self.directory.merge_action(&member_digest) {
+        match self.directory.merge_action(&digest_of(&record)) {
             MergeAction::Refute => return self.refute(now, record.stamp),
             MergeAction::AddMember if lifecycle != Lifecycle::Leaving => {
-                self.swim.learn(now, id, false, false);
+                self.swim.mark_alive(now, id, false);
                 self.sync_directory(now);
             }
             MergeAction::FetchRecord | MergeAction::AdoptStamp => {}
@@ -231,22 +225,25 @@
             return;
         }
         self.counts.taken += 1;
-        if news && !self.is_budget_low && self.rumors.add(owner) {
-            self.rumor_at = self.rumor_at.min(now + self.probe / 4);
+        if is_update && !self.is_budget_low && self.rumors.push(owner) {
+            let next_round = now + self.probe / RUMOR_ROUNDS_A_PROBE;
+            self.rumor_at = self.rumor_at.min(next_round);
         }
         if lifecycle == Lifecycle::Leaving {
             self.take_leave(now, id);
         }
     }
 
-    /// A member leaves by its own word. Front ends from before records hear of it as one that is down; to others that
+    /// A member said that it leaves. Front ends of an earlier version hear of it as one that is down; to others that
     /// would look like a failure, should it come before the record.
     fn take_leave(&mut self, now: Micros, id: PeerId) {
-        self.directory.left(id);
-        let spread = self.directory.is_mixed();
-        self.swim.learn(now, id, true, spread);
+        self.directory.mark_leaving(id);
+        let disseminate = self.directory.is_mixed();
+        self.swim.mark_down(now, id, disseminate);
     }
 
+    /// A query whether a member is alive: answers it if it is about us, else passes it on. One relay only: what a relay
+    /// passed on goes no further.
     fn answer_alive_query(
         &mut self,
         now: Micros,
@@ -257,49 +254,53 @@
     ) {
         let own = self.directory.own().id();
         if about.addr != own.addr {
-            // One relay only: what a relay passed on goes no further.
             if from.addr == origin && about.addr != origin {
-                self.send(
-                    about.addr,
-                    TrafficKind::Probe,
-                    Message::AliveQuery {
-                        about,
-                        gone,
-                        origin,
-                    },
-                );
+                let query = Message::AliveQuery {
+                    about,
+                    gone,
+                    origin,
+                };
+                self.send(about.addr, TrafficKind::Probe, query);
             }
             return;
         }
-        if own.incarnation < about.incarnation || gone && own.incarnation == about.incarnation {
+        let is_declared_gone = gone && own.incarnation == about.incarnation;
+        if own.incarnation < about.incarnation || is_declared_gone {
             let past = Stamp {
                 incarnation: about.incarnation,
                 version: u32::MAX,
             };
-            let metadata = self.directory.own().metadata.clone();
-            self.publish_own(now, metadata, past);
+            self.republish_own(now, past);
         }
         let record = Box::new(self.directory.own().clone());
-        let present = Message::AliveReply { record, origin };
+        let reply = Message::AliveReply { record, origin };
         if from.addr != origin {
-            self.send(from.addr, TrafficKind::Probe, present.clone());
+            self.send(from.addr, TrafficKind::Probe, reply.clone());
         }
-        self.send(origin, TrafficKind::Probe, present);
+        self.send(origin, TrafficKind::Probe, reply);
     }
 
+    /// A member's own reply that it is alive: merges it if we sent the query, else passes it on to who did.
     fn take_alive_reply(&mut self, now: Micros, from: PeerId, record: Record, origin: SocketAddr) {
         if origin == self.directory.own().owner {
             self.swim.detector().heard(now, record.owner);
             self.take_record(now, record, true);
         } else if from.addr == record.owner {
-            self.send(
+            let reply = Message::AliveReply {
+                record: Box::new(record),
                 origin,
-                TrafficKind::Probe,
-                Message::AliveReply {
-                    record: Box::new(record),
-                    origin,
-                },
-            );
+            };
+            self.send(origin, TrafficKind::Probe, reply);
         }
     }
 }
+
+/// The digest of a member that is alive with this record.
+fn digest_of(record: &Record) -> MemberDigest {
+    MemberDigest {
+        owner: record.owner,
+        stamp: record.stamp,
+        liveness: Liveness::Alive,
+        checksum: record.metadata.checksum(),
+    }
+}
--- a/wrenseam/src/fleet/members/periodic.rs
+++ b/wrenseam/src/fleet/members/periodic.rs
@@ -1,5 +1,5 @@
 //! What a front end does for its membership and records from time to time: repairs, rumors, liveness checks.
-use super::{pick, Members, RELAYS};
+use super::{pick, Members, QUERY_ROUNDS_A_PROBE, RUMOR_ROUNDS_A_PROBE};
 use crate::fleet::identity::PeerId;
 use crate::fleet::liveness_check::CheckAction;
 use crate::fleet::message::{records_in_messages, Message};
@@ -7,8 +7,12 @@
 use crate::fleet::rumor::FANOUT;
 use crate::fleet::traffic::TrafficKind;
 use rand::seq::IteratorRandom;
+use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
+/// Relays through which a member is queried, besides directly.
+const RELAYS: usize = 2;
+
 impl Members {
     /// Runs what is due at `now`.
     pub fn tick(&mut self, now: Micros) {
@@ -18,127 +22,122 @@
         self.swim.tick(now);
         self.sync_directory(now);
         if self.repair_schedule.is_due(now, &mut self.rng) && !self.is_budget_low {
-            self.start_repair(now);
+            self.start_repair();
         }
         if now >= self.rumor_at {
-            self.rumor_at = now + self.probe / 4;
+            self.rumor_at = now + self.probe / RUMOR_ROUNDS_A_PROBE;
             self.send_rumors();
         }
         if now >= self.query_at {
-            self.query_at = now + self.probe / 2;
-            self.query_suspects(now);
+            self.query_at = now + self.probe / QUERY_ROUNDS_A_PROBE;
+            self.query_suspects();
+            self.run_liveness_checks(now);
             self.restart_if_isolated(now);
+            self.forget_gone(now);
         }
     }
 
-    /// Who hears nobody for long knows nothing of the others any more, and forgets what it knew before it tells it.
+    /// A front end that hears nobody for long no longer knows the others, and forgets what it knew before it tells it.
     fn restart_if_isolated(&mut self, now: Micros) {
         if self.swim.alive() == 0 {
-            self.accompanied = now;
+            self.silence_excused_at = now;
+            return;
         }
-        let heard = self
-            .swim
-            .detector()
-            .heard_any()
-            .unwrap_or(0)
-            .max(self.accompanied);
-        if self.swim.alive() > 0 && now.saturating_sub(heard) > self.isolated_after {
+        let heard_at = self.swim.detector().heard_any().unwrap_or(0);
+        let silent_since = heard_at.max(self.silence_excused_at);
+        if now.saturating_sub(silent_since) > self.isolated_after {
             self.restart(now);
         }
+    }
+
+    /// Forgets members that have been gone for long.
+    fn forget_gone(&mut self, now: Micros) {
         for id in self.directory.forget_gone(now) {
             self.swim.forget(id);
         }
     }
 
     /// Begins a repair with a random member.
-    fn start_repair(&mut self, _now: Micros) {
-        let members = self
-            .directory
-            .alive()
-            .map(|id| id.addr)
-            .filter(|&addr| self.directory.repairs(addr));
-        let Some(to) = members.choose(&mut self.rng) else {
+    fn start_repair(&mut self) {
+        let Some(to) = self.directory.repair_partners().choose(&mut self.rng) else {
             return;
         };
-        self.directory.tried(to);
-        self.send(
-            to,
-            TrafficKind::RepairBegin,
-            Message::Digest(self.directory.part_digests()),
-        );
+        self.directory.repair_started(to);
+        let digests = Message::Digest(self.directory.part_digests());
+        self.send(to, TrafficKind::RepairBegin, digests);
     }
 
+    /// Passes the records that have just changed on to some random members.
     fn send_rumors(&mut self) {
         if self.rumors.is_empty() {
             return;
         }
-        let owners = self.rumors.round();
+        let owners = self.rumors.next_round();
         let records: Vec<Record> = owners
             .into_iter()
             .filter_map(|owner| self.directory.record(owner))
             .collect();
-        let members = self
-            .directory
-            .alive()
-            .map(|id| id.addr)
-            .filter(|&addr| self.directory.repairs(addr));
-        for to in pick(&mut self.rng, members.collect(), FANOUT) {
+        let partners = self.directory.repair_partners().collect();
+        for to in pick(&mut self.rng, partners, FANOUT) {
             for message in records_in_messages(true, records.clone()) {
                 self.send(to, TrafficKind::Rumor, message);
             }
         }
     }
 
-    /// Asks suspects, themselves and by way of others, whether they are there, and judges liveness_checks.
-    fn query_suspects(&mut self, now: Micros) {
+    /// Queries suspects, directly and through others.
+    fn query_suspects(&mut self) {
         let suspects: Vec<PeerId> = self.swim.detector().suspects().collect();
-        suspects
-            .into_iter()
-            .for_each(|id| self.send_alive_queries(id, false, RELAYS));
-        self.run_liveness_checks(now);
+        for id in suspects {
+            self.send_alive_queries(id, false, RELAYS);
+        }
     }
 
-    /// Asks a member whether it is there, itself and by way of so many others.
+    /// Queries a member whether it is alive, through so many relays and directly.
     fn send_alive_queries(&mut self, about: PeerId, gone: bool, relays: usize) {
-        let mut others = Vec::new();
-        if relays > 0 {
-            others.extend(
-                self.directory
-                    .alive()
-                    .map(|other| other.addr)
-                    .filter(|&addr| addr != about.addr),
-            );
-        }
-        let mut ways = pick(&mut self.rng, others, relays);
-        ways.push(about.addr);
+        let mut targets = self.pick_relays(about, relays);
+        targets.push(about.addr);
         let origin = self.directory.own().owner;
-        for to in ways {
-            self.send(
-                to,
-                TrafficKind::Probe,
-                Message::AliveQuery {
-                    about,
-                    gone,
-                    origin,
-                },
-            );
+        for to in targets {
+            let query = Message::AliveQuery {
+                about,
+                gone,
+                origin,
+            };
+            self.send(to, TrafficKind::Probe, query);
         }
     }
 
+    /// So many random members through which another one can be queried.
+    fn pick_relays(&mut self, about: PeerId, relays: usize) -> Vec<SocketAddr> {
+        if relays == 0 {
+            return Vec::new();
+        }
+        let alive = self.directory.alive().map(|other| other.addr);
+        let others = alive.filter(|&addr| addr != about.addr).collect();
+        pick(&mut self.rng, others, relays)
+    }
+
+    /// Does what is due for the members whose liveness is being checked.
     pub(super) fn run_liveness_checks(&mut self, now: Micros) {
-        for step in self.liveness_checks.due(now) {
-            match step {
-                CheckAction::Query { id, again } => {
-                    self.send_alive_queries(id, true, if again { RELAYS } else { 0 })
-                }
-                CheckAction::Expired { id, began } => {
-                    let heard = self.swim.detector().last_heard(id.addr) >= Some(began);
-                    if !heard && self.swim.detector().may_declare_down(now, began) {
-                        self.swim.learn(now, id, true, true);
-                        self.sync_directory(now);
-                    }
+        for action in self.liveness_checks.due(now) {
+            match action {
+                CheckAction::Query { id, is_repeat } => {
+                    let relays = if is_repeat { RELAYS } else { 0 };
+                    self.send_alive_queries(id, true, relays);
                 }
+                CheckAction::Expired { id, began } => self.end_check(now, id, began),
             }
         }
     }
+
+    /// The time of a liveness check is up: the member is down if it stayed silent and we were able to hear it.
+    fn end_check(&mut self, now: Micros, id: PeerId, began: Micros) {
+        let detector = self.swim.detector();
+        let was_heard = detector.last_heard(id.addr) >= Some(began);
+        if !was_heard && detector.may_declare_down(now, began) {
+            self.swim.mark_down(now, id, true);
+            self.sync_directory(now);
+        }
+    }
 }
--- /dev/null
+++ b/wrenseam/src/fleet/message/codec.rs
@@ -0,0 +1,241 @@
+//! The bytes of the messages between members, big-endian. The numbers of the kinds are part of the protocol: members of
+//! other versions rely on them.
+use super::{Message, MessageError};
+use crate::fleet::identity::{put_address, take, take_address, PeerId, MAX_INCARNATION};
+use crate::fleet::member_digest::{Liveness, MemberDigest, PARTS};
+use crate::fleet::record::{Record, RecordError, Stamp};
+use std::net::SocketAddr;
+
+const KIND_DIGEST: u8 = 0;
+const KIND_HASHES: u8 = 1;
+const KIND_MEMBER_DIGESTS: u8 = 2;
+const KIND_RECORDS: u8 = 3;
+const KIND_WANTED: u8 = 4;
+const KIND_ALIVE_QUERY: u8 = 5;
+const KIND_ALIVE_REPLY: u8 = 6;
+
+impl Message {
+    /// The number that stands for its kind on the wire.
+    fn wire_kind(&self) -> u8 {
+        match self {
+            Message::Digest(_) => KIND_DIGEST,
+            Message::Hashes { .. } => KIND_HASHES,
+            Message::MemberDigests { .. } => KIND_MEMBER_DIGESTS,
+            Message::Records { .. } => KIND_RECORDS,
+            Message::Wanted(_) => KIND_WANTED,
+            Message::AliveQuery { .. } => KIND_ALIVE_QUERY,
+            Message::AliveReply { .. } => KIND_ALIVE_REPLY,
+        }
+    }
+
+    /// Appends the kind (1) and the body.
+    ///
+    /// # Errors
+    /// [`RecordError`] where a record in it is beyond its bounds.
+    pub(super) fn put(&self, bytes: &mut Vec<u8>) -> Result<(), RecordError> {
+        bytes.push(self.wire_kind());
+        match self {
+            Message::Digest(digests) => put_hashes(bytes, digests),
+            Message::Hashes { parts, hashes } => {
+                bytes.extend(parts.to_be_bytes());
+                put_hashes(bytes, hashes);
+            }
+            Message::MemberDigests {
+                unmatched,
+                member_digests,
+            } => {
+                bytes.extend((unmatched.len() as u16).to_be_bytes());
+                put_hashes(bytes, unmatched);
+                for member_digest in member_digests {
+                    put_member_digest(bytes, member_digest);
+                }
+            }
+            Message::Records { is_update, records } => {
+                bytes.push(u8::from(*is_update));
+                for record in records {
+                    put_record(bytes, record)?;
+                }
+            }
+            Message::Wanted(owners) => {
+                for &owner in owners {
+                    put_address(bytes, owner);
+                }
+            }
+            Message::AliveQuery {
+                about,
+                gone,
+                origin,
+            } => {
+                put_id(bytes, *about);
+                bytes.push(u8::from(*gone));
+                put_address(bytes, *origin);
+            }
+            Message::AliveReply { record, origin } => {
+                put_address(bytes, *origin);
+                put_record(bytes, record)?;
+            }
+        }
+        Ok(())
+    }
+
+    /// Takes what [`Message::put`] appended off the front of `rest`.
+    ///
+    /// # Errors
+    /// [`MessageError`] for anything else.
+    pub(super) fn take(rest: &mut &[u8]) -> Result<Message, MessageError> {
+        let [kind] = need(rest)?;
+        match kind {
+            KIND_DIGEST => take_part_digests(rest),
+            KIND_HASHES => take_part_hashes(rest),
+            KIND_MEMBER_DIGESTS => take_member_digests(rest),
+            KIND_RECORDS => take_records(rest),
+            KIND_WANTED => Ok(Message::Wanted(until_empty(rest, need_address)?)),
+            KIND_ALIVE_QUERY => take_alive_query(rest),
+            KIND_ALIVE_REPLY => take_alive_reply(rest),
+            other => Err(MessageError::UnknownKind(other)),
+        }
+    }
+}
+
+fn take_part_digests(rest: &mut &[u8]) -> Result<Message, MessageError> {
+    let mut digests = [0; PARTS];
+    for digest in &mut digests {
+        *digest = take_hash(rest)?;
+    }
+    Ok(Message::Digest(digests))
+}
+
+fn take_part_hashes(rest: &mut &[u8]) -> Result<Message, MessageError> {
+    let parts = u16::from_be_bytes(need(rest)?);
+    let hashes = until_empty(rest, take_hash)?;
+    Ok(Message::Hashes { parts, hashes })
+}
+
+fn take_member_digests(rest: &mut &[u8]) -> Result<Message, MessageError> {
+    let count = u16::from_be_bytes(need(rest)?);
+    let unmatched: Result<Vec<u32>, MessageError> = (0..count).map(|_| take_hash(rest)).collect();
+    let unmatched = unmatched?;
+    let member_digests = until_empty(rest, take_member_digest)?;
+    Ok(Message::MemberDigests {
+        unmatched,
+        member_digests,
+    })
+}
+
+fn take_records(rest: &mut &[u8]) -> Result<Message, MessageError> {
+    let is_update = take_flag(rest)?;
+    let records = until_empty(rest, take_record)?;
+    Ok(Message::Records { is_update, records })
+}
+
+fn take_alive_query(rest: &mut &[u8]) -> Result<Message, MessageError> {
+    let about = take_id(rest)?;
+    let gone = take_flag(rest)?;
+    let origin = need_address(rest)?;
+    Ok(Message::AliveQuery {
+        about,
+        gone,
+        origin,
+    })
+}
+
+fn take_alive_reply(rest: &mut &[u8]) -> Result<Message, MessageError> {
+    let origin = need_address(rest)?;
+    let record = Box::new(take_record(rest)?);
+    Ok(Message::AliveReply { record, origin })
+}
+
+/// Reads items until nothing is left; a datagram's length bounds how many.
+fn until_empty<T>(
+    rest: &mut &[u8],
+    item: impl Fn(&mut &[u8]) -> Result<T, MessageError>,
+) -> Result<Vec<T>, MessageError> {
+    let mut items = Vec::new();
+    while !rest.is_empty() {
+        items.push(item(rest)?);
+    }
+    Ok(items)
+}
+
+fn need<const N: usize>(rest: &mut &[u8]) -> Result<[u8; N], MessageError> {
+    take(rest).ok_or(MessageError::Length)
+}
+
+fn need_address(rest: &mut &[u8]) -> Result<SocketAddr, MessageError> {
+    take_address(rest).ok_or(MessageError::Length)
+}
+
+fn put_hashes(bytes: &mut Vec<u8>, hashes: &[u32]) {
+    for hash in hashes {
+        bytes.extend(hash.to_be_bytes());
+    }
+}
+
+fn take_hash(rest: &mut &[u8]) -> Result<u32, MessageError> {
+    Ok(u32::from_be_bytes(need(rest)?))
+}
+
+fn take_flag(rest: &mut &[u8]) -> Result<bool, MessageError> {
+    let [flag] = need(rest)?;
+    Ok(flag != 0)
+}
+
+pub(super) fn put_id(bytes: &mut Vec<u8>, id: PeerId) {
+    put_address(bytes, id.addr);
+    bytes.extend(id.incarnation.to_be_bytes());
+}
+
+pub(super) fn take_id(rest: &mut &[u8]) -> Result<PeerId, MessageError> {
+    let addr = need_address(rest)?;
+    let incarnation = take_incarnation(rest)?;
+    Ok(PeerId { addr, incarnation })
+}
+
+fn take_incarnation(rest: &mut &[u8]) -> Result<u64, MessageError> {
+    let incarnation = u64::from_be_bytes(need(rest)?);
+    if incarnation > MAX_INCARNATION {
+        return Err(MessageError::IncarnationOutOfRange(incarnation));
+    }
+    Ok(incarnation)
+}
+
+fn put_member_digest(bytes: &mut Vec<u8>, member_digest: &MemberDigest) {
+    put_address(bytes, member_digest.owner);
+    bytes.extend(member_digest.stamp.incarnation.to_be_bytes());
+    bytes.extend(member_digest.stamp.version.to_be_bytes());
+    bytes.push(member_digest.liveness.wire_code());
+    bytes.extend(member_digest.checksum.to_be_bytes());
+}
+
+fn take_member_digest(rest: &mut &[u8]) -> Result<MemberDigest, MessageError> {
+    let owner = need_address(rest)?;
+    let incarnation = take_incarnation(rest)?;
+    let version = u32::from_be_bytes(need(rest)?);
+    let [liveness] = need(rest)?;
+    let liveness =
+        Liveness::from_wire_code(liveness).ok_or(MessageError::UnknownLiveness(liveness))?;
+    let checksum = u32::from_be_bytes(need(rest)?);
+    Ok(MemberDigest {
+        owner,
+        stamp: Stamp {
+            incarnation,
+            version,
+        },
+        liveness,
+        checksum,
+    })
+}
+
+fn put_record(bytes: &mut Vec<u8>, record: &Record) -> Result<(), RecordError> {
+    let encoded = record.encode()?;
+    bytes.extend((encoded.len() as u16).to_be_bytes());
+    bytes.extend(encoded);
+    Ok(())
+}
+
+fn take_record(rest: &mut &[u8]) -> Result<Record, MessageError> {
+    let length = usize::from(u16::from_be_bytes(need(rest)?));
+    let (encoded, tail) = rest.split_at_checked(length).ok_or(MessageError::Length)?;
+    *rest = tail;
+    Ok(Record::decode(encoded)?)
+}
--- a/wrenseam/src/fleet/mod.rs
+++ b/wrenseam/src/fleet/mod.rs
@@ -38,4 +38,4 @@
 pub use shed::Shedder;
 pub use status::FleetStatus;
 pub use summary::{Summaries, Summary};
-pub use swim::{PeerEvent, Swim, SwimSettings};
+pub use swim::{PeerEvent, Swim, SwimSettings, TimedPeerEvent};
--- a/wrenseam/src/fleet/record.rs
+++ b/wrenseam/src/fleet/record.rs
@@ -1,4 +1,4 @@
-//! The record that each member of the fleet keeps of itself and of which all others hold a copy: typed, bounded,
+//! The record that each member of the fleet writes of itself and of which all others hold a replica: typed, bounded,
 //! and ordered by its owner's stamp. No I/O.
 use super::identity::{put_address, take, take_address, PeerId, MAX_INCARNATION};
 use std::collections::BTreeMap;
@@ -16,14 +16,14 @@
 /// What a member is doing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lifecycle {
-    /// Runs, but takes no clients yet.
+    /// Runs, but accepts no clients yet.
     #[default]
     Starting,
-    /// Takes clients.
+    /// Accepts clients.
     Ready,
-    /// Answers what it has and takes no new clients.
+    /// Answers the requests that it has and accepts no new clients.
     Draining,
-    /// Is about to end: the last word of its incarnation.
+    /// Is about to end: the last record of its incarnation.
     Leaving,
 }
 
@@ -36,6 +36,32 @@
         Lifecycle::Leaving,
     ];
 
+    /// Its place in [`Lifecycle::ALL`] and in arrays by lifecycle.
+    pub fn index(self) -> usize {
+        self as usize
+    }
+
+    /// The number that stands for it in an encoded record; members of other versions rely on it.
+    fn wire_code(self) -> u8 {
+        match self {
+            Lifecycle::Starting => 0,
+            Lifecycle::Ready => 1,
+            Lifecycle::Draining => 2,
+            Lifecycle::Leaving => 3,
+        }
+    }
+
+    /// Reads what [`Lifecycle::wire_code`] gave.
+    fn from_wire_code(code: u8) -> Result<Lifecycle, RecordError> {
+        match code {
+            0 => Ok(Lifecycle::Starting),
+            1 => Ok(Lifecycle::Ready),
+            2 => Ok(Lifecycle::Draining),
+            3 => Ok(Lifecycle::Leaving),
+            other => Err(RecordError::UnknownLifecycle(other)),
+        }
+    }
+
     /// Its name in telemetry.
     pub fn name(self) -> &'static str {
         match self {
@@ -47,7 +73,7 @@
     }
 }
 
-/// A small fact that the processes share; its owner raises the version with each change.
+/// A value that the processes share; its owner raises the version with each change.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Entry {
     /// Counts the changes of the value.
@@ -56,7 +82,7 @@
     pub value: String,
 }
 
-/// What a member says of itself.
+/// What a member publishes about itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Metadata {
     /// What it is doing.
@@ -67,7 +93,7 @@
     pub program: String,
     /// A digest of the configuration in force.
     pub config_digest: u64,
-    /// Small metadata by name.
+    /// Shared values by name.
     pub entries: BTreeMap<String, Entry>,
 }
 
@@ -84,13 +110,16 @@
     /// The stamp of the owner's next change: the next version, or at the last one the next incarnation's first;
     /// `None` once there is no larger.
     pub fn next(self) -> Option<Stamp> {
-        match self.version.checked_add(1) {
-            Some(version) => Some(Stamp { version, ..self }),
-            None => (self.incarnation < MAX_INCARNATION).then(|| Stamp {
-                incarnation: self.incarnation + 1,
-                version: 1,
-            }),
+        if let Some(version) = self.version.checked_add(1) {
+            return Some(Stamp { version, ..self });
+        }
+        if self.incarnation >= MAX_INCARNATION {
+            return None;
         }
+        Some(Stamp {
+            incarnation: self.incarnation + 1,
+            version: 1,
+        })
     }
 }
 
@@ -101,57 +130,42 @@
     pub owner: SocketAddr,
     /// How new it is.
     pub stamp: Stamp,
-    /// What it says.
+    /// What its owner publishes.
     pub metadata: Metadata,
 }
 
 /// Why a record cannot be written or read.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
     /// So many bytes, more than [`MAX_RECORD_BYTES`].
+    #[error("a record of {0} bytes, {MAX_RECORD_BYTES} allowed")]
     TooLarge(usize),
     /// So many entries, more than [`MAX_ENTRIES`].
+    #[error("{0} entries, {MAX_ENTRIES} allowed")]
     TooManyEntries(usize),
     /// A name of so many bytes, more than [`MAX_NAME_BYTES`].
+    #[error("a name of {0} bytes, {MAX_NAME_BYTES} allowed")]
     NameTooLong(usize),
-    /// Ends before it is whole.
+    /// Ends before it is whole, or goes on after its end.
+    #[error("the record is cut short")]
     Truncated,
     /// A form that this program does not know.
+    #[error("record format {0} is not known")]
     UnknownFormat(u8),
     /// A lifecycle that this program does not know.
+    #[error("lifecycle {0} is not known")]
     UnknownLifecycle(u8),
     /// A text that is not UTF-8.
-    NotText,
+    #[error("a text is not UTF-8")]
+    NotText(#[from] std::string::FromUtf8Error),
     /// An incarnation above [`MAX_INCARNATION`].
+    #[error("incarnation {0} is out of range")]
     IncarnationOutOfRange(u64),
     /// Two entries of one name, or names out of order.
+    #[error("entries are not in the order of their names")]
     EntriesOutOfOrder,
 }
 
-impl std::fmt::Display for RecordError {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        match self {
-            RecordError::TooLarge(n) => {
-                write!(f, "a record of {n} bytes, {MAX_RECORD_BYTES} allowed")
-            }
-            RecordError::TooManyEntries(n) => write!(f, "{n} entries, {MAX_ENTRIES} allowed"),
-            RecordError::NameTooLong(n) => {
-                write!(f, "a name of {n} bytes, {MAX_NAME_BYTES} allowed")
-            }
-            RecordError::Truncated => f.write_str("the record is cut short"),
-            RecordError::UnknownFormat(n) => write!(f, "record format {n} is not known"),
-            RecordError::UnknownLifecycle(n) => write!(f, "lifecycle {n} is not known"),
-            RecordError::NotText => f.write_str("a text is not UTF-8"),
-            RecordError::IncarnationOutOfRange(n) => write!(f, "incarnation {n} is out of range"),
-            RecordError::EntriesOutOfOrder => {
-                f.write_str("entries are not in the order of their names")
-            }
-        }
-    }
-}
-
-impl std::error::Error for RecordError {}
-
 impl Metadata {
     /// The bytes, big-endian: format (1), lifecycle (1), configuration digest (8), zone and program (length 1 and
     /// text each), entries (count 1; each: name, version 4, value length 2 and text).
@@ -162,7 +176,7 @@
         if self.entries.len() > MAX_ENTRIES {
             return Err(RecordError::TooManyEntries(self.entries.len()));
         }
-        let mut bytes = vec![RECORD_FORMAT, self.lifecycle as u8];
+        let mut bytes = vec![RECORD_FORMAT, self.lifecycle.wire_code()];
         bytes.extend(self.config_digest.to_be_bytes());
         put_name(&mut bytes, &self.zone)?;
         put_name(&mut bytes, &self.program)?;
@@ -188,31 +202,11 @@
             return Err(RecordError::UnknownFormat(format));
         }
         let [lifecycle] = need(rest)?;
-        let lifecycle = *Lifecycle::ALL
-            .get(usize::from(lifecycle))
-            .ok_or(RecordError::UnknownLifecycle(lifecycle))?;
+        let lifecycle = Lifecycle::from_wire_code(lifecycle)?;
         let config_digest = u64::from_be_bytes(need(rest)?);
         let zone = take_name(rest)?;
         let program = take_name(rest)?;
-        let [count] = need(rest)?;
-        if usize::from(count) > MAX_ENTRIES {
-            return Err(RecordError::TooManyEntries(usize::from(count)));
-        }
-        let mut entries = BTreeMap::new();
-        for _ in 0..count {
-            let name = take_name(rest)?;
-            let version = u32::from_be_bytes(need(rest)?);
-            let length = usize::from(u16::from_be_bytes(need(rest)?));
-            let value = take_text(rest, length)?;
-            // One encoding for each content: digests rest on it.
-            if entries
-                .last_key_value()
-                .is_some_and(|(last, _)| *last >= name)
-            {
-                return Err(RecordError::EntriesOutOfOrder);
-            }
-            entries.insert(name, Entry { version, value });
-        }
+        let entries = take_entries(rest)?;
         Ok(Metadata {
             lifecycle,
             zone,
@@ -284,6 +278,29 @@
     }
 }
 
+/// Reads a count of entries and the entries, in the order of their names: content has one encoding only, since
+/// checksums and digests are of the bytes.
+fn take_entries(rest: &mut &[u8]) -> Result<BTreeMap<String, Entry>, RecordError> {
+    let [count] = need(rest)?;
+    if usize::from(count) > MAX_ENTRIES {
+        return Err(RecordError::TooManyEntries(usize::from(count)));
+    }
+    let mut entries = BTreeMap::new();
+    for _ in 0..count {
+        let name = take_name(rest)?;
+        let version = u32::from_be_bytes(need(rest)?);
+        let length = usize::from(u16::from_be_bytes(need(rest)?));
+        let value = take_text(rest, length)?;
+        let last = entries.last_key_value();
+        if last.is_some_and(|(last, _)| *last >= name) {
+            return Err(RecordError::EntriesOutOfOrder);
+        }
+        entries.insert(name, Entry { version, value });
+    }
+    Ok(entries)
+}
+
+/// Takes so many bytes off the front.
 fn need<const N: usize>(rest: &mut &[u8]) -> Result<[u8; N], RecordError> {
     take(rest).ok_or(RecordError::Truncated)
 }
@@ -310,5 +327,5 @@
         .split_at_checked(length)
         .ok_or(RecordError::Truncated)?;
     *rest = tail;
-    String::from_utf8(text.to_vec()).map_err(|_| RecordError::NotText)
+    Ok(String::from_utf8(text.to_vec())?)
 }
--- a/wrenseam/src/fleet/rumor.rs
+++ b/wrenseam/src/fleet/rumor.rs
@@ -1,47 +1,50 @@
-//! Records that have just changed, and how often each is still to be passed on. No I/O.
+//! Rumor mongering: records that have just changed, and in how many rounds each is still to be passed on. No I/O.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// Members that a rumor goes to in a round.
 pub const FANOUT: usize = 3;
-/// Rounds in which a record is passed on: of those not reached so, one in 400 at random, repair takes care.
+/// Rounds in which a record is passed on: of the members not reached so, one in 400 at random, repair takes care.
 const ROUNDS: u8 = 2;
-/// Records passed on at once: beyond these (a zone returns, regions heal) repair is cheaper, which sends nobody what
+/// Rounds in which our own record is passed on.
+const OWN_ROUNDS: u8 = ROUNDS + 1;
+/// Records passed on at once: beyond these (a zone returns, regions heal) repair is cheaper, which sends no member what
 /// it has.
-const HELD: usize = 12;
+const MAX_QUEUED: usize = 12;
 
-/// What is to be passed on.
+/// The members whose records are to be passed on.
 #[derive(Debug, Default)]
 pub struct RumorQueue {
-    rounds: BTreeMap<SocketAddr, u8>,
+    rounds_left: BTreeMap<SocketAddr, u8>,
 }
 
 impl RumorQueue {
-    /// This member's record is to be passed on; whether there was room.
-    pub fn add(&mut self, owner: SocketAddr) -> bool {
-        let room = self.rounds.len() < HELD || self.rounds.contains_key(&owner);
-        if room {
-            self.rounds.insert(owner, ROUNDS);
+    /// This member's record is to be passed on; whether there was capacity for it.
+    pub fn push(&mut self, owner: SocketAddr) -> bool {
+        let has_capacity = self.rounds_left.len() < MAX_QUEUED;
+        if !has_capacity && !self.rounds_left.contains_key(&owner) {
+            return false;
         }
-        room
+        self.rounds_left.insert(owner, ROUNDS);
+        true
     }
 
-    /// Passes this member's record on, whatever else is held: it is our own.
-    pub fn add_own(&mut self, owner: SocketAddr) {
-        self.rounds.insert(owner, ROUNDS + 1);
+    /// Our own record is to be passed on, whatever else is queued.
+    pub fn push_own(&mut self, owner: SocketAddr) {
+        self.rounds_left.insert(owner, OWN_ROUNDS);
     }
 
     /// Whether there is nothing to pass on.
     pub fn is_empty(&self) -> bool {
-        self.rounds.is_empty()
+        self.rounds_left.is_empty()
     }
 
-    /// Those to be passed on in this round, and one round less is left for each.
-    pub fn round(&mut self) -> Vec<SocketAddr> {
-        let owners = self.rounds.keys().copied().collect();
-        self.rounds.retain(|_, left| {
-            *left -= 1;
-            *left > 0
+    /// The members whose records are passed on in this round; each has one round less from then on.
+    pub fn next_round(&mut self) -> Vec<SocketAddr> {
+        let owners = self.rounds_left.keys().copied().collect();
+        self.rounds_left.retain(|_, rounds_left| {
+            *rounds_left -= 1;
+            *rounds_left > 0
         });
         owners
     }
--- a/wrenseam/src/fleet/status.rs
+++ b/wrenseam/src/fleet/status.rs
@@ -1,5 +1,5 @@
 //! What a front end makes of its fleet at one moment, for the core and for telemetry.
-use super::average::AverageDropped;
+use super::average::{AverageDropped, EdgeCounts};
 use super::members::RecordCounts;
 use super::record::Lifecycle;
 use super::swim::Dropped;
@@ -13,23 +13,23 @@
     pub alive: usize,
     /// Of these, by lifecycle in the order of [`Lifecycle::ALL`].
     pub by_lifecycle: [usize; Lifecycle::ALL.len()],
-    /// Peers that told that they drain or leave since the status before.
+    /// Peers that said that they are draining or leaving since the status before.
     pub departed: usize,
-    /// The digest of the whole view, and for how long it has stood, in microseconds.
+    /// The digest of the whole view.
     pub digest: u64,
-    /// See `digest`.
+    /// For how long the digest has stood, in microseconds.
     pub digest_stood: Micros,
     /// Mean in-flight over capacity of the fleet, in thousandths.
     pub pressure: u32,
-    /// Neighbours of the averaging heard from lately, and all that are held.
-    pub edges: (usize, usize),
+    /// The edges of the averaging.
+    pub edges: EdgeCounts,
     /// Whether a front end from before the averaging is in the fleet, and the mean is of summaries.
     pub mixed: bool,
-    /// How many times longer this front end's probes and suspicions are, since it doubts itself.
+    /// How many times longer this front end's probes and suspicions are: Lifeguard's local health multiplier.
     pub health_multiplier: u32,
-    /// Bytes sent, and held back by the budget, in the order of [`TrafficKind::ALL`].
+    /// Bytes sent, in the order of [`TrafficKind::ALL`].
     pub bytes_sent: [u64; TrafficKind::ALL.len()],
-    /// See `bytes_sent`.
+    /// Bytes held back by the byte budget, in the order of [`TrafficKind::ALL`].
     pub bytes_held_back: [u64; TrafficKind::ALL.len()],
     /// What became of the datagrams of records.
     pub records: RecordCounts,
@@ -42,6 +42,6 @@
 impl FleetStatus {
     /// Peers that take clients.
     pub fn ready(&self) -> usize {
-        self.by_lifecycle[Lifecycle::Ready as usize]
+        self.by_lifecycle[Lifecycle::Ready.index()]
     }
 }
--- a/wrenseam/src/fleet/swim/settings.rs
+++ b/wrenseam/src/fleet/swim/settings.rs
@@ -6,10 +6,19 @@
 use std::time::Duration;
 use wrenseam_policy::Micros;
 
+/// The shortest probe period, in microseconds, whatever is configured.
+pub(crate) const SHORTEST_PROBE: Micros = 10_000;
+/// The largest expected size that foca is told.
+const LARGEST_FLEET: usize = 100_000;
+/// Rounds of periodic gossip in a probe period.
+const GOSSIPS_A_PROBE: u32 = 4;
+/// Probe periods between foca's own periodic announces.
+const PROBES_AN_ANNOUNCE: u32 = 5;
+
 /// The settings of membership, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct SwimSettings {
-    /// A name shared by the fleet: datagrams of another are dropped.
+    /// The id shared by the fleet: datagrams of another are dropped.
     pub cluster: u32,
     /// How often a random peer is probed.
     pub probe: Micros,
@@ -21,35 +30,33 @@
     pub extra_transmissions: u8,
     /// How long a summary counts after it came.
     pub fresh_for: Micros,
-    /// Peers of which summaries are held at the most.
+    /// The most peers whose summaries are remembered.
     pub capacity: usize,
 }
 
 /// Foca's settings for ours.
 pub(super) fn configure(settings: &SwimSettings) -> Config {
-    let size =
-        NonZeroU32::new(settings.expected.clamp(1, 100_000) as u32).unwrap_or(NonZeroU32::MIN);
-    let mut config = Config::new_lan(size);
-    let probe = Duration::from_micros(settings.probe.max(10_000));
+    let expected = settings.expected.clamp(1, LARGEST_FLEET) as u32;
+    let mut config = Config::new_lan(NonZeroU32::new(expected).unwrap_or(NonZeroU32::MIN));
+    let probe = Duration::from_micros(settings.probe.max(SHORTEST_PROBE));
     config.probe_period = probe;
     config.probe_rtt = probe / 2;
     config.suspect_to_down_after = Duration::from_micros(settings.suspect_for.max(settings.probe));
     config.max_packet_size =
         NonZeroUsize::new(MAX_DATAGRAM - HEADER_BYTES).unwrap_or(NonZeroUsize::MIN);
-    let times = config
+    config.max_transmissions = config
         .max_transmissions
         .saturating_add(settings.extra_transmissions);
-    config.max_transmissions = times;
     // The directory bounds how many are remembered, and for how long.
     config.remove_down_after = Some(Duration::from_micros(GONE_FOR));
     if let Some(gossip) = config.periodic_gossip.as_mut() {
-        gossip.frequency = probe / 4;
+        gossip.frequency = probe / GOSSIPS_A_PROBE;
     }
     if let Some(announce) = config.periodic_announce.as_mut() {
-        announce.frequency = probe * 5;
+        announce.frequency = probe * PROBES_AN_ANNOUNCE;
     }
     if let Some(announce) = config.periodic_announce_to_down_members.as_mut() {
-        announce.frequency = probe * 5;
+        announce.frequency = probe * PROBES_AN_ANNOUNCE;
     }
     config
 }
--- a/wrenseam/src/fleet/swim/summaries.rs
+++ b/wrenseam/src/fleet/swim/summaries.rs
@@ -1,52 +1,138 @@
 //! Load summaries on foca's custom broadcasts, for front ends that take no part in the averaging.
 use super::Swim;
-use crate::fleet::summary::Summary;
-use std::sync::PoisonError;
+use crate::fleet::identity::PeerId;
+use crate::fleet::summary::{InsertOutcome, Summaries, Summary, SummaryError};
+use foca::{BroadcastHandler, Invalidates};
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use wrenseam_policy::Micros;
 
-impl Swim {
-    /// No summary is wanted any more.
-    pub fn stop_publishing(&mut self) {
-        self.runtime.untrimmed = false;
+/// The summaries that came, and the time by which they are taken.
+struct SummaryTable {
+    summaries: Summaries,
+    now: Micros,
+}
+
+/// The table of summaries, shared between [`Swim`] and the handler that foca owns.
+#[derive(Clone)]
+pub(super) struct SharedSummaries(Arc<Mutex<SummaryTable>>);
+
+impl SharedSummaries {
+    /// Capacity for so many peers; a summary counts for `fresh_for` microseconds.
+    pub(super) fn new(capacity: usize, fresh_for: Micros) -> SharedSummaries {
+        let table = SummaryTable {
+            summaries: Summaries::new(capacity, fresh_for),
+            now: 0,
+        };
+        SharedSummaries(Arc::new(Mutex::new(table)))
+    }
+
+    fn table(&self) -> MutexGuard<'_, SummaryTable> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Sets the time of what follows.
+    pub(super) fn set_now(&self, now: Micros) {
+        self.table().now = now;
+    }
+
+    /// Forgets the summary of a peer that is gone.
+    pub(super) fn forget(&self, origin: SocketAddr) {
+        self.table().summaries.forget(origin);
+    }
+
+    fn insert(&self, own: SocketAddr, summary: Summary) -> InsertOutcome {
+        let mut table = self.table();
+        let now = table.now;
+        table.summaries.insert(now, own, summary)
+    }
+}
+
+/// Which summary replaces which among foca's broadcasts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct SummaryKey {
+    origin: SocketAddr,
+    seq: u64,
+}
+
+impl Invalidates for SummaryKey {
+    fn invalidates(&self, other: &Self) -> bool {
+        self.origin == other.origin && self.seq >= other.seq
     }
+}
+
+/// The handler of custom broadcasts: takes summaries into the shared table.
+pub(super) struct SummaryHandler {
+    own: SocketAddr,
+    summaries: SharedSummaries,
+}
+
+impl SummaryHandler {
+    /// The handler of the front end at `own`.
+    pub(super) fn new(own: SocketAddr, summaries: SharedSummaries) -> SummaryHandler {
+        SummaryHandler { own, summaries }
+    }
+}
+
+impl BroadcastHandler<PeerId> for SummaryHandler {
+    type Key = SummaryKey;
+    type Error = SummaryError;
 
-    /// Hands this front end's summary to be gossiped, with the next sequence number.
+    fn receive_item(
+        &mut self,
+        data: &[u8],
+        _sender: Option<&PeerId>,
+    ) -> Result<Option<SummaryKey>, SummaryError> {
+        let summary = Summary::decode(data)?;
+        let Some(origin) = summary.origin else {
+            return Ok(None);
+        };
+        let key = SummaryKey {
+            origin,
+            seq: summary.seq,
+        };
+        if origin == self.own {
+            return Ok(Some(key)); // our own, added to be sent on
+        }
+        match self.summaries.insert(self.own, summary) {
+            InsertOutcome::Updated => Ok(Some(key)),
+            InsertOutcome::Stale | InsertOutcome::Foreign => Ok(None),
+        }
+    }
+}
+
+impl Swim {
+    /// Gossips this front end's summary, with the next sequence number.
     pub fn publish(&mut self, now: Micros, mut summary: Summary) {
-        self.at(now);
-        self.runtime.untrimmed = true;
+        self.set_now(now);
+        self.runtime.carries_summaries = true;
         self.published += 1;
         summary.origin = Some(self.own.addr);
         summary.seq = self.published;
         let _ = self.foca.add_broadcast(&summary.encode()); // only ever our own well-formed bytes
     }
 
-    /// Whether a fresh summary is of a front end that takes no part in the averaging (see [`Summary::views`]).
-    pub fn mixed(&self, now: Micros) -> bool {
-        self.held
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .0
-            .fresh(now)
-            .any(|s| !s.views)
+    /// No summary is wanted any more.
+    pub fn stop_publishing(&mut self) {
+        self.runtime.carries_summaries = false;
+    }
+
+    /// Whether a fresh summary is of a front end that takes no part in the averaging (see
+    /// [`Summary::supports_averaging`]).
+    pub fn is_mixed(&self, now: Micros) -> bool {
+        let table = self.summaries.table();
+        let mut fresh = table.summaries.fresh(now);
+        fresh.any(|summary| !summary.supports_averaging)
     }
 
     /// The fleet's pressure in thousandths (see [`Summaries::pressure`]), with ours at `own`.
     pub fn pressure(&self, now: Micros, own: u32) -> u32 {
-        self.held
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .0
-            .pressure(now, own)
+        self.summaries.table().summaries.pressure(now, own)
     }
 
     /// Fresh summaries of peers.
     pub fn summaries(&self, now: Micros) -> Vec<Summary> {
-        self.held
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .0
-            .fresh(now)
-            .copied()
-            .collect()
+        let table = self.summaries.table();
+        table.summaries.fresh(now).copied().collect()
     }
 }
--- a/wrenseam/src/fleet/traffic.rs
+++ b/wrenseam/src/fleet/traffic.rs
@@ -2,12 +2,17 @@
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// Bytes a second that a front end sends on average at the most: with as many received, and [`BURST`] besides,
+/// The largest mean rate of a front end, in bytes a second: with as many received, and [`BURST`] besides,
 /// the worst second stays under 22 KB.
 pub const RATE: i64 = 9_200;
 /// Bytes that may be sent at once after a quiet time.
 pub const BURST: i64 = 1_700;
 
+/// Microseconds in a second.
+const MICROS_PER_SECOND: i64 = 1_000_000;
+/// A longer time than this, in microseconds, earns no more: the bucket is full long before, and the product stays small.
+const LONGEST_REFILL: Micros = 10_000_000;
+
 /// What a datagram is for, the least dispensable first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficKind {
@@ -40,6 +45,11 @@
         TrafficKind::MembershipGossip,
     ];
 
+    /// Its place in [`TrafficKind::ALL`] and in arrays by kind.
+    pub fn index(self) -> usize {
+        self as usize
+    }
+
     /// Its name in telemetry.
     pub fn name(self) -> &'static str {
         match self {
@@ -53,7 +63,7 @@
         }
     }
 
-    /// What has to be left of the burst for it to be sent; `None`: it is sent whatever is left.
+    /// Tokens that have to be left once it is sent; `None`: it is sent whatever is left.
     fn reserve(self) -> Option<i64> {
         match self {
             TrafficKind::Probe | TrafficKind::Average => None,
@@ -81,7 +91,7 @@
 #[derive(Clone, Debug)]
 pub struct Traffic {
     tokens: i64,
-    at: Micros,
+    refilled_at: Micros,
     /// Bytes sent, by kind.
     pub sent: [u64; TrafficKind::ALL.len()],
     /// Bytes held back, by kind.
@@ -93,7 +103,7 @@
         let none = [0; TrafficKind::ALL.len()];
         Traffic {
             tokens: BURST,
-            at: 0,
+            refilled_at: 0,
             sent: none,
             held_back: none,
         }
@@ -111,26 +121,26 @@
         if admitted {
             // What always goes may overdraw, up to a second's worth: the others then wait for that long.
             self.tokens = (self.tokens - size).max(-RATE);
-            self.sent[kind as usize] += bytes as u64;
+            self.sent[kind.index()] += bytes as u64;
         } else {
-            self.held_back[kind as usize] += bytes as u64;
+            self.held_back[kind.index()] += bytes as u64;
         }
         admitted
     }
 
-    /// Whether the budget is tight: less than a datagram's reserve is left for repair.
-    pub fn is_budget_low(&mut self, now: Micros) -> bool {
+    /// Whether less than half of the burst is left, so that a repair could not be ended.
+    pub fn is_low(&mut self, now: Micros) -> bool {
         self.refill(now);
         self.tokens < BURST / 2
     }
 
     fn refill(&mut self, now: Micros) {
-        let passed = now.saturating_sub(self.at).min(10_000_000) as i64;
-        let earned = passed * RATE / 1_000_000;
+        let passed = now.saturating_sub(self.refilled_at).min(LONGEST_REFILL) as i64;
+        let earned = passed * RATE / MICROS_PER_SECOND;
         // Time that earned less than a byte is not taken, or frequent calls would earn nothing.
         if earned > 0 {
             self.tokens = (self.tokens + earned).min(BURST);
-            self.at = now;
+            self.refilled_at = now;
         }
     }
 }
--- a/wrenseam/src/gossip.rs
+++ b/wrenseam/src/gossip.rs
@@ -6,7 +6,10 @@
 use crate::fleet::identity::MAX_DATAGRAM;
 use crate::fleet::node::EXTRA_TRANSMISSIONS;
 use crate::fleet::swim::Dropped;
-use crate::fleet::{Lifecycle, Metadata, Node, NodeSettings, PeerEvent, SwimSettings};
+use crate::fleet::traffic::Outgoing;
+use crate::fleet::{
+    Lifecycle, Metadata, Node, NodeSettings, PeerEvent, SwimSettings, TimedPeerEvent,
+};
 use crate::process_state::ProcessState;
 use crate::queue::{CoreHandle, Message};
 use may::net::UdpSocket;
@@ -127,7 +130,7 @@
             }
         }
         send(&socket, &mut node);
-        for (_, event) in node.events() {
+        for TimedPeerEvent { event, .. } in node.events() {
             match event {
                 PeerEvent::Up(p) => note!("fleet: peer {} up, {} alive", p.addr, node.alive()),
                 PeerEvent::Down(p) => note!("fleet: peer {} down, {} alive", p.addr, node.alive()),
@@ -139,14 +142,14 @@
                 }
             }
         }
-        let next = node.next().min(publish_at);
+        let next = node.next_wakeup().min(publish_at);
         let wait = next
             .saturating_sub(clock.now())
             .clamp(1000, period.max(1000));
         let _ = socket.set_read_timeout(Some(Duration::from_micros(wait)));
         // An error is a time that is up, or the ICMP word of an earlier send to a peer that is gone.
         if let Ok((n, _)) = socket.recv_from(&mut buffer) {
-            node.datagram(clock.now(), &buffer[..n]);
+            node.handle_datagram(clock.now(), &buffer[..n]);
         }
     }
 }
@@ -169,7 +172,7 @@
 }
 
 fn send(socket: &UdpSocket, node: &mut Node) {
-    for (to, bytes) in node.outbox() {
+    for Outgoing { to, bytes, .. } in node.outbox() {
         // A peer that is gone answers with an ICMP error on a later call: nothing to do but go on.
         let _ = socket.send_to(&bytes, to);
     }
--- a/wrenseam/tests/fleet_average.rs
+++ b/wrenseam/tests/fleet_average.rs
@@ -4,7 +4,10 @@
 use rstest::rstest;
 use std::net::SocketAddr;
 use wrenseam::config::Fleet;
-use wrenseam::fleet::average::{neighbours, AverageDropped, Exchange, MAX_FLOW, RINGS};
+use wrenseam::fleet::average::{
+    neighbours, AverageDropped, EdgeRole, Exchange, ExchangeKind, MAX_FLOW, RINGS,
+};
+use wrenseam::fleet::traffic::Outgoing;
 use wrenseam::fleet::{Average, PeerId, Summaries, Summary};
 
 const MS: u64 = 1000;
@@ -21,6 +24,13 @@
     }
 }
 
+fn opposite(role: EdgeRole) -> EdgeRole {
+    match role {
+        EdgeRole::Requester => EdgeRole::Responder,
+        EdgeRole::Responder => EdgeRole::Requester,
+    }
+}
+
 /// However large the fleet, and whoever is in it: each edge is held by both ends and asked over by one.
 #[rstest]
 fn neighbours_are_few_and_agree(#[values(2, 3, 4, 9, 50, 300)] n: usize) {
@@ -28,14 +38,20 @@
     let of: Vec<_> = (0..n).map(|i| neighbours(addr(i * 7), all())).collect();
     for (i, local) in of.iter().enumerate() {
         assert!(
-            local.len() <= 2 * RINGS && local.values().filter(|asks| **asks).count() <= RINGS,
+            local.len() <= 2 * RINGS
+                && local
+                    .values()
+                    .filter(|role| **role == EdgeRole::Requester)
+                    .count()
+                    <= RINGS,
             "{local:?}"
         );
         assert!(!local.is_empty() && !local.contains_key(&addr(i * 7)));
         for (j, remote) in of.iter().enumerate().filter(|(j, _)| *j != i) {
             let (here, there) = (local.get(&addr(j * 7)), remote.get(&addr(i * 7)));
             assert!(
-                here.is_none() && there.is_none() || here.copied() == there.map(|asks| !asks),
+                here.is_none() && there.is_none()
+                    || here.copied() == there.map(|&role| opposite(role)),
                 "{i} and {j}"
             );
         }
@@ -51,7 +67,7 @@
         incarnation: u64::MAX - 2,
     };
     let x = Exchange {
-        answer: true,
+        kind: ExchangeKind::Reply,
         from,
         seq: 77,
         flow: -4_000_000,
@@ -79,8 +95,8 @@
         let averages = (0..n)
             .map(|i| {
                 let mut average = Average::new(peer(i), 7, 500 * MS, i as u64);
-                average.members(0, (0..n).map(addr));
-                average.set(1000 * i as u32);
+                average.set_members(0, (0..n).map(addr));
+                average.set_pressure(1000 * i as u32);
                 average
             })
             .collect();
@@ -97,12 +113,12 @@
                 if out.is_empty() {
                     break;
                 }
-                for (to, bytes) in out {
+                for Outgoing { to, bytes, .. } in out {
                     let to = (0..self.averages.len())
                         .find(|&i| addr(i) == to)
                         .expect("a member");
                     for _ in 0..way(&Exchange::decode(&bytes).expect("ours")) {
-                        self.averages[to].datagram(self.now, &bytes);
+                        self.averages[to].handle_datagram(self.now, &bytes);
                     }
                 }
             }
@@ -117,8 +133,8 @@
 /// Whatever the net did for ten seconds: once it is whole again all tell the true mean, to the unit.
 #[rstest]
 #[case::whole(|_, _| 1)]
-#[case::all_answers_lost(|x: Exchange, _| usize::from(!x.answer))]
-#[case::all_asks_lost(|x: Exchange, _| usize::from(x.answer))]
+#[case::all_answers_lost(|x: Exchange, _| usize::from(x.kind == ExchangeKind::Request))]
+#[case::all_asks_lost(|x: Exchange, _| usize::from(x.kind == ExchangeKind::Reply))]
 #[case::all_twice(|_, _| 2)]
 #[case::a_third_lost_a_third_twice(|_, chance| chance as usize % 3)]
 fn no_fault_of_the_net_makes_or_takes_pressure(
@@ -150,7 +166,7 @@
             ..peer(5)
         };
         wire.averages[5] = Average::new(incarnation, 7, 500 * MS, 50);
-        wire.averages[5].members(wire.now, (0..6).map(addr));
+        wire.averages[5].set_members(wire.now, (0..6).map(addr));
         wire.run(5_000, &mut |_| 1);
         // Its new incarnation says nothing of load: 0 to 4000 and one 0.
         assert_eq!(wire.told(), [1667; 6]);
@@ -169,7 +185,7 @@
 )]
 #[case::no_neighbour(|x: Exchange| Exchange { from: peer(9), ..x }.encode(&HEADER), AverageDropped { garbled: 0, stale: 0, stranger: 1 })]
 #[case::an_answer_where_an_ask_belongs(
-    |x: Exchange| Exchange { answer: true, ..x }.encode(&HEADER),
+    |x: Exchange| Exchange { kind: ExchangeKind::Reply, ..x }.encode(&HEADER),
     AverageDropped { garbled: 0, stale: 0, stranger: 1 }
 )]
 fn what_cannot_be_taken_is_counted_and_moves_nothing(
@@ -179,13 +195,15 @@
     let mut wire = Wire::new(2);
     let mut last = None;
     wire.run(5_000, &mut |x| {
-        last = Some(*x).filter(|x| !x.answer).or(last);
+        last = Some(*x)
+            .filter(|x| x.kind == ExchangeKind::Request)
+            .or(last);
         1
     });
     let last = last.expect("asks went");
     let to = usize::from(last.from == peer(0));
     let before = wire.averages[to].dropped;
-    wire.averages[to].datagram(
+    wire.averages[to].handle_datagram(
         wire.now,
         &bad(Exchange {
             flow: 4_000_000,
@@ -211,10 +229,12 @@
 #[case(i32::MIN, i32::MIN, 0)]
 fn claims_are_clamped(#[case] flow: i32, #[case] estimate: i32, #[case] most: u32) {
     let mut wire = Wire::new(2);
-    wire.averages.iter_mut().for_each(|v| v.set(4000));
+    wire.averages.iter_mut().for_each(|v| v.set_pressure(4000));
     let mut last = None;
     wire.run(5_000, &mut |x| {
-        last = Some(*x).filter(|x| !x.answer).or(last);
+        last = Some(*x)
+            .filter(|x| x.kind == ExchangeKind::Request)
+            .or(last);
         1
     });
     let last = last.expect("asks went");
@@ -225,8 +245,8 @@
         estimate,
         ..last
     };
-    wire.averages[to].datagram(wire.now, &lie.encode(&HEADER));
-    let answer = Exchange::decode(&wire.averages[to].outbox()[0].1).expect("an answer");
+    wire.averages[to].handle_datagram(wire.now, &lie.encode(&HEADER));
+    let answer = Exchange::decode(&wire.averages[to].outbox()[0].bytes).expect("an answer");
     assert!(answer.flow.unsigned_abs() <= MAX_FLOW * 1000, "{answer:?}");
     assert!(
         (0..=most as i32 * 1000).contains(&answer.estimate),
--- a/wrenseam/tests/fleet_budget.rs
+++ b/wrenseam/tests/fleet_budget.rs
@@ -21,7 +21,7 @@
     let let_through = (0..1000).filter(|_| b.extra(S, 1)).count() as u32;
     assert_eq!(let_through, want);
     assert_eq!(
-        b.spent(S),
+        b.usage(S),
         BudgetUsage {
             firsts,
             extras: want,
@@ -50,7 +50,7 @@
     b.first(11 * S);
     assert!(b.extra(11 * S, 1));
     assert_eq!(
-        b.spent(11 * S),
+        b.usage(11 * S),
         BudgetUsage {
             firsts: 2,
             extras: 1,
--- a/wrenseam/tests/fleet_records.rs
+++ b/wrenseam/tests/fleet_records.rs
@@ -48,13 +48,13 @@
     let Some(liveness) = liveness else {
         return directory;
     };
-    directory.up(0, id(1, 5));
+    directory.mark_alive(0, id(1, 5));
     assert!(directory.merge_record(record(1, 5, 3, 1)));
     if liveness == Liveness::Left {
-        directory.left(id(1, 5));
+        directory.mark_leaving(id(1, 5));
     }
     if liveness.is_gone() {
-        assert_eq!(directory.gone(0, id(1, 5)), liveness);
+        assert_eq!(directory.mark_gone(0, id(1, 5)), liveness);
     }
     directory
 }
@@ -125,7 +125,7 @@
         .iter()
         .map(|order| {
             let mut directory = directory(None);
-            directory.up(0, id(1, 5));
+            directory.mark_alive(0, id(1, 5));
             for record in order {
                 directory.merge_record((*record).clone());
             }
@@ -159,7 +159,7 @@
             .member_digest(addr(1))
             .is_none_or(|held| held.stamp.incarnation < record.stamp.incarnation)
         {
-            directory.up(0, record.id());
+            directory.mark_alive(0, record.id());
         }
         directory.merge_record(record.clone());
     }
@@ -219,13 +219,18 @@
     }
 }
 
+/// The standard library's error for the one byte 0xff.
+fn invalid_utf8() -> std::string::FromUtf8Error {
+    String::from_utf8(vec![0xff]).expect_err("0xff is in no UTF-8 text")
+}
+
 #[rstest]
 #[case::cut_short(|b: &mut Vec<u8>| b.truncate(b.len() - 1), RecordError::Truncated)]
 #[case::longer(|b: &mut Vec<u8>| b.push(0), RecordError::Truncated)]
 #[case::another_form(|b: &mut Vec<u8>| b[19] = 2, RecordError::UnknownFormat(2))]
 #[case::another_lifecycle(|b: &mut Vec<u8>| b[20] = 4, RecordError::UnknownLifecycle(4))]
 #[case::an_endless_incarnation(|b: &mut Vec<u8>| b[7] = 0xff, RecordError::IncarnationOutOfRange(0xff00_0000_0000_0005))]
-#[case::no_text(|b: &mut Vec<u8>| b[30] = 0xff, RecordError::NotText)]
+#[case::no_text(|b: &mut Vec<u8>| b[30] = 0xff, RecordError::NotText(invalid_utf8()))]
 fn what_is_no_record_is_refused(#[case] spoil: fn(&mut Vec<u8>), #[case] want: RecordError) {
     let metadata = Metadata {
         zone: "z".to_owned(),
@@ -269,7 +274,7 @@
             member_digests: vec![member_digest; 3],
         },
         Message::Records {
-            news: true,
+            is_update: true,
             records: vec![record(1, 5, 3, 1), record(2, 5, 3, 2)],
         },
         Message::Wanted(vec![addr(1), "[fd00::7]:9".parse().expect("an address")]),
@@ -334,7 +339,7 @@
 ) -> Vec<(SocketAddr, Message)> {
     let header = header(RECORDS_VERSION, CLUSTER);
     let bytes = Envelope { from, message }.encode(&header).expect("small");
-    members.datagram(now, &bytes);
+    members.handle_datagram(now, &bytes);
     answers(members)
 }
 
@@ -346,7 +351,7 @@
 
 fn news(record: Record) -> Message {
     Message::Records {
-        news: true,
+        is_update: true,
         records: vec![record],
     }
 }
@@ -398,7 +403,7 @@
     let downs = members
         .events()
         .into_iter()
-        .filter(|(_, event)| matches!(event, PeerEvent::Down(_)));
+        .filter(|timed| matches!(timed.event, PeerEvent::Down(_)));
     assert_eq!(downs.count(), 0);
 }
 
@@ -544,7 +549,7 @@
     let mut members = members();
     tell(&mut members, MS, id(1, 5), news(record(1, 5, 1, 1)));
     let digest = members.directory().digest();
-    members.datagram(2 * MS, &bytes);
+    members.handle_datagram(2 * MS, &bytes);
     let (dropped, counts) = (members.swim().dropped, members.counts);
     let got = [
         dropped.oversized,
@@ -567,7 +572,7 @@
         if rng.random::<bool>() {
             bytes.extend(crc32fast::hash(&bytes).to_be_bytes());
         }
-        members.datagram(n * MS, &bytes);
+        members.handle_datagram(n * MS, &bytes);
         members.tick(n * MS);
         members.outbox();
     }
@@ -586,8 +591,8 @@
 ) {
     let mut directory = Directory::new(record(0, 5, 1, 1));
     for i in 1..=gone {
-        directory.up(0, id(i, 5));
-        directory.gone(i as u64, id(i, 5));
+        directory.mark_alive(0, id(i, 5));
+        directory.mark_gone(i as u64, id(i, 5));
     }
     let forgotten = directory.forget_gone(after + gone as u64);
     let left = (1..=gone)
--- a/wrenseam/tests/fleet_swim.rs
+++ b/wrenseam/tests/fleet_swim.rs
@@ -88,13 +88,14 @@
                         }
                     }
                 }
-                seen.extend(self.swims[i].events().into_iter().map(|(at, e)| (at, i, e)));
+                let events = self.swims[i].events().into_iter();
+                seen.extend(events.map(|timed| (timed.at, i, timed.event)));
             }
             let (due, later): (Vec<_>, Vec<_>) = self.flight.drain(..).partition(|f| f.0 <= now);
             self.flight = later;
             for (_, to, bytes) in due {
                 if !(self.dead.contains(&to) && now >= self.dead_at) {
-                    self.swims[to].datagram(now, &bytes);
+                    self.swims[to].handle_datagram(now, &bytes);
                 }
             }
         }
@@ -149,7 +150,7 @@
 #[case::oversized(vec![0; MAX_DATAGRAM + 1])]
 fn bad_datagrams_are_counted_and_dropped(#[case] bytes: Vec<u8>) {
     let mut s = Swim::new(addr(0), 1, settings(), 1);
-    s.datagram(0, &bytes);
+    s.handle_datagram(0, &bytes);
     let d = s.dropped;
     assert_eq!(d.oversized + d.foreign + d.garbled, 1, "{d:?}");
     assert_eq!(s.alive(), 0);
--- a/wrenseam/tests/golden_admin.rs
+++ b/wrenseam/tests/golden_admin.rs
@@ -7,7 +7,7 @@
 use std::io::{Read, Write};
 use wrenseam::config;
 use wrenseam::core::{Gate, Gauges, Tally};
-use wrenseam::fleet::average::AverageDropped;
+use wrenseam::fleet::average::{AverageDropped, EdgeCounts};
 use wrenseam::fleet::members::RecordCounts;
 use wrenseam::fleet::swim::Dropped;
 use wrenseam::fleet::FleetStatus;
@@ -104,7 +104,7 @@
         digest: 0x1234_5678_9abc_def0,
         digest_stood: 5_678_901,
         pressure: 432,
-        edges: (6, 8),
+        edges: EdgeCounts { heard: 6, total: 8 },
         mixed: true,
         health_multiplier: 2,
         bytes_sent: [101, 102, 103, 104, 105, 106, 107],
--- a/wrenseam/tests/golden_fleet.rs
+++ b/wrenseam/tests/golden_fleet.rs
@@ -3,7 +3,7 @@
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use wrenseam::fleet::average::Exchange;
+use wrenseam::fleet::average::{Exchange, ExchangeKind};
 use wrenseam::fleet::identity::{
     address_hash, header, mix, put_address, take_address, AVERAGE_VERSION, SWIM_VERSION,
 };
@@ -116,7 +116,7 @@
         record(v6(), Lifecycle::Leaving),
     ];
     Message::Records {
-        news: changed,
+        is_update: changed,
         records,
     }
 }
@@ -229,7 +229,7 @@
         denied: 0x44,
         shed: 0x55,
         healthy: 0x6677,
-        views: true,
+        supports_averaging: true,
     }
 }
 
@@ -248,9 +248,9 @@
     assert_eq!(Summary::decode(&bytes), Ok(summary));
 }
 
-fn exchange(answer: bool, from: SocketAddr) -> Exchange {
+fn exchange(kind: ExchangeKind, from: SocketAddr) -> Exchange {
     Exchange {
-        answer,
+        kind,
         from: peer(from),
         seq: 0x0a0b_0c0d,
         flow: -4_000_000,
@@ -260,14 +260,14 @@
 
 #[rstest]
 #[case::ask(
-    exchange(false, v4()),
+    exchange(ExchangeKind::Request, v4()),
     "7746020102030400041f0a0a01020300001122334455660a0b0c0dffc2f7000012d6879cf29ccd"
 )]
 #[case::answer(
-    exchange(true, v4()),
+    exchange(ExchangeKind::Reply, v4()),
     "7746020102030401041f0a0a01020300001122334455660a0b0c0dffc2f7000012d6879d4761d0"
 )]
-#[case::answer_of_v6(exchange(true, v6()), "7746020102030401061f0b20010db800000000000000000000000700001122334455660a0b0c0dffc2f7000012d68772\
+#[case::answer_of_v6(exchange(ExchangeKind::Reply, v6()), "7746020102030401061f0b20010db800000000000000000000000700001122334455660a0b0c0dffc2f7000012d68772\
          621f15")]
 fn averaging_exchanges_keep_their_bytes(#[case] exchange: Exchange, #[case] golden: &str) {
     let bytes = exchange.encode(&header(AVERAGE_VERSION, CLUSTER));
@@ -317,11 +317,11 @@
         &announce,
         "77460101020304000a0102038a3ee6aa919aa3a404000120010db80000000000000000000000078b3e0006",
     );
-    assert_eq!(seed.datagram(0, &announce), Some(peer(v4())));
+    assert_eq!(seed.handle_datagram(0, &announce), Some(peer(v4())));
     let feed = only_datagram(&mut seed);
     pinned(&feed, "774601010203040120010db80000000000000000000000078b3ee6aa919aa3a40400000a0102038a3ee6aa919aa3a404\
          070000");
-    assert_eq!(joining.datagram(0, &feed), Some(peer(v6())));
+    assert_eq!(joining.handle_datagram(0, &feed), Some(peer(v6())));
     assert_eq!(joining.members().collect::<Vec<_>>(), [v6()]);
     joining.publish(0, full_summary(None));
     joining.leave(0, true);
