--- a/wrenseam/src/fleet/identity.rs
+++ b/wrenseam/src/fleet/identity.rs
@@ -1,5 +1,4 @@
-//! What every datagram of the fleet begins with, and who speaks: the ground floor that the other modules of the
-//! fleet stand on. No I/O.
+//! What every datagram of the fleet begins with, and the identity of its sender. No I/O.
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, SocketAddr};
 
@@ -14,11 +13,15 @@
 /// The largest pressure that counts, in thousandths of capacity: at 8 times its capacity a fleet already
 /// refuses 7 in 8. Larger ones count as this.
 pub const MAX_PRESSURE: u32 = 8000;
-/// The largest incarnation that counts: half of the range, so that no told one can leave an owner without a larger.
+/// The largest incarnation that counts: half of the range, so that no reported one can leave an owner without a larger.
 pub const MAX_INCARNATION: u64 = u64::MAX / 2;
 
+/// Address families on the wire.
 const FAMILY_V4: u8 = 4;
 const FAMILY_V6: u8 = 6;
+/// The offset basis and prime of FNV-1a, 64 bits wide.
+const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
 /// A front end in the fleet: its gossip address, and which start of the process at that address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -48,8 +51,8 @@
 
 /// The header of a datagram: `wF`, a version, the cluster's id (big-endian).
 pub fn header(version: u8, cluster: u32) -> [u8; HEADER_BYTES] {
-    let c = cluster.to_be_bytes();
-    [b'w', b'F', version, c[0], c[1], c[2], c[3]]
+    let [first, second, third, fourth] = cluster.to_be_bytes();
+    [b'w', b'F', version, first, second, third, fourth]
 }
 
 /// Appends an address: family (1: 4 or 6), port (2), the address itself (4 or 16), big-endian.
@@ -82,17 +85,23 @@
 
 /// FNV-1a over the address and port.
 pub fn address_hash(addr: SocketAddr) -> u64 {
-    let fold = |h: u64, b: &u8| (h ^ u64::from(*b)).wrapping_mul(0x0000_0100_0000_01b3);
-    let h = match addr {
-        SocketAddr::V4(a) => a.ip().octets().iter().fold(0xcbf2_9ce4_8422_2325, fold),
-        SocketAddr::V6(a) => a.ip().octets().iter().fold(0xcbf2_9ce4_8422_2325, fold),
+    let ip_hash = match addr.ip() {
+        IpAddr::V4(ip) => fnv_1a(FNV_OFFSET, &ip.octets()),
+        IpAddr::V6(ip) => fnv_1a(FNV_OFFSET, &ip.octets()),
     };
-    addr.port().to_be_bytes().iter().fold(h, fold)
+    fnv_1a(ip_hash, &addr.port().to_be_bytes())
+}
+
+/// Continues a hash by FNV-1a, 64 bits wide.
+fn fnv_1a(hash: u64, bytes: &[u8]) -> u64 {
+    bytes.iter().fold(hash, |hash, byte| {
+        (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME)
+    })
 }
 
 /// Spreads a hash over all its bits (the finalizer of SplitMix64).
-pub fn mix(mut h: u64) -> u64 {
-    h = (h ^ (h >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    h = (h ^ (h >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    h ^ (h >> 31)
+pub fn mix(mut hash: u64) -> u64 {
+    hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    hash ^ (hash >> 31)
 }
--- a/wrenseam/src/fleet/shed.rs
+++ b/wrenseam/src/fleet/shed.rs
@@ -1,83 +1,96 @@
-//! Shedding by class in common: under overload every front end refuses the same classes first, in the order
-//! of the settings, by as much as the fleet's pressure asks, so that the refused fraction converges across
-//! front ends. No I/O; time is handed in, in microseconds, and chance comes from a seeded generator.
+//! Load shedding by class across the fleet: under overload every front end sheds the same classes first, in the order
+//! of the settings, by as much as the fleet's pressure asks, so that the shed fraction converges across front ends. No I/O; time is handed in, in microseconds, and chance comes from a seeded generator.
 use wrenseam_policy::Micros;
 
-/// Decides which arriving requests are refused at once.
+/// The pressure of a fleet at its capacity, in thousandths.
+const PRESSURE_AT_CAPACITY: f64 = 1000.0;
+/// How far the shed part moves towards its target with each pressure: halfway, so that a burst in one summary moves it
+/// some, not all.
+const SMOOTHING: f64 = 0.5;
+
+/// Decides which arriving requests are shed.
 ///
-/// `order` ranks the classes, those refused first at the front. At fleet pressure `p` (in-flight over
-/// capacity; 1.0 at capacity) the share to refuse is `1 - 1/p` above `1`, 0 below; it is taken from the
+/// `order` ranks the classes, those shed first at the front. At fleet pressure `p` (in-flight over
+/// capacity; 1.0 at capacity) the part to shed is `1 - 1/p` above `1`, 0 below; it is taken from the
 /// front of the order by each class's share of the recent arrivals, the class at the edge in part.
 #[derive(Clone, Debug)]
 pub struct Shedder {
     /// For each class of the settings, its rank in the order; classes not named come last, never shed.
-    rank: Vec<Option<usize>>,
-    /// Arrivals of each rank, decayed.
+    ranks: Vec<Option<usize>>,
+    /// Arrivals of each rank, decayed, and last those of classes that are never shed.
     arrivals: Vec<f64>,
     decay_for: Micros,
-    last: Micros,
-    /// The share of arrivals to refuse, from the last pressure told.
-    refuse: f64,
+    /// When arrivals were last decayed.
+    decayed_at: Micros,
+    /// The part of arrivals to shed, by the pressures so far.
+    shed_part: f64,
 }
 
 impl Shedder {
     /// `order[i]` is the index of a class in the settings, `classes` their count; `decay_for` is the time
     /// over which arrivals count (microseconds).
     pub fn new(order: &[usize], classes: usize, decay_for: Micros) -> Self {
-        let mut rank = vec![None; classes];
-        for (r, &c) in order.iter().enumerate() {
-            if let Some(slot) = rank.get_mut(c).filter(|s| s.is_none()) {
-                *slot = Some(r);
+        let mut ranks = vec![None; classes];
+        for (rank, &class) in order.iter().enumerate() {
+            if let Some(unranked) = ranks.get_mut(class).filter(|known| known.is_none()) {
+                *unranked = Some(rank);
             }
         }
-        // One slot a rank, and one for the classes that are never shed: they count in the whole.
-        let ranks = rank.iter().flatten().count();
+        // One count a rank, and one for the classes that are never shed: they count in the total.
+        let ranked = ranks.iter().flatten().count();
         Shedder {
-            rank,
-            arrivals: vec![0.0; ranks + 1],
+            ranks,
+            arrivals: vec![0.0; ranked + 1],
             decay_for: decay_for.max(1),
-            last: 0,
-            refuse: 0.0,
+            decayed_at: 0,
+            shed_part: 0.0,
         }
     }
 
     /// The fleet's pressure at `now`, in thousandths of capacity.
     pub fn pressure(&mut self, now: Micros, thousandths: u32) {
-        let p = f64::from(thousandths) / 1000.0;
-        let want = if p > 1.0 { 1.0 - 1.0 / p } else { 0.0 };
-        // Halfway each time: a burst of one summary moves it some, not all.
-        self.refuse += 0.5 * (want - self.refuse);
+        let pressure = f64::from(thousandths) / PRESSURE_AT_CAPACITY;
+        let target = if pressure > 1.0 {
+            1.0 - 1.0 / pressure
+        } else {
+            0.0
+        };
+        self.shed_part += SMOOTHING * (target - self.shed_part);
         self.decay(now);
     }
 
-    /// The share of arrivals now refused.
+    /// The part of arrivals that is shed now.
     pub fn refusing(&self) -> f64 {
-        self.refuse
+        self.shed_part
     }
 
     fn decay(&mut self, now: Micros) {
-        let past = now.saturating_sub(self.last) as f64 / self.decay_for as f64;
+        let past = now.saturating_sub(self.decayed_at) as f64 / self.decay_for as f64;
         if past > 0.0 {
-            let keep = (-past).exp();
-            self.arrivals.iter_mut().for_each(|a| *a *= keep);
-            self.last = now;
+            let remaining = (-past).exp();
+            for arrivals in &mut self.arrivals {
+                *arrivals *= remaining;
+            }
+            self.decayed_at = now;
         }
     }
 
-    /// Whether a request of class `class` that arrives at `now` is refused; `chance` is uniform in [0, 1).
+    /// Whether a request of class `class` that arrives at `now` is shed; `chance` is uniform in [0, 1).
     pub fn refuses(&mut self, now: Micros, class: usize, chance: f64) -> bool {
         self.decay(now);
-        let last = self.arrivals.len() - 1;
-        let rank = self.rank.get(class).copied().flatten();
-        self.arrivals[rank.unwrap_or(last)] += 1.0;
-        let Some(rank) = rank else { return false };
-        if self.refuse <= 0.0 {
+        let never_shed = self.arrivals.len() - 1;
+        let rank = self.ranks.get(class).copied().flatten();
+        self.arrivals[rank.unwrap_or(never_shed)] += 1.0;
+        let Some(rank) = rank else {
+            return false;
+        };
+        if self.shed_part <= 0.0 {
             return false;
         }
         let total: f64 = self.arrivals.iter().sum();
         let before: f64 = self.arrivals[..rank].iter().sum::<f64>() / total;
         let own = self.arrivals[rank] / total;
-        let past = self.refuse - before;
-        past >= own || past > 0.0 && chance < past / own
+        let remaining = self.shed_part - before;
+        remaining >= own || remaining > 0.0 && chance < remaining / own
     }
 }
--- a/wrenseam/src/lib.rs
+++ b/wrenseam/src/lib.rs
@@ -87,7 +87,8 @@
             core_handle.clone(),
             shared.clone(),
             limits.stack,
-        )?;
+        )
+        .map_err(|error| error.to_string())?;
         eprintln!("start: gossip listens on {own}");
     }
     // The module would be half-changed after a panic: a front end without its core must not go on.
