--- a/wrenseam/src/gossip/log_lines.rs
+++ b/wrenseam/src/gossip/log_lines.rs
@@ -20,7 +20,7 @@
 
 /// No peer is counted alive any more.
 pub fn isolated() -> String {
-    "fleet: no peer alive; own budget only".to_owned()
+    "fleet: no peer alive; retry budget by this front end's share only".to_owned()
 }
 
 /// The peers had declared this front end down, and it came back.
@@ -30,7 +30,7 @@
 
 /// This front end's record is beyond its bounds; the former one stays published.
 pub fn record_not_published(error: &RecordError) -> String {
-    format!("fleet: our record is not published: {error}")
+    format!("fleet: member record not published: {error}")
 }
 
 /// Datagrams were dropped, counted by cause since the start.
@@ -41,11 +41,12 @@
     )
 }
 
-/// Front ends of an earlier version came into the fleet, or the last of them has gone.
+/// Front ends of a version without averaging came into the fleet, or the last of them has gone.
 pub fn mixed_versions(is_mixed: bool) -> String {
     if is_mixed {
-        "fleet: front ends from before the view heard: summaries are gossiped for them".to_owned()
+        "fleet: mixed versions: load summaries are gossiped for front ends without averaging"
+            .to_owned()
     } else {
-        "fleet: front ends from before the view heard no more".to_owned()
+        "fleet: no mixed versions any more: load summaries stopped".to_owned()
     }
 }
