--- a/fleetlab/src/lab.rs
+++ b/fleetlab/src/lab.rs
@@ -1,19 +1,26 @@
 //! A run: stand-in workers behind relays, N processes of the program with their gossip behind relays,
 //! the gateways' load, and the faults on their timeline. Everything is on loopback and ends by itself.
+mod endpoints;
+mod front_end;
+mod observe;
+mod outcome;
+
+pub use outcome::Outcome;
+
+use crate::coroutine::spawn;
 use crate::faults::Faults;
-use crate::gateway::{self, Load};
-use crate::process::{follow, Process};
-use crate::proxy::{self, Done, Real};
+use crate::fleet_view::{fleet_figures, until_agreed};
+use crate::load_generator::{self, LoadSettings};
+use crate::metrics::Metrics;
+use crate::relay::{self, Real, RelayCounts};
 use crate::scenario::{Fault, Scenario};
-use crate::tally::Tally;
-use crate::views::{declared_down, figure, fleet_figures, until_agreed, Agreed, Figures};
-use crate::worker::{self, go};
+use crate::worker;
+use front_end::Front;
 use nix::sys::signal::Signal;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::{Command, Stdio};
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::mpsc::{channel, Receiver, RecvTimeoutError};
+use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex, RwLock};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -23,59 +30,12 @@
 /// What a cold worker of the lab can do for certain, and when it is warm: as in the settings below, s.
 const COLD: (f64, f64, f64) = (0.2, 17.0, 2.0);
 
-/// A front end that writes nothing for so long before it listens is given up, as a fleet that does not form.
-const LISTENS: Duration = Duration::from_secs(10);
-
 /// A front end that has not ended so long after SIGTERM is given up.
 const LEAVES: Duration = Duration::from_secs(10);
 
 /// Whether a thread or coroutine of the lab panicked: the figures then tell of the lab, not of the front ends.
 static PANICKED: AtomicBool = AtomicBool::new(false);
 
-/// The settings every front end of the lab is given: the classes the gateways use, one tenant.
-const SETTINGS: &str = r#"{"balancers":$FRONTS,$INDEX"classes":[
- {"effect":"$EFFECT","goal-time":400,"key-scope":"all","memory-span":5000,"name":"tile-render","worth":1}],
- "failure-domains":["hall-a","hall-b"],"flavors":["std"],"tenants":[{"name":"acme","portion":1,"quota-per-s":$QUOTA}],
- "family-info":{"free-loads":4,"keep":8000,"load-span":5000,"load-wait":4000,"loads-per-request":0.15,
- "machine-mb":[90000],"orders":true,"tells-crowd":true,"tells-warm":true,"when-absent":"load"},
- "limits":{"conn-idle":15000,"connect-timeout":250,"max-attempts":3,"max-retry-after":1000,"may-cancel":true,
- "retry-after":true,"second-copies":false,"streams-per-conn":100},"rules":{"cold-from":0.2,"fall":1000,
- "fall-multiple":2,"warm-within":17000}}"#;
-
-/// One process of the program.
-struct Front {
-    child: Process,
-    admin: SocketAddr,
-    kserve: SocketAddr,
-    /// Its gossip socket, kept across a restart.
-    gossip: Option<SocketAddr>,
-}
-
-/// A front end that has been started, and the lines of its log.
-struct Starting {
-    f: usize,
-    child: Process,
-    lines: Receiver<String>,
-}
-
-/// What a run leaves: the tally, each front end's fleet figures at the end, the relays' work.
-pub struct Outcome {
-    pub tally: Arc<Tally>,
-    /// Per front end: (name, value) of its `app.fleet.*` figures read at the end of the load.
-    pub figures: Vec<Figures>,
-    pub done: Done,
-    /// Front ends that ended by themselves, not by a `kill`.
-    pub died: Vec<usize>,
-    /// Per worker started anew: the most that any second brought it, as a part of what the rule allows.
-    pub cold: Vec<(usize, f64)>,
-    /// When all front ends agreed after the last fault, where the scenario asks for it.
-    pub agreed: Option<Agreed>,
-    /// Log lines in which a front end was declared down that was never in trouble itself.
-    pub wronged: Vec<String>,
-    /// Seconds until every front end counted all others alive, before the load (None: fleet off).
-    pub joined_s: Option<f64>,
-}
-
 /// The lab's whole state while a run goes on.
 struct Lab {
     scenario: Scenario,
@@ -110,14 +70,15 @@
     may::config().set_worker_pin(false); // a thread tied to a core waits for whatever else runs there
     let s = scenario.clone();
     let faults = Arc::new(RwLock::new(Faults::new(s.fronts, s.workers)));
-    let tally = Arc::new(Tally::new(s.seconds));
-    let done = Arc::new(Mutex::new(Done::default()));
+    let metrics = Arc::new(Metrics::new(s.seconds));
+    let done = Arc::new(Mutex::new(RelayCounts::default()));
     let io = |e: std::io::Error| e.to_string();
     let mut links = Vec::new();
     for w in 0..s.workers {
-        let at = worker::start(w, s.work_ms, s.seed, faults.clone(), tally.clone()).map_err(io)?;
+        let at =
+            worker::start(w, s.work_ms, s.seed, faults.clone(), metrics.clone()).map_err(io)?;
         links.push(
-            proxy::link(
+            relay::link(
                 w,
                 at,
                 faults.clone(),
@@ -132,7 +93,7 @@
     for f in 0..s.fronts {
         let seed = s.seed ^ (f as u64) << 16;
         relays
-            .push(proxy::gossip(f, real.clone(), faults.clone(), seed, done.clone()).map_err(io)?);
+            .push(relay::gossip(f, real.clone(), faults.clone(), seed, done.clone()).map_err(io)?);
     }
     let endpoints = folder.join("endpoints.json");
     let mut lab = Lab {
@@ -159,7 +120,7 @@
     let kserve = Arc::new(RwLock::new(
         lab.fronts.iter().map(|f| f.kserve).collect::<Vec<_>>(),
     ));
-    let load = Load {
+    let load = LoadSettings {
         rate_per_s: s.rate_per_s,
         seconds: s.seconds,
         wait_ms: s.wait_ms,
@@ -168,10 +129,10 @@
         fragile: s.is_fragile(),
     };
     let (ended, driving) = channel();
-    let (k, t) = (kserve.clone(), tally.clone());
-    tally.clock.go_on();
-    go(move || {
-        gateway::drive(load, k, t);
+    let (k, t) = (kserve.clone(), metrics.clone());
+    metrics.clock.go_on();
+    spawn(move || {
+        load_generator::drive(load, k, t);
         let _ = ended.send(());
     });
     // The faults' timeline, on this thread; kills and restarts are of processes, the rest of links.
@@ -181,10 +142,10 @@
     let mut killed = vec![false; s.fronts];
     let mut ahead = &timeline[..];
     while let Some(fault) = ahead.first() {
-        while tally.clock.now().0 < fault.at_s {
+        while metrics.clock.now().0 < fault.at_s {
             std::thread::sleep(Duration::from_millis(5));
         }
-        eprintln!("lab: {:.2} s: {}", tally.clock.now().0, fault.kind);
+        eprintln!("lab: {:.2} s: {}", metrics.clock.now().0, fault.kind);
         let with_it =
             |o: &&Fault| o.kind == fault.kind && o.kind == "restart" && o.at_s == fault.at_s;
         let together = ahead.iter().take_while(with_it).count().max(1);
@@ -206,7 +167,7 @@
             "stop" => lab.signal(&fronts, Signal::SIGSTOP)?,
             "continue" => lab.signal(&fronts, Signal::SIGCONT)?,
             "restart" => {
-                for (f, front) in tally.clock.held(|| lab.restart(&fronts))? {
+                for (f, front) in metrics.clock.held(|| lab.restart(&fronts))? {
                     kserve.write().map_err(|_| "poisoned")?[f] = front.kserve;
                     lab.fronts[f] = front;
                     killed[f] = false;
@@ -218,7 +179,7 @@
                     let unix = SystemTime::now()
                         .duration_since(UNIX_EPOCH)
                         .map_or(0, |d| d.as_millis());
-                    lab.started[w] = Some((tally.clock.real_s(), unix));
+                    lab.started[w] = Some((metrics.clock.real_s(), unix));
                     lab.list()?;
                 }
             }
@@ -267,11 +228,11 @@
         .enumerate()
         .filter_map(|(w, at)| at.map(|at| (w, at.0)));
     let cold = started
-        .map(|(w, at)| (w, tally.worst(w, at, allowed)))
+        .map(|(w, at)| (w, metrics.worst(w, at, allowed)))
         .collect();
     let wronged = lab.wronged()?;
     Ok(Outcome {
-        tally,
+        metrics,
         figures,
         done,
         died,
@@ -294,215 +255,4 @@
             .iter()
             .try_for_each(|&f| self.fronts[f].child.signal(signal))
     }
-
-    /// The front ends that run, and where each tells its figures.
-    fn running(&self) -> Vec<(usize, SocketAddr)> {
-        let held = self
-            .fronts
-            .iter()
-            .enumerate()
-            .filter(|(_, front)| front.child.is_held());
-        held.map(|(f, front)| (f, front.admin)).collect()
-    }
-
-    /// Log lines that declare a front end down of which no fault is told: it ran, heard and was heard all the time.
-    fn wronged(&self) -> Result<Vec<String>, String> {
-        let faults = &self.scenario.faults;
-        let of_one = faults
-            .iter()
-            .flat_map(|fault| [fault.front, fault.from, fault.to])
-            .flatten();
-        let of_parts = faults.iter().filter(|fault| fault.kind == "partition");
-        if of_parts.count() > 0 {
-            return Ok(Vec::new()); // all were cut from some
-        }
-        let troubled: Vec<usize> = of_one.collect();
-        let sound = (0..self.fronts.len()).filter(|f| !troubled.contains(f));
-        let peers: Vec<SocketAddr> = sound.map(|f| self.relays[f]).collect();
-        let logs: Vec<PathBuf> = (0..self.fronts.len()).map(|f| self.log(f)).collect();
-        declared_down(&logs, &peers)
-    }
-
-    /// Writes the list of workers, each with its start where it has started anew.
-    fn list(&self) -> Result<(), String> {
-        let localities: Vec<String> = self
-            .links
-            .iter()
-            .zip(&self.started)
-            .enumerate()
-            .map(|(w, (a, started))| {
-                let hall = if w % 2 == 0 { "hall-a" } else { "hall-b" };
-                let started = started.map_or(0, |s| s.1);
-                format!(
-                    r#"{{"locality":{{"zone":"{hall}"}},"lb_endpoints":[{{"metadata":{{"filter_metadata":{{"wrenseam":{{"started_at_ms":{started}}}}}}},"endpoint":{{"address":{{"socket_address":{{"address":"127.0.0.1","port_value":{}}}}}}}}}]}}"#,
-                    a.port()
-                )
-            })
-            .collect();
-        let text = format!(
-            r#"{{"resources":[{{"cluster_name":"lab-workers","endpoints":[{}]}}]}}"#,
-            localities.join(",")
-        );
-        std::fs::write(&self.endpoints, text).map_err(|e| e.to_string())
-    }
-
-    /// The settings of a front end, by the scenario.
-    fn settings(&self, f: usize) -> String {
-        let s = &self.scenario;
-        let numbered = s.numbered.unwrap_or(false);
-        let index = if numbered {
-            format!("\"index\":{f},")
-        } else {
-            String::new()
-        };
-        SETTINGS
-            .replace(
-                "$FRONTS",
-                &(if numbered { s.fronts } else { 1 }).to_string(),
-            )
-            .replace("$INDEX", &index)
-            .replace("$EFFECT", s.effect.as_deref().unwrap_or("retryable"))
-            .replace("$QUOTA", &s.quota_per_s.unwrap_or(QUOTA).to_string())
-    }
-
-    /// Starts those of these front ends that do not run, all at once, joining by way of one that does.
-    fn restart(&self, fronts: &[usize]) -> Result<Vec<(usize, Front)>, String> {
-        let runs = |&o: &usize| self.fronts[o].child.is_held();
-        let by = (0..self.fronts.len()).find(runs);
-        let starting = fronts
-            .iter()
-            .filter(|f| !runs(f))
-            .map(|&f| self.launch(f, by));
-        let starting = starting.collect::<Result<Vec<_>, _>>()?;
-        starting
-            .into_iter()
-            .map(|s| Ok((s.f, self.stands(s)?)))
-            .collect()
-    }
-
-    /// Starts front end `f`, joining by way of `by`'s relay (else the first's, unless it is the first).
-    fn launch(&self, f: usize, by: Option<usize>) -> Result<Starting, String> {
-        let s = &self.scenario;
-        let write = |name: String, text: String| -> Result<PathBuf, String> {
-            let path = self.folder.join(name);
-            std::fs::write(&path, text).map_err(|e| e.to_string())?;
-            Ok(path)
-        };
-        let config = write(
-            format!("config-{f}.json"),
-            format!(
-                r#"{{"name":"lab{f}","seed":"{:x}","admin":"127.0.0.1:0","limits":{{"memory_mb":192,"sockets":1024}},"settings":{},"known":{{"rev":0,"notices":[]}}}}"#,
-                s.seed.wrapping_add(f as u64),
-                self.settings(f)
-            ),
-        )?;
-        let kserve = write(
-            format!("kserve-{f}.json"),
-            format!(
-                r#"{{"listen":"127.0.0.1:0","endpoints":"{}"}}"#,
-                self.endpoints.display()
-            ),
-        )?;
-        let tmp = self.folder.join(format!("tmp-{f}"));
-        std::fs::create_dir_all(&tmp).map_err(|e| e.to_string())?;
-        let mut command = Command::new(&self.program);
-        command
-            .env("NODE_CONFIG", &config)
-            .env("NODE_LISTEN", "127.0.0.1:0")
-            .env("TMPDIR", &tmp)
-            .env("WRENSEAM_KSERVE", &kserve)
-            .stderr(Stdio::piped());
-        let known = self.fronts.get(f).and_then(|old| old.gossip);
-        if s.fleet {
-            let seed = by
-                .or((f > 0).then_some(0))
-                .map(|b| format!(r#""{}""#, self.relays[b]));
-            let listen = known.map_or("127.0.0.1:0".to_owned(), |a| a.to_string());
-            let fleet = write(
-                format!("fleet-{f}.json"),
-                format!(
-                    r#"{{"listen":"{listen}","advertise":"{}","seeds":[{}],"cluster":"lab","expected":{},"probe_ms":{},"suspect_ms":{},"capacity":64,"shed_order":["tile-render"]}}"#,
-                    self.relays[f],
-                    seed.unwrap_or_default(),
-                    s.fronts,
-                    s.probe_ms.unwrap_or(200),
-                    s.suspect_ms.unwrap_or(600),
-                ),
-            )?;
-            command.env("WRENSEAM_FLEET", fleet);
-        }
-        let mut child = command
-            .spawn()
-            .map_err(|e| format!("{}: {e}", self.program.display()))?;
-        let log = child.stderr.take().ok_or("no log")?;
-        let lines = follow(log, self.log(f));
-        Ok(Starting {
-            f,
-            child: Process::new(child),
-            lines,
-        })
-    }
-
-    /// Waits until a front end listens everywhere.
-    fn stands(&self, starting: Starting) -> Result<Front, String> {
-        let Starting { f, child, lines } = starting;
-        let (mut admin, mut front, mut gossip) = (None, None, None);
-        let mut last_line = "nothing".to_owned();
-        while admin.is_none() || front.is_none() || (self.scenario.fleet && gossip.is_none()) {
-            let line = lines.recv_timeout(LISTENS).map_err(|e| match e {
-                RecvTimeoutError::Timeout => {
-                    format!(
-                        "front end {f} says nothing and does not listen; it said last: {last_line}"
-                    )
-                }
-                RecvTimeoutError::Disconnected => {
-                    format!("front end {f} ended before it listened; it said last: {last_line}")
-                }
-            })?;
-            let address = || {
-                line.rsplit_once(" listens on ")
-                    .and_then(|(_, a)| a.parse().ok())
-            };
-            if line.contains("the operators' door listens on") {
-                admin = address();
-            } else if line.contains("KServe v2 listens on") {
-                front = address();
-            } else if line.contains("gossip listens on") {
-                gossip = address();
-            }
-            last_line = line;
-        }
-        if let Some(g) = gossip {
-            self.real.write().map_err(|_| "poisoned")?[f] = Some(g);
-        }
-        Ok(Front {
-            child,
-            admin: admin.ok_or("no admin listener")?,
-            kserve: front.ok_or("no front")?,
-            gossip,
-        })
-    }
-
-    /// Waits until every front end counts all others alive; how long it took, s.
-    fn joined(&self, within: Duration) -> Result<f64, String> {
-        let since = Instant::now();
-        let want = self.fronts.len() as u64 - 1;
-        loop {
-            let counts = self
-                .fronts
-                .iter()
-                .map(|f| figure(&fleet_figures(f.admin), "peers"));
-            let counts: Vec<Option<u64>> = counts.collect();
-            if counts.iter().all(|&c| c == Some(want)) {
-                return Ok(since.elapsed().as_secs_f64());
-            }
-            if since.elapsed() > within {
-                return Err(format!(
-                    "the fleet did not form in {} s: {counts:?} peers",
-                    within.as_secs()
-                ));
-            }
-            std::thread::sleep(Duration::from_millis(20));
-        }
-    }
 }
--- a/fleetlab/src/lib.rs
+++ b/fleetlab/src/lib.rs
@@ -1,14 +1,16 @@
 //! The fleet lab: several processes of the program on loopback, stand-in workers and gateways, and faults between
 //! them. docs/fleetlab.md has the scenarios.
 pub mod clock;
+pub mod coroutine;
 pub mod faults;
-pub mod gateway;
+pub mod fleet_view;
+pub mod infer;
 pub mod lab;
+pub mod load_generator;
+pub mod metrics;
 pub mod process;
-pub mod proxy;
+pub mod relay;
 pub mod report;
 pub mod scenario;
-pub mod tally;
-pub mod views;
 pub mod wire;
 pub mod worker;
--- a/fleetlab/src/gateway.rs
+++ b/fleetlab/src/load_generator.rs
@@ -1,8 +1,9 @@
 //! Stand-in gateways: an open loop of KServe v2 infer requests at seeded Poisson times, each sent to a
 //! front end chosen at random; a 500 or 503 is tried again at once at another, up to the scenario's
 //! attempts, as clients in a storm do. Each attempt must end in exactly one answer.
-use crate::tally::{Count, Tally};
-use crate::worker::{go, pause, FUNCTION};
+use crate::coroutine::{pause, spawn};
+use crate::infer::request_bytes;
+use crate::metrics::{Counter, Metrics};
 use may::net::TcpStream;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -20,7 +21,7 @@
 
 /// The load's shape.
 #[derive(Clone, Copy)]
-pub struct Load {
+pub struct LoadSettings {
     pub rate_per_s: f64,
     pub seconds: u64,
     pub wait_ms: u64,
@@ -31,7 +32,7 @@
 }
 
 /// Drives the load until its end; returns when the last request has ended.
-pub fn drive(load: Load, fronts: Arc<RwLock<Vec<SocketAddr>>>, tally: Arc<Tally>) {
+pub fn drive(load: LoadSettings, fronts: Arc<RwLock<Vec<SocketAddr>>>, metrics: Arc<Metrics>) {
     let mut rng = SmallRng::seed_from_u64(load.seed);
     let flying = Arc::new(AtomicUsize::new(0));
     let mut at = 0.0f64;
@@ -43,7 +44,7 @@
             break;
         }
         loop {
-            let (now, held) = tally.clock.now();
+            let (now, held) = metrics.clock.now();
             if !held && now >= at {
                 break;
             }
@@ -55,17 +56,17 @@
             };
             pause(wait);
         }
-        tally.add(Count::Offered);
+        metrics.add(Counter::Offered);
         if flying.load(Ordering::Relaxed) >= IN_FLIGHT {
-            tally.add(Count::Failed);
+            metrics.add(Counter::Failed);
             continue;
         }
         n += 1;
         flying.fetch_add(1, Ordering::Relaxed);
-        let (fronts, tally, flying) = (fronts.clone(), tally.clone(), flying.clone());
+        let (fronts, metrics, flying) = (fronts.clone(), metrics.clone(), flying.clone());
         let picks: Vec<f64> = (0..load.attempts).map(|_| rng.random::<f64>()).collect();
-        go(move || {
-            request(n, &load, &fronts, &tally, &picks);
+        spawn(move || {
+            request(n, &load, &fronts, &metrics, &picks);
             flying.fetch_sub(1, Ordering::Relaxed);
         });
     }
@@ -76,37 +77,17 @@
     }
 }
 
-/// The bytes of a try of request `n`: each try has an id of its own, and its body names the request.
-fn bytes(n: u64, k: usize, load: &Load) -> String {
-    let id = n << 8 | k as u64;
-    let body = format!(
-        r#"{{"id":"{id:016x}","parameters":{{"class":"tile-render","tenant":"acme","wait_ms":{},"memory_mb":512,"lanes":4,"load_ms":640}},"inputs":[{{"name":"body","shape":[1],"datatype":"BYTES","data":["r{n}"]}}]}}"#,
-        load.wait_ms
-    );
-    format!(
-        "POST /v2/models/{FUNCTION}/infer HTTP/1.1\r\nHost: lab\r\nContent-Length: {}\r\n\r\n{body}",
-        body.len()
-    )
-}
-
-/// The id of a try, which its answer names.
-pub fn call_id(body: &[u8]) -> Option<&str> {
-    let (_, rest) = std::str::from_utf8(body).ok()?.split_once(r#""id":""#)?;
-    rest.split('"').next()
-}
-
-/// The number of the request that a call's body names.
-pub fn number(body: &[u8]) -> Option<u64> {
-    let text = std::str::from_utf8(body).ok()?;
-    let (_, named) = text.split_once(r#""data":["r"#)?;
-    named.split('"').next()?.parse().ok()
-}
-
-fn request(n: u64, load: &Load, fronts: &RwLock<Vec<SocketAddr>>, tally: &Tally, picks: &[f64]) {
+fn request(
+    n: u64,
+    load: &LoadSettings,
+    fronts: &RwLock<Vec<SocketAddr>>,
+    metrics: &Metrics,
+    picks: &[f64],
+) {
     let begun = Instant::now();
     for (k, pick) in picks.iter().enumerate() {
         if k > 0 {
-            tally.add(Count::Retried);
+            metrics.add(Counter::Retried);
         }
         let front = {
             let f = fronts
@@ -114,15 +95,19 @@
                 .unwrap_or_else(std::sync::PoisonError::into_inner);
             f[((pick * f.len() as f64) as usize).min(f.len() - 1)]
         };
-        let harmless = match attempt(front, bytes(n, k, load).as_bytes(), load.wait_ms) {
-            Some((200, _)) => return tally.served(begun.elapsed().as_micros() as u64),
+        let harmless = match attempt(
+            front,
+            request_bytes(n, k, load.wait_ms).as_bytes(),
+            load.wait_ms,
+        ) {
+            Some((200, _)) => return metrics.served(begun.elapsed().as_micros() as u64),
             Some((503, Some(_))) => {
-                tally.add(Count::Refused);
+                metrics.add(Counter::Refused);
                 true
             }
             Some(_) => false,
             None => {
-                tally.add(Count::Unanswered);
+                metrics.add(Counter::Unanswered);
                 false
             }
         };
@@ -130,7 +115,7 @@
             break;
         }
     }
-    tally.add(Count::Failed);
+    metrics.add(Counter::Failed);
 }
 
 /// One attempt: the answer's status and wait told, or None if none came within the wait and a second.
--- a/fleetlab/src/main.rs
+++ b/fleetlab/src/main.rs
@@ -2,7 +2,7 @@
 //! with faults between them, and reports what came of it. See docs/fleetlab.md.
 
 use clap::{Parser, Subcommand};
-use fleetlab::{lab, report, scenario, views};
+use fleetlab::{fleet_view, lab, report, scenario};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -76,7 +76,7 @@
             let peers: Vec<String> = outcome
                 .figures
                 .iter()
-                .map(|f| views::figure(f, "peers").map_or("-".to_owned(), |p| p.to_string()))
+                .map(|f| fleet_view::figure(f, "peers").map_or("-".to_owned(), |p| p.to_string()))
                 .collect();
             println!("PEERS {}", peers.join(","));
             let cold: Vec<String> = outcome.cold.iter().map(|(w, part)| format!("w{w}={part:.2}")).collect();
--- a/fleetlab/src/tally.rs
+++ b/fleetlab/src/metrics.rs
@@ -7,7 +7,7 @@
 
 /// The counts of one second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Count {
+pub enum Counter {
     /// Requests begun by the gateways (first attempts).
     Offered,
     /// Attempts sent to a front end beyond the first of a request.
@@ -31,7 +31,7 @@
 const KINDS: usize = 9;
 
 /// Per-second counts and latencies of served requests (µs, first attempt to answer).
-pub struct Tally {
+pub struct Metrics {
     /// The run's time.
     pub clock: Clock,
     counts: Vec<[AtomicU64; KINDS]>,
@@ -42,14 +42,14 @@
     reached: Mutex<Vec<(f64, usize)>>,
 }
 
-impl Tally {
+impl Metrics {
     /// Room for `seconds` seconds and a few more for what ends late.
-    pub fn new(seconds: u64) -> Tally {
+    pub fn new(seconds: u64) -> Metrics {
         let n = seconds as usize + 5;
         let latency = (0..n)
             .map(|_| Histogram::new_with_bounds(1, 60_000_000, 2).expect("bounds"))
             .collect();
-        Tally {
+        Metrics {
             clock: Clock::stopped(),
             counts: (0..n)
                 .map(|_| std::array::from_fn(|_| AtomicU64::new(0)))
@@ -65,7 +65,7 @@
         (self.clock.now().0 as usize).min(self.counts.len() - 1)
     }
 
-    pub fn add(&self, what: Count) {
+    pub fn add(&self, what: Counter) {
         self.counts[self.second()][what as usize].fetch_add(1, Ordering::Relaxed);
     }
 
@@ -76,7 +76,7 @@
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         if ran.contains(&request) {
-            self.add(Count::Repeats);
+            self.add(Counter::Repeats);
         }
         if runs {
             ran.insert(request);
@@ -119,7 +119,7 @@
 
     /// A served request's latency, µs.
     pub fn served(&self, micros: u64) {
-        self.add(Count::Served);
+        self.add(Counter::Served);
         let s = self.second();
         let mut l = self
             .latency
@@ -129,7 +129,7 @@
     }
 
     /// How many of a kind in second `s`.
-    pub fn get(&self, s: usize, what: Count) -> u64 {
+    pub fn get(&self, s: usize, what: Counter) -> u64 {
         self.counts
             .get(s)
             .map_or(0, |c| c[what as usize].load(Ordering::Relaxed))
@@ -141,7 +141,7 @@
     }
 
     /// The sum over the run of a kind.
-    pub fn total(&self, what: Count) -> u64 {
+    pub fn total(&self, what: Counter) -> u64 {
         (0..self.seconds()).map(|s| self.get(s, what)).sum()
     }
 
--- a/fleetlab/src/proxy.rs
+++ b/fleetlab/src/relay.rs
@@ -1,8 +1,8 @@
 //! The fault proxy: one UDP relay in front of each front end's gossip socket (peers are told its address
 //! through the fleet's `advertise`), one TCP relay in front of each worker. What it does to each datagram
 //! or connection is `crate::faults`'s word.
+use crate::coroutine::{pause, spawn};
 use crate::faults::{Connection, Datagram, Faults};
-use crate::worker::{go, pause};
 use may::net::{TcpListener, TcpStream, UdpSocket};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -16,7 +16,7 @@
 
 /// What the relays have done, for the report.
 #[derive(Default)]
-pub struct Done {
+pub struct RelayCounts {
     pub passed: u64,
     pub dropped: u64,
     pub doubled: u64,
@@ -34,11 +34,11 @@
     real: Real,
     faults: Arc<RwLock<Faults>>,
     seed: u64,
-    done: Arc<Mutex<Done>>,
+    done: Arc<Mutex<RelayCounts>>,
 ) -> std::io::Result<SocketAddr> {
     let socket = Arc::new(UdpSocket::bind("127.0.0.1:0")?);
     let address = socket.local_addr()?;
-    go(move || {
+    spawn(move || {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut buffer = vec![0u8; 64 * 1024];
         while let Ok((n, source)) = socket.recv_from(&mut buffer) {
@@ -66,7 +66,7 @@
                 Datagram::Hold(ms) => {
                     bump(&done, |d| d.held += 1);
                     let socket = socket.clone();
-                    go(move || {
+                    spawn(move || {
                         pause(Duration::from_millis(ms));
                         let _ = socket.send_to(&bytes, target);
                     });
@@ -88,11 +88,11 @@
     worker: SocketAddr,
     faults: Arc<RwLock<Faults>>,
     seed: u64,
-    done: Arc<Mutex<Done>>,
+    done: Arc<Mutex<RelayCounts>>,
 ) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
-    go(move || {
+    spawn(move || {
         let mut rng = SmallRng::seed_from_u64(seed);
         for stream in listener.incoming().map_while(Result::ok) {
             let verdict = faults.read().map_or(Connection::Pass, |f| {
@@ -106,7 +106,7 @@
                 }
                 Connection::BlackHole => {
                     bump(&done, |d| d.holed += 1);
-                    go(move || {
+                    spawn(move || {
                         let mut s = stream;
                         let mut sink = [0u8; 4096];
                         while matches!(s.read(&mut sink), Ok(n) if n > 0) {}
@@ -128,7 +128,7 @@
 
 /// Counts under the lock, never across a yield: a coroutine that blocks a worker thread on a lock held
 /// by one that waits for I/O stops them both.
-fn bump(done: &Mutex<Done>, f: impl FnOnce(&mut Done)) {
+fn bump(done: &Mutex<RelayCounts>, f: impl FnOnce(&mut RelayCounts)) {
     f(&mut done
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner));
@@ -139,8 +139,8 @@
         return;
     };
     let (there, back) = (faults.clone(), faults.clone());
-    go(move || copy(a, b2, &there, dice));
-    go(move || copy(b, a2, &back, dice.wrapping_add(1)));
+    spawn(move || copy(a, b2, &there, dice));
+    spawn(move || copy(b, a2, &back, dice.wrapping_add(1)));
 }
 
 fn copy(mut from: TcpStream, mut to: TcpStream, faults: &RwLock<Faults>, seed: u64) {
--- a/fleetlab/src/report.rs
+++ b/fleetlab/src/report.rs
@@ -1,8 +1,8 @@
 //! The report of a run: a table a second (Markdown), totals, and a plot (SVG, `plotters`).
+use crate::fleet_view::figure;
 use crate::lab::Outcome;
+use crate::metrics::Counter;
 use crate::scenario::Scenario;
-use crate::tally::Count;
-use crate::views::figure;
 use plotters::prelude::*;
 use std::fmt::Write;
 use std::path::Path;
@@ -29,24 +29,24 @@
 }
 
 pub fn totals(s: &Scenario, o: &Outcome) -> Totals {
-    let t = &o.tally;
-    let offered = t.total(Count::Offered);
+    let t = &o.metrics;
+    let offered = t.total(Counter::Offered);
     let sum = |name: &str| o.figures.iter().filter_map(|f| figure(f, name)).sum();
     Totals {
         offered,
-        served: t.total(Count::Served),
-        failed: t.total(Count::Failed),
-        refused: t.total(Count::Refused),
-        unanswered: t.total(Count::Unanswered),
-        retried: t.total(Count::Retried),
-        calls_per_request: t.total(Count::Calls) as f64 / offered.max(1) as f64,
+        served: t.total(Counter::Served),
+        failed: t.total(Counter::Failed),
+        refused: t.total(Counter::Refused),
+        unanswered: t.total(Counter::Unanswered),
+        retried: t.total(Counter::Retried),
+        calls_per_request: t.total(Counter::Calls) as f64 / offered.max(1) as f64,
         extra_attempts: sum("extra_attempts"),
         extra_denied: sum("extra_denied"),
-        goodput_per_s: t.total(Count::Served) as f64 / s.seconds as f64,
+        goodput_per_s: t.total(Counter::Served) as f64 / s.seconds as f64,
         p50_ms: t.quantile_ms(None, 0.5),
         p99_ms: t.quantile_ms(None, 0.99),
-        probes: t.total(Count::Probes),
-        repeats: t.total(Count::Repeats),
+        probes: t.total(Counter::Probes),
+        repeats: t.total(Counter::Repeats),
     }
 }
 
@@ -55,7 +55,7 @@
 /// # Errors
 /// A file cannot be written.
 pub fn write(s: &Scenario, o: &Outcome, folder: &Path) -> Result<String, String> {
-    let t = &o.tally;
+    let t = &o.metrics;
     let x = totals(s, o);
     let mut md = String::new();
     let _ = writeln!(
@@ -71,14 +71,14 @@
         let _ = writeln!(
             md,
             "| {sec} | {} | {} | {} | {} | {} | {} | {} | {} | {:.1} | {:.1} |",
-            g(Count::Offered),
-            g(Count::Served),
-            g(Count::Refused),
-            g(Count::Retried),
-            g(Count::Failed),
-            g(Count::Unanswered),
-            g(Count::Calls),
-            g(Count::Probes),
+            g(Counter::Offered),
+            g(Counter::Served),
+            g(Counter::Refused),
+            g(Counter::Retried),
+            g(Counter::Failed),
+            g(Counter::Unanswered),
+            g(Counter::Calls),
+            g(Counter::Probes),
             t.quantile_ms(Some(sec), 0.5),
             t.quantile_ms(Some(sec), 0.99)
         );
@@ -102,13 +102,13 @@
 }
 
 fn plot(o: &Outcome, seconds: usize, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
-    let t = &o.tally;
+    let t = &o.metrics;
     let series = [
-        (Count::Offered, "offered", BLUE),
-        (Count::Served, "served", GREEN),
-        (Count::Refused, "refused", RED),
-        (Count::Retried, "retried", MAGENTA),
-        (Count::Calls, "worker calls", BLACK),
+        (Counter::Offered, "offered", BLUE),
+        (Counter::Served, "served", GREEN),
+        (Counter::Refused, "refused", RED),
+        (Counter::Retried, "retried", MAGENTA),
+        (Counter::Calls, "worker calls", BLACK),
     ];
     let top = series
         .iter()
--- a/fleetlab/src/worker.rs
+++ b/fleetlab/src/worker.rs
@@ -1,8 +1,9 @@
 //! A stand-in KServe v2 worker: tells its function ready, and answers each call after its work time
 //! (times the `slow` fault), or spoils it (`spoil`). Everything that reaches it is counted.
+use crate::coroutine::{pause, spawn};
 use crate::faults::{Faults, Reply};
-use crate::gateway::{call_id, number};
-use crate::tally::{Count, Tally};
+use crate::infer::{call_id, request_number, FUNCTION};
+use crate::metrics::{Counter, Metrics};
 use crate::wire::Message;
 use may::net::{TcpListener, TcpStream};
 use rand::rngs::SmallRng;
@@ -12,9 +13,6 @@
 use std::sync::{Arc, RwLock};
 use std::time::Duration;
 
-/// The one function that the lab's gateways call.
-pub const FUNCTION: &str = "7f3a9c21e0b4d655";
-
 /// Starts a worker on loopback; its address.
 ///
 /// # Errors
@@ -24,46 +22,33 @@
     work_ms: u64,
     seed: u64,
     faults: Arc<RwLock<Faults>>,
-    tally: Arc<Tally>,
+    metrics: Arc<Metrics>,
 ) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
-    go(move || {
+    spawn(move || {
         for (n, stream) in listener.incoming().map_while(Result::ok).enumerate() {
-            let (faults, tally) = (faults.clone(), tally.clone());
+            let (faults, metrics) = (faults.clone(), metrics.clone());
             let rng = SmallRng::seed_from_u64(seed ^ (own as u64) << 32 ^ (n as u64) << 40);
             let worker = Worker {
                 own,
                 work_ms,
                 faults,
-                tally,
+                metrics,
                 rng,
             };
-            go(move || worker.serve(stream));
+            spawn(move || worker.serve(stream));
         }
     });
     Ok(address)
 }
 
-/// Starts a coroutine; the lab's are few and small.
-pub fn go(f: impl FnOnce() + Send + 'static) {
-    // SAFETY: the closure owns what it uses and blocks only on may's own sockets and sleeps.
-    unsafe { may::coroutine::spawn(f) };
-}
-
-/// Has a coroutine wait, and takes it back to the scheduler's thread: `may` has it go on in its thread of timers, where
-/// a socket that is waited for may be ready and gone before the wait has been written down.
-pub fn pause(span: Duration) {
-    may::coroutine::sleep(span);
-    may::coroutine::yield_now();
-}
-
 /// A worker as one of its connections sees it.
 struct Worker {
     own: usize,
     work_ms: u64,
     faults: Arc<RwLock<Faults>>,
-    tally: Arc<Tally>,
+    metrics: Arc<Metrics>,
     rng: SmallRng,
 }
 
@@ -72,12 +57,12 @@
         let mut carry = Vec::new();
         while let Ok(m) = crate::wire::read(&mut stream, &mut carry, true) {
             let written = if m.first == "/v2/repository/index" {
-                self.tally.add(Count::Probes);
+                self.metrics.add(Counter::Probes);
                 stream.write_all(&ok(&format!(
                     r#"[{{"name":"{FUNCTION}","state":"READY"}}]"#
                 )))
             } else if m.first.starts_with("/v2/repository/models/") {
-                self.tally.add(Count::Probes);
+                self.metrics.add(Counter::Probes);
                 stream.write_all(&ok(r#"{"parameters":{"slots_up":1}}"#))
             } else {
                 self.call(&mut stream, &m)
@@ -90,7 +75,7 @@
 
     /// Runs a call, unless it is to be refused, and answers it as the faults say. An error ends the connection.
     fn call(&mut self, stream: &mut TcpStream, call: &Message) -> std::io::Result<()> {
-        self.tally.add(Count::Calls);
+        self.metrics.add(Counter::Calls);
         let roll = self.rng.random::<f64>();
         let told = |f: &Faults| (f.slow, f.is_cold(self.own), f.reply(roll));
         let (slow, cold, reply) = self
@@ -98,10 +83,10 @@
             .read()
             .map_or((1.0, false, Reply::Serve), |f| told(&f));
         if cold {
-            self.tally.reach(self.own);
+            self.metrics.reach(self.own);
         }
-        if let Some(request) = number(&call.body) {
-            self.tally.came(request, !reply.never_ran());
+        if let Some(request) = request_number(&call.body) {
+            self.metrics.came(request, !reply.never_ran());
         }
         if reply == Reply::Full {
             return stream
