--- a/fleetlab/src/coroutine.rs
+++ b/fleetlab/src/coroutine.rs
@@ -2,9 +2,9 @@
 use std::time::Duration;
 
 /// Starts a coroutine; the lab's are few and small.
-pub fn spawn(f: impl FnOnce() + Send + 'static) {
+pub fn spawn(run: impl FnOnce() + Send + 'static) {
     // SAFETY: the closure owns what it uses and blocks only on may's own sockets and sleeps.
-    unsafe { may::coroutine::spawn(f) };
+    unsafe { may::coroutine::spawn(run) };
 }
 
 /// Has a coroutine wait, and takes it back to the scheduler's thread: `may` has it go on in its thread of timers, where
--- a/fleetlab/src/fleet_view.rs
+++ b/fleetlab/src/fleet_view.rs
@@ -1,71 +1,103 @@
-//! What the front ends hold of their fleet, read from their admin listeners and their logs: whether all agree and are
-//! right, and who was declared down.
+//! What the front ends know of their fleet, read from their admin endpoints and their logs: whether all agree and are
+//! right, and which peers were declared down.
+use crate::error::LabError;
+use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// The figures of a front end by their short names: `peers` for `app.fleet.peers`.
-pub type Figures = Vec<(String, u64)>;
+/// How long a connection to an admin endpoint may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long an admin endpoint may be silent.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
+/// How often the views are compared.
+const AGREEMENT_POLL: Duration = Duration::from_millis(10);
+/// What the names of the fleet's figures begin with.
+const FLEET_PREFIX: &str = "app.fleet.";
 
-/// How soon all front ends agreed.
-#[derive(Clone, Copy, Debug)]
-pub struct Agreed {
-    /// How long after the last fault.
-    pub after: Duration,
-    /// How many front ends ran.
-    pub fronts: usize,
-}
+/// The fleet's figures of a front end by their short names: `peers` for `app.fleet.peers`.
+#[derive(Clone, Debug, Default)]
+pub struct FleetFigures(BTreeMap<String, u64>);
 
-/// A figure by its short name.
-pub fn figure(figures: &[(String, u64)], name: &str) -> Option<u64> {
-    figures.iter().find(|(n, _)| n == name).map(|(_, v)| *v)
+impl FleetFigures {
+    /// The figures that a front end reports at its admin endpoint; none if it does not answer.
+    pub fn read(admin: SocketAddr) -> FleetFigures {
+        let lines = telemetry(admin);
+        let fleet = lines
+            .lines()
+            .filter_map(|line| line.strip_prefix(FLEET_PREFIX));
+        FleetFigures(fleet.filter_map(parse_figure).collect())
+    }
+
+    /// A figure by its short name.
+    pub fn get(&self, name: &str) -> Option<u64> {
+        self.0.get(name).copied()
+    }
 }
 
-/// The `app.fleet.*` figures that a front end tells at its admin listener; none if it does not answer.
-pub fn fleet_figures(admin: SocketAddr) -> Figures {
-    let Ok(mut stream) = TcpStream::connect_timeout(&admin, Duration::from_secs(1)) else {
-        return Vec::new();
+/// The answer of an admin endpoint to `telemetry`, as far as it came.
+fn telemetry(admin: SocketAddr) -> String {
+    let mut answer = String::new();
+    let Ok(mut stream) = TcpStream::connect_timeout(&admin, CONNECT_TIMEOUT) else {
+        return answer;
     };
-    let _ = stream.set_read_timeout(Some(Duration::from_secs(2)));
-    let _ = stream.write_all(b"telemetry\n");
-    let mut told = String::new();
+    let _ = stream.set_read_timeout(Some(READ_TIMEOUT)); // refused only for a time of zero
+    let _ = stream.write_all(b"telemetry\n"); // if it fails the read finds nothing
     let mut chunk = [0u8; 4096];
-    while !told.contains("END") {
+    while !answer.contains("END") {
         match stream.read(&mut chunk) {
-            Ok(n) if n > 0 => told.push_str(&String::from_utf8_lossy(&chunk[..n])),
+            Ok(length) if length > 0 => answer.push_str(&String::from_utf8_lossy(&chunk[..length])),
             _ => break,
         }
     }
-    let fleet = told
-        .lines()
-        .filter_map(|line| line.strip_prefix("app.fleet."));
-    fleet
-        .filter_map(|line| {
-            let (name, rest) = line.split_once(':')?;
-            Some((name.to_owned(), rest.split('|').next()?.parse().ok()?))
-        })
-        .collect()
+    answer
+}
+
+/// A line `NAME:VALUE|KIND`.
+fn parse_figure(line: &str) -> Option<(String, u64)> {
+    let (name, rest) = line.split_once(':')?;
+    let value = rest.split('|').next()?.parse().ok()?;
+    Some((name.to_owned(), value))
+}
+
+/// A front end that runs.
+#[derive(Clone, Copy, Debug)]
+pub struct RunningFront {
+    /// Its number.
+    pub index: usize,
+    /// Its admin endpoint.
+    pub admin: SocketAddr,
+}
+
+/// How soon all front ends agreed.
+#[derive(Clone, Copy, Debug)]
+pub struct Agreement {
+    /// How long after the last fault.
+    pub after: Duration,
+    /// How many front ends ran.
+    pub fronts: usize,
 }
 
 /// What differs between the views of these front ends, which are all that run, or between them and the truth; `None`:
-/// all hold the same digest, count each other alive and ready, and nobody else.
-pub fn disagreement(running: &[(usize, SocketAddr)]) -> Option<String> {
+/// all have the same digest, count each other alive and ready, and no other.
+pub fn disagreement(running: &[RunningFront]) -> Option<String> {
     let want = running.len() as u64 - 1;
-    let mut first = None;
-    for &(f, admin) in running {
-        let figures = fleet_figures(admin);
-        let counts = (figure(&figures, "peers"), figure(&figures, "peers_ready"));
+    let mut first_digest = None;
+    for front in running {
+        let figures = FleetFigures::read(front.admin);
+        let counts = (figures.get("peers"), figures.get("peers_ready"));
         if counts != (Some(want), Some(want)) {
             return Some(format!(
-                "front end {f} counts {counts:?} peers alive and ready, {want} run"
+                "front end {} counts {counts:?} peers alive and ready, {want} run",
+                front.index
             ));
         }
-        let digest = figure(&figures, "view_digest");
-        if digest != *first.get_or_insert(digest) {
+        let digest = figures.get("view_digest");
+        if digest != *first_digest.get_or_insert(digest) {
             return Some(format!(
-                "front end {f} holds another view than front end {}",
-                running[0].0
+                "front end {} holds another view than front end {}",
+                front.index, running[0].index
             ));
         }
     }
@@ -76,51 +108,48 @@
 ///
 /// # Errors
 /// They do not within `within` after it, with what differs.
-pub fn until_agreed(
-    running: &[(usize, SocketAddr)],
+pub fn wait_until_agreed(
+    running: &[RunningFront],
     since: Instant,
     within: Duration,
-) -> Result<Agreed, String> {
+) -> Result<Agreement, LabError> {
     loop {
-        let asked = Instant::now();
-        let Some(what) = disagreement(running) else {
-            return Ok(Agreed {
-                after: asked.duration_since(since),
+        let read_at = Instant::now();
+        let Some(difference) = disagreement(running) else {
+            return Ok(Agreement {
+                after: read_at.duration_since(since),
                 fronts: running.len(),
             });
         };
         if since.elapsed() > within {
-            return Err(format!(
-                "no agreement {:.1} s after the last fault: {what}",
-                within.as_secs_f64()
-            ));
+            return Err(LabError::NoAgreement {
+                within_s: within.as_secs_f64(),
+                difference,
+            });
         }
-        std::thread::sleep(Duration::from_millis(10));
+        std::thread::sleep(AGREEMENT_POLL);
     }
 }
 
-/// The log lines in which a front end says that the peer at one of these addresses is down.
+/// The log lines in which a front end declares the peer at one of these addresses down.
 ///
 /// # Errors
 /// A log cannot be read.
 pub fn declared_down(
     logs: &[impl AsRef<Path>],
     peers: &[SocketAddr],
-) -> Result<Vec<String>, String> {
+) -> Result<Vec<String>, LabError> {
+    let texts: Vec<String> = peers
+        .iter()
+        .map(|peer| format!("fleet: peer {peer} down"))
+        .collect();
     let mut lines = Vec::new();
     for log in logs {
         let log = log.as_ref();
-        let text = std::fs::read_to_string(log).map_err(|e| format!("{}: {e}", log.display()))?;
-        let about = |line: &&str| {
-            peers
-                .iter()
-                .any(|peer| line.contains(&format!("fleet: peer {peer} down")))
-        };
-        lines.extend(
-            text.lines()
-                .filter(about)
-                .map(|line| format!("{}: {line}", log.display())),
-        );
+        let text = std::fs::read_to_string(log).map_err(LabError::at(log))?;
+        let about = |line: &&str| texts.iter().any(|text| line.contains(text));
+        let of_log = text.lines().filter(about);
+        lines.extend(of_log.map(|line| format!("{}: {line}", log.display())));
     }
     Ok(lines)
 }
--- a/fleetlab/src/lab.rs
+++ b/fleetlab/src/lab.rs
@@ -1,258 +1,203 @@
 //! A run: stand-in workers behind relays, N processes of the program with their gossip behind relays,
-//! the gateways' load, and the faults on their timeline. Everything is on loopback and ends by itself.
+//! the load, and the faults on their timeline. Everything is on loopback and ends by itself.
+mod cold;
 mod endpoints;
 mod front_end;
 mod observe;
 mod outcome;
+mod timeline;
 
+pub use cold::ColdWorker;
 pub use outcome::Outcome;
 
 use crate::coroutine::spawn;
+use crate::error::LabError;
 use crate::faults::Faults;
-use crate::fleet_view::{fleet_figures, until_agreed};
-use crate::load_generator::{self, LoadSettings};
+use crate::load_generator::{self, LoadSettings, Targets};
 use crate::metrics::Metrics;
-use crate::relay::{self, Real, RelayCounts};
-use crate::scenario::{Fault, Scenario};
-use crate::worker;
-use front_end::Front;
-use nix::sys::signal::Signal;
+use crate::relay::{self, GossipSockets, RelayCounts, RelaySettings};
+use crate::scenario::Scenario;
+use crate::worker::{self, WorkerSettings};
+use endpoints::ListedWorker;
+use front_end::FrontEnd;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::mpsc::channel;
+use std::sync::mpsc::{channel, Receiver};
 use std::sync::{Arc, Mutex, RwLock};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 
 /// Calls a second of the one tenant, where the scenario names none: no bound.
-const QUOTA: f64 = 100_000.0;
-
-/// What a cold worker of the lab can do for certain, and when it is warm: as in the settings below, s.
-const COLD: (f64, f64, f64) = (0.2, 17.0, 2.0);
-
-/// A front end that has not ended so long after SIGTERM is given up.
-const LEAVES: Duration = Duration::from_secs(10);
+const UNBOUNDED_QUOTA: f64 = 100_000.0;
+/// A fleet that does not form within this is given up.
+const FORMS_WITHIN: Duration = Duration::from_secs(10);
+/// How long the load may take beyond its seconds.
+const LOAD_MARGIN_S: u64 = 60;
+/// The stack of a coroutine, in words: 256 KiB.
+const STACK_WORDS: usize = 0x8000;
 
 /// Whether a thread or coroutine of the lab panicked: the figures then tell of the lab, not of the front ends.
 static PANICKED: AtomicBool = AtomicBool::new(false);
 
-/// The lab's whole state while a run goes on.
+/// The lab's state while a run goes on.
 struct Lab {
     scenario: Scenario,
     program: PathBuf,
     folder: PathBuf,
-    fronts: Vec<Front>,
-    relays: Vec<SocketAddr>,
-    real: Real,
-    endpoints: PathBuf,
-    /// The workers' addresses, and when each started anew: real s of the run and Unix ms.
-    links: Vec<SocketAddr>,
-    started: Vec<Option<(f64, u128)>>,
+    faults: Arc<RwLock<Faults>>,
+    metrics: Arc<Metrics>,
+    relay_counts: Arc<Mutex<RelayCounts>>,
+    workers: Vec<ListedWorker>,
+    fronts: Vec<FrontEnd>,
+    /// Where each front end accepts clients.
+    targets: Targets,
+    /// The address of each front end's gossip relay.
+    gossip_relays: Vec<SocketAddr>,
+    gossip_sockets: GossipSockets,
 }
 
 /// Runs a scenario with the program at `program`, writing its files into `folder`.
 ///
 /// # Errors
-/// A port, a file or a process could not be had; a front end did not start.
-pub fn run(scenario: &Scenario, program: &Path, folder: &Path) -> Result<Outcome, String> {
-    // Absolute from here on: the program looks for the files that its files name beside those.
-    let folder = &std::fs::create_dir_all(folder)
-        .and_then(|()| folder.canonicalize())
-        .map_err(|e| format!("{}: {e}", folder.display()))?;
-    let before = std::panic::take_hook();
-    std::panic::set_hook(Box::new(move |why| {
-        PANICKED.store(true, Ordering::Release);
-        before(why);
-    }));
-    // With two, a connect that one thread waits for could be over in the other before the wait was written down: `may`
-    // then panicked, and with that thread half of the sockets were dead.
-    may::config().set_workers(1).set_stack_size(0x8000);
-    may::config().set_worker_pin(false); // a thread tied to a core waits for whatever else runs there
-    let s = scenario.clone();
-    let faults = Arc::new(RwLock::new(Faults::new(s.fronts, s.workers)));
-    let metrics = Arc::new(Metrics::new(s.seconds));
-    let done = Arc::new(Mutex::new(RelayCounts::default()));
-    let io = |e: std::io::Error| e.to_string();
-    let mut links = Vec::new();
-    for w in 0..s.workers {
-        let at =
-            worker::start(w, s.work_ms, s.seed, faults.clone(), metrics.clone()).map_err(io)?;
-        links.push(
-            relay::link(
-                w,
-                at,
-                faults.clone(),
-                s.seed ^ (w as u64) << 8,
-                done.clone(),
-            )
-            .map_err(io)?,
-        );
-    }
-    let real: Real = Arc::new(RwLock::new(vec![None; s.fronts]));
-    let mut relays = Vec::new();
-    for f in 0..s.fronts {
-        let seed = s.seed ^ (f as u64) << 16;
-        relays
-            .push(relay::gossip(f, real.clone(), faults.clone(), seed, done.clone()).map_err(io)?);
-    }
-    let endpoints = folder.join("endpoints.json");
-    let mut lab = Lab {
-        scenario: s.clone(),
-        program: program.to_owned(),
-        folder: folder.to_owned(),
-        fronts: Vec::new(),
-        relays,
-        real,
-        endpoints,
-        started: vec![None; links.len()],
-        links,
-    };
-    lab.list()?;
-    for f in 0..s.fronts {
-        let front = lab.stands(lab.launch(f, None)?)?;
-        lab.fronts.push(front);
-    }
-    let joined_s = if s.fleet {
-        Some(lab.joined(Duration::from_secs(10))?)
+/// A port, a file or a process could not be had; a front end did not start, the fleet did not form or did not agree, or
+/// the load did not end.
+pub fn run(scenario: &Scenario, program: &Path, folder: &Path) -> Result<Outcome, LabError> {
+    let folder = create_folder(folder)?;
+    note_panics();
+    configure_coroutines();
+    let mut lab = Lab::new(scenario, program, folder);
+    lab.start_workers()?;
+    lab.start_gossip_relays()?;
+    lab.start_front_ends()?;
+    let joined_s = if scenario.fleet {
+        Some(lab.wait_until_joined(FORMS_WITHIN)?)
     } else {
         None
     };
-    let kserve = Arc::new(RwLock::new(
-        lab.fronts.iter().map(|f| f.kserve).collect::<Vec<_>>(),
-    ));
-    let load = LoadSettings {
-        rate_per_s: s.rate_per_s,
-        seconds: s.seconds,
-        wait_ms: s.wait_ms,
-        attempts: s.client_attempts,
-        seed: s.seed,
-        fragile: s.is_fragile(),
-    };
-    let (ended, driving) = channel();
-    let (k, t) = (kserve.clone(), metrics.clone());
-    metrics.clock.go_on();
-    spawn(move || {
-        load_generator::drive(load, k, t);
-        let _ = ended.send(());
-    });
-    // The faults' timeline, on this thread; kills and restarts are of processes, the rest of links.
-    let mut timeline = s.faults.clone();
-    timeline.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-    let mut died = Vec::new();
-    let mut killed = vec![false; s.fronts];
-    let mut ahead = &timeline[..];
-    while let Some(fault) = ahead.first() {
-        while metrics.clock.now().0 < fault.at_s {
-            std::thread::sleep(Duration::from_millis(5));
+    let load_ended = lab.start_load();
+    lab.run_timeline()?;
+    let agreement = lab.wait_until_agreed()?;
+    lab.wait_for_load(&load_ended)?;
+    if PANICKED.load(Ordering::Acquire) {
+        return Err(LabError::Panicked);
+    }
+    lab.end(joined_s, agreement)
+}
+
+/// Creates the folder of a run. Its path is absolute from here on: the program looks for the files that its files name
+/// beside those.
+fn create_folder(folder: &Path) -> Result<PathBuf, LabError> {
+    std::fs::create_dir_all(folder)
+        .and_then(|()| folder.canonicalize())
+        .map_err(LabError::at(folder))
+}
+
+/// Notes from now on whether a thread or coroutine panics.
+fn note_panics() {
+    let hook_before = std::panic::take_hook();
+    std::panic::set_hook(Box::new(move |info| {
+        PANICKED.store(true, Ordering::Release);
+        hook_before(info);
+    }));
+}
+
+/// One scheduler thread, tied to no core. With two, a connect that one thread waits for could be over in the other
+/// before the wait was written down: `may` then panicked, and with that thread half of the sockets were dead. A
+/// thread tied to a core waits for whatever else runs there.
+fn configure_coroutines() {
+    may::config().set_workers(1).set_stack_size(STACK_WORDS);
+    may::config().set_worker_pin(false);
+}
+
+impl Lab {
+    fn new(scenario: &Scenario, program: &Path, folder: PathBuf) -> Lab {
+        let faults = Faults::new(scenario.fronts, scenario.workers);
+        Lab {
+            scenario: scenario.clone(),
+            program: program.to_owned(),
+            folder,
+            faults: Arc::new(RwLock::new(faults)),
+            metrics: Arc::new(Metrics::new(scenario.seconds)),
+            relay_counts: Arc::default(),
+            workers: Vec::new(),
+            fronts: Vec::new(),
+            targets: Targets::default(),
+            gossip_relays: Vec::new(),
+            gossip_sockets: Arc::new(RwLock::new(vec![None; scenario.fronts])),
         }
-        eprintln!("lab: {:.2} s: {}", metrics.clock.now().0, fault.kind);
-        let with_it =
-            |o: &&Fault| o.kind == fault.kind && o.kind == "restart" && o.at_s == fault.at_s;
-        let together = ahead.iter().take_while(with_it).count().max(1);
-        let fronts: Vec<usize> = ahead[..together].iter().filter_map(|o| o.front).collect();
-        ahead = &ahead[together..];
-        match fault.kind.as_str() {
-            "kill" => {
-                for f in fronts {
-                    lab.fronts[f].child.end();
-                    killed[f] = true;
-                }
-            }
-            "leave" => {
-                for f in fronts {
-                    lab.fronts[f].child.leave(LEAVES)?;
-                    killed[f] = true;
-                }
-            }
-            "stop" => lab.signal(&fronts, Signal::SIGSTOP)?,
-            "continue" => lab.signal(&fronts, Signal::SIGCONT)?,
-            "restart" => {
-                for (f, front) in metrics.clock.held(|| lab.restart(&fronts))? {
-                    kserve.write().map_err(|_| "poisoned")?[f] = front.kserve;
-                    lab.fronts[f] = front;
-                    killed[f] = false;
-                }
-            }
-            _ => {
-                faults.write().map_err(|_| "poisoned")?.apply(fault);
-                if let ("cold", Some(w)) = (fault.kind.as_str(), fault.worker) {
-                    let unix = SystemTime::now()
-                        .duration_since(UNIX_EPOCH)
-                        .map_or(0, |d| d.as_millis());
-                    lab.started[w] = Some((metrics.clock.real_s(), unix));
-                    lab.list()?;
-                }
-            }
+    }
+
+    fn relay_settings(&self) -> RelaySettings {
+        RelaySettings {
+            faults: self.faults.clone(),
+            counts: self.relay_counts.clone(),
         }
     }
-    let last_fault = Instant::now();
-    let agreed = match s.agree_within_s {
-        Some(within) => Some(until_agreed(
-            &lab.running(),
-            last_fault,
-            Duration::from_secs_f64(within),
-        )?),
-        None => None,
-    };
-    let within = Duration::from_secs(s.seconds + 60);
-    driving
-        .recv_timeout(within)
-        .map_err(|_| format!("the load did not end in {} s", within.as_secs()))?;
-    if PANICKED.load(Ordering::Acquire) {
-        return Err("a thread of the lab panicked: what it carried is lost".to_owned());
+
+    /// Starts the workers, each behind a relay, and lists them.
+    fn start_workers(&mut self) -> Result<(), LabError> {
+        let seed = self.scenario.seed;
+        let settings = WorkerSettings {
+            work_ms: self.scenario.work_ms,
+            seed,
+            faults: self.faults.clone(),
+            metrics: self.metrics.clone(),
+        };
+        for index in 0..self.scenario.workers {
+            let worker = worker::start(index, settings.clone())?;
+            let relay_seed = seed ^ (index as u64) << 8;
+            let address =
+                relay::start_worker_relay(index, worker, self.relay_settings(), relay_seed)?;
+            self.workers.push(ListedWorker {
+                address,
+                restart: None,
+            });
+        }
+        self.write_endpoints()
     }
-    let mut figures = Vec::new();
-    for (f, front) in lab.fronts.iter_mut().enumerate() {
-        let alive = front.child.runs();
-        if !alive && !killed[f] {
-            died.push(f);
+
+    /// Starts a relay in front of each front end's gossip.
+    fn start_gossip_relays(&mut self) -> Result<(), LabError> {
+        for index in 0..self.scenario.fronts {
+            let seed = self.scenario.seed ^ (index as u64) << 16;
+            let sockets = self.gossip_sockets.clone();
+            let address = relay::start_gossip_relay(index, sockets, self.relay_settings(), seed)?;
+            self.gossip_relays.push(address);
         }
-        figures.push(if alive {
-            fleet_figures(front.admin)
-        } else {
-            Vec::new()
-        });
+        Ok(())
     }
-    for front in &mut lab.fronts {
-        front.child.end();
+
+    /// Starts the load; what it returns gets a message when the load has ended.
+    fn start_load(&self) -> Receiver<()> {
+        let scenario = &self.scenario;
+        let load = LoadSettings {
+            rate_per_s: scenario.rate_per_s,
+            seconds: scenario.seconds,
+            wait_ms: scenario.wait_ms,
+            attempts: scenario.client_attempts,
+            seed: scenario.seed,
+            fragile: scenario.is_fragile(),
+        };
+        let targets = self.targets.clone();
+        let metrics = self.metrics.clone();
+        let (ended, load_ended) = channel();
+        self.metrics.clock.resume();
+        spawn(move || {
+            load_generator::run(load, targets, metrics);
+            let _ = ended.send(()); // the lab may have ended by an error
+        });
+        load_ended
     }
-    let done = std::mem::take(&mut *done.lock().map_err(|_| "poisoned")?);
-    let quota = s.quota_per_s.unwrap_or(QUOTA) / s.workers as f64;
-    let allowed = |age: f64| match age {
-        age if age >= COLD.1 => f64::INFINITY, // it is warm, and there is no rule any more
-        age => COLD.2 * (COLD.0 + (1.0 - COLD.0) * (age / COLD.1).max(0.0)) * quota,
-    };
-    let started = lab
-        .started
-        .iter()
-        .enumerate()
-        .filter_map(|(w, at)| at.map(|at| (w, at.0)));
-    let cold = started
-        .map(|(w, at)| (w, metrics.worst(w, at, allowed)))
-        .collect();
-    let wronged = lab.wronged()?;
-    Ok(Outcome {
-        metrics,
-        figures,
-        done,
-        died,
-        cold,
-        agreed,
-        wronged,
-        joined_s,
-    })
-}
 
-impl Lab {
-    /// Where front end `f`'s log goes.
-    fn log(&self, f: usize) -> PathBuf {
-        self.folder.join(format!("front-{f}.log"))
+    fn wait_for_load(&self, load_ended: &Receiver<()>) -> Result<(), LabError> {
+        let within_s = self.scenario.seconds + LOAD_MARGIN_S;
+        load_ended
+            .recv_timeout(Duration::from_secs(within_s))
+            .map_err(|_| LabError::LoadDidNotEnd { within_s })
     }
 
-    /// Sends a signal to these front ends.
-    fn signal(&self, fronts: &[usize], signal: Signal) -> Result<(), String> {
-        fronts
-            .iter()
-            .try_for_each(|&f| self.fronts[f].child.signal(signal))
+    /// Calls a second that the tenant's quota allows over all workers.
+    fn quota_per_s(&self) -> f64 {
+        self.scenario.quota_per_s.unwrap_or(UNBOUNDED_QUOTA)
     }
 }
--- a/fleetlab/src/lab/front_end.rs
+++ b/fleetlab/src/lab/front_end.rs
@@ -1,6 +1,8 @@
 //! The front ends of a run: their files, their start, and what they listen on.
-use super::{Lab, QUOTA};
+use super::Lab;
+use crate::error::LabError;
 use crate::process::{follow, Process};
+use crate::scenario::{DEFAULT_PROBE_MS, DEFAULT_SUSPECT_MS};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Command, Stdio};
@@ -8,9 +10,11 @@
 use std::time::Duration;
 
 /// A front end that writes nothing for so long before it listens is given up, as a fleet that does not form.
-const LISTENS: Duration = Duration::from_secs(10);
+const LISTENS_WITHIN: Duration = Duration::from_secs(10);
+/// An address that the system completes by a free port.
+const ANY_PORT: &str = "127.0.0.1:0";
 
-/// The settings every front end of the lab is given: the classes the gateways use, one tenant.
+/// The settings every front end of the lab is given: the classes that the load uses, one tenant.
 const SETTINGS: &str = r#"{"balancers":$FRONTS,$INDEX"classes":[
  {"effect":"$EFFECT","goal-time":400,"key-scope":"all","memory-span":5000,"name":"tile-render","worth":1}],
  "failure-domains":["hall-a","hall-b"],"flavors":["std"],"tenants":[{"name":"acme","portion":1,"quota-per-s":$QUOTA}],
@@ -21,156 +25,233 @@
  "fall-multiple":2,"warm-within":17000}}"#;
 
 /// One process of the program.
-pub(super) struct Front {
-    pub(super) child: Process,
+pub(super) struct FrontEnd {
+    pub(super) process: Process,
     pub(super) admin: SocketAddr,
     pub(super) kserve: SocketAddr,
     /// Its gossip socket, kept across a restart.
-    pub(super) gossip: Option<SocketAddr>,
+    gossip: Option<SocketAddr>,
+    /// Whether a fault ended it.
+    pub(super) was_ended: bool,
 }
 
 /// A front end that has been started, and the lines of its log.
-pub(super) struct Starting {
-    pub(super) f: usize,
-    pub(super) child: Process,
-    pub(super) lines: Receiver<String>,
+struct StartingFrontEnd {
+    index: usize,
+    process: Process,
+    lines: Receiver<String>,
 }
 
-impl Lab {
-    /// The settings of a front end, by the scenario.
-    fn settings(&self, f: usize) -> String {
-        let s = &self.scenario;
-        let numbered = s.numbered.unwrap_or(false);
-        let index = if numbered {
-            format!("\"index\":{f},")
+/// A front end that was started again and listens.
+struct RestartedFrontEnd {
+    index: usize,
+    front: FrontEnd,
+}
+
+/// What a front end listens on, as far as its log has said.
+#[derive(Default)]
+struct Listeners {
+    admin: Option<SocketAddr>,
+    kserve: Option<SocketAddr>,
+    gossip: Option<SocketAddr>,
+}
+
+impl Listeners {
+    /// Takes up a line of the log.
+    fn note(&mut self, line: &str) {
+        let listener = if line.contains("the operators' door listens on") {
+            &mut self.admin
+        } else if line.contains("KServe v2 listens on") {
+            &mut self.kserve
+        } else if line.contains("gossip listens on") {
+            &mut self.gossip
         } else {
-            String::new()
+            return;
         };
-        SETTINGS
-            .replace(
-                "$FRONTS",
-                &(if numbered { s.fronts } else { 1 }).to_string(),
-            )
-            .replace("$INDEX", &index)
-            .replace("$EFFECT", s.effect.as_deref().unwrap_or("retryable"))
-            .replace("$QUOTA", &s.quota_per_s.unwrap_or(QUOTA).to_string())
+        let address = line.rsplit_once(" listens on ");
+        *listener = address.and_then(|(_, address)| address.parse().ok());
     }
+}
 
-    /// Starts those of these front ends that do not run, all at once, joining by way of one that does.
-    pub(super) fn restart(&self, fronts: &[usize]) -> Result<Vec<(usize, Front)>, String> {
-        let runs = |&o: &usize| self.fronts[o].child.is_held();
-        let by = (0..self.fronts.len()).find(runs);
-        let starting = fronts
-            .iter()
-            .filter(|f| !runs(f))
-            .map(|&f| self.launch(f, by));
-        let starting = starting.collect::<Result<Vec<_>, _>>()?;
-        starting
-            .into_iter()
-            .map(|s| Ok((s.f, self.stands(s)?)))
-            .collect()
+impl Lab {
+    /// Starts all front ends, one after the other.
+    pub(super) fn start_front_ends(&mut self) -> Result<(), LabError> {
+        for index in 0..self.scenario.fronts {
+            let front = self.wait_until_listening(self.launch(index, None)?)?;
+            self.fronts.push(front);
+        }
+        let kserve = self.fronts.iter().map(|front| front.kserve).collect();
+        *self.targets.write().map_err(|_| LabError::Poisoned)? = kserve;
+        Ok(())
     }
 
-    /// Starts front end `f`, joining by way of `by`'s relay (else the first's, unless it is the first).
-    pub(super) fn launch(&self, f: usize, by: Option<usize>) -> Result<Starting, String> {
-        let s = &self.scenario;
-        let write = |name: String, text: String| -> Result<PathBuf, String> {
-            let path = self.folder.join(name);
-            std::fs::write(&path, text).map_err(|e| e.to_string())?;
-            Ok(path)
-        };
-        let config = write(
-            format!("config-{f}.json"),
-            format!(
-                r#"{{"name":"lab{f}","seed":"{:x}","admin":"127.0.0.1:0","limits":{{"memory_mb":192,"sockets":1024}},"settings":{},"known":{{"rev":0,"notices":[]}}}}"#,
-                s.seed.wrapping_add(f as u64),
-                self.settings(f)
-            ),
-        )?;
-        let kserve = write(
-            format!("kserve-{f}.json"),
-            format!(
-                r#"{{"listen":"127.0.0.1:0","endpoints":"{}"}}"#,
-                self.endpoints.display()
-            ),
-        )?;
-        let tmp = self.folder.join(format!("tmp-{f}"));
-        std::fs::create_dir_all(&tmp).map_err(|e| e.to_string())?;
+    /// Starts those of these front ends that do not run, all at once, joining by way of one that does. The run's time
+    /// is paused until all listen.
+    pub(super) fn restart_front_ends(&mut self, fronts: &[usize]) -> Result<(), LabError> {
+        let clock = &self.metrics.clock;
+        let restarted = clock.pause_while(|| self.launch_stopped(fronts))?;
+        for RestartedFrontEnd { index, front } in restarted {
+            self.targets.write().map_err(|_| LabError::Poisoned)?[index] = front.kserve;
+            self.fronts[index] = front;
+        }
+        Ok(())
+    }
+
+    /// Starts those of these front ends that do not run, and waits until they listen.
+    fn launch_stopped(&self, fronts: &[usize]) -> Result<Vec<RestartedFrontEnd>, LabError> {
+        let mut all = self.fronts.iter();
+        let join_by = all.position(|front| front.process.is_started());
+        let mut starting = Vec::new();
+        for &index in fronts {
+            if !self.fronts[index].process.is_started() {
+                starting.push(self.launch(index, join_by)?);
+            }
+        }
+        let mut restarted = Vec::new();
+        for starting in starting {
+            let index = starting.index;
+            let front = self.wait_until_listening(starting)?;
+            restarted.push(RestartedFrontEnd { index, front });
+        }
+        Ok(restarted)
+    }
+
+    /// Where a front end's log goes.
+    pub(super) fn log_file(&self, index: usize) -> PathBuf {
+        self.folder.join(format!("front-{index}.log"))
+    }
+
+    /// Starts a front end, joining by way of another's relay (else the first's, unless it is the first).
+    fn launch(&self, index: usize, join_by: Option<usize>) -> Result<StartingFrontEnd, LabError> {
+        let temporary = self.folder.join(format!("tmp-{index}"));
+        std::fs::create_dir_all(&temporary)?;
         let mut command = Command::new(&self.program);
         command
-            .env("NODE_CONFIG", &config)
-            .env("NODE_LISTEN", "127.0.0.1:0")
-            .env("TMPDIR", &tmp)
-            .env("WRENSEAM_KSERVE", &kserve)
+            .env("NODE_CONFIG", self.write_config(index)?)
+            .env("NODE_LISTEN", ANY_PORT)
+            .env("TMPDIR", &temporary)
+            .env("WRENSEAM_KSERVE", self.write_kserve_file(index)?)
             .stderr(Stdio::piped());
-        let known = self.fronts.get(f).and_then(|old| old.gossip);
-        if s.fleet {
-            let seed = by
-                .or((f > 0).then_some(0))
-                .map(|b| format!(r#""{}""#, self.relays[b]));
-            let listen = known.map_or("127.0.0.1:0".to_owned(), |a| a.to_string());
-            let fleet = write(
-                format!("fleet-{f}.json"),
-                format!(
-                    r#"{{"listen":"{listen}","advertise":"{}","seeds":[{}],"cluster":"lab","expected":{},"probe_ms":{},"suspect_ms":{},"capacity":64,"shed_order":["tile-render"]}}"#,
-                    self.relays[f],
-                    seed.unwrap_or_default(),
-                    s.fronts,
-                    s.probe_ms.unwrap_or(200),
-                    s.suspect_ms.unwrap_or(600),
-                ),
-            )?;
-            command.env("WRENSEAM_FLEET", fleet);
+        if self.scenario.fleet {
+            command.env("WRENSEAM_FLEET", self.write_fleet_file(index, join_by)?);
         }
-        let mut child = command
-            .spawn()
-            .map_err(|e| format!("{}: {e}", self.program.display()))?;
-        let log = child.stderr.take().ok_or("no log")?;
-        let lines = follow(log, self.log(f));
-        Ok(Starting {
-            f,
-            child: Process::new(child),
-            lines,
+        let mut child = command.spawn().map_err(LabError::at(&self.program))?;
+        let log = child.stderr.take().ok_or(LabError::NoLog)?;
+        Ok(StartingFrontEnd {
+            index,
+            process: Process::new(child),
+            lines: follow(log, self.log_file(index)),
         })
     }
 
+    fn write_file(&self, name: String, text: String) -> Result<PathBuf, LabError> {
+        let path = self.folder.join(name);
+        std::fs::write(&path, text)?;
+        Ok(path)
+    }
+
+    fn write_config(&self, index: usize) -> Result<PathBuf, LabError> {
+        let seed = self.scenario.seed.wrapping_add(index as u64);
+        let settings = self.settings(index);
+        let text = format!(
+            r#"{{"name":"lab{index}","seed":"{seed:x}","admin":"127.0.0.1:0","limits":{{"memory_mb":192,"sockets":1024}},"settings":{settings},"known":{{"rev":0,"notices":[]}}}}"#
+        );
+        self.write_file(format!("config-{index}.json"), text)
+    }
+
+    /// The settings of a front end, by the scenario.
+    fn settings(&self, index: usize) -> String {
+        let scenario = &self.scenario;
+        let is_numbered = scenario.numbered.unwrap_or(false);
+        let mut fronts = 1;
+        let mut index_field = String::new();
+        if is_numbered {
+            fronts = scenario.fronts;
+            index_field = format!("\"index\":{index},");
+        }
+        SETTINGS
+            .replace("$FRONTS", &fronts.to_string())
+            .replace("$INDEX", &index_field)
+            .replace("$EFFECT", scenario.effect.as_deref().unwrap_or("retryable"))
+            .replace("$QUOTA", &self.quota_per_s().to_string())
+    }
+
+    fn write_kserve_file(&self, index: usize) -> Result<PathBuf, LabError> {
+        let endpoints = self.endpoints_file();
+        let text = format!(
+            r#"{{"listen":"127.0.0.1:0","endpoints":"{}"}}"#,
+            endpoints.display()
+        );
+        self.write_file(format!("kserve-{index}.json"), text)
+    }
+
+    fn write_fleet_file(&self, index: usize, join_by: Option<usize>) -> Result<PathBuf, LabError> {
+        let scenario = &self.scenario;
+        let first = if index > 0 { Some(0) } else { None };
+        let seed = join_by
+            .or(first)
+            .map(|by| format!(r#""{}""#, self.gossip_relays[by]));
+        let gossip_before = self.fronts.get(index).and_then(|before| before.gossip);
+        let text = format!(
+            r#"{{"listen":"{}","advertise":"{}","seeds":[{}],"cluster":"lab","expected":{},"probe_ms":{},"suspect_ms":{},"capacity":64,"shed_order":["tile-render"]}}"#,
+            gossip_before.map_or(ANY_PORT.to_owned(), |address| address.to_string()),
+            self.gossip_relays[index],
+            seed.unwrap_or_default(),
+            scenario.fronts,
+            scenario.probe_ms.unwrap_or(DEFAULT_PROBE_MS),
+            scenario.suspect_ms.unwrap_or(DEFAULT_SUSPECT_MS),
+        );
+        self.write_file(format!("fleet-{index}.json"), text)
+    }
+
     /// Waits until a front end listens everywhere.
-    pub(super) fn stands(&self, starting: Starting) -> Result<Front, String> {
-        let Starting { f, child, lines } = starting;
-        let (mut admin, mut front, mut gossip) = (None, None, None);
+    fn wait_until_listening(&self, starting: StartingFrontEnd) -> Result<FrontEnd, LabError> {
+        let StartingFrontEnd {
+            index,
+            process,
+            lines,
+        } = starting;
+        let mut listeners = Listeners::default();
         let mut last_line = "nothing".to_owned();
-        while admin.is_none() || front.is_none() || (self.scenario.fleet && gossip.is_none()) {
-            let line = lines.recv_timeout(LISTENS).map_err(|e| match e {
-                RecvTimeoutError::Timeout => {
-                    format!(
-                        "front end {f} says nothing and does not listen; it said last: {last_line}"
-                    )
-                }
-                RecvTimeoutError::Disconnected => {
-                    format!("front end {f} ended before it listened; it said last: {last_line}")
-                }
-            })?;
-            let address = || {
-                line.rsplit_once(" listens on ")
-                    .and_then(|(_, a)| a.parse().ok())
-            };
-            if line.contains("the operators' door listens on") {
-                admin = address();
-            } else if line.contains("KServe v2 listens on") {
-                front = address();
-            } else if line.contains("gossip listens on") {
-                gossip = address();
+        loop {
+            let has_gossip = listeners.gossip.is_some() || !self.scenario.fleet;
+            if let (Some(admin), Some(kserve), true) =
+                (listeners.admin, listeners.kserve, has_gossip)
+            {
+                self.note_gossip_socket(index, listeners.gossip)?;
+                return Ok(FrontEnd {
+                    process,
+                    admin,
+                    kserve,
+                    gossip: listeners.gossip,
+                    was_ended: false,
+                });
             }
-            last_line = line;
+            last_line = match lines.recv_timeout(LISTENS_WITHIN) {
+                Ok(line) => line,
+                Err(error) => return Err(not_listening(index, last_line, error)),
+            };
+            listeners.note(&last_line);
         }
-        if let Some(g) = gossip {
-            self.real.write().map_err(|_| "poisoned")?[f] = Some(g);
+    }
+
+    /// Where a front end's datagrams come from, for the relays.
+    fn note_gossip_socket(&self, index: usize, socket: Option<SocketAddr>) -> Result<(), LabError> {
+        if socket.is_some() {
+            let mut sockets = self
+                .gossip_sockets
+                .write()
+                .map_err(|_| LabError::Poisoned)?;
+            sockets[index] = socket;
         }
-        Ok(Front {
-            child,
-            admin: admin.ok_or("no admin listener")?,
-            kserve: front.ok_or("no front")?,
-            gossip,
-        })
+        Ok(())
+    }
+}
+
+/// Why a front end is given up before it listens.
+fn not_listening(front: usize, last_line: String, error: RecvTimeoutError) -> LabError {
+    match error {
+        RecvTimeoutError::Timeout => LabError::DoesNotListen { front, last_line },
+        RecvTimeoutError::Disconnected => LabError::EndedBeforeListening { front, last_line },
     }
 }
--- a/fleetlab/src/lab/observe.rs
+++ b/fleetlab/src/lab/observe.rs
@@ -1,59 +1,71 @@
 //! What the lab reads of the front ends while a run goes on.
 use super::Lab;
-use crate::fleet_view::{declared_down, figure, fleet_figures};
+use crate::error::LabError;
+use crate::fleet_view::{declared_down, FleetFigures, RunningFront};
+use crate::scenario::FaultKind;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-impl Lab {
-    /// The front ends that run, and where each tells its figures.
-    pub(super) fn running(&self) -> Vec<(usize, SocketAddr)> {
-        let held = self
-            .fronts
-            .iter()
-            .enumerate()
-            .filter(|(_, front)| front.child.is_held());
-        held.map(|(f, front)| (f, front.admin)).collect()
-    }
+/// How often the front ends' counts of peers are read while the fleet forms.
+const JOIN_POLL: Duration = Duration::from_millis(20);
 
-    /// Log lines that declare a front end down of which no fault is told: it ran, heard and was heard all the time.
-    pub(super) fn wronged(&self) -> Result<Vec<String>, String> {
-        let faults = &self.scenario.faults;
-        let of_one = faults
-            .iter()
-            .flat_map(|fault| [fault.front, fault.from, fault.to])
-            .flatten();
-        let of_parts = faults.iter().filter(|fault| fault.kind == "partition");
-        if of_parts.count() > 0 {
-            return Ok(Vec::new()); // all were cut from some
+impl Lab {
+    /// The front ends that run, and where each reports its figures.
+    pub(super) fn running(&self) -> Vec<RunningFront> {
+        let mut running = Vec::new();
+        for (index, front) in self.fronts.iter().enumerate() {
+            if front.process.is_started() {
+                running.push(RunningFront {
+                    index,
+                    admin: front.admin,
+                });
+            }
         }
-        let troubled: Vec<usize> = of_one.collect();
-        let sound = (0..self.fronts.len()).filter(|f| !troubled.contains(f));
-        let peers: Vec<SocketAddr> = sound.map(|f| self.relays[f]).collect();
-        let logs: Vec<PathBuf> = (0..self.fronts.len()).map(|f| self.log(f)).collect();
-        declared_down(&logs, &peers)
+        running
     }
 
     /// Waits until every front end counts all others alive; how long it took, s.
-    pub(super) fn joined(&self, within: Duration) -> Result<f64, String> {
+    pub(super) fn wait_until_joined(&self, within: Duration) -> Result<f64, LabError> {
         let since = Instant::now();
-        let want = self.fronts.len() as u64 - 1;
+        let want = Some(self.fronts.len() as u64 - 1);
         loop {
-            let counts = self
+            let peers: Vec<Option<u64>> = self
                 .fronts
                 .iter()
-                .map(|f| figure(&fleet_figures(f.admin), "peers"));
-            let counts: Vec<Option<u64>> = counts.collect();
-            if counts.iter().all(|&c| c == Some(want)) {
+                .map(|front| FleetFigures::read(front.admin).get("peers"))
+                .collect();
+            if peers.iter().all(|&count| count == want) {
                 return Ok(since.elapsed().as_secs_f64());
             }
             if since.elapsed() > within {
-                return Err(format!(
-                    "the fleet did not form in {} s: {counts:?} peers",
-                    within.as_secs()
-                ));
+                return Err(LabError::NotFormed {
+                    within_s: within.as_secs(),
+                    peers,
+                });
             }
-            std::thread::sleep(Duration::from_millis(20));
+            std::thread::sleep(JOIN_POLL);
         }
     }
+
+    /// Log lines that declare a front end down of which no fault is known: it ran, heard and was heard all the time.
+    pub(super) fn wrongly_declared_down(&self) -> Result<Vec<String>, LabError> {
+        let faults = &self.scenario.faults;
+        let has_partition = faults
+            .iter()
+            .any(|fault| fault.known_kind() == Some(FaultKind::Partition));
+        if has_partition {
+            return Ok(Vec::new()); // all were cut from some
+        }
+        let named = faults
+            .iter()
+            .flat_map(|fault| [fault.front, fault.from, fault.to]);
+        let faulty: Vec<usize> = named.flatten().collect();
+        let healthy = (0..self.fronts.len()).filter(|front| !faulty.contains(front));
+        let peers: Vec<SocketAddr> = healthy.map(|front| self.gossip_relays[front]).collect();
+        let logs: Vec<PathBuf> = (0..self.fronts.len())
+            .map(|front| self.log_file(front))
+            .collect();
+        declared_down(&logs, &peers)
+    }
 }
--- a/fleetlab/src/lab/outcome.rs
+++ b/fleetlab/src/lab/outcome.rs
@@ -1,23 +1,63 @@
 //! What a run leaves.
-use crate::fleet_view::{Agreed, Figures};
+use super::{ColdWorker, Lab};
+use crate::error::LabError;
+use crate::fleet_view::{Agreement, FleetFigures};
 use crate::metrics::Metrics;
 use crate::relay::RelayCounts;
 use std::sync::Arc;
 
-/// What a run leaves: the metrics, each front end's fleet figures at the end, the relays' work.
+/// What a run leaves: the counts, each front end's fleet figures at the end, the relays' work.
 pub struct Outcome {
+    /// What was counted.
     pub metrics: Arc<Metrics>,
-    /// Per front end: (name, value) of its `app.fleet.*` figures read at the end of the load.
-    pub figures: Vec<Figures>,
-    pub done: RelayCounts,
-    /// Front ends that ended by themselves, not by a `kill`.
+    /// Each front end's figures, read at the end of the load; none of those that do not run.
+    pub figures: Vec<FleetFigures>,
+    /// What the relays did.
+    pub relay_counts: RelayCounts,
+    /// Front ends that ended by themselves, not by a fault.
     pub died: Vec<usize>,
-    /// Per worker started anew: the most that any second brought it, as a part of what the rule allows.
-    pub cold: Vec<(usize, f64)>,
+    /// Workers that were started again.
+    pub cold: Vec<ColdWorker>,
     /// When all front ends agreed after the last fault, where the scenario asks for it.
-    pub agreed: Option<Agreed>,
-    /// Log lines in which a front end was declared down that was never in trouble itself.
-    pub wronged: Vec<String>,
+    pub agreement: Option<Agreement>,
+    /// Log lines in which a front end was declared down of which no fault is known.
+    pub wrongly_declared_down: Vec<String>,
     /// Seconds until every front end counted all others alive, before the load (None: fleet off).
     pub joined_s: Option<f64>,
 }
+
+impl Lab {
+    /// Reads what the run leaves, and ends the front ends.
+    pub(super) fn end(
+        mut self,
+        joined_s: Option<f64>,
+        agreement: Option<Agreement>,
+    ) -> Result<Outcome, LabError> {
+        let mut figures = Vec::new();
+        let mut died = Vec::new();
+        for (index, front) in self.fronts.iter_mut().enumerate() {
+            if front.process.is_running() {
+                figures.push(FleetFigures::read(front.admin));
+                continue;
+            }
+            figures.push(FleetFigures::default());
+            if !front.was_ended {
+                died.push(index);
+            }
+        }
+        for front in &mut self.fronts {
+            front.process.kill();
+        }
+        let relay_counts = *self.relay_counts.lock().map_err(|_| LabError::Poisoned)?;
+        Ok(Outcome {
+            metrics: self.metrics.clone(),
+            figures,
+            relay_counts,
+            died,
+            cold: self.cold_workers(),
+            agreement,
+            wrongly_declared_down: self.wrongly_declared_down()?,
+            joined_s,
+        })
+    }
+}
--- a/fleetlab/src/lib.rs
+++ b/fleetlab/src/lib.rs
@@ -2,6 +2,7 @@
 //! them. docs/fleetlab.md has the scenarios.
 pub mod clock;
 pub mod coroutine;
+pub mod error;
 pub mod faults;
 pub mod fleet_view;
 pub mod infer;
--- a/fleetlab/src/metrics.rs
+++ b/fleetlab/src/metrics.rs
@@ -3,162 +3,178 @@
 use hdrhistogram::Histogram;
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::Mutex;
+use std::sync::{Mutex, MutexGuard, PoisonError};
+
+/// Seconds counted beyond the load's, for what ends late.
+const LATE_SECONDS: usize = 5;
+/// The largest latency that is told apart, in microseconds: a minute.
+const LARGEST_LATENCY: u64 = 60_000_000;
+/// Decimal digits that latencies are told apart by.
+const LATENCY_DIGITS: u8 = 2;
 
 /// The counts of one second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Counter {
-    /// Requests begun by the gateways (first attempts).
+    /// Requests begun by the load generator (first attempts).
     Offered,
     /// Attempts sent to a front end beyond the first of a request.
     Retried,
     /// Requests that ended served.
     Served,
-    /// Answers of 503 with a wait told (refusals), each attempt's.
+    /// Responses of 503 with Retry-After (rejections), each attempt's.
     Refused,
     /// Requests that ended without being served, after their last attempt.
     Failed,
-    /// Attempts that got no answer in time (wait plus a second), or a cut connection.
+    /// Attempts that got no response in time (wait plus a second), or a cut connection.
     Unanswered,
     /// Calls that reached a stand-in worker.
     Calls,
-    /// Calls that came whole to a worker though they may have run before.
+    /// Calls that reached a worker completely though they may have run before.
     Repeats,
-    /// Asks for a function's state or loads that reached a worker (the program's probes).
+    /// Requests for a function's state or load that reached a worker (the program's health checks).
     Probes,
 }
 
-const KINDS: usize = 9;
+impl Counter {
+    /// How many there are.
+    const NUMBER: usize = 9;
+
+    /// Its place in arrays by counter.
+    fn index(self) -> usize {
+        self as usize
+    }
+}
+
+/// A call that reached a cold worker.
+struct ColdCall {
+    /// When, in real seconds.
+    at_s: f64,
+    worker: usize,
+}
 
-/// Per-second counts and latencies of served requests (µs, first attempt to answer).
+/// Per-second counts, and histograms of the latencies of served requests (µs, first attempt to response).
 pub struct Metrics {
     /// The run's time.
     pub clock: Clock,
-    counts: Vec<[AtomicU64; KINDS]>,
-    latency: Mutex<Vec<Histogram<u64>>>,
+    counts: Vec<[AtomicU64; Counter::NUMBER]>,
+    latencies: Mutex<Vec<Histogram<u64>>>,
     /// The numbers of the requests that may have run at a worker.
     ran: Mutex<HashSet<u64>>,
-    /// When each call reached a worker that is watched, real s, and which.
-    reached: Mutex<Vec<(f64, usize)>>,
+    cold_calls: Mutex<Vec<ColdCall>>,
 }
 
 impl Metrics {
-    /// Room for `seconds` seconds and a few more for what ends late.
+    /// Capacity for `seconds` seconds and a few more for what ends late.
     pub fn new(seconds: u64) -> Metrics {
-        let n = seconds as usize + 5;
-        let latency = (0..n)
-            .map(|_| Histogram::new_with_bounds(1, 60_000_000, 2).expect("bounds"))
-            .collect();
+        let seconds = seconds as usize + LATE_SECONDS;
         Metrics {
-            clock: Clock::stopped(),
-            counts: (0..n)
+            clock: Clock::paused(),
+            counts: (0..seconds)
                 .map(|_| std::array::from_fn(|_| AtomicU64::new(0)))
                 .collect(),
-            latency: Mutex::new(latency),
+            latencies: Mutex::new((0..seconds).map(|_| histogram()).collect()),
             ran: Mutex::default(),
-            reached: Mutex::new(Vec::new()),
+            cold_calls: Mutex::default(),
         }
     }
 
     /// The second of the run now.
-    pub fn second(&self) -> usize {
-        (self.clock.now().0 as usize).min(self.counts.len() - 1)
+    fn second(&self) -> usize {
+        (self.clock.now().seconds as usize).min(self.counts.len() - 1)
     }
 
-    pub fn add(&self, what: Counter) {
-        self.counts[self.second()][what as usize].fetch_add(1, Ordering::Relaxed);
+    /// Counts one in the second that it is.
+    pub fn add(&self, counter: Counter) {
+        self.counts[self.second()][counter.index()].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A call of this request came whole to a worker; `runs` unless the worker answers that it never did.
-    pub fn came(&self, request: u64, runs: bool) {
-        let mut ran = self
-            .ran
-            .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner);
+    /// A call of this request reached a worker completely; `may_run` unless the worker answers that it never did.
+    pub fn record_call(&self, request: u64, may_run: bool) {
+        let mut ran = lock(&self.ran);
         if ran.contains(&request) {
             self.add(Counter::Repeats);
         }
-        if runs {
+        if may_run {
             ran.insert(request);
         }
     }
 
-    /// A call reached a worker that is watched; bounded by the load's own bounds.
-    pub fn reach(&self, worker: usize) {
-        let now = self.clock.real_s();
-        self.reached
-            .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner)
-            .push((now, worker));
+    /// A call reached a cold worker; their number is bounded by the load.
+    pub fn record_cold_call(&self, worker: usize) {
+        let at_s = self.clock.real_s();
+        lock(&self.cold_calls).push(ColdCall { at_s, worker });
     }
 
-    /// The most calls that any second held at a worker, each counted as a part of what `allowed` gives at the
-    /// age, s, of that second's end since `start`; 0 if none came.
-    pub fn worst(&self, worker: usize, start: f64, allowed: impl Fn(f64) -> f64) -> f64 {
-        let reached = self
-            .reached
-            .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner);
-        let mut times: Vec<f64> = reached
-            .iter()
-            .filter(|r| r.1 == worker)
-            .map(|r| r.0)
-            .collect();
+    /// The most calls that reached a worker in any one second, each second as a part of what `allowed` gives for the
+    /// worker's age at its end, in seconds since `start_s`; 0 if none came.
+    pub fn worst_part(&self, worker: usize, start_s: f64, allowed: impl Fn(f64) -> f64) -> f64 {
+        let cold_calls = lock(&self.cold_calls);
+        let at_worker = cold_calls.iter().filter(|call| call.worker == worker);
+        let mut times: Vec<f64> = at_worker.map(|call| call.at_s).collect();
         times.sort_by(f64::total_cmp);
-        let held = |end: usize| {
-            times[..=end]
+        let mut worst = 0.0f64;
+        for (index, &end) in times.iter().enumerate() {
+            let in_second = times[..=index]
                 .iter()
                 .rev()
-                .take_while(|&&t| t > times[end] - 1.0)
-                .count()
-        };
-        (0..times.len())
-            .map(|n| held(n) as f64 / allowed(times[n] - start))
-            .fold(0.0, f64::max)
+                .take_while(|&&time| time > end - 1.0)
+                .count();
+            worst = worst.max(in_second as f64 / allowed(end - start_s));
+        }
+        worst
     }
 
-    /// A served request's latency, µs.
-    pub fn served(&self, micros: u64) {
+    /// A request was served; its latency, µs.
+    pub fn record_served(&self, latency: u64) {
         self.add(Counter::Served);
-        let s = self.second();
-        let mut l = self
-            .latency
-            .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner);
-        let _ = l[s].record(micros.max(1));
+        let second = self.second();
+        // Refused only beyond the largest latency, which a request that is waited for does not reach.
+        let _ = lock(&self.latencies)[second].record(latency.max(1));
     }
 
-    /// How many of a kind in second `s`.
-    pub fn get(&self, s: usize, what: Counter) -> u64 {
+    /// The count of a second.
+    pub fn count(&self, second: usize, counter: Counter) -> u64 {
         self.counts
-            .get(s)
-            .map_or(0, |c| c[what as usize].load(Ordering::Relaxed))
+            .get(second)
+            .map_or(0, |counts| counts[counter.index()].load(Ordering::Relaxed))
     }
 
-    /// Seconds with room.
+    /// Seconds that are counted.
     pub fn seconds(&self) -> usize {
         self.counts.len()
     }
 
-    /// The sum over the run of a kind.
-    pub fn total(&self, what: Counter) -> u64 {
-        (0..self.seconds()).map(|s| self.get(s, what)).sum()
+    /// The count over the run.
+    pub fn total(&self, counter: Counter) -> u64 {
+        (0..self.seconds())
+            .map(|second| self.count(second, counter))
+            .sum()
     }
 
-    /// Latency quantile `q` of second `s` (None for the whole run), ms.
-    pub fn quantile_ms(&self, s: Option<usize>, q: f64) -> f64 {
-        let l = self
-            .latency
-            .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner);
-        let mut whole = Histogram::<u64>::new_with_bounds(1, 60_000_000, 2).expect("bounds");
-        match s {
-            Some(s) => whole.add(&l[s]).expect("same bounds"),
-            None => l
-                .iter()
-                .try_for_each(|h| whole.add(h))
-                .expect("same bounds"),
+    /// A quantile of the latencies of a second, ms.
+    pub fn quantile_ms(&self, second: usize, quantile: f64) -> f64 {
+        milliseconds(&lock(&self.latencies)[second], quantile)
+    }
+
+    /// A quantile of the latencies of the run, ms.
+    pub fn total_quantile_ms(&self, quantile: f64) -> f64 {
+        let mut total = histogram();
+        for latencies in lock(&self.latencies).iter() {
+            total.add(latencies).expect("the same bounds");
         }
-        whole.value_at_quantile(q) as f64 / 1000.0
+        milliseconds(&total, quantile)
     }
 }
+
+fn histogram() -> Histogram<u64> {
+    Histogram::new_with_bounds(1, LARGEST_LATENCY, LATENCY_DIGITS).expect("bounds in order")
+}
+
+fn milliseconds(latencies: &Histogram<u64>, quantile: f64) -> f64 {
+    latencies.value_at_quantile(quantile) as f64 / 1000.0
+}
+
+/// Locks, also after a panic: what was counted until then still holds.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
--- a/fleetlab/src/process.rs
+++ b/fleetlab/src/process.rs
@@ -1,42 +1,47 @@
 //! A process of the program: its end, its signals, and its log.
+use crate::error::LabError;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use std::io::{BufRead, BufReader, Write};
 use std::path::PathBuf;
-use std::process::{Child, ChildStderr};
+use std::process::{Child, ChildStderr, ExitStatus};
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-/// A child that ends with whoever holds it.
+/// How often a process that is to end is looked at.
+const EXIT_POLL: Duration = Duration::from_millis(2);
+
+/// A child that ends with its owner.
 pub struct Process(Option<Child>);
 
 impl Drop for Process {
-    /// Whoever waits for the lab's output would else wait for what it leaves running, should it end by an error.
+    /// A caller that waits for the lab's output would else wait for what it leaves running, should it end by an error.
     fn drop(&mut self) {
-        self.end();
+        self.kill();
     }
 }
 
 impl Process {
-    /// Holds a child that was started.
+    /// Owns a child that was started.
     pub fn new(child: Child) -> Process {
         Process(Some(child))
     }
 
-    /// Whether it has been started and not ended by the lab.
-    pub fn is_held(&self) -> bool {
+    /// Whether the lab has not ended it.
+    pub fn is_started(&self) -> bool {
         self.0.is_some()
     }
 
     /// Whether it still runs.
-    pub fn runs(&mut self) -> bool {
-        self.0
-            .as_mut()
-            .is_some_and(|child| child.try_wait().ok().flatten().is_none())
+    pub fn is_running(&mut self) -> bool {
+        let Some(child) = self.0.as_mut() else {
+            return false;
+        };
+        child.try_wait().ok().flatten().is_none()
     }
 
     /// Ends it at once, as a crash would.
-    pub fn end(&mut self) {
+    pub fn kill(&mut self) {
         if let Some(mut child) = self.0.take() {
             let _ = child.kill(); // it may have ended already
             let _ = child.wait();
@@ -47,55 +52,58 @@
     ///
     /// # Errors
     /// It does not run, or the system refuses.
-    pub fn signal(&self, signal: Signal) -> Result<(), String> {
-        let child = self.0.as_ref().ok_or("the process has ended")?;
-        kill(Pid::from_raw(child.id() as i32), signal).map_err(|e| format!("{signal}: {e}"))
+    pub fn signal(&self, signal: Signal) -> Result<(), LabError> {
+        let child = self.0.as_ref().ok_or(LabError::ProcessEnded)?;
+        let pid = Pid::from_raw(child.id() as i32);
+        kill(pid, signal).map_err(|source| LabError::Signal { signal, source })
     }
 
-    /// Has it end in order by SIGTERM, and waits for its exit.
+    /// Shuts it down gracefully by SIGTERM, and waits for its exit.
     ///
     /// # Errors
     /// It does not end within `within`, or not with success.
-    pub fn leave(&mut self, within: Duration) -> Result<(), String> {
+    pub fn terminate(&mut self, within: Duration) -> Result<(), LabError> {
         self.signal(Signal::SIGTERM)?;
-        let child = self.0.as_mut().ok_or("the process has ended")?;
+        let status = self.wait_for_exit(within)?;
+        self.0 = None;
+        if !status.success() {
+            return Err(LabError::EndedBadly(status));
+        }
+        Ok(())
+    }
+
+    fn wait_for_exit(&mut self, within: Duration) -> Result<ExitStatus, LabError> {
+        let child = self.0.as_mut().ok_or(LabError::ProcessEnded)?;
         let since = Instant::now();
-        let status = loop {
-            if let Some(status) = child.try_wait().map_err(|e| e.to_string())? {
-                break status;
+        loop {
+            if let Some(status) = child.try_wait()? {
+                return Ok(status);
             }
             if since.elapsed() > within {
-                return Err(format!(
-                    "the process did not end in {} s after SIGTERM",
-                    within.as_secs()
-                ));
+                return Err(LabError::DidNotEnd {
+                    within_s: within.as_secs(),
+                });
             }
-            std::thread::sleep(Duration::from_millis(2));
-        };
-        self.0 = None;
-        if status.success() {
-            Ok(())
-        } else {
-            Err(format!("the process ended with {status} after SIGTERM"))
+            std::thread::sleep(EXIT_POLL);
         }
     }
 }
 
-/// Copies a process's log into a file, so that its pipe never fills, and hands on each line for as long as anybody
-/// listens; a thread, for a pipe blocks and is no socket of may's.
+/// Copies a process's log into a file, so that its pipe never fills, and passes each line on for as long as there is a
+/// receiver; a thread, for a pipe blocks and is no socket of may's.
 pub fn follow(log: ChildStderr, file: PathBuf) -> Receiver<String> {
-    let (told, lines) = channel();
+    let (sender, lines) = channel();
     std::thread::spawn(move || {
-        let Ok(mut out) = std::fs::OpenOptions::new()
+        let options = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
-            .open(file)
-        else {
+            .open(file);
+        let Ok(mut copy) = options else {
             return;
         };
         for line in BufReader::new(log).lines().map_while(Result::ok) {
-            let _ = writeln!(out, "{line}");
-            let _ = told.send(line); // nobody listens any more once it stands
+            let _ = writeln!(copy, "{line}"); // a disk that is full ends no run
+            let _ = sender.send(line); // there is no receiver any more once the process listens
         }
     });
     lines
--- a/fleetlab/src/report.rs
+++ b/fleetlab/src/report.rs
@@ -1,52 +1,77 @@
 //! The report of a run: a table a second (Markdown), totals, and a plot (SVG, `plotters`).
-use crate::fleet_view::figure;
+use crate::error::LabError;
 use crate::lab::Outcome;
 use crate::metrics::Counter;
 use crate::scenario::Scenario;
-use plotters::prelude::*;
+use plotters::prelude::{
+    ChartBuilder, IntoDrawingArea, LineSeries, PathElement, RGBColor, SVGBackend, BLACK, BLUE,
+    GREEN, MAGENTA, RED, WHITE,
+};
 use std::fmt::Write;
 use std::path::Path;
 
+/// Seconds in the report beyond the load's, for what ends late.
+const LATE_SECONDS: usize = 2;
+/// Width and height of the plot, in pixels.
+const PLOT_SIZE: (u32, u32) = (900, 480);
+
 /// The run's totals, over all processes together.
 pub struct Totals {
+    /// Requests begun.
     pub offered: u64,
+    /// Requests that ended served.
     pub served: u64,
+    /// Requests that ended without being served.
     pub failed: u64,
+    /// Attempts that were rejected.
     pub refused: u64,
+    /// Attempts without a response.
     pub unanswered: u64,
+    /// Attempts beyond the first of a request.
     pub retried: u64,
     /// Calls that reached workers, over offered requests.
     pub calls_per_request: f64,
-    /// Extra attempts the front ends made to workers, summed from their figures.
+    /// Extra attempts that the front ends made to workers, summed from their figures.
     pub extra_attempts: u64,
+    /// Extra attempts that the front ends' budgets denied, summed from their figures.
     pub extra_denied: u64,
+    /// Requests served a second of the load.
     pub goodput_per_s: f64,
+    /// Median latency of served requests, ms.
     pub p50_ms: f64,
+    /// 99th percentile of the latency of served requests, ms.
     pub p99_ms: f64,
+    /// Health checks that reached workers.
     pub probes: u64,
-    /// Calls that came whole to workers though they may have run before.
+    /// Calls that reached workers completely though they may have run before.
     pub repeats: u64,
 }
 
-pub fn totals(s: &Scenario, o: &Outcome) -> Totals {
-    let t = &o.metrics;
-    let offered = t.total(Counter::Offered);
-    let sum = |name: &str| o.figures.iter().filter_map(|f| figure(f, name)).sum();
+/// The totals of a run.
+pub fn totals(scenario: &Scenario, outcome: &Outcome) -> Totals {
+    let metrics = &outcome.metrics;
+    let offered = metrics.total(Counter::Offered);
+    let served = metrics.total(Counter::Served);
+    let calls = metrics.total(Counter::Calls);
+    let sum = |name: &str| {
+        let figures = outcome.figures.iter();
+        figures.filter_map(|figures| figures.get(name)).sum()
+    };
     Totals {
         offered,
-        served: t.total(Counter::Served),
-        failed: t.total(Counter::Failed),
-        refused: t.total(Counter::Refused),
-        unanswered: t.total(Counter::Unanswered),
-        retried: t.total(Counter::Retried),
-        calls_per_request: t.total(Counter::Calls) as f64 / offered.max(1) as f64,
+        served,
+        failed: metrics.total(Counter::Failed),
+        refused: metrics.total(Counter::Refused),
+        unanswered: metrics.total(Counter::Unanswered),
+        retried: metrics.total(Counter::Retried),
+        calls_per_request: calls as f64 / offered.max(1) as f64,
         extra_attempts: sum("extra_attempts"),
         extra_denied: sum("extra_denied"),
-        goodput_per_s: t.total(Counter::Served) as f64 / s.seconds as f64,
-        p50_ms: t.quantile_ms(None, 0.5),
-        p99_ms: t.quantile_ms(None, 0.99),
-        probes: t.total(Counter::Probes),
-        repeats: t.total(Counter::Repeats),
+        goodput_per_s: served as f64 / scenario.seconds as f64,
+        p50_ms: metrics.total_quantile_ms(0.5),
+        p99_ms: metrics.total_quantile_ms(0.99),
+        probes: metrics.total(Counter::Probes),
+        repeats: metrics.total(Counter::Repeats),
     }
 }
 
@@ -54,69 +79,136 @@
 ///
 /// # Errors
 /// A file cannot be written.
-pub fn write(s: &Scenario, o: &Outcome, folder: &Path) -> Result<String, String> {
-    let t = &o.metrics;
-    let x = totals(s, o);
-    let mut md = String::new();
-    let _ = writeln!(
-        md,
+pub fn write(scenario: &Scenario, outcome: &Outcome, folder: &Path) -> Result<String, LabError> {
+    let load_seconds = scenario.seconds as usize;
+    let seconds = (load_seconds + LATE_SECONDS).min(outcome.metrics.seconds());
+    let mut report = String::new();
+    // Writing to a String cannot fail.
+    let _ = write_table(&mut report, scenario, outcome, seconds);
+    let _ = write_totals(&mut report, &totals(scenario, outcome));
+    let _ = write_relays(&mut report, outcome);
+    std::fs::write(folder.join("report.md"), &report)?;
+    plot(outcome, seconds, &folder.join("report.svg")).map_err(LabError::Plot)?;
+    Ok(report)
+}
+
+/// A row a second.
+fn write_table(
+    report: &mut String,
+    scenario: &Scenario,
+    outcome: &Outcome,
+    seconds: usize,
+) -> std::fmt::Result {
+    writeln!(
+        report,
         "# fleetlab: {} (seed {}, {} front ends, fleet {})\n",
-        s.name, s.seed, s.fronts, s.fleet
-    );
-    let _ = writeln!(md, "| s | offered | served | refused | retried | failed | unanswered | worker calls | probes | p50 ms | p99 ms |");
-    let _ = writeln!(md, "|---|---|---|---|---|---|---|---|---|---|---|");
-    let seconds = (s.seconds as usize + 2).min(t.seconds());
-    for sec in 0..seconds {
-        let g = |c| t.get(sec, c);
-        let _ = writeln!(
-            md,
-            "| {sec} | {} | {} | {} | {} | {} | {} | {} | {} | {:.1} | {:.1} |",
-            g(Counter::Offered),
-            g(Counter::Served),
-            g(Counter::Refused),
-            g(Counter::Retried),
-            g(Counter::Failed),
-            g(Counter::Unanswered),
-            g(Counter::Calls),
-            g(Counter::Probes),
-            t.quantile_ms(Some(sec), 0.5),
-            t.quantile_ms(Some(sec), 0.99)
-        );
+        scenario.name, scenario.seed, scenario.fronts, scenario.fleet
+    )?;
+    writeln!(report, "| s | offered | served | refused | retried | failed | unanswered | worker calls | probes | p50 ms | p99 ms |")?;
+    writeln!(report, "|---|---|---|---|---|---|---|---|---|---|---|")?;
+    let metrics = &outcome.metrics;
+    for second in 0..seconds {
+        let count = |counter| metrics.count(second, counter);
+        writeln!(
+            report,
+            "| {second} | {} | {} | {} | {} | {} | {} | {} | {} | {:.1} | {:.1} |",
+            count(Counter::Offered),
+            count(Counter::Served),
+            count(Counter::Refused),
+            count(Counter::Retried),
+            count(Counter::Failed),
+            count(Counter::Unanswered),
+            count(Counter::Calls),
+            count(Counter::Probes),
+            metrics.quantile_ms(second, 0.5),
+            metrics.quantile_ms(second, 0.99)
+        )?;
     }
-    let _ = writeln!(
-        md,
+    Ok(())
+}
+
+fn write_totals(report: &mut String, totals: &Totals) -> std::fmt::Result {
+    writeln!(
+        report,
         "\nTotals: offered {}, served {}, failed {}, refused {}, unanswered {}, retried {}; worker calls per request {:.3}; front ends' extra attempts {} (denied {}); goodput {:.1}/s; p50 {:.1} ms, p99 {:.1} ms; probes {}; calls that came whole again {}.",
-        x.offered, x.served, x.failed, x.refused, x.unanswered, x.retried, x.calls_per_request, x.extra_attempts,
-        x.extra_denied, x.goodput_per_s, x.p50_ms, x.p99_ms, x.probes, x.repeats
-    );
-    let d = &o.done;
-    let _ = writeln!(
-        md,
-        "Relays: passed {}, dropped {}, doubled {}, held {}, reset {}, black-holed {}. Ended by themselves: {:?}. Fleet formed in {}.",
-        d.passed, d.dropped, d.doubled, d.held, d.reset, d.holed, o.died,
-        o.joined_s.map_or("- (off)".to_owned(), |j| format!("{j:.2} s"))
-    );
-    std::fs::write(folder.join("report.md"), &md).map_err(|e| e.to_string())?;
-    plot(o, seconds, &folder.join("report.svg")).map_err(|e| format!("plot: {e}"))?;
-    Ok(md)
+        totals.offered,
+        totals.served,
+        totals.failed,
+        totals.refused,
+        totals.unanswered,
+        totals.retried,
+        totals.calls_per_request,
+        totals.extra_attempts,
+        totals.extra_denied,
+        totals.goodput_per_s,
+        totals.p50_ms,
+        totals.p99_ms,
+        totals.probes,
+        totals.repeats
+    )
 }
 
-fn plot(o: &Outcome, seconds: usize, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
-    let t = &o.metrics;
-    let series = [
-        (Counter::Offered, "offered", BLUE),
-        (Counter::Served, "served", GREEN),
-        (Counter::Refused, "refused", RED),
-        (Counter::Retried, "retried", MAGENTA),
-        (Counter::Calls, "worker calls", BLACK),
-    ];
-    let top = series
+fn write_relays(report: &mut String, outcome: &Outcome) -> std::fmt::Result {
+    let counts = &outcome.relay_counts;
+    let formed_in = outcome
+        .joined_s
+        .map_or("- (off)".to_owned(), |joined_s| format!("{joined_s:.2} s"));
+    writeln!(
+        report,
+        "Relays: passed {}, dropped {}, doubled {}, held {}, reset {}, black-holed {}. Ended by themselves: {:?}. Fleet formed in {formed_in}.",
+        counts.passed,
+        counts.dropped,
+        counts.duplicated,
+        counts.delayed,
+        counts.reset,
+        counts.black_holed,
+        outcome.died,
+    )
+}
+
+/// A line of the plot.
+struct Series {
+    counter: Counter,
+    name: &'static str,
+    colour: RGBColor,
+}
+
+/// The lines of the plot.
+const SERIES: [Series; 5] = [
+    Series {
+        counter: Counter::Offered,
+        name: "offered",
+        colour: BLUE,
+    },
+    Series {
+        counter: Counter::Served,
+        name: "served",
+        colour: GREEN,
+    },
+    Series {
+        counter: Counter::Refused,
+        name: "refused",
+        colour: RED,
+    },
+    Series {
+        counter: Counter::Retried,
+        name: "retried",
+        colour: MAGENTA,
+    },
+    Series {
+        counter: Counter::Calls,
+        name: "worker calls",
+        colour: BLACK,
+    },
+];
+
+fn plot(outcome: &Outcome, seconds: usize, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
+    let metrics = &outcome.metrics;
+    let counts = SERIES
         .iter()
-        .flat_map(|(c, _, _)| (0..seconds).map(|s| t.get(s, *c)))
-        .max()
-        .unwrap_or(1)
-        .max(1);
-    let root = SVGBackend::new(path, (900, 480)).into_drawing_area();
+        .flat_map(|series| (0..seconds).map(|second| metrics.count(second, series.counter)));
+    let top = counts.max().unwrap_or(1).max(1);
+    let root = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
         .caption("per second, all front ends together", ("sans-serif", 18))
@@ -125,13 +217,13 @@
         .y_label_area_size(50)
         .build_cartesian_2d(0..seconds as u32, 0..top + top / 10)?;
     chart.configure_mesh().x_desc("s").y_desc("count").draw()?;
-    for (c, name, colour) in series {
+    for series in SERIES {
+        let points =
+            (0..seconds).map(|second| (second as u32, metrics.count(second, series.counter)));
+        let colour = series.colour;
         chart
-            .draw_series(LineSeries::new(
-                (0..seconds).map(|s| (s as u32, t.get(s, c))),
-                colour,
-            ))?
-            .label(name)
+            .draw_series(LineSeries::new(points, colour))?
+            .label(series.name)
             .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], colour));
     }
     chart
--- a/fleetlab/tests/faults.rs
+++ b/fleetlab/tests/faults.rs
@@ -1,5 +1,5 @@
 //! What is in force after each fault, and scenario files.
-use fleetlab::faults::{Connection, Datagram, Faults};
+use fleetlab::faults::{ConnectionAction, DatagramAction, Faults};
 use fleetlab::scenario::{Fault, Scenario};
 
 fn fault(kind: &str) -> Fault {
@@ -25,12 +25,12 @@
         fronts: Some(vec![0, 1]),
         ..fault("partition")
     });
-    assert_eq!(f.datagram(Some(0), 1, 0.5), Datagram::Pass);
-    assert_eq!(f.datagram(Some(2), 3, 0.5), Datagram::Pass);
-    assert_eq!(f.datagram(Some(0), 2, 0.5), Datagram::Drop);
-    assert_eq!(f.datagram(Some(3), 1, 0.5), Datagram::Drop);
+    assert_eq!(f.datagram(Some(0), 1, 0.5), DatagramAction::Pass);
+    assert_eq!(f.datagram(Some(2), 3, 0.5), DatagramAction::Pass);
+    assert_eq!(f.datagram(Some(0), 2, 0.5), DatagramAction::Drop);
+    assert_eq!(f.datagram(Some(3), 1, 0.5), DatagramAction::Drop);
     f.apply(&fault("heal"));
-    assert_eq!(f.datagram(Some(0), 2, 0.5), Datagram::Pass);
+    assert_eq!(f.datagram(Some(0), 2, 0.5), DatagramAction::Pass);
 }
 
 #[test]
@@ -48,9 +48,9 @@
         ms: Some(40),
         ..fault("delay")
     });
-    assert_eq!(f.datagram(None, 1, 0.1), Datagram::Drop);
-    assert_eq!(f.datagram(None, 1, 0.25), Datagram::Twice);
-    assert_eq!(f.datagram(None, 1, 0.5), Datagram::Hold(40));
+    assert_eq!(f.datagram(None, 1, 0.1), DatagramAction::Drop);
+    assert_eq!(f.datagram(None, 1, 0.25), DatagramAction::Duplicate);
+    assert_eq!(f.datagram(None, 1, 0.5), DatagramAction::Delay(40));
     f.apply(&Fault {
         ratio: Some(0.5),
         ..fault("reset")
@@ -59,9 +59,9 @@
         worker: Some(1),
         ..fault("blackhole")
     });
-    assert_eq!(f.connection(0, 0.4), Connection::Reset);
-    assert_eq!(f.connection(0, 0.6), Connection::Pass);
-    assert_eq!(f.connection(1, 0.9), Connection::BlackHole);
+    assert_eq!(f.connection(0, 0.4), ConnectionAction::Reset);
+    assert_eq!(f.connection(0, 0.6), ConnectionAction::Pass);
+    assert_eq!(f.connection(1, 0.9), ConnectionAction::BlackHole);
 }
 
 #[test]
@@ -74,8 +74,9 @@
         groups: Some(groups),
         ..fault("partition")
     });
-    let passes =
-        |f: &Faults, from: usize, to: usize| f.datagram(Some(from), to, 0.5) == Datagram::Pass;
+    let passes = |f: &Faults, from: usize, to: usize| {
+        f.datagram(Some(from), to, 0.5) == DatagramAction::Pass
+    };
     assert!(
         passes(&f, 0, 1) && passes(&f, 3, 4),
         "within a group, and among those in none"
--- a/wrenseam/src/fleet/average/edge.rs
+++ b/wrenseam/src/fleet/average/edge.rs
@@ -4,7 +4,8 @@
 use super::{LARGEST_ESTIMATE, LARGEST_FLOW};
 use wrenseam_policy::Micros;
 
-/// A neighbour that does not answer gets a request every round at first, then every 2, 4, 8 and 16: the exponent's limit.
+/// A neighbour that does not answer gets a request every round at first, then every 2, 4, 8 and 16: the exponent's
+/// limit.
 const MAX_BACKOFF_EXPONENT: u32 = 4;
 
 /// One edge, as the front end at this end of it sees it.
--- a/wrenseam/src/fleet/average/neighbours.rs
+++ b/wrenseam/src/fleet/average/neighbours.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Rings of members: a front end sends requests to its successor on each and answers its predecessor. Four make a random
-/// graph of degree 8: an estimate's error falls by a factor of e in some 0.3 s at a probe period of 500 ms.
+/// Rings of members: a front end sends requests to its successor on each and answers its predecessor. Four make a
+/// random graph of degree 8: an estimate's error falls by a factor of e in some 0.3 s at a probe period of 500 ms.
 pub const RINGS: usize = 4;
 
 /// Spreads the number of a ring over all bits of a hash: 2^64 over the golden ratio, as in SplitMix64.
--- a/wrenseam/src/fleet/detector.rs
+++ b/wrenseam/src/fleet/detector.rs
@@ -4,8 +4,8 @@
 //! - Its own probes that fail in a row or in silence, and times in which it did not run, raise its local health score,
 //!   which makes its probes and suspicions longer.
 //! - A suspicion is cleared once the suspect is heard from, by any datagram.
-//! - It declares no peer down unless probes of its own were acknowledged for half of the suspicion's time, without a gap
-//!   and up to now: proof that it heard and was heard. A front end that hears nobody declares nobody down.
+//! - It declares no peer down unless probes of its own were acknowledged for half of the suspicion's time, without a
+//!   gap and up to now: proof that it heard and was heard. A front end that hears nobody declares nobody down.
 use super::identity::PeerId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/wrenseam/src/fleet/members/exchange.rs
+++ b/wrenseam/src/fleet/members/exchange.rs
@@ -182,7 +182,8 @@
         self.run_liveness_checks(now);
     }
 
-    /// Another member counts as gone one that is alive here. If we suspect it too, it is gone; else it is queried first.
+    /// Another member counts as gone one that is alive here. If we suspect it too, it is gone; else it is queried
+    /// first.
     fn check_liveness(&mut self, now: Micros, id: PeerId) {
         if self.swim.detector().suspects().any(|suspect| suspect == id) {
             self.swim.mark_down(now, id, true);
--- a/wrenseam/src/fleet/shed.rs
+++ b/wrenseam/src/fleet/shed.rs
@@ -1,5 +1,6 @@
 //! Load shedding by class across the fleet: under overload every front end sheds the same classes first, in the order
-//! of the settings, by as much as the fleet's pressure asks, so that the shed fraction converges across front ends. No I/O; time is handed in, in microseconds, and chance comes from a seeded generator.
+//! of the settings, by as much as the fleet's pressure asks, so that the shed fraction converges across front ends.
+//! No I/O; time is handed in, in microseconds, and chance comes from a seeded generator.
 use wrenseam_policy::Micros;
 
 /// The pressure of a fleet at its capacity, in thousandths.
--- a/wrenseam/src/fleet/traffic.rs
+++ b/wrenseam/src/fleet/traffic.rs
@@ -10,7 +10,8 @@
 
 /// Microseconds in a second.
 const MICROS_PER_SECOND: i64 = 1_000_000;
-/// A longer time than this, in microseconds, earns no more: the bucket is full long before, and the product stays small.
+/// A longer time than this, in microseconds, earns no more: the bucket is full long before, and the product stays
+/// small.
 const LONGEST_REFILL: Micros = 10_000_000;
 
 /// What a datagram is for, the least dispensable first.
