--- a/fleetlab/src/faults.rs
+++ b/fleetlab/src/faults.rs
@@ -90,7 +90,7 @@
     black_holes: Vec<bool>,
     /// Workers that have just started: what reaches them is counted.
     cold: Vec<bool>,
-    /// How many times its usual time a worker takes.
+    /// By how much workers are slowed: a factor of their work time.
     pub slow: f64,
 }
 
--- a/fleetlab/src/lab/endpoints.rs
+++ b/fleetlab/src/lab/endpoints.rs
@@ -10,7 +10,7 @@
 pub(super) struct WorkerRestart {
     /// Real seconds of the run.
     pub(super) at_s: f64,
-    /// Milliseconds of the Unix time, as front ends are told.
+    /// Milliseconds of the Unix time, as the list gives it to front ends.
     unix_ms: u128,
 }
 
--- a/fleetlab/src/metrics.rs
+++ b/fleetlab/src/metrics.rs
@@ -7,9 +7,9 @@
 
 /// Seconds counted beyond the load's, for what ends late.
 const LATE_SECONDS: usize = 5;
-/// The largest latency that is told apart, in microseconds: a minute.
+/// The largest latency that a histogram distinguishes, in microseconds: a minute.
 const LARGEST_LATENCY: u64 = 60_000_000;
-/// Decimal digits that latencies are told apart by.
+/// Significant decimal digits of a histogram.
 const LATENCY_DIGITS: u8 = 2;
 
 /// The counts of one second.
--- a/fleetlab/src/scenario.rs
+++ b/fleetlab/src/scenario.rs
@@ -81,9 +81,9 @@
     /// and the right one (default: not looked at).
     pub agree_within_s: Option<f64>,
     /// What a repeat of a call may do: `retryable` (the default) or `fragile`, which must never run twice: clients
-    /// retry it after a rejection only, and the run fails if a call comes whole to workers again.
+    /// retry it after a rejection only, and the run fails if a call reaches workers completely again.
     pub effect: Option<String>,
-    /// Whether each front end is told how many there are and which it is (default: each as if alone).
+    /// Whether each front end gets its index and the number of front ends (default: each as if alone).
     pub numbered: Option<bool>,
 }
 
--- a/fleetlab/src/scenario/fault.rs
+++ b/fleetlab/src/scenario/fault.rs
@@ -31,7 +31,7 @@
     Spoil,
     /// Connections to `worker` are accepted and never answered.
     Blackhole,
-    /// `worker` has just started: front ends that start from now on are told so, and what reaches it is counted.
+    /// `worker` has just started: front ends that start from now on get its start time, and what reaches it is counted.
     Cold,
     /// Front end `front` is ended by SIGKILL.
     Kill,
--- a/wrenseam/src/fleet/average.rs
+++ b/wrenseam/src/fleet/average.rs
@@ -2,7 +2,7 @@
 //! I/O: datagrams come in as bytes with the time, what is to be sent is collected for the caller.
 //!
 //! Each front end keeps an edge to a bounded number of peers, whatever the fleet's size: its neighbours on
-//! [`RINGS`] rings, each of all members in an order of its own by hash. An edge holds a flow, the part of the
+//! [`RINGS`] rings, each of all members in an order of its own by hash. An edge has a flow, the part of the
 //! pressure passed over it; a front end's estimate is its own pressure less the sum of its flows. An exchange
 //! over an edge brings both estimates to their middle. Flows are sent as they stand, not as changes: a lost or
 //! repeated datagram costs time and no mass, and an edge that ends takes its flow with it on both sides.
@@ -32,7 +32,7 @@
 const LARGEST_ESTIMATE: i32 = MAX_PRESSURE as i32 * UNIT;
 /// The largest flow over an edge, in units.
 const LARGEST_FLOW: i32 = MAX_FLOW as i32 * UNIT;
-/// An edge not heard over for so many rounds holds no flow: at 1% loss each way that is 8e-6 of edges a round by
+/// An edge not heard over for so many rounds has no flow: at 1% loss each way that is 8e-6 of edges a round by
 /// chance, for one round.
 const SILENT_ROUNDS: Micros = 3;
 /// Of a change of our own pressure a quarter is taken up each turn: loads jump from sample to sample, and a jump
@@ -236,7 +236,7 @@
         Some(exchange.from)
     }
 
-    /// Brings our estimate and the neighbour's to their middle, and tells it what flow that made.
+    /// Brings our estimate and the neighbour's to their middle, and replies with the flow that results.
     fn reply(&mut self, to: SocketAddr, seq: u32, remote_estimate: i32) {
         let half_difference = (self.estimate() - remote_estimate) / 2;
         let Some(edge) = self.edges.get_mut(&to) else {
--- a/wrenseam/src/fleet/average/edge.rs
+++ b/wrenseam/src/fleet/average/edge.rs
@@ -1,4 +1,4 @@
-//! What a front end holds of one neighbour: the flow over the edge between them, and how its requests fare. No I/O.
+//! One edge to a neighbour: the flow over it, and how the requests over it fare. No I/O.
 use super::exchange::{Exchange, ExchangeKind};
 use super::neighbours::EdgeRole;
 use super::{LARGEST_ESTIMATE, LARGEST_FLOW};
@@ -14,7 +14,7 @@
     pub(super) role: EdgeRole,
     /// The neighbour's incarnation; 0 until it is heard.
     incarnation: u64,
-    /// What we passed to it, in units; it holds the opposite.
+    /// What we passed to it, in units; it has the opposite.
     pub(super) flow: i32,
     /// Its estimate when last heard, in units; none while the edge is silent.
     pub(super) estimate: Option<i32>,
@@ -104,7 +104,7 @@
     }
 
     /// Takes up what the neighbour sent, within the bounds of a flow and an estimate; its estimate as it counts.
-    /// Another incarnation holds no flow of ours: its zero replaces what the former held.
+    /// Another incarnation has no flow of ours: its zero replaces what the former had.
     pub(super) fn accept(&mut self, now: Micros, exchange: &Exchange) -> i32 {
         let estimate = exchange.estimate.clamp(0, LARGEST_ESTIMATE);
         self.incarnation = exchange.from.incarnation;
--- a/wrenseam/src/fleet/budget.rs
+++ b/wrenseam/src/fleet/budget.rs
@@ -122,7 +122,7 @@
     }
 }
 
-/// The fleet's size as this front end estimates it: itself and the peers that accept clients, held at its
+/// The fleet's size as this front end estimates it: itself and the peers that accept clients, at its
 /// largest for `hold` microseconds, and never below the `expected` size of the settings. A front end cut off
 /// from its peers thus keeps its own share for the hold and, with `expected`, ever after: it does not take the
 /// floor of the whole fleet.
--- a/wrenseam/src/fleet/member_digest.rs
+++ b/wrenseam/src/fleet/member_digest.rs
@@ -1,4 +1,4 @@
-//! What one member holds of another, in short, and its hash: what anti-entropy repair compares. No I/O.
+//! The digest of what one member knows of another, and its hash: what anti-entropy repair compares. No I/O.
 use super::identity::{address_hash, mix};
 use super::record::Stamp;
 use std::net::SocketAddr;
@@ -6,12 +6,12 @@
 /// Parts of a view that have a digest each; a bit each in a message's set of parts.
 pub const PARTS: usize = 16;
 
-/// Whether a member takes part.
+/// Whether a member is in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
     /// Counted alive.
     Alive,
-    /// It said itself that it leaves.
+    /// It left after it said so.
     Left,
     /// Declared down.
     Down,
@@ -37,20 +37,20 @@
         }
     }
 
-    /// Whether it no longer takes part.
+    /// Whether it is no longer in the fleet.
     pub fn is_gone(self) -> bool {
         self != Liveness::Alive
     }
 }
 
-/// What somebody holds of a member, in short.
+/// What some member knows of a member, in short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberDigest {
     /// The member.
     pub owner: SocketAddr,
-    /// Its incarnation, and the version of the record held; version 0: none.
+    /// Its incarnation, and the version of the record known; version 0: none.
     pub stamp: Stamp,
-    /// Whether it takes part.
+    /// Whether it is in the fleet.
     pub liveness: Liveness,
     /// The checksum of the record's content; 0: no record.
     pub checksum: u32,
--- a/wrenseam/src/fleet/members.rs
+++ b/wrenseam/src/fleet/members.rs
@@ -74,7 +74,7 @@
     outbox: Vec<Outgoing>,
     events: Vec<TimedPeerEvent>,
     changed: bool,
-    /// Whether the byte budget leaves no room for a whole repair: none is begun, and no rumor passed on.
+    /// Whether the byte budget leaves no room for a complete repair: none is begun, and no rumor passed on.
     is_budget_low: bool,
     view_digest: ViewDigest,
     /// What became of the datagrams of records.
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Whether the byte budget leaves no room for a whole repair.
+    /// Whether the byte budget leaves no room for a complete repair.
     pub fn set_budget_low(&mut self, is_budget_low: bool) {
         self.is_budget_low = is_budget_low;
     }
--- a/wrenseam/src/fleet/members/exchange.rs
+++ b/wrenseam/src/fleet/members/exchange.rs
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Another member knows of us what we did not publish: our next stamp is larger than that.
+    /// Another member has of us what we did not publish: our next stamp is larger than that.
     fn refute(&mut self, now: Micros, past: Stamp) {
         self.counts.impostor += 1;
         self.republish_own(now, past);
@@ -212,7 +212,9 @@
 
     /// Merges a record; `is_update`: it has just changed and is passed on if it was new here.
     fn take_record(&mut self, now: Micros, record: Record, is_update: bool) {
-        let (owner, id, lifecycle) = (record.owner, record.id(), record.metadata.lifecycle);
+        let owner = record.owner;
+        let id = record.id();
+        let lifecycle = record.metadata.lifecycle;
         match self.directory.merge_action(&digest_of(&record)) {
             MergeAction::Refute => return self.refute(now, record.stamp),
             MergeAction::AddMember if lifecycle != Lifecycle::Leaving => {
--- a/wrenseam/src/fleet/members/periodic.rs
+++ b/wrenseam/src/fleet/members/periodic.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A front end that hears nobody for long no longer knows the others, and forgets what it knew before it tells it.
+    /// A front end that hears nobody for long has an outdated view, and drops it before it spreads it.
     fn restart_if_isolated(&mut self, now: Micros) {
         if self.swim.alive() == 0 {
             self.silence_excused_at = now;
--- a/wrenseam/src/fleet/node.rs
+++ b/wrenseam/src/fleet/node.rs
@@ -74,14 +74,13 @@
 impl Node {
     /// The front end at `own` in its `incarnation`, with a seeded generator.
     pub fn new(own: SocketAddr, incarnation: u64, settings: NodeSettings, seed: u64) -> Node {
-        let (cluster, probe) = (settings.swim.cluster, settings.swim.probe);
         let id = PeerId {
             addr: own,
             incarnation,
         };
         Node {
             members: Members::new(id, settings.metadata.clone(), settings.swim, seed),
-            average: Average::new(id, cluster, probe, seed),
+            average: Average::new(id, settings.swim.cluster, settings.swim.probe, seed),
             traffic: Traffic::default(),
             settings,
             rng: SmallRng::seed_from_u64(seed ^ SEED_SALT),
@@ -299,7 +298,8 @@
         let mut out = self.members.outbox();
         out.extend(self.average.outbox());
         out.sort_by_key(|outgoing| outgoing.kind.index());
-        let (now, traffic) = (self.now, &mut self.traffic);
+        let now = self.now;
+        let traffic = &mut self.traffic;
         out.retain(|outgoing| traffic.admit(now, outgoing.kind, outgoing.bytes.len()));
         out
     }
--- a/wrenseam/src/fleet/status.rs
+++ b/wrenseam/src/fleet/status.rs
@@ -29,7 +29,7 @@
     pub health_multiplier: u32,
     /// Bytes sent, in the order of [`TrafficKind::ALL`].
     pub bytes_sent: [u64; TrafficKind::ALL.len()],
-    /// Bytes held back by the byte budget, in the order of [`TrafficKind::ALL`].
+    /// Bytes deferred by the byte budget, in the order of [`TrafficKind::ALL`].
     pub bytes_held_back: [u64; TrafficKind::ALL.len()],
     /// What became of the datagrams of records.
     pub records: RecordCounts,
--- a/wrenseam/src/fleet/summary.rs
+++ b/wrenseam/src/fleet/summary.rs
@@ -1,5 +1,5 @@
-//! The load summary that each front end gossips, its bytes, and what a front end makes of the summaries it
-//! holds. No I/O; time is handed in, in microseconds.
+//! The load summary that each front end gossips, its bytes, and the table of the newest of each peer.
+//! No I/O; time is handed in, in microseconds.
 use super::identity::MAX_PRESSURE;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -46,7 +46,7 @@
     pub shed: u32,
     /// Workers that this front end counts healthy.
     pub healthy: u16,
-    /// Whether it takes part in the averaging ([`super::average`]); front ends from before it write a zero here.
+    /// Whether it takes part in the averaging ([`super::average`]); front ends of earlier versions write a zero here.
     pub supports_averaging: bool,
 }
 
--- a/wrenseam/src/fleet/swim/settings.rs
+++ b/wrenseam/src/fleet/swim/settings.rs
@@ -8,7 +8,7 @@
 
 /// The shortest probe period, in microseconds, whatever is configured.
 pub(crate) const SHORTEST_PROBE: Micros = 10_000;
-/// The largest expected size that foca is told.
+/// The largest expected size that foca is configured with.
 const LARGEST_FLEET: usize = 100_000;
 /// Rounds of periodic gossip in a probe period.
 const GOSSIPS_A_PROBE: u32 = 4;
--- a/wrenseam/src/fleet/traffic.rs
+++ b/wrenseam/src/fleet/traffic.rs
@@ -1,4 +1,4 @@
-//! One budget of bytes a second for all that a front end gossips, and the bytes by kind. No I/O; time is handed in.
+//! The byte budget: one token bucket for all that a front end gossips, and the bytes sent by kind. No I/O; time is handed in.
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
@@ -95,7 +95,7 @@
     refilled_at: Micros,
     /// Bytes sent, by kind.
     pub sent: [u64; TrafficKind::ALL.len()],
-    /// Bytes held back, by kind.
+    /// Bytes deferred, by kind.
     pub held_back: [u64; TrafficKind::ALL.len()],
 }
 
--- a/wrenseam/src/gossip.rs
+++ b/wrenseam/src/gossip.rs
@@ -64,7 +64,7 @@
     })
 }
 
-/// Binds the gossip socket and starts its coroutine; the address it is bound to (peers are told
+/// Binds the gossip socket and starts its coroutine; the address it is bound to (peers get
 /// `advertise` instead, where it is set).
 ///
 /// # Errors
