--- a/wrenseam/tests/fleet_average.rs
+++ b/wrenseam/tests/fleet_average.rs
@@ -1,4 +1,4 @@
-//! The view of the fleet's mean alone: its neighbours, its datagrams, and that no fault of the net makes or takes
+//! The averaging alone: its neighbours, its datagrams, and that no fault of the net makes or takes
 //! pressure. On simulated time, without sockets.
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use rstest::rstest;
@@ -13,13 +13,13 @@
 const MS: u64 = 1000;
 const HEADER: [u8; 7] = [b'w', b'F', 2, 0, 0, 0, 7];
 
-fn addr(i: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (i >> 8) as u8, i as u8], 7946))
+fn addr(index: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (index >> 8) as u8, index as u8], 7946))
 }
 
-fn peer(i: usize) -> PeerId {
+fn peer(index: usize) -> PeerId {
     PeerId {
-        addr: addr(i),
+        addr: addr(index),
         incarnation: 5,
     }
 }
@@ -31,12 +31,14 @@
     }
 }
 
-/// However large the fleet, and whoever is in it: each edge is held by both ends and asked over by one.
+/// However large the fleet, and whoever is in it: each edge is known to both ends and has one requester.
 #[rstest]
-fn neighbours_are_few_and_agree(#[values(2, 3, 4, 9, 50, 300)] n: usize) {
-    let all = || (0..n).map(|i| addr(i * 7));
-    let of: Vec<_> = (0..n).map(|i| neighbours(addr(i * 7), all())).collect();
-    for (i, local) in of.iter().enumerate() {
+fn neighbours_are_few_and_agree(#[values(2, 3, 4, 9, 50, 300)] number: usize) {
+    let all = || (0..number).map(|index| addr(index * 7));
+    let of: Vec<_> = (0..number)
+        .map(|index| neighbours(addr(index * 7), all()))
+        .collect();
+    for (index, local) in of.iter().enumerate() {
         assert!(
             local.len() <= 2 * RINGS
                 && local
@@ -46,13 +48,13 @@
                     <= RINGS,
             "{local:?}"
         );
-        assert!(!local.is_empty() && !local.contains_key(&addr(i * 7)));
-        for (j, remote) in of.iter().enumerate().filter(|(j, _)| *j != i) {
-            let (here, there) = (local.get(&addr(j * 7)), remote.get(&addr(i * 7)));
+        assert!(!local.is_empty() && !local.contains_key(&addr(index * 7)));
+        for (other, remote) in of.iter().enumerate().filter(|(other, _)| *other != index) {
+            let (here, there) = (local.get(&addr(other * 7)), remote.get(&addr(index * 7)));
             assert!(
                 here.is_none() && there.is_none()
                     || here.copied() == there.map(|&role| opposite(role)),
-                "{i} and {j}"
+                "{index} and {other}"
             );
         }
     }
@@ -66,15 +68,18 @@
         addr: addr.parse().expect("an address"),
         incarnation: u64::MAX - 2,
     };
-    let x = Exchange {
+    let exchange = Exchange {
         kind: ExchangeKind::Reply,
         from,
         seq: 77,
         flow: -4_000_000,
         estimate: 123,
     };
-    let good = x.encode(&HEADER);
-    assert_eq!((Exchange::decode(&good), good.len()), (Some(x), long));
+    let good = exchange.encode(&HEADER);
+    assert_eq!(
+        (Exchange::decode(&good), good.len()),
+        (Some(exchange), long)
+    );
     for bit in 0..8 * good.len() {
         let mut bad = good.clone();
         bad[bit / 8] ^= 1 << (bit % 8);
@@ -91,12 +96,12 @@
 
 impl Wire {
     /// Pressures 0, 1000, 2000 and so on.
-    fn new(n: usize) -> Wire {
-        let averages = (0..n)
-            .map(|i| {
-                let mut average = Average::new(peer(i), 7, 500 * MS, i as u64);
-                average.set_members(0, (0..n).map(addr));
-                average.set_pressure(1000 * i as u32);
+    fn new(number: usize) -> Wire {
+        let averages = (0..number)
+            .map(|index| {
+                let mut average = Average::new(peer(index), 7, 500 * MS, index as u64);
+                average.set_members(0, (0..number).map(addr));
+                average.set_pressure(1000 * index as u32);
                 average
             })
             .collect();
@@ -107,7 +112,9 @@
     fn run(&mut self, ms: u64, way: &mut dyn FnMut(&Exchange) -> usize) {
         for _ in 0..ms {
             self.now += MS;
-            self.averages.iter_mut().for_each(|v| v.tick(self.now));
+            self.averages
+                .iter_mut()
+                .for_each(|average| average.tick(self.now));
             loop {
                 let out: Vec<_> = self.averages.iter_mut().flat_map(Average::outbox).collect();
                 if out.is_empty() {
@@ -115,7 +122,7 @@
                 }
                 for Outgoing { to, bytes, .. } in out {
                     let to = (0..self.averages.len())
-                        .find(|&i| addr(i) == to)
+                        .find(|&index| addr(index) == to)
                         .expect("a member");
                     for _ in 0..way(&Exchange::decode(&bytes).expect("ours")) {
                         self.averages[to].handle_datagram(self.now, &bytes);
@@ -133,19 +140,19 @@
 /// Whatever the net did for ten seconds: once it is whole again all tell the true mean, to the unit.
 #[rstest]
 #[case::whole(|_, _| 1)]
-#[case::all_answers_lost(|x: Exchange, _| usize::from(x.kind == ExchangeKind::Request))]
-#[case::all_asks_lost(|x: Exchange, _| usize::from(x.kind == ExchangeKind::Reply))]
+#[case::all_replies_lost(|exchange: Exchange, _| usize::from(exchange.kind == ExchangeKind::Request))]
+#[case::all_requests_lost(|exchange: Exchange, _| usize::from(exchange.kind == ExchangeKind::Reply))]
 #[case::all_twice(|_, _| 2)]
 #[case::a_third_lost_a_third_twice(|_, chance| chance as usize % 3)]
 fn no_fault_of_the_net_makes_or_takes_pressure(
-    #[values(2, 3, 9)] n: usize,
+    #[values(2, 3, 9)] number: usize,
     #[case] way: fn(Exchange, u32) -> usize,
 ) {
-    let (mut wire, mut rng) = (Wire::new(n), SmallRng::seed_from_u64(1));
-    wire.run(10_000, &mut |x| way(*x, rng.random()));
+    let (mut wire, mut rng) = (Wire::new(number), SmallRng::seed_from_u64(1));
+    wire.run(10_000, &mut |exchange| way(*exchange, rng.random()));
     wire.run(5_000, &mut |_| 1);
-    let mean = 500 * (n as u32 - 1);
-    assert_eq!(wire.told(), vec![mean; n]);
+    let mean = 500 * (number as u32 - 1);
+    assert_eq!(wire.told(), vec![mean; number]);
 }
 
 /// Its edges end with it: what it had taken or given is made good, to the unit, within the silence and 4 s.
@@ -157,7 +164,9 @@
     wire.run(5_000, &mut |_| 1);
     assert_eq!(wire.told(), [2500; 6]);
     let silent = wire.averages[5].silent_for();
-    wire.run(silent / MS + 4_000, &mut |x| usize::from(x.from != peer(5)));
+    wire.run(silent / MS + 4_000, &mut |exchange| {
+        usize::from(exchange.from != peer(5))
+    });
     // Nothing of the sixth is heard: the others' mean is 0 to 4000, though it is still a member.
     assert_eq!(wire.told()[..5], [2000; 5]);
     if back {
@@ -173,19 +182,19 @@
     }
 }
 
-/// An ask and its answer between two, then the same and others anew: counted by cause, and nothing moves.
+/// A request and its reply between two, then the same and others anew: counted by cause, and nothing moves.
 #[rstest]
-#[case::cut_short(|x: Exchange| x.encode(&HEADER)[..20].to_vec(), AverageDropped { garbled: 1, stale: 0, stranger: 0 })]
-#[case::an_unknown_kind(|x: Exchange| { let mut b = x.encode(&HEADER); b[7] = 9; b }, AverageDropped { garbled: 1, stale: 0, stranger: 0 })]
-#[case::a_repeat(|x: Exchange| x.encode(&HEADER), AverageDropped { garbled: 0, stale: 1, stranger: 0 })]
-#[case::an_older(|x: Exchange| Exchange { seq: x.seq.wrapping_sub(1), ..x }.encode(&HEADER), AverageDropped { garbled: 0, stale: 1, stranger: 0 })]
+#[case::cut_short(|exchange: Exchange| exchange.encode(&HEADER)[..20].to_vec(), AverageDropped { garbled: 1, stale: 0, stranger: 0 })]
+#[case::an_unknown_kind(|exchange: Exchange| { let mut bytes = exchange.encode(&HEADER); bytes[7] = 9; bytes }, AverageDropped { garbled: 1, stale: 0, stranger: 0 })]
+#[case::a_repeat(|exchange: Exchange| exchange.encode(&HEADER), AverageDropped { garbled: 0, stale: 1, stranger: 0 })]
+#[case::an_older(|exchange: Exchange| Exchange { seq: exchange.seq.wrapping_sub(1), ..exchange }.encode(&HEADER), AverageDropped { garbled: 0, stale: 1, stranger: 0 })]
 #[case::an_earlier_incarnation(
-    |x: Exchange| Exchange { seq: x.seq.wrapping_add(1), from: PeerId { incarnation: 4, ..x.from }, ..x }.encode(&HEADER),
+    |exchange: Exchange| Exchange { seq: exchange.seq.wrapping_add(1), from: PeerId { incarnation: 4, ..exchange.from }, ..exchange }.encode(&HEADER),
     AverageDropped { garbled: 0, stale: 1, stranger: 0 }
 )]
-#[case::no_neighbour(|x: Exchange| Exchange { from: peer(9), ..x }.encode(&HEADER), AverageDropped { garbled: 0, stale: 0, stranger: 1 })]
-#[case::an_answer_where_an_ask_belongs(
-    |x: Exchange| Exchange { kind: ExchangeKind::Reply, ..x }.encode(&HEADER),
+#[case::no_neighbour(|exchange: Exchange| Exchange { from: peer(9), ..exchange }.encode(&HEADER), AverageDropped { garbled: 0, stale: 0, stranger: 1 })]
+#[case::a_reply_where_a_request_belongs(
+    |exchange: Exchange| Exchange { kind: ExchangeKind::Reply, ..exchange }.encode(&HEADER),
     AverageDropped { garbled: 0, stale: 0, stranger: 1 }
 )]
 fn what_cannot_be_taken_is_counted_and_moves_nothing(
@@ -194,13 +203,13 @@
 ) {
     let mut wire = Wire::new(2);
     let mut last = None;
-    wire.run(5_000, &mut |x| {
-        last = Some(*x)
-            .filter(|x| x.kind == ExchangeKind::Request)
+    wire.run(5_000, &mut |exchange| {
+        last = Some(*exchange)
+            .filter(|exchange| exchange.kind == ExchangeKind::Request)
             .or(last);
         1
     });
-    let last = last.expect("asks went");
+    let last = last.expect("requests went");
     let to = usize::from(last.from == peer(0));
     let before = wire.averages[to].dropped;
     wire.averages[to].handle_datagram(
@@ -227,17 +236,19 @@
 #[rstest]
 #[case(i32::MAX, i32::MAX, 4000 + MAX_FLOW)]
 #[case(i32::MIN, i32::MIN, 0)]
-fn claims_are_clamped(#[case] flow: i32, #[case] estimate: i32, #[case] most: u32) {
+fn reported_values_are_clamped(#[case] flow: i32, #[case] estimate: i32, #[case] most: u32) {
     let mut wire = Wire::new(2);
-    wire.averages.iter_mut().for_each(|v| v.set_pressure(4000));
+    wire.averages
+        .iter_mut()
+        .for_each(|average| average.set_pressure(4000));
     let mut last = None;
-    wire.run(5_000, &mut |x| {
-        last = Some(*x)
-            .filter(|x| x.kind == ExchangeKind::Request)
+    wire.run(5_000, &mut |exchange| {
+        last = Some(*exchange)
+            .filter(|exchange| exchange.kind == ExchangeKind::Request)
             .or(last);
         1
     });
-    let last = last.expect("asks went");
+    let last = last.expect("requests went");
     let to = usize::from(last.from == peer(0));
     let lie = Exchange {
         seq: last.seq.wrapping_add(1),
@@ -246,28 +257,28 @@
         ..last
     };
     wire.averages[to].handle_datagram(wire.now, &lie.encode(&HEADER));
-    let answer = Exchange::decode(&wire.averages[to].outbox()[0].bytes).expect("an answer");
-    assert!(answer.flow.unsigned_abs() <= MAX_FLOW * 1000, "{answer:?}");
+    let reply = Exchange::decode(&wire.averages[to].outbox()[0].bytes).expect("a reply");
+    assert!(reply.flow.unsigned_abs() <= MAX_FLOW * 1000, "{reply:?}");
     assert!(
-        (0..=most as i32 * 1000).contains(&answer.estimate),
-        "{answer:?}"
+        (0..=most as i32 * 1000).contains(&reply.estimate),
+        "{reply:?}"
     );
 }
 
-/// A summary from a front end of before: what it reports counts up to the clamp, for its part of the mean.
+/// A summary from a front end of an earlier version: what it reports counts up to the clamp, for its part of the mean.
 #[rstest]
 #[case(4, u32::MAX, 1600)]
 #[case(4, 500, 100)]
-fn a_claim_in_a_summary_counts_up_to_the_clamp(
+fn a_pressure_in_a_summary_counts_up_to_the_clamp(
     #[case] peers: u16,
     #[case] reported: u32,
     #[case] want: u32,
 ) {
-    let mut held = Summaries::new(8, 1_000_000);
-    for p in 0..peers {
-        let origin = Some(SocketAddr::from(([10, 0, 0, 1], p)));
-        let pressure = if p == 0 { reported } else { 0 };
-        held.insert(
+    let mut summaries = Summaries::new(8, 1_000_000);
+    for port in 0..peers {
+        let origin = Some(SocketAddr::from(([10, 0, 0, 1], port)));
+        let pressure = if port == 0 { reported } else { 0 };
+        summaries.insert(
             0,
             addr(9),
             Summary {
@@ -278,7 +289,7 @@
             },
         );
     }
-    assert_eq!(held.pressure(0, 0), want);
+    assert_eq!(summaries.pressure(0, 0), want);
 }
 
 #[rstest]
--- a/wrenseam/tests/fleet_budget.rs
+++ b/wrenseam/tests/fleet_budget.rs
@@ -3,7 +3,7 @@
 use wrenseam::fleet::{BudgetUsage, FleetSize, RetryBudget};
 use wrenseam_policy::Micros;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
 #[rstest]
 #[case::no_floor_no_firsts(0.2, 0.0, 0, 0)]
@@ -16,12 +16,12 @@
     #[case] firsts: u32,
     #[case] want: u32,
 ) {
-    let mut b = RetryBudget::new(ratio, floor, 10 * S);
-    (0..firsts).for_each(|_| b.first(S));
-    let let_through = (0..1000).filter(|_| b.extra(S, 1)).count() as u32;
-    assert_eq!(let_through, want);
+    let mut budget = RetryBudget::new(ratio, floor, 10 * SECOND);
+    (0..firsts).for_each(|_| budget.first(SECOND));
+    let admitted = (0..1000).filter(|_| budget.extra(SECOND, 1)).count() as u32;
+    assert_eq!(admitted, want);
     assert_eq!(
-        b.usage(S),
+        budget.usage(SECOND),
         BudgetUsage {
             firsts,
             extras: want,
@@ -35,22 +35,25 @@
 #[case(3, 10)]
 #[case(30, 1)]
 fn the_floor_is_divided_by_the_fleet(#[case] size: usize, #[case] want: usize) {
-    let mut b = RetryBudget::new(0.0, 3.0, 10 * S);
-    assert_eq!((0..100).filter(|_| b.extra(S, size)).count(), want);
+    let mut budget = RetryBudget::new(0.0, 3.0, 10 * SECOND);
+    assert_eq!(
+        (0..100).filter(|_| budget.extra(SECOND, size)).count(),
+        want
+    );
 }
 
 #[test]
 fn the_window_slides() {
-    let mut b = RetryBudget::new(0.5, 0.0, 10 * S);
-    (0..10).for_each(|_| b.first(0));
-    assert_eq!((0..10).filter(|_| b.extra(S, 1)).count(), 5);
+    let mut budget = RetryBudget::new(0.5, 0.0, 10 * SECOND);
+    (0..10).for_each(|_| budget.first(0));
+    assert_eq!((0..10).filter(|_| budget.extra(SECOND, 1)).count(), 5);
     // Eleven seconds on, the first attempts of the start have left the window.
-    assert!(!b.extra(11 * S, 1));
-    b.first(11 * S);
-    b.first(11 * S);
-    assert!(b.extra(11 * S, 1));
+    assert!(!budget.extra(11 * SECOND, 1));
+    budget.first(11 * SECOND);
+    budget.first(11 * SECOND);
+    assert!(budget.extra(11 * SECOND, 1));
     assert_eq!(
-        b.usage(11 * S),
+        budget.usage(11 * SECOND),
         BudgetUsage {
             firsts: 2,
             extras: 1,
@@ -61,12 +64,12 @@
 
 #[rstest]
 #[case::alone_from_the_start(1, &[(0, 0)], 1)]
-#[case::grows(1, &[(0, 2), (S, 9)], 10)]
-#[case::cut_off_keeps_its_share_for_the_hold(1, &[(0, 9), (5 * S, 0)], 10)]
-#[case::after_the_hold_alone(1, &[(0, 9), (61 * S, 0)], 1)]
-#[case::expected_is_the_floor(3, &[(0, 9), (61 * S, 0)], 3)]
+#[case::grows(1, &[(0, 2), (SECOND, 9)], 10)]
+#[case::cut_off_keeps_its_share_for_the_hold(1, &[(0, 9), (5 * SECOND, 0)], 10)]
+#[case::after_the_hold_alone(1, &[(0, 9), (61 * SECOND, 0)], 1)]
+#[case::expected_is_the_floor(3, &[(0, 9), (61 * SECOND, 0)], 3)]
 fn size_is_held(#[case] expected: usize, #[case] seen: &[(Micros, usize)], #[case] want: usize) {
-    let mut size = FleetSize::new(expected, 60 * S);
+    let mut size = FleetSize::new(expected, 60 * SECOND);
     seen.iter().for_each(|&(at, alive)| size.seen(at, alive));
     assert_eq!(size.estimate(), want);
 }
--- a/wrenseam/tests/fleet_gate.rs
+++ b/wrenseam/tests/fleet_gate.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// A retry storm at one front end of a fleet of `peers + 1`: every request asks for `tries` attempts.
+/// A retry storm at one front end of a fleet of `peers + 1`: every request asks for five attempts.
 #[rstest]
 #[case::alone(0, 1, 100 + 10 + 30)]
 #[case::one_of_three(2, 1, 100 + 10 + 10)]
@@ -47,14 +47,18 @@
     );
     let mut sent = 0;
     for request in 0..100u64 {
-        for try_ in 0..5 {
-            sent += u32::from(gate.attempt(request * 10_000, try_ > 0));
+        for attempt in 0..5 {
+            sent += u32::from(gate.attempt(request * 10_000, attempt > 0));
         }
     }
     assert_eq!(sent, want);
-    let s = gate.summary(1_000_000, 0);
+    let summary = gate.summary(1_000_000, 0);
     assert_eq!(
-        (s.firsts, s.extras + s.firsts, s.denied),
+        (
+            summary.firsts,
+            summary.extras + summary.firsts,
+            summary.denied
+        ),
         (100, want, 500 - want)
     );
 }
--- a/wrenseam/tests/fleet_records.rs
+++ b/wrenseam/tests/fleet_records.rs
@@ -14,26 +14,26 @@
 const MS: u64 = 1000;
 const CLUSTER: u32 = 7;
 
-fn addr(i: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (i >> 8) as u8, i as u8], 7946))
+fn addr(member: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (member >> 8) as u8, member as u8], 7946))
 }
 
-fn id(i: usize, incarnation: u64) -> PeerId {
+fn id(member: usize, incarnation: u64) -> PeerId {
     PeerId {
-        addr: addr(i),
+        addr: addr(member),
         incarnation,
     }
 }
 
 /// A record of member `i` whose content depends on `content` alone.
-fn record(i: usize, incarnation: u64, version: u32, content: u64) -> Record {
+fn record(member: usize, incarnation: u64, version: u32, content: u64) -> Record {
     let metadata = Metadata {
         lifecycle: Lifecycle::Ready,
         config_digest: content,
         ..Metadata::default()
     };
     Record {
-        owner: addr(i),
+        owner: addr(member),
         stamp: Stamp {
             incarnation,
             version,
@@ -94,8 +94,8 @@
 #[case::ours_of_a_former_clock(None, (0, 9, 1, Alive, 1), Refute)]
 #[case::ours_held_as_down(None, (0, 5, 3, Down, 1), Refute)]
 #[case::ours_before_held_as_down(None, (0, 4, 3, Down, 1), SendNewer)]
-fn which_claim_wins(
-    #[case] held: Option<Liveness>,
+fn which_member_digest_wins(
+    #[case] known: Option<Liveness>,
     #[case] member_digest: (usize, u64, u32, Liveness, u64),
     #[case] want: MergeAction,
 ) {
@@ -115,13 +115,14 @@
         liveness,
         checksum,
     };
-    assert_eq!(directory(held).merge_action(&member_digest), want);
+    assert_eq!(directory(known).merge_action(&member_digest), want);
 }
 
 #[test]
 fn equal_stamps_with_two_contents_end_in_the_same_one_everywhere() {
-    let (a, b) = (record(1, 5, 3, 1), record(1, 5, 3, 2));
-    let ends: Vec<_> = [[&a, &b], [&b, &a]]
+    let first = record(1, 5, 3, 1);
+    let second = record(1, 5, 3, 2);
+    let ends: Vec<_> = [[&first, &second], [&second, &first]]
         .iter()
         .map(|order| {
             let mut directory = directory(None);
@@ -157,7 +158,7 @@
     for record in order {
         if directory
             .member_digest(addr(1))
-            .is_none_or(|held| held.stamp.incarnation < record.stamp.incarnation)
+            .is_none_or(|known| known.stamp.incarnation < record.stamp.incarnation)
         {
             directory.mark_alive(0, record.id());
         }
@@ -215,7 +216,7 @@
             assert!(bytes.len() <= MAX_RECORD_BYTES);
             assert_eq!(Record::decode(&bytes), Ok(record));
         }
-        (told, want) => assert_eq!(told.err(), want),
+        (encoded, want) => assert_eq!(encoded.err(), want),
     }
 }
 
@@ -225,12 +226,12 @@
 }
 
 #[rstest]
-#[case::cut_short(|b: &mut Vec<u8>| b.truncate(b.len() - 1), RecordError::Truncated)]
-#[case::longer(|b: &mut Vec<u8>| b.push(0), RecordError::Truncated)]
-#[case::another_form(|b: &mut Vec<u8>| b[19] = 2, RecordError::UnknownFormat(2))]
-#[case::another_lifecycle(|b: &mut Vec<u8>| b[20] = 4, RecordError::UnknownLifecycle(4))]
-#[case::an_endless_incarnation(|b: &mut Vec<u8>| b[7] = 0xff, RecordError::IncarnationOutOfRange(0xff00_0000_0000_0005))]
-#[case::no_text(|b: &mut Vec<u8>| b[30] = 0xff, RecordError::NotText(invalid_utf8()))]
+#[case::cut_short(|bytes: &mut Vec<u8>| bytes.truncate(bytes.len() - 1), RecordError::Truncated)]
+#[case::longer(|bytes: &mut Vec<u8>| bytes.push(0), RecordError::Truncated)]
+#[case::another_form(|bytes: &mut Vec<u8>| bytes[19] = 2, RecordError::UnknownFormat(2))]
+#[case::another_lifecycle(|bytes: &mut Vec<u8>| bytes[20] = 4, RecordError::UnknownLifecycle(4))]
+#[case::an_endless_incarnation(|bytes: &mut Vec<u8>| bytes[7] = 0xff, RecordError::IncarnationOutOfRange(0xff00_0000_0000_0005))]
+#[case::no_text(|bytes: &mut Vec<u8>| bytes[30] = 0xff, RecordError::NotText(invalid_utf8()))]
 fn what_is_no_record_is_refused(#[case] spoil: fn(&mut Vec<u8>), #[case] want: RecordError) {
     let metadata = Metadata {
         zone: "z".to_owned(),
@@ -367,9 +368,9 @@
 #[case::a_larger_one_held_alive(Message::AliveQuery { about: id(0, 9), gone: false, origin: addr(1) }, (10, 1))]
 #[case::ours_asked_for(Message::AliveQuery { about: id(0, 5), gone: false, origin: addr(1) }, (5, 1))]
 #[case::a_past_one_held_as_gone(Message::AliveQuery { about: id(0, 4), gone: true, origin: addr(1) }, (5, 1))]
-fn only_we_write_our_record(#[case] said: Message, #[case] want: (u64, u32)) {
+fn only_we_write_our_record(#[case] message: Message, #[case] want: (u64, u32)) {
     let mut members = members();
-    tell(&mut members, MS, id(1, 5), said);
+    tell(&mut members, MS, id(1, 5), message);
     let own = members.directory().own().clone();
     assert_eq!((own.stamp.incarnation, own.stamp.version), want);
     assert_eq!(
@@ -390,16 +391,17 @@
 #[case::down_there(Some(member_digests(1, 5, Down)), Some((5, Alive)))]
 #[case::left_there(Some(member_digests(1, 5, Left)), Some((5, Left)))]
 #[case::a_former_one_down(Some(member_digests(1, 4, Down)), Some((5, Alive)))]
-fn which_state_follows(#[case] said: Option<Message>, #[case] want: Option<(u64, Liveness)>) {
+fn which_state_follows(#[case] message: Option<Message>, #[case] want: Option<(u64, Liveness)>) {
     let mut members = members();
     tell(&mut members, MS, id(2, 5), news(record(1, 5, 1, 1)));
-    said.into_iter()
-        .for_each(|said| drop(tell(&mut members, 2 * MS, id(2, 5), said)));
-    let held = members
+    message
+        .into_iter()
+        .for_each(|message| drop(tell(&mut members, 2 * MS, id(2, 5), message)));
+    let known = members
         .directory()
         .member_digest(addr(1))
         .map(|member_digest| (member_digest.stamp.incarnation, member_digest.liveness));
-    assert_eq!(held, want);
+    assert_eq!(known, want);
     let downs = members
         .events()
         .into_iter()
@@ -407,27 +409,27 @@
     assert_eq!(downs.count(), 0);
 }
 
-fn leaving(i: usize, incarnation: u64) -> Record {
+fn leaving(member: usize, incarnation: u64) -> Record {
     let metadata = Metadata {
         lifecycle: Lifecycle::Leaving,
         ..Metadata::default()
     };
     Record {
         metadata,
-        ..record(i, incarnation, 9, 1)
+        ..record(member, incarnation, 9, 1)
     }
 }
 
-fn member_digests(i: usize, incarnation: u64, liveness: Liveness) -> Message {
+fn member_digests(member: usize, incarnation: u64, liveness: Liveness) -> Message {
     let stamp = Stamp {
         incarnation,
         version: 1,
     };
-    let checksum = record(i, incarnation, 1, 1).metadata.checksum();
+    let checksum = record(member, incarnation, 1, 1).metadata.checksum();
     Message::MemberDigests {
         unmatched: Vec::new(),
         member_digests: vec![MemberDigest {
-            owner: addr(i),
+            owner: addr(member),
             stamp,
             liveness,
             checksum,
@@ -439,31 +441,31 @@
 #[rstest]
 #[case::by_a_record(news(record(1, 5, 3, 1)), false)]
 #[case::by_a_newer_record(news(record(1, 5, 99, 1)), false)]
-#[case::by_a_claim(member_digests(1, 5, Alive), false)]
+#[case::by_a_member_digest(member_digests(1, 5, Alive), false)]
 #[case::by_a_former_incarnation(news(record(1, 4, 99, 1)), false)]
 #[case::by_its_next_incarnation(news(record(1, 6, 1, 1)), true)]
-fn none_comes_back_by_hearsay(#[case] said: Message, #[case] back: bool) {
+fn none_comes_back_by_hearsay(#[case] message: Message, #[case] back: bool) {
     let mut members = members();
     tell(&mut members, MS, id(2, 5), news(record(1, 5, 1, 1)));
     tell(&mut members, 2 * MS, id(2, 5), news(leaving(1, 5)));
     assert_eq!(members.alive(), 1);
-    tell(&mut members, 3 * MS, id(2, 5), said);
+    tell(&mut members, 3 * MS, id(2, 5), message);
     assert_eq!(members.alive() == 2, back);
 }
 
 /// Who is held as down elsewhere is asked, and told that it needs a larger incarnation; who asks is answered once,
 /// and what a relay passed on goes no further.
 #[test]
-fn inquiries_go_one_relay_far() {
+fn alive_queries_go_one_relay_far() {
     let mut members = members();
     tell(&mut members, MS, id(1, 5), news(record(1, 5, 1, 1)));
-    let told = tell(&mut members, 2 * MS, id(2, 5), member_digests(1, 5, Down));
-    let inquiry = Message::AliveQuery {
+    let answers_sent = tell(&mut members, 2 * MS, id(2, 5), member_digests(1, 5, Down));
+    let query = Message::AliveQuery {
         about: id(1, 5),
         gone: true,
         origin: addr(0),
     };
-    assert!(told.contains(&(addr(1), inquiry)), "{told:?}");
+    assert!(answers_sent.contains(&(addr(1), query)), "{answers_sent:?}");
     let of_another = Message::AliveQuery {
         about: id(1, 5),
         gone: false,
@@ -510,10 +512,10 @@
         []
     );
     // A digest that lies costs one answer of bounded size, and member digests of what is held just so none.
-    let told = tell(&mut members, 3 * MS, id(1, 5), Message::Digest([1; 16]));
+    let answers_sent = tell(&mut members, 3 * MS, id(1, 5), Message::Digest([1; 16]));
     assert!(
-        matches!(&told[..], [(_, Message::Hashes { .. })]),
-        "{told:?}"
+        matches!(&answers_sent[..], [(_, Message::Hashes { .. })]),
+        "{answers_sent:?}"
     );
     assert_eq!(
         tell(&mut members, 4 * MS, id(1, 5), member_digests(1, 5, Alive)),
@@ -523,10 +525,10 @@
         parts: u16::MAX,
         hashes: vec![1, 2, 3],
     };
-    let told = tell(&mut members, 5 * MS, id(1, 5), hashes);
+    let answers_sent = tell(&mut members, 5 * MS, id(1, 5), hashes);
     assert!(
-        matches!(&told[..], [(_, Message::MemberDigests { .. })]),
-        "{told:?}"
+        matches!(&answers_sent[..], [(_, Message::MemberDigests { .. })]),
+        "{answers_sent:?}"
     );
 }
 
@@ -587,18 +589,18 @@
 fn the_gone_are_forgotten_in_bounded_time_and_number(
     #[case] gone: usize,
     #[case] after: u64,
-    #[case] held: usize,
+    #[case] known: usize,
 ) {
     let mut directory = Directory::new(record(0, 5, 1, 1));
-    for i in 1..=gone {
-        directory.mark_alive(0, id(i, 5));
-        directory.mark_gone(i as u64, id(i, 5));
+    for member in 1..=gone {
+        directory.mark_alive(0, id(member, 5));
+        directory.mark_gone(member as u64, id(member, 5));
     }
     let forgotten = directory.forget_gone(after + gone as u64);
     let left = (1..=gone)
-        .filter(|&i| directory.member_digest(addr(i)).is_some())
+        .filter(|&member| directory.member_digest(addr(member)).is_some())
         .count();
-    assert_eq!((left, forgotten.len()), (held, gone - held));
+    assert_eq!((left, forgotten.len()), (known, gone - known));
     // Those gone longest go first.
-    assert!(held == 0 || directory.member_digest(addr(gone)).is_some());
+    assert!(known == 0 || directory.member_digest(addr(gone)).is_some());
 }
--- a/wrenseam/tests/fleet_summary.rs
+++ b/wrenseam/tests/fleet_summary.rs
@@ -3,13 +3,13 @@
 use std::net::SocketAddr;
 use wrenseam::fleet::summary::{InsertOutcome, Summaries, Summary, SummaryError, SUMMARY_BYTES};
 
-fn at(port: u16) -> SocketAddr {
+fn origin(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn of(port: u16, seq: u64, pressure: u32) -> Summary {
+fn summary_of(port: u16, seq: u64, pressure: u32) -> Summary {
     Summary {
-        origin: Some(at(port)),
+        origin: Some(origin(port)),
         seq,
         pressure,
         in_flight: 7,
@@ -21,14 +21,14 @@
 
 #[test]
 fn bytes_round_trip() {
-    let mut s = of(7000, u64::MAX - 1, 1234);
-    s.shed = 5;
-    s.healthy = 12;
-    s.denied = 3;
-    assert_eq!(Summary::decode(&s.encode()), Ok(s));
+    let mut summary = summary_of(7000, u64::MAX - 1, 1234);
+    summary.shed = 5;
+    summary.healthy = 12;
+    summary.denied = 3;
+    assert_eq!(Summary::decode(&summary.encode()), Ok(summary));
     let v6 = Summary {
         origin: Some("[::1]:9".parse().expect("v6")),
-        ..s
+        ..summary
     };
     assert_eq!(Summary::decode(&v6.encode()), Ok(v6));
 }
@@ -37,13 +37,13 @@
 #[case::short(&[0u8; 10][..], SummaryError::Length(10))]
 #[case::long(&[0u8; 70][..], SummaryError::Length(70))]
 #[case::not_ours(&[0u8; SUMMARY_BYTES][..], SummaryError::Magic)]
-fn garbage_is_refused(#[case] bytes: &[u8], #[case] want: SummaryError) {
+fn garbage_is_rejected(#[case] bytes: &[u8], #[case] want: SummaryError) {
     assert_eq!(Summary::decode(bytes), Err(want));
 }
 
 #[test]
 fn any_flipped_bit_is_caught() {
-    let good = of(7000, 3, 500).encode();
+    let good = summary_of(7000, 3, 500).encode();
     for bit in 16..(SUMMARY_BYTES * 8) {
         let mut bad = good;
         bad[bit / 8] ^= 1 << (bit % 8);
@@ -55,37 +55,37 @@
 #[case::repeat(&[(1, 3), (1, 3)], &[InsertOutcome::Updated, InsertOutcome::Stale])]
 #[case::out_of_order(&[(1, 5), (1, 4), (1, 6)], &[InsertOutcome::Updated, InsertOutcome::Stale, InsertOutcome::Updated])]
 #[case::ours(&[(0, 1)], &[InsertOutcome::Foreign])]
-fn order_and_repeats(#[case] offers: &[(u16, u64)], #[case] want: &[InsertOutcome]) {
-    let mut held = Summaries::new(8, 1_000_000);
-    let got: Vec<InsertOutcome> = offers
+fn order_and_repeats(#[case] inserts: &[(u16, u64)], #[case] want: &[InsertOutcome]) {
+    let mut summaries = Summaries::new(8, 1_000_000);
+    let outcomes: Vec<InsertOutcome> = inserts
         .iter()
-        .map(|&(p, seq)| held.insert(0, at(7000), of(7000 + p, seq, 0)))
+        .map(|&(port, seq)| summaries.insert(0, origin(7000), summary_of(7000 + port, seq, 0)))
         .collect();
-    assert_eq!(got, want);
+    assert_eq!(outcomes, want);
 }
 
 #[test]
-fn a_liar_moves_the_mean_by_its_share_and_old_news_counts_not() {
-    let mut held = Summaries::new(8, 1_000_000);
-    for p in 1..=3 {
-        held.insert(0, at(7000), of(7000 + p, 1, 2000));
+fn a_liar_moves_the_mean_by_its_share_and_stale_summaries_do_not_count() {
+    let mut summaries = Summaries::new(8, 1_000_000);
+    for port in 1..=3 {
+        summaries.insert(0, origin(7000), summary_of(7000 + port, 1, 2000));
     }
-    assert_eq!(held.pressure(0, 2000), 2000);
-    held.insert(0, at(7000), of(7004, 1, 0));
+    assert_eq!(summaries.pressure(0, 2000), 2000);
+    summaries.insert(0, origin(7000), summary_of(7004, 1, 0));
     // Five front ends, one says zero: the mean falls by a fifth, no more.
-    assert_eq!(held.pressure(0, 2000), 1600);
+    assert_eq!(summaries.pressure(0, 2000), 1600);
     assert_eq!(
-        held.pressure(2_000_000, 2000),
+        summaries.pressure(2_000_000, 2000),
         2000,
         "only our own is fresh"
     );
 }
 
 #[test]
-fn room_is_bounded() {
-    let mut held = Summaries::new(2, 1_000_000);
-    (1..=5).for_each(|p| {
-        held.insert(u64::from(p), at(7000), of(7000 + p, 1, 0));
+fn capacity_is_bounded() {
+    let mut summaries = Summaries::new(2, 1_000_000);
+    (1..=5).for_each(|port| {
+        summaries.insert(u64::from(port), origin(7000), summary_of(7000 + port, 1, 0));
     });
-    assert_eq!(held.fresh(5).count(), 2);
+    assert_eq!(summaries.fresh(5).count(), 2);
 }
--- a/wrenseam/tests/fleet_swim.rs
+++ b/wrenseam/tests/fleet_swim.rs
@@ -21,8 +21,8 @@
     }
 }
 
-fn addr(n: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 7000 + n as u16))
+fn addr(number: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16))
 }
 
 /// A fleet on a network of chance: `loss` of datagrams lost, `dup` repeated, all delayed 1 to 20 ms
@@ -32,24 +32,24 @@
     flight: Vec<(Micros, usize, Vec<u8>)>,
     rng: SmallRng,
     loss: f64,
-    dup: f64,
+    duplicates: f64,
     dead: Vec<usize>,
     dead_at: Micros,
 }
 
 impl Net {
-    fn new(n: usize, loss: f64, dup: f64, seed: u64) -> Net {
-        let mut swims: Vec<Swim> = (0..n)
+    fn new(number: usize, loss: f64, duplicates: f64, seed: u64) -> Net {
+        let mut swims: Vec<Swim> = (0..number)
             .map(|i| Swim::new(addr(i), 1, settings(), seed + i as u64))
             .collect();
-        (1..n).for_each(|i| swims[i].join(0, addr(0)));
+        (1..number).for_each(|i| swims[i].join(0, addr(0)));
         let rng = SmallRng::seed_from_u64(seed);
         Net {
             swims,
             flight: Vec::new(),
             rng,
             loss,
-            dup,
+            duplicates,
             dead: Vec::new(),
             dead_at: Micros::MAX,
         }
@@ -67,16 +67,16 @@
                     continue;
                 }
                 if now % (200 * MS) == 0 {
-                    let s = Summary {
+                    let summary = Summary {
                         pressure: 1000 + i as u32,
                         ..Summary::default()
                     };
-                    self.swims[i].publish(now, s);
+                    self.swims[i].publish(now, summary);
                 }
                 self.swims[i].tick(now);
                 for out in self.swims[i].outbox() {
                     let (to, bytes) = ((out.to.port() - 7000) as usize, out.bytes);
-                    let copies = if self.rng.random::<f64>() < self.dup {
+                    let copies = if self.rng.random::<f64>() < self.duplicates {
                         2
                     } else {
                         1
@@ -91,7 +91,8 @@
                 let events = self.swims[i].events().into_iter();
                 seen.extend(events.map(|timed| (timed.at, i, timed.event)));
             }
-            let (due, later): (Vec<_>, Vec<_>) = self.flight.drain(..).partition(|f| f.0 <= now);
+            let (due, later): (Vec<_>, Vec<_>) =
+                self.flight.drain(..).partition(|(at, ..)| *at <= now);
             self.flight = later;
             for (_, to, bytes) in due {
                 if !(self.dead.contains(&to) && now >= self.dead_at) {
@@ -106,17 +107,17 @@
 #[rstest]
 #[case::clean(0.0, 0.0)]
 #[case::lossy_and_repeated(0.1, 0.2)]
-fn all_find_all_and_hear_their_summaries(#[case] loss: f64, #[case] dup: f64) {
-    let mut net = Net::new(5, loss, dup, 11);
+fn all_find_all_and_hear_their_summaries(#[case] loss: f64, #[case] duplicates: f64) {
+    let mut net = Net::new(5, loss, duplicates, 11);
     net.run(3000 * MS);
-    for (i, s) in net.swims.iter().enumerate() {
-        assert_eq!(s.alive(), 4, "front end {i}");
-        assert_eq!(s.summaries(3000 * MS).len(), 4, "front end {i}");
+    for (index, swim) in net.swims.iter().enumerate() {
+        assert_eq!(swim.alive(), 4, "front end {index}");
+        assert_eq!(swim.summaries(3000 * MS).len(), 4, "front end {index}");
         // Pressures 1000 to 1004, all heard: their mean.
         assert_eq!(
-            s.pressure(3000 * MS, 1000 + i as u32),
+            swim.pressure(3000 * MS, 1000 + index as u32),
             1002,
-            "front end {i}"
+            "front end {index}"
         );
     }
 }
@@ -128,9 +129,9 @@
     net.dead_at = 2000 * MS;
     let seen = net.run(4000 * MS);
     for i in 0..4 {
-        let down = seen.iter().find(|(_, at, e)| {
+        let down = seen.iter().find(|(_, at, event)| {
             *at == i
-                && *e
+                && *event
                     == PeerEvent::Down(PeerId {
                         addr: addr(4),
                         incarnation: 1,
@@ -149,9 +150,13 @@
 #[case::garbled({ let mut b = vec![b'w', b'F', 1, 0, 0, 0, 7]; b.extend([0xff; 40]); b })]
 #[case::oversized(vec![0; MAX_DATAGRAM + 1])]
 fn bad_datagrams_are_counted_and_dropped(#[case] bytes: Vec<u8>) {
-    let mut s = Swim::new(addr(0), 1, settings(), 1);
-    s.handle_datagram(0, &bytes);
-    let d = s.dropped;
-    assert_eq!(d.oversized + d.foreign + d.garbled, 1, "{d:?}");
-    assert_eq!(s.alive(), 0);
+    let mut swim = Swim::new(addr(0), 1, settings(), 1);
+    swim.handle_datagram(0, &bytes);
+    let dropped = swim.dropped;
+    assert_eq!(
+        dropped.oversized + dropped.foreign + dropped.garbled,
+        1,
+        "{dropped:?}"
+    );
+    assert_eq!(swim.alive(), 0);
 }
--- a/wrenseam/tests/golden_fleet.rs
+++ b/wrenseam/tests/golden_fleet.rs
@@ -259,15 +259,15 @@
 }
 
 #[rstest]
-#[case::ask(
+#[case::request(
     exchange(ExchangeKind::Request, v4()),
     "7746020102030400041f0a0a01020300001122334455660a0b0c0dffc2f7000012d6879cf29ccd"
 )]
-#[case::answer(
+#[case::reply(
     exchange(ExchangeKind::Reply, v4()),
     "7746020102030401041f0a0a01020300001122334455660a0b0c0dffc2f7000012d6879d4761d0"
 )]
-#[case::answer_of_v6(exchange(ExchangeKind::Reply, v6()), "7746020102030401061f0b20010db800000000000000000000000700001122334455660a0b0c0dffc2f7000012d68772\
+#[case::reply_of_v6(exchange(ExchangeKind::Reply, v6()), "7746020102030401061f0b20010db800000000000000000000000700001122334455660a0b0c0dffc2f7000012d68772\
          621f15")]
 fn averaging_exchanges_keep_their_bytes(#[case] exchange: Exchange, #[case] golden: &str) {
     let bytes = exchange.encode(&header(AVERAGE_VERSION, CLUSTER));
