--- a/fleetlab/tests/common/mod.rs
+++ b/fleetlab/tests/common/mod.rs
@@ -20,8 +20,8 @@
     pub fn get(&self, name: &str) -> f64 {
         self.totals
             .iter()
-            .find(|(n, _)| n == name)
-            .map(|(_, v)| *v)
+            .find(|(total, _)| total == name)
+            .map(|(_, value)| *value)
             .unwrap_or_else(|| panic!("no {name}"))
     }
 }
@@ -29,7 +29,11 @@
 /// The `wrenseam` in this folder, or what to build: it is missing, or older than a source that it was built from.
 pub fn program(folder: &Path) -> Result<PathBuf, String> {
     let program = folder.join("wrenseam");
-    let changed = |file: &Path| file.metadata().and_then(|m| m.modified()).ok();
+    let changed = |file: &Path| {
+        file.metadata()
+            .and_then(|metadata| metadata.modified())
+            .ok()
+    };
     let sources = std::fs::read_to_string(folder.join("wrenseam.d")).unwrap_or_default();
     let newer = |source: &&str| changed(Path::new(source)) > changed(&program);
     let why = match changed(&program) {
@@ -87,27 +91,30 @@
     );
     let line = |tag: &str| {
         text.lines()
-            .find_map(|l| l.strip_prefix(tag))
+            .find_map(|line| line.strip_prefix(tag))
             .unwrap_or_else(|| panic!("{text}"))
     };
     let totals = line("TOTALS ")
         .split(' ')
-        .filter_map(|kv| kv.split_once('='))
-        .map(|(k, v)| (k.to_owned(), v.parse().expect("a figure")))
+        .filter_map(|pair| pair.split_once('='))
+        .map(|(name, value)| (name.to_owned(), value.parse().expect("a figure")))
+        .collect();
+    let peers = line("PEERS ")
+        .split(',')
+        .map(|count| count.parse().ok())
         .collect();
-    let peers = line("PEERS ").split(',').map(|p| p.parse().ok()).collect();
     let parts = line("COLD ")
         .split(' ')
-        .filter_map(|kv| kv.split_once('='))
-        .map(|(_, v)| v);
-    let cold = parts.map(|v| v.parse().expect("a part")).collect();
+        .filter_map(|pair| pair.split_once('='))
+        .map(|(_, part)| part);
+    let cold = parts.map(|part| part.parse().expect("a part")).collect();
     let asked = |tag: &str| {
         text.lines()
-            .find_map(|l| l.strip_prefix(tag))
-            .and_then(|l| l.rsplit(['=', ' ']).next())
+            .find_map(|line| line.strip_prefix(tag))
+            .and_then(|line| line.rsplit(['=', ' ']).next())
     };
-    let agreed_fronts = asked("AGREED ").and_then(|n| n.parse().ok());
-    let wronged = asked("WRONGED ").and_then(|n| n.parse().ok());
+    let agreed_fronts = asked("AGREED ").and_then(|number| number.parse().ok());
+    let wronged = asked("WRONGED ").and_then(|number| number.parse().ok());
     eprintln!("{text}");
     Run {
         totals,
--- a/fleetlab/tests/faults.rs
+++ b/fleetlab/tests/faults.rs
@@ -1,6 +1,7 @@
 //! What is in force after each fault, and scenario files.
 use fleetlab::faults::{ConnectionAction, DatagramAction, Faults};
 use fleetlab::scenario::{Fault, Scenario};
+use rstest::rstest;
 
 fn fault(kind: &str) -> Fault {
     Fault {
@@ -19,88 +20,94 @@
 }
 
 #[test]
-fn a_partition_cuts_between_sets_only_and_heals() {
-    let mut f = Faults::new(4, 1);
-    f.apply(&Fault {
+fn a_partition_cuts_between_groups_only_and_heals() {
+    let mut faults = Faults::new(4, 1);
+    faults.apply(&Fault {
         fronts: Some(vec![0, 1]),
         ..fault("partition")
     });
-    assert_eq!(f.datagram(Some(0), 1, 0.5), DatagramAction::Pass);
-    assert_eq!(f.datagram(Some(2), 3, 0.5), DatagramAction::Pass);
-    assert_eq!(f.datagram(Some(0), 2, 0.5), DatagramAction::Drop);
-    assert_eq!(f.datagram(Some(3), 1, 0.5), DatagramAction::Drop);
-    f.apply(&fault("heal"));
-    assert_eq!(f.datagram(Some(0), 2, 0.5), DatagramAction::Pass);
+    assert_eq!(faults.datagram(Some(0), 1, 0.5), DatagramAction::Pass);
+    assert_eq!(faults.datagram(Some(2), 3, 0.5), DatagramAction::Pass);
+    assert_eq!(faults.datagram(Some(0), 2, 0.5), DatagramAction::Drop);
+    assert_eq!(faults.datagram(Some(3), 1, 0.5), DatagramAction::Drop);
+    faults.apply(&fault("heal"));
+    assert_eq!(faults.datagram(Some(0), 2, 0.5), DatagramAction::Pass);
 }
 
 #[test]
-fn losses_copies_and_holds_follow_the_die() {
-    let mut f = Faults::new(2, 2);
-    f.apply(&Fault {
+fn losses_duplicates_and_delays_follow_the_chance() {
+    let mut faults = Faults::new(2, 2);
+    faults.apply(&Fault {
         ratio: Some(0.2),
         ..fault("drop")
     });
-    f.apply(&Fault {
+    faults.apply(&Fault {
         ratio: Some(0.1),
         ..fault("duplicate")
     });
-    f.apply(&Fault {
+    faults.apply(&Fault {
         ms: Some(40),
         ..fault("delay")
     });
-    assert_eq!(f.datagram(None, 1, 0.1), DatagramAction::Drop);
-    assert_eq!(f.datagram(None, 1, 0.25), DatagramAction::Duplicate);
-    assert_eq!(f.datagram(None, 1, 0.5), DatagramAction::Delay(40));
-    f.apply(&Fault {
+    assert_eq!(faults.datagram(None, 1, 0.1), DatagramAction::Drop);
+    assert_eq!(faults.datagram(None, 1, 0.25), DatagramAction::Duplicate);
+    assert_eq!(faults.datagram(None, 1, 0.5), DatagramAction::Delay(40));
+    faults.apply(&Fault {
         ratio: Some(0.5),
         ..fault("reset")
     });
-    f.apply(&Fault {
+    faults.apply(&Fault {
         worker: Some(1),
         ..fault("blackhole")
     });
-    assert_eq!(f.connection(0, 0.4), ConnectionAction::Reset);
-    assert_eq!(f.connection(0, 0.6), ConnectionAction::Pass);
-    assert_eq!(f.connection(1, 0.9), ConnectionAction::BlackHole);
+    assert_eq!(faults.connection(0, 0.4), ConnectionAction::Reset);
+    assert_eq!(faults.connection(0, 0.6), ConnectionAction::Pass);
+    assert_eq!(faults.connection(1, 0.9), ConnectionAction::BlackHole);
 }
 
 #[test]
 fn named_groups_one_way_cuts_deaf_and_mute_front_ends() {
-    let mut f = Faults::new(5, 1);
+    let mut faults = Faults::new(5, 1);
     let groups = [("a".to_owned(), vec![0, 1]), ("b".to_owned(), vec![2])]
         .into_iter()
         .collect();
-    f.apply(&Fault {
+    faults.apply(&Fault {
         groups: Some(groups),
         ..fault("partition")
     });
-    let passes = |f: &Faults, from: usize, to: usize| {
-        f.datagram(Some(from), to, 0.5) == DatagramAction::Pass
+    let passes = |faults: &Faults, from: usize, to: usize| {
+        faults.datagram(Some(from), to, 0.5) == DatagramAction::Pass
     };
     assert!(
-        passes(&f, 0, 1) && passes(&f, 3, 4),
+        passes(&faults, 0, 1) && passes(&faults, 3, 4),
         "within a group, and among those in none"
     );
-    assert!(!passes(&f, 0, 2) && !passes(&f, 2, 3) && !passes(&f, 4, 1));
-    f.apply(&fault("heal"));
-    f.apply(&Fault {
+    assert!(!passes(&faults, 0, 2) && !passes(&faults, 2, 3) && !passes(&faults, 4, 1));
+    faults.apply(&fault("heal"));
+    faults.apply(&Fault {
         from: Some(0),
         to: Some(1),
         ..fault("cut")
     });
-    assert!(!passes(&f, 0, 1) && passes(&f, 1, 0));
-    f.apply(&Fault {
+    assert!(!passes(&faults, 0, 1) && passes(&faults, 1, 0));
+    faults.apply(&Fault {
         front: Some(2),
         ..fault("deaf")
     });
-    f.apply(&Fault {
+    faults.apply(&Fault {
         front: Some(3),
         ..fault("mute")
     });
-    assert!(!passes(&f, 0, 2) && passes(&f, 2, 0), "a deaf one is heard");
-    assert!(!passes(&f, 3, 0) && passes(&f, 0, 3), "a mute one hears");
-    f.apply(&fault("heal"));
-    assert!((0..5).all(|from| (0..5).all(|to| passes(&f, from, to))));
+    assert!(
+        !passes(&faults, 0, 2) && passes(&faults, 2, 0),
+        "a deaf one is heard"
+    );
+    assert!(
+        !passes(&faults, 3, 0) && passes(&faults, 0, 3),
+        "a mute one hears"
+    );
+    faults.apply(&fault("heal"));
+    assert!((0..5).all(|from| (0..5).all(|to| passes(&faults, from, to))));
 }
 
 const GOOD: &str = r#"{"name":"s","seed":1,"seconds":5,"fronts":3,"workers":2,"fleet":true,"rate_per_s":10,
@@ -114,3 +121,14 @@
     assert!(Scenario::parse(&GOOD.replace(r#""seconds":5"#, r#""seconds":6000"#)).is_err());
     assert!(Scenario::parse("[]").is_err());
 }
+
+#[rstest]
+#[case::no_scenario("[]", "not a scenario (see fleetlab's page)")]
+#[case::a_figure(&GOOD.replace(r#""seconds":5"#, r#""seconds":6000"#), "'seconds' is 6000, not within 1 to 600")]
+#[case::a_front(&GOOD.replace(r#""front":2"#, r#""front":3"#), "'front' is 3, not within 0 to 2")]
+#[case::a_fault(&GOOD.replace(r#""kill""#, r#""melt""#), "no fault is called 'melt'")]
+#[case::an_effect(&GOOD.replace(r#""seed":1"#, r#""seed":1,"effect":"odd""#), "'effect' is odd, not retryable or fragile")]
+fn scenario_errors_keep_their_texts(#[case] text: &str, #[case] want: &str) {
+    let error = Scenario::parse(text).expect_err("not to be run");
+    assert_eq!(error.to_string(), want);
+}
--- a/fleetlab/tests/lab.rs
+++ b/fleetlab/tests/lab.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// All front ends killed at once while a worker comes back cold: what they send it together, all of them told, keeps
+/// All front ends killed at once while a worker comes back cold: what they send it together, all of them notified, keeps
 /// the rule, and the rest is served. Before cold workers had seats this came to 1.4 to 1.6 of what the rule allows.
 /// However long the front ends take to start: the load waits for them, and what they serve is the same.
 #[rstest]
@@ -78,9 +78,9 @@
 }
 
 /// Calls that must not be repeated, over worker connections that are reset in the middle, answers that are lost, double or
-/// a proxy's, one front end killed and one ended in order: none comes whole to a worker after it may have run.
+/// a proxy's, one front end killed and one shut down gracefully: none reaches a worker completely after it may have run.
 #[test]
-fn no_call_that_must_not_be_repeated_comes_whole_again() {
+fn no_call_that_must_not_be_repeated_reaches_workers_again() {
     let run = lab("unsafe", include_str!("../scenarios/unsafe-links.json"), "");
     assert_eq!((run.get("repeats"), run.get("died")), (0.0, 0.0));
     let (offered, served, failed) = (run.get("offered"), run.get("served"), run.get("failed"));
@@ -101,10 +101,10 @@
 #[test]
 fn a_front_end_that_never_listens_ends_the_lab() {
     let out = run("mute", STORM, "echo said >&2; exec sleep 60");
-    let told = String::from_utf8_lossy(&out.stderr).into_owned();
+    let printed = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(
-        !out.status.success() && told.contains("does not listen"),
-        "{told}"
+        !out.status.success() && printed.contains("does not listen"),
+        "{printed}"
     );
 }
 
@@ -139,9 +139,9 @@
     assert!(folder.join(out).join("report.md").is_file());
 }
 
-/// What a front end that ends before it listens said last is in the lab's own message.
+/// The last log line of a front end that ends before it listens is in the lab's own message.
 #[test]
-fn the_last_line_of_a_front_end_that_ends_is_told() {
+fn the_last_line_of_a_front_end_that_ends_is_reported() {
     let folder = folder("last-line");
     let ends = folder.join("ends");
     std::fs::write(
@@ -151,30 +151,30 @@
     .expect("written");
     std::fs::set_permissions(&ends, PermissionsExt::from_mode(0o755)).expect("set");
     let ran = run_in(&folder, "out", &ends);
-    let told = String::from_utf8_lossy(&ran.stderr).into_owned();
+    let printed = String::from_utf8_lossy(&ran.stderr).into_owned();
     assert!(
-        !ran.status.success() && told.contains("ended before it listened"),
-        "{told}"
+        !ran.status.success() && printed.contains("ended before it listened"),
+        "{printed}"
     );
     assert!(
-        told.contains("it said last: start: the disk is full"),
-        "{told}"
+        printed.contains("it said last: start: the disk is full"),
+        "{printed}"
     );
 }
 
 /// Tests of `fleetlab` alone do not build the program that they start.
 #[test]
-fn what_to_build_is_told() {
+fn what_to_build_is_reported() {
     let folder = folder("none").join("release");
     std::fs::create_dir_all(&folder).expect("a folder");
-    let told = |what: &str| {
+    let assert_reason = |what: &str| {
         let why = program(&folder).expect_err("not usable");
         assert!(
             why.contains(what) && why.contains("`cargo build --release --locked -p wrenseam`"),
             "{why}"
         );
     };
-    told("is missing");
+    assert_reason("is missing");
     let source = folder.join("main.rs");
     std::fs::write(folder.join("wrenseam"), "").expect("written");
     std::fs::write(
@@ -191,5 +191,5 @@
         .expect("there")
         .set_modified(later)
         .expect("set");
-    told("is older than");
+    assert_reason("is older than");
 }
