--- a/wrenseam/tests/fleet_shed.rs
+++ b/wrenseam/tests/fleet_shed.rs
@@ -13,8 +13,8 @@
     for step in 0..20 {
         shed.pressure(step * SECOND / 10, pressure);
     }
-    let mut arrived = vec![0.0; 3];
-    let mut refused = vec![0.0; 3];
+    let mut arrived = [0.0; 3];
+    let mut refused = [0.0; 3];
     for arrival in 0..arrivals {
         let class = mix[arrival % mix.len()];
         arrived[class] += 1.0;
