--- a/policy/tests/characterization.rs
+++ b/policy/tests/characterization.rs
@@ -203,8 +203,9 @@
             world.carry_out(&action);
         }
         if step % 500 == 0 {
-            (0..scenario.workers)
-                .for_each(|w| digest.byte(u8::from(controller.is_unreachable(&format!("worker-{w}")))));
+            (0..scenario.workers).for_each(|w| {
+                digest.byte(u8::from(controller.is_unreachable(&format!("worker-{w}"))))
+            });
         }
     }
     (digest, counts)
--- a/scalelab/src/net.rs
+++ b/scalelab/src/net.rs
@@ -7,11 +7,14 @@
 use std::collections::{BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 use std::time::Instant;
+use wrenseam::fleet::average::EdgeCounts;
 use wrenseam::fleet::identity::MAX_PRESSURE;
 use wrenseam::fleet::node::EXTRA_TRANSMISSIONS;
 use wrenseam::fleet::record::Record;
+use wrenseam::fleet::traffic::Outgoing;
 use wrenseam::fleet::{
-    Facts, FleetNews, Lifecycle, Node, NodeSettings, PeerEvent, PeerId, Summary, Swim, SwimSettings,
+    FleetStatus, Lifecycle, Metadata, Node, NodeSettings, PeerEvent, PeerId, Summary, Swim,
+    SwimSettings, TimedPeerEvent,
 };
 
 /// A millisecond, in simulated microseconds.
@@ -42,17 +45,17 @@
 impl Program {
     fn datagram(&mut self, now: u64, bytes: &[u8]) {
         match self {
-            Program::Average(n) => n.datagram(now, bytes),
+            Program::Average(n) => n.handle_datagram(now, bytes),
             Program::Summaries(s) => {
-                s.datagram(now, bytes);
+                s.handle_datagram(now, bytes);
             }
         }
     }
 
     fn next(&self) -> u64 {
         match self {
-            Program::Average(n) => n.next(),
-            Program::Summaries(s) => s.next().unwrap_or(u64::MAX),
+            Program::Average(n) => n.next_wakeup(),
+            Program::Summaries(s) => s.next_wakeup().unwrap_or(u64::MAX),
         }
     }
 
@@ -63,7 +66,7 @@
         }
     }
 
-    fn publish(&mut self, now: u64, own: u32, seeds: &[SocketAddr]) -> FleetNews {
+    fn publish(&mut self, now: u64, own: u32, seeds: &[SocketAddr]) -> FleetStatus {
         let summary = Summary {
             pressure: own,
             ..Summary::default()
@@ -75,32 +78,31 @@
                 if s.alive() == 0 {
                     seeds.iter().for_each(|&a| s.join(now, a));
                 }
-                FleetNews {
+                FleetStatus {
                     alive: s.alive(),
                     pressure: s.pressure(now, own),
-                    edges: (s.summaries(now).len(), s.alive()),
+                    edges: EdgeCounts {
+                        heard: s.summaries(now).len(),
+                        total: s.alive(),
+                    },
                     dropped: s.dropped,
-                    ..FleetNews::default()
+                    ..FleetStatus::default()
                 }
             }
         }
     }
 
-    fn events(&mut self) -> Vec<(u64, PeerEvent)> {
+    fn events(&mut self) -> Vec<TimedPeerEvent> {
         match self {
             Program::Average(n) => n.events(),
             Program::Summaries(s) => s.events(),
         }
     }
 
-    fn outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    fn outbox(&mut self) -> Vec<Outgoing> {
         match self {
             Program::Average(n) => n.outbox(),
-            Program::Summaries(s) => s
-                .outbox()
-                .into_iter()
-                .map(|out| (out.to, out.bytes))
-                .collect(),
+            Program::Summaries(s) => s.outbox(),
         }
     }
 }
@@ -119,7 +121,7 @@
     /// It stands still, as after SIGSTOP; what comes for it waits, as far as there is room.
     pub stopped: bool,
     /// What it last made of the fleet.
-    pub news: FleetNews,
+    pub news: FleetStatus,
     /// What waits for it while it is stopped.
     waiting: Vec<Vec<u8>>,
     kind: Kind,
@@ -210,7 +212,7 @@
                 mute: false,
                 stopped: false,
                 waiting: Vec::new(),
-                news: FleetNews::default(),
+                news: FleetStatus::default(),
                 kind,
                 incarnation: FIRST_INCARNATION + i as u64,
                 publish_at: 0,
@@ -270,7 +272,7 @@
     }
 
     /// Changes what front end `i` says of itself.
-    pub fn update(&mut self, i: usize, change: impl FnOnce(&mut Facts)) {
+    pub fn update(&mut self, i: usize, change: impl FnOnce(&mut Metadata)) {
         let now = self.now;
         if let Some(node) = self.running_node(i) {
             let _ = node.update(now, change);
@@ -311,10 +313,10 @@
         let running: Vec<(usize, &Node)> =
             on_side.filter_map(|i| Some((i, self.node(i)?))).collect();
         let (first, node) = running.first()?;
-        let digest = node.members().digest().0;
+        let digest = node.members().view_digest().value;
         if let Some((other, _)) = running
             .iter()
-            .find(|(_, node)| node.members().digest().0 != digest)
+            .find(|(_, node)| node.members().view_digest().value != digest)
         {
             let wrong = self
                 .wrong_in(*other, &running)
@@ -357,7 +359,7 @@
         };
         let out = program.outbox();
         out.into_iter()
-            .for_each(|(to, bytes)| self.send(i, to, bytes));
+            .for_each(|out| self.send(i, out.to, out.bytes));
     }
 
     /// Starts front end `i` in a new incarnation `after` microseconds from now.
@@ -379,16 +381,16 @@
                     extra_transmissions: EXTRA_TRANSMISSIONS,
                     ..self.settings
                 };
-                let facts = Facts {
+                let metadata = Metadata {
                     lifecycle: Lifecycle::Ready,
                     zone: format!("zone-{}", i % ZONES),
                     program: env!("CARGO_PKG_VERSION").to_owned(),
                     config_digest: 7,
-                    ..Facts::default()
+                    ..Metadata::default()
                 };
                 let settings = NodeSettings {
                     swim,
-                    facts,
+                    metadata,
                     seeds: self.seeds.clone(),
                     summaries: true,
                 };
@@ -402,7 +404,7 @@
             ))),
         });
         f.publish_at = at;
-        f.news = FleetNews::default();
+        f.news = FleetStatus::default();
         self.wake(i, at);
     }
 
@@ -462,7 +464,7 @@
                 self.tally.received += bytes.len() as u64;
                 program.datagram(at, &bytes);
             }
-            for (at, event) in program.events() {
+            for TimedPeerEvent { at, event } in program.events() {
                 if let PeerEvent::Down(id) = event {
                     self.downs.push(Down {
                         at,
@@ -477,8 +479,8 @@
             if next < f.wake_at || bytes.is_empty() {
                 self.wake(i, next);
             }
-            for (to, bytes) in out {
-                self.send(i, to, bytes);
+            for out in out {
+                self.send(i, out.to, out.bytes);
             }
         }
         self.now = until;
--- a/wrenseam/src/core/fleet_admission.rs
+++ b/wrenseam/src/core/fleet_admission.rs
@@ -2,7 +2,7 @@
 //! `crate::fleet` has the algorithms; this holds their state for the core and the totals for `telemetry`.
 use crate::config::Fleet;
 use crate::fleet::traffic::TrafficKind;
-use crate::fleet::{FleetNews, FleetSize, Lifecycle, RetryBudget, Shedder, Summary};
+use crate::fleet::{FleetSize, FleetStatus, Lifecycle, RetryBudget, Shedder, Summary};
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use std::fmt::Write;
 use wrenseam_policy::{Micros, Settings};
@@ -23,7 +23,7 @@
     shed_retry_after: Micros,
     /// Open requests at which this front end counts as full.
     capacity: u32,
-    status: FleetNews,
+    status: FleetStatus,
     totals: Totals,
 }
 
@@ -51,13 +51,13 @@
             rng: SmallRng::seed_from_u64(seed ^ SHEDDING_SEED_MASK),
             shed_retry_after: fleet.shed_wait_ms * 1000,
             capacity: fleet.capacity.max(1),
-            status: FleetNews::default(),
+            status: FleetStatus::default(),
             totals: Totals::default(),
         }
     }
 
     /// Updates the fleet's status from gossip.
-    pub fn update(&mut self, now: Micros, status: FleetNews) {
+    pub fn update(&mut self, now: Micros, status: FleetStatus) {
         self.status = status;
         self.fleet_size.departed(status.departed);
         self.fleet_size.seen(now, status.ready());
@@ -66,15 +66,15 @@
 
     /// This front end's load summary with this many requests open.
     pub fn summary(&self, now: Micros, open_requests: usize) -> Summary {
-        let spent = self.retry_budget.spent(now);
+        let usage = self.retry_budget.usage(now);
         let in_flight = open_requests.min(u32::MAX as usize) as u32;
         let pressure = u64::from(in_flight) * 1000 / u64::from(self.capacity);
         Summary {
             in_flight,
             pressure: saturate(pressure),
-            firsts: spent.firsts,
-            extras: spent.extras,
-            denied: spent.denied,
+            firsts: usage.firsts,
+            extras: usage.extras,
+            denied: usage.denied,
             shed: saturate(self.totals.shed),
             ..Summary::default()
         }
@@ -129,9 +129,8 @@
 
     fn write_view(&self, text: &mut String) {
         let status = &self.status;
-        let (edges_heard, edges) = status.edges;
-        let _ = writeln!(text, "app.fleet.edges:{edges}|g");
-        let _ = writeln!(text, "app.fleet.edges_heard:{edges_heard}|g");
+        let _ = writeln!(text, "app.fleet.edges:{}|g", status.edges.total);
+        let _ = writeln!(text, "app.fleet.edges_heard:{}|g", status.edges.heard);
         let _ = writeln!(text, "app.fleet.mixed:{}|g", u8::from(status.mixed));
         for lifecycle in Lifecycle::ALL {
             let name = lifecycle.name();
@@ -141,7 +140,11 @@
         let stood_ms = status.digest_stood / 1000;
         let _ = writeln!(text, "app.fleet.view_digest:{}|g", status.digest);
         let _ = writeln!(text, "app.fleet.view_stood_ms:{stood_ms}|g");
-        let _ = writeln!(text, "app.fleet.doubt_factor:{}|g", status.doubt_factor);
+        let _ = writeln!(
+            text,
+            "app.fleet.doubt_factor:{}|g",
+            status.health_multiplier
+        );
     }
 
     fn write_traffic(&self, text: &mut String) {
--- a/wrenseam/src/core/messages.rs
+++ b/wrenseam/src/core/messages.rs
@@ -1,6 +1,6 @@
 //! Dispatch of the messages in the core's queue.
 use super::Core;
-use crate::fleet::FleetNews;
+use crate::fleet::FleetStatus;
 use crate::queue::Message;
 use std::collections::BTreeSet;
 use std::sync::PoisonError;
@@ -52,7 +52,7 @@
     }
 
     /// Updates the fleet's status and publishes this front end's load summary for gossip to send.
-    fn update_fleet(&mut self, status: FleetNews) {
+    fn update_fleet(&mut self, status: FleetStatus) {
         let now = self.clock.now();
         let Some(fleet_admission) = self.fleet_admission.as_mut() else {
             return;
--- a/wrenseam/src/fleet/members/exchange.rs
+++ b/wrenseam/src/fleet/members/exchange.rs
@@ -1,243 +1,253 @@
 //! What a front end makes of the datagrams of membership and records, and what it answers.
-use super::Members;
-use crate::fleet::directory::{Claim, Liveness, Verdict, PARTS};
+use super::{Members, RUMOR_ROUNDS_A_PROBE};
+use crate::fleet::directory::MergeAction;
 use crate::fleet::identity::PeerId;
+use crate::fleet::member_digest::{Liveness, MemberDigest, PARTS};
 use crate::fleet::message::{records_in_messages, Envelope, Message, RECORDS_VERSION};
 use crate::fleet::record::{Lifecycle, Record, Stamp};
-use crate::fleet::repair;
+use crate::fleet::repair::{self, MergePlan, Mismatches, PartHashes};
 use crate::fleet::traffic::TrafficKind;
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
 impl Members {
     /// Takes a datagram of membership or of records that came at `now`.
-    pub fn datagram(&mut self, now: Micros, bytes: &[u8]) {
+    pub fn handle_datagram(&mut self, now: Micros, bytes: &[u8]) {
         if self.leaving {
             return;
         }
         if !self.swim.is_ours(bytes, RECORDS_VERSION) {
-            if let Some(from) = self.swim.datagram(now, bytes) {
-                self.correct(now, from);
+            if let Some(from) = self.swim.handle_datagram(now, bytes) {
+                self.notify_outdated_sender(from);
             }
-            self.settle(now);
+            self.sync_directory(now);
             return;
         }
         let Ok(Envelope { from, message }) = Envelope::decode(bytes) else {
             self.counts.garbled += 1;
             return;
         };
-        if !self.greet(now, from) {
+        if !self.accept_sender(now, from) {
             self.counts.stranger += 1;
             return;
         }
         match message {
-            Message::Digest(theirs) => self.answer_digest(now, from, &theirs),
+            Message::Digest(remote) => self.answer_digest(now, from, &remote),
             Message::Hashes { parts, hashes } => self.answer_hashes(now, from, parts, &hashes),
-            Message::Claims { unmatched, claims } => {
-                self.take_claims(now, from, &claims, &unmatched)
+            Message::MemberDigests {
+                unmatched,
+                member_digests,
+            } => self.take_member_digests(now, from, &member_digests, &unmatched),
+            Message::Records { is_update, records } => {
+                for record in records {
+                    self.take_record(now, record, is_update);
+                }
             }
-            Message::Records { news, records } => {
-                records
-                    .into_iter()
-                    .for_each(|record| self.take_record(now, record, news));
-            }
-            Message::Wanted(addresses) => self.send_records(from.addr, addresses.into_iter()),
-            Message::Inquiry {
+            Message::Wanted(owners) => self.send_records(from.addr, &owners),
+            Message::AliveQuery {
                 about,
                 gone,
                 origin,
-            } => self.answer_inquiry(now, from, about, gone, origin),
-            Message::Present { record, origin } => self.take_presence(now, from, *record, origin),
+            } => self.answer_alive_query(now, from, about, gone, origin),
+            Message::AliveReply { record, origin } => {
+                self.take_alive_reply(now, from, *record, origin)
+            }
         }
-        self.settle(now);
+        self.sync_directory(now);
     }
 
-    /// A datagram came from `from` itself: takes it up as a member if it is a new one. Whether its word counts; one
-    /// whose incarnation is past is told which it needs.
-    fn greet(&mut self, now: Micros, from: PeerId) -> bool {
+    /// A datagram came from `from` itself: takes it up as a member if it is a new one. Whether the datagram counts; one
+    /// whose incarnation is past is notified which it needs.
+    fn accept_sender(&mut self, now: Micros, from: PeerId) -> bool {
         if from.addr == self.directory.own().owner {
             return false;
         }
         self.swim.detector().heard(now, from.addr);
-        if self.correct(now, from) {
+        if self.notify_outdated_sender(from) {
             return false;
         }
-        if self
-            .directory
-            .claim(from.addr)
-            .is_none_or(|held| held.stamp.incarnation < from.incarnation)
-        {
-            self.swim.learn(now, from, false, true);
-            self.settle(now);
+        let known = self.directory.member_digest(from.addr);
+        if known.is_none_or(|known| known.stamp.incarnation < from.incarnation) {
+            self.swim.mark_alive(now, from, true);
+            self.sync_directory(now);
         }
         true
     }
 
-    /// Tells a sender whose incarnation is past, or held as gone, so; whether it had to be told.
-    fn correct(&mut self, _now: Micros, from: PeerId) -> bool {
-        let Some(held) = self.directory.claim(from.addr) else {
+    /// Notifies a sender whose incarnation is past, or counted as gone, so; whether it had to be notified.
+    fn notify_outdated_sender(&mut self, from: PeerId) -> bool {
+        let Some(known) = self.directory.member_digest(from.addr) else {
             return false;
         };
-        let (known, gone) = (held.stamp.incarnation, held.liveness.is_gone());
-        if known < from.incarnation || known == from.incarnation && !gone {
+        let incarnation = known.stamp.incarnation;
+        let gone = known.liveness.is_gone();
+        let is_current = incarnation == from.incarnation && !gone;
+        if incarnation < from.incarnation || is_current {
             return false;
         }
-        let about = PeerId {
-            addr: from.addr,
-            incarnation: known,
-        };
-        let origin = self.directory.own().owner;
-        self.send(
-            from.addr,
-            TrafficKind::Join,
-            Message::Inquiry {
-                about,
-                gone,
-                origin,
+        let query = Message::AliveQuery {
+            about: PeerId {
+                addr: from.addr,
+                incarnation,
             },
-        );
+            gone,
+            origin: self.directory.own().owner,
+        };
+        self.send(from.addr, TrafficKind::Join, query);
         true
     }
 
-    fn answer_digest(&mut self, now: Micros, from: PeerId, theirs: &[u32; PARTS]) {
-        let differing = repair::differing(&self.directory.part_digests(), theirs);
+    /// Another member began a repair: answers with hashes of what is in some of the parts that differ.
+    fn answer_digest(&mut self, now: Micros, from: PeerId, remote: &[u32; PARTS]) {
+        let differing = repair::differing(&self.directory.part_digests(), remote);
         if differing == 0 {
             return;
         }
-        self.pace.differs(now);
-        if self.is_tight {
+        self.repair_schedule.views_differ(now);
+        if self.is_budget_low {
             return;
         }
         self.counts.repairs += 1;
-        let (parts, hashes) = repair::hashes(&self.directory, differing, &mut self.rng);
-        self.send(
-            from.addr,
-            TrafficKind::RepairBegin,
-            Message::Hashes { parts, hashes },
-        );
+        let PartHashes { parts, hashes } =
+            repair::hashes(&self.directory, differing, &mut self.rng);
+        let message = Message::Hashes { parts, hashes };
+        self.send(from.addr, TrafficKind::RepairBegin, message);
+    }
+
+    /// Answers another member's hashes with the member digests that do not match.
+    fn answer_hashes(&mut self, now: Micros, from: PeerId, parts: u16, remote: &[u32]) {
+        self.repair_schedule.views_differ(now);
+        let Mismatches {
+            member_digests,
+            unmatched,
+        } = repair::mismatches(&self.directory, parts, remote, &mut self.rng);
+        if member_digests.is_empty() && unmatched.is_empty() {
+            return;
+        }
+        let message = Message::MemberDigests {
+            unmatched,
+            member_digests,
+        };
+        self.send(from.addr, TrafficKind::Repair, message);
+    }
+
+    /// Sends what is newer here than another member's digests, asks for what is newer there, and merges the rest.
+    fn take_member_digests(
+        &mut self,
+        now: Micros,
+        from: PeerId,
+        member_digests: &[MemberDigest],
+        unmatched: &[u32],
+    ) {
+        let mut plan = repair::compare(&self.directory, member_digests);
+        let also_newer = repair::member_digests_of(&self.directory, unmatched, member_digests);
+        plan.newer.extend(also_newer);
+        self.send_newer(from, &plan.newer);
+        if !plan.wanted.is_empty() {
+            let wanted = std::mem::take(&mut plan.wanted);
+            self.send(from.addr, TrafficKind::Repair, Message::Wanted(wanted));
+        }
+        self.apply(now, &plan);
     }
 
-    fn answer_hashes(&mut self, now: Micros, from: PeerId, parts: u16, theirs: &[u32]) {
-        self.pace.differs(now);
-        let (claims, unmatched) = repair::mismatches(&self.directory, parts, theirs, &mut self.rng);
-        if !claims.is_empty() || !unmatched.is_empty() {
-            self.send(
-                from.addr,
-                TrafficKind::Repair,
-                Message::Claims { unmatched, claims },
-            );
+    /// Sends digests of what is newer here: only those, so that no answer calls for another without end.
+    fn send_newer(&mut self, from: PeerId, newer: &[MemberDigest]) {
+        for member_digests in repair::in_datagrams(newer) {
+            let message = Message::MemberDigests {
+                unmatched: Vec::new(),
+                member_digests,
+            };
+            self.send(from.addr, TrafficKind::Repair, message);
         }
     }
 
-    fn take_claims(&mut self, now: Micros, from: PeerId, claims: &[Claim], unmatched: &[u32]) {
-        let found = repair::compare(&self.directory, claims);
-        let mut newer = found.newer;
-        newer.extend(repair::claims_of(&self.directory, unmatched, claims));
-        // Only what is newer than the other's, so that no answer calls for another without end.
-        for claims in repair::in_datagrams(&newer) {
-            self.send(
-                from.addr,
-                TrafficKind::Repair,
-                Message::Claims {
-                    unmatched: Vec::new(),
-                    claims,
-                },
-            );
+    /// Merges what another member's digests call for.
+    fn apply(&mut self, now: Micros, plan: &MergePlan) {
+        for &id in &plan.add {
+            self.swim.mark_alive(now, id, false);
         }
-        if !found.wanted.is_empty() {
-            self.send(
-                from.addr,
-                TrafficKind::Repair,
-                Message::Wanted(found.wanted),
-            );
+        for &id in &plan.left {
+            self.take_leave(now, id);
         }
-        found
-            .learn
-            .into_iter()
-            .for_each(|id| self.swim.learn(now, id, false, false));
-        found
-            .left
-            .into_iter()
-            .for_each(|id| self.take_leave(now, id));
-        self.settle(now);
-        found
-            .restamps
-            .iter()
-            .for_each(|claim| self.directory.restamp(claim));
-        found
-            .disputes
-            .into_iter()
-            .for_each(|id| self.dispute(now, id));
-        if let Some(past) = found.outbid {
-            self.outbid(now, past);
+        self.sync_directory(now);
+        for member_digest in &plan.adopt_stamps {
+            self.directory.adopt_stamp(member_digest);
+        }
+        for &id in &plan.check_liveness {
+            self.check_liveness(now, id);
+        }
+        if let Some(past) = plan.refute_above {
+            self.refute(now, past);
         }
-        self.ask_disputed(now);
+        self.run_liveness_checks(now);
     }
 
-    /// Another holds as gone who is alive here. Whom we suspect too is gone; others are asked first.
-    fn dispute(&mut self, now: Micros, id: PeerId) {
+    /// Another member counts as gone one that is alive here. If we suspect it too, it is gone; else it is queried
+    /// first.
+    fn check_liveness(&mut self, now: Micros, id: PeerId) {
         if self.swim.detector().suspects().any(|suspect| suspect == id) {
-            self.swim.learn(now, id, true, true);
-            self.settle(now);
+            self.swim.mark_down(now, id, true);
+            self.sync_directory(now);
         } else {
-            self.disputes.open(now, id);
+            self.liveness_checks.open(now, id);
         }
     }
 
-    /// Somebody holds of us what is not so: our next stamp is larger than that.
-    fn outbid(&mut self, now: Micros, past: Stamp) {
+    /// Another member has of us what we did not publish: our next stamp is larger than that.
+    fn refute(&mut self, now: Micros, past: Stamp) {
         self.counts.impostor += 1;
-        let facts = self.directory.own().facts.clone();
-        self.publish_own(now, facts, past);
+        self.republish_own(now, past);
     }
 
-    fn send_records(&mut self, to: SocketAddr, owners: impl Iterator<Item = SocketAddr>) {
+    /// Sends the records of these members, as far as they are known.
+    fn send_records(&mut self, to: SocketAddr, owners: &[SocketAddr]) {
         let records: Vec<Record> = owners
-            .filter_map(|owner| self.directory.record(owner))
+            .iter()
+            .filter_map(|&owner| self.directory.record(owner))
             .collect();
         for message in records_in_messages(false, records) {
             self.send(to, TrafficKind::Repair, message);
         }
     }
 
-    fn take_record(&mut self, now: Micros, record: Record, news: bool) {
-        let (owner, id, lifecycle) = (record.owner, record.id(), record.facts.lifecycle);
-        let claim = Claim {
-            owner,
-            stamp: record.stamp,
-            liveness: Liveness::Alive,
-            checksum: record.facts.checksum(),
-        };
-        match self.directory.weigh(&claim) {
-            Verdict::Outbid => return self.outbid(now, record.stamp),
-            Verdict::Learn if lifecycle != Lifecycle::Leaving => {
-                self.swim.learn(now, id, false, false);
-                self.settle(now);
+    /// Merges a record; `is_update`: it has just changed and is passed on if it was new here.
+    fn take_record(&mut self, now: Micros, record: Record, is_update: bool) {
+        let owner = record.owner;
+        let id = record.id();
+        let lifecycle = record.metadata.lifecycle;
+        match self.directory.merge_action(&digest_of(&record)) {
+            MergeAction::Refute => return self.refute(now, record.stamp),
+            MergeAction::AddMember if lifecycle != Lifecycle::Leaving => {
+                self.swim.mark_alive(now, id, false);
+                self.sync_directory(now);
             }
-            Verdict::Fetch | Verdict::Restamp => {}
+            MergeAction::FetchRecord | MergeAction::AdoptStamp => {}
             _ => return,
         }
-        if !self.directory.offer(record) {
+        if !self.directory.merge_record(record) {
             return;
         }
         self.counts.taken += 1;
-        if news && !self.is_tight && self.rumors.add(owner) {
-            self.rumor_at = self.rumor_at.min(now + self.probe / 4);
+        if is_update && !self.is_budget_low && self.rumors.push(owner) {
+            let next_round = now + self.probe / RUMOR_ROUNDS_A_PROBE;
+            self.rumor_at = self.rumor_at.min(next_round);
         }
         if lifecycle == Lifecycle::Leaving {
             self.take_leave(now, id);
         }
     }
 
-    /// A member leaves by its own word. Front ends from before records hear of it as one that is down; to others that
+    /// A member said that it leaves. Front ends of an earlier version hear of it as one that is down; to others that
     /// would look like a failure, should it come before the record.
     fn take_leave(&mut self, now: Micros, id: PeerId) {
-        self.directory.left(id);
-        let spread = self.directory.is_mixed();
-        self.swim.learn(now, id, true, spread);
+        self.directory.mark_leaving(id);
+        let disseminate = self.directory.is_mixed();
+        self.swim.mark_down(now, id, disseminate);
     }
 
-    fn answer_inquiry(
+    /// A query whether a member is alive: answers it if it is about us, else passes it on. One relay only: what a relay
+    /// passed on goes no further.
+    fn answer_alive_query(
         &mut self,
         now: Micros,
         from: PeerId,
@@ -247,49 +257,53 @@
     ) {
         let own = self.directory.own().id();
         if about.addr != own.addr {
-            // One relay only: what a relay passed on goes no further.
             if from.addr == origin && about.addr != origin {
-                self.send(
-                    about.addr,
-                    TrafficKind::Probe,
-                    Message::Inquiry {
-                        about,
-                        gone,
-                        origin,
-                    },
-                );
+                let query = Message::AliveQuery {
+                    about,
+                    gone,
+                    origin,
+                };
+                self.send(about.addr, TrafficKind::Probe, query);
             }
             return;
         }
-        if own.incarnation < about.incarnation || gone && own.incarnation == about.incarnation {
+        let is_declared_gone = gone && own.incarnation == about.incarnation;
+        if own.incarnation < about.incarnation || is_declared_gone {
             let past = Stamp {
                 incarnation: about.incarnation,
                 version: u32::MAX,
             };
-            let facts = self.directory.own().facts.clone();
-            self.publish_own(now, facts, past);
+            self.republish_own(now, past);
         }
         let record = Box::new(self.directory.own().clone());
-        let present = Message::Present { record, origin };
+        let reply = Message::AliveReply { record, origin };
         if from.addr != origin {
-            self.send(from.addr, TrafficKind::Probe, present.clone());
+            self.send(from.addr, TrafficKind::Probe, reply.clone());
         }
-        self.send(origin, TrafficKind::Probe, present);
+        self.send(origin, TrafficKind::Probe, reply);
     }
 
-    fn take_presence(&mut self, now: Micros, from: PeerId, record: Record, origin: SocketAddr) {
+    /// A member's own reply that it is alive: merges it if we sent the query, else passes it on to who did.
+    fn take_alive_reply(&mut self, now: Micros, from: PeerId, record: Record, origin: SocketAddr) {
         if origin == self.directory.own().owner {
             self.swim.detector().heard(now, record.owner);
             self.take_record(now, record, true);
         } else if from.addr == record.owner {
-            self.send(
+            let reply = Message::AliveReply {
+                record: Box::new(record),
                 origin,
-                TrafficKind::Probe,
-                Message::Present {
-                    record: Box::new(record),
-                    origin,
-                },
-            );
+            };
+            self.send(origin, TrafficKind::Probe, reply);
         }
     }
 }
+
+/// The digest of a member that is alive with this record.
+fn digest_of(record: &Record) -> MemberDigest {
+    MemberDigest {
+        owner: record.owner,
+        stamp: record.stamp,
+        liveness: Liveness::Alive,
+        checksum: record.metadata.checksum(),
+    }
+}
--- a/wrenseam/src/queue.rs
+++ b/wrenseam/src/queue.rs
@@ -1,5 +1,5 @@
 //! The core's queue: the messages that the other parts of the process send, and the handle through which they do.
-use crate::fleet::FleetNews;
+use crate::fleet::FleetStatus;
 use crate::model::{
     AdminCommand, AttemptKey, AttemptReport, Client, Endpoint, Request, RequestEnd,
     TransportProtocol,
@@ -81,7 +81,7 @@
     /// Whether this process is on standby: another process of this front end sends to workers in slow start in its place.
     Standby(bool),
     /// The current state of the fleet, from gossip.
-    Fleet(FleetNews),
+    Fleet(FleetStatus),
 }
 
 /// The core has ended, and the process with it.
--- a/wrenseam/tests/fleet_records.rs
+++ b/wrenseam/tests/fleet_records.rs
@@ -1,43 +1,44 @@
-//! The rules of member records as tables: which claim wins and what follows from it, what a record may hold, what a
+//! The rules of member records as tables: which member digest wins and what follows from it, what a record may hold, what a
 //! datagram must look like, and which state follows which message.
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use rstest::rstest;
 use std::net::SocketAddr;
-use wrenseam::fleet::directory::{Claim, Directory, Liveness, Verdict, GONE_FOR, GONE_HELD};
+use wrenseam::fleet::directory::{Directory, MergeAction, GONE_FOR, GONE_HELD};
 use wrenseam::fleet::identity::{header, MAX_DATAGRAM, MAX_INCARNATION};
+use wrenseam::fleet::member_digest::{Liveness, MemberDigest};
 use wrenseam::fleet::members::Members;
 use wrenseam::fleet::message::{Envelope, Message, MessageError, RECORDS_VERSION};
 use wrenseam::fleet::record::{Entry, Record, RecordError, Stamp, MAX_ENTRIES, MAX_RECORD_BYTES};
-use wrenseam::fleet::{Facts, Lifecycle, PeerEvent, PeerId, SwimSettings};
+use wrenseam::fleet::{Lifecycle, Metadata, PeerEvent, PeerId, SwimSettings};
 
 const MS: u64 = 1000;
 const CLUSTER: u32 = 7;
 
-fn addr(i: usize) -> SocketAddr {
-    SocketAddr::from(([10, 0, (i >> 8) as u8, i as u8], 7946))
+fn addr(member: usize) -> SocketAddr {
+    SocketAddr::from(([10, 0, (member >> 8) as u8, member as u8], 7946))
 }
 
-fn id(i: usize, incarnation: u64) -> PeerId {
+fn id(member: usize, incarnation: u64) -> PeerId {
     PeerId {
-        addr: addr(i),
+        addr: addr(member),
         incarnation,
     }
 }
 
 /// A record of member `i` whose content depends on `content` alone.
-fn record(i: usize, incarnation: u64, version: u32, content: u64) -> Record {
-    let facts = Facts {
+fn record(member: usize, incarnation: u64, version: u32, content: u64) -> Record {
+    let metadata = Metadata {
         lifecycle: Lifecycle::Ready,
         config_digest: content,
-        ..Facts::default()
+        ..Metadata::default()
     };
     Record {
-        owner: addr(i),
+        owner: addr(member),
         stamp: Stamp {
             incarnation,
             version,
         },
-        facts,
+        metadata,
     }
 }
 
@@ -47,65 +48,65 @@
     let Some(liveness) = liveness else {
         return directory;
     };
-    directory.up(0, id(1, 5));
-    assert!(directory.offer(record(1, 5, 3, 1)));
+    directory.mark_alive(0, id(1, 5));
+    assert!(directory.merge_record(record(1, 5, 3, 1)));
     if liveness == Liveness::Left {
-        directory.left(id(1, 5));
+        directory.mark_leaving(id(1, 5));
     }
     if liveness.is_gone() {
-        assert_eq!(directory.gone(0, id(1, 5)), liveness);
+        assert_eq!(directory.mark_gone(0, id(1, 5)), liveness);
     }
     directory
 }
 
 use Liveness::{Alive, Down, Left};
-use Verdict::{Behind, Dispute, Fetch, Learn, Outbid, Restamp, Same};
+use MergeAction::{AddMember, AdoptStamp, CheckLiveness, FetchRecord, NoChange, Refute, SendNewer};
 
 #[rstest]
-// Not known here: only who lives is news.
-#[case::unknown_and_alive(None, (1, 5, 3, Alive, 1), Learn)]
-#[case::unknown_and_down(None, (1, 5, 3, Down, 1), Same)]
-#[case::unknown_and_left(None, (1, 5, 3, Left, 1), Same)]
+// Not known here: only a live member is worth learning.
+#[case::unknown_and_alive(None, (1, 5, 3, Alive, 1), AddMember)]
+#[case::unknown_and_down(None, (1, 5, 3, Down, 1), NoChange)]
+#[case::unknown_and_left(None, (1, 5, 3, Left, 1), NoChange)]
 // The same incarnation: the larger version wins, and content breaks a tie the same way everywhere.
-#[case::the_same(Some(Alive), (1, 5, 3, Alive, 1), Same)]
-#[case::a_newer_version(Some(Alive), (1, 5, 4, Alive, 2), Fetch)]
-#[case::a_newer_version_of_the_same_content(Some(Alive), (1, 5, 4, Alive, 1), Restamp)]
-#[case::an_older_version(Some(Alive), (1, 5, 2, Alive, 2), Behind)]
-#[case::no_record_there(Some(Alive), (1, 5, 0, Alive, 0), Behind)]
-#[case::the_largest_version(Some(Alive), (1, 5, u32::MAX, Alive, 2), Fetch)]
+#[case::the_same(Some(Alive), (1, 5, 3, Alive, 1), NoChange)]
+#[case::a_newer_version(Some(Alive), (1, 5, 4, Alive, 2), FetchRecord)]
+#[case::a_newer_version_of_the_same_content(Some(Alive), (1, 5, 4, Alive, 1), AdoptStamp)]
+#[case::an_older_version(Some(Alive), (1, 5, 2, Alive, 2), SendNewer)]
+#[case::no_record_there(Some(Alive), (1, 5, 0, Alive, 0), SendNewer)]
+#[case::the_largest_version(Some(Alive), (1, 5, u32::MAX, Alive, 2), FetchRecord)]
 // A larger incarnation wins whatever the versions.
-#[case::a_larger_incarnation(Some(Alive), (1, 6, 0, Alive, 0), Learn)]
-#[case::a_larger_incarnation_over_gone(Some(Down), (1, 6, 1, Alive, 2), Learn)]
-#[case::a_smaller_incarnation(Some(Alive), (1, 4, u32::MAX, Alive, 2), Behind)]
-#[case::a_smaller_incarnation_gone(Some(Alive), (1, 4, 9, Down, 2), Behind)]
+#[case::a_larger_incarnation(Some(Alive), (1, 6, 0, Alive, 0), AddMember)]
+#[case::a_larger_incarnation_over_gone(Some(Down), (1, 6, 1, Alive, 2), AddMember)]
+#[case::a_smaller_incarnation(Some(Alive), (1, 4, u32::MAX, Alive, 2), SendNewer)]
+#[case::a_smaller_incarnation_gone(Some(Alive), (1, 4, 9, Down, 2), SendNewer)]
 // Gone against alive: who is said to be down is asked first, who said so itself has left.
-#[case::down_there(Some(Alive), (1, 5, 3, Down, 1), Dispute)]
-#[case::a_larger_incarnation_down_there(Some(Alive), (1, 6, 1, Down, 1), Dispute)]
-#[case::left_there(Some(Alive), (1, 5, 4, Left, 2), Verdict::Left)]
-#[case::alive_there_down_here(Some(Down), (1, 5, 9, Alive, 2), Behind)]
-#[case::alive_there_left_here(Some(Left), (1, 5, 9, Alive, 2), Behind)]
-#[case::gone_on_both_sides(Some(Down), (1, 7, 9, Left, 2), Same)]
+#[case::down_there(Some(Alive), (1, 5, 3, Down, 1), CheckLiveness)]
+#[case::a_larger_incarnation_down_there(Some(Alive), (1, 6, 1, Down, 1), CheckLiveness)]
+#[case::left_there(Some(Alive), (1, 5, 4, Left, 2), MergeAction::MarkLeft)]
+#[case::alive_there_down_here(Some(Down), (1, 5, 9, Alive, 2), SendNewer)]
+#[case::alive_there_left_here(Some(Left), (1, 5, 9, Alive, 2), SendNewer)]
+#[case::gone_on_both_sides(Some(Down), (1, 7, 9, Left, 2), NoChange)]
 // Ourselves: nobody else writes our record.
-#[case::ours(None, (0, 5, 3, Alive, 1), Same)]
-#[case::ours_before(None, (0, 5, 2, Alive, 2), Behind)]
-#[case::ours_that_we_never_said(None, (0, 5, 4, Alive, 2), Outbid)]
-#[case::ours_with_another_content(None, (0, 5, 3, Alive, 2), Outbid)]
-#[case::ours_of_a_former_clock(None, (0, 9, 1, Alive, 1), Outbid)]
-#[case::ours_held_as_down(None, (0, 5, 3, Down, 1), Outbid)]
-#[case::ours_before_held_as_down(None, (0, 4, 3, Down, 1), Behind)]
-fn which_claim_wins(
-    #[case] held: Option<Liveness>,
-    #[case] claim: (usize, u64, u32, Liveness, u64),
-    #[case] want: Verdict,
+#[case::ours(None, (0, 5, 3, Alive, 1), NoChange)]
+#[case::ours_before(None, (0, 5, 2, Alive, 2), SendNewer)]
+#[case::ours_that_we_never_said(None, (0, 5, 4, Alive, 2), Refute)]
+#[case::ours_with_another_content(None, (0, 5, 3, Alive, 2), Refute)]
+#[case::ours_of_a_former_clock(None, (0, 9, 1, Alive, 1), Refute)]
+#[case::ours_held_as_down(None, (0, 5, 3, Down, 1), Refute)]
+#[case::ours_before_held_as_down(None, (0, 4, 3, Down, 1), SendNewer)]
+fn which_member_digest_wins(
+    #[case] known: Option<Liveness>,
+    #[case] member_digest: (usize, u64, u32, Liveness, u64),
+    #[case] want: MergeAction,
 ) {
-    let (owner, incarnation, version, liveness, content) = claim;
+    let (owner, incarnation, version, liveness, content) = member_digest;
     let checksum = if content == 0 {
         0
     } else {
-        record(owner, 5, 3, content).facts.checksum()
+        record(owner, 5, 3, content).metadata.checksum()
     };
     // The tie of equal stamps goes by checksum, whichever is larger.
-    let claim = Claim {
+    let member_digest = MemberDigest {
         owner: addr(owner),
         stamp: Stamp {
             incarnation,
@@ -114,19 +115,20 @@
         liveness,
         checksum,
     };
-    assert_eq!(directory(held).weigh(&claim), want);
+    assert_eq!(directory(known).merge_action(&member_digest), want);
 }
 
 #[test]
 fn equal_stamps_with_two_contents_end_in_the_same_one_everywhere() {
-    let (a, b) = (record(1, 5, 3, 1), record(1, 5, 3, 2));
-    let ends: Vec<_> = [[&a, &b], [&b, &a]]
+    let first = record(1, 5, 3, 1);
+    let second = record(1, 5, 3, 2);
+    let ends: Vec<_> = [[&first, &second], [&second, &first]]
         .iter()
         .map(|order| {
             let mut directory = directory(None);
-            directory.up(0, id(1, 5));
+            directory.mark_alive(0, id(1, 5));
             for record in order {
-                directory.offer((*record).clone());
+                directory.merge_record((*record).clone());
             }
             directory.digest()
         })
@@ -155,12 +157,12 @@
     let mut directory = directory(None);
     for record in order {
         if directory
-            .claim(addr(1))
-            .is_none_or(|held| held.stamp.incarnation < record.stamp.incarnation)
+            .member_digest(addr(1))
+            .is_none_or(|known| known.stamp.incarnation < record.stamp.incarnation)
         {
-            directory.up(0, record.id());
+            directory.mark_alive(0, record.id());
         }
-        directory.offer(record.clone());
+        directory.merge_record(record.clone());
     }
     (directory.digest(), directory.record(addr(1)))
 }
@@ -177,7 +179,7 @@
     assert!(want.is_none_or(|next| next > of));
 }
 
-fn with_entries(count: usize, value: usize) -> Facts {
+fn with_entries(count: usize, value: usize) -> Metadata {
     let entry = |n: usize| {
         (
             format!("name-{n:02}"),
@@ -187,48 +189,53 @@
             },
         )
     };
-    Facts {
+    Metadata {
         entries: (0..count).map(entry).collect(),
-        ..Facts::default()
+        ..Metadata::default()
     }
 }
 
 #[rstest]
-#[case::empty(Facts::default(), None)]
+#[case::empty(Metadata::default(), None)]
 #[case::full(with_entries(MAX_ENTRIES, 10), None)]
 #[case::too_many(with_entries(MAX_ENTRIES + 1, 1), Some(RecordError::TooManyEntries(MAX_ENTRIES + 1)))]
 #[case::too_large(with_entries(10, 100), Some(RecordError::TooLarge(1172)))]
-#[case::a_long_zone(Facts { zone: "z".repeat(65), ..Facts::default() }, Some(RecordError::NameTooLong(65)))]
-#[case::a_value_of_any_text(Facts { zone: "zona-ñ".to_owned(), ..Facts::default() }, None)]
-fn a_record_is_bounded(#[case] facts: Facts, #[case] want: Option<RecordError>) {
+#[case::a_long_zone(Metadata { zone: "z".repeat(65), ..Metadata::default() }, Some(RecordError::NameTooLong(65)))]
+#[case::a_value_of_any_text(Metadata { zone: "zona-ñ".to_owned(), ..Metadata::default() }, None)]
+fn a_record_is_bounded(#[case] metadata: Metadata, #[case] want: Option<RecordError>) {
     let record = Record {
         owner: addr(1),
         stamp: Stamp {
             incarnation: 5,
             version: 3,
         },
-        facts,
+        metadata,
     };
     match (record.encode(), want) {
         (Ok(bytes), None) => {
             assert!(bytes.len() <= MAX_RECORD_BYTES);
             assert_eq!(Record::decode(&bytes), Ok(record));
         }
-        (told, want) => assert_eq!(told.err(), want),
+        (encoded, want) => assert_eq!(encoded.err(), want),
     }
 }
 
+/// The standard library's error for the one byte 0xff.
+fn invalid_utf8() -> std::string::FromUtf8Error {
+    String::from_utf8(vec![0xff]).expect_err("0xff is in no UTF-8 text")
+}
+
 #[rstest]
-#[case::cut_short(|b: &mut Vec<u8>| b.truncate(b.len() - 1), RecordError::Truncated)]
-#[case::longer(|b: &mut Vec<u8>| b.push(0), RecordError::Truncated)]
-#[case::another_form(|b: &mut Vec<u8>| b[19] = 2, RecordError::UnknownFormat(2))]
-#[case::another_lifecycle(|b: &mut Vec<u8>| b[20] = 4, RecordError::UnknownLifecycle(4))]
-#[case::an_endless_incarnation(|b: &mut Vec<u8>| b[7] = 0xff, RecordError::IncarnationOutOfRange(0xff00_0000_0000_0005))]
-#[case::no_text(|b: &mut Vec<u8>| b[30] = 0xff, RecordError::NotText)]
+#[case::cut_short(|bytes: &mut Vec<u8>| bytes.truncate(bytes.len() - 1), RecordError::Truncated)]
+#[case::longer(|bytes: &mut Vec<u8>| bytes.push(0), RecordError::Truncated)]
+#[case::another_form(|bytes: &mut Vec<u8>| bytes[19] = 2, RecordError::UnknownFormat(2))]
+#[case::another_lifecycle(|bytes: &mut Vec<u8>| bytes[20] = 4, RecordError::UnknownLifecycle(4))]
+#[case::an_endless_incarnation(|bytes: &mut Vec<u8>| bytes[7] = 0xff, RecordError::IncarnationOutOfRange(0xff00_0000_0000_0005))]
+#[case::no_text(|bytes: &mut Vec<u8>| bytes[30] = 0xff, RecordError::NotText(invalid_utf8()))]
 fn what_is_no_record_is_refused(#[case] spoil: fn(&mut Vec<u8>), #[case] want: RecordError) {
-    let facts = Facts {
+    let metadata = Metadata {
         zone: "z".to_owned(),
-        ..Facts::default()
+        ..Metadata::default()
     };
     let record = Record {
         owner: addr(1),
@@ -236,7 +243,7 @@
             incarnation: 5,
             version: 3,
         },
-        facts,
+        metadata,
     };
     let mut bytes = record.encode().expect("small");
     spoil(&mut bytes);
@@ -244,7 +251,7 @@
 }
 
 fn messages() -> Vec<Message> {
-    let claim = Claim {
+    let member_digest = MemberDigest {
         owner: addr(3),
         stamp: Stamp {
             incarnation: 5,
@@ -253,7 +260,7 @@
         liveness: Left,
         checksum: 9,
     };
-    let present = Message::Present {
+    let present = Message::AliveReply {
         record: Box::new(record(1, 5, 3, 1)),
         origin: addr(2),
     };
@@ -263,16 +270,16 @@
             parts: 0x8001,
             hashes: vec![1, u32::MAX],
         },
-        Message::Claims {
+        Message::MemberDigests {
             unmatched: vec![4],
-            claims: vec![claim; 3],
+            member_digests: vec![member_digest; 3],
         },
         Message::Records {
-            news: true,
+            is_update: true,
             records: vec![record(1, 5, 3, 1), record(2, 5, 3, 2)],
         },
         Message::Wanted(vec![addr(1), "[fd00::7]:9".parse().expect("an address")]),
-        Message::Inquiry {
+        Message::AliveQuery {
             about: id(1, 5),
             gone: true,
             origin: addr(2),
@@ -317,11 +324,11 @@
 }
 
 fn members() -> Members {
-    let facts = Facts {
+    let metadata = Metadata {
         lifecycle: Lifecycle::Ready,
-        ..Facts::default()
+        ..Metadata::default()
     };
-    Members::new(id(0, 5), facts, settings(), 1)
+    Members::new(id(0, 5), metadata, settings(), 1)
 }
 
 /// Hands `members` a message of member `from`; what it answers, with whom to.
@@ -333,7 +340,7 @@
 ) -> Vec<(SocketAddr, Message)> {
     let header = header(RECORDS_VERSION, CLUSTER);
     let bytes = Envelope { from, message }.encode(&header).expect("small");
-    members.datagram(now, &bytes);
+    members.handle_datagram(now, &bytes);
     answers(members)
 }
 
@@ -345,7 +352,7 @@
 
 fn news(record: Record) -> Message {
     Message::Records {
-        news: true,
+        is_update: true,
         records: vec![record],
     }
 }
@@ -356,21 +363,21 @@
 #[case::one_at_the_largest_version(news(record(0, 5, u32::MAX, 9)), (6, 1))]
 #[case::one_of_a_former_clock(news(record(0, 8, 2, 9)), (8, 3))]
 #[case::one_that_is_past(news(record(0, 4, 9, 9)), (5, 1))]
-#[case::held_as_gone(Message::Inquiry { about: id(0, 5), gone: true, origin: addr(1) }, (6, 1))]
-#[case::a_larger_one_held_as_gone(Message::Inquiry { about: id(0, 9), gone: true, origin: addr(1) }, (10, 1))]
-#[case::a_larger_one_held_alive(Message::Inquiry { about: id(0, 9), gone: false, origin: addr(1) }, (10, 1))]
-#[case::ours_asked_for(Message::Inquiry { about: id(0, 5), gone: false, origin: addr(1) }, (5, 1))]
-#[case::a_past_one_held_as_gone(Message::Inquiry { about: id(0, 4), gone: true, origin: addr(1) }, (5, 1))]
-fn only_we_write_our_record(#[case] said: Message, #[case] want: (u64, u32)) {
+#[case::held_as_gone(Message::AliveQuery { about: id(0, 5), gone: true, origin: addr(1) }, (6, 1))]
+#[case::a_larger_one_held_as_gone(Message::AliveQuery { about: id(0, 9), gone: true, origin: addr(1) }, (10, 1))]
+#[case::a_larger_one_held_alive(Message::AliveQuery { about: id(0, 9), gone: false, origin: addr(1) }, (10, 1))]
+#[case::ours_asked_for(Message::AliveQuery { about: id(0, 5), gone: false, origin: addr(1) }, (5, 1))]
+#[case::a_past_one_held_as_gone(Message::AliveQuery { about: id(0, 4), gone: true, origin: addr(1) }, (5, 1))]
+fn only_we_write_our_record(#[case] message: Message, #[case] want: (u64, u32)) {
     let mut members = members();
-    tell(&mut members, MS, id(1, 5), said);
+    tell(&mut members, MS, id(1, 5), message);
     let own = members.directory().own().clone();
     assert_eq!((own.stamp.incarnation, own.stamp.version), want);
     assert_eq!(
-        own.facts,
-        Facts {
+        own.metadata,
+        Metadata {
             lifecycle: Lifecycle::Ready,
-            ..Facts::default()
+            ..Metadata::default()
         }
     );
 }
@@ -381,47 +388,48 @@
 #[case::it_leaves(Some(news(leaving(1, 5))), Some((5, Left)))]
 #[case::it_left_before(Some(news(leaving(1, 4))), Some((5, Alive)))]
 #[case::it_started_again(Some(news(record(1, 6, 1, 1))), Some((6, Alive)))]
-#[case::down_there(Some(claims(1, 5, Down)), Some((5, Alive)))]
-#[case::left_there(Some(claims(1, 5, Left)), Some((5, Left)))]
-#[case::a_former_one_down(Some(claims(1, 4, Down)), Some((5, Alive)))]
-fn which_state_follows(#[case] said: Option<Message>, #[case] want: Option<(u64, Liveness)>) {
+#[case::down_there(Some(member_digests(1, 5, Down)), Some((5, Alive)))]
+#[case::left_there(Some(member_digests(1, 5, Left)), Some((5, Left)))]
+#[case::a_former_one_down(Some(member_digests(1, 4, Down)), Some((5, Alive)))]
+fn which_state_follows(#[case] message: Option<Message>, #[case] want: Option<(u64, Liveness)>) {
     let mut members = members();
     tell(&mut members, MS, id(2, 5), news(record(1, 5, 1, 1)));
-    said.into_iter()
-        .for_each(|said| drop(tell(&mut members, 2 * MS, id(2, 5), said)));
-    let held = members
+    message
+        .into_iter()
+        .for_each(|message| drop(tell(&mut members, 2 * MS, id(2, 5), message)));
+    let known = members
         .directory()
-        .claim(addr(1))
-        .map(|claim| (claim.stamp.incarnation, claim.liveness));
-    assert_eq!(held, want);
+        .member_digest(addr(1))
+        .map(|member_digest| (member_digest.stamp.incarnation, member_digest.liveness));
+    assert_eq!(known, want);
     let downs = members
         .events()
         .into_iter()
-        .filter(|(_, event)| matches!(event, PeerEvent::Down(_)));
+        .filter(|timed| matches!(timed.event, PeerEvent::Down(_)));
     assert_eq!(downs.count(), 0);
 }
 
-fn leaving(i: usize, incarnation: u64) -> Record {
-    let facts = Facts {
+fn leaving(member: usize, incarnation: u64) -> Record {
+    let metadata = Metadata {
         lifecycle: Lifecycle::Leaving,
-        ..Facts::default()
+        ..Metadata::default()
     };
     Record {
-        facts,
-        ..record(i, incarnation, 9, 1)
+        metadata,
+        ..record(member, incarnation, 9, 1)
     }
 }
 
-fn claims(i: usize, incarnation: u64, liveness: Liveness) -> Message {
+fn member_digests(member: usize, incarnation: u64, liveness: Liveness) -> Message {
     let stamp = Stamp {
         incarnation,
         version: 1,
     };
-    let checksum = record(i, incarnation, 1, 1).facts.checksum();
-    Message::Claims {
+    let checksum = record(member, incarnation, 1, 1).metadata.checksum();
+    Message::MemberDigests {
         unmatched: Vec::new(),
-        claims: vec![Claim {
-            owner: addr(i),
+        member_digests: vec![MemberDigest {
+            owner: addr(member),
             stamp,
             liveness,
             checksum,
@@ -433,32 +441,32 @@
 #[rstest]
 #[case::by_a_record(news(record(1, 5, 3, 1)), false)]
 #[case::by_a_newer_record(news(record(1, 5, 99, 1)), false)]
-#[case::by_a_claim(claims(1, 5, Alive), false)]
+#[case::by_a_member_digest(member_digests(1, 5, Alive), false)]
 #[case::by_a_former_incarnation(news(record(1, 4, 99, 1)), false)]
 #[case::by_its_next_incarnation(news(record(1, 6, 1, 1)), true)]
-fn none_comes_back_by_hearsay(#[case] said: Message, #[case] back: bool) {
+fn none_comes_back_by_hearsay(#[case] message: Message, #[case] back: bool) {
     let mut members = members();
     tell(&mut members, MS, id(2, 5), news(record(1, 5, 1, 1)));
     tell(&mut members, 2 * MS, id(2, 5), news(leaving(1, 5)));
     assert_eq!(members.alive(), 1);
-    tell(&mut members, 3 * MS, id(2, 5), said);
+    tell(&mut members, 3 * MS, id(2, 5), message);
     assert_eq!(members.alive() == 2, back);
 }
 
 /// Who is held as down elsewhere is asked, and told that it needs a larger incarnation; who asks is answered once,
 /// and what a relay passed on goes no further.
 #[test]
-fn inquiries_go_one_relay_far() {
+fn alive_queries_go_one_relay_far() {
     let mut members = members();
     tell(&mut members, MS, id(1, 5), news(record(1, 5, 1, 1)));
-    let told = tell(&mut members, 2 * MS, id(2, 5), claims(1, 5, Down));
-    let inquiry = Message::Inquiry {
+    let answers_sent = tell(&mut members, 2 * MS, id(2, 5), member_digests(1, 5, Down));
+    let query = Message::AliveQuery {
         about: id(1, 5),
         gone: true,
         origin: addr(0),
     };
-    assert!(told.contains(&(addr(1), inquiry)), "{told:?}");
-    let of_another = Message::Inquiry {
+    assert!(answers_sent.contains(&(addr(1), query)), "{answers_sent:?}");
+    let of_another = Message::AliveQuery {
         about: id(1, 5),
         gone: false,
         origin: addr(2),
@@ -469,12 +477,12 @@
     );
     assert_eq!(tell(&mut members, 4 * MS, id(3, 5), of_another), []);
     let own = Box::new(members.directory().own().clone());
-    let of_us = Message::Inquiry {
+    let of_us = Message::AliveQuery {
         about: id(0, 5),
         gone: false,
         origin: addr(2),
     };
-    let present = Message::Present {
+    let present = Message::AliveReply {
         record: own,
         origin: addr(2),
     };
@@ -482,7 +490,7 @@
         tell(&mut members, 5 * MS, id(2, 5), of_us),
         [(addr(2), present)]
     );
-    let passed = Message::Present {
+    let passed = Message::AliveReply {
         record: Box::new(record(1, 5, 1, 1)),
         origin: addr(2),
     };
@@ -503,24 +511,24 @@
         tell(&mut members, 2 * MS, id(1, 5), Message::Digest(same)),
         []
     );
-    // A digest that lies costs one answer of bounded size, and claims of what is held just so none.
-    let told = tell(&mut members, 3 * MS, id(1, 5), Message::Digest([1; 16]));
+    // A digest that lies costs one answer of bounded size, and member digests of what is held just so none.
+    let answers_sent = tell(&mut members, 3 * MS, id(1, 5), Message::Digest([1; 16]));
     assert!(
-        matches!(&told[..], [(_, Message::Hashes { .. })]),
-        "{told:?}"
+        matches!(&answers_sent[..], [(_, Message::Hashes { .. })]),
+        "{answers_sent:?}"
     );
     assert_eq!(
-        tell(&mut members, 4 * MS, id(1, 5), claims(1, 5, Alive)),
+        tell(&mut members, 4 * MS, id(1, 5), member_digests(1, 5, Alive)),
         []
     );
     let hashes = Message::Hashes {
         parts: u16::MAX,
         hashes: vec![1, 2, 3],
     };
-    let told = tell(&mut members, 5 * MS, id(1, 5), hashes);
+    let answers_sent = tell(&mut members, 5 * MS, id(1, 5), hashes);
     assert!(
-        matches!(&told[..], [(_, Message::Claims { .. })]),
-        "{told:?}"
+        matches!(&answers_sent[..], [(_, Message::MemberDigests { .. })]),
+        "{answers_sent:?}"
     );
 }
 
@@ -543,7 +551,7 @@
     let mut members = members();
     tell(&mut members, MS, id(1, 5), news(record(1, 5, 1, 1)));
     let digest = members.directory().digest();
-    members.datagram(2 * MS, &bytes);
+    members.handle_datagram(2 * MS, &bytes);
     let (dropped, counts) = (members.swim().dropped, members.counts);
     let got = [
         dropped.oversized,
@@ -566,7 +574,7 @@
         if rng.random::<bool>() {
             bytes.extend(crc32fast::hash(&bytes).to_be_bytes());
         }
-        members.datagram(n * MS, &bytes);
+        members.handle_datagram(n * MS, &bytes);
         members.tick(n * MS);
         members.outbox();
     }
@@ -581,18 +589,18 @@
 fn the_gone_are_forgotten_in_bounded_time_and_number(
     #[case] gone: usize,
     #[case] after: u64,
-    #[case] held: usize,
+    #[case] known: usize,
 ) {
     let mut directory = Directory::new(record(0, 5, 1, 1));
-    for i in 1..=gone {
-        directory.up(0, id(i, 5));
-        directory.gone(i as u64, id(i, 5));
+    for member in 1..=gone {
+        directory.mark_alive(0, id(member, 5));
+        directory.mark_gone(member as u64, id(member, 5));
     }
     let forgotten = directory.forget_gone(after + gone as u64);
     let left = (1..=gone)
-        .filter(|&i| directory.claim(addr(i)).is_some())
+        .filter(|&member| directory.member_digest(addr(member)).is_some())
         .count();
-    assert_eq!((left, forgotten.len()), (held, gone - held));
+    assert_eq!((left, forgotten.len()), (known, gone - known));
     // Those gone longest go first.
-    assert!(held == 0 || directory.claim(addr(gone)).is_some());
+    assert!(known == 0 || directory.member_digest(addr(gone)).is_some());
 }
--- a/wrenseam/tests/golden_fleet.rs
+++ b/wrenseam/tests/golden_fleet.rs
@@ -3,14 +3,14 @@
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use wrenseam::fleet::average::Exchange;
-use wrenseam::fleet::directory::{Claim, Liveness, PARTS};
+use wrenseam::fleet::average::{Exchange, ExchangeKind};
 use wrenseam::fleet::identity::{
     address_hash, header, mix, put_address, take_address, AVERAGE_VERSION, SWIM_VERSION,
 };
+use wrenseam::fleet::member_digest::{Liveness, MemberDigest, PARTS};
 use wrenseam::fleet::message::{Envelope, Message, RECORDS_VERSION};
 use wrenseam::fleet::record::{Entry, Record, Stamp};
-use wrenseam::fleet::{Facts, Lifecycle, PeerId, Summary, Swim, SwimSettings};
+use wrenseam::fleet::{Lifecycle, Metadata, PeerId, Summary, Swim, SwimSettings};
 
 const CLUSTER: u32 = 0x0102_0304;
 
@@ -50,7 +50,7 @@
         ("alpha".to_owned(), entry(1, "one")),
         ("beta".to_owned(), entry(2, "")),
     ]);
-    let facts = Facts {
+    let metadata = Metadata {
         lifecycle,
         zone: "east".to_owned(),
         program: "0.1.0".to_owned(),
@@ -60,24 +60,24 @@
     Record {
         owner,
         stamp: stamp(),
-        facts,
+        metadata,
     }
 }
 
 fn bare_record(lifecycle: Lifecycle) -> Record {
-    let facts = Facts {
+    let metadata = Metadata {
         lifecycle,
-        ..Facts::default()
+        ..Metadata::default()
     };
     Record {
         owner: v4(),
         stamp: stamp(),
-        facts,
+        metadata,
     }
 }
 
-fn claim(owner: SocketAddr, liveness: Liveness) -> Claim {
-    Claim {
+fn member_digest(owner: SocketAddr, liveness: Liveness) -> MemberDigest {
+    MemberDigest {
         owner,
         stamp: stamp(),
         liveness,
@@ -99,14 +99,14 @@
 }
 
 fn claims_message() -> Message {
-    let claims = vec![
-        claim(v4(), Liveness::Alive),
-        claim(v6(), Liveness::Left),
-        claim(v4(), Liveness::Down),
+    let member_digests = vec![
+        member_digest(v4(), Liveness::Alive),
+        member_digest(v6(), Liveness::Left),
+        member_digest(v4(), Liveness::Down),
     ];
-    Message::Claims {
+    Message::MemberDigests {
         unmatched: vec![0x0a0b_0c0d],
-        claims,
+        member_digests,
     }
 }
 
@@ -116,7 +116,7 @@
         record(v6(), Lifecycle::Leaving),
     ];
     Message::Records {
-        news: changed,
+        is_update: changed,
         records,
     }
 }
@@ -126,7 +126,7 @@
 }
 
 fn inquiry_message(gone: bool) -> Message {
-    Message::Inquiry {
+    Message::AliveQuery {
         about: peer(v6()),
         gone,
         origin: v4(),
@@ -134,7 +134,7 @@
 }
 
 fn present_message() -> Message {
-    Message::Present {
+    Message::AliveReply {
         record: Box::new(record(v4(), Lifecycle::Draining)),
         origin: v6(),
     }
@@ -148,7 +148,7 @@
     hashes_message(),
     "77460301020304041f0a0a010203000011223344556601800100000001fffffffef474ff4a"
 )]
-#[case::claims(claims_message(), "77460301020304041f0a0a01020300001122334455660200010a0b0c0d041f0a0a010203000011223344556600000009\
+#[case::member_digests(claims_message(), "77460301020304041f0a0a01020300001122334455660200010a0b0c0d041f0a0a010203000011223344556600000009\
          00cafef00d061f0b20010db800000000000000000000000700001122334455660000000901cafef00d041f0a0a010203\
          00001122334455660000000902cafef00de5e8245d")]
 #[case::changed_records(records_message(true), "77460301020304041f0a0a010203000011223344556603010043041f0a0a0102030000112233445566000000090101de\
@@ -208,8 +208,11 @@
 /// Checksums are compared between processes, so they are as fixed as bytes are.
 #[test]
 fn checksums_and_hashes_keep_their_values() {
-    assert_eq!(record(v4(), Lifecycle::Ready).facts.checksum(), 0xe955_e9ab);
-    assert_eq!(Facts::default().checksum(), 0xd2e2_9f07);
+    assert_eq!(
+        record(v4(), Lifecycle::Ready).metadata.checksum(),
+        0xe955_e9ab
+    );
+    assert_eq!(Metadata::default().checksum(), 0xd2e2_9f07);
     assert_eq!(address_hash(v4()), 0xa04a_20dd_9f2f_1a6a);
     assert_eq!(address_hash(v6()), 0x4260_fd16_fab8_efd8);
     assert_eq!(mix(1), 0x5692_161d_100b_05e5);
@@ -226,7 +229,7 @@
         denied: 0x44,
         shed: 0x55,
         healthy: 0x6677,
-        views: true,
+        supports_averaging: true,
     }
 }
 
@@ -245,9 +248,9 @@
     assert_eq!(Summary::decode(&bytes), Ok(summary));
 }
 
-fn exchange(answer: bool, from: SocketAddr) -> Exchange {
+fn exchange(kind: ExchangeKind, from: SocketAddr) -> Exchange {
     Exchange {
-        answer,
+        kind,
         from: peer(from),
         seq: 0x0a0b_0c0d,
         flow: -4_000_000,
@@ -256,15 +259,15 @@
 }
 
 #[rstest]
-#[case::ask(
-    exchange(false, v4()),
+#[case::request(
+    exchange(ExchangeKind::Request, v4()),
     "7746020102030400041f0a0a01020300001122334455660a0b0c0dffc2f7000012d6879cf29ccd"
 )]
-#[case::answer(
-    exchange(true, v4()),
+#[case::reply(
+    exchange(ExchangeKind::Reply, v4()),
     "7746020102030401041f0a0a01020300001122334455660a0b0c0dffc2f7000012d6879d4761d0"
 )]
-#[case::answer_of_v6(exchange(true, v6()), "7746020102030401061f0b20010db800000000000000000000000700001122334455660a0b0c0dffc2f7000012d68772\
+#[case::reply_of_v6(exchange(ExchangeKind::Reply, v6()), "7746020102030401061f0b20010db800000000000000000000000700001122334455660a0b0c0dffc2f7000012d68772\
          621f15")]
 fn averaging_exchanges_keep_their_bytes(#[case] exchange: Exchange, #[case] golden: &str) {
     let bytes = exchange.encode(&header(AVERAGE_VERSION, CLUSTER));
@@ -314,11 +317,11 @@
         &announce,
         "77460101020304000a0102038a3ee6aa919aa3a404000120010db80000000000000000000000078b3e0006",
     );
-    assert_eq!(seed.datagram(0, &announce), Some(peer(v4())));
+    assert_eq!(seed.handle_datagram(0, &announce), Some(peer(v4())));
     let feed = only_datagram(&mut seed);
     pinned(&feed, "774601010203040120010db80000000000000000000000078b3ee6aa919aa3a40400000a0102038a3ee6aa919aa3a404\
          070000");
-    assert_eq!(joining.datagram(0, &feed), Some(peer(v6())));
+    assert_eq!(joining.handle_datagram(0, &feed), Some(peer(v6())));
     assert_eq!(joining.members().collect::<Vec<_>>(), [v6()]);
     joining.publish(0, full_summary(None));
     joining.leave(0, true);
