--- a/wrenseam/src/discovery/client.rs
+++ b/wrenseam/src/discovery/client.rs
@@ -314,7 +314,7 @@
                 None => {
                     head.push(byte);
                     if head.ends_with(b"\r\n\r\n") {
-                        let answer = Head::answer(&head)?;
+                        let answer = Head::answer(&head).map_err(|e| e.to_string())?;
                         if answer.status != 200 {
                             return Err(format!("status {}", answer.status).into());
                         }
@@ -326,7 +326,8 @@
                 Some(coding) => {
                     let content = match coding
                         .as_mut()
-                        .map_or(Ok(Coded::Byte(byte)), |c| c.byte(byte))?
+                        .map_or(Ok(Coded::Byte(byte)), |c| c.byte(byte))
+                        .map_err(|e| e.to_string())?
                     {
                         Coded::Byte(byte) => Some(byte),
                         Coded::Nothing => None,
--- /dev/null
+++ b/wrenseam/src/front/connection.rs
@@ -0,0 +1,238 @@
+//! What the client connections of all protocols do alike: start, read step by step, time out and close in order.
+use super::fastcgi::FastCgiError;
+use super::kserve::HttpError;
+use super::Doors;
+use crate::log::Line;
+use crate::model::Client;
+use crate::net::{receive, Occupant, Outbox, Reads, Received, Seat};
+use crate::ring::Ring;
+use may::net::TcpStream;
+use std::io;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+
+/// Why this side ends a client connection.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum ConnectionError {
+    /// Reading failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The connection was evicted to make room for another before its request was read.
+    #[error("ended to make room before its request was read")]
+    Evicted,
+    /// A request was not complete within its time.
+    #[error("a request never came whole")]
+    RequestTimeout,
+    /// More requests are open on the connection than one may have.
+    #[error("too many requests on one connection")]
+    TooManyRequests,
+    /// A thread panicked while it held the connection's state.
+    #[error("poisoned")]
+    Poisoned,
+    /// The client broke the rules of FastCGI.
+    #[error(transparent)]
+    FastCgi(#[from] FastCgiError),
+    /// The client sent HTTP that is not read.
+    #[error(transparent)]
+    Http(#[from] HttpError),
+}
+
+/// Whether a connection goes on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Flow {
+    /// It is read on.
+    Open,
+    /// It ends, and nothing more is read.
+    Ended,
+}
+
+/// The log lines about the connections of one protocol, each limited in rate for that protocol.
+pub(super) struct ConnectionLog {
+    not_started: Line,
+    closed: Line,
+}
+
+impl ConnectionLog {
+    pub(super) const fn new() -> Self {
+        ConnectionLog {
+            not_started: Line::new(),
+            closed: Line::new(),
+        }
+    }
+
+    /// The connection's writer could not be started.
+    fn not_started(&self, front: &str, peer: &str, error: &io::Error) {
+        self.not_started
+            .write(format_args!("{front} {peer}: closed: {error}"));
+    }
+
+    /// This side ended the connection.
+    fn closed(&self, front: &str, peer: &str, error: &ConnectionError) {
+        self.closed
+            .write(format_args!("{front} {peer}: connection closed: {error}"));
+    }
+}
+
+/// A connection's slot and its sending side.
+pub(super) struct ResponseChannel {
+    /// The connection as the limit of connections knows it.
+    pub(super) occupant: Arc<Occupant>,
+    /// Where responses are queued.
+    pub(super) out: Outbox,
+}
+
+impl ResponseChannel {
+    /// Sends the response to a request that the core does not see.
+    pub(super) fn respond_directly(&self, response: Vec<u8>, close: bool) {
+        self.out.send(response);
+        self.occupant.heard();
+        self.close_if(close);
+    }
+
+    /// Closes the connection behind what is queued, where that is asked for.
+    pub(super) fn close_if(&self, close: bool) {
+        if close {
+            self.out.close();
+        }
+    }
+}
+
+/// The client of one connection, which knows the requests that are owed a response.
+pub(super) trait ConnectionClient: Client {
+    /// Its slot and sending side.
+    fn channel(&self) -> &ResponseChannel;
+
+    /// Marks all requests whose client has gone.
+    fn mark_disconnected(&self);
+}
+
+/// The reading side of a connection.
+pub(super) struct ConnectionReader<'a> {
+    doors: &'a Doors,
+    channel: &'a ResponseChannel,
+    stream: &'a mut TcpStream,
+    /// What has been read and not yet parsed.
+    pub(super) ring: Ring,
+    reads: Reads,
+    filled_ring: bool,
+}
+
+impl<'a> ConnectionReader<'a> {
+    fn new(
+        doors: &'a Doors,
+        channel: &'a ResponseChannel,
+        stream: &'a mut TcpStream,
+    ) -> io::Result<Self> {
+        stream.set_read_timeout(Some(doors.limits.client_check))?;
+        Ok(ConnectionReader {
+            doors,
+            channel,
+            stream,
+            ring: Ring::new(doors.limits.client_ring),
+            reads: Reads::default(),
+            filled_ring: false,
+        })
+    }
+
+    /// Reads once. In a graceful shutdown the connection ends as soon as it is `between_requests`, nothing arrives and
+    /// nothing is owed on it.
+    pub(super) fn receive(&mut self, between_requests: bool) -> Result<Flow, ConnectionError> {
+        // Loaded before the read: what arrived before the shutdown began is still served.
+        let shutting_down = self.doors.ending.load(Ordering::Acquire);
+        let received = receive(&mut self.ring, self.stream)?;
+        if received == Received::End {
+            return Ok(Flow::Ended);
+        }
+        self.filled_ring = self.ring.len() == self.ring.footprint();
+        let is_quiet = received == Received::Nothing && between_requests && self.ring.is_empty();
+        if shutting_down && is_quiet && self.channel.occupant.is_idle() {
+            self.close_in_order();
+            return Ok(Flow::Ended);
+        }
+        if self.channel.out.closing() {
+            return Ok(Flow::Ended);
+        }
+        Ok(Flow::Open)
+    }
+
+    /// Ends the connection if nothing has been owed on it for too long.
+    pub(super) fn check_idle_timeout(&self) -> Flow {
+        if !self.channel.occupant.outstayed(&self.doors.limits) {
+            return Flow::Open;
+        }
+        self.close_in_order();
+        Flow::Ended
+    }
+
+    /// Lets other connections run if this client sends at full speed: it would else keep the scheduler's one thread.
+    pub(super) fn finish_turn(&mut self) {
+        self.reads.made(self.filled_ring);
+    }
+
+    /// Discards what arrives until the client disconnects or the connection is closed.
+    pub(super) fn discard_until_closed(&mut self) {
+        let mut reads = Reads::default();
+        loop {
+            reads.made(self.ring.len() == self.ring.footprint());
+            self.ring.truncate(0);
+            if self.channel.out.closing() {
+                return;
+            }
+            if matches!(
+                receive(&mut self.ring, self.stream),
+                Ok(Received::End) | Err(_)
+            ) {
+                return;
+            }
+        }
+    }
+
+    /// Has the connection linger if a response may still be on its way.
+    fn close_in_order(&self) {
+        let linger = self.doors.limits.linger;
+        self.channel
+            .close_if(self.channel.occupant.answered_within(linger));
+    }
+}
+
+/// The protocol of a connection, as the log names it.
+pub(super) struct Protocol {
+    /// Its name in the log.
+    pub(super) front: &'static str,
+    /// Its log lines.
+    pub(super) log: &'static ConnectionLog,
+}
+
+/// Serves one connection until it ends: `read` parses its requests, `client` takes their responses.
+pub(super) fn serve<C: ConnectionClient>(
+    mut stream: TcpStream,
+    doors: &Doors,
+    seat: &Seat,
+    protocol: &Protocol,
+    client: impl FnOnce(ResponseChannel) -> C,
+    read: impl FnOnce(&mut ConnectionReader, &Arc<C>) -> Result<(), ConnectionError>,
+) {
+    let peer = stream.peer_addr().map_or("?".to_owned(), |p| p.to_string());
+    let out = match stream.try_clone().and_then(|s| doors.outbox(s)) {
+        Ok(out) => out,
+        Err(e) => return protocol.log.not_started(protocol.front, &peer, &e),
+    };
+    seat.occupant.writes_to(&out);
+    let occupant = seat.occupant.clone();
+    let client = Arc::new(client(ResponseChannel { occupant, out }));
+    let channel = client.channel();
+    let ended = ConnectionReader::new(doors, channel, &mut stream)
+        .map_err(ConnectionError::from)
+        .and_then(|mut reader| read(&mut reader, &client));
+    if let Err(error) = ended {
+        protocol.log.closed(protocol.front, &peer, &error);
+    }
+    client.mark_disconnected();
+    doors.core.client_disconnected(seat.occupant.number);
+    // A response may be on its way there; else nothing is lost by a close that takes no time and keeps no slot.
+    if channel.out.closing() {
+        channel.out.linger(stream, &doors.limits);
+    } else {
+        channel.out.drop_now();
+    }
+}
--- a/wrenseam/src/front/fastcgi/connection.rs
+++ b/wrenseam/src/front/fastcgi/connection.rs
@@ -1,450 +1,251 @@
 //! One FastCGI connection: its records, and the requests that they make up.
-use super::answers::{answer_bytes, Live, Side};
-use super::records::*;
-use super::request::neutral;
-use crate::front::{Doors, EVICTED};
-use crate::limits::{Held, Limits};
-use crate::model::{Answer, Request, RequestEnd};
-use crate::net::{receive, Reads, Received, Seat};
-use crate::ring::Ring;
+use super::answers::{request_tag, status_response, FastCgiClient};
+use super::partial::{EarlyEnd, PartialRequest, Rejection};
+use super::records::{
+    end_request, get_values_result, pairs, unknown_type, BeginRequest, FastCgiError, Record,
+    RecordDecoder, ABORT_REQUEST, BEGIN_REQUEST, GET_VALUES, PARAMS, STDIN,
+};
+use crate::front::connection::{
+    self, ConnectionError, ConnectionLog, ConnectionReader, Flow, Protocol,
+};
+use crate::front::{Doors, ParameterError};
+use crate::limits::Limits;
+use crate::net::Seat;
 use may::net::TcpStream;
-use may::sync::Mutex;
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Instant;
 
-/// A request of which records are still to come.
-struct Partial {
-    since: Instant,
-    keep: bool,
-    params: Vec<u8>,
-    body: Vec<u8>,
-    /// Its share of the bytes held over all requests, taken as they come: requests that are never finished
-    /// take memory too.
-    held: Option<Held>,
-    /// It has been answered; the rest of it is passed over.
-    over: bool,
-}
-
-#[derive(Clone, Copy)]
-enum Fault {
-    /// It cannot be served as it is.
-    Bad(&'static str),
-    /// There is no room for it now.
-    NoRoom,
-}
-
-impl Partial {
-    /// Whether bytes may be added to a part that holds `now` and may hold `most`.
-    fn admits(
-        &mut self,
-        bytes: usize,
-        now: usize,
-        most: usize,
-        why: &'static str,
-    ) -> Result<(), Fault> {
-        if now + bytes > most {
-            return Err(Fault::Bad(why));
-        }
-        self.held
-            .as_mut()
-            .is_some_and(|h| h.grow(bytes))
-            .then_some(())
-            .ok_or(Fault::NoRoom)
-    }
-}
+static LOG: ConnectionLog = ConnectionLog::new();
 
 /// Serves one connection until it ends.
-pub fn serve(mut stream: TcpStream, doors: &Doors, seat: Seat) {
-    let peer = stream.peer_addr().map_or("?".to_owned(), |p| p.to_string());
-    let out = match stream.try_clone().and_then(|s| doors.outbox(s)) {
-        Ok(out) => out,
-        Err(e) => return note!("fastcgi {peer}: closed: {e}"),
+pub fn serve(stream: TcpStream, doors: &Doors, seat: Seat) {
+    let protocol = Protocol {
+        front: "fastcgi",
+        log: &LOG,
     };
-    seat.occupant.writes_to(&out);
-    let side = Arc::new(Side {
-        occupant: seat.occupant.clone(),
-        out,
-        live: Mutex::default(),
-    });
-    let mut reader = Reader {
-        doors,
-        side: side.clone(),
-        partial: HashMap::new(),
-        uses: 0,
-        over: 0,
+    let read = |reader: &mut ConnectionReader, client: &Arc<FastCgiClient>| {
+        FastCgiConnection::new(doors, client.clone()).run(reader)
     };
-    if let Err(why) = reader.run(&mut stream) {
-        note!("fastcgi {peer}: connection closed: {why}");
-    }
-    if let Ok(live) = side.live.lock() {
-        live.values()
-            .for_each(|l| l.gone.store(true, Ordering::Release));
-    }
-    doors.core.client_disconnected(seat.occupant.number);
-    // An answer may be on its way there; else nothing is lost by a close that takes no time and no seat.
-    if side.out.closing() {
-        side.out.linger(stream, &doors.limits);
-    } else {
-        side.out.drop_now();
-    }
+    connection::serve(stream, doors, &seat, &protocol, FastCgiClient::new, read);
 }
 
-struct Reader<'a> {
-    doors: &'a Doors,
-    side: Arc<Side>,
-    partial: HashMap<u16, Partial>,
-    uses: u64,
-    /// Bytes passed over of requests that have been answered as unfit.
-    over: usize,
+/// The requests of one connection.
+pub(super) struct FastCgiConnection<'a> {
+    pub(super) doors: &'a Doors,
+    pub(super) client: Arc<FastCgiClient>,
+    partial: HashMap<u16, PartialRequest>,
+    /// How many requests of it have been sent to the core.
+    pub(super) submitted: u64,
+    /// Bytes discarded of requests that have been rejected.
+    discarded: usize,
 }
 
-impl Reader<'_> {
-    fn run(&mut self, stream: &mut TcpStream) -> Result<(), String> {
-        let limits = self.doors.limits.clone();
-        stream
-            .set_read_timeout(Some(limits.client_check))
-            .map_err(|e| e.to_string())?;
-        let mut ring = Ring::new(limits.client_ring);
-        let mut got = Vec::new();
-        let (mut looked, mut record_since, mut reads) =
-            (Instant::now(), Instant::now(), Reads::default());
+impl<'a> FastCgiConnection<'a> {
+    fn new(doors: &'a Doors, client: Arc<FastCgiClient>) -> Self {
+        FastCgiConnection {
+            doors,
+            client,
+            partial: HashMap::new(),
+            submitted: 0,
+            discarded: 0,
+        }
+    }
+
+    fn run(&mut self, reader: &mut ConnectionReader) -> Result<(), ConnectionError> {
+        let check_interval = self.doors.limits.client_check;
+        let mut records = RecordDecoder::new();
+        let mut checked_at = Instant::now();
         loop {
-            // Asked for before the read: an end that is wished for then is owed what had come by then.
-            let ending = self.doors.ending.load(Ordering::Acquire);
-            let received = receive(&mut ring, stream)?;
-            if received == Received::End {
-                return Ok(());
-            }
-            let nothing = received == Received::Nothing;
-            let full = ring.len() == ring.footprint();
-            let between = self.partial.is_empty() && got.is_empty();
-            let ended = ending && nothing && between && self.side.occupant.is_idle();
-            if ended && self.side.occupant.answered_within(limits.linger) {
-                self.side.out.close();
-            }
-            if ended || self.side.out.closing() {
+            if reader.receive(self.is_between_requests(&records))? == Flow::Ended {
                 return Ok(());
             }
-            loop {
-                if got.is_empty() {
-                    record_since = Instant::now();
-                }
-                if got.len() < HEADER {
-                    ring.take(HEADER - got.len(), &mut got);
-                }
-                let [version, kind, i0, i1, c0, c1, padding, _, ..] = got[..] else {
-                    break;
-                };
-                if version != 1 {
-                    return Err(format!("FastCGI version {version}"));
-                }
-                let content = usize::from(u16::from_be_bytes([c0, c1]));
-                ring.take(
-                    HEADER + content + usize::from(padding) - got.len(),
-                    &mut got,
-                );
-                if got.len() < HEADER + content + usize::from(padding) {
-                    break;
-                }
-                self.take(
-                    kind,
-                    u16::from_be_bytes([i0, i1]),
-                    &got[HEADER..HEADER + content],
-                )?;
-                got.clear();
+            while let Some(record) = records.next(&mut reader.ring)? {
+                self.handle(&record)?;
             }
-            if looked.elapsed() >= limits.client_check {
-                looked = Instant::now();
-                if !got.is_empty()
-                    && record_since.elapsed() > limits.request_read
-                    && self.side.occupant.is_idle()
-                {
-                    return Err("a record never came whole".to_owned());
-                }
-                self.overdue(&limits)?;
-                if self.partial.is_empty()
-                    && got.is_empty()
-                    && self.side.occupant.outstayed(&limits)
+            if checked_at.elapsed() >= check_interval {
+                checked_at = Instant::now();
+                self.check_read_timeouts(&records)?;
+                if self.is_between_requests(&records) && reader.check_idle_timeout() == Flow::Ended
                 {
-                    if self.side.occupant.answered_within(limits.linger) {
-                        self.side.out.close();
-                    }
                     return Ok(());
                 }
             }
-            // A client that sends at full speed would else keep the scheduler's one thread.
-            reads.made(full);
+            reader.finish_turn();
         }
     }
 
-    /// Ends what has been read in part for too long. Guards against requests that never come whole: each is
-    /// owed a word or a close, and holds memory.
-    fn overdue(&mut self, limits: &Limits) -> Result<(), String> {
-        let late = |p: &&Partial| p.since.elapsed() > limits.request_read;
-        if self.partial.values().any(|p| late(&p)) && self.side.occupant.is_idle() {
-            return Err("a request never came whole".to_owned());
+    fn is_between_requests(&self, records: &RecordDecoder) -> bool {
+        self.partial.is_empty() && records.is_between_records()
+    }
+
+    /// Rejects requests that are not complete in time, or ends the connection if nothing else is owed on it. Guards
+    /// against requests that never end: each is owed a response or a close, and holds memory.
+    fn check_read_timeouts(&mut self, records: &RecordDecoder) -> Result<(), ConnectionError> {
+        let limit = self.doors.limits.request_read;
+        if records.is_overdue(limit) && self.client.channel.occupant.is_idle() {
+            return Err(FastCgiError::RecordTimeout.into());
+        }
+        let any_overdue = self
+            .partial
+            .values()
+            .any(|partial| partial.is_overdue(limit));
+        if any_overdue && self.client.channel.occupant.is_idle() {
+            return Err(ConnectionError::RequestTimeout);
         }
-        let ids: Vec<u16> = self
+        let overdue = |partial: &PartialRequest| partial.is_accepted() && partial.is_overdue(limit);
+        let request_ids: Vec<u16> = self
             .partial
             .iter()
-            .filter(|(_, p)| late(p) && !p.over)
-            .map(|(&id, _)| id)
+            .filter(|(_, partial)| overdue(partial))
+            .map(|(&request_id, _)| request_id)
             .collect();
-        ids.into_iter()
-            .for_each(|id| self.fault(id, Fault::Bad("it never came whole")));
+        for request_id in request_ids {
+            self.reject_partial(request_id, ParameterError::Incomplete.into());
+        }
         Ok(())
     }
 
-    /// Answers a request that is still being read: whoever sends without end would else get no word.
-    fn fault(&mut self, id: u16, fault: Fault) {
-        let Some(partial) = self.partial.get_mut(&id) else {
+    /// Answers a request that is still being read: a client that sends without end would else get no response.
+    fn reject_partial(&mut self, request_id: u16, rejection: Rejection) {
+        let Some(partial) = self.partial.get_mut(&request_id) else {
             return;
         };
-        (partial.over, partial.params, partial.body, partial.held) =
-            (true, Vec::new(), Vec::new(), None);
-        let keep = partial.keep;
-        self.refuse(id, fault, !keep);
-    }
-
-    fn refuse(&self, id: u16, fault: Fault, close: bool) {
-        match fault {
-            Fault::NoRoom => {
-                self.end_at_once(
-                    id,
-                    OVERLOADED,
-                    "the bytes held over all requests are at their bound",
-                );
+        partial.reject();
+        let close = partial.close;
+        self.reject(request_id, rejection, close);
+    }
+
+    pub(super) fn reject(&self, request_id: u16, rejection: Rejection, close: bool) {
+        match rejection {
+            Rejection::Early(reason) => self.end_at_once(request_id, reason),
+            Rejection::Invalid(error) => {
+                note!("fastcgi: request {request_id} failed: {error}");
+                let response = status_response(request_id, "400 Bad Request");
+                self.client.channel.out.send(response);
             }
-            Fault::Bad(why) => {
-                note!("fastcgi: request {id} failed: {why}");
-                self.side
-                    .out
-                    .send(response(id, "Status: 400 Bad Request\r\n", &[]));
-            }
-        }
-        self.side.occupant.heard();
-        if close {
-            self.side.out.close();
         }
+        self.client.channel.occupant.heard();
+        self.client.channel.close_if(close);
     }
 
-    /// Counts what is passed over; too much of it ends the connection.
-    fn pass_over(&mut self, bytes: usize) -> Result<(), String> {
-        self.over += bytes;
-        let most = self.doors.limits.discard;
-        (self.over <= most)
-            .then_some(())
-            .ok_or("a request without end".to_owned())
+    /// Counts what is discarded; too much of it ends the connection.
+    fn discard(&mut self, bytes: usize) -> Result<(), ConnectionError> {
+        self.discarded += bytes;
+        if self.discarded > self.doors.limits.discard {
+            return Err(FastCgiError::DiscardLimit.into());
+        }
+        Ok(())
     }
 
-    fn take(&mut self, kind: u8, id: u16, content: &[u8]) -> Result<(), String> {
-        match (kind, id) {
-            (GET_VALUES, 0) => self.values(content),
-            (_, 0) => {
-                let mut out = Vec::new();
-                record(UNKNOWN_TYPE, 0, &[kind, 0, 0, 0, 0, 0, 0, 0], &mut out);
-                self.side.out.send(out);
-            }
-            (BEGIN, _) => return self.begin(id, content),
-            (ABORT, _) => self.abort(id),
-            (PARAMS, _) => return self.params(id, content),
-            (STDIN, _) => return self.stdin(id, content),
-            _ => return self.pass_over(content.len()), // DATA belongs to another role; other kinds mean nothing to a Responder
+    fn handle(&mut self, record: &Record) -> Result<(), ConnectionError> {
+        let Record {
+            record_type,
+            request_id,
+            content,
+        } = *record;
+        match (record_type, request_id) {
+            (GET_VALUES, 0) => self.report_values(content),
+            (_, 0) => self.client.channel.out.send(unknown_type(record_type)),
+            (BEGIN_REQUEST, _) => return self.begin(request_id, content),
+            (ABORT_REQUEST, _) => self.abort(request_id),
+            (PARAMS, _) => return self.extend(request_id, content, PartialRequest::extend_params),
+            (STDIN, _) if content.is_empty() => return self.finish_body(request_id),
+            (STDIN, _) => return self.extend(request_id, content, PartialRequest::extend_body),
+            // DATA belongs to another role; other types mean nothing to a Responder.
+            _ => return self.discard(content.len()),
         }
         Ok(())
     }
 
-    fn values(&self, content: &[u8]) {
-        let mut found = Vec::new();
+    fn report_values(&self, content: &[u8]) {
+        let connections = self.doors.limits.client_connections;
+        let requests = connections * self.doors.limits.requests_per_connection;
+        let mut values = Vec::new();
         for (name, _) in pairs(content) {
             let value = match name.as_str() {
-                "FCGI_MAX_CONNS" => self.doors.limits.client_connections,
-                "FCGI_MAX_REQS" => {
-                    self.doors.limits.client_connections * self.doors.limits.requests_per_connection
-                }
+                "FCGI_MAX_CONNS" => connections,
+                "FCGI_MAX_REQS" => requests,
                 "FCGI_MPXS_CONNS" => 1,
                 _ => continue,
             };
-            let value = value.to_string();
-            found.extend([name.len() as u8, value.len() as u8]);
-            found.extend(name.as_bytes());
-            found.extend(value.as_bytes());
+            values.push((name, value));
         }
-        let mut out = Vec::new();
-        record(GET_VALUES_RESULT, 0, &found, &mut out);
-        self.side.out.send(out);
-    }
-
-    fn end_at_once(&self, id: u16, status: u8, why: &str) {
-        note!("fastcgi: request {id} ended at once: {why}");
-        let mut out = Vec::new();
-        end(id, status, &mut out);
-        self.side.out.send(out);
+        self.client.channel.out.send(get_values_result(&values));
     }
 
-    fn begin(&mut self, id: u16, content: &[u8]) -> Result<(), String> {
-        let [r0, r1, flags, ..] = content else {
-            return Err("a BEGIN_REQUEST cut short".to_owned());
-        };
-        let live = self.side.live.lock().map_err(|_| "poisoned")?;
-        let (open, used) = (live.len() + self.partial.len(), live.contains_key(&id));
-        drop(live);
-        if used || self.partial.contains_key(&id) {
-            return Err(format!("request id {id} begun twice"));
+    fn begin(&mut self, request_id: u16, content: &[u8]) -> Result<(), ConnectionError> {
+        let begin = BeginRequest::parse(content)?;
+        let open = self.client.open.lock();
+        let open = open.map_err(|_| ConnectionError::Poisoned)?;
+        let open_count = open.len() + self.partial.len();
+        let is_open = open.contains_key(&request_id) || self.partial.contains_key(&request_id);
+        drop(open);
+        if is_open {
+            return Err(FastCgiError::DuplicateRequestId(request_id).into());
         }
-        if u16::from_be_bytes([*r0, *r1]) != RESPONDER {
-            self.end_at_once(id, UNKNOWN_ROLE, "role");
-        } else if open >= self.doors.limits.requests_per_connection {
-            self.end_at_once(id, OVERLOADED, "too many requests on one connection");
+        if !begin.is_responder() {
+            self.end_at_once(request_id, EarlyEnd::UnknownRole);
+        } else if open_count >= self.doors.limits.requests_per_connection {
+            self.end_at_once(request_id, EarlyEnd::TooManyRequests);
         } else {
-            let (keep, held) = (flags & KEEP_CONN != 0, self.doors.budget.take(0));
-            let (since, over) = (Instant::now(), false);
-            let (params, body) = (Vec::new(), Vec::new());
-            self.partial.insert(
-                id,
-                Partial {
-                    since,
-                    keep,
-                    params,
-                    body,
-                    held,
-                    over,
-                },
-            );
+            let partial = PartialRequest::new(!begin.keeps_connection(), self.doors.budget.take(0));
+            self.partial.insert(request_id, partial);
         }
         Ok(())
     }
 
-    fn abort(&mut self, id: u16) {
-        self.partial.remove(&id);
-        let Ok(mut live) = self.side.live.lock() else {
+    /// Ends a request whose parameters are not looked at; its connection stays.
+    fn end_at_once(&self, request_id: u16, reason: EarlyEnd) {
+        note!("fastcgi: request {request_id} ended at once: {reason}");
+        let response = end_request(request_id, reason.status());
+        self.client.channel.out.send(response);
+    }
+
+    fn abort(&mut self, request_id: u16) {
+        self.partial.remove(&request_id);
+        let Ok(mut open) = self.client.open.lock() else {
             return;
         };
-        if let Some(Live { used, gone, .. }) = live.remove(&id) {
-            gone.store(true, Ordering::Release);
-            let tag = used << 16 | u64::from(id);
-            self.side.occupant.ended(false);
-            self.doors
-                .core
-                .request_cancelled(self.side.occupant.number, tag);
+        if let Some(request) = open.remove(&request_id) {
+            request.client_gone.store(true, Ordering::Release);
+            let occupant = &self.client.channel.occupant;
+            occupant.ended(false);
+            let tag = request_tag(request.use_number, request_id);
+            self.doors.core.request_cancelled(occupant.number, tag);
         }
     }
 
-    fn params(&mut self, id: u16, content: &[u8]) -> Result<(), String> {
-        let most = self.doors.limits.head;
-        let Some(partial) = self.partial.get_mut(&id).filter(|p| !p.over) else {
-            return self.pass_over(content.len());
-        };
-        match partial.admits(
-            content.len(),
-            partial.params.len(),
-            most,
-            "parameters are too long",
-        ) {
-            Ok(()) => partial.params.extend(content),
-            Err(fault) => self.fault(id, fault),
-        }
-        Ok(())
+    /// The request of this id, if more of it is wanted.
+    fn accepted(&mut self, request_id: u16) -> Option<&mut PartialRequest> {
+        self.partial
+            .get_mut(&request_id)
+            .filter(|partial| partial.is_accepted())
     }
 
-    fn stdin(&mut self, id: u16, content: &[u8]) -> Result<(), String> {
-        let most = self.doors.limits.body;
-        if content.is_empty() {
-            return match self.partial.remove(&id).filter(|p| !p.over) {
-                Some(partial) => self.whole(id, partial),
-                None => Ok(()),
-            };
-        }
-        let Some(partial) = self.partial.get_mut(&id).filter(|p| !p.over) else {
-            return self.pass_over(content.len());
+    /// Appends to one of the streams of a request.
+    fn extend(
+        &mut self,
+        request_id: u16,
+        content: &[u8],
+        append: fn(&mut PartialRequest, &[u8], &Limits) -> Result<(), Rejection>,
+    ) -> Result<(), ConnectionError> {
+        let limits = &self.doors.limits;
+        let Some(partial) = self.accepted(request_id) else {
+            return self.discard(content.len());
         };
-        match partial.admits(
-            content.len(),
-            partial.body.len(),
-            most,
-            "the body is too long",
-        ) {
-            Ok(()) => partial.body.extend(content),
-            Err(fault) => self.fault(id, fault),
+        if let Err(rejection) = append(partial, content, limits) {
+            self.reject_partial(request_id, rejection);
         }
         Ok(())
     }
 
-    /// A request has come whole.
-    fn whole(&mut self, id: u16, partial: Partial) -> Result<(), String> {
-        let read_at = Instant::now();
-        let params: HashMap<String, String> = pairs(&partial.params).into_iter().collect();
-        let word = |name: &str| params.get(name).map_or("", String::as_str);
-        let path = if word("SCRIPT_NAME").is_empty() {
-            word("REQUEST_URI")
-        } else {
-            word("SCRIPT_NAME")
-        };
-        let close = !partial.keep;
-        if path == "/healthz" {
-            let ready = self.doors.shared.taking();
-            let status = if ready {
-                "200 OK"
-            } else {
-                "503 Service Unavailable"
-            };
-            self.side
-                .out
-                .send(response(id, &format!("Status: {status}\r\n"), &[]));
-            self.side.occupant.heard();
-            if close {
-                self.side.out.close();
-            }
-            return Ok(());
-        }
-        if self.doors.shared.stopping.load(Ordering::Acquire) {
-            // The process ends soon: what comes now could not be served in time here, another takes it.
-            if let Ok(request) = neutral(path, &word, partial.body, &self.doors.limits) {
-                self.doors
-                    .core
-                    .ended_at_front(request.class, RequestEnd::Rejected);
-            }
-            self.side.out.send(answer_bytes(
-                id,
-                &Answer::Rejected {
-                    retry_after: STOPPING_WAIT,
-                },
-            ));
-            self.side.occupant.heard();
-            if close {
-                self.side.out.close();
-            }
-            return Ok(());
+    /// The body's last record has come.
+    fn finish_body(&mut self, request_id: u16) -> Result<(), ConnectionError> {
+        match self.partial.remove(&request_id) {
+            Some(partial) if partial.is_accepted() => self.complete(request_id, partial),
+            _ => Ok(()),
         }
-        let request = neutral(path, &word, partial.body, &self.doors.limits);
-        match request.map(|r| Request {
-            received_at: read_at,
-            reserved_bytes: partial.held,
-            client_probe: Some(self.side.out.client_probe()),
-            ..r
-        }) {
-            Err(why) => self.refuse(id, Fault::Bad(why), close),
-            Ok(request) => {
-                if !self.side.occupant.opened() {
-                    return Err(EVICTED.to_owned());
-                }
-                self.uses += 1;
-                if let Ok(mut live) = self.side.live.lock() {
-                    live.insert(
-                        id,
-                        Live {
-                            used: self.uses,
-                            close,
-                            gone: request.client_gone.clone(),
-                        },
-                    );
-                }
-                let tag = self.uses << 16 | u64::from(id);
-                self.doors.core.request(request, self.side.clone(), tag);
-            }
-        }
-        Ok(())
     }
 }
--- /dev/null
+++ b/wrenseam/src/front/fastcgi/dispatch.rs
@@ -0,0 +1,102 @@
+//! What becomes of a complete FastCGI request: answered here, rejected, or sent to the core.
+use super::answers::{answer_response, request_tag, status_response, OpenRequest};
+use super::connection::FastCgiConnection;
+use super::partial::PartialRequest;
+use super::request::Parameters;
+use crate::front::connection::ConnectionError;
+use crate::model::{Answer, Request, RequestEnd};
+use std::sync::atomic::Ordering;
+use std::time::Instant;
+use wrenseam_policy::Micros;
+
+/// What a request rejected by a process that shuts down is told to wait: none, another process takes it at once; the
+/// least that can be stated.
+const SHUTDOWN_RETRY_AFTER: Micros = 1_000;
+
+impl FastCgiConnection<'_> {
+    /// Answers a complete request, or sends it to the core.
+    pub(super) fn complete(
+        &mut self,
+        request_id: u16,
+        partial: PartialRequest,
+    ) -> Result<(), ConnectionError> {
+        let received_at = Instant::now();
+        let parameters = Parameters::decode(&partial.params);
+        if parameters.path() == "/healthz" {
+            self.report_health(request_id, partial.close);
+            return Ok(());
+        }
+        if self.doors.shared.stopping.load(Ordering::Acquire) {
+            self.reject_in_shutdown(request_id, &parameters, partial);
+            return Ok(());
+        }
+        let request = parameters.to_request(partial.body, &self.doors.limits);
+        let request = request.map(|request| Request {
+            received_at,
+            reserved_bytes: partial.reserved_bytes,
+            client_probe: Some(self.client.channel.out.client_probe()),
+            ..request
+        });
+        match request {
+            Ok(request) => self.submit(request_id, request, partial.close),
+            Err(error) => {
+                self.reject(request_id, error.into(), partial.close);
+                Ok(())
+            }
+        }
+    }
+
+    fn report_health(&self, request_id: u16, close: bool) {
+        let status = if self.doors.shared.taking() {
+            "200 OK"
+        } else {
+            "503 Service Unavailable"
+        };
+        let response = status_response(request_id, status);
+        self.client.channel.respond_directly(response, close);
+    }
+
+    /// The process ends soon: a request that comes now could not be served in time here, another process takes it.
+    fn reject_in_shutdown(
+        &self,
+        request_id: u16,
+        parameters: &Parameters,
+        partial: PartialRequest,
+    ) {
+        if let Ok(request) = parameters.to_request(partial.body, &self.doors.limits) {
+            self.doors
+                .core
+                .ended_at_front(request.class, RequestEnd::Rejected);
+        }
+        let answer = Answer::Rejected {
+            retry_after: SHUTDOWN_RETRY_AFTER,
+        };
+        let response = answer_response(request_id, &answer);
+        self.client
+            .channel
+            .respond_directly(response, partial.close);
+    }
+
+    fn submit(
+        &mut self,
+        request_id: u16,
+        request: Request,
+        close: bool,
+    ) -> Result<(), ConnectionError> {
+        if !self.client.channel.occupant.opened() {
+            return Err(ConnectionError::Evicted);
+        }
+        self.submitted += 1;
+        if let Ok(mut open) = self.client.open.lock() {
+            let open_request = OpenRequest {
+                use_number: self.submitted,
+                close,
+                client_gone: request.client_gone.clone(),
+            };
+            open.insert(request_id, open_request);
+        }
+        let tag = request_tag(self.submitted, request_id);
+        self.doors.core.request(request, self.client.clone(), tag);
+        Ok(())
+    }
+}
--- a/wrenseam/src/front/fastcgi/mod.rs
+++ b/wrenseam/src/front/fastcgi/mod.rs
@@ -1,8 +1,11 @@
-//! The platform's front: FastCGI 1.0, Responder role, many requests on one connection.
+//! The platform's protocol: FastCGI 1.0, Responder role, many requests on one connection.
 mod answers;
 mod connection;
+mod dispatch;
+mod partial;
 mod records;
 mod request;
 
 pub use connection::serve;
+pub(super) use records::FastCgiError;
 pub use records::{pairs, record, response};
--- a/wrenseam/src/front/fastcgi/request.rs
+++ b/wrenseam/src/front/fastcgi/request.rs
@@ -1,61 +1,88 @@
-//! The neutral request behind the parameters of a FastCGI request.
-use crate::front::{function, token_fits, Figures};
+//! The request behind the parameters of a FastCGI request. Parameters keep the names of the platform's gateways.
+use crate::front::{is_valid_idempotency_key, parse_function, NumericParameters, ParameterError};
 use crate::limits::Limits;
 use crate::model::{Payload, Request};
+use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The neutral request behind the parameters.
-pub(super) fn neutral<'a>(
-    path: &str,
-    word: &impl Fn(&str) -> &'a str,
-    body: Vec<u8>,
-    limits: &Limits,
-) -> Result<Request, &'static str> {
-    let class = path
-        .strip_prefix("/v1/")
-        .ok_or("the path is not /v1/CLASS")?;
-    let id = word("HTTP_REQ_ID");
-    let token = word("HTTP_REQ_TOKEN");
-    if !token.is_empty() && !token_fits(token) {
-        return Err("the key cannot travel");
+use super::records::pairs;
+
+/// The parameters of a request by name.
+pub(super) struct Parameters(HashMap<String, String>);
+
+impl Parameters {
+    pub(super) fn decode(stream: &[u8]) -> Self {
+        Parameters(pairs(stream).into_iter().collect())
+    }
+
+    /// A parameter's value; empty if it is missing.
+    fn get(&self, name: &str) -> &str {
+        self.0.get(name).map_or("", String::as_str)
     }
-    let number = |text: &str| {
-        text.trim()
-            .parse::<f64>()
-            .map_err(|_| "a figure is no number")
-    };
-    let mut told = Figures {
-        wait_ms: number(word("HTTP_REQ_WAIT_MS"))?,
-        ..Figures::default()
-    };
-    for (name, value) in word("HTTP_X_MORE")
-        .split(';')
-        .filter_map(|pair| pair.split_once(':'))
-    {
-        match name.trim() {
-            "memory_mb" => told.memory_mb = number(value)?,
-            "lanes" => told.lanes = number(value)?,
-            "load_ms" => told.load_ms = number(value)?,
-            _ => {}
+
+    pub(super) fn path(&self) -> &str {
+        match self.get("SCRIPT_NAME") {
+            "" => self.get("REQUEST_URI"),
+            path => path,
         }
     }
-    told.check(limits)?;
-    Ok(Request {
-        wire_id: function(id).ok_or("Req-Id is not 16 hex digits")?,
-        class: class.to_owned(),
-        tenant: word("HTTP_REQ_OWNER").to_owned(),
-        function: function(word("HTTP_REQ_KEY")).ok_or("Req-Key is not 16 hex digits")?,
-        timeout: (told.wait_ms * 1000.0) as u64,
-        received_at: Instant::now(),
-        idempotency_key: (!token.is_empty()).then(|| token.to_owned()),
-        is_retry: word("HTTP_REQ_RETRY") == "1",
-        memory_mb: told.memory_mb,
-        concurrency: told.lanes as u32,
-        load_time: (told.load_ms * 1000.0) as u64,
-        payload: Payload::Bytes(body),
-        reserved_bytes: None,
-        client_gone: Arc::default(),
-        client_probe: None,
-    })
+
+    /// The request of these parameters and this body, received now.
+    pub(super) fn to_request(
+        &self,
+        body: Vec<u8>,
+        limits: &Limits,
+    ) -> Result<Request, ParameterError> {
+        let class = self
+            .path()
+            .strip_prefix("/v1/")
+            .ok_or(ParameterError::InvalidPath)?;
+        let key = self.get("HTTP_REQ_TOKEN");
+        if !key.is_empty() && !is_valid_idempotency_key(key) {
+            return Err(ParameterError::InvalidIdempotencyKey);
+        }
+        let numeric = self.numeric()?;
+        numeric.check(limits)?;
+        Ok(Request {
+            wire_id: parse_function(self.get("HTTP_REQ_ID"))
+                .ok_or(ParameterError::InvalidRequestId)?,
+            class: class.to_owned(),
+            tenant: self.get("HTTP_REQ_OWNER").to_owned(),
+            function: parse_function(self.get("HTTP_REQ_KEY"))
+                .ok_or(ParameterError::InvalidFunction)?,
+            timeout: (numeric.timeout_ms * 1000.0) as u64,
+            received_at: Instant::now(),
+            idempotency_key: (!key.is_empty()).then(|| key.to_owned()),
+            is_retry: self.get("HTTP_REQ_RETRY") == "1",
+            memory_mb: numeric.memory_mb,
+            concurrency: numeric.concurrency as u32,
+            load_time: (numeric.load_time_ms * 1000.0) as u64,
+            payload: Payload::Bytes(body),
+            reserved_bytes: None,
+            client_gone: Arc::default(),
+            client_probe: None,
+        })
+    }
+
+    fn numeric(&self) -> Result<NumericParameters, ParameterError> {
+        let mut numeric = NumericParameters {
+            timeout_ms: parse_number(self.get("HTTP_REQ_WAIT_MS"))?,
+            ..NumericParameters::default()
+        };
+        let more = self.get("HTTP_X_MORE");
+        for (name, value) in more.split(';').filter_map(|pair| pair.split_once(':')) {
+            match name.trim() {
+                "memory_mb" => numeric.memory_mb = parse_number(value)?,
+                "lanes" => numeric.concurrency = parse_number(value)?,
+                "load_ms" => numeric.load_time_ms = parse_number(value)?,
+                _ => {}
+            }
+        }
+        Ok(numeric)
+    }
+}
+
+fn parse_number(text: &str) -> Result<f64, ParameterError> {
+    text.trim().parse().map_err(|_| ParameterError::NotANumber)
 }
--- /dev/null
+++ b/wrenseam/src/front/kserve/admin_api.rs
@@ -0,0 +1,28 @@
+//! What each path of the read-only administration API answers.
+use super::connection::HttpConnection;
+use super::decoder::HttpRequest;
+use super::routes::Reply;
+use crate::http::Status;
+use crate::queue::Message;
+
+/// Answers a request to the administration API.
+pub(super) fn reply(connection: &HttpConnection, request: HttpRequest) -> Reply {
+    let is_ready = || connection.doors.shared.taking();
+    match (request.head.method.as_str(), request.head.path()) {
+        ("GET", "/healthz") if is_ready() => Reply::now(Status::Ok, r#"{"ready":true}"#),
+        ("GET", "/healthz") => Reply::now(Status::ServiceUnavailable, r#"{"ready":false}"#),
+        ("GET", "/v1/state") => state(connection),
+        ("GET", _) => Reply::error(Status::NotFound, "there are /healthz and /v1/state"),
+        _ => Reply::error(Status::MethodNotAllowed, "this API is read-only"),
+    }
+}
+
+/// The core's report.
+fn state(connection: &HttpConnection) -> Reply {
+    let (reply, report) = may::sync::mpsc::channel();
+    let _ = connection.doors.core.send(Message::Inspect { reply }); // no report comes from a core that has ended
+    match report.recv() {
+        Ok(report) => Reply::now(Status::Ok, report),
+        Err(_) => Reply::error(Status::ServiceUnavailable, "the core is ending"),
+    }
+}
--- a/wrenseam/src/front/kserve/mod.rs
+++ b/wrenseam/src/front/kserve/mod.rs
@@ -1,8 +1,12 @@
-//! The KServe v2 front: the Open Inference Protocol over HTTP/1.1 REST, on the same core as FastCGI.
+//! KServe v2: the Open Inference Protocol over HTTP/1.1 REST, on the same core as FastCGI; and the read-only
+//! administration API, which speaks HTTP as well.
+mod admin_api;
 mod answers;
 mod connection;
+mod decoder;
 mod request;
 mod routes;
 
 pub use answers::error;
 pub use connection::{serve, serve_admin};
+pub(super) use decoder::HttpError;
--- a/wrenseam/src/front/listener.rs
+++ b/wrenseam/src/front/listener.rs
@@ -12,9 +12,6 @@
 
 const SEAT_TRIES: usize = 20;
 
-/// Why a connection ends on which a request came after it had been ended to make room for another.
-pub(super) const EVICTED: &str = "ended to make room before its request was read";
-
 /// What every front needs.
 #[derive(Clone)]
 pub struct Doors {
--- a/wrenseam/src/http.rs
+++ b/wrenseam/src/http.rs
@@ -1,5 +1,75 @@
 //! The HTTP/1.1 that is spoken beside the main protocol: heads by httparse, bodies by length or in chunks.
 
+/// Headers of a head at the most.
+const HEADERS: usize = 64;
+/// Bytes of a chunk's first line at the most: a size and a few extensions.
+const CHUNK_LINE_LENGTH: usize = 64;
+
+/// Why a head cannot be used. v2 clients read these texts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum HeadError {
+    /// It is not HTTP/1.
+    #[error(transparent)]
+    Syntax(#[from] httparse::Error),
+    /// The length is no number.
+    #[error("bad Content-Length")]
+    InvalidLength,
+    /// Two lengths differ.
+    #[error("two lengths")]
+    ConflictingLengths,
+    /// It states a length and announces chunks.
+    #[error("a length and chunks")]
+    LengthAndChunks,
+}
+
+/// The size of a chunk is no hexadecimal number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("bad chunk size")]
+pub struct InvalidChunkSize;
+
+/// The status of a response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Status {
+    /// 200
+    Ok,
+    /// 400
+    BadRequest,
+    /// 404
+    NotFound,
+    /// 405
+    MethodNotAllowed,
+    /// 408
+    RequestTimeout,
+    /// 411
+    LengthRequired,
+    /// 413
+    ContentTooLarge,
+    /// 431
+    RequestHeaderFieldsTooLarge,
+    /// 500
+    InternalServerError,
+    /// 503
+    ServiceUnavailable,
+}
+
+impl Status {
+    /// The code and its reason, as they stand in the first line of a response.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Status::Ok => "200 OK",
+            Status::BadRequest => "400 Bad Request",
+            Status::NotFound => "404 Not Found",
+            Status::MethodNotAllowed => "405 Method Not Allowed",
+            Status::RequestTimeout => "408 Request Timeout",
+            Status::LengthRequired => "411 Length Required",
+            Status::ContentTooLarge => "413 Content Too Large",
+            Status::RequestHeaderFieldsTooLarge => "431 Request Header Fields Too Large",
+            Status::InternalServerError => "500 Internal Server Error",
+            Status::ServiceUnavailable => "503 Service Unavailable",
+        }
+    }
+}
+
 /// What of a head matters here.
 #[derive(Debug, Default, PartialEq)]
 pub struct Head {
@@ -23,53 +93,58 @@
 
 impl Head {
     /// The head of a request; `head` ends with the empty line.
-    pub fn request(head: &[u8]) -> Result<Head, String> {
-        let mut headers = [httparse::EMPTY_HEADER; 64];
+    ///
+    /// # Errors
+    /// The head is not HTTP/1, or its lengths contradict each other.
+    pub fn request(head: &[u8]) -> Result<Head, HeadError> {
+        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
         let mut request = httparse::Request::new(&mut headers);
-        request.parse(head).map_err(|e| e.to_string())?;
-        let word = |w: Option<&str>| w.unwrap_or_default().to_owned();
-        let (method, target) = (word(request.method), word(request.path));
-        let close = request.version == Some(0);
+        request.parse(head)?;
         Head {
-            method,
-            target,
-            close,
+            method: request.method.unwrap_or_default().to_owned(),
+            target: request.path.unwrap_or_default().to_owned(),
+            close: request.version == Some(0),
             ..Head::default()
         }
-        .fields(request.headers)
+        .with_headers(request.headers)
     }
 
-    /// The head of an answer.
-    pub fn answer(head: &[u8]) -> Result<Head, String> {
-        let mut headers = [httparse::EMPTY_HEADER; 64];
-        let mut answer = httparse::Response::new(&mut headers);
-        answer.parse(head).map_err(|e| e.to_string())?;
-        let close = answer.version == Some(0);
+    /// The head of a response.
+    ///
+    /// # Errors
+    /// The head is not HTTP/1, or its lengths contradict each other.
+    pub fn answer(head: &[u8]) -> Result<Head, HeadError> {
+        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+        let mut response = httparse::Response::new(&mut headers);
+        response.parse(head)?;
         Head {
-            status: answer.code.unwrap_or(0),
-            close,
+            status: response.code.unwrap_or(0),
+            close: response.version == Some(0),
             ..Head::default()
         }
-        .fields(answer.headers)
+        .with_headers(response.headers)
+    }
+
+    /// The path of a request, without its query.
+    pub fn path(&self) -> &str {
+        self.target.split('?').next().unwrap_or_default()
     }
 
-    fn fields(mut self, headers: &[httparse::Header]) -> Result<Head, String> {
+    /// The segments of a request's path.
+    pub fn path_segments(&self) -> Vec<&str> {
+        self.path().trim_matches('/').split('/').collect()
+    }
+
+    fn with_headers(mut self, headers: &[httparse::Header]) -> Result<Head, HeadError> {
         for header in headers {
             let value = String::from_utf8_lossy(header.value)
                 .trim()
                 .to_ascii_lowercase();
             match header.name.to_ascii_lowercase().as_str() {
-                "content-length" => {
-                    // Guards against request smuggling: two lengths that differ, or a length that is none.
-                    let length = value.parse().map_err(|_| "bad Content-Length")?;
-                    if self.length.is_some_and(|known| known != length) {
-                        return Err("two lengths".to_owned());
-                    }
-                    self.length = Some(length);
-                }
+                "content-length" => self.set_length(&value)?,
                 "transfer-encoding" => self.chunked = value == "chunked",
                 "connection" => {
-                    self.close = value == "close" || self.close && value != "keep-alive"
+                    self.close = value == "close" || self.close && value != "keep-alive";
                 }
                 "retry-after" => self.retry_after = !value.is_empty(),
                 "expect" => self.expects = value == "100-continue",
@@ -77,10 +152,20 @@
             }
         }
         if self.chunked && self.length.is_some() {
-            return Err("a length and chunks".to_owned());
+            return Err(HeadError::LengthAndChunks);
         }
         Ok(self)
     }
+
+    /// Guards against request smuggling: two lengths that differ, or a length that is none.
+    fn set_length(&mut self, value: &str) -> Result<(), HeadError> {
+        let length = value.parse().map_err(|_| HeadError::InvalidLength)?;
+        if self.length.is_some_and(|known| known != length) {
+            return Err(HeadError::ConflictingLengths);
+        }
+        self.length = Some(length);
+        Ok(())
+    }
 }
 
 /// What a byte of the chunked coding stands for.
@@ -97,37 +182,46 @@
 /// Undoes the chunked transfer coding, byte by byte.
 #[derive(Default)]
 pub struct Chunked {
-    left: usize,
+    /// Bytes of the chunk's content that are still to come.
+    remaining: usize,
+    /// The first line of the next chunk, so far.
     line: Vec<u8>,
 }
 
 impl Chunked {
     /// Takes the next byte.
-    pub fn byte(&mut self, byte: u8) -> Result<Coded, String> {
-        if self.left > 0 {
-            self.left -= 1;
+    ///
+    /// # Errors
+    /// The first line of a chunk names no size.
+    pub fn byte(&mut self, byte: u8) -> Result<Coded, InvalidChunkSize> {
+        if self.remaining > 0 {
+            self.remaining -= 1;
             return Ok(Coded::Byte(byte));
         }
         match byte {
             b'\n' if self.line.is_empty() => {} // the line end behind a chunk
-            b'\n' => {
-                let line = String::from_utf8_lossy(&self.line).into_owned();
-                let size = line.split(';').next().unwrap_or_default().trim();
-                self.left = usize::from_str_radix(size, 16).map_err(|_| "bad chunk size")?;
-                self.line.clear();
-                if self.left == 0 {
-                    return Ok(Coded::End);
-                }
-            }
+            b'\n' => return self.begin_chunk(),
             b'\r' => {}
-            _ if self.line.len() > 64 => return Err("bad chunk size".to_owned()),
+            _ if self.line.len() > CHUNK_LINE_LENGTH => return Err(InvalidChunkSize),
             _ => self.line.push(byte),
         }
         Ok(Coded::Nothing)
     }
+
+    fn begin_chunk(&mut self) -> Result<Coded, InvalidChunkSize> {
+        let line = String::from_utf8_lossy(&self.line);
+        let size = line.split(';').next().unwrap_or_default().trim();
+        let size = usize::from_str_radix(size, 16).map_err(|_| InvalidChunkSize)?;
+        self.remaining = size;
+        self.line.clear();
+        if size == 0 {
+            return Ok(Coded::End);
+        }
+        Ok(Coded::Nothing)
+    }
 }
 
-/// An answer as bytes.
+/// A response with a JSON body as bytes; `headers` are whole lines.
 pub fn response(status: &str, headers: &str, body: &[u8], close: bool) -> Vec<u8> {
     let connection = if close { "Connection: close\r\n" } else { "" };
     let length = body.len();
--- a/wrenseam/src/net/failure.rs
+++ b/wrenseam/src/net/failure.rs
@@ -54,8 +54,8 @@
 /// what is owed on it, stay.
 ///
 /// # Errors
-/// The connection is over, and why.
-pub fn receive(ring: &mut Ring, from: &mut impl Read) -> Result<Received, String> {
+/// The connection is over.
+pub fn receive(ring: &mut Ring, from: &mut impl Read) -> io::Result<Received> {
     match ring.fill(from) {
         Ok(0) => Ok(Received::End),
         Ok(_) => Ok(Received::Bytes),
@@ -65,7 +65,7 @@
                 pause(SHORTAGE);
                 Ok(Received::Nothing)
             }
-            Failure::Over => Err(e.to_string()),
+            Failure::Over => Err(e),
         },
     }
 }
--- a/wrenseam/src/worker/frames/reader.rs
+++ b/wrenseam/src/worker/frames/reader.rs
@@ -37,7 +37,7 @@
                 }
                 continue;
             }
-            Err(why) => break Err(why),
+            Err(why) => break Err(why.to_string()),
         }
         match answers(&mut decoder, &mut ring, state, reports, limits.answer) {
             Ok(()) => {}
--- a/wrenseam/src/worker/kserve/lane.rs
+++ b/wrenseam/src/worker/kserve/lane.rs
@@ -244,7 +244,7 @@
             }
             while told.is_none() && ring.take(1, &mut head) > 0 {
                 if head.ends_with(b"\r\n\r\n") {
-                    let known = Head::answer(&head)?;
+                    let known = Head::answer(&head).map_err(|e| e.to_string())?;
                     if known.length.is_some_and(|l| l > self.limits.answer) {
                         return Err("the answer is too long".to_owned());
                     }
@@ -259,7 +259,7 @@
             {
                 continue;
             }
-            match receive(&mut ring, stream)? {
+            match receive(&mut ring, stream).map_err(|e| e.to_string())? {
                 Received::End => return Err("cut".to_owned()),
                 Received::Bytes => heard = Instant::now(),
                 Received::Nothing => {
@@ -287,7 +287,7 @@
     let mut bytes = Vec::new();
     ring.take(usize::MAX, &mut bytes);
     for byte in bytes {
-        match chunks.byte(byte)? {
+        match chunks.byte(byte).map_err(|e| e.to_string())? {
             Coded::Byte(byte) => body.push(byte),
             Coded::Nothing => {}
             Coded::End => return Ok(true),
--- a/wrenseam/tests/system_calls.rs
+++ b/wrenseam/tests/system_calls.rs
@@ -43,7 +43,7 @@
     let received = receive(&mut Ring::new(64), &mut Fails(number));
     match failure {
         Failure::Over => assert!(received.is_err()),
-        _ => assert_eq!(received, Ok(Received::Nothing)),
+        _ => assert!(matches!(received, Ok(Received::Nothing)), "{received:?}"),
     }
 }
 
