--- a/wrenseam/src/discovery/client.rs
+++ b/wrenseam/src/discovery/client.rs
@@ -241,7 +241,7 @@
             End::Broke(_) => redial.after_news(),
         };
         if !wait.is_zero() {
-            crate::net::pause(wait);
+            crate::net::sleep(wait);
         }
     }
 }
--- a/wrenseam/src/front/admin.rs
+++ b/wrenseam/src/front/admin.rs
@@ -1,8 +1,8 @@
 //! The operators' door: one line in, one line that begins with `YES` or `NO` out, then the close. Thin: the
 //! words are read in [`AdminCommand::parse`], and every call is the core's to answer.
-use super::Doors;
+use super::ListenerContext;
 use crate::model::AdminCommand;
-use crate::net::{back, pause, spawn, timed_out};
+use crate::net::{resume_on_scheduler, sleep, spawn, timed_out};
 use crate::queue::Message;
 use crate::succession::Succession;
 use may::net::{TcpListener, TcpStream};
@@ -52,9 +52,9 @@
 }
 
 /// Accepts callers until the program ends.
-pub fn accept(listener: &TcpListener, doors: &Doors) {
+pub fn accept(listener: &TcpListener, context: &ListenerContext) {
     let callers = Arc::new(AtomicUsize::new(0));
-    let stack = doors.limits.stack;
+    let stack = context.limits.stack;
     loop {
         match listener.accept() {
             Ok((stream, peer)) => {
@@ -63,9 +63,9 @@
                     note!("admin: caller {peer} closed, {CALLERS} are served already");
                     continue;
                 }
-                let (doors, callers) = (doors.clone(), callers.clone());
+                let (context, callers) = (context.clone(), callers.clone());
                 let serve = move || {
-                    serve(stream, &doors);
+                    serve(stream, &context);
                     callers.fetch_sub(1, Ordering::AcqRel);
                 };
                 if let Err(e) = spawn(stack, serve) {
@@ -74,20 +74,20 @@
             }
             Err(e) => {
                 note!("admin: accept: {e}");
-                pause(Duration::from_millis(10));
+                sleep(Duration::from_millis(10));
             }
         }
     }
 }
 
 /// One caller: a line within its time, the core's answer, the close.
-fn serve(mut stream: TcpStream, doors: &Doors) {
+fn serve(mut stream: TcpStream, context: &ListenerContext) {
     let answer = match read_line(&mut stream) {
         Ok(line) => match AdminCommand::parse(&line) {
             Ok(call @ (AdminCommand::Exclude(_) | AdminCommand::Include(_))) => {
-                handed(&handover(), call, |call| ask(doors, call))
+                handed(&handover(), call, |call| ask(context, call))
             }
-            Ok(call) => ask(doors, call),
+            Ok(call) => ask(context, call),
             Err(why) => format!("NO {why}\n"),
         },
         Err(why) => {
@@ -134,9 +134,9 @@
 }
 
 /// The core's answer to a call, or `NO` if it does not come in time.
-pub fn ask(doors: &Doors, call: AdminCommand) -> String {
+pub fn ask(context: &ListenerContext, call: AdminCommand) -> String {
     let (reply, answer) = may::sync::mpsc::channel();
-    if doors
+    if context
         .core
         .send(Message::Admin {
             command: call,
@@ -147,7 +147,7 @@
         return "NO the core is ending\n".to_owned();
     }
     let told = answer.recv_timeout(ANSWER);
-    back();
+    resume_on_scheduler();
     told.unwrap_or_else(|_| "NO busy\n".to_owned())
 }
 
@@ -246,7 +246,7 @@
 
 /// Hands the file's exclusions to the core at the start and whenever the file changes: a process that
 /// replaces another keeps its bans. Looks, too, who is named as the process that started last.
-pub fn follow(doors: &Doors, mut named: Named) {
+pub fn follow(context: &ListenerContext, mut named: Named) {
     let path = handover();
     let mut last = None;
     loop {
@@ -259,16 +259,16 @@
                     "taken over"
                 }
             );
-            let _ = doors.core.send(Message::Standby(aside));
+            let _ = context.core.send(Message::Standby(aside));
         }
         let set = read_excluded(&path);
         if last.as_ref() != Some(&set) {
-            if doors.core.send(Message::Exclusions(set.clone())).is_err() {
+            if context.core.send(Message::Exclusions(set.clone())).is_err() {
                 return;
             }
             last = Some(set);
         }
-        pause(LOOK);
+        sleep(LOOK);
     }
 }
 
--- a/wrenseam/src/front/connection.rs
+++ b/wrenseam/src/front/connection.rs
@@ -1,10 +1,10 @@
 //! What the client connections of all protocols do alike: start, read step by step, time out and close in order.
 use super::fastcgi::FastCgiError;
 use super::kserve::HttpError;
-use super::Doors;
+use super::ListenerContext;
 use crate::log::Line;
 use crate::model::Client;
-use crate::net::{receive, Occupant, Outbox, Reads, Received, Seat};
+use crate::net::{receive, ConnectionSlot, Outbox, ReadFairness, ReadOutcome, SlotGuard};
 use crate::ring::Ring;
 use may::net::TcpStream;
 use std::io;
@@ -76,7 +76,7 @@
 /// A connection's slot and its sending side.
 pub(super) struct ResponseChannel {
     /// The connection as the limit of connections knows it.
-    pub(super) occupant: Arc<Occupant>,
+    pub(super) slot: Arc<ConnectionSlot>,
     /// Where responses are queued.
     pub(super) out: Outbox,
 }
@@ -85,7 +85,7 @@
     /// Sends the response to a request that the core does not see.
     pub(super) fn respond_directly(&self, response: Vec<u8>, close: bool) {
         self.out.send(response);
-        self.occupant.heard();
+        self.slot.touch();
         self.close_if(close);
     }
 
@@ -108,44 +108,45 @@
 
 /// The reading side of a connection.
 pub(super) struct ConnectionReader<'a> {
-    doors: &'a Doors,
+    context: &'a ListenerContext,
     channel: &'a ResponseChannel,
     stream: &'a mut TcpStream,
     /// What has been read and not yet parsed.
     pub(super) ring: Ring,
-    reads: Reads,
+    fairness: ReadFairness,
     filled_ring: bool,
 }
 
 impl<'a> ConnectionReader<'a> {
     fn new(
-        doors: &'a Doors,
+        context: &'a ListenerContext,
         channel: &'a ResponseChannel,
         stream: &'a mut TcpStream,
     ) -> io::Result<Self> {
-        stream.set_read_timeout(Some(doors.limits.client_check))?;
+        stream.set_read_timeout(Some(context.limits.client_check))?;
         Ok(ConnectionReader {
-            doors,
+            context,
             channel,
             stream,
-            ring: Ring::new(doors.limits.client_ring),
-            reads: Reads::default(),
+            ring: Ring::new(context.limits.client_ring),
+            fairness: ReadFairness::default(),
             filled_ring: false,
         })
     }
 
-    /// Reads once. In a graceful shutdown the connection ends as soon as it is `between_requests`, nothing arrives and
+    /// ReadFairness once. In a graceful shutdown the connection ends as soon as it is `between_requests`, nothing arrives and
     /// nothing is owed on it.
     pub(super) fn receive(&mut self, between_requests: bool) -> Result<Flow, ConnectionError> {
         // Loaded before the read: what arrived before the shutdown began is still served.
-        let shutting_down = self.doors.ending.load(Ordering::Acquire);
+        let shutting_down = self.context.shutting_down.load(Ordering::Acquire);
         let received = receive(&mut self.ring, self.stream)?;
-        if received == Received::End {
+        if received == ReadOutcome::Closed {
             return Ok(Flow::Ended);
         }
         self.filled_ring = self.ring.len() == self.ring.footprint();
-        let is_quiet = received == Received::Nothing && between_requests && self.ring.is_empty();
-        if shutting_down && is_quiet && self.channel.occupant.is_idle() {
+        let is_quiet =
+            received == ReadOutcome::NotReady && between_requests && self.ring.is_empty();
+        if shutting_down && is_quiet && self.channel.slot.is_idle() {
             self.close_in_order();
             return Ok(Flow::Ended);
         }
@@ -157,7 +158,7 @@
 
     /// Ends the connection if nothing has been owed on it for too long.
     pub(super) fn check_idle_timeout(&self) -> Flow {
-        if !self.channel.occupant.outstayed(&self.doors.limits) {
+        if !self.channel.slot.has_idle_timed_out(&self.context.limits) {
             return Flow::Open;
         }
         self.close_in_order();
@@ -166,21 +167,21 @@
 
     /// Lets other connections run if this client sends at full speed: it would else keep the scheduler's one thread.
     pub(super) fn finish_turn(&mut self) {
-        self.reads.made(self.filled_ring);
+        self.fairness.record(self.filled_ring);
     }
 
     /// Discards what arrives until the client disconnects or the connection is closed.
     pub(super) fn discard_until_closed(&mut self) {
-        let mut reads = Reads::default();
+        let mut fairness = ReadFairness::default();
         loop {
-            reads.made(self.ring.len() == self.ring.footprint());
+            fairness.record(self.ring.len() == self.ring.footprint());
             self.ring.truncate(0);
             if self.channel.out.closing() {
                 return;
             }
             if matches!(
                 receive(&mut self.ring, self.stream),
-                Ok(Received::End) | Err(_)
+                Ok(ReadOutcome::Closed) | Err(_)
             ) {
                 return;
             }
@@ -189,9 +190,9 @@
 
     /// Has the connection linger if a response may still be on its way.
     fn close_in_order(&self) {
-        let linger = self.doors.limits.linger;
+        let linger = self.context.limits.linger;
         self.channel
-            .close_if(self.channel.occupant.answered_within(linger));
+            .close_if(self.channel.slot.finished_within(linger));
     }
 }
 
@@ -206,32 +207,32 @@
 /// Serves one connection until it ends: `read` parses its requests, `client` takes their responses.
 pub(super) fn serve<C: ConnectionClient>(
     mut stream: TcpStream,
-    doors: &Doors,
-    seat: &Seat,
+    context: &ListenerContext,
+    guard: &SlotGuard,
     protocol: &Protocol,
     client: impl FnOnce(ResponseChannel) -> C,
     read: impl FnOnce(&mut ConnectionReader, &Arc<C>) -> Result<(), ConnectionError>,
 ) {
     let peer = stream.peer_addr().map_or("?".to_owned(), |p| p.to_string());
-    let out = match stream.try_clone().and_then(|s| doors.outbox(s)) {
+    let out = match stream.try_clone().and_then(|s| context.outbox(s)) {
         Ok(out) => out,
         Err(e) => return protocol.log.not_started(protocol.front, &peer, &e),
     };
-    seat.occupant.writes_to(&out);
-    let occupant = seat.occupant.clone();
-    let client = Arc::new(client(ResponseChannel { occupant, out }));
+    guard.slot.attach_outbox(&out);
+    let slot = guard.slot.clone();
+    let client = Arc::new(client(ResponseChannel { slot, out }));
     let channel = client.channel();
-    let ended = ConnectionReader::new(doors, channel, &mut stream)
+    let ended = ConnectionReader::new(context, channel, &mut stream)
         .map_err(ConnectionError::from)
         .and_then(|mut reader| read(&mut reader, &client));
     if let Err(error) = ended {
         protocol.log.closed(protocol.front, &peer, &error);
     }
     client.mark_disconnected();
-    doors.core.client_disconnected(seat.occupant.number);
+    context.core.client_disconnected(guard.slot.number);
     // A response may be on its way there; else nothing is lost by a close that takes no time and keeps no slot.
     if channel.out.closing() {
-        channel.out.linger(stream, &doors.limits);
+        channel.out.linger(stream, &context.limits);
     } else {
         channel.out.drop_now();
     }
--- a/wrenseam/src/front/fastcgi/answers.rs
+++ b/wrenseam/src/front/fastcgi/answers.rs
@@ -85,14 +85,14 @@
             return;
         };
         let was_valid = !matches!(answer, Answer::Failed);
-        self.channel.occupant.answered(was_valid, || {
+        self.channel.slot.answer_request(was_valid, || {
             self.channel.out.send(answer_response(tag as u16, &answer));
             self.channel.close_if(request.close);
         });
     }
 
     fn connection(&self) -> u64 {
-        self.channel.occupant.number
+        self.channel.slot.number
     }
 }
 
--- a/wrenseam/src/front/fastcgi/connection.rs
+++ b/wrenseam/src/front/fastcgi/connection.rs
@@ -8,9 +8,9 @@
 use crate::front::connection::{
     self, ConnectionError, ConnectionLog, ConnectionReader, Flow, Protocol,
 };
-use crate::front::{Doors, ParameterError};
+use crate::front::{ListenerContext, ParameterError};
 use crate::limits::Limits;
-use crate::net::Seat;
+use crate::net::SlotGuard;
 use may::net::TcpStream;
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -20,20 +20,20 @@
 static LOG: ConnectionLog = ConnectionLog::new();
 
 /// Serves one connection until it ends.
-pub fn serve(stream: TcpStream, doors: &Doors, seat: Seat) {
+pub fn serve(stream: TcpStream, context: &ListenerContext, guard: SlotGuard) {
     let protocol = Protocol {
         front: "fastcgi",
         log: &LOG,
     };
     let read = |reader: &mut ConnectionReader, client: &Arc<FastCgiClient>| {
-        FastCgiConnection::new(doors, client.clone()).run(reader)
+        FastCgiConnection::new(context, client.clone()).run(reader)
     };
-    connection::serve(stream, doors, &seat, &protocol, FastCgiClient::new, read);
+    connection::serve(stream, context, &guard, &protocol, FastCgiClient::new, read);
 }
 
 /// The requests of one connection.
 pub(super) struct FastCgiConnection<'a> {
-    pub(super) doors: &'a Doors,
+    pub(super) context: &'a ListenerContext,
     pub(super) client: Arc<FastCgiClient>,
     partial: HashMap<u16, PartialRequest>,
     /// How many requests of it have been sent to the core.
@@ -43,9 +43,9 @@
 }
 
 impl<'a> FastCgiConnection<'a> {
-    fn new(doors: &'a Doors, client: Arc<FastCgiClient>) -> Self {
+    fn new(context: &'a ListenerContext, client: Arc<FastCgiClient>) -> Self {
         FastCgiConnection {
-            doors,
+            context,
             client,
             partial: HashMap::new(),
             submitted: 0,
@@ -54,7 +54,7 @@
     }
 
     fn run(&mut self, reader: &mut ConnectionReader) -> Result<(), ConnectionError> {
-        let check_interval = self.doors.limits.client_check;
+        let check_interval = self.context.limits.client_check;
         let mut records = RecordDecoder::new();
         let mut checked_at = Instant::now();
         loop {
@@ -83,15 +83,15 @@
     /// Rejects requests that are not complete in time, or ends the connection if nothing else is owed on it. Guards
     /// against requests that never end: each is owed a response or a close, and holds memory.
     fn check_read_timeouts(&mut self, records: &RecordDecoder) -> Result<(), ConnectionError> {
-        let limit = self.doors.limits.request_read;
-        if records.is_overdue(limit) && self.client.channel.occupant.is_idle() {
+        let limit = self.context.limits.request_read;
+        if records.is_overdue(limit) && self.client.channel.slot.is_idle() {
             return Err(FastCgiError::RecordTimeout.into());
         }
         let any_overdue = self
             .partial
             .values()
             .any(|partial| partial.is_overdue(limit));
-        if any_overdue && self.client.channel.occupant.is_idle() {
+        if any_overdue && self.client.channel.slot.is_idle() {
             return Err(ConnectionError::RequestTimeout);
         }
         let overdue = |partial: &PartialRequest| partial.is_accepted() && partial.is_overdue(limit);
@@ -126,14 +126,14 @@
                 self.client.channel.out.send(response);
             }
         }
-        self.client.channel.occupant.heard();
+        self.client.channel.slot.touch();
         self.client.channel.close_if(close);
     }
 
     /// Counts what is discarded; too much of it ends the connection.
     fn discard(&mut self, bytes: usize) -> Result<(), ConnectionError> {
         self.discarded += bytes;
-        if self.discarded > self.doors.limits.discard {
+        if self.discarded > self.context.limits.discard {
             return Err(FastCgiError::DiscardLimit.into());
         }
         Ok(())
@@ -160,8 +160,8 @@
     }
 
     fn report_values(&self, content: &[u8]) {
-        let connections = self.doors.limits.client_connections;
-        let requests = connections * self.doors.limits.requests_per_connection;
+        let connections = self.context.limits.client_connections;
+        let requests = connections * self.context.limits.requests_per_connection;
         let mut values = Vec::new();
         for (name, _) in pairs(content) {
             let value = match name.as_str() {
@@ -187,10 +187,11 @@
         }
         if !begin.is_responder() {
             self.end_at_once(request_id, EarlyEnd::UnknownRole);
-        } else if open_count >= self.doors.limits.requests_per_connection {
+        } else if open_count >= self.context.limits.requests_per_connection {
             self.end_at_once(request_id, EarlyEnd::TooManyRequests);
         } else {
-            let partial = PartialRequest::new(!begin.keeps_connection(), self.doors.budget.take(0));
+            let partial =
+                PartialRequest::new(!begin.keeps_connection(), self.context.budget.take(0));
             self.partial.insert(request_id, partial);
         }
         Ok(())
@@ -210,10 +211,10 @@
         };
         if let Some(request) = open.remove(&request_id) {
             request.client_gone.store(true, Ordering::Release);
-            let occupant = &self.client.channel.occupant;
-            occupant.ended(false);
+            let slot = &self.client.channel.slot;
+            slot.finish_request(false);
             let tag = request_tag(request.use_number, request_id);
-            self.doors.core.request_cancelled(occupant.number, tag);
+            self.context.core.request_cancelled(slot.number, tag);
         }
     }
 
@@ -231,7 +232,7 @@
         content: &[u8],
         append: fn(&mut PartialRequest, &[u8], &Limits) -> Result<(), Rejection>,
     ) -> Result<(), ConnectionError> {
-        let limits = &self.doors.limits;
+        let limits = &self.context.limits;
         let Some(partial) = self.accepted(request_id) else {
             return self.discard(content.len());
         };
--- a/wrenseam/src/front/fastcgi/dispatch.rs
+++ b/wrenseam/src/front/fastcgi/dispatch.rs
@@ -26,11 +26,11 @@
             self.report_health(request_id, partial.close);
             return Ok(());
         }
-        if self.doors.shared.stopping.load(Ordering::Acquire) {
+        if self.context.process_state.stopping.load(Ordering::Acquire) {
             self.reject_in_shutdown(request_id, &parameters, partial);
             return Ok(());
         }
-        let request = parameters.to_request(partial.body, &self.doors.limits);
+        let request = parameters.to_request(partial.body, &self.context.limits);
         let request = request.map(|request| Request {
             received_at,
             reserved_bytes: partial.reserved_bytes,
@@ -47,7 +47,7 @@
     }
 
     fn report_health(&self, request_id: u16, close: bool) {
-        let status = if self.doors.shared.taking() {
+        let status = if self.context.process_state.taking() {
             "200 OK"
         } else {
             "503 Service Unavailable"
@@ -63,8 +63,8 @@
         parameters: &Parameters,
         partial: PartialRequest,
     ) {
-        if let Ok(request) = parameters.to_request(partial.body, &self.doors.limits) {
-            self.doors
+        if let Ok(request) = parameters.to_request(partial.body, &self.context.limits) {
+            self.context
                 .core
                 .ended_at_front(request.class, RequestEnd::Rejected);
         }
@@ -83,7 +83,7 @@
         request: Request,
         close: bool,
     ) -> Result<(), ConnectionError> {
-        if !self.client.channel.occupant.opened() {
+        if !self.client.channel.slot.begin_request() {
             return Err(ConnectionError::Evicted);
         }
         self.submitted += 1;
@@ -96,7 +96,7 @@
             open.insert(request_id, open_request);
         }
         let tag = request_tag(self.submitted, request_id);
-        self.doors.core.request(request, self.client.clone(), tag);
+        self.context.core.request(request, self.client.clone(), tag);
         Ok(())
     }
 }
--- a/wrenseam/src/front/kserve/answers.rs
+++ b/wrenseam/src/front/kserve/answers.rs
@@ -134,13 +134,13 @@
 impl Client for HttpClient {
     fn answer(&self, tag: u64, answer: Answer) {
         let was_valid = !matches!(answer, Answer::Failed);
-        self.channel.occupant.answered(was_valid, || {
+        self.channel.slot.answer_request(was_valid, || {
             self.respond(tag, |close| answer_response(answer, close));
         });
     }
 
     fn connection(&self) -> u64 {
-        self.channel.occupant.number
+        self.channel.slot.number
     }
 }
 
--- a/wrenseam/src/front/kserve/connection.rs
+++ b/wrenseam/src/front/kserve/connection.rs
@@ -6,9 +6,9 @@
 use crate::front::connection::{
     self, ConnectionError, ConnectionLog, ConnectionReader, Flow, Protocol,
 };
-use crate::front::Doors;
+use crate::front::ListenerContext;
 use crate::http::{response, Status};
-use crate::net::Seat;
+use crate::net::SlotGuard;
 use may::net::TcpStream;
 use std::sync::Arc;
 
@@ -20,13 +20,13 @@
 static LOG: ConnectionLog = ConnectionLog::new();
 
 /// Serves one v2 client connection until it ends.
-pub fn serve(stream: TcpStream, doors: &Doors, seat: Seat) {
-    serve_routes(stream, doors, &seat, "kserve", routes::reply);
+pub fn serve(stream: TcpStream, context: &ListenerContext, guard: SlotGuard) {
+    serve_routes(stream, context, &guard, "kserve", routes::reply);
 }
 
 /// Serves one connection of the read-only administration API.
-pub fn serve_admin(stream: TcpStream, doors: &Doors, seat: Seat) {
-    serve_routes(stream, doors, &seat, "admin", admin_api::reply);
+pub fn serve_admin(stream: TcpStream, context: &ListenerContext, guard: SlotGuard) {
+    serve_routes(stream, context, &guard, "admin", admin_api::reply);
 }
 
 /// What answers the requests of a connection.
@@ -34,27 +34,27 @@
 
 fn serve_routes(
     stream: TcpStream,
-    doors: &Doors,
-    seat: &Seat,
+    context: &ListenerContext,
+    guard: &SlotGuard,
     front: &'static str,
     routes: Routes,
 ) {
     let protocol = Protocol { front, log: &LOG };
     let read = |reader: &mut ConnectionReader, client: &Arc<HttpClient>| {
         let mut connection = HttpConnection {
-            doors,
+            context,
             client: client.clone(),
             tag: 0,
             routes,
         };
         connection.run(reader)
     };
-    connection::serve(stream, doors, seat, &protocol, HttpClient::new, read);
+    connection::serve(stream, context, guard, &protocol, HttpClient::new, read);
 }
 
 /// The requests of one connection.
 pub(super) struct HttpConnection<'a> {
-    pub(super) doors: &'a Doors,
+    pub(super) context: &'a ListenerContext,
     pub(super) client: Arc<HttpClient>,
     /// The tag of the last complete request, counted from 1.
     pub(super) tag: u64,
@@ -63,7 +63,7 @@
 
 impl HttpConnection<'_> {
     fn run(&mut self, reader: &mut ConnectionReader) -> Result<(), ConnectionError> {
-        let limits = &self.doors.limits;
+        let limits = &self.context.limits;
         let mut decoder = RequestDecoder::default();
         loop {
             if reader.receive(decoder.is_between_requests())? == Flow::Ended {
@@ -95,7 +95,7 @@
         reader: &mut ConnectionReader,
     ) -> Result<Option<Decoded>, HttpError> {
         decoder
-            .next(&mut reader.ring, &self.doors.limits)
+            .next(&mut reader.ring, &self.context.limits)
             .inspect_err(|error| self.respond_last(error))
     }
 
@@ -124,13 +124,13 @@
 
     fn complete(&mut self, request: HttpRequest) -> Result<(), ConnectionError> {
         self.tag += 1;
-        let limit = self.doors.limits.requests_per_connection;
+        let limit = self.context.limits.requests_per_connection;
         self.client.open(self.tag, request.head.close, limit)?;
         match (self.routes)(self, request) {
             Reply::Deferred => Ok(()),
             Reply::Evicted => Err(ConnectionError::Evicted),
             Reply::Now { status, body } => {
-                self.client.channel.occupant.heard();
+                self.client.channel.slot.touch();
                 let headers = match status {
                     Status::ServiceUnavailable => RETRY_AFTER,
                     _ => "",
--- a/wrenseam/src/front/kserve/routes.rs
+++ b/wrenseam/src/front/kserve/routes.rs
@@ -65,7 +65,7 @@
     if segments.len() > 4 && segments[3] == "versions" {
         segments.drain(3..5);
     }
-    let is_ready = || connection.doors.shared.taking();
+    let is_ready = || connection.context.process_state.taking();
     match (head.method.as_str(), &segments[..]) {
         ("GET", ["v2", "health", "live"]) => Reply::now(Status::Ok, r#"{"live":true}"#),
         ("GET", ["v2", "health", "ready"]) => server_ready(is_ready()),
@@ -102,22 +102,22 @@
 
 /// Sends a request to the core, or rejects it.
 fn infer(connection: &HttpConnection, name: &str, body: Vec<u8>) -> Reply {
-    let doors = connection.doors;
+    let context = connection.context;
     let received_at = Instant::now();
-    let Some(reserved_bytes) = doors.budget.take(body.len()) else {
+    let Some(reserved_bytes) = context.budget.take(body.len()) else {
         note!("kserve: request refused: the bytes held over all requests are at their bound");
         return Reply::error(Status::ServiceUnavailable, "too many bytes are held");
     };
-    let request = match to_request(name, body, &doors.limits) {
+    let request = match to_request(name, body, &context.limits) {
         Ok(request) => request,
         Err(error) => {
             note!("kserve: request failed: {error}");
             return Reply::error(Status::BadRequest, &error.to_string());
         }
     };
-    if doors.shared.stopping.load(Ordering::Acquire) {
+    if context.process_state.stopping.load(Ordering::Acquire) {
         // The process ends soon: another process takes what comes now.
-        doors
+        context
             .core
             .ended_at_front(request.class, RequestEnd::Rejected);
         return Reply::error(Status::ServiceUnavailable, "the front end is ending");
@@ -134,11 +134,11 @@
 fn submit(connection: &HttpConnection, request: Request) -> Reply {
     let client = &connection.client;
     client.watch(connection.tag, request.client_gone.clone());
-    if !client.channel.occupant.opened() {
+    if !client.channel.slot.begin_request() {
         return Reply::Evicted;
     }
     connection
-        .doors
+        .context
         .core
         .request(request, client.clone(), connection.tag);
     Reply::Deferred
--- a/wrenseam/src/front/listener.rs
+++ b/wrenseam/src/front/listener.rs
@@ -1,20 +1,26 @@
 //! The listeners of all fronts: what their connections need, and how one is accepted or closed.
 use crate::limits::{Budget, Limits};
-use crate::net::{pause, spawn, Outbox, Seat, Seats};
+use crate::net::{sleep, spawn, ConnectionSlots, Outbox, SlotGuard};
 use crate::process_state::ProcessState;
 use crate::queue::CoreHandle;
 use may::net::{TcpListener, TcpStream};
+use std::io;
 use std::net::SocketAddr;
 use std::os::fd::{FromRawFd, IntoRawFd};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
 
-const SEAT_TRIES: usize = 20;
+/// How often a slot is asked for again after an eviction: the evicted connections close meanwhile.
+const SLOT_ATTEMPTS: usize = 20;
+/// How long the evicted connections have for it each time.
+const SLOT_WAIT: Duration = Duration::from_millis(1);
+/// How long an accept waits after one that failed: usually the process is short of descriptors.
+pub(super) const ACCEPT_RETRY: Duration = Duration::from_millis(10);
 
-/// What every front needs.
+/// What the connections of all listeners share.
 #[derive(Clone)]
-pub struct Doors {
+pub struct ListenerContext {
     /// The core's queue.
     pub core: CoreHandle,
     /// All limits.
@@ -22,74 +28,108 @@
     /// Bytes held over all requests.
     pub budget: Budget,
     /// Client connections over all fronts.
-    pub seats: Seats,
+    pub slots: ConnectionSlots,
     /// Bytes of answers not yet written.
-    pub unsent: Arc<AtomicUsize>,
-    /// What the core shows.
-    pub shared: Arc<ProcessState>,
-    /// Set once the listeners are to close.
-    pub closing: Arc<AtomicBool>,
-    /// Set once the process is to end: each connection closes when nothing lies unread, is half read or owed on it.
-    pub ending: Arc<AtomicBool>,
+    pub unsent_bytes: Arc<AtomicUsize>,
+    /// What the core publishes.
+    pub process_state: Arc<ProcessState>,
+    /// Set once the listeners close.
+    pub listeners_closing: Arc<AtomicBool>,
+    /// Set once the process ends: each connection closes when nothing is unread, half read or owed on it.
+    pub shutting_down: Arc<AtomicBool>,
     /// Loops that accept connections.
-    pub accepting: Arc<AtomicUsize>,
+    pub accept_loops: Arc<AtomicUsize>,
 }
 
-impl Doors {
+impl ListenerContext {
+    /// The context of a process that starts.
+    pub fn new(core: CoreHandle, limits: Arc<Limits>, process_state: Arc<ProcessState>) -> Self {
+        ListenerContext {
+            core,
+            budget: Budget::new(limits.held_bytes),
+            slots: ConnectionSlots::new(
+                limits.client_connections,
+                process_state.draining.clone(),
+                process_state.clients.clone(),
+            ),
+            limits,
+            unsent_bytes: Arc::default(),
+            process_state,
+            listeners_closing: Arc::default(),
+            shutting_down: Arc::default(),
+            accept_loops: Arc::default(),
+        }
+    }
+
     /// Starts the writer of a client connection.
-    pub fn outbox(&self, stream: TcpStream) -> std::io::Result<Outbox> {
-        Outbox::start(stream, &self.limits, &self.budget, &self.unsent)
+    ///
+    /// # Errors
+    /// No coroutine could be started.
+    pub fn outbox(&self, stream: TcpStream) -> io::Result<Outbox> {
+        Outbox::start(stream, &self.limits, &self.budget, &self.unsent_bytes)
     }
 }
 
 /// Accepts connections until the listeners close, each served by a coroutine of its own.
-pub fn accept(listener: &TcpListener, doors: &Doors, front: &'static str, serve: Serve) {
+pub fn accept(
+    listener: &TcpListener,
+    context: &ListenerContext,
+    front: &'static str,
+    serve: Serve,
+) {
     loop {
         match listener.accept() {
             Ok((stream, peer)) => {
-                admit(stream, peer, doors, front, serve);
-                // Lets the connection be read before the next is taken: many that come at once would else
-                // all stand here as if they had nothing to say.
+                admit(stream, peer, context, front, serve);
+                // Lets the connection be read before the next is taken: many that come at once would else all be
+                // idle here, as if they had nothing to send.
                 may::coroutine::yield_now();
             }
-            Err(_) if doors.closing.load(Ordering::Acquire) => break,
-            Err(e) => {
-                note!("{front}: accept: {e}");
-                pause(Duration::from_millis(10));
+            Err(_) if context.listeners_closing.load(Ordering::Acquire) => break,
+            Err(error) => {
+                note!("{front}: accept: {error}");
+                sleep(ACCEPT_RETRY);
             }
         }
     }
-    doors.accepting.fetch_sub(1, Ordering::AcqRel);
+    context.accept_loops.fetch_sub(1, Ordering::AcqRel);
 }
 
-fn admit(stream: TcpStream, peer: SocketAddr, doors: &Doors, front: &'static str, serve: Serve) {
+fn admit(
+    stream: TcpStream,
+    peer: SocketAddr,
+    context: &ListenerContext,
+    front: &'static str,
+    serve: Serve,
+) {
     // Guards the descriptors that workers and the board need.
-    let Some(seat) = seat(doors) else {
+    let Some(guard) = acquire_slot(context) else {
         return note!("{front}: connection of {peer} closed, all client connections are taken");
     };
-    let inside = doors.clone();
+    let connection_context = context.clone();
     let _ = stream.set_nodelay(true); // a connection without it is only slower
-    if let Err(e) = spawn(doors.limits.stack, move || serve(stream, &inside, seat)) {
-        note!("{front}: connection of {peer} closed: {e}");
+    let run = move || serve(stream, &connection_context, guard);
+    if let Err(error) = spawn(context.limits.stack, run) {
+        note!("{front}: connection of {peer} closed: {error}");
     }
 }
 
 /// Closes a listener. What stands in its queue by then the machine has accepted: it is taken first, or a reset would
 /// be its answer.
-pub fn close(listener: &Listener, doors: &Doors) {
+pub fn close(listener: &Listener, context: &ListenerContext) {
     while let Ok((stream, peer)) = listener.socket.inner().accept() {
         // SAFETY: the descriptor is open and ours alone, `into_raw_fd` has just let go of it; `may` has no other way to
         // take a connection over, and its own `accept` would wait where the queue is empty.
         #[allow(unsafe_code)]
         let stream = unsafe { TcpStream::from_raw_fd(stream.into_raw_fd()) };
-        admit(stream, peer, doors, listener.front, listener.serve);
+        admit(stream, peer, context, listener.front, listener.serve);
     }
-    // Wakes the coroutine that waits in accept; it sees that the doors are closing.
+    // Wakes the coroutine that waits in accept; it sees that the listeners close.
     let _ = socket2::SockRef::from(listener.socket.inner()).shutdown(std::net::Shutdown::Both);
 }
 
 /// What serves a connection of some front.
-pub type Serve = fn(TcpStream, &Doors, Seat);
+pub type Serve = fn(TcpStream, &ListenerContext, SlotGuard);
 
 /// A front's listener.
 pub struct Listener {
@@ -101,15 +141,15 @@
     pub serve: Serve,
 }
 
-/// A seat, if need be one that others give up.
-fn seat(doors: &Doors) -> Option<Seat> {
-    let mut seat = doors.seats.take();
-    for _ in 0..SEAT_TRIES {
-        if seat.is_some() || !doors.seats.clear() {
+/// A slot, if need be that of an idle connection.
+fn acquire_slot(context: &ListenerContext) -> Option<SlotGuard> {
+    let mut guard = context.slots.acquire();
+    for _ in 0..SLOT_ATTEMPTS {
+        if guard.is_some() || !context.slots.evict_idle() {
             break;
         }
-        pause(Duration::from_millis(1)); // those that were told to close do so meanwhile
-        seat = doors.seats.take();
+        sleep(SLOT_WAIT); // evicted connections close meanwhile
+        guard = context.slots.acquire();
     }
-    seat
+    guard
 }
--- a/wrenseam/src/front/mod.rs
+++ b/wrenseam/src/front/mod.rs
@@ -6,5 +6,5 @@
 mod listener;
 mod parameters;
 
-pub use listener::{accept, close, Doors, Listener, Serve};
+pub use listener::{accept, close, Listener, ListenerContext, Serve};
 pub use parameters::{is_valid_idempotency_key, parse_function, NumericParameters, ParameterError};
--- a/wrenseam/src/lib.rs
+++ b/wrenseam/src/lib.rs
@@ -29,11 +29,10 @@
 use crate::process_state::ProcessState;
 use crate::queue::{CoreHandle, Message};
 use config::Config;
-use front::Doors;
-use limits::Budget;
+use front::ListenerContext;
 use may::net::TcpListener;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::atomic::Ordering;
 use std::sync::{mpsc, Arc};
 
 /// Runs one front end until it has been told to stop and nothing is open.
@@ -55,21 +54,7 @@
         Config::digest_with(config.settings_digest, config.board),
         Ordering::Release,
     );
-    let doors = Doors {
-        core: core_handle.clone(),
-        limits: limits.clone(),
-        budget: Budget::new(limits.held_bytes),
-        seats: net::Seats::new(
-            limits.client_connections,
-            shared.draining.clone(),
-            shared.clients.clone(),
-        ),
-        unsent: Arc::default(),
-        shared: shared.clone(),
-        closing: Arc::new(AtomicBool::new(false)),
-        ending: Arc::default(),
-        accepting: Arc::default(),
-    };
+    let context = ListenerContext::new(core_handle.clone(), limits.clone(), shared.clone());
     let seed = config.seed;
     let mut core = Core::new(
         config.settings.clone(),
@@ -120,7 +105,7 @@
     if named.as_ref().is_some_and(front::admin::Named::aside) {
         let _ = core_handle.send(Message::Standby(true));
     }
-    let main = listen(config.listen, &doors, "fastcgi", front::fastcgi::serve)?;
+    let main = listen(config.listen, &context, "fastcgi", front::fastcgi::serve)?;
     announce(&config.name, &main.socket);
     let mut listeners = vec![main];
     if let Some(kserve) = config.kserve {
@@ -129,27 +114,33 @@
                 discovery::client::endpoints(endpoints).map_err(|e| format!("endpoints: {e}"))?;
             core_handle.endpoint_update(TransportProtocol::Kserve, true, members);
         }
-        let front = listen(kserve.listen, &doors, "kserve", front::kserve::serve)?;
+        let front = listen(kserve.listen, &context, "kserve", front::kserve::serve)?;
         announce("KServe v2", &front.socket);
         listeners.push(front);
         if let Some(admin) = kserve.admin {
-            let front = listen(admin, &doors, "admin", front::kserve::serve_admin)?;
+            let front = listen(admin, &context, "admin", front::kserve::serve_admin)?;
             announce("administration", &front.socket);
             listeners.push(front);
         }
     }
     if let (Some(admin), Some(named)) = (config.admin, named) {
         let listener = TcpListener::bind(admin).map_err(|e| format!("admin {admin}: {e}"))?;
-        let (listener, inside) = (Arc::new(listener), doors.clone());
+        let (listener, inside) = (Arc::new(listener), context.clone());
         announce("the operators' door", &listener);
         let door = listener.clone();
         net::spawn(limits.stack, move || front::admin::accept(&door, &inside))
             .map_err(|e| format!("admin {admin}: {e}"))?;
-        let inside = doors.clone();
+        let inside = context.clone();
         net::spawn(limits.stack, move || front::admin::follow(&inside, named))
             .map_err(|e| format!("exclusions: {e}"))?;
     }
-    shutdown::wait(signals, config.settings_digest, &listeners, &doors, &board);
+    shutdown::wait(
+        signals,
+        config.settings_digest,
+        &listeners,
+        &context,
+        &board,
+    );
     if config.fleet.is_some() {
         gossip::leave(&shared);
     }
@@ -165,15 +156,15 @@
 
 fn listen(
     address: SocketAddr,
-    doors: &Doors,
+    context: &ListenerContext,
     front: &'static str,
     serve: front::Serve,
 ) -> Result<front::Listener, String> {
     let listener = TcpListener::bind(address).map_err(|e| format!("{address}: {e}"))?;
-    let (socket, doors) = (Arc::new(listener), doors.clone());
+    let (socket, context) = (Arc::new(listener), context.clone());
     let inside = socket.clone();
-    doors.accepting.fetch_add(1, Ordering::AcqRel);
-    let accept = move || front::accept(&inside, &doors, front, serve);
+    context.accept_loops.fetch_add(1, Ordering::AcqRel);
+    let accept = move || front::accept(&inside, &context, front, serve);
     net::spawn(64 * 1024, accept).map_err(|e| format!("{address}: {e}"))?;
     Ok(front::Listener {
         socket,
--- a/wrenseam/src/net/failure.rs
+++ b/wrenseam/src/net/failure.rs
@@ -1,5 +1,5 @@
 //! What a failed system call on a connection asks for, in one place for all of them.
-use super::pause;
+use super::sleep;
 use crate::ring::Ring;
 use std::io::{self, ErrorKind, Read};
 use std::time::Duration;
@@ -41,13 +41,13 @@
 
 /// What a read brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Received {
+pub enum ReadOutcome {
     /// The other side has closed.
-    End,
+    Closed,
     /// Bytes, which are in the ring.
-    Bytes,
+    Data,
     /// Nothing so far.
-    Nothing,
+    NotReady,
 }
 
 /// One read into a ring with free space. A read that failed for want of memory brought nothing: the connection, and
@@ -55,15 +55,15 @@
 ///
 /// # Errors
 /// The connection is over.
-pub fn receive(ring: &mut Ring, from: &mut impl Read) -> io::Result<Received> {
+pub fn receive(ring: &mut Ring, from: &mut impl Read) -> io::Result<ReadOutcome> {
     match ring.fill(from) {
-        Ok(0) => Ok(Received::End),
-        Ok(_) => Ok(Received::Bytes),
+        Ok(0) => Ok(ReadOutcome::Closed),
+        Ok(_) => Ok(ReadOutcome::Data),
         Err(e) => match Failure::of(&e) {
-            Failure::Again => Ok(Received::Nothing),
+            Failure::Again => Ok(ReadOutcome::NotReady),
             Failure::Later => {
-                pause(SHORTAGE);
-                Ok(Received::Nothing)
+                sleep(SHORTAGE);
+                Ok(ReadOutcome::NotReady)
             }
             Failure::Over => Err(e),
         },
--- a/wrenseam/src/net/reads.rs
+++ b/wrenseam/src/net/fairness.rs
@@ -1,5 +1,5 @@
-//! Clients that send at full speed take turns.
-use super::pause;
+//! Turns among clients that send at full speed, so that none keeps the scheduler's one thread.
+use super::sleep;
 use may::sync::{Mutex, MutexGuard};
 use std::sync::OnceLock;
 use std::time::Duration;
@@ -10,31 +10,32 @@
 const TURN: Duration = Duration::from_micros(100);
 /// Held by the one reader whose client may send at full speed now. Where each of several only waited for its time, the
 /// next was ready before the one had read, and the scheduler never came to look at a socket.
-static AT_FULL_SPEED: OnceLock<Mutex<()>> = OnceLock::new();
+static FULL_SPEED: OnceLock<Mutex<()>> = OnceLock::new();
 
-/// Counts reads of a client that sends at full speed.
+/// Counts the reads of one connection.
 #[derive(Default)]
-pub struct Reads {
-    full: u32,
+pub struct ReadFairness {
+    full_reads: u32,
     turn: Option<MutexGuard<'static, ()>>,
 }
 
-impl Reads {
-    /// One read was made; `full` if it filled the ring, so that more may lie behind it.
-    pub fn made(&mut self, full: bool) {
-        if !full {
-            (self.full, self.turn) = (0, None);
+impl ReadFairness {
+    /// One read was made; it `filled` the ring if more may lie behind it.
+    pub fn record(&mut self, filled: bool) {
+        if !filled {
+            self.full_reads = 0;
+            self.turn = None;
             return;
         }
-        self.full += 1;
-        if self.full < FULL_READS {
+        self.full_reads += 1;
+        if self.full_reads < FULL_READS {
             return;
         }
-        self.full = 0;
+        self.full_reads = 0;
         if self.turn.is_some() {
-            pause(TURN); // nobody else at full speed runs meanwhile, so all other connections are looked at
+            sleep(TURN); // no other reader at full speed runs meanwhile, so all other connections are looked at
         }
         self.turn = None;
-        self.turn = AT_FULL_SPEED.get_or_init(Mutex::default).lock().ok();
+        self.turn = FULL_SPEED.get_or_init(Mutex::default).lock().ok();
     }
 }
--- a/wrenseam/src/net/mod.rs
+++ b/wrenseam/src/net/mod.rs
@@ -1,21 +1,23 @@
 //! What all connections share: coroutines, system calls and their failures, the sending side of client connections,
-//! and their count.
+//! and the limit of their number.
 mod calls;
 mod failure;
+mod fairness;
 mod outbox;
-mod reads;
-mod seats;
+
+mod slots;
 
 pub use calls::{write_now, DirectCalls, SystemCalls};
-pub use failure::{receive, timed_out, Failure, Received};
+pub use failure::{receive, timed_out, Failure, ReadOutcome};
+pub use fairness::ReadFairness;
 pub use outbox::Outbox;
-pub use reads::Reads;
-pub use seats::{Occupant, Seat, Seats};
+pub use slots::{ConnectionSlot, ConnectionSlots, SlotGuard};
 
 use std::io;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
+/// The number of the next connection.
 static CONNECTIONS: AtomicU64 = AtomicU64::new(1);
 
 /// A number that no other connection of the program has.
@@ -30,15 +32,15 @@
     may::go!(builder, run).map(|_| ())
 }
 
-/// Has a coroutine wait, and go on with the scheduler's other coroutines.
-pub fn pause(span: Duration) {
+/// Has a coroutine sleep, and go on with the scheduler's other coroutines.
+pub fn sleep(span: Duration) {
     may::coroutine::sleep(span);
-    back();
+    resume_on_scheduler();
 }
 
-/// Takes a coroutine back to the scheduler's thread from where a wait's time was up: `may` has it go on in its thread
-/// of timers. A socket that is waited for there can be ready, used and gone in the scheduler's thread before the wait
-/// has been written down: the thread of timers then panicked, and no wait of the process ever ended again.
-pub fn back() {
+/// Takes a coroutine back to the scheduler's thread after a wait that timed out: `may` resumes it in its timer thread.
+/// A socket that is waited for there can be ready, used and gone in the scheduler's thread before the wait has been
+/// registered: the timer thread then panicked, and no wait of the process ever ended again.
+pub fn resume_on_scheduler() {
     may::coroutine::yield_now();
 }
--- a/wrenseam/src/net/outbox.rs
+++ b/wrenseam/src/net/outbox.rs
@@ -1,5 +1,5 @@
 //! The sending side of a client connection.
-use super::{pause, spawn, timed_out, DirectCalls, Failure, SystemCalls};
+use super::{sleep, spawn, timed_out, DirectCalls, Failure, SystemCalls};
 use crate::limits::{Budget, Held, Limits};
 use crate::model::{ClientProbe, ClientState};
 use crate::ring::Ring;
@@ -195,7 +195,7 @@
                 && (since.elapsed() > limits.linger || self.ending.dropped.load(Ordering::Acquire));
         }
         while !self.ending.written.load(Ordering::Acquire) {
-            pause(limits.linger / 64); // the writer ends by itself: see `Limits::write_stall`
+            sleep(limits.linger / 64); // the writer ends by itself: see `Limits::write_stall`
         }
     }
 }
@@ -227,7 +227,7 @@
                     (stalled, nap) = (Duration::ZERO, NAP);
                 }
                 Err(e) if Failure::of(&e) != Failure::Over && stalled < limits.write_stall => {
-                    pause(nap);
+                    sleep(nap);
                     (stalled, nap) = (stalled + nap, (2 * nap).min(limits.write_check));
                 }
                 ended => {
--- a/wrenseam/src/shutdown.rs
+++ b/wrenseam/src/shutdown.rs
@@ -2,7 +2,7 @@
 //! once nothing is open.
 use crate::config::Config;
 use crate::discovery::client::Board;
-use crate::front::{Doors, Listener};
+use crate::front::{Listener, ListenerContext};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::sync::atomic::Ordering;
@@ -16,7 +16,7 @@
     mut signals: Signals,
     settings_digest: u64,
     listeners: &[Listener],
-    doors: &Doors,
+    context: &ListenerContext,
     board: &Board,
 ) {
     for signal in signals.forever() {
@@ -28,47 +28,53 @@
             Ok(address) => {
                 eprintln!("reload: the board is at {address}");
                 let digest = Config::digest_with(settings_digest, Some(address));
-                doors.shared.config_digest.store(digest, Ordering::Release);
+                context
+                    .process_state
+                    .config_digest
+                    .store(digest, Ordering::Release);
                 board.moved(address);
             }
             Err(why) => eprintln!("reload: nothing changed: {why}"),
         }
     }
-    let limits = &doors.limits;
+    let limits = &context.limits;
     // Readiness says no at once: a process that replaces this one takes the new clients.
-    let _ = crate::front::admin::ask(doors, crate::model::AdminCommand::Evacuate);
+    let _ = crate::front::admin::ask(context, crate::model::AdminCommand::Evacuate);
     eprintln!(
         "stop: signal; listening for {} ms more",
         limits.stop_listening.as_millis()
     );
     // The front goes on sending for a while: what comes in that time is owed an answer like any other.
     std::thread::sleep(limits.stop_listening);
-    doors.shared.stopping.store(true, Ordering::Release);
-    doors.closing.store(true, Ordering::Release);
+    context
+        .process_state
+        .stopping
+        .store(true, Ordering::Release);
+    context.listeners_closing.store(true, Ordering::Release);
     listeners
         .iter()
-        .for_each(|listener| crate::front::close(listener, doors));
+        .for_each(|listener| crate::front::close(listener, context));
     // From here on each connection decides for itself, in order: what lies unread is read, what is half read comes
     // whole or is ended, what is owed is answered, what is queued is written, and then it closes and gives its seat
     // back. With no seat taken and nobody accepting nothing is left; no count passes from one to another meanwhile.
-    doors.ending.store(true, Ordering::Release);
+    context.shutting_down.store(true, Ordering::Release);
     let since = Instant::now();
     let left = || {
         // A loop that was not woken by its listener's close holds no connection: it waits for one.
-        let accepting = doors.accepting.load(Ordering::Acquire);
+        let accepting = context.accept_loops.load(Ordering::Acquire);
         let taking = if since.elapsed() < limits.linger {
             accepting
         } else {
             0
         };
-        taking + doors.shared.clients.load(Ordering::Acquire)
+        taking + context.process_state.clients.load(Ordering::Acquire)
     };
     while left() > 0 && since.elapsed() < limits.stop_at_last {
         std::thread::sleep(LOOK);
     }
     eprintln!(
         "stop: done, {} requests open",
-        doors.shared.open.load(Ordering::Acquire)
+        context.process_state.open.load(Ordering::Acquire)
     );
 }
 
--- a/wrenseam/src/worker/frames/reader.rs
+++ b/wrenseam/src/worker/frames/reader.rs
@@ -3,7 +3,7 @@
 use super::connection::{State, What};
 use crate::limits::Limits;
 use crate::model::{AttemptReport, Payload};
-use crate::net::{receive, timed_out, Received};
+use crate::net::{receive, timed_out, ReadOutcome};
 use crate::queue::CoreHandle;
 use crate::ring::Ring;
 use may::net::TcpStream;
@@ -26,11 +26,11 @@
     let end = loop {
         let asked = Instant::now();
         match receive(&mut ring, &mut stream) {
-            Ok(Received::End) => break Ok(()),
-            Ok(Received::Bytes) => {}
+            Ok(ReadOutcome::Closed) => break Ok(()),
+            Ok(ReadOutcome::Data) => {}
             // Guards against an answer that stops short: nothing more comes behind it.
             // (What came while we stood still lies there unread: that is no stop. Nor is a read that failed at once.)
-            Ok(Received::Nothing) => {
+            Ok(ReadOutcome::NotReady) => {
                 let waited = asked.elapsed() >= limits.frame_stall / 2;
                 if waited && decoder.midway() && nothing_lies(&stream) {
                     break Err("a frame stopped midway".to_owned());
--- a/wrenseam/src/worker/frames/writer.rs
+++ b/wrenseam/src/worker/frames/writer.rs
@@ -6,7 +6,7 @@
 use super::send_queue::{Cut, QueuedFrame, SendQueue};
 use crate::limits::Limits;
 use crate::model::{AttemptKey, AttemptReport};
-use crate::net::{pause, spawn, Failure, SystemCalls};
+use crate::net::{sleep, spawn, Failure, SystemCalls};
 use crate::queue::CoreHandle;
 use crate::ring::Ring;
 use may::net::TcpStream;
@@ -179,7 +179,7 @@
                 continue; // all that was in it has been cut: what did not fit comes next
             }
             if most == 0 {
-                pause(LOOK_AGAIN);
+                sleep(LOOK_AGAIN);
                 continue;
             }
             let front = self.ring.front();
@@ -194,7 +194,7 @@
                 }
                 Err(e) if Failure::of(&e) != Failure::Over => {
                     self.line.written(written); // nothing was: what was claimed waits again
-                    pause(nap);
+                    sleep(nap);
                     stalled += nap;
                     if self.line.is_overdue(written, Instant::now()) {
                         return Err(
--- a/wrenseam/src/worker/kserve/lane.rs
+++ b/wrenseam/src/worker/kserve/lane.rs
@@ -5,7 +5,9 @@
 use crate::http::{Chunked, Coded, Head};
 use crate::limits::Limits;
 use crate::model::AttemptReport;
-use crate::net::{back, pause, receive, timed_out, Failure, Received, SystemCalls};
+use crate::net::{
+    receive, resume_on_scheduler, sleep, timed_out, Failure, ReadOutcome, SystemCalls,
+};
 use crate::queue::CoreHandle;
 use crate::ring::Ring;
 use may::net::TcpStream;
@@ -43,7 +45,7 @@
     pub(super) fn run(mut self, queue: &Receiver<Job>) {
         loop {
             let next = queue.recv_timeout(self.limits.worker_idle);
-            back();
+            resume_on_scheduler();
             match next {
                 Ok(job) => {
                     self.job(&job);
@@ -92,7 +94,7 @@
         loop {
             match job.ticket.begin(Instant::now()) {
                 _ if self.withheld(job) => return false,
-                Begin::Unread => pause(LOOK_AGAIN),
+                Begin::Unread => sleep(LOOK_AGAIN),
                 begin => return begin == Begin::Go,
             }
         }
@@ -193,7 +195,7 @@
                     if whole {
                         job.ticket.release();
                     }
-                    pause(nap);
+                    sleep(nap);
                     stalled += nap;
                     if whole && !self.begin(job) {
                         return Err(Outcome::NotSent);
@@ -260,9 +262,9 @@
                 continue;
             }
             match receive(&mut ring, stream).map_err(|e| e.to_string())? {
-                Received::End => return Err("cut".to_owned()),
-                Received::Bytes => heard = Instant::now(),
-                Received::Nothing => {
+                ReadOutcome::Closed => return Err("cut".to_owned()),
+                ReadOutcome::Data => heard = Instant::now(),
+                ReadOutcome::NotReady => {
                     // Guards against an answer that stops short, as with frames.
                     let begun = told.is_some() || !head.is_empty();
                     if begun && heard.elapsed() > self.limits.frame_stall {
--- a/wrenseam/tests/closing.rs
+++ b/wrenseam/tests/closing.rs
@@ -4,14 +4,14 @@
 use common::{connect, fastcgi, fastcgi_answer, Speech, Stage, FUNCTION};
 use std::io::{Read, Write};
 use std::net::TcpStream;
-use std::sync::atomic::AtomicBool;
+use std::sync::atomic::Ordering;
 use std::sync::{mpsc, Arc};
-use wrenseam::front::{close, Doors, Listener};
-use wrenseam::limits::{Budget, Limits};
-use wrenseam::net::{Seat, Seats};
+use wrenseam::front::{close, Listener, ListenerContext};
+use wrenseam::limits::Limits;
+use wrenseam::net::SlotGuard;
 use wrenseam::queue::CoreHandle;
 
-fn greet(mut stream: may::net::TcpStream, _: &Doors, _: Seat) {
+fn greet(mut stream: may::net::TcpStream, _: &ListenerContext, _: SlotGuard) {
     let mut got = [0; 4];
     let _ = stream.read_exact(&mut got);
     let _ = stream.write_all(&got);
@@ -27,22 +27,8 @@
         &wrenseam_policy::Settings::default(),
     ));
     let (core, _inbox) = mpsc::channel();
-    let shared: Arc<wrenseam::process_state::ProcessState> = Arc::default();
-    let doors = Doors {
-        core: CoreHandle::new(core),
-        limits: limits.clone(),
-        budget: Budget::new(limits.held_bytes),
-        seats: Seats::new(
-            limits.client_connections,
-            shared.draining.clone(),
-            shared.clients.clone(),
-        ),
-        unsent: Arc::default(),
-        shared,
-        closing: Arc::new(AtomicBool::new(true)),
-        ending: Arc::default(),
-        accepting: Arc::default(),
-    };
+    let context = ListenerContext::new(CoreHandle::new(core), limits, Arc::default());
+    context.listeners_closing.store(true, Ordering::Release);
     let socket = Arc::new(may::net::TcpListener::bind("127.0.0.1:0").expect("a port"));
     let address = socket.local_addr().expect("bound");
     // Nobody accepts here: the close comes first, every time.
@@ -56,7 +42,7 @@
             front: "test",
             serve: greet,
         },
-        &doors,
+        &context,
     );
     for client in &mut clients {
         let mut got = [0; 4];
--- a/wrenseam/tests/eviction.rs
+++ b/wrenseam/tests/eviction.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use wrenseam::limits::Limits;
-use wrenseam::net::Seats;
+use wrenseam::net::ConnectionSlots;
 
 /// Client connections that the program holds at 64 descriptors, of both fronts together.
 const CONNECTIONS: usize = 8;
@@ -123,24 +123,24 @@
 /// nothing is owed on it closes ahead of the answer: the client sends its request once more, though it has run.
 #[test]
 fn a_connection_is_idle_only_once_its_answer_is_queued() {
-    let seats = Seats::new(1, Arc::default(), Arc::default());
-    let seat = seats.take().expect("a seat");
-    let occupant = &seat.occupant;
-    assert!(occupant.opened());
+    let slots = ConnectionSlots::new(1, Arc::default(), Arc::default());
+    let guard = slots.acquire().expect("a slot");
+    let slot = &guard.slot;
+    assert!(slot.begin_request());
     let queued = AtomicBool::new(false);
-    occupant.answered(true, || {
-        assert!(!occupant.is_idle(), "idle before its answer is queued");
+    slot.answer_request(true, || {
+        assert!(!slot.is_idle(), "idle before its answer is queued");
         let drained = Limits {
             client_idle: Duration::ZERO,
             ..limits()
         };
         assert!(
-            !occupant.outstayed(&drained),
+            !slot.has_idle_timed_out(&drained),
             "to be closed before its answer is queued"
         );
         queued.store(true, Ordering::Release);
     });
-    assert!(queued.load(Ordering::Acquire) && occupant.is_idle());
+    assert!(queued.load(Ordering::Acquire) && slot.is_idle());
 }
 
 fn limits() -> Limits {
--- a/wrenseam/tests/leaving.rs
+++ b/wrenseam/tests/leaving.rs
@@ -9,11 +9,9 @@
 use std::sync::atomic::Ordering;
 use std::sync::{mpsc, Arc, Mutex};
 use std::time::{Duration, Instant};
-use wrenseam::front::{fastcgi as platform, kserve, Doors, Serve};
-use wrenseam::limits::{Budget, Limits};
+use wrenseam::front::{fastcgi as platform, kserve, ListenerContext, Serve};
+use wrenseam::limits::Limits;
 use wrenseam::model::{AttemptKey, Client, ClientState, Request};
-use wrenseam::net::Seats;
-use wrenseam::process_state::ProcessState;
 use wrenseam::queue::{CoreHandle, Message};
 use wrenseam::worker::ticket::{Begin, Ticket};
 use wrenseam::worker::{frames::Frames, kserve::Kserve, Terms, Transport};
@@ -37,22 +35,7 @@
         may::config().set_workers(1).set_worker_pin(false); // as the program has it
         let limits = Arc::new(Limits::new(192, 1024, &Settings::default()));
         let (core, inbox) = mpsc::channel();
-        let shared: Arc<ProcessState> = Arc::default();
-        let doors = Doors {
-            core: CoreHandle::new(core),
-            limits: limits.clone(),
-            budget: Budget::new(limits.held_bytes),
-            seats: Seats::new(
-                limits.client_connections,
-                shared.draining.clone(),
-                shared.clients.clone(),
-            ),
-            unsent: Arc::default(),
-            shared,
-            closing: Arc::default(),
-            ending: Arc::default(),
-            accepting: Arc::default(),
-        };
+        let context = ListenerContext::new(CoreHandle::new(core), limits.clone(), Arc::default());
         let listener = may::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let mut client = connect(listener.local_addr().expect("bound"));
         client.write_all(&call(front)).expect("written");
@@ -63,8 +46,8 @@
         };
         wrenseam::net::spawn(limits.stack, move || {
             let (stream, _) = listener.accept().expect("a connection");
-            let seat = doors.seats.take().expect("a seat");
-            serve(stream, &doors, seat);
+            let guard = context.slots.acquire().expect("a slot");
+            serve(stream, &context, guard);
         })
         .expect("a coroutine");
         let Ok(Message::Request {
--- a/wrenseam/tests/schedules.rs
+++ b/wrenseam/tests/schedules.rs
@@ -16,7 +16,7 @@
 use wrenseam::core::Core;
 use wrenseam::limits::Limits;
 use wrenseam::model::{Answer, Client, Endpoint, Payload, Request, TransportProtocol};
-use wrenseam::net::{pause, DirectCalls, SystemCalls};
+use wrenseam::net::{sleep, DirectCalls, SystemCalls};
 use wrenseam::process_state::ProcessState;
 use wrenseam::queue::{CoreHandle, Message};
 use wrenseam_policy::{ClassSettings, Idempotency, KeyScope, Settings, WorkerState};
@@ -82,7 +82,7 @@
             match self.die.below(3) {
                 0 => return Err(io::Error::from_raw_os_error(101)), // ENETUNREACH
                 1 => return Err(io::Error::from_raw_os_error(99)),  // EADDRNOTAVAIL
-                _ => pause(Duration::from_millis(self.die.below(1_000).into())),
+                _ => sleep(Duration::from_millis(self.die.below(1_000).into())),
             }
         }
         DirectCalls.connect(address, within)
@@ -103,7 +103,7 @@
             }
             _ => {
                 let n = DirectCalls.write(stream, bytes)?;
-                pause(Duration::from_millis(self.die.below(30).into())); // others run before it returns
+                sleep(Duration::from_millis(self.die.below(30).into())); // others run before it returns
                 Ok(n)
             }
         }
--- a/wrenseam/tests/system_calls.rs
+++ b/wrenseam/tests/system_calls.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 use wrenseam::limits::{Budget, Limits};
-use wrenseam::net::{receive, DirectCalls, Failure, Outbox, Received, SystemCalls};
+use wrenseam::net::{receive, DirectCalls, Failure, Outbox, ReadOutcome, SystemCalls};
 use wrenseam::ring::Ring;
 
 /// The numbers of Linux's errors.
@@ -43,7 +43,10 @@
     let received = receive(&mut Ring::new(64), &mut Fails(number));
     match failure {
         Failure::Over => assert!(received.is_err()),
-        _ => assert!(matches!(received, Ok(Received::Nothing)), "{received:?}"),
+        _ => assert!(
+            matches!(received, Ok(ReadOutcome::NotReady)),
+            "{received:?}"
+        ),
     }
 }
 
--- a/wrenseam/tests/waits.rs
+++ b/wrenseam/tests/waits.rs
@@ -3,19 +3,19 @@
 use std::sync::mpsc::channel;
 use std::thread::{current, ThreadId};
 use std::time::Duration;
-use wrenseam::net::{back, pause, spawn};
+use wrenseam::net::{resume_on_scheduler, sleep, spawn};
 
 const SPAN: Duration = Duration::from_millis(1);
 
 fn unheard() {
     let (_sender, queue) = may::sync::mpsc::channel::<()>();
     assert!(queue.recv_timeout(SPAN).is_err());
-    back();
+    resume_on_scheduler();
 }
 
 /// Guards the thread of timers: with a socket that is waited for there it ended in a panic, and no wait ever ended again.
 #[rstest]
-#[case::a_pause(|| pause(SPAN))]
+#[case::a_pause(|| sleep(SPAN))]
 #[case::an_answer_that_does_not_come(unheard)]
 fn a_wait_that_ends_leaves_the_coroutine_in_the_schedulers_thread(#[case] wait: fn()) {
     may::config().set_workers(1).set_worker_pin(false); // as the program has it
