--- a/wrenseam/src/front/connection.rs
+++ b/wrenseam/src/front/connection.rs
@@ -150,7 +150,7 @@
             self.close_in_order();
             return Ok(Flow::Ended);
         }
-        if self.channel.out.closing() {
+        if self.channel.out.is_closing() {
             return Ok(Flow::Ended);
         }
         Ok(Flow::Open)
@@ -176,7 +176,7 @@
         loop {
             fairness.record(self.ring.len() == self.ring.footprint());
             self.ring.truncate(0);
-            if self.channel.out.closing() {
+            if self.channel.out.is_closing() {
                 return;
             }
             if matches!(
@@ -231,9 +231,9 @@
     client.mark_disconnected();
     context.core.client_disconnected(guard.slot.number);
     // A response may be on its way there; else nothing is lost by a close that takes no time and keeps no slot.
-    if channel.out.closing() {
+    if channel.out.is_closing() {
         channel.out.linger(stream, &context.limits);
     } else {
-        channel.out.drop_now();
+        channel.out.abort();
     }
 }
--- a/wrenseam/src/net/mod.rs
+++ b/wrenseam/src/net/mod.rs
@@ -6,6 +6,7 @@
 mod outbox;
 
 mod slots;
+mod writer;
 
 pub use calls::{write_now, DirectCalls, SystemCalls};
 pub use failure::{receive, timed_out, Failure, ReadOutcome};
--- a/wrenseam/src/net/slots.rs
+++ b/wrenseam/src/net/slots.rs
@@ -118,7 +118,7 @@
         };
         let SlotState { usage, outbox } = &mut *state;
         if !usage.is_evicted && usage.open_requests == 0 {
-            usage.is_evicted = outbox.as_ref().is_some_and(Outbox::end_if_quiet);
+            usage.is_evicted = outbox.as_ref().is_some_and(Outbox::close_if_quiet);
         }
         usage.is_evicted
     }
