--- a/wrenseam/src/ring.rs
+++ b/wrenseam/src/ring.rs
@@ -2,24 +2,26 @@
 //! and gives back what it grew by once it is empty, so hundreds of quiet connections cost little.
 use std::io::{self, Read};
 
-/// Bytes that a ring holds before it grows: a usual call or answer.
-const START: usize = 2 * 1024;
-
 /// A ring buffer; what does not fit stays with the caller.
 pub struct Ring {
     bytes: Vec<u8>,
-    most: usize,
+    /// How far it may grow.
+    limit: usize,
+    /// Where the oldest byte lies.
     head: usize,
     len: usize,
 }
 
 impl Ring {
+    /// Bytes that a ring holds before it grows: a usual request or answer.
+    pub const INITIAL_CAPACITY: usize = 2 * 1024;
+
     /// An empty ring that holds this many bytes at the most.
     pub fn new(capacity: usize) -> Self {
-        let most = capacity.max(1);
+        let limit = capacity.max(1);
         Ring {
-            bytes: vec![0; most.min(START)],
-            most,
+            bytes: vec![0; limit.min(Self::INITIAL_CAPACITY)],
+            limit,
             head: 0,
             len: 0,
         }
@@ -27,15 +29,16 @@
 
     /// Makes room for so many bytes in all, within the limit.
     fn grow(&mut self, wanted: usize) {
-        let room = wanted.next_power_of_two().min(self.most);
-        if room <= self.bytes.len() {
+        let capacity = wanted.next_power_of_two().min(self.limit);
+        if capacity <= self.bytes.len() {
             return;
         }
-        let mut bytes = Vec::with_capacity(room);
+        let mut bytes = Vec::with_capacity(capacity);
         self.take(self.len, &mut bytes);
         self.len = bytes.len();
-        bytes.resize(room, 0);
-        (self.bytes, self.head) = (bytes, 0);
+        bytes.resize(capacity, 0);
+        self.bytes = bytes;
+        self.head = 0;
     }
 
     /// Bytes that the ring takes in memory now.
@@ -55,19 +58,24 @@
 
     /// Bytes that still fit.
     pub fn free(&self) -> usize {
-        self.most - self.len
+        self.limit - self.len
     }
 
-    /// Takes over what fits and tells how much that was.
+    /// Copies in what fits and returns how much that was.
     pub fn push(&mut self, data: &[u8]) -> usize {
-        let n = data.len().min(self.free());
-        self.grow(self.len + n);
-        let tail = (self.head + self.len) % self.bytes.len();
-        let first = n.min(self.bytes.len() - tail);
+        let count = data.len().min(self.free());
+        self.grow(self.len + count);
+        let tail = self.tail();
+        let first = count.min(self.bytes.len() - tail);
         self.bytes[tail..tail + first].copy_from_slice(&data[..first]);
-        self.bytes[..n - first].copy_from_slice(&data[first..n]);
-        self.len += n;
-        n
+        self.bytes[..count - first].copy_from_slice(&data[first..count]);
+        self.len += count;
+        count
+    }
+
+    /// Where the next byte goes.
+    fn tail(&self) -> usize {
+        (self.head + self.len) % self.bytes.len()
     }
 
     /// The oldest bytes, as far as they lie in one piece.
@@ -75,15 +83,15 @@
         &self.bytes[self.head..(self.head + self.len).min(self.bytes.len())]
     }
 
-    /// Lets go of the oldest bytes.
-    pub fn consume(&mut self, n: usize) {
-        let n = n.min(self.len);
-        self.head = (self.head + n) % self.bytes.len();
-        self.len -= n;
+    /// Drops the oldest bytes.
+    pub fn consume(&mut self, count: usize) {
+        let count = count.min(self.len);
+        self.head = (self.head + count) % self.bytes.len();
+        self.len -= count;
         if self.len == 0 {
             self.head = 0;
-            if self.bytes.len() > START {
-                self.bytes = vec![0; self.most.min(START)];
+            if self.bytes.len() > Self::INITIAL_CAPACITY {
+                self.bytes = vec![0; self.limit.min(Self::INITIAL_CAPACITY)];
             }
         }
     }
@@ -93,7 +101,7 @@
         self.len = self.len.min(len);
     }
 
-    /// Lets go of `len` bytes that begin `at` bytes behind the oldest.
+    /// Drops `len` bytes that begin `at` bytes behind the oldest.
     pub fn cut(&mut self, at: usize, len: usize) {
         let mut all = Vec::with_capacity(self.len);
         self.take(usize::MAX, &mut all);
@@ -103,75 +111,34 @@
     }
 
     /// One read into the free space; 0 is the end of the stream. Call only while something is free.
+    ///
+    /// # Errors
+    /// Those of the read; nothing was read then.
     pub fn fill(&mut self, from: &mut impl Read) -> io::Result<usize> {
         if self.len == self.bytes.len() {
             self.grow(2 * self.len);
         }
-        let tail = (self.head + self.len) % self.bytes.len();
+        let tail = self.tail();
         let end = if tail < self.head {
             self.head
         } else {
             self.bytes.len()
         };
-        let n = from.read(&mut self.bytes[tail..end])?;
-        self.len += n;
-        Ok(n)
+        let count = from.read(&mut self.bytes[tail..end])?;
+        self.len += count;
+        Ok(count)
     }
 
-    /// Moves up to `most` bytes to the end of `to`; tells how many.
-    pub fn take(&mut self, most: usize, to: &mut Vec<u8>) -> usize {
+    /// Moves up to `limit` bytes to the end of `to`; returns how many.
+    pub fn take(&mut self, limit: usize, to: &mut Vec<u8>) -> usize {
         let mut moved = 0;
-        while moved < most && !self.is_empty() {
-            let piece = self.front();
-            let n = piece.len().min(most - moved);
-            to.extend_from_slice(&piece[..n]);
-            self.consume(n);
-            moved += n;
+        while moved < limit && !self.is_empty() {
+            let front = self.front();
+            let count = front.len().min(limit - moved);
+            to.extend_from_slice(&front[..count]);
+            self.consume(count);
+            moved += count;
         }
         moved
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn bytes_come_out_in_order_across_the_edge() {
-        let (mut ring, mut out, mut next) = (Ring::new(7), Vec::new(), 0u8);
-        for step in 0..40 {
-            let data: Vec<u8> = (next..next + 5).collect();
-            next += ring.push(&data) as u8;
-            ring.take(1 + step % 6, &mut out);
-        }
-        let mut left = &[9u8, 9][..];
-        ring.take(7, &mut out);
-        assert_eq!(ring.fill(&mut left).unwrap(), 2);
-        assert_eq!(out, (0..next).collect::<Vec<u8>>());
-        ring.truncate(1);
-        assert_eq!((ring.front(), ring.free()), (&[9u8][..], 6));
-        ring.push(&[1, 2, 3, 4]);
-        ring.cut(1, 3);
-        out.clear();
-        ring.take(7, &mut out);
-        assert_eq!(out, [9, 4]);
-    }
-
-    #[test]
-    fn a_ring_grows_to_its_limit_and_gives_back_what_it_grew_by() {
-        let mut ring = Ring::new(64 * 1024);
-        let all: Vec<u8> = (0..100_000u32).map(|n| n as u8).collect();
-        assert_eq!((ring.footprint(), ring.free()), (START, 64 * 1024));
-        let (mut from, mut out) = (&all[..], Vec::new());
-        ring.push(&from[..1_500]);
-        from = &from[1_500..];
-        ring.take(1_000, &mut out); // so that it grows while its bytes lie across the edge
-        while ring.free() > 0 {
-            ring.fill(&mut from).unwrap();
-        }
-        assert_eq!((ring.len(), ring.footprint()), (64 * 1024, 64 * 1024));
-        ring.take(usize::MAX, &mut out);
-        assert_eq!(out, all[..out.len()]);
-        assert_eq!((ring.is_empty(), ring.footprint()), (true, START));
-    }
-}
--- /dev/null
+++ b/wrenseam/tests/ring.rs
@@ -0,0 +1,47 @@
+//! The ring buffer of connections: order, growth and return to its first size.
+use wrenseam::ring::Ring;
+
+#[test]
+fn bytes_come_out_in_order_across_the_edge() {
+    let (mut ring, mut out, mut next) = (Ring::new(7), Vec::new(), 0u8);
+    for step in 0..40 {
+        let data: Vec<u8> = (next..next + 5).collect();
+        next += ring.push(&data) as u8;
+        ring.take(1 + step % 6, &mut out);
+    }
+    let mut left = &[9u8, 9][..];
+    ring.take(7, &mut out);
+    assert_eq!(ring.fill(&mut left).unwrap(), 2);
+    assert_eq!(out, (0..next).collect::<Vec<u8>>());
+    ring.truncate(1);
+    assert_eq!((ring.front(), ring.free()), (&[9u8][..], 6));
+    ring.push(&[1, 2, 3, 4]);
+    ring.cut(1, 3);
+    out.clear();
+    ring.take(7, &mut out);
+    assert_eq!(out, [9, 4]);
+}
+
+#[test]
+fn a_ring_grows_to_its_limit_and_gives_back_what_it_grew_by() {
+    let mut ring = Ring::new(64 * 1024);
+    let all: Vec<u8> = (0..100_000u32).map(|n| n as u8).collect();
+    assert_eq!(
+        (ring.footprint(), ring.free()),
+        (Ring::INITIAL_CAPACITY, 64 * 1024)
+    );
+    let (mut from, mut out) = (&all[..], Vec::new());
+    ring.push(&from[..1_500]);
+    from = &from[1_500..];
+    ring.take(1_000, &mut out); // so that it grows while its bytes lie across the edge
+    while ring.free() > 0 {
+        ring.fill(&mut from).unwrap();
+    }
+    assert_eq!((ring.len(), ring.footprint()), (64 * 1024, 64 * 1024));
+    ring.take(usize::MAX, &mut out);
+    assert_eq!(out, all[..out.len()]);
+    assert_eq!(
+        (ring.is_empty(), ring.footprint()),
+        (true, Ring::INITIAL_CAPACITY)
+    );
+}
