--- a/wrenseam/src/core/operate.rs
+++ b/wrenseam/src/core/operate.rs
@@ -1,47 +1,47 @@
 //! The core's answers to operators' calls. Whatever they change is decided here or in membership, without I/O.
 use super::{Core, Gauges};
 use crate::discovery::membership::Unknown;
-use crate::model::AdminCommand;
+use crate::model::{AdminCommand, AdminReply};
 use std::sync::atomic::Ordering;
 use wrenseam_policy::WorkerState;
 
 impl Core {
-    /// The line (or lines) that answer a call.
-    pub(super) fn call(&mut self, call: AdminCommand) -> String {
+    /// Carries out a command.
+    pub(super) fn call(&mut self, call: AdminCommand) -> AdminReply {
         match call {
             AdminCommand::Readyz => match (
                 self.shared.draining.load(Ordering::Acquire),
                 self.shared.taking(),
             ) {
-                (true, _) => "NO draining\n".to_owned(),
-                (false, false) => "NO starting\n".to_owned(),
-                (false, true) => "YES ready\n".to_owned(),
+                (true, _) => AdminReply::NotReadyDraining,
+                (false, false) => AdminReply::NotReadyStarting,
+                (false, true) => AdminReply::Ready,
             },
             AdminCommand::Evacuate => {
                 self.evacuate();
-                "YES draining\n".to_owned()
+                AdminReply::DrainStarted
             }
             AdminCommand::Activate => {
                 if self.shared.draining.swap(false, Ordering::AcqRel) {
                     eprintln!("admin: activate, clients are taken again");
                 }
-                "YES ready\n".to_owned()
+                AdminReply::Ready
             }
             AdminCommand::Exclude(id) => match self.members.exclude(&id) {
                 Ok(changes) => {
                     eprintln!("admin: exclude {id}, nothing new goes there");
                     self.apply(changes);
-                    format!("YES excluded {id}\n")
+                    AdminReply::Excluded(id)
                 }
-                Err(Unknown) => format!("NO unknown {id}\n"),
+                Err(Unknown) => AdminReply::UnknownWorker(id),
             },
             AdminCommand::Include(id) => match self.members.include(&id, self.clock.now()) {
                 Ok(changes) => {
                     eprintln!("admin: include {id}, back as a new process");
                     self.apply(changes);
-                    format!("YES included {id}\n")
+                    AdminReply::Included(id)
                 }
-                Err(Unknown) => format!("NO unknown {id}\n"),
+                Err(Unknown) => AdminReply::UnknownWorker(id),
             },
             AdminCommand::Telemetry => {
                 let names: Vec<String> = self
@@ -57,7 +57,7 @@
                     gate.text(&mut text);
                     text.push_str("END\n");
                 }
-                text
+                AdminReply::Telemetry(text)
             }
         }
     }
--- /dev/null
+++ b/wrenseam/src/front/admin/mod.rs
@@ -0,0 +1,108 @@
+//! The admin endpoint for operators: one line in, one reply that begins with `YES` or `NO` out, then the close. Every
+//! command is the core's to answer.
+mod command;
+mod exclusions;
+mod file;
+mod handover;
+mod line;
+mod reply;
+
+pub use command::CommandError;
+pub use exclusions::{exclusions_path, read_exclusions, update_exclusions, write_exclusions};
+pub use handover::{watch, ActiveProcess, POLL_INTERVAL};
+pub use line::{ReadLineError, MAX_LINE_LENGTH, READ_TIMEOUT};
+pub use reply::{render, AdminError};
+
+use super::listener::ACCEPT_RETRY;
+use super::ListenerContext;
+use crate::model::{AdminCommand, AdminReply};
+use crate::net::{resume_on_scheduler, sleep, spawn};
+use crate::queue::Message;
+use line::read_line;
+use may::net::{TcpListener, TcpStream};
+use std::io::Write;
+use std::net::{Shutdown, SocketAddr};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Connections served at once; more are closed at once. Guards descriptors and the core's queue.
+pub const MAX_CONNECTIONS: usize = 8;
+/// The core's reply is waited for so long, then the caller reads `NO busy`.
+pub const REPLY_TIMEOUT: Duration = Duration::from_millis(800);
+
+/// Accepts connections until the program ends.
+pub fn accept(listener: &TcpListener, context: &ListenerContext) {
+    let connections = Arc::new(AtomicUsize::new(0));
+    loop {
+        match listener.accept() {
+            Ok((stream, peer)) => admit(stream, peer, context, &connections),
+            Err(error) => {
+                note!("admin: accept: {error}");
+                sleep(ACCEPT_RETRY);
+            }
+        }
+    }
+}
+
+/// Serves a connection in a coroutine of its own, unless too many are open.
+fn admit(
+    stream: TcpStream,
+    peer: SocketAddr,
+    context: &ListenerContext,
+    connections: &Arc<AtomicUsize>,
+) {
+    if connections.fetch_add(1, Ordering::AcqRel) >= MAX_CONNECTIONS {
+        connections.fetch_sub(1, Ordering::AcqRel);
+        return note!("admin: caller {peer} closed, {MAX_CONNECTIONS} are served already");
+    }
+    let stack = context.limits.stack;
+    let context = context.clone();
+    let connections = connections.clone();
+    let run = move || {
+        serve(stream, &context);
+        connections.fetch_sub(1, Ordering::AcqRel);
+    };
+    if let Err(error) = spawn(stack, run) {
+        note!("admin: caller {peer} closed: {error}");
+    }
+}
+
+/// One connection: a line within its time, the reply, the close.
+fn serve(mut stream: TcpStream, context: &ListenerContext) {
+    let line = match read_line(&mut stream) {
+        Ok(line) => line,
+        Err(error) => return note!("admin: caller closed: {error}"),
+    };
+    let reply = render(&execute(&line, context));
+    let _ = stream.set_write_timeout(Some(REPLY_TIMEOUT));
+    if let Err(error) = stream.write_all(reply.as_bytes()) {
+        note!("admin: answer not written: {error}");
+    }
+    let _ = stream.shutdown(Shutdown::Both);
+}
+
+fn execute(line: &str, context: &ListenerContext) -> Result<AdminReply, AdminError> {
+    match AdminCommand::parse(line)? {
+        command @ (AdminCommand::Exclude(_) | AdminCommand::Include(_)) => {
+            update_exclusions(&exclusions_path(), command, |command| ask(context, command))
+        }
+        command => ask(context, command),
+    }
+}
+
+/// The core's reply to a command.
+///
+/// # Errors
+/// The core has ended, or does not answer in time.
+pub fn ask(context: &ListenerContext, command: AdminCommand) -> Result<AdminReply, AdminError> {
+    let (reply, replies) = may::sync::mpsc::channel();
+    let message = Message::Admin { command, reply };
+    context
+        .core
+        .send(message)
+        .map_err(|_| AdminError::CoreEnded)?;
+    let received = replies.recv_timeout(REPLY_TIMEOUT);
+    resume_on_scheduler();
+    received.map_err(|_| AdminError::Busy)
+}
--- a/wrenseam/src/lib.rs
+++ b/wrenseam/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod fleet;
 pub mod front;
 pub mod gossip;
+pub mod handover;
 pub mod http;
 pub mod limits;
 pub mod model;
@@ -21,7 +22,6 @@
 pub mod queue;
 pub mod ring;
 pub mod shutdown;
-pub mod succession;
 pub mod worker;
 
 use crate::core::Core;
@@ -96,13 +96,16 @@
     .map_err(|e| format!("board: {e}"))?;
     if config.admin.is_some() {
         // Before any client comes: a process that replaces another keeps its exclusions from the first call.
-        let set = front::admin::read_excluded(&front::admin::handover());
+        let set = front::admin::read_exclusions(&front::admin::exclusions_path());
         let _ = core_handle.send(Message::Exclusions(set));
     }
     let named = config
         .admin
-        .map(|_| front::admin::Named::new(&config.name, seed));
-    if named.as_ref().is_some_and(front::admin::Named::aside) {
+        .map(|_| front::admin::ActiveProcess::claim(&config.name, seed));
+    if named
+        .as_ref()
+        .is_some_and(front::admin::ActiveProcess::is_standby)
+    {
         let _ = core_handle.send(Message::Standby(true));
     }
     let main = listen(config.listen, &context, "fastcgi", front::fastcgi::serve)?;
@@ -131,7 +134,7 @@
         net::spawn(limits.stack, move || front::admin::accept(&door, &inside))
             .map_err(|e| format!("admin {admin}: {e}"))?;
         let inside = context.clone();
-        net::spawn(limits.stack, move || front::admin::follow(&inside, named))
+        net::spawn(limits.stack, move || front::admin::watch(&inside, named))
             .map_err(|e| format!("exclusions: {e}"))?;
     }
     shutdown::wait(
--- a/wrenseam/src/main.rs
+++ b/wrenseam/src/main.rs
@@ -7,7 +7,7 @@
 
 fn main() -> ExitCode {
     // The signals come first: one that arrives while the configuration is read must not end the program.
-    let signals = wrenseam::shutdown::signals();
+    let signals = wrenseam::shutdown::signals().map_err(|e| e.to_string());
     let run = |signals| wrenseam::run(wrenseam::config::Config::from_environment()?, signals);
     let (part, done) = match Cli::parse().command {
         None | Some(Command::Serve) => ("start", signals.and_then(run)),
--- a/wrenseam/src/model/admin.rs
+++ b/wrenseam/src/model/admin.rs
@@ -1,4 +1,4 @@
-//! Commands of operators.
+//! Commands of operators, and the replies to them.
 
 /// What an operator asks at the door.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -16,3 +16,24 @@
     /// Take clients again after a drain.
     Activate,
 }
+
+/// The core's reply to a command.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum AdminReply {
+    /// This process takes clients.
+    Ready,
+    /// It takes no clients, as it drains.
+    NotReadyDraining,
+    /// It takes no clients, as it knows no workers yet.
+    NotReadyStarting,
+    /// It drains from now on.
+    DrainStarted,
+    /// The worker of this id is left out.
+    Excluded(String),
+    /// The worker of this id is back.
+    Included(String),
+    /// No worker has this id.
+    UnknownWorker(String),
+    /// The metrics, one a line, then `END`.
+    Telemetry(String),
+}
--- a/wrenseam/src/model/mod.rs
+++ b/wrenseam/src/model/mod.rs
@@ -5,7 +5,7 @@
 pub mod endpoint;
 pub mod request;
 
-pub use admin::AdminCommand;
+pub use admin::{AdminCommand, AdminReply};
 pub use attempt::{AttemptKey, AttemptReport};
 pub use endpoint::{Endpoint, TransportProtocol};
 pub use request::{Answer, Client, ClientProbe, ClientState, Payload, Request, RequestEnd};
--- a/wrenseam/src/queue.rs
+++ b/wrenseam/src/queue.rs
@@ -1,7 +1,7 @@
 //! The core's queue: what other parts tell the core, and the handle through which they do.
 use crate::fleet::FleetNews;
 use crate::model::{
-    AdminCommand, AttemptKey, AttemptReport, Client, Endpoint, Request, RequestEnd,
+    AdminCommand, AdminReply, AttemptKey, AttemptReport, Client, Endpoint, Request, RequestEnd,
     TransportProtocol,
 };
 use std::collections::BTreeSet;
@@ -73,8 +73,8 @@
     Admin {
         /// The command.
         command: AdminCommand,
-        /// Where its one line of answer goes.
-        reply: may::sync::mpsc::Sender<String>,
+        /// Where the reply goes.
+        reply: may::sync::mpsc::Sender<AdminReply>,
     },
     /// The complete set of excluded ids, as the processes of this front end keep it.
     Exclusions(BTreeSet<String>),
--- a/wrenseam/src/shutdown.rs
+++ b/wrenseam/src/shutdown.rs
@@ -1,84 +1,120 @@
-//! Signals. SIGHUP has the configuration read again; SIGTERM lets the program go on for a while, then it ends
-//! once nothing is open.
+//! Signals: SIGHUP has the configuration read again, SIGTERM and SIGINT begin the graceful shutdown.
 use crate::config::Config;
 use crate::discovery::client::Board;
-use crate::front::{Listener, ListenerContext};
+use crate::front::{admin, close, Listener, ListenerContext};
+use crate::model::AdminCommand;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
+use std::io;
+use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-const LOOK: Duration = Duration::from_millis(10);
+/// How often a shutdown looks whether all connections have closed.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Serves SIGHUP until SIGTERM or SIGINT comes, then waits for the end of what is open. Returns when the
-/// program may exit.
+/// The signals could not be registered.
+#[derive(Debug, thiserror::Error)]
+#[error("signals: {0}")]
+pub struct SignalError(#[from] io::Error);
+
+/// Registers the signals; called before anything else runs, so that none is missed or ends the program.
+///
+/// # Errors
+/// The system does not register them.
+pub fn signals() -> Result<Signals, SignalError> {
+    Ok(Signals::new([SIGHUP, SIGTERM, SIGINT])?)
+}
+
+/// Serves SIGHUP until SIGTERM or SIGINT comes, then shuts down gracefully. Returns when the program may exit.
 pub fn wait(
-    mut signals: Signals,
+    signals: Signals,
     settings_digest: u64,
     listeners: &[Listener],
     context: &ListenerContext,
     board: &Board,
+) {
+    reload_until_stopped(signals, settings_digest, context, board);
+    start_draining(context);
+    serve_for_grace_period(context);
+    reject_new_requests(context);
+    close_listeners(listeners, context);
+    close_connections(context);
+    let open_requests = context.process_state.open.load(Ordering::Acquire);
+    eprintln!("stop: done, {open_requests} requests open");
+}
+
+/// Serves SIGHUP until another signal comes.
+fn reload_until_stopped(
+    mut signals: Signals,
+    settings_digest: u64,
+    context: &ListenerContext,
+    board: &Board,
 ) {
     for signal in signals.forever() {
         if signal != SIGHUP {
-            break;
+            return;
         }
-        // Guards against a file that is missing or half written: what held before goes on to hold.
+        // Guards against a file that is missing or half written: the configuration before goes on to hold.
         match Config::board_now() {
-            Ok(address) => {
-                eprintln!("reload: the board is at {address}");
-                let digest = Config::digest_with(settings_digest, Some(address));
-                context
-                    .process_state
-                    .config_digest
-                    .store(digest, Ordering::Release);
-                board.moved(address);
-            }
-            Err(why) => eprintln!("reload: nothing changed: {why}"),
+            Ok(address) => reload(address, settings_digest, context, board),
+            Err(error) => eprintln!("reload: nothing changed: {error}"),
         }
     }
-    let limits = &context.limits;
-    // Readiness says no at once: a process that replaces this one takes the new clients.
-    let _ = crate::front::admin::ask(context, crate::model::AdminCommand::Evacuate);
-    eprintln!(
-        "stop: signal; listening for {} ms more",
-        limits.stop_listening.as_millis()
-    );
-    // The front goes on sending for a while: what comes in that time is owed an answer like any other.
-    std::thread::sleep(limits.stop_listening);
-    context
-        .process_state
-        .stopping
-        .store(true, Ordering::Release);
+}
+
+/// Follows the discovery service to another address.
+fn reload(address: SocketAddr, settings_digest: u64, context: &ListenerContext, board: &Board) {
+    eprintln!("reload: the board is at {address}");
+    let digest = Config::digest_with(settings_digest, Some(address));
+    let config_digest = &context.process_state.config_digest;
+    config_digest.store(digest, Ordering::Release);
+    board.moved(address);
+}
+
+/// Readiness says no at once: a process that replaces this one takes the new clients.
+fn start_draining(context: &ListenerContext) {
+    let _ = admin::ask(context, AdminCommand::Evacuate); // the shutdown goes on without the core's reply
+    let grace_period = context.limits.stop_listening.as_millis();
+    eprintln!("stop: signal; listening for {grace_period} ms more");
+}
+
+/// The gateway goes on sending for a while: what comes in that time is owed an answer like any other.
+fn serve_for_grace_period(context: &ListenerContext) {
+    std::thread::sleep(context.limits.stop_listening);
+}
+
+fn reject_new_requests(context: &ListenerContext) {
+    let stopping = &context.process_state.stopping;
+    stopping.store(true, Ordering::Release);
+}
+
+fn close_listeners(listeners: &[Listener], context: &ListenerContext) {
     context.listeners_closing.store(true, Ordering::Release);
-    listeners
-        .iter()
-        .for_each(|listener| crate::front::close(listener, context));
-    // From here on each connection decides for itself, in order: what lies unread is read, what is half read comes
-    // whole or is ended, what is owed is answered, what is queued is written, and then it closes and gives its seat
-    // back. With no seat taken and nobody accepting nothing is left; no count passes from one to another meanwhile.
+    for listener in listeners {
+        close(listener, context);
+    }
+}
+
+/// From here on each connection decides for itself, in order: what is unread is read, what is half read is completed or
+/// ended, what is owed is answered, what is queued is written, and then it closes and frees its slot. With no slot in
+/// use and no accept loop nothing is left; no count passes from one to another meanwhile.
+fn close_connections(context: &ListenerContext) {
     context.shutting_down.store(true, Ordering::Release);
-    let since = Instant::now();
-    let left = || {
-        // A loop that was not woken by its listener's close holds no connection: it waits for one.
-        let accepting = context.accept_loops.load(Ordering::Acquire);
-        let taking = if since.elapsed() < limits.linger {
-            accepting
-        } else {
-            0
-        };
-        taking + context.process_state.clients.load(Ordering::Acquire)
-    };
-    while left() > 0 && since.elapsed() < limits.stop_at_last {
-        std::thread::sleep(LOOK);
+    let started_at = Instant::now();
+    while remaining(context, started_at) > 0 && started_at.elapsed() < context.limits.stop_at_last {
+        std::thread::sleep(CHECK_INTERVAL);
     }
-    eprintln!(
-        "stop: done, {} requests open",
-        context.process_state.open.load(Ordering::Acquire)
-    );
 }
 
-/// Registers the signals; called before anything else runs, so that none is missed or ends the program.
-pub fn signals() -> Result<Signals, String> {
-    Signals::new([SIGHUP, SIGTERM, SIGINT]).map_err(|e| format!("signals: {e}"))
+/// Connections, and accept loops that may still have one. A loop that was not woken by its listener's close holds no
+/// connection: it waits for one, and is no longer counted after a linger.
+fn remaining(context: &ListenerContext, started_at: Instant) -> usize {
+    let accept_loops = context.accept_loops.load(Ordering::Acquire);
+    let connections = context.process_state.clients.load(Ordering::Acquire);
+    if started_at.elapsed() < context.limits.linger {
+        accept_loops + connections
+    } else {
+        connections
+    }
 }
--- a/wrenseam/tests/golden_admin.rs
+++ b/wrenseam/tests/golden_admin.rs
@@ -386,7 +386,8 @@
     #[case] line: &str,
     #[case] expected: Result<AdminCommand, &'static str>,
 ) {
-    assert_eq!(AdminCommand::parse(line), expected);
+    let parsed = AdminCommand::parse(line).map_err(|error| error.to_string());
+    assert_eq!(parsed, expected.map_err(str::to_owned));
 }
 
 fn pinned(text: &str, golden: &str) {
--- a/wrenseam/tests/golden_handover.rs
+++ b/wrenseam/tests/golden_handover.rs
@@ -10,8 +10,8 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
-use wrenseam::front::admin::{handover, read_excluded};
-use wrenseam::succession::Succession;
+use wrenseam::front::admin::{exclusions_path, read_exclusions};
+use wrenseam::handover::Handover;
 
 const EXCLUDED: &str = include_str!("fixtures/wrenseam-excluded");
 const EXCLUDED_FILE: &str = "wrenseam-excluded";
@@ -115,8 +115,8 @@
 
 #[test]
 fn exclusions_are_read_from_the_fixture() {
-    assert_eq!(read_excluded(&fixture(EXCLUDED_FILE)), excluded_workers());
-    assert_eq!(handover(), std::env::temp_dir().join(EXCLUDED_FILE));
+    assert_eq!(read_exclusions(&fixture(EXCLUDED_FILE)), excluded_workers());
+    assert_eq!(exclusions_path(), std::env::temp_dir().join(EXCLUDED_FILE));
 }
 
 /// A process that runs takes up the exclusions that another leaves.
@@ -141,15 +141,15 @@
 #[test]
 fn the_process_named_in_the_fixture_is_waited_for() {
     let own = "4243-2a";
-    let mut succession = Succession::new(own.to_owned(), Some(PROCESS));
-    let looks = [(); 3].map(|()| succession.looked(Some(own)));
+    let mut handover = Handover::new(own.to_owned(), Some(PROCESS));
+    let looks = [(); 3].map(|()| handover.observe(Some(own)));
     assert_eq!(looks, [true, true, false]);
     assert!(
-        succession.looked(Some(PROCESS)),
+        handover.observe(Some(PROCESS)),
         "the fixture's process is named again"
     );
     assert!(
-        !Succession::new(PROCESS.to_owned(), Some(PROCESS)).aside(),
+        !Handover::new(PROCESS.to_owned(), Some(PROCESS)).is_standby(),
         "the fixture's process itself"
     );
 }
--- a/wrenseam/tests/process_handover.rs
+++ b/wrenseam/tests/process_handover.rs
@@ -1,68 +1,71 @@
-//! Two processes of one front end beside each other: which of them uses its seats at cold workers.
+//! Two processes of one front end beside each other: which of them sends to workers in slow start.
 mod common;
 
 use common::{Speech, Stage};
 use rstest::rstest;
-use wrenseam::succession::Succession;
+use wrenseam::front::admin::POLL_INTERVAL;
+use wrenseam::handover::Handover;
 
-const LOOK: u64 = 250; // ms, as `front::admin::LOOK`
-
-/// One process runs, another starts beside it at some moment between its looks; looks come late by up to a whole one.
-/// At no time do both use the seats, and the new one does in the end.
+/// One process runs, another starts beside it at some moment between its polls; polls are late by up to a whole one.
+/// At no time are both active, and the new one is in the end.
 #[rstest]
-fn at_no_time_do_both_use_the_seats(
+fn at_no_time_are_both_processes_active(
     #[values(0, 1, 120, 249)] phase: u64,
     #[values(0, 100, 250)] late: u64,
 ) {
-    let (mut file, mut looks) = ("a".to_owned(), 0);
-    let (mut old, mut new) = (Succession::new("a".into(), None), None::<Succession>);
+    let interval = POLL_INTERVAL.as_millis() as u64;
+    assert_eq!(interval, 250);
+    let mut file = "a".to_owned();
+    let mut polls = 0;
+    let mut old = Handover::new("a".into(), None);
+    let mut new = None::<Handover>;
     assert!(
-        !old.aside(),
-        "a process that nobody is named before has them at once"
+        !old.is_standby(),
+        "a process that follows no other is active at once"
     );
-    let (mut next, mut started) = (0, 0);
+    let mut next_poll = 0;
+    let mut started_at = 0;
     for now in 0..5_000 {
         if now == 2_000 + phase {
-            let n = Succession::new("b".into(), Some(&file));
-            file = n.own().to_owned();
-            (new, started) = (Some(n), now);
+            let handover = Handover::new("b".into(), Some(&file));
+            file = handover.process().to_owned();
+            new = Some(handover);
+            started_at = now;
         }
-        if now >= next {
-            old.looked(Some(&file));
-            looks += 1;
-            next = now + LOOK + late * (looks % 2);
+        if now >= next_poll {
+            old.observe(Some(&file));
+            polls += 1;
+            next_poll = now + interval + late * (polls % 2);
         }
         if let Some(new) = new.as_mut() {
-            if (now - started).is_multiple_of(LOOK) {
-                new.looked(Some(&file)); // never late: so it would take them soonest
+            if (now - started_at).is_multiple_of(interval) {
+                new.observe(Some(&file)); // never late: so it would become active soonest
             }
             assert!(
-                old.aside() || new.aside(),
-                "both have them {} ms after the start",
-                now - started
+                old.is_standby() || new.is_standby(),
+                "both are active {} ms after the start",
+                now - started_at
             );
         }
     }
-    assert!(old.aside() && !new.expect("started").aside());
+    assert!(old.is_standby() && !new.expect("started").is_standby());
 }
 
 /// A file that cannot be read leaves things as they are; two that start at once end with one; nobody waits for itself.
 #[test]
-fn odd_files_leave_one_process_with_the_seats() {
-    let (mut one, mut two) = (
-        Succession::new("a".into(), Some("x")),
-        Succession::new("b".into(), Some("x")),
-    );
+fn odd_files_leave_one_process_active() {
+    let mut one = Handover::new("a".into(), Some("x"));
+    let mut two = Handover::new("b".into(), Some("x"));
     for _ in 0..4 {
-        one.looked(Some("b"));
-        two.looked(Some("b"));
+        one.observe(Some("b"));
+        two.observe(Some("b"));
     }
-    assert!(one.aside() && !two.aside());
-    assert!(!two.looked(None));
-    assert!(!Succession::new("a".into(), Some("a")).aside());
+    assert!(one.is_standby() && !two.is_standby());
+    assert!(!two.observe(None));
+    assert!(!Handover::new("a".into(), Some("a")).is_standby());
 }
 
-/// With the door on, a process names itself for whoever replaces it.
+/// With the admin endpoint on, a process names itself for whoever replaces it.
 #[test]
 fn a_process_names_itself_in_tmpdir() {
     let stage = Stage::new(Speech::Platform);
