--- a/wrenseam/src/front/admin/exclusions.rs
+++ b/wrenseam/src/front/admin/exclusions.rs
@@ -1,6 +1,7 @@
 //! The file of excluded ids, which the processes of one front end share.
 use super::file::write_atomically;
 use super::AdminError;
+use crate::front::messages::HandoverContent;
 use crate::model::{AdminCommand, AdminReply};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -26,7 +27,7 @@
 /// Writes the file; a failure is logged.
 pub fn write_exclusions(path: &Path, ids: &BTreeSet<String>) {
     let text: String = ids.iter().map(|id| format!("{id}\n")).collect();
-    write_atomically(path, &text, "exclusions");
+    write_atomically(path, &text, HandoverContent::Exclusions);
 }
 
 /// A change of the excluded ids.
--- a/wrenseam/src/front/admin/handover.rs
+++ b/wrenseam/src/front/admin/handover.rs
@@ -2,6 +2,7 @@
 //! active one.
 use super::exclusions::{exclusions_path, read_exclusions};
 use super::file::write_atomically;
+use crate::front::messages::{standby_changed, HandoverContent};
 use crate::front::ListenerContext;
 use crate::handover::Handover;
 use crate::net::sleep;
@@ -30,7 +31,7 @@
         let previous = std::fs::read_to_string(&path).ok();
         let process = format!("{}-{seed:x}", std::process::id());
         let handover = Handover::new(process, previous.as_deref());
-        write_atomically(&path, handover.process(), "seats");
+        write_atomically(&path, handover.process(), HandoverContent::ActiveProcess);
         ActiveProcess { path, handover }
     }
 
@@ -56,7 +57,7 @@
     let mut sent = None;
     loop {
         if let Some(is_standby) = active_process.poll() {
-            log_standby(is_standby);
+            note!("{}", standby_changed(is_standby));
             let _ = context.core.send(Message::Standby(is_standby)); // seen below if the core has ended
         }
         let ids = read_exclusions(&path);
@@ -70,12 +71,3 @@
         sleep(POLL_INTERVAL);
     }
 }
-
-fn log_standby(is_standby: bool) {
-    let change = if is_standby {
-        "left to a new process"
-    } else {
-        "taken over"
-    };
-    note!("admin: seats at cold workers {change}");
-}
--- a/wrenseam/src/front/admin/line.rs
+++ b/wrenseam/src/front/admin/line.rs
@@ -21,16 +21,16 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The line is not UTF-8.
-    #[error("the line is not text")]
+    #[error("line is not UTF-8")]
     NotText(#[from] FromUtf8Error),
     /// The line is longer than [`MAX_LINE_LENGTH`].
-    #[error("the line is too long")]
+    #[error("line too long")]
     TooLong,
     /// The line was not complete within [`READ_TIMEOUT`].
-    #[error("no whole line in time")]
+    #[error("line timed out before it was complete")]
     Timeout,
     /// The caller closed its side before it sent anything.
-    #[error("closed before a line")]
+    #[error("closed before a line was sent")]
     Closed,
 }
 
--- a/wrenseam/src/front/admin/mod.rs
+++ b/wrenseam/src/front/admin/mod.rs
@@ -14,7 +14,7 @@
 pub use reply::{render, AdminError};
 
 use super::listener::ACCEPT_RETRY;
-use super::ListenerContext;
+use super::{messages, ListenerContext};
 use crate::model::{AdminCommand, AdminReply};
 use crate::net::{resume_on_scheduler, sleep, spawn};
 use crate::queue::Message;
@@ -38,7 +38,7 @@
         match listener.accept() {
             Ok((stream, peer)) => admit(stream, peer, context, &connections),
             Err(error) => {
-                note!("admin: accept: {error}");
+                note!("{}", messages::accept_failed("admin", &error));
                 sleep(ACCEPT_RETRY);
             }
         }
@@ -54,7 +54,7 @@
 ) {
     if connections.fetch_add(1, Ordering::AcqRel) >= MAX_CONNECTIONS {
         connections.fetch_sub(1, Ordering::AcqRel);
-        return note!("admin: caller {peer} closed, {MAX_CONNECTIONS} are served already");
+        return note!("{}", messages::admin_connection_rejected(peer));
     }
     let stack = context.limits.stack;
     let context = context.clone();
@@ -64,7 +64,7 @@
         connections.fetch_sub(1, Ordering::AcqRel);
     };
     if let Err(error) = spawn(stack, run) {
-        note!("admin: caller {peer} closed: {error}");
+        note!("{}", messages::connection_not_served("admin", peer, &error));
     }
 }
 
@@ -72,12 +72,12 @@
 fn serve(mut stream: TcpStream, context: &ListenerContext) {
     let line = match read_line(&mut stream) {
         Ok(line) => line,
-        Err(error) => return note!("admin: caller closed: {error}"),
+        Err(error) => return note!("{}", messages::admin_connection_closed(&error)),
     };
     let reply = render(&execute(&line, context));
     let _ = stream.set_write_timeout(Some(REPLY_TIMEOUT));
     if let Err(error) = stream.write_all(reply.as_bytes()) {
-        note!("admin: answer not written: {error}");
+        note!("{}", messages::admin_reply_not_written(&error));
     }
     let _ = stream.shutdown(Shutdown::Both);
 }
--- a/wrenseam/src/front/connection.rs
+++ b/wrenseam/src/front/connection.rs
@@ -1,7 +1,7 @@
 //! What the client connections of all protocols do alike: start, read step by step, time out and close in order.
 use super::fastcgi::FastCgiError;
 use super::kserve::HttpError;
-use super::ListenerContext;
+use super::{messages, ListenerContext};
 use crate::log::Line;
 use crate::model::Client;
 use crate::net::{receive, ConnectionSlot, Outbox, ReadFairness, ReadOutcome, SlotGuard};
@@ -13,21 +13,21 @@
 
 /// Why this side ends a client connection.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum ConnectionError {
+pub enum ConnectionError {
     /// Reading failed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The connection was evicted to make room for another before its request was read.
-    #[error("ended to make room before its request was read")]
+    #[error("evicted to make room before its request was read")]
     Evicted,
     /// A request was not complete within its time.
-    #[error("a request never came whole")]
+    #[error("request timed out before it was complete")]
     RequestTimeout,
     /// More requests are open on the connection than one may have.
     #[error("too many requests on one connection")]
     TooManyRequests,
     /// A thread panicked while it held the connection's state.
-    #[error("poisoned")]
+    #[error("connection state poisoned by a panic")]
     Poisoned,
     /// The client broke the rules of FastCGI.
     #[error(transparent)]
@@ -62,14 +62,14 @@
 
     /// The connection's writer could not be started.
     fn not_started(&self, front: &str, peer: &str, error: &io::Error) {
-        self.not_started
-            .write(format_args!("{front} {peer}: closed: {error}"));
+        let message = messages::writer_not_started(front, peer, error);
+        self.not_started.write(format_args!("{message}"));
     }
 
     /// This side ended the connection.
     fn closed(&self, front: &str, peer: &str, error: &ConnectionError) {
-        self.closed
-            .write(format_args!("{front} {peer}: connection closed: {error}"));
+        let message = messages::connection_closed(front, peer, error);
+        self.closed.write(format_args!("{message}"));
     }
 }
 
--- a/wrenseam/src/front/fastcgi/connection.rs
+++ b/wrenseam/src/front/fastcgi/connection.rs
@@ -8,7 +8,7 @@
 use crate::front::connection::{
     self, ConnectionError, ConnectionLog, ConnectionReader, Flow, Protocol,
 };
-use crate::front::{ListenerContext, ParameterError};
+use crate::front::{messages, ListenerContext, ParameterError};
 use crate::limits::Limits;
 use crate::net::SlotGuard;
 use may::net::TcpStream;
@@ -121,7 +121,7 @@
         match rejection {
             Rejection::Early(reason) => self.end_at_once(request_id, reason),
             Rejection::Invalid(error) => {
-                note!("fastcgi: request {request_id} failed: {error}");
+                note!("{}", messages::fastcgi_request_invalid(request_id, &error));
                 let response = status_response(request_id, "400 Bad Request");
                 self.client.channel.out.send(response);
             }
@@ -199,7 +199,10 @@
 
     /// Ends a request whose parameters are not looked at; its connection stays.
     fn end_at_once(&self, request_id: u16, reason: EarlyEnd) {
-        note!("fastcgi: request {request_id} ended at once: {reason}");
+        note!(
+            "{}",
+            messages::fastcgi_request_rejected(request_id, &reason)
+        );
         let response = end_request(request_id, reason.status());
         self.client.channel.out.send(response);
     }
--- a/wrenseam/src/front/fastcgi/mod.rs
+++ b/wrenseam/src/front/fastcgi/mod.rs
@@ -7,5 +7,5 @@
 mod request;
 
 pub use connection::serve;
-pub(super) use records::FastCgiError;
-pub use records::{pairs, record, response};
+pub use partial::EarlyEnd;
+pub use records::{pairs, record, response, FastCgiError};
--- a/wrenseam/src/front/fastcgi/partial.rs
+++ b/wrenseam/src/front/fastcgi/partial.rs
@@ -6,15 +6,15 @@
 
 /// Why a request is ended before its parameters are looked at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub(super) enum EarlyEnd {
+pub enum EarlyEnd {
     /// Its role is not the Responder's.
-    #[error("role")]
+    #[error("unsupported role")]
     UnknownRole,
     /// More requests are open on the connection than one may have.
     #[error("too many requests on one connection")]
     TooManyRequests,
     /// The bytes held over all requests are at their limit.
-    #[error("the bytes held over all requests are at their bound")]
+    #[error("memory limit of requests reached")]
     MemoryLimit,
 }
 
--- a/wrenseam/src/front/fastcgi/records.rs
+++ b/wrenseam/src/front/fastcgi/records.rs
@@ -29,21 +29,21 @@
 
 /// How a client breaks the rules of the protocol, so that its connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub(in crate::front) enum FastCgiError {
+pub enum FastCgiError {
     /// The version is not supported.
-    #[error("FastCGI version {0}")]
+    #[error("unsupported FastCGI version {0}")]
     UnsupportedVersion(u8),
     /// A BEGIN_REQUEST record is shorter than its body.
-    #[error("a BEGIN_REQUEST cut short")]
+    #[error("truncated BEGIN_REQUEST record")]
     TruncatedBeginRequest,
     /// A BEGIN_REQUEST record names a request that is open.
-    #[error("request id {0} begun twice")]
+    #[error("request id {0} is already open")]
     DuplicateRequestId(u16),
     /// A record was not complete within its time.
-    #[error("a record never came whole")]
+    #[error("record timed out before it was complete")]
     RecordTimeout,
     /// The client went on sending more of rejected requests than is discarded.
-    #[error("a request without end")]
+    #[error("too many bytes after a rejected request")]
     DiscardLimit,
 }
 
--- a/wrenseam/src/front/kserve/decoder.rs
+++ b/wrenseam/src/front/kserve/decoder.rs
@@ -12,7 +12,7 @@
 
 /// Why a request is not read. Clients read these texts, and the connection ends behind them.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub(in crate::front) enum HttpError {
+pub enum HttpError {
     /// The head is longer than allowed.
     #[error("the head is too long")]
     HeadTooLong,
--- a/wrenseam/src/front/kserve/mod.rs
+++ b/wrenseam/src/front/kserve/mod.rs
@@ -9,4 +9,4 @@
 
 pub use answers::error;
 pub use connection::{serve, serve_admin};
-pub(super) use decoder::HttpError;
+pub use decoder::HttpError;
--- a/wrenseam/src/front/kserve/routes.rs
+++ b/wrenseam/src/front/kserve/routes.rs
@@ -3,7 +3,7 @@
 use super::connection::HttpConnection;
 use super::decoder::HttpRequest;
 use super::request::to_request;
-use crate::front::parse_function;
+use crate::front::{messages, parse_function};
 use crate::http::Status;
 use crate::model::{Request, RequestEnd};
 use std::sync::atomic::Ordering;
@@ -105,13 +105,13 @@
     let context = connection.context;
     let received_at = Instant::now();
     let Some(reserved_bytes) = context.budget.take(body.len()) else {
-        note!("kserve: request refused: the bytes held over all requests are at their bound");
+        note!("{}", messages::v2_memory_limit());
         return Reply::error(Status::ServiceUnavailable, "too many bytes are held");
     };
     let request = match to_request(name, body, &context.limits) {
         Ok(request) => request,
         Err(error) => {
-            note!("kserve: request failed: {error}");
+            note!("{}", messages::v2_request_invalid(&error));
             return Reply::error(Status::BadRequest, &error.to_string());
         }
     };
--- a/wrenseam/src/front/listener.rs
+++ b/wrenseam/src/front/listener.rs
@@ -1,4 +1,5 @@
 //! The listeners of all fronts: what their connections need, and how one is accepted or closed.
+use super::messages;
 use crate::limits::{Budget, Limits};
 use crate::net::{sleep, spawn, ConnectionSlots, Outbox, SlotGuard};
 use crate::process_state::ProcessState;
@@ -87,7 +88,7 @@
             }
             Err(_) if context.listeners_closing.load(Ordering::Acquire) => break,
             Err(error) => {
-                note!("{front}: accept: {error}");
+                note!("{}", messages::accept_failed(front, &error));
                 sleep(ACCEPT_RETRY);
             }
         }
@@ -104,13 +105,13 @@
 ) {
     // Guards the descriptors that workers and the board need.
     let Some(guard) = acquire_slot(context) else {
-        return note!("{front}: connection of {peer} closed, all client connections are taken");
+        return note!("{}", messages::slots_exhausted(front, peer));
     };
     let connection_context = context.clone();
     let _ = stream.set_nodelay(true); // a connection without it is only slower
     let run = move || serve(stream, &connection_context, guard);
     if let Err(error) = spawn(context.limits.stack, run) {
-        note!("{front}: connection of {peer} closed: {error}");
+        note!("{}", messages::connection_not_served(front, peer, &error));
     }
 }
 
--- a/wrenseam/src/front/parameters.rs
+++ b/wrenseam/src/front/parameters.rs
@@ -46,7 +46,7 @@
     #[error("the body is too long")]
     BodyTooLong,
     /// The request was not complete within its time.
-    #[error("it never came whole")]
+    #[error("it timed out before it was complete")]
     Incomplete,
 }
 
--- a/wrenseam/src/net/mod.rs
+++ b/wrenseam/src/net/mod.rs
@@ -3,6 +3,7 @@
 mod calls;
 mod failure;
 mod fairness;
+pub mod messages;
 mod outbox;
 
 mod slots;
--- a/wrenseam/src/net/outbox.rs
+++ b/wrenseam/src/net/outbox.rs
@@ -1,6 +1,6 @@
 //! The sending side of a client connection: answers are queued from any thread, and a coroutine writes them.
 use super::writer::{ConnectionWriter, UnsentBytes, WriteCommand};
-use super::{sleep, spawn, timed_out, DirectCalls, SystemCalls};
+use super::{messages, sleep, spawn, timed_out, DirectCalls, SystemCalls};
 use crate::limits::{Budget, Limits};
 use crate::model::{ClientProbe, ClientState};
 use may::net::TcpStream;
@@ -125,7 +125,7 @@
         let reserved = self.budget.take(length);
         let unsent = self.unsent.on_connection();
         if reserved.is_none() || unsent + length > self.unsent_limit {
-            note!("client: closed, {unsent} bytes of answers wait unread");
+            note!("{}", messages::responses_unread(unsent));
             return self.abort();
         }
         self.unsent.add(length);
--- a/wrenseam/src/net/writer.rs
+++ b/wrenseam/src/net/writer.rs
@@ -1,5 +1,5 @@
 //! The coroutine that writes the answers of one client connection.
-use super::{sleep, Failure, SystemCalls};
+use super::{messages, sleep, Failure, SystemCalls};
 use crate::limits::{Held, Limits};
 use crate::ring::Ring;
 use may::net::TcpStream;
@@ -152,7 +152,7 @@
     }
 
     fn give_up(&mut self, reason: &dyn std::fmt::Display) {
-        note!("client: connection given up while writing an answer: {reason}");
+        note!("{}", messages::response_write_failed(reason));
         self.is_broken = true;
         let _ = self.stream.shutdown(Shutdown::Both); // it may have ended by itself
     }
--- a/wrenseam/src/shutdown.rs
+++ b/wrenseam/src/shutdown.rs
@@ -1,4 +1,6 @@
 //! Signals: SIGHUP has the configuration read again, SIGTERM and SIGINT begin the graceful shutdown.
+pub mod messages;
+
 use crate::config::Config;
 use crate::discovery::client::Board;
 use crate::front::{admin, close, Listener, ListenerContext};
@@ -41,7 +43,7 @@
     close_listeners(listeners, context);
     close_connections(context);
     let open_requests = context.process_state.open.load(Ordering::Acquire);
-    eprintln!("stop: done, {open_requests} requests open");
+    eprintln!("{}", messages::shutdown_complete(open_requests));
 }
 
 /// Serves SIGHUP until another signal comes.
@@ -58,14 +60,14 @@
         // Guards against a file that is missing or half written: the configuration before goes on to hold.
         match Config::board_now() {
             Ok(address) => reload(address, settings_digest, context, board),
-            Err(error) => eprintln!("reload: nothing changed: {error}"),
+            Err(error) => eprintln!("{}", messages::configuration_unchanged(&error)),
         }
     }
 }
 
 /// Follows the discovery service to another address.
 fn reload(address: SocketAddr, settings_digest: u64, context: &ListenerContext, board: &Board) {
-    eprintln!("reload: the board is at {address}");
+    eprintln!("{}", messages::discovery_moved(address));
     let digest = Config::digest_with(settings_digest, Some(address));
     let config_digest = &context.process_state.config_digest;
     config_digest.store(digest, Ordering::Release);
@@ -75,8 +77,8 @@
 /// Readiness says no at once: a process that replaces this one takes the new clients.
 fn start_draining(context: &ListenerContext) {
     let _ = admin::ask(context, AdminCommand::Evacuate); // the shutdown goes on without the core's reply
-    let grace_period = context.limits.stop_listening.as_millis();
-    eprintln!("stop: signal; listening for {grace_period} ms more");
+    let message = messages::shutdown_started(context.limits.stop_listening);
+    eprintln!("{message}");
 }
 
 /// The gateway goes on sending for a while: what comes in that time is owed an answer like any other.
--- a/wrenseam/tests/golden_handover.rs
+++ b/wrenseam/tests/golden_handover.rs
@@ -173,8 +173,8 @@
     }
     let draining = state.matches(r#""state":"draining""#).count();
     assert_eq!(draining, excluded_workers().len(), "{state}");
-    successor.line_with("admin: seats at cold workers taken over");
+    successor.line_with("admin: active, this process sends to workers in slow start");
     std::fs::write(&path, PROCESS).expect("written");
-    successor.line_with("admin: seats at cold workers left to a new process");
+    successor.line_with("admin: standby, a new process sends to workers in slow start");
     assert_eq!(read(&successor.folder.join(EXCLUDED_FILE)), EXCLUDED);
 }
