--- a/wrenseam/src/front/connection.rs
+++ b/wrenseam/src/front/connection.rs
@@ -97,12 +97,12 @@
     }
 }
 
-/// The client of one connection, which knows the requests that are owed a response.
+/// The client of one connection, which knows its pending requests.
 pub(super) trait ConnectionClient: Client {
     /// Its slot and sending side.
     fn channel(&self) -> &ResponseChannel;
 
-    /// Marks all requests whose client has gone.
+    /// Marks all pending requests as those of a client that has left.
     fn mark_disconnected(&self);
 }
 
@@ -134,8 +134,8 @@
         })
     }
 
-    /// ReadFairness once. In a graceful shutdown the connection ends as soon as it is `between_requests`, nothing arrives and
-    /// nothing is owed on it.
+    /// Reads once. In a graceful shutdown the connection ends as soon as it is `between_requests`, nothing arrives and
+    /// no request is pending on it.
     pub(super) fn receive(&mut self, between_requests: bool) -> Result<Flow, ConnectionError> {
         // Loaded before the read: what arrived before the shutdown began is still served.
         let shutting_down = self.context.shutting_down.load(Ordering::Acquire);
@@ -156,7 +156,7 @@
         Ok(Flow::Open)
     }
 
-    /// Ends the connection if nothing has been owed on it for too long.
+    /// Ends the connection if it has been idle for too long.
     pub(super) fn check_idle_timeout(&self) -> Flow {
         if !self.channel.slot.has_idle_timed_out(&self.context.limits) {
             return Flow::Open;
@@ -213,10 +213,12 @@
     client: impl FnOnce(ResponseChannel) -> C,
     read: impl FnOnce(&mut ConnectionReader, &Arc<C>) -> Result<(), ConnectionError>,
 ) {
-    let peer = stream.peer_addr().map_or("?".to_owned(), |p| p.to_string());
-    let out = match stream.try_clone().and_then(|s| context.outbox(s)) {
+    let peer = stream
+        .peer_addr()
+        .map_or("?".to_owned(), |peer| peer.to_string());
+    let out = match stream.try_clone().and_then(|stream| context.outbox(stream)) {
         Ok(out) => out,
-        Err(e) => return protocol.log.not_started(protocol.front, &peer, &e),
+        Err(error) => return protocol.log.not_started(protocol.front, &peer, &error),
     };
     guard.slot.attach_outbox(&out);
     let slot = guard.slot.clone();
@@ -230,7 +232,7 @@
     }
     client.mark_disconnected();
     context.core.client_disconnected(guard.slot.number);
-    // A response may be on its way there; else nothing is lost by a close that takes no time and keeps no slot.
+    // A response may be on its way to the client; else nothing is lost by a close without a linger.
     if channel.out.is_closing() {
         channel.out.linger(stream, &context.limits);
     } else {
--- a/wrenseam/src/front/fastcgi/answers.rs
+++ b/wrenseam/src/front/fastcgi/answers.rs
@@ -1,4 +1,4 @@
-//! Responses to FastCGI requests, and the requests that are owed one.
+//! Responses to FastCGI requests, and the requests that wait for one.
 use super::records::response;
 use crate::front::connection::{ConnectionClient, ResponseChannel};
 use crate::model::{Answer, Client};
@@ -45,17 +45,17 @@
 /// The client of a FastCGI connection, as the core sees it.
 pub(super) struct FastCgiClient {
     pub(super) channel: ResponseChannel,
-    /// Requests that are owed a response, by FastCGI id.
+    /// Requests that wait for a response, by FastCGI id.
     pub(super) open: Mutex<HashMap<u16, OpenRequest>>,
 }
 
-/// A request that is owed a response.
+/// A request that waits for a response.
 pub(super) struct OpenRequest {
     /// Which use of its id it is.
     pub(super) use_number: u64,
     /// Whether the connection closes behind the response.
     pub(super) close: bool,
-    /// To be set once the client gives the request up: an attempt that has not begun by then is not sent.
+    /// To be set once the client cancels the request: an attempt that has not begun by then is not sent.
     pub(super) client_gone: Arc<AtomicBool>,
 }
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Takes out the open request of this tag, unless it was given up or its id is used by another since.
+    /// Takes out the open request of this tag, unless it was cancelled or its id is used by another since.
     fn take_open(&self, tag: u64) -> Option<OpenRequest> {
         let request_id = tag as u16;
         let mut open = self.open.lock().ok()?;
--- a/wrenseam/src/front/fastcgi/connection.rs
+++ b/wrenseam/src/front/fastcgi/connection.rs
@@ -80,8 +80,8 @@
         self.partial.is_empty() && records.is_between_records()
     }
 
-    /// Rejects requests that are not complete in time, or ends the connection if nothing else is owed on it. Guards
-    /// against requests that never end: each is owed a response or a close, and holds memory.
+    /// Rejects requests that are not complete in time, or ends the connection if no other is pending on it. Guards
+    /// against requests that never end: each needs a response or a close, and holds memory.
     fn check_read_timeouts(&mut self, records: &RecordDecoder) -> Result<(), ConnectionError> {
         let limit = self.context.limits.request_read;
         if records.is_overdue(limit) && self.client.channel.slot.is_idle() {
--- a/wrenseam/src/front/fastcgi/dispatch.rs
+++ b/wrenseam/src/front/fastcgi/dispatch.rs
@@ -9,8 +9,8 @@
 use std::time::Instant;
 use wrenseam_policy::Micros;
 
-/// What a request rejected by a process that shuts down is told to wait: none, another process takes it at once; the
-/// least that can be stated.
+/// The retry advice of a process that shuts down, in µs: the shortest that the wire can state, as another process
+/// takes the request at once.
 const SHUTDOWN_RETRY_AFTER: Micros = 1_000;
 
 impl FastCgiConnection<'_> {
--- a/wrenseam/src/front/fastcgi/partial.rs
+++ b/wrenseam/src/front/fastcgi/partial.rs
@@ -19,7 +19,7 @@
 }
 
 impl EarlyEnd {
-    /// What the client is told.
+    /// The status for the client.
     pub(super) fn status(self) -> ProtocolStatus {
         match self {
             EarlyEnd::UnknownRole => ProtocolStatus::UnknownRole,
--- a/wrenseam/src/front/kserve/connection.rs
+++ b/wrenseam/src/front/kserve/connection.rs
@@ -12,7 +12,7 @@
 use may::net::TcpStream;
 use std::sync::Arc;
 
-/// What tells a client to go on with its body.
+/// The interim response after which a client sends its body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 /// The header beside a 503 that is given without the core's advice.
 const RETRY_AFTER: &str = "Retry-After: 1\r\n";
--- a/wrenseam/src/front/kserve/decoder.rs
+++ b/wrenseam/src/front/kserve/decoder.rs
@@ -56,7 +56,7 @@
 
 /// What the next bytes of a connection are.
 pub(super) enum Decoded {
-    /// The head of a request whose client waits to be told to go on with the body.
+    /// The head of a request whose client waits for a 100 Continue before it sends the body.
     ExpectsContinue,
     /// A complete request.
     Request(HttpRequest),
@@ -103,7 +103,8 @@
         Ok(None)
     }
 
-    /// Reads one byte of a head, and what follows from a complete head. Whether its client waits to go on.
+    /// Reads one byte of a head, and what follows from a complete head. Whether its client waits for a
+    /// 100 Continue.
     fn read_head(&mut self, ring: &mut Ring, limits: &Limits) -> Result<bool, HttpError> {
         ring.take(1, &mut self.head);
         if self.head == EMPTY_LINE {
--- a/wrenseam/src/front/listener.rs
+++ b/wrenseam/src/front/listener.rs
@@ -36,7 +36,7 @@
     pub process_state: Arc<ProcessState>,
     /// Set once the listeners close.
     pub listeners_closing: Arc<AtomicBool>,
-    /// Set once the process ends: each connection closes when nothing is unread, half read or owed on it.
+    /// Set once the process ends: each connection closes when nothing is unread, half read or pending on it.
     pub shutting_down: Arc<AtomicBool>,
     /// Loops that accept connections.
     pub accept_loops: Arc<AtomicUsize>,
@@ -71,6 +71,19 @@
     }
 }
 
+/// What serves a connection of some front.
+pub type Serve = fn(TcpStream, &ListenerContext, SlotGuard);
+
+/// A front's listener.
+pub struct Listener {
+    /// Where clients connect.
+    pub socket: Arc<TcpListener>,
+    /// The front's name in the log.
+    pub front: &'static str,
+    /// What serves its connections.
+    pub serve: Serve,
+}
+
 /// Accepts connections until the listeners close, each served by a coroutine of its own.
 pub fn accept(
     listener: &TcpListener,
@@ -103,7 +116,7 @@
     front: &'static str,
     serve: Serve,
 ) {
-    // Guards the descriptors that workers and the board need.
+    // Guards the descriptors that connections to workers and the discovery service need.
     let Some(guard) = acquire_slot(context) else {
         return note!("{}", messages::slots_exhausted(front, peer));
     };
@@ -115,8 +128,8 @@
     }
 }
 
-/// Closes a listener. What stands in its queue by then the machine has accepted: it is taken first, or a reset would
-/// be its answer.
+/// Closes a listener. Connections in its queue have been accepted by the system: they are served first, as the close
+/// would reset them.
 pub fn close(listener: &Listener, context: &ListenerContext) {
     while let Ok((stream, peer)) = listener.socket.inner().accept() {
         // SAFETY: the descriptor is open and ours alone, `into_raw_fd` has just let go of it; `may` has no other way to
@@ -129,19 +142,6 @@
     let _ = socket2::SockRef::from(listener.socket.inner()).shutdown(std::net::Shutdown::Both);
 }
 
-/// What serves a connection of some front.
-pub type Serve = fn(TcpStream, &ListenerContext, SlotGuard);
-
-/// A front's listener.
-pub struct Listener {
-    /// Where clients connect.
-    pub socket: Arc<TcpListener>,
-    /// The front's name in the log.
-    pub front: &'static str,
-    /// What serves its connections.
-    pub serve: Serve,
-}
-
 /// A slot, if need be that of an idle connection.
 fn acquire_slot(context: &ListenerContext) -> Option<SlotGuard> {
     let mut guard = context.slots.acquire();
--- a/wrenseam/src/http.rs
+++ b/wrenseam/src/http.rs
@@ -70,24 +70,24 @@
     }
 }
 
-/// What of a head matters here.
+/// The parts of a head that matter here.
 #[derive(Debug, Default, PartialEq)]
 pub struct Head {
     /// Method of a request.
     pub method: String,
     /// Target of a request.
     pub target: String,
-    /// Status of an answer.
+    /// Status of a response.
     pub status: u16,
-    /// The body's length, where told.
+    /// The body's length, where stated.
     pub length: Option<usize>,
     /// Whether the body comes in chunks.
     pub chunked: bool,
     /// Whether the connection ends with this exchange.
     pub close: bool,
-    /// Whether the client waits to be told to go on.
+    /// Whether the client waits for a 100 Continue before it sends the body.
     pub expects: bool,
-    /// Whether an answer says when to come back.
+    /// Whether a response has a Retry-After.
     pub retry_after: bool,
 }
 
@@ -179,7 +179,7 @@
     End,
 }
 
-/// Undoes the chunked transfer coding, byte by byte.
+/// Decodes the chunked transfer coding, byte by byte.
 #[derive(Default)]
 pub struct Chunked {
     /// Bytes of the chunk's content that are still to come.
@@ -221,7 +221,7 @@
     }
 }
 
-/// A response with a JSON body as bytes; `headers` are whole lines.
+/// A response with a JSON body as bytes; `headers` are complete lines.
 pub fn response(status: &str, headers: &str, body: &[u8], close: bool) -> Vec<u8> {
     let connection = if close { "Connection: close\r\n" } else { "" };
     let length = body.len();
--- a/wrenseam/src/log.rs
+++ b/wrenseam/src/log.rs
@@ -3,12 +3,15 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-const A_SECOND: u64 = 5;
+/// Lines of one kind that are written a second at the most.
+const LINES_PER_SECOND: u64 = 5;
 
 /// One kind of line, by the place in the code that writes it.
 #[derive(Default)]
 pub struct Line {
+    /// The Unix second in which the last of the kind came.
     second: AtomicU64,
+    /// How many came in it.
     count: AtomicU64,
 }
 
@@ -26,7 +29,7 @@
     pub fn write(&self, text: Arguments) {
         let second = SystemTime::now()
             .duration_since(UNIX_EPOCH)
-            .map_or(0, |d| d.as_secs());
+            .map_or(0, |since_epoch| since_epoch.as_secs());
         if let Some(line) = self.admit(second, text) {
             eprintln!("{line}");
         }
@@ -34,20 +37,22 @@
 
     /// The line as it is to be written in this second, if it is.
     pub fn admit(&self, second: u64, text: Arguments) -> Option<String> {
-        let mut left_out = 0;
+        let mut suppressed = 0;
         if self.second.swap(second, Ordering::Relaxed) != second {
-            left_out = self
+            suppressed = self
                 .count
                 .swap(0, Ordering::Relaxed)
-                .saturating_sub(A_SECOND);
+                .saturating_sub(LINES_PER_SECOND);
         }
-        if self.count.fetch_add(1, Ordering::Relaxed) >= A_SECOND {
+        if self.count.fetch_add(1, Ordering::Relaxed) >= LINES_PER_SECOND {
             return None;
         }
-        Some(match left_out {
-            0 => text.to_string(),
-            n => format!("{text} ({n} more such lines were left out)"),
-        })
+        if suppressed == 0 {
+            return Some(text.to_string());
+        }
+        Some(format!(
+            "{text} ({suppressed} more such lines were left out)"
+        ))
     }
 }
 
--- a/wrenseam/src/net/calls.rs
+++ b/wrenseam/src/net/calls.rs
@@ -1,4 +1,4 @@
-//! System calls on connections, behind which tests put short and failing ones.
+//! System calls on connections; tests replace them by short and failing ones.
 use may::net::TcpStream;
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -32,7 +32,10 @@
     }
 }
 
-/// Writes what goes out at once, and never waits: `WouldBlock` if nothing does.
+/// Writes what goes out at once, and never waits.
+///
+/// # Errors
+/// Nothing was written; `WouldBlock` if the system takes nothing now.
 pub fn write_now(stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
     let mut inner = stream.inner();
     inner.write(bytes)
--- a/wrenseam/src/net/failure.rs
+++ b/wrenseam/src/net/failure.rs
@@ -4,7 +4,7 @@
 use std::io::{self, ErrorKind, Read};
 use std::time::Duration;
 
-/// How long a call waits that failed as the system was short of something.
+/// How long a call that failed waits for memory or buffers of the system.
 const SHORTAGE: Duration = Duration::from_millis(1);
 
 /// `ENOBUFS` of Linux: no buffer for now. (`ErrorKind` has no name for it.)
@@ -23,8 +23,8 @@
 
 impl Failure {
     /// Of an error that a read or write returned.
-    pub fn of(e: &io::Error) -> Self {
-        match (e.kind(), e.raw_os_error()) {
+    pub fn of(error: &io::Error) -> Self {
+        match (error.kind(), error.raw_os_error()) {
             (_, Some(NO_BUFFERS)) | (ErrorKind::OutOfMemory, _) => Failure::Later,
             (ErrorKind::WouldBlock | ErrorKind::Interrupted, _) => Failure::Again,
             // The scheduler's own time-out has no number; the system's `ETIMEDOUT` ends a connection.
@@ -35,8 +35,8 @@
 }
 
 /// Whether an error of a blocking call only means that its time was up.
-pub fn timed_out(e: &io::Error) -> bool {
-    Failure::of(e) == Failure::Again
+pub fn timed_out(error: &io::Error) -> bool {
+    Failure::of(error) == Failure::Again
 }
 
 /// What a read brought.
@@ -50,8 +50,8 @@
     NotReady,
 }
 
-/// One read into a ring with free space. A read that failed for want of memory brought nothing: the connection, and
-/// what is owed on it, stay.
+/// One read into a ring with free space. A read that failed for want of memory brought nothing: the connection and
+/// its pending requests stay.
 ///
 /// # Errors
 /// The connection is over.
@@ -59,13 +59,13 @@
     match ring.fill(from) {
         Ok(0) => Ok(ReadOutcome::Closed),
         Ok(_) => Ok(ReadOutcome::Data),
-        Err(e) => match Failure::of(&e) {
+        Err(error) => match Failure::of(&error) {
             Failure::Again => Ok(ReadOutcome::NotReady),
             Failure::Later => {
                 sleep(SHORTAGE);
                 Ok(ReadOutcome::NotReady)
             }
-            Failure::Over => Err(e),
+            Failure::Over => Err(error),
         },
     }
 }
--- a/wrenseam/src/net/mod.rs
+++ b/wrenseam/src/net/mod.rs
@@ -28,6 +28,9 @@
 }
 
 /// Runs a coroutine of this stack size. May's own default would be smaller and unstated.
+///
+/// # Errors
+/// The system has no memory for the stack.
 pub fn spawn(stack: usize, run: impl FnOnce() + Send + 'static) -> io::Result<()> {
     // No shared state is left half-done by a panic: each connection's state belongs to its coroutines.
     let builder = may::coroutine::Builder::new().stack_size(stack / size_of::<usize>());
--- a/wrenseam/src/net/outbox.rs
+++ b/wrenseam/src/net/outbox.rs
@@ -119,7 +119,7 @@
         self.client_probe.clone()
     }
 
-    /// Queues bytes. A client that does not read what it is owed loses its connection, not others theirs.
+    /// Queues bytes. A client that does not read its responses loses its connection, not others theirs.
     pub fn send(&self, bytes: Vec<u8>) {
         let length = bytes.len();
         let reserved = self.budget.take(length);
@@ -141,8 +141,8 @@
         let _ = self.commands.send(WriteCommand::HalfClose); // a writer that has ended has closed it already
     }
 
-    /// Closes the connection, without reading on, once what is queued has been written: nothing is owed on it, its
-    /// client has left, or does not read what it is owed.
+    /// Closes the connection, without reading on, once what is queued has been written: no request is pending on it,
+    /// its client has left, or does not read its responses.
     pub fn abort(&self) {
         self.close_state.is_aborted.store(true, Ordering::Release);
         let _ = self.commands.send(WriteCommand::Close); // as above
--- a/wrenseam/src/net/slots.rs
+++ b/wrenseam/src/net/slots.rs
@@ -24,7 +24,7 @@
 /// What a client connection is at.
 #[derive(Clone, Copy)]
 struct Usage {
-    /// Requests that are owed an answer.
+    /// Requests that wait for their answer.
     open_requests: usize,
     /// When the last of them ended; else when the client connected.
     idle_since: Instant,
@@ -93,15 +93,15 @@
         true
     }
 
-    /// Answers a request: `write` queues the answer, and only then the request is owed nothing any more. In the other
-    /// order a reader that closes connections on which nothing is owed closes this one ahead of the answer. `was_valid`
+    /// Answers a request: `write` queues the answer, and only then the request is no longer open. In the other
+    /// order a reader that closes idle connections closes this one ahead of the answer. `was_valid`
     /// if the request was one that workers could take.
     pub fn answer_request(&self, was_valid: bool, write: impl FnOnce()) {
         write();
         self.finish_request(was_valid);
     }
 
-    /// A request is owed nothing any more: its client cancelled it, or it has been answered.
+    /// A request is no longer open: its client cancelled it, or it has been answered.
     pub fn finish_request(&self, was_valid: bool) {
         self.update(|usage| {
             usage.open_requests = usage.open_requests.saturating_sub(1);
@@ -110,7 +110,7 @@
         });
     }
 
-    /// Evicts the connection, unless something is owed, unread or unwritten on it. That is decided under the lock that
+    /// Evicts the connection, unless a request is open, or something unread or unwritten on it. That is decided under the lock that
     /// `begin_request` takes: no request is taken on a connection that is evicted.
     fn evict(&self) -> bool {
         let Ok(mut state) = self.state.lock() else {
@@ -128,7 +128,7 @@
         self.update(|usage| usage.idle_since = Instant::now());
     }
 
-    /// Whether nothing is owed here.
+    /// Whether no request is open.
     pub fn is_idle(&self) -> bool {
         let state = self.state.lock();
         state.is_ok_and(|state| state.usage.open_requests == 0)
@@ -140,7 +140,7 @@
         state.is_ok_and(|state| state.usage.idle_since.elapsed() <= span)
     }
 
-    /// Whether nothing has been owed here for so long that the connection should end. Guards descriptors and
+    /// Whether no request has been open for so long that the connection should end. Guards descriptors and
     /// memory against connections that send nothing, or one request and stay. Usual clients close sooner.
     pub fn has_idle_timed_out(&self, limits: &Limits) -> bool {
         let Ok(state) = self.state.lock() else {
@@ -177,7 +177,7 @@
 }
 
 impl ConnectionSlots {
-    /// So many connections; while `draining` is set, connections on which nothing is owed close soon.
+    /// So many connections; while `draining` is set, idle connections close soon.
     pub fn new(limit: usize, draining: Arc<AtomicBool>, count: Arc<AtomicUsize>) -> Self {
         ConnectionSlots {
             used: Arc::default(),
@@ -202,7 +202,7 @@
         })
     }
 
-    /// Evicts some of the connections on which nothing is owed. Guards usual clients against hundreds that connect and
+    /// Evicts some of the idle connections. Guards usual clients against hundreds that connect and
     /// send nothing. Whether any slot is or may soon be free.
     pub fn evict_idle(&self) -> bool {
         let Ok(used) = self.used.lock() else {
--- a/wrenseam/src/ring.rs
+++ b/wrenseam/src/ring.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Makes room for so many bytes in all, within the limit.
+    /// Grows to hold so many bytes in all, within the limit.
     fn grow(&mut self, wanted: usize) {
         let capacity = wanted.next_power_of_two().min(self.limit);
         if capacity <= self.bytes.len() {
--- a/wrenseam/src/shutdown.rs
+++ b/wrenseam/src/shutdown.rs
@@ -81,7 +81,7 @@
     eprintln!("{message}");
 }
 
-/// The gateway goes on sending for a while: what comes in that time is owed an answer like any other.
+/// The gateway goes on sending for a while: what comes in that time is answered like any other.
 fn serve_for_grace_period(context: &ListenerContext) {
     std::thread::sleep(context.limits.stop_listening);
 }
@@ -99,7 +99,7 @@
 }
 
 /// From here on each connection decides for itself, in order: what is unread is read, what is half read is completed or
-/// ended, what is owed is answered, what is queued is written, and then it closes and frees its slot. With no slot in
+/// ended, what is pending is answered, what is queued is written, and then it closes and frees its slot. With no slot in
 /// use and no accept loop nothing is left; no count passes from one to another meanwhile.
 fn close_connections(context: &ListenerContext) {
     context.shutting_down.store(true, Ordering::Release);
--- a/wrenseam/tests/door.rs
+++ b/wrenseam/tests/admin_endpoint.rs
@@ -1,4 +1,4 @@
-//! The operators' door: one line in, `YES` or `NO` out; readiness, drain and return, and callers that misbehave.
+//! The admin endpoint: one line in, `YES` or `NO` out; readiness, drain and return, and callers that misbehave.
 mod common;
 
 use common::{connect, door, fastcgi, fastcgi_answer, Speech, Stage};
