--- a/wrenseam/tests/admin_endpoint.rs
+++ b/wrenseam/tests/admin_endpoint.rs
@@ -46,7 +46,7 @@
     assert!(health(&stage).starts_with("Status: 200"));
 }
 
-/// In a drain, a client connection on which nothing is owed is let go at once, not after the usual 5 s.
+/// In a drain, an idle client connection is closed at once, not after the usual 5 s.
 #[test]
 fn a_drain_closes_idle_client_connections() {
     let stage = Stage::new(Speech::Platform);
@@ -66,7 +66,7 @@
     );
 }
 
-/// Callers that never finish a line, or send too much, hold up nobody; they are closed without a word.
+/// Callers that never finish a line, or send too much, hold up nobody; they are closed without a reply.
 #[test]
 fn silent_and_long_callers_hold_nobody_up() {
     let stage = Stage::new(Speech::Platform);
--- a/wrenseam/tests/closing.rs
+++ b/wrenseam/tests/closing.rs
@@ -17,7 +17,7 @@
     let _ = stream.write_all(&got);
 }
 
-/// Connections that the machine has accepted and nobody has taken yet when the listener closes are owed an answer.
+/// Connections that the system has accepted and the program has not when the listener closes are served.
 #[test]
 fn what_stands_in_the_listeners_queue_at_its_close_is_served() {
     may::config().set_workers(1).set_worker_pin(false); // as the program has it
--- a/wrenseam/tests/eviction.rs
+++ b/wrenseam/tests/eviction.rs
@@ -1,5 +1,5 @@
-//! Connections that are ended to make room for others, and requests that cross that end: a request is either not read,
-//! and its client sends it once more, or it gets its answer on the connection on which it came.
+//! Evicted connections, and requests that cross the eviction: a request is either not read, and its client sends it once
+//! more, or it gets its answer on the connection on which it came.
 mod common;
 
 use common::{connect, fastcgi, fastcgi_answer, Speech, Stage, FUNCTION};
@@ -44,31 +44,31 @@
     }
 }
 
-/// Whether a whole answer comes.
+/// Whether a complete answer comes.
 fn is_answered(front: Speech, stream: &mut TcpStream) -> bool {
     match front {
         Speech::Platform => fastcgi_answer(stream).is_ok(),
         Speech::Kserve => {
             let mut start = [0; 12];
             let whole = stream.read_exact(&mut start).is_ok() && start.starts_with(b"HTTP/1.1 ");
-            // The rest of a refusal lies behind its status.
+            // The rest of a rejection follows its status.
             whole && stream.read(&mut [0; 1024]).is_ok_and(|n| n > 0)
         }
     }
 }
 
-/// A connection that has earned its place by a request that was refused at once: its client waits for 1 ms.
-fn proven(front: Speech, address: SocketAddr, id: u16) -> TcpStream {
+/// A connection that had a valid request, which was rejected at once: its client waits for 1 ms.
+fn with_valid_request(front: Speech, address: SocketAddr, id: u16) -> TcpStream {
     let mut stream = connect(address);
     stream.write_all(&request(front, id, 1)).expect("written");
-    assert!(is_answered(front, &mut stream), "refused at once");
+    assert!(is_answered(front, &mut stream), "rejected at once");
     stream
 }
 
 /// All client connections are taken. While the program stands still a newcomer connects, and then a request that must
 /// not be repeated comes on the connection that has been idle longest. Once the program goes on it accepts the newcomer
-/// first, and looks for a connection to end: the one with the request is read and answered, and ended is one on which
-/// nothing lies. A client whose connection closes sends its request once more, as the platform's clients do.
+/// first, and looks for a connection to evict: the one with the request is read and answered, and evicted is one on which
+/// nothing is unread. A client whose connection closes sends its request once more, as the platform's clients do.
 #[rstest]
 fn a_request_that_crosses_an_eviction_runs_once(
     #[values(Speech::Platform, Speech::Kserve)] front: Speech,
@@ -84,7 +84,7 @@
         stage.kserve
     };
     let mut held: Vec<TcpStream> = (0..CONNECTIONS)
-        .map(|n| proven(front, address, n as u16 + 1))
+        .map(|n| with_valid_request(front, address, n as u16 + 1))
         .collect();
     assert_eq!(stage.calls_come(), []);
     stage.signal("-STOP");
@@ -99,7 +99,7 @@
         held[0]
             .write_all(&request(front, CROSSING, 900))
             .expect("written");
-        assert!(is_answered(front, &mut held[0]), "at the second try");
+        assert!(is_answered(front, &mut held[0]), "at the second attempt");
     }
     assert_eq!(
         stage.calls_come(),
@@ -115,12 +115,12 @@
         .expect("written");
     assert!(
         is_answered(front, &mut newcomer),
-        "room was made for the newcomer"
+        "a connection was evicted for the newcomer"
     );
 }
 
-/// An answer is on its way before its request stops being owed. In the other order a connection that closes once
-/// nothing is owed on it closes ahead of the answer: the client sends its request once more, though it has run.
+/// An answer is queued before its request stops being open. In the other order a connection that closes once it is
+/// idle closes ahead of the answer: the client sends its request once more, though it has run.
 #[test]
 fn a_connection_is_idle_only_once_its_answer_is_queued() {
     let slots = ConnectionSlots::new(1, Arc::default(), Arc::default());
--- a/wrenseam/tests/program.rs
+++ b/wrenseam/tests/program.rs
@@ -27,7 +27,7 @@
 #[rstest]
 #[case::body_too_long(fastcgi(1, &params("900"), &[7; 17_000]), "Status: 400", 0)]
 #[case::no_wait(fastcgi(1, &params("soon"), b""), "Status: 400", 0)]
-// Figures that are none or out of range must not reach clock or module.
+// Parameters that are no numbers or out of range must not reach clock or policy.
 #[case::endless_wait(fastcgi(1, &params("inf"), b""), "Status: 400", 0)]
 #[case::huge_wait(fastcgi(1, &params("1e300"), b""), "Status: 400", 0)]
 #[case::negative_wait(fastcgi(1, &params("-5"), b""), "Status: 400", 0)]
@@ -96,7 +96,7 @@
     stage.play(Speech::Kserve, SERVED);
 }
 
-/// Whoever does not come to the point is owed a word or a close, and must not keep others out.
+/// A client that sends no complete request gets a response or a close, and must not keep others out.
 #[rstest]
 #[case::says_nothing("client expect closed")]
 #[case::stops_midway("client send part\nclient expect closed")]
--- a/wrenseam/tests/system_calls.rs
+++ b/wrenseam/tests/system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls on connections that fail or come short: a connection on which something is owed ends only if it is over.
+//! System calls on connections that fail or come short: a connection with pending requests ends only if it is over.
 use rstest::rstest;
 use std::io::{self, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream};
