--- a/wrenseam/src/front/admin/exclusions.rs
+++ b/wrenseam/src/front/admin/exclusions.rs
@@ -69,8 +69,8 @@
 }
 
 /// Carries out an exclude or include: the file first, so that no poll of it undoes the command, then the core by `ask`.
-/// Only a change for an id that no worker has is reversed, and nothing else with it: commands come at the same time, and
-/// a core that is busy still does what it was asked.
+/// Only a change for an id that no worker has is reversed, and nothing else with it: commands come at the same time,
+/// and a core that is busy still does what it was asked.
 ///
 /// # Errors
 /// Those of `ask`.
--- a/wrenseam/src/net/slots.rs
+++ b/wrenseam/src/net/slots.rs
@@ -110,8 +110,8 @@
         });
     }
 
-    /// Evicts the connection, unless a request is open, or something unread or unwritten on it. That is decided under the lock that
-    /// `begin_request` takes: no request is taken on a connection that is evicted.
+    /// Evicts the connection, unless a request is open, or something unread or unwritten on it. That is decided under
+    /// the lock that `begin_request` takes: no request is taken on a connection that is evicted.
     fn evict(&self) -> bool {
         let Ok(mut state) = self.state.lock() else {
             return false;
--- a/wrenseam/tests/eviction.rs
+++ b/wrenseam/tests/eviction.rs
@@ -1,5 +1,5 @@
-//! Evicted connections, and requests that cross the eviction: a request is either not read, and its client sends it once
-//! more, or it gets its answer on the connection on which it came.
+//! Evicted connections, and requests that cross the eviction: a request is either not read, and its client sends it
+//! once more, or it gets its answer on the connection on which it came.
 mod common;
 
 use common::{connect, fastcgi, fastcgi_answer, Speech, Stage, FUNCTION};
@@ -67,8 +67,8 @@
 
 /// All client connections are taken. While the program stands still a newcomer connects, and then a request that must
 /// not be repeated comes on the connection that has been idle longest. Once the program goes on it accepts the newcomer
-/// first, and looks for a connection to evict: the one with the request is read and answered, and evicted is one on which
-/// nothing is unread. A client whose connection closes sends its request once more, as the platform's clients do.
+/// first, and looks for a connection to evict: the one with the request is read and answered, and evicted is one on
+/// which nothing is unread. A client whose connection closes sends its request once more, as the platform's clients do.
 #[rstest]
 fn a_request_that_crosses_an_eviction_runs_once(
     #[values(Speech::Platform, Speech::Kserve)] front: Speech,
--- a/wrenseam/tests/log_messages.rs
+++ b/wrenseam/tests/log_messages.rs
@@ -1,4 +1,5 @@
-//! The texts of log lines of fronts, client connections, the admin endpoint and the shutdown. docs/oncall.md lists them.
+//! The texts of log lines of fronts, client connections, the admin endpoint and the shutdown, as docs/oncall.md lists
+//! them.
 use rstest::rstest;
 use std::io::Error;
 use std::net::SocketAddr;
