--- a/wrenseam/src/core/admin.rs
+++ b/wrenseam/src/core/admin.rs
@@ -2,30 +2,30 @@
 use super::log_lines::LogLine;
 use super::{Core, Gauges};
 use crate::discovery::membership::Unknown;
-use crate::model::AdminCommand;
+use crate::model::{AdminCommand, AdminReply};
 use std::sync::atomic::Ordering;
 use wrenseam_policy::WorkerState;
 
 impl Core {
-    /// Carries out a command and returns the text of its reply.
-    pub(super) fn handle_admin(&mut self, command: AdminCommand) -> String {
+    /// Carries out a command.
+    pub(super) fn handle_admin(&mut self, command: AdminCommand) -> AdminReply {
         match command {
-            AdminCommand::Readyz => self.readiness().to_owned(),
-            AdminCommand::Telemetry => self.telemetry(),
-            AdminCommand::Exclude(id) => self.exclude(&id),
-            AdminCommand::Include(id) => self.include(&id),
-            AdminCommand::Evacuate => self.evacuate().to_owned(),
-            AdminCommand::Activate => self.activate().to_owned(),
+            AdminCommand::Readyz => self.readiness(),
+            AdminCommand::Telemetry => AdminReply::Telemetry(self.telemetry()),
+            AdminCommand::Exclude(id) => self.exclude(id),
+            AdminCommand::Include(id) => self.include(id),
+            AdminCommand::Evacuate => self.evacuate(),
+            AdminCommand::Activate => self.activate(),
         }
     }
 
-    fn readiness(&self) -> &'static str {
+    fn readiness(&self) -> AdminReply {
         if self.process_state.draining.load(Ordering::Acquire) {
-            "NO draining\n"
+            AdminReply::NotReadyDraining
         } else if self.process_state.taking() {
-            "YES ready\n"
+            AdminReply::Ready
         } else {
-            "NO starting\n"
+            AdminReply::NotReadyStarting
         }
     }
 
@@ -59,42 +59,42 @@
     }
 
     /// Sends a worker nothing new until it is included again.
-    fn exclude(&mut self, id: &str) -> String {
-        match self.membership.exclude(id) {
+    fn exclude(&mut self, id: String) -> AdminReply {
+        match self.membership.exclude(&id) {
             Ok(changes) => {
-                eprintln!("{}", LogLine::Excluded(id));
+                eprintln!("{}", LogLine::Excluded(&id));
                 self.apply_changes(changes);
-                format!("YES excluded {id}\n")
+                AdminReply::Excluded(id)
             }
-            Err(Unknown) => format!("NO unknown {id}\n"),
+            Err(Unknown) => AdminReply::UnknownWorker(id),
         }
     }
 
     /// Puts an excluded worker back, as a new process.
-    fn include(&mut self, id: &str) -> String {
-        match self.membership.include(id, self.clock.now()) {
+    fn include(&mut self, id: String) -> AdminReply {
+        match self.membership.include(&id, self.clock.now()) {
             Ok(changes) => {
-                eprintln!("{}", LogLine::Included(id));
+                eprintln!("{}", LogLine::Included(&id));
                 self.apply_changes(changes);
-                format!("YES included {id}\n")
+                AdminReply::Included(id)
             }
-            Err(Unknown) => format!("NO unknown {id}\n"),
+            Err(Unknown) => AdminReply::UnknownWorker(id),
         }
     }
 
     /// Starts a drain: the front end is not ready, and client connections close once they are idle.
-    fn evacuate(&mut self) -> &'static str {
+    fn evacuate(&mut self) -> AdminReply {
         if !self.process_state.draining.swap(true, Ordering::AcqRel) {
             eprintln!("{}", LogLine::Draining);
         }
-        "YES draining\n"
+        AdminReply::DrainStarted
     }
 
     /// Ends a drain.
-    fn activate(&mut self) -> &'static str {
+    fn activate(&mut self) -> AdminReply {
         if self.process_state.draining.swap(false, Ordering::AcqRel) {
             eprintln!("{}", LogLine::Activated);
         }
-        "YES ready\n"
+        AdminReply::Ready
     }
 }
--- a/wrenseam/src/discovery/client.rs
+++ b/wrenseam/src/discovery/client.rs
@@ -63,7 +63,7 @@
     loop {
         let pause = client.request();
         if !pause.is_zero() {
-            crate::net::pause(pause);
+            crate::net::sleep(pause);
         }
     }
 }
--- a/wrenseam/src/discovery/event_stream.rs
+++ b/wrenseam/src/discovery/event_stream.rs
@@ -1,8 +1,7 @@
 //! The discovery service's response: an HTTP/1.1 head, then server-sent events, plain or in chunked coding. Bytes go
 //! in, events come out; no I/O.
-use crate::http::{Chunked, Coded, Head};
+use crate::http::{Chunked, Coded, Head, HeadError, InvalidChunkSize};
 use crate::limits::DiscoveryLimits;
-use std::fmt::Display;
 use thiserror::Error;
 
 const STATUS_OK: u16 = 200;
@@ -104,11 +103,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EventStreamError {
     /// The head is not one of HTTP/1.1.
-    #[error("{reason}")]
-    InvalidHead {
-        /// What is wrong with it.
-        reason: String,
-    },
+    #[error(transparent)]
+    InvalidHead(#[from] HeadError),
     /// The head is longer than allowed.
     #[error("the response head is too long")]
     HeadTooLong,
@@ -116,11 +112,8 @@
     #[error("status {0}")]
     Status(u16),
     /// The chunked coding is malformed.
-    #[error("{reason}")]
-    InvalidChunk {
-        /// What is wrong with it.
-        reason: String,
-    },
+    #[error(transparent)]
+    InvalidChunk(#[from] InvalidChunkSize),
     /// The service ended the stream.
     #[error("the stream ended")]
     Ended,
@@ -171,18 +164,11 @@
                 Ok(StreamItem::Incomplete)
             }
             ResponsePart::PlainBody => self.push_content(byte),
-            ResponsePart::ChunkedBody(chunked) => {
-                let coded = chunked
-                    .byte(byte)
-                    .map_err(|error| EventStreamError::InvalidChunk {
-                        reason: reason(error),
-                    })?;
-                match coded {
-                    Coded::Byte(content) => self.push_content(content),
-                    Coded::Nothing => Ok(StreamItem::Incomplete),
-                    Coded::End => Err(EventStreamError::Ended),
-                }
-            }
+            ResponsePart::ChunkedBody(chunked) => match chunked.byte(byte)? {
+                Coded::Byte(content) => self.push_content(content),
+                Coded::Nothing => Ok(StreamItem::Incomplete),
+                Coded::End => Err(EventStreamError::Ended),
+            },
         }
     }
 
@@ -196,9 +182,7 @@
 }
 
 fn parse_head(head: &[u8]) -> Result<ResponsePart, EventStreamError> {
-    let head = Head::answer(head).map_err(|error| EventStreamError::InvalidHead {
-        reason: reason(error),
-    })?;
+    let head = Head::answer(head)?;
     if head.status != STATUS_OK {
         return Err(EventStreamError::Status(head.status));
     }
@@ -207,7 +191,3 @@
     }
     Ok(ResponsePart::PlainBody)
 }
-
-fn reason(error: impl Display) -> String {
-    error.to_string()
-}
--- /dev/null
+++ b/wrenseam/src/front/kserve/routes.rs
@@ -0,0 +1,145 @@
+//! What each path of the v2 protocol answers.
+use super::answers::error;
+use super::connection::HttpConnection;
+use super::decoder::HttpRequest;
+use super::request::to_request;
+use crate::front::{messages, parse_function};
+use crate::http::Status;
+use crate::model::{Request, RequestEnd};
+use std::sync::atomic::Ordering;
+use std::time::Instant;
+
+/// The metadata of the server.
+const SERVER_METADATA: &str = concat!(
+    r#"{"name":"wrenseam","version":""#,
+    env!("CARGO_PKG_VERSION"),
+    r#"","extensions":[]}"#
+);
+/// The tensors that every model takes and gives.
+const TENSORS: &str = r#"[{"name":"body","datatype":"BYTES","shape":[1]}]"#;
+
+/// What becomes of a request at once.
+pub(super) enum Reply {
+    /// The core answers later.
+    Deferred,
+    /// The connection was evicted before the request was read: the request goes nowhere, and cannot be answered.
+    Evicted,
+    /// It is answered.
+    Now {
+        /// The response's status.
+        status: Status,
+        /// The response's body.
+        body: Vec<u8>,
+    },
+}
+
+impl Reply {
+    /// A response with this body.
+    pub(super) fn now(status: Status, body: impl Into<Vec<u8>>) -> Reply {
+        Reply::Now {
+            status,
+            body: body.into(),
+        }
+    }
+
+    /// A response with an error object.
+    pub(super) fn error(status: Status, reason: &str) -> Reply {
+        Reply::now(status, error(reason))
+    }
+}
+
+/// The status of something that is well or is not.
+fn health_status(is_well: bool) -> Status {
+    if is_well {
+        Status::Ok
+    } else {
+        Status::ServiceUnavailable
+    }
+}
+
+/// Answers a request of a v2 client.
+pub(super) fn reply(connection: &HttpConnection, request: HttpRequest) -> Reply {
+    let HttpRequest { head, body } = request;
+    let mut segments = head.path_segments();
+    // A version may be named; there is one.
+    if segments.len() > 4 && segments[3] == "versions" {
+        segments.drain(3..5);
+    }
+    let is_ready = || connection.context.process_state.taking();
+    match (head.method.as_str(), &segments[..]) {
+        ("GET", ["v2", "health", "live"]) => Reply::now(Status::Ok, r#"{"live":true}"#),
+        ("GET", ["v2", "health", "ready"]) => server_ready(is_ready()),
+        ("GET", ["v2"]) => Reply::now(Status::Ok, SERVER_METADATA),
+        (_, ["v2", "models", name, ..]) if parse_function(name).is_none() => {
+            Reply::error(Status::NotFound, "unknown model: a name is 16 hex digits")
+        }
+        ("GET", ["v2", "models", name, "ready"]) => model_ready(name, is_ready()),
+        ("GET", ["v2", "models", name]) => model_metadata(name),
+        ("POST", ["v2", "models", name, "infer"]) => infer(connection, name, body),
+        (_, ["v2", "models", _, "infer" | "ready"] | ["v2", "health", _]) => {
+            Reply::error(Status::MethodNotAllowed, "method")
+        }
+        _ => Reply::error(Status::NotFound, "no such resource"),
+    }
+}
+
+fn server_ready(is_ready: bool) -> Reply {
+    let body = format!("{{\"ready\":{is_ready}}}");
+    Reply::now(health_status(is_ready), body)
+}
+
+fn model_ready(name: &str, is_ready: bool) -> Reply {
+    let body = format!("{{\"name\":\"{name}\",\"ready\":{is_ready}}}");
+    Reply::now(health_status(is_ready), body)
+}
+
+fn model_metadata(name: &str) -> Reply {
+    let body = format!(
+        "{{\"name\":\"{name}\",\"versions\":[\"1\"],\"platform\":\"wrenseam\",\"inputs\":{TENSORS},\"outputs\":{TENSORS}}}"
+    );
+    Reply::now(Status::Ok, body)
+}
+
+/// Sends a request to the core, or rejects it.
+fn infer(connection: &HttpConnection, name: &str, body: Vec<u8>) -> Reply {
+    let context = connection.context;
+    let received_at = Instant::now();
+    let Some(reserved_bytes) = context.budget.reserve(body.len()) else {
+        note!("{}", messages::v2_memory_limit());
+        return Reply::error(Status::ServiceUnavailable, "too many bytes are held");
+    };
+    let request = match to_request(name, body, &context.limits) {
+        Ok(request) => request,
+        Err(error) => {
+            note!("{}", messages::v2_request_invalid(&error));
+            return Reply::error(Status::BadRequest, &error.to_string());
+        }
+    };
+    if context.process_state.stopping.load(Ordering::Acquire) {
+        // The process ends soon: another process takes what comes now.
+        context
+            .core
+            .ended_at_front(request.class, RequestEnd::Rejected);
+        return Reply::error(Status::ServiceUnavailable, "the front end is ending");
+    }
+    let request = Request {
+        received_at,
+        reserved_bytes: Some(reserved_bytes),
+        client_probe: Some(connection.client.channel.out.client_probe()),
+        ..request
+    };
+    submit(connection, request)
+}
+
+fn submit(connection: &HttpConnection, request: Request) -> Reply {
+    let client = &connection.client;
+    client.watch(connection.tag, request.client_gone.clone());
+    if !client.channel.slot.begin_request() {
+        return Reply::Evicted;
+    }
+    connection
+        .context
+        .core
+        .request(request, client.clone(), connection.tag);
+    Reply::Deferred
+}
--- a/wrenseam/src/lib.rs
+++ b/wrenseam/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod fleet;
 pub mod front;
 pub mod gossip;
+pub mod handover;
 pub mod http;
 pub mod limits;
 pub mod memory_budget;
@@ -24,7 +25,6 @@
 mod server;
 pub mod shutdown;
 mod start_error;
-pub mod succession;
 pub mod worker;
 
 pub use server::run;
--- a/wrenseam/src/model/admin.rs
+++ b/wrenseam/src/model/admin.rs
@@ -1,4 +1,4 @@
-//! Commands of the admin endpoint.
+//! Commands of operators, and the replies to them.
 
 /// A command that an operator sends to the admin endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -16,3 +16,24 @@
     /// End a drain.
     Activate,
 }
+
+/// The core's reply to a command.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum AdminReply {
+    /// This process takes clients.
+    Ready,
+    /// It takes no clients, as it drains.
+    NotReadyDraining,
+    /// It takes no clients, as it knows no workers yet.
+    NotReadyStarting,
+    /// It drains from now on.
+    DrainStarted,
+    /// The worker of this id is left out.
+    Excluded(String),
+    /// The worker of this id is back.
+    Included(String),
+    /// No worker has this id.
+    UnknownWorker(String),
+    /// The metrics, one a line, then `END`.
+    Telemetry(String),
+}
--- a/wrenseam/src/server.rs
+++ b/wrenseam/src/server.rs
@@ -7,12 +7,11 @@
 use crate::discovery::address::DiscoveryAddress;
 use crate::discovery::watch::WatchState;
 use crate::discovery::{client, xds};
-use crate::front::admin::{self, Named};
-use crate::front::{self, Doors, Listener};
+use crate::front::admin::{self, ActiveProcess};
+use crate::front::{self, Listener, ListenerContext};
 use crate::limits::Limits;
-use crate::memory_budget::MemoryBudget;
 use crate::model::TransportProtocol;
-use crate::net::{spawn, Seats};
+use crate::net::spawn;
 use crate::process_state::ProcessState;
 use crate::queue::{CoreHandle, Message};
 use crate::start_error::StartError;
@@ -21,7 +20,7 @@
 use signal_hook::iterator::Signals;
 use std::net::SocketAddr;
 use std::panic::AssertUnwindSafe;
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::atomic::Ordering;
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
 
@@ -44,9 +43,9 @@
     let mut server = Server::new(config, core_handle);
     server.start_core(inbox)?;
     let discovery = server.start_discovery()?;
-    let succession = server.read_predecessor_state();
+    let active_process = server.read_predecessor_state();
     let listeners = server.start_listeners()?;
-    server.start_admin_endpoint(succession)?;
+    server.start_admin_endpoint(active_process)?;
     server.wait(signals, &listeners, &discovery);
     Ok(())
 }
@@ -77,7 +76,7 @@
     core: CoreHandle,
     limits: Arc<Limits>,
     process_state: Arc<ProcessState>,
-    doors: Doors,
+    listener_context: ListenerContext,
 }
 
 impl Server {
@@ -86,27 +85,14 @@
         let process_state = Arc::new(ProcessState::default());
         let digest = Config::digest_with(config.settings_digest, config.discovery_service);
         process_state.config_digest.store(digest, Ordering::Release);
-        let doors = Doors {
-            core: core.clone(),
-            limits: limits.clone(),
-            budget: MemoryBudget::new(limits.held_bytes),
-            seats: Seats::new(
-                limits.client_connections,
-                process_state.draining.clone(),
-                process_state.clients.clone(),
-            ),
-            unsent: Arc::default(),
-            shared: process_state.clone(),
-            closing: Arc::new(AtomicBool::new(false)),
-            ending: Arc::default(),
-            accepting: Arc::default(),
-        };
+        let listener_context =
+            ListenerContext::new(core.clone(), limits.clone(), process_state.clone());
         Server {
             config,
             core,
             limits,
             process_state,
-            doors,
+            listener_context,
         }
     }
 
@@ -173,15 +159,15 @@
 
     /// Reads what another process of this front end left in `$TMPDIR`, where there is an admin endpoint. Done
     /// before clients are accepted, so that exclusions hold from the first request on.
-    fn read_predecessor_state(&self) -> Option<Named> {
+    fn read_predecessor_state(&self) -> Option<ActiveProcess> {
         self.config.admin?;
-        let excluded = admin::read_excluded(&admin::handover());
+        let excluded = admin::read_exclusions(&admin::exclusions_path());
         let _ = self.core.send(Message::Exclusions(excluded)); // the core ends only with the process
-        let succession = Named::new(&self.config.name, self.config.seed);
-        if succession.aside() {
+        let active_process = ActiveProcess::claim(&self.config.name, self.config.seed);
+        if active_process.is_standby() {
             let _ = self.core.send(Message::Standby(true));
         }
-        Some(succession)
+        Some(active_process)
     }
 
     /// Starts the listeners of the fronts and of the administration API.
@@ -226,9 +212,9 @@
         let failed = |source| StartError::Listener { address, source };
         let socket = Arc::new(TcpListener::bind(address).map_err(failed)?);
         let listener = socket.clone();
-        let doors = self.doors.clone();
-        doors.accepting.fetch_add(1, Ordering::AcqRel);
-        let accept = move || front::accept(&listener, &doors, front, serve);
+        let context = self.listener_context.clone();
+        context.accept_loops.fetch_add(1, Ordering::AcqRel);
+        let accept = move || front::accept(&listener, &context, front, serve);
         spawn(ACCEPT_STACK, accept).map_err(failed)?;
         Ok(Listener {
             socket,
@@ -238,25 +224,34 @@
     }
 
     /// Starts the admin endpoint and the watch of the exclusions that other processes of this front end write.
-    fn start_admin_endpoint(&self, succession: Option<Named>) -> Result<(), StartError> {
-        let (Some(address), Some(succession)) = (self.config.admin, succession) else {
+    fn start_admin_endpoint(
+        &self,
+        active_process: Option<ActiveProcess>,
+    ) -> Result<(), StartError> {
+        let (Some(address), Some(active_process)) = (self.config.admin, active_process) else {
             return Ok(());
         };
         let failed = |source| StartError::AdminEndpoint { address, source };
         let listener = TcpListener::bind(address).map_err(failed)?;
         announce("the operators' door", &listener);
-        let doors = self.doors.clone();
-        let accept = move || admin::accept(&listener, &doors);
+        let context = self.listener_context.clone();
+        let accept = move || admin::accept(&listener, &context);
         spawn(self.limits.stack, accept).map_err(failed)?;
-        let doors = self.doors.clone();
-        let follow = move || admin::follow(&doors, succession);
+        let context = self.listener_context.clone();
+        let follow = move || admin::watch(&context, active_process);
         spawn(self.limits.stack, follow).map_err(StartError::Exclusions)
     }
 
     /// Serves until a signal ends the process, then closes in order. The fleet is notified last.
     fn wait(&self, signals: Signals, listeners: &[Listener], discovery: &DiscoveryAddress) {
         let settings_digest = self.config.settings_digest;
-        shutdown::wait(signals, settings_digest, listeners, &self.doors, discovery);
+        shutdown::wait(
+            signals,
+            settings_digest,
+            listeners,
+            &self.listener_context,
+            discovery,
+        );
         if self.config.fleet.is_some() {
             gossip::leave(&self.process_state);
         }
--- a/wrenseam/src/worker/frames/reader.rs
+++ b/wrenseam/src/worker/frames/reader.rs
@@ -6,7 +6,7 @@
 use super::exchange::{Exchange, ExchangeKind};
 use crate::limits::Limits;
 use crate::model::{AttemptReport, Payload};
-use crate::net::{receive, Received};
+use crate::net::{receive, ReadOutcome};
 use crate::queue::CoreHandle;
 use crate::ring::Ring;
 use may::net::TcpStream;
@@ -30,7 +30,7 @@
     Socket(#[from] io::Error),
     /// A read failed.
     #[error("{0}")]
-    Receive(String),
+    Receive(#[source] io::Error),
 }
 
 /// The reading coroutine of one connection.
@@ -81,9 +81,9 @@
             let read_started_at = Instant::now();
             let received = receive(&mut self.ring, &mut self.stream);
             match received.map_err(ReadError::Receive)? {
-                Received::End => return Ok(()),
-                Received::Bytes => self.handle_answers()?,
-                Received::Nothing => self.check_incomplete_frame(read_started_at)?,
+                ReadOutcome::Closed => return Ok(()),
+                ReadOutcome::Data => self.handle_answers()?,
+                ReadOutcome::NotReady => self.check_incomplete_frame(read_started_at)?,
             }
         }
     }
--- a/wrenseam/src/worker/frames/writer.rs
+++ b/wrenseam/src/worker/frames/writer.rs
@@ -8,7 +8,7 @@
 use super::reader::AnswerReader;
 use super::send_queue::ClaimScope;
 use crate::limits::Limits;
-use crate::net::{pause, spawn, Failure, SystemCalls};
+use crate::net::{sleep, spawn, Failure, SystemCalls};
 use crate::queue::CoreHandle;
 use may::net::TcpStream;
 use may::sync::mpsc::Receiver;
@@ -135,7 +135,7 @@
                 continue; // all that was in it has been cut: what did not fit comes next
             }
             if writable == 0 {
-                pause(CLIENT_INPUT_WAIT);
+                sleep(CLIENT_INPUT_WAIT);
                 continue;
             }
             stalled = self.write_once(stream, written, writable, stalled)?;
@@ -167,7 +167,7 @@
     fn wait_stalled(&mut self, written: u64, stalled: Duration) -> Result<Duration, WriteError> {
         self.outgoing.revert_claims(written);
         let span = stalled_write_pause(&self.limits);
-        pause(span);
+        sleep(span);
         let stalled = stalled + span;
         if self.outgoing.is_past_write_deadline(written) {
             return Err(WriteError::WriteDeadlinePassed);
--- a/wrenseam/src/worker/kserve/answer.rs
+++ b/wrenseam/src/worker/kserve/answer.rs
@@ -1,11 +1,12 @@
 //! Reads one HTTP answer of a v2 worker.
 use super::exchange::Exchange;
 use super::messages::Reply;
-use crate::http::{Chunked, Coded, Head};
+use crate::http::{Chunked, Coded, Head, HeadError, InvalidChunkSize};
 use crate::limits::Limits;
-use crate::net::{receive, Received};
+use crate::net::{receive, ReadOutcome};
 use crate::ring::Ring;
 use may::net::TcpStream;
+use std::io;
 use std::time::Instant;
 
 /// What ends the head of an HTTP message.
@@ -35,12 +36,15 @@
     /// It was cancelled, or its time is up.
     #[error("timed out")]
     TimedOut,
-    /// It is no HTTP.
-    #[error("{0}")]
-    InvalidHttp(String),
+    /// Its head is not HTTP.
+    #[error(transparent)]
+    InvalidHead(#[from] HeadError),
+    /// Its body is not in the chunked coding that its head names.
+    #[error(transparent)]
+    InvalidChunk(#[from] InvalidChunkSize),
     /// A read failed.
     #[error("{0}")]
-    Receive(String),
+    Receive(#[source] io::Error),
 }
 
 /// A complete answer.
@@ -93,9 +97,9 @@
                 continue;
             }
             match receive(&mut self.ring, stream).map_err(AnswerError::Receive)? {
-                Received::End => return Err(AnswerError::ClosedEarly),
-                Received::Bytes => last_received_at = Instant::now(),
-                Received::Nothing => self.check_waiting(last_received_at, exchange)?,
+                ReadOutcome::Closed => return Err(AnswerError::ClosedEarly),
+                ReadOutcome::Data => last_received_at = Instant::now(),
+                ReadOutcome::NotReady => self.check_waiting(last_received_at, exchange)?,
             }
         }
     }
@@ -134,7 +138,7 @@
     fn parse_head(&mut self) -> Result<(), AnswerError> {
         while self.head.is_none() && self.ring.take(1, &mut self.head_bytes) > 0 {
             if self.head_bytes.ends_with(HEAD_END) {
-                let head = Head::answer(&self.head_bytes).map_err(AnswerError::InvalidHttp)?;
+                let head = Head::answer(&self.head_bytes)?;
                 if head
                     .length
                     .is_some_and(|length| length > self.limits.answer)
@@ -187,7 +191,7 @@
     let mut bytes = Vec::new();
     ring.take(usize::MAX, &mut bytes);
     for byte in bytes {
-        match chunks.byte(byte).map_err(AnswerError::InvalidHttp)? {
+        match chunks.byte(byte)? {
             Coded::Byte(byte) => body.push(byte),
             Coded::Nothing => {}
             Coded::End => return Ok(true),
--- a/wrenseam/src/worker/kserve/connection.rs
+++ b/wrenseam/src/worker/kserve/connection.rs
@@ -7,7 +7,7 @@
 use super::messages::{answer_owner, attempt_report, load_report, AnswerOwner, LoadReport, Reply};
 use crate::limits::Limits;
 use crate::model::AttemptReport;
-use crate::net::{back, pause, Failure, SystemCalls};
+use crate::net::{resume_on_scheduler, sleep, Failure, SystemCalls};
 use crate::queue::CoreHandle;
 use may::net::TcpStream;
 use may::sync::mpmc::Receiver;
@@ -45,7 +45,7 @@
     pub(super) fn run(mut self, queue: &Receiver<Exchange>) {
         loop {
             let next = queue.recv_timeout(self.limits.worker_idle);
-            back();
+            resume_on_scheduler();
             match next {
                 Ok(exchange) => {
                     self.carry_out(&exchange);
@@ -155,7 +155,7 @@
             match start {
                 StartResult::Started => return true,
                 StartResult::Discarded | StartResult::AlreadyFinal => return false,
-                StartResult::ClientInputUnread => pause(CLIENT_INPUT_WAIT),
+                StartResult::ClientInputUnread => sleep(CLIENT_INPUT_WAIT),
             }
         }
     }
@@ -228,7 +228,7 @@
             exchange.dispatch.revert_start();
         }
         let span = stalled_write_pause(&self.limits);
-        pause(span);
+        sleep(span);
         if is_unwritten && !self.try_start(exchange) {
             return Err(Outcome::NotSent);
         }
--- a/wrenseam/tests/discovery_log_lines.rs
+++ b/wrenseam/tests/discovery_log_lines.rs
@@ -9,6 +9,7 @@
 use wrenseam::discovery::log_lines;
 use wrenseam::discovery::watch::WatchError;
 use wrenseam::discovery::xds::XdsError;
+use wrenseam::http::{HeadError, InvalidChunkSize};
 
 fn address() -> SocketAddr {
     "127.0.0.1:9000".parse().expect("an address")
@@ -79,15 +80,12 @@
     "event 9 came after 7"
 )]
 #[case::head(
-    EventStreamError::InvalidHead { reason: "invalid header name".to_owned() },
+    EventStreamError::InvalidHead(HeadError::Syntax(httparse::Error::HeaderName)),
     "invalid header name"
 )]
 #[case::long_head(EventStreamError::HeadTooLong, "the response head is too long")]
 #[case::status(EventStreamError::Status(503), "status 503")]
-#[case::chunk(
-    EventStreamError::InvalidChunk { reason: "bad chunk size".to_owned() },
-    "bad chunk size"
-)]
+#[case::chunk(EventStreamError::InvalidChunk(InvalidChunkSize), "bad chunk size")]
 #[case::long_event(EventStreamError::EventTooLong, "an event is too long")]
 #[case::numbers_restarted(
     WatchError::NumbersRestarted { last: 7 },
--- a/wrenseam/tests/system_calls.rs
+++ b/wrenseam/tests/system_calls.rs
@@ -1,4 +1,4 @@
-//! System calls on connections that fail or come short: a connection on which something is owed ends only if it is over.
+//! System calls on connections that fail or come short: a connection with pending requests ends only if it is over.
 use rstest::rstest;
 use std::io::{self, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 use wrenseam::limits::Limits;
 use wrenseam::memory_budget::MemoryBudget;
-use wrenseam::net::{receive, DirectCalls, Failure, Outbox, Received, SystemCalls};
+use wrenseam::net::{receive, DirectCalls, Failure, Outbox, ReadOutcome, SystemCalls};
 use wrenseam::ring::Ring;
 
 /// The numbers of Linux's errors.
@@ -44,7 +44,10 @@
     let received = receive(&mut Ring::new(64), &mut Fails(number));
     match failure {
         Failure::Over => assert!(received.is_err()),
-        _ => assert_eq!(received, Ok(Received::Nothing)),
+        _ => assert!(
+            matches!(received, Ok(ReadOutcome::NotReady)),
+            "{received:?}"
+        ),
     }
 }
 
--- a/wrenseam/tests/worker_log_lines.rs
+++ b/wrenseam/tests/worker_log_lines.rs
@@ -1,6 +1,8 @@
 //! The text of each log line about connections to workers. docs/oncall.md lists them for whoever reads the log.
 use rstest::rstest;
+use std::io;
 use std::net::SocketAddr;
+use wrenseam::http::HeadError;
 use wrenseam::worker::frames::{FrameError, ReadError, WriteError};
 use wrenseam::worker::kserve::AnswerError;
 use wrenseam::worker::log_lines;
@@ -51,7 +53,7 @@
 
 #[rstest]
 #[case(ReadError::IncompleteFrame, "incomplete frame")]
-#[case(ReadError::Receive("reset".to_owned()), "reset")]
+#[case(ReadError::Receive(io::Error::other("reset")), "reset")]
 #[case(ReadError::Socket(std::io::ErrorKind::TimedOut.into()), "timed out")]
 #[case(FrameError::Magic(126).into(), "invalid frame: magic byte 126")]
 #[case(FrameError::BodyLength(9).into(), "invalid frame: body length 9")]
@@ -71,8 +73,8 @@
 #[case(AnswerError::HeadTooLong, "head too long")]
 #[case(AnswerError::Incomplete, "incomplete answer")]
 #[case(AnswerError::TimedOut, "timed out")]
-#[case(AnswerError::InvalidHttp("two lengths".to_owned()), "two lengths")]
-#[case(AnswerError::Receive("reset".to_owned()), "reset")]
+#[case(AnswerError::InvalidHead(HeadError::ConflictingLengths), "two lengths")]
+#[case(AnswerError::Receive(io::Error::other("reset")), "reset")]
 fn an_answer_error_says_why_the_answer_was_lost(#[case] error: AnswerError, #[case] text: &str) {
     assert_eq!(error.to_string(), text);
 }
