--- a/wrenseam/src/shutdown.rs
+++ b/wrenseam/src/shutdown.rs
@@ -99,8 +99,8 @@
 }
 
 /// From here on each connection decides for itself, in order: what is unread is read, what is half read is completed
-/// or ended, what is pending is answered, what is queued is written, and then it closes and frees its slot. With no slot in
-/// use and no accept loop nothing is left; no count passes from one to another meanwhile.
+/// or ended, what is pending is answered, what is queued is written, and then it closes and frees its slot. With no
+/// slot in use and no accept loop nothing is left; no count passes from one to another meanwhile.
 fn close_connections(context: &ListenerContext) {
     context.shutting_down.store(true, Ordering::Release);
     let started_at = Instant::now();
