--- a/scalelab/examples/hollow_front.rs
+++ b/scalelab/examples/hollow_front.rs
@@ -3,7 +3,7 @@
 //!     valgrind --tool=callgrind --toggle-collect='*Controller*handle*' target/release/examples/hollow_front 10000 16000 152 20
 //!
 //! Workers, functions, calls a second and seconds; a fifth word, `1/rank`, spreads the calls so.
-use scalelab::hollow::{Front, Shape, SEC};
+use scalelab::simulated_front_end::{Front, Shape, SEC};
 
 fn main() {
     let words: Vec<String> = std::env::args().skip(1).collect();
--- a/scalelab/src/bursts.rs
+++ b/scalelab/src/bursts.rs
@@ -1,6 +1,6 @@
 //! What comes at once: front ends that start, a zone that is lost and comes back cold, a list that is read anew.
-use crate::hollow::{Front, Popularity, Shape, Spent, SEC, START};
 use crate::module::{base, since, told};
+use crate::simulated_front_end::{Front, Popularity, Shape, Spent, SEC, START};
 use crate::{Column, Experiment, Sweep};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/scalelab/src/gossip.rs
+++ b/scalelab/src/gossip.rs
@@ -1,5 +1,5 @@
 //! What front ends send each other, against the fleet's size and its troubles: experiments on the simulated net.
-use crate::net::{Kind, Net, IP_UDP, MS, ZONES};
+use crate::gossip_network::{Kind, Net, IP_UDP, MS, ZONES};
 use crate::tally::Tally;
 use crate::{Column, Experiment, Fault, Sweep};
 
--- a/scalelab/src/net.rs
+++ b/scalelab/src/gossip_network/mod.rs
@@ -1,17 +1,21 @@
 //! A simulated net: hollow front ends (their gossip alone, as the program runs it) in simulated time, with faults of
 //! the net and of the processes. Counts and bytes are the same every run.
+mod accuracy;
+mod program;
+
+pub use program::Kind;
+
 use crate::tally::Tally;
 use crate::Fault;
+use program::Program;
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 use std::time::Instant;
-use wrenseam::fleet::identity::MAX_PRESSURE;
 use wrenseam::fleet::node::EXTRA_TRANSMISSIONS;
-use wrenseam::fleet::record::Record;
 use wrenseam::fleet::{
-    Facts, FleetNews, Lifecycle, Node, NodeSettings, PeerEvent, PeerId, Summary, Swim, SwimSettings,
+    Facts, FleetNews, Lifecycle, Node, NodeSettings, PeerEvent, Swim, SwimSettings,
 };
 
 /// A millisecond, in simulated microseconds.
@@ -25,86 +29,6 @@
 /// Incarnations as the program's: microseconds of the Unix time.
 const FIRST_INCARNATION: u64 = 1_790_000_000_000_000;
 
-/// Which program a front end runs.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// The one with the view.
-    Average,
-    /// The one before it: a summary of each front end to all.
-    Summaries,
-}
-
-enum Program {
-    Average(Box<Node>),
-    Summaries(Box<Swim>),
-}
-
-impl Program {
-    fn datagram(&mut self, now: u64, bytes: &[u8]) {
-        match self {
-            Program::Average(n) => n.datagram(now, bytes),
-            Program::Summaries(s) => {
-                s.datagram(now, bytes);
-            }
-        }
-    }
-
-    fn next(&self) -> u64 {
-        match self {
-            Program::Average(n) => n.next(),
-            Program::Summaries(s) => s.next().unwrap_or(u64::MAX),
-        }
-    }
-
-    fn tick(&mut self, now: u64) {
-        match self {
-            Program::Average(n) => n.tick(now),
-            Program::Summaries(s) => s.tick(now),
-        }
-    }
-
-    fn publish(&mut self, now: u64, own: u32, seeds: &[SocketAddr]) -> FleetNews {
-        let summary = Summary {
-            pressure: own,
-            ..Summary::default()
-        };
-        match self {
-            Program::Average(n) => n.publish(now, summary),
-            Program::Summaries(s) => {
-                s.publish(now, summary);
-                if s.alive() == 0 {
-                    seeds.iter().for_each(|&a| s.join(now, a));
-                }
-                FleetNews {
-                    alive: s.alive(),
-                    pressure: s.pressure(now, own),
-                    edges: (s.summaries(now).len(), s.alive()),
-                    dropped: s.dropped,
-                    ..FleetNews::default()
-                }
-            }
-        }
-    }
-
-    fn events(&mut self) -> Vec<(u64, PeerEvent)> {
-        match self {
-            Program::Average(n) => n.events(),
-            Program::Summaries(s) => s.events(),
-        }
-    }
-
-    fn outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
-        match self {
-            Program::Average(n) => n.outbox(),
-            Program::Summaries(s) => s
-                .outbox()
-                .into_iter()
-                .map(|out| (out.to, out.bytes))
-                .collect(),
-        }
-    }
-}
-
 /// One hollow front end.
 pub struct Front {
     program: Option<Program>,
@@ -304,53 +228,6 @@
         }
     }
 
-    /// What differs between the views of all that run on a side, or between them and the truth of who runs and says
-    /// what; `None`: all agree, and are right.
-    pub fn disagreement(&self, side: u8) -> Option<String> {
-        let on_side = (0..self.fronts.len()).filter(|&i| self.fronts[i].side == side);
-        let running: Vec<(usize, &Node)> =
-            on_side.filter_map(|i| Some((i, self.node(i)?))).collect();
-        let (first, node) = running.first()?;
-        let digest = node.members().digest().0;
-        if let Some((other, _)) = running
-            .iter()
-            .find(|(_, node)| node.members().digest().0 != digest)
-        {
-            let wrong = self
-                .wrong_in(*other, &running)
-                .or_else(|| self.wrong_in(*first, &running));
-            return Some(wrong.unwrap_or(format!("{other} has another digest than {first}")));
-        }
-        self.wrong_in(*first, &running)
-    }
-
-    /// What front end `i` has wrong of those that run.
-    fn wrong_in(&self, i: usize, running: &[(usize, &Node)]) -> Option<String> {
-        let directory = self.node(i)?.members().directory();
-        let truth: Vec<&Record> = running
-            .iter()
-            .map(|(_, node)| node.members().directory().own())
-            .collect();
-        let alive: BTreeSet<PeerId> = directory.alive().collect();
-        let others = || truth.iter().filter(|record| record.owner != addr(i));
-        let should: BTreeSet<PeerId> = others().map(|record| record.id()).collect();
-        if let Some(id) = alive.symmetric_difference(&should).next() {
-            let how = if alive.contains(id) {
-                "wrongly alive"
-            } else {
-                "missing"
-            };
-            let (known, right) = (alive.len(), should.len());
-            return Some(format!(
-                "{i} has {} {how} ({known} alive, {right} right)",
-                number(id.addr)
-            ));
-        }
-        let other =
-            others().find(|record| directory.record(record.owner).as_ref() != Some(**record))?;
-        Some(format!("{i} has another record of {}", number(other.owner)))
-    }
-
     fn flush(&mut self, i: usize) {
         let Some(program) = self.fronts[i].program.as_mut() else {
             return;
@@ -513,42 +390,6 @@
         }
     }
 
-    /// The true mean pressure, in thousandths, of the front ends that run on `side`, and how many they are.
-    pub fn truth(&self, side: u8) -> (f64, usize) {
-        let up = self
-            .fronts
-            .iter()
-            .filter(|f| f.program.is_some() && f.side == side);
-        let (sum, n) = up.fold((0.0, 0), |(s, n), f| {
-            (s + f64::from(f.pressure.min(MAX_PRESSURE)), n + 1)
-        });
-        (sum / n.max(1) as f64, n)
-    }
-
-    /// The largest and the root mean square error of the mean, as a part of the truth, over all that run.
-    pub fn error(&self) -> (f64, f64) {
-        let truth: Vec<f64> = (0..=1).map(|side| self.truth(side).0).collect();
-        let errors = self.fronts.iter().filter(|f| f.program.is_some()).map(|f| {
-            let t = truth[usize::from(f.side)];
-            (f64::from(f.news.pressure) - t).abs() / t.max(1.0)
-        });
-        let (most, sum, n) = errors.fold((0.0, 0.0, 0.0), |(m, s, n), e| {
-            (f64::max(m, e), s + e * e, n + 1.0)
-        });
-        (most, f64::sqrt(sum / f64::max(n, 1.0)))
-    }
-
-    /// The largest error of the fleet's size, as a part of the truth, over all that run.
-    pub fn size_error(&self) -> f64 {
-        let truth: Vec<f64> = (0..=1).map(|side| self.truth(side).1 as f64).collect();
-        let up = self.fronts.iter().filter(|f| f.program.is_some());
-        up.map(|f| {
-            let t = truth[usize::from(f.side)];
-            (f.news.alive as f64 + 1.0 - t).abs() / t
-        })
-        .fold(0.0, f64::max)
-    }
-
     /// Runs on until `holds` at every step of 100 ms for a second, for at most `within` microseconds; how long
     /// it took until it held, in microseconds.
     pub fn until(&mut self, within: u64, holds: impl Fn(&Net) -> bool) -> Option<u64> {
--- a/scalelab/src/lib.rs
+++ b/scalelab/src/lib.rs
@@ -5,13 +5,13 @@
 pub mod experiment;
 pub mod fit;
 pub mod gossip;
-pub mod hollow;
+pub mod gossip_network;
+pub mod harness;
 pub mod links;
 pub mod module;
-pub mod net;
 pub mod process;
-pub mod rig;
 pub mod seats;
+pub mod simulated_front_end;
 pub mod tally;
 pub mod yard;
 
--- a/scalelab/src/links.rs
+++ b/scalelab/src/links.rs
@@ -1,7 +1,7 @@
 //! Connections to workers: how many stand, and which share of calls pays for one. Measured at one process beside
 //! the worked-out model.
+use crate::harness::{self, event, Caller, Program, Told};
 use crate::process::part_of;
-use crate::rig::{self, event, Caller, Program, Told};
 use crate::yard::{Work, Yard};
 use crate::{Column, Experiment, Fault, Sweep};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -137,7 +137,7 @@
         };
         if matches!(status, Ok(200)) {
             answers.served.fetch_add(1, Ordering::Relaxed);
-            rig::lock(&answers.times).push(since.elapsed().as_secs_f64() * 1000.0);
+            harness::lock(&answers.times).push(since.elapsed().as_secs_f64() * 1000.0);
         } else {
             answers.other.fetch_add(1, Ordering::Relaxed);
             if status.is_err() {
@@ -184,7 +184,7 @@
         let (stop, answers, ranks, to) =
             (stop.clone(), answers.clone(), ranks.clone(), program.kserve);
         let (each, seed) = (rate as f64 / CLIENTS as f64, seed << 16 | n);
-        rig::thread(move || client(to, each, seed, &ranks, work.load, &stop, &answers))?;
+        harness::thread(move || client(to, each, seed, &ranks, work.load, &stop, &answers))?;
     }
     std::thread::sleep(WARM);
     let counted = yard.tally.counts();
@@ -192,8 +192,8 @@
         answers.served.load(Ordering::Relaxed),
         answers.other.load(Ordering::Relaxed),
     );
-    rig::lock(&answers.times).clear();
-    rig::lock(&yard.tally.called).clear();
+    harness::lock(&answers.times).clear();
+    harness::lock(&yard.tally.called).clear();
     let (before, since) = (program.usage()?, Instant::now());
     let (mut descriptors, mut standing, mut looks) = (0, 0, 0);
     while since.elapsed() < ACROSS {
@@ -210,7 +210,7 @@
     let served = (answers.served.load(Ordering::Relaxed) - served) as f64;
     let other = (answers.other.load(Ordering::Relaxed) - other) as f64;
     stop.store(true, Ordering::Relaxed);
-    let called = rig::lock(&yard.tally.called).len() as f64;
+    let called = harness::lock(&yard.tally.called).len() as f64;
     let row = vec![
         descriptors as f64,
         standing as f64 / f64::from(looks.max(1)),
@@ -221,7 +221,7 @@
         calls / ACROSS.as_secs_f64(),
         (orders + questions) / ACROSS.as_secs_f64(),
         100.0 * served / (served + other).max(1.0),
-        part_of(&mut rig::lock(&answers.times), 0.99),
+        part_of(&mut harness::lock(&answers.times), 0.99),
         after.share(&before),
         after.rss as f64 / 1024.0,
     ];
--- a/scalelab/src/module.rs
+++ b/scalelab/src/module.rs
@@ -1,6 +1,6 @@
 //! The decision module alone: processor time, memory and actions against workers, functions, calls, front ends, list
 //! changes, zones and the time that idle copies are kept.
-use crate::hollow::{Counts, Front, Shape, Spent, SEC};
+use crate::simulated_front_end::{Counts, Front, Shape, Spent, SEC};
 use crate::{Column, Experiment, Fault, Sweep};
 
 /// The experiments of this file.
--- /dev/null
+++ b/scalelab/src/process/restart.rs
@@ -0,0 +1,85 @@
+//! What starts at once take.
+use super::{measured, mib, ms, part_of, LIST};
+use crate::harness::{self, event, hollow, until, Board, Program, Told};
+use crate::{Fault, Sweep};
+use std::time::Duration;
+
+pub(super) fn restart(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, Fault> {
+    let mut sweeps = Vec::new();
+    for (known, title) in [
+        (
+            false,
+            "Processes started at once; the board tells 4,000 workers; one core for all",
+        ),
+        (
+            true,
+            "Processes started at once; their configuration tells 4,000 workers; one core for all",
+        ),
+    ] {
+        let mut rows = Vec::new();
+        for &processes in sizes {
+            let list = event(1, true, &hollow(LIST));
+            let board = Board::start(vec![(1, list.clone())])?;
+            let told = |index| Told {
+                board: Some(board.address),
+                index,
+                seed: seed + index as u64,
+                known: if known {
+                    (1, vec![list.clone()])
+                } else {
+                    (0, Vec::new())
+                },
+                ..Told::default()
+            };
+            let programs = (0..processes as usize)
+                .map(|i| Program::spawn(&told(i)))
+                .collect::<Result<Vec<_>, _>>()?;
+            let (done, times) = std::sync::mpsc::channel();
+            let waits: Vec<_> = programs
+                .into_iter()
+                .map(|mut program| {
+                    let done = done.clone();
+                    move || {
+                        let up = program.listening().and_then(|()| {
+                            until("ready", Duration::from_millis(20), || program.is_ready())?;
+                            Ok((ms(program.since.elapsed()), program.usage()?))
+                        });
+                        let _ = done.send(up.map(|(time, usage)| (time, usage, program)));
+                    }
+                })
+                .collect();
+            for wait in waits {
+                harness::thread(wait)?;
+            }
+            drop(done);
+            let up = times.iter().collect::<Result<Vec<_>, _>>()?;
+            let mut waited: Vec<f64> = up.iter().map(|u| u.0).collect();
+            let mut spent: Vec<f64> = up.iter().map(|u| ms(u.1.cpu)).collect();
+            let mut most: Vec<f64> = up.iter().map(|u| mib(u.1.most)).collect();
+            rows.push((
+                processes,
+                vec![
+                    part_of(&mut waited, 0.5),
+                    part_of(&mut waited, 0.9),
+                    part_of(&mut waited, 1.0),
+                    part_of(&mut spent, 0.5),
+                    part_of(&mut most, 1.0),
+                ],
+            ));
+        }
+        let columns = vec![
+            measured("ms from exec to ready, median"),
+            measured("nine in ten"),
+            measured("last"),
+            measured("ms of processor each"),
+            measured("most RSS of one, MiB"),
+        ];
+        sweeps.push(Sweep {
+            title: title.to_owned(),
+            varied: "processes at once",
+            columns,
+            rows,
+        });
+    }
+    Ok(sweeps)
+}
--- a/scalelab/src/seats.rs
+++ b/scalelab/src/seats.rs
@@ -1,7 +1,7 @@
 //! Cold workers' seats and the ration of loads: what many modules that share nothing send together, and what one of
 //! them refuses.
-use crate::hollow::{Front, Popularity, Shape, MS, SEC, START};
 use crate::module::{base, told};
+use crate::simulated_front_end::{Front, Popularity, Shape, MS, SEC, START};
 use crate::{Column, Experiment, Sweep};
 use std::rc::Rc;
 use wrenseam_policy::{Micros, WorkerState};
--- a/scalelab/src/hollow.rs
+++ b/scalelab/src/simulated_front_end/mod.rs
@@ -1,12 +1,25 @@
 //! A front end without sockets: the decision module before stand-in workers, on simulated time. All that it counts is
 //! the same in every run of a shape and seed; only what the clock measures is not.
+mod counts;
+mod plan;
+mod popularity;
+mod shape;
+
+pub use counts::{Counts, Spent};
+use plan::{Due, Todo};
+pub use popularity::Popularity;
+pub use shape::Shape;
+
 use allocation_counter::{measure, AllocationInfo};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Instant;
-use wrenseam_policy::*;
+use wrenseam_policy::{
+    Action, AttemptResult, Controller, Event, Micros, NewRequest, Outcome, RequestId, Settings,
+    WorkerId, WorkerState,
+};
 
 pub const MS: Micros = 1_000;
 pub const SEC: Micros = 1_000_000;
@@ -14,235 +27,12 @@
 pub const START: Micros = 1_000 * SEC;
 const AWAY: Micros = 250 * MS; // a connection to a worker that is not there counts as failed after this
 
-/// What is varied, one at a time.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Shape {
-    pub front_ends: u32,
-    pub workers: usize,
-    pub functions: usize,
-    /// Calls a second at this front end; all others together have the same each.
-    pub calls: f64,
-    pub zones: usize,
-    /// List changes a second: a worker goes, and the next time a new one comes.
-    pub changes: f64,
-    /// Popularity of the n-th function is (n + offset) to the power of -exponent.
-    pub exponent: f64,
-    pub offset: f64,
-    pub keep: Micros,
-    /// How long a copy takes to load.
-    pub load: Micros,
-    /// Workers load what they lack for a call, else they answer with a miss and only orders load.
-    pub load_on_demand: bool,
-    /// Calls a second that the tenants' shares allow together, over all front ends.
-    pub quota: f64,
-    /// Whether the other front ends' calls keep copies standing; else each function stands where we had it loaded alone.
-    pub others: bool,
-    pub seed: u64,
-}
-
-impl Default for Shape {
-    fn default() -> Shape {
-        Shape {
-            front_ends: 660,
-            workers: 10_000,
-            functions: 16_000,
-            calls: 152.0,
-            zones: 7,
-            changes: 0.0,
-            exponent: 3.0,
-            offset: 150.0,
-            keep: 10 * SEC,
-            load: 400 * MS,
-            load_on_demand: true,
-            quota: 120_000.0,
-            others: true,
-            seed: 1,
-        }
-    }
-}
-
-impl Shape {
-    pub fn settings(&self) -> Settings {
-        let class = |effect, aim| ClassSettings {
-            idempotency: effect,
-            key_scope: KeyScope::Zone,
-            key_memory: 5 * SEC,
-            latency_objective: aim,
-            priority_weight: 1.0,
-            ..ClassSettings::default()
-        };
-        let tenant = |_| TenantSettings {
-            quota_per_s: self.quota / 5.0,
-            ..TenantSettings::default()
-        };
-        Settings {
-            front_ends: self.front_ends,
-            front_end_index: Some(0),
-            classes: vec![
-                class(Idempotency::Idempotent, 400 * MS),
-                class(Idempotency::Keyed, 400 * MS),
-            ],
-            longest_wait: 5 * SEC,
-            tenants: (0..5).map(tenant).collect(),
-            zones: (0..self.zones).map(|z| format!("z{z}")).collect(),
-            kinds: vec!["std".into()],
-            over_quota_weight: 0.1,
-            kind_memory_mb: vec![8192.0],
-            keep_alive: self.keep,
-            load_on_demand: self.load_on_demand,
-            load_orders: true,
-            order_timeout: 10 * SEC,
-            load_budget_window: 5 * SEC,
-            load_budget_base: 4.0,
-            load_budget_per_request: 0.15,
-            max_attempts: 6,
-            cancellation: true,
-            hedging: true,
-            max_retry_after: SEC,
-            connect_timeout: AWAY,
-            connection_idle_timeout: 15 * SEC,
-            streams_per_connection: 100,
-            slow_start_from: 0.3,
-            slow_start_duration: 12 * SEC,
-            overload_multiple: 2.0,
-            overload_window: SEC,
-            watch_endpoints: false,
-        }
-    }
-
-    pub fn entry(&self, n: usize, state: WorkerState, started_at: Micros) -> Endpoint {
-        Endpoint {
-            worker: name(n),
-            state,
-            started_at,
-            zone: Some(n % self.zones.max(1)),
-            kind: 0,
-            cell: Some((n / 6) as u64),
-        }
-    }
-}
-
-/// How the calls fall on the functions.
-pub struct Popularity(Vec<f64>);
-
-impl Popularity {
-    pub fn new(shape: &Shape) -> Popularity {
-        let mut sum = 0.0;
-        let part = |n: usize| (n as f64 + 1.0 + shape.offset).powf(-shape.exponent);
-        let mut sums: Vec<f64> = (0..shape.functions)
-            .map(|n| {
-                sum += part(n);
-                sum
-            })
-            .collect();
-        sums.iter_mut().for_each(|s| *s /= sum);
-        Popularity(sums)
-    }
-
-    fn draw(&self, chance: f64) -> usize {
-        self.0
-            .partition_point(|&s| s <= chance)
-            .min(self.0.len() - 1)
-    }
-
-    pub fn part(&self, n: usize) -> f64 {
-        self.0[n] - if n == 0 { 0.0 } else { self.0[n - 1] }
-    }
-}
-
-/// What the module was given, and what it asked for: the same in every run.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Counts {
-    pub calls: u64,
-    /// Calls of functions that this front end had not called before.
-    pub first: u64,
-    pub events: u64,
-    pub sends: u64,
-    pub cancels: u64,
-    pub questions: u64,
-    pub orders: u64,
-    pub drops: u64,
-    pub refused: u64,
-    pub first_refused: u64,
-    pub failed: u64,
-    /// Attempts that began a load, and those that found no worker there.
-    pub cold: u64,
-    pub nobody: u64,
-    /// Heap allocations within the module, and bytes of them.
-    pub allocations: u64,
-    pub allocated: u64,
-    /// Bytes that the module holds.
-    pub held: i64,
-}
-
-/// Time within the module by kind of event, in nanoseconds.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Spent {
-    pub request: u64,
-    pub outcome: u64,
-    pub timer: u64,
-    pub members: u64,
-    pub loaded: u64,
-    /// The longest that one event took.
-    pub longest: u64,
-}
-
-impl Spent {
-    pub fn all(&self) -> u64 {
-        self.request + self.outcome + self.timer + self.members + self.loaded
-    }
-}
-
-#[derive(Clone, Copy, Debug)]
-enum Due {
-    Timer(u64),
-    Call,
-    Change,
-    End {
-        id: RequestId,
-        attempt: usize,
-        outcome: Outcome,
-        since: Micros,
-        warm: Option<bool>,
-    },
-    Answer {
-        worker: usize,
-        function: FunctionId,
-        count: u32,
-        outcome: Outcome,
-        since: Micros,
-    },
-}
-
-#[derive(Clone, Copy)]
-enum Todo {
-    Send(RequestId, usize),
-    Cancel(RequestId, usize),
-    Refuse(RequestId),
-    Fail(RequestId),
-    Timer(Micros, u64),
-    Load(usize, FunctionId, u32),
-    Drop(usize, FunctionId),
-    Other,
+fn name(worker: usize) -> WorkerId {
+    format!("s-{worker:08x}")
 }
 
-impl From<Action> for Todo {
-    fn from(action: Action) -> Todo {
-        match action {
-            Action::Send { id, worker, .. } => Todo::Send(id, number(&worker)),
-            Action::Cancel { id, attempt } => Todo::Cancel(id, attempt),
-            Action::Reject { id, .. } => Todo::Refuse(id),
-            Action::Fail { id } => Todo::Fail(id),
-            Action::Timer { delay, token } => Todo::Timer(delay, token),
-            Action::Load {
-                worker,
-                function,
-                replicas: count,
-            } => Todo::Load(number(&worker), function, count),
-            Action::Unload { worker, function } => Todo::Drop(number(&worker), function),
-            Action::WatchEndpoints | Action::Log { .. } => Todo::Other,
-        }
-    }
+fn number(worker: &str) -> usize {
+    usize::from_str_radix(&worker[2..], 16).expect("named by us")
 }
 
 struct Call {
@@ -283,14 +73,6 @@
     pub log: Option<Vec<(Micros, usize, bool)>>,
 }
 
-fn name(worker: usize) -> WorkerId {
-    format!("s-{worker:08x}")
-}
-
-fn number(worker: &str) -> usize {
-    usize::from_str_radix(&worker[2..], 16).expect("named by us")
-}
-
 impl Front {
     /// A front end that has just started and has been told of all workers.
     pub fn new(shape: &Shape) -> Front {
--- a/scalelab/src/yard.rs
+++ b/scalelab/src/yard.rs
@@ -1,6 +1,6 @@
 //! Stand-in workers on the platform's frames: thousands of listeners and their connections on one thread, each
 //! worker with what it has loaded. They end when the yard is dropped.
-use crate::rig::{instance, lock, thread};
+use crate::harness::{instance, lock, thread};
 use crate::Fault;
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
 use std::cmp::Reverse;
--- a/scalelab/tests/agreement.rs
+++ b/scalelab/tests/agreement.rs
@@ -2,7 +2,7 @@
 //! that lives and is heard is declared down meanwhile. Random schedules on the simulated net, seeded and shrunk.
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use scalelab::net::{Kind, Net, MS};
+use scalelab::gossip_network::{Kind, Net, MS};
 use std::collections::BTreeSet;
 use wrenseam::fleet::record::Entry;
 
--- a/scalelab/tests/agreement_bounds.rs
+++ b/scalelab/tests/agreement_bounds.rs
@@ -1,7 +1,7 @@
 //! How soon all views are equal and right after one fault, and who is not to be declared down by it. On the simulated
 //! net with the program's default times (probe 500 ms, suspicion 1.5 s).
 use rstest::rstest;
-use scalelab::net::{addr, Kind, Net, MS};
+use scalelab::gossip_network::{addr, Kind, Net, MS};
 use std::collections::BTreeSet;
 use wrenseam::fleet::record::Entry;
 use wrenseam::fleet::Lifecycle;
--- a/scalelab/tests/gossip.rs
+++ b/scalelab/tests/gossip.rs
@@ -1,7 +1,7 @@
 //! Hollow front ends on the simulated net: what the view costs and says, and the faults it is to bear. All is
 //! seeded and in simulated time, so the figures are the same every run.
 use rstest::rstest;
-use scalelab::net::{addr, Kind, Net, CLUSTER, IP_UDP, MS, ZONES};
+use scalelab::gossip_network::{addr, Kind, Net, CLUSTER, IP_UDP, MS, ZONES};
 use scalelab::tally::Tally;
 use wrenseam::fleet::average::{Exchange, MAX_FLOW, RINGS};
 use wrenseam::fleet::identity::AVERAGE_VERSION;
--- a/scalelab/tests/module.rs
+++ b/scalelab/tests/module.rs
@@ -1,7 +1,7 @@
 //! The counts and bytes of the module's scale tests at small sizes: the same every run, and no steeper than they are now.
 use rstest::rstest;
-use scalelab::hollow::{Front, Shape, SEC};
 use scalelab::module::{play, sweep};
+use scalelab::simulated_front_end::{Front, Shape, SEC};
 use scalelab::{bursts, module, seats, Fault, Sweep};
 
 /// Small enough for seconds without optimisation.
--- a/scalelab/tests/processes.rs
+++ b/scalelab/tests/processes.rs
@@ -1,7 +1,7 @@
 //! What real processes do that is the same every run, at small sizes; and that experiments end as they should.
 use rstest::rstest;
+use scalelab::harness::{event, hollow, lock, until, Board, Caller, Program, Told};
 use scalelab::links::{self, Spread};
-use scalelab::rig::{event, hollow, lock, until, Board, Caller, Program, Told};
 use scalelab::yard::{Work, Yard};
 use scalelab::{experiments, process, Fault};
 use std::process::{Command, Stdio};
