--- a/scalelab/src/bursts.rs
+++ b/scalelab/src/disruptions.rs
@@ -1,6 +1,8 @@
 //! What comes at once: front ends that start, a zone that is lost and comes back cold, a list that is read anew.
-use crate::module::{base, since, told};
-use crate::simulated_front_end::{Front, Popularity, Shape, Spent, SEC, START};
+use crate::policy_scaling::{base, counts_since, describe};
+use crate::simulated_front_end::{
+    FunctionPopularity, HandlingTimes, Scenario, SimulatedFrontEnd, SEC, START_TIME,
+};
 use crate::{Column, Experiment, Sweep};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -43,24 +45,29 @@
 /// Starts so many front ends as the largest size says, each by itself, and adds up what the first of them did: all at
 /// once, and each a second after the one before.
 fn starts(sizes: &[u64], seed: u64) -> Vec<Sweep> {
-    let shape = base(seed);
-    let popularity = Rc::new(Popularity::new(&shape));
+    let scenario = base(seed);
+    let popularity = Rc::new(FunctionPopularity::new(&scenario));
     let mut apart = [0, 1].map(|s| (s, BTreeMap::<(u64, usize, bool), u64>::new(), Vec::new()));
     let (mut sum, mut list, mut rest) = ([0; 4], 0, 0);
     for i in 0..sizes.last().copied().unwrap_or(0) {
-        let mut front = Front::at(&shape, &popularity, i as u32, START);
-        list += front.spent.members;
+        let mut front = SimulatedFrontEnd::with_index(&scenario, &popularity, i as u32, START_TIME);
+        list += front.handling_times.endpoint_updates;
         front.log = Some(Vec::new());
         front.run(10 * SEC);
         let c = &front.counts;
-        let own = [c.sends, c.first, c.orders + c.questions, c.cold];
+        let own = [
+            c.attempts,
+            c.first_requests,
+            c.load_orders + c.queries,
+            c.loads_begun,
+        ];
         sum.iter_mut().zip(own).for_each(|(s, n)| *s += n);
-        rest += front.spent.all() - front.spent.members;
+        rest += front.handling_times.total() - front.handling_times.endpoint_updates;
         let log = front.log.take().unwrap_or_default();
         for (s, each, rows) in &mut apart {
             for &(t, w, call) in &log {
                 *each
-                    .entry(((t - START) / SEC + i * *s, w, call))
+                    .entry(((t - START_TIME) / SEC + i * *s, w, call))
                     .or_default() += 1;
             }
             if !sizes.contains(&(i + 1)) {
@@ -93,7 +100,7 @@
     let sweep = |(s, _, rows)| Sweep {
         title: format!(
             "front ends that start {s} s apart, first 10 s: {}",
-            told(&shape)
+            describe(&scenario)
         ),
         varied: "started",
         columns: columns(&exact, &["ms for the first list", "us/call"]),
@@ -104,40 +111,43 @@
 
 fn zone(sizes: &[u64], seed: u64) -> Sweep {
     let play = |&n: &u64| {
-        let shape = Shape {
+        let scenario = Scenario {
             workers: n as usize,
             ..base(seed)
         };
-        let mut front = Front::new(&shape);
+        let mut front = SimulatedFrontEnd::new(&scenario);
         front.run(41 * SEC);
-        let lost: Vec<usize> = (0..shape.workers)
-            .filter(|w| w % shape.zones == 0)
+        let lost: Vec<usize> = (0..scenario.workers)
+            .filter(|w| w % scenario.zones == 0)
             .collect();
         // Each step: what it counts, us a call, ms of the list's event, ms of the longest event else.
-        let mut step = |change: &dyn Fn(&mut Front), span: u64| {
+        let mut step = |change: &dyn Fn(&mut SimulatedFrontEnd), span: u64| {
             let before = front.counts.clone();
-            front.spent = Spent::default();
+            front.handling_times = HandlingTimes::default();
             change(&mut front);
-            let list = front.spent.members as f64 / 1e6;
-            front.spent = Spent::default();
+            let list = front.handling_times.endpoint_updates as f64 / 1e6;
+            front.handling_times = HandlingTimes::default();
             front.run(span * SEC);
-            let calls = (front.counts.calls - before.calls).max(1) as f64;
-            let us = front.spent.all() as f64 / 1e3 / calls;
+            let calls = (front.counts.requests - before.requests).max(1) as f64;
+            let us = front.handling_times.total() as f64 / 1e3 / calls;
             (
-                since(&front.counts, &before),
+                counts_since(&front.counts, &before),
                 us,
                 list,
-                front.spent.longest as f64 / 1e6,
+                front.handling_times.longest as f64 / 1e6,
             )
         };
         let usual = step(&|_| {}, 5);
-        let silent = step(&|f| f.lose(&lost), 5);
-        let gone = step(&|f| f.list(false, &lost, WorkerState::Gone, 0), 20);
+        let silent = step(&|f| f.disconnect_workers(&lost), 5);
+        let gone = step(
+            &|f| f.update_endpoints(false, &lost, WorkerState::Gone, 0),
+            20,
+        );
         let back = step(
             &|f| {
-                f.back(&lost);
+                f.reconnect_workers(&lost);
                 let now = f.now;
-                f.list(false, &lost, WorkerState::Ready, now);
+                f.update_endpoints(false, &lost, WorkerState::Ready, now);
             },
             20,
         );
@@ -161,7 +171,7 @@
     Sweep {
         title: format!(
             "workers, a zone of seven lost for 25 s: {}",
-            told(&base(seed))
+            describe(&base(seed))
         ),
         varied: "workers",
         columns: columns(
@@ -189,19 +199,19 @@
 
 fn list(sizes: &[u64], seed: u64) -> Sweep {
     let play = |&n: &u64| {
-        let shape = Shape {
+        let scenario = Scenario {
             workers: n as usize,
             ..base(seed)
         };
-        let mut front = Front::new(&shape);
-        let first = front.spent.members as f64 / 1e6;
-        let holds = front.counts.held as f64 / 1e6;
+        let mut front = SimulatedFrontEnd::new(&scenario);
+        let first = front.handling_times.endpoint_updates as f64 / 1e6;
+        let holds = front.counts.held_bytes as f64 / 1e6;
         front.run(41 * SEC);
         let mut workers = front.workers().to_vec();
-        let told = |front: &mut Front, workers: &[usize], full| {
-            front.spent = Spent::default();
-            front.list(full, workers, WorkerState::Ready, 0);
-            front.spent.members as f64 / 1e6
+        let told = |front: &mut SimulatedFrontEnd, workers: &[usize], full| {
+            front.handling_times = HandlingTimes::default();
+            front.update_endpoints(full, workers, WorkerState::Ready, 0);
+            front.handling_times.endpoint_updates as f64 / 1e6
         };
         let anew = told(&mut front, &workers, true);
         // Single workers come, and the list is read anew between, with what has come so far.
@@ -215,19 +225,19 @@
         let tenth = workers.len() / 10;
         (0..tenth).for_each(|i| workers[i] = 2_000_000 + i);
         let replaced = told(&mut front, &workers, true);
-        let (calls, allocated) = (front.counts.calls, front.counts.allocated);
-        front.spent = Spent::default();
+        let (calls, allocated) = (front.counts.requests, front.counts.allocated_bytes);
+        front.handling_times = HandlingTimes::default();
         front.run(5 * SEC);
-        let calls = (front.counts.calls - calls).max(1) as f64;
-        let after = front.spent.all() as f64 / 1e3 / calls;
-        let allocated = (front.counts.allocated - allocated) as f64 / 1e3 / calls;
+        let calls = (front.counts.requests - calls).max(1) as f64;
+        let after = front.handling_times.total() as f64 / 1e3 / calls;
+        let allocated = (front.counts.allocated_bytes - allocated) as f64 / 1e3 / calls;
         (
             n,
             vec![holds, allocated, first, anew, between, replaced, after],
         )
     };
     Sweep {
-        title: format!("workers, the list read anew: {}", told(&base(seed))),
+        title: format!("workers, the list read anew: {}", describe(&base(seed))),
         varied: "workers",
         columns: columns(
             &[
--- a/scalelab/src/experiment.rs
+++ b/scalelab/src/experiment.rs
@@ -1,6 +1,6 @@
 //! What an experiment is: the thing varied, the sizes it may be asked for, and the table it leaves.
 use crate::Fit;
-use std::fmt::{self, Write};
+use std::fmt::Write;
 
 /// One experiment.
 pub struct Experiment {
@@ -13,57 +13,45 @@
     /// Largest size it may be asked for: what memory and time of half a machine bear.
     pub bound: u64,
     /// Runs at the sizes, with the seed; one sweep for each thing that was varied.
-    pub run: fn(&[u64], u64) -> Result<Vec<Sweep>, Fault>,
+    pub run: fn(&[u64], u64) -> Result<Vec<Sweep>, ExperimentError>,
 }
 
 /// Why an experiment did not run.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Fault {
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum ExperimentError {
     /// A size of 0, or beyond the experiment's bound.
-    Size { asked: u64, bound: u64 },
+    #[error("size {asked} is not within 1 to {bound}, this test's bound")]
+    SizeOutOfBounds {
+        /// The size that was asked for.
+        asked: u64,
+        /// The largest size that the experiment runs at.
+        bound: u64,
+    },
     /// A slope needs more sizes than were given.
-    Few { given: usize, least: usize },
+    #[error("{given} sizes given, a slope needs {least} different ones")]
+    TooFewSizes {
+        /// Different sizes that were given.
+        given: usize,
+        /// Different sizes that a slope needs.
+        least: usize,
+    },
     /// No experiment of this name.
-    Unknown(String),
+    #[error("no experiment is named {0}; `scalelab list` names them")]
+    UnknownExperiment(String),
     /// A process, socket or file failed.
+    #[error("{0}")]
     Failed(String),
 }
 
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Fault::Size { asked, bound } => {
-                write!(
-                    f,
-                    "size {asked} is not within 1 to {bound}, this test's bound"
-                )
-            }
-            Fault::Few { given, least } => {
-                write!(
-                    f,
-                    "{given} sizes given, a slope needs {least} different ones"
-                )
-            }
-            Fault::Unknown(name) => write!(
-                f,
-                "no experiment is named {name}; `scalelab list` names them"
-            ),
-            Fault::Failed(why) => f.write_str(why),
-        }
-    }
-}
-
-impl std::error::Error for Fault {}
-
 /// Fewest sizes of a slope.
-pub const LEAST: usize = 4;
+pub const MIN_SIZES: usize = 4;
 
 impl Experiment {
     /// The sizes to run at, sorted, each once: those named, or its own.
     ///
     /// # Errors
-    /// A size out of bounds, or fewer than [`LEAST`] different ones.
-    pub fn sizes(&self, named: &[u64]) -> Result<Vec<u64>, Fault> {
+    /// A size out of bounds, or fewer than [`MIN_SIZES`] different ones.
+    pub fn sizes(&self, named: &[u64]) -> Result<Vec<u64>, ExperimentError> {
         let mut sizes = if named.is_empty() {
             self.sizes.to_vec()
         } else {
@@ -72,15 +60,15 @@
         sizes.sort_unstable();
         sizes.dedup();
         if let Some(&asked) = sizes.iter().find(|&&s| s == 0 || s > self.bound) {
-            return Err(Fault::Size {
+            return Err(ExperimentError::SizeOutOfBounds {
                 asked,
                 bound: self.bound,
             });
         }
-        if sizes.len() < LEAST {
-            return Err(Fault::Few {
+        if sizes.len() < MIN_SIZES {
+            return Err(ExperimentError::TooFewSizes {
                 given: sizes.len(),
-                least: LEAST,
+                least: MIN_SIZES,
             });
         }
         Ok(sizes)
--- a/scalelab/src/gossip.rs
+++ b/scalelab/src/gossip_experiments.rs
@@ -1,7 +1,7 @@
-//! What front ends send each other, against the fleet's size and its troubles: experiments on the simulated net.
-use crate::gossip_network::{Kind, Net, IP_UDP, MS, ZONES};
-use crate::tally::Tally;
-use crate::{Column, Experiment, Fault, Sweep};
+//! What front ends send each other, against the fleet's size and its fault_scenarios: experiments on the simulated net.
+use crate::gossip_network::{GossipProtocol, SimulatedNetwork, IP_UDP, MS, ZONES};
+use crate::traffic_counts::TrafficCounts;
+use crate::{Column, Experiment, ExperimentError, Sweep};
 
 const SIZES: &[u64] = &[3, 10, 30, 100, 330, 660];
 const BOUND: u64 = 1000;
@@ -14,21 +14,21 @@
             "Front ends' traffic, error of the mean and time to notice, with the view; no loss, probe 500 ms.",
         sizes: SIZES,
         bound: BOUND,
-        run: |sizes, seed| Ok(vec![sweep("the view of bounded size", sizes, seed, Kind::Average)?]),
+        run: |sizes, seed| Ok(vec![sweep("the view of bounded size", sizes, seed, GossipProtocol::BoundedView)?]),
     },
     Experiment {
         name: "gossip-before",
         about: "The same with a summary of each front end to all, as before the view.",
         sizes: SIZES,
         bound: BOUND,
-        run: |sizes, seed| Ok(vec![sweep("a summary of each to all", sizes, seed, Kind::Summaries)?]),
+        run: |sizes, seed| Ok(vec![sweep("a summary of each to all", sizes, seed, GossipProtocol::Summaries)?]),
     },
     Experiment {
         name: "gossip-troubles",
         about: "With the view: a zone lost and back, regions cut and healed, 12% restarted, 1% lost.",
         sizes: &[10, 30, 100, 330, 660],
         bound: BOUND,
-        run: troubles,
+        run: fault_scenarios,
     },
 ];
 
@@ -64,14 +64,19 @@
     took.map_or(f64::NAN, |us| us as f64 / 1e6)
 }
 
-fn sweep(title: &str, sizes: &[u64], seed: u64, kind: Kind) -> Result<Sweep, Fault> {
+fn sweep(
+    title: &str,
+    sizes: &[u64],
+    seed: u64,
+    kind: GossipProtocol,
+) -> Result<Sweep, ExperimentError> {
     let mut rows = Vec::new();
     for &size in sizes {
         let n = size as usize;
-        let mut net = Net::settled(n, kind, seed)?;
-        net.tally = Tally::default();
+        let mut net = SimulatedNetwork::settled(n, kind, seed)?;
+        net.traffic = TrafficCounts::default();
         let (worst, rms) = watch_error(&mut net, MEASURED);
-        let t = net.tally;
+        let t = net.traffic;
         let mut redrawn = [(0.0, 0.0); 2];
         for (errors, more) in redrawn.iter_mut().zip([75, 300]) {
             net.redraw = Some(more);
@@ -81,7 +86,7 @@
         net.redraw = None;
         net.run(net.now + 3000 * MS);
         let heard = net
-            .fronts
+            .peers
             .iter()
             .map(|f| f.news.edges.0 as f64 / f.news.edges.1.max(1) as f64);
         let heard = heard.fold(1.0, f64::min);
@@ -128,7 +133,7 @@
 const MEASURED: u64 = 10;
 
 /// The largest error of the mean over so many seconds, and its root mean square.
-fn watch_error(net: &mut Net, seconds: u64) -> (f64, f64) {
+fn watch_error(net: &mut SimulatedNetwork, seconds: u64) -> (f64, f64) {
     let (mut worst, mut square) = (0.0f64, 0.0);
     for _ in 0..seconds {
         net.run(net.now + 1000 * MS);
@@ -139,17 +144,17 @@
     (worst, f64::sqrt(square / seconds as f64))
 }
 
-/// One trouble: what is done to the settled fleet, and after how long it is undone.
-struct Trouble {
+/// One fault: what is done to the settled fleet, and after how long it is undone.
+struct FaultScenario {
     name: &'static str,
-    begin: fn(&mut Net),
+    begin: fn(&mut SimulatedNetwork),
     lasts: u64,
-    end: fn(&mut Net),
+    end: fn(&mut SimulatedNetwork),
 }
 
 /// Loads these front ends with three times their capacity and lets the fleet see it: losing them is a step.
-fn load(net: &mut Net, which: fn(usize) -> bool) {
-    net.fronts
+fn load(net: &mut SimulatedNetwork, which: fn(usize) -> bool) {
+    net.peers
         .iter_mut()
         .enumerate()
         .filter(|(i, _)| which(*i))
@@ -157,20 +162,20 @@
     net.run(net.now + 5000 * MS);
 }
 
-fn zone(net: &Net) -> Vec<usize> {
-    (0..net.fronts.len())
+fn zone(net: &SimulatedNetwork) -> Vec<usize> {
+    (0..net.peers.len())
         .filter(|i| i % ZONES == ZONES - 1)
         .collect()
 }
 
 /// Twelve in a hundred, as 79 of 660, at least one; not the seeds.
-fn some(net: &Net) -> Vec<usize> {
-    let n = net.fronts.len();
+fn some(net: &SimulatedNetwork) -> Vec<usize> {
+    let n = net.peers.len();
     (2..2 + (n * 79).div_ceil(660)).collect()
 }
 
-const TROUBLES: &[Trouble] = &[
-    Trouble {
+const FAULT_SCENARIOS: &[FaultScenario] = &[
+    FaultScenario {
         name: "a zone lost for 30 s",
         begin: |net| {
             load(net, |i| i % ZONES == ZONES - 1);
@@ -179,24 +184,24 @@
         lasts: 30_000 * MS,
         end: |net| zone(net).into_iter().for_each(|i| net.start(i, 0)),
     },
-    Trouble {
+    FaultScenario {
         name: "regions cut for an hour",
         begin: |net| {
             load(net, |i| i % ZONES >= 4);
-            for (i, f) in net.fronts.iter_mut().enumerate() {
+            for (i, f) in net.peers.iter_mut().enumerate() {
                 f.side = u8::from(i % ZONES >= 4);
             }
         },
         lasts: 3_600_000 * MS,
-        end: |net| net.fronts.iter_mut().for_each(|f| f.side = 0),
+        end: |net| net.peers.iter_mut().for_each(|f| f.side = 0),
     },
-    Trouble {
+    FaultScenario {
         name: "12% restarted at once, 5 s down",
         begin: |net| some(net).into_iter().for_each(|i| net.kill(i)),
         lasts: 5_000 * MS,
         end: |net| some(net).into_iter().for_each(|i| net.start(i, 0)),
     },
-    Trouble {
+    FaultScenario {
         name: "1% lost",
         begin: |net| net.loss = 0.01,
         lasts: 30_000 * MS,
@@ -204,7 +209,7 @@
     },
 ];
 
-const TROUBLE_COLUMNS: [(&str, bool); 10] = [
+const FAULT_COLUMNS: [(&str, bool); 10] = [
     ("mean within 5%, s", true),
     ("size within 5%, s", true),
     ("size right, s", true),
@@ -217,32 +222,33 @@
     ("bytes/s sent and received, while it lasts", true),
 ];
 
-fn troubles(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, Fault> {
+fn fault_scenarios(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut sweeps = Vec::new();
-    for trouble in TROUBLES {
+    for fault in FAULT_SCENARIOS {
         let mut rows = Vec::new();
         for &size in sizes {
-            let mut net = Net::settled(size as usize, Kind::Average, seed)?;
-            rows.push((size, trouble.run(&mut net)));
+            let mut net =
+                SimulatedNetwork::settled(size as usize, GossipProtocol::BoundedView, seed)?;
+            rows.push((size, fault.run(&mut net)));
         }
         let title = format!(
             "Gossip with the view: {} (probe 500 ms, seed {seed})",
-            trouble.name
+            fault.name
         );
         sweeps.push(Sweep {
             title,
             varied: "front ends",
-            columns: columns(&TROUBLE_COLUMNS),
+            columns: columns(&FAULT_COLUMNS),
             rows,
         });
     }
     Ok(sweeps)
 }
 
-impl Trouble {
-    fn run(&self, net: &mut Net) -> Vec<f64> {
+impl FaultScenario {
+    fn run(&self, net: &mut SimulatedNetwork) -> Vec<f64> {
         let mut watched = Watched::default();
-        net.tally = Tally::default();
+        net.traffic = TrafficCounts::default();
         let began = net.now;
         (self.begin)(net);
         let during = watched.watch(net, self.lasts.min(60_000 * MS));
@@ -250,8 +256,8 @@
         while net.now < began + self.lasts {
             net.run((net.now + 10_000 * MS).min(began + self.lasts));
         }
-        let each = 1e6 / (net.now - began).max(1) as f64 / net.fronts.len() as f64;
-        let bytes = (net.tally.sent + net.tally.received) as f64 * each;
+        let each = 1e6 / (net.now - began).max(1) as f64 / net.peers.len() as f64;
+        let bytes = (net.traffic.sent + net.traffic.received) as f64 * each;
         (self.end)(net);
         let after = watched.watch(net, 60_000 * MS);
         [&during[..3], &after, &[watched.most, watched.above, bytes]].concat()
@@ -269,11 +275,11 @@
     /// Runs for `within` microseconds; since when the mean was within 5%, the size within 5%, the size right, and all
     /// views equal and right,
     /// in seconds (not a number: not at the end).
-    fn watch(&mut self, net: &mut Net, within: u64) -> [f64; 4] {
+    fn watch(&mut self, net: &mut SimulatedNetwork, within: u64) -> [f64; 4] {
         let began = net.now;
         let mut since = [Some(0); 4];
         while net.now < began + within {
-            let before = net.tally.sent + net.tally.received;
+            let before = net.traffic.sent + net.traffic.received;
             for _ in 0..10 {
                 net.run(net.now + 100 * MS);
                 let holds = [
@@ -291,7 +297,7 @@
                 }
             }
             let bytes =
-                (net.tally.sent + net.tally.received - before) as f64 / net.fronts.len() as f64;
+                (net.traffic.sent + net.traffic.received - before) as f64 / net.peers.len() as f64;
             self.most = self.most.max(bytes);
             self.above += f64::from(u8::from(bytes > 22_000.0));
         }
--- a/scalelab/src/gossip_network/accuracy.rs
+++ b/scalelab/src/gossip_network/accuracy.rs
@@ -1,15 +1,15 @@
 //! What the front ends make of the fleet, beside the truth.
-use super::{addr, number, Net};
+use super::{addr, number, SimulatedNetwork};
 use std::collections::BTreeSet;
 use wrenseam::fleet::identity::MAX_PRESSURE;
 use wrenseam::fleet::record::Record;
 use wrenseam::fleet::{Node, PeerId};
 
-impl Net {
+impl SimulatedNetwork {
     /// What differs between the views of all that run on a side, or between them and the truth of who runs and says
     /// what; `None`: all agree, and are right.
     pub fn disagreement(&self, side: u8) -> Option<String> {
-        let on_side = (0..self.fronts.len()).filter(|&i| self.fronts[i].side == side);
+        let on_side = (0..self.peers.len()).filter(|&i| self.peers[i].side == side);
         let running: Vec<(usize, &Node)> =
             on_side.filter_map(|i| Some((i, self.node(i)?))).collect();
         let (first, node) = running.first()?;
@@ -56,7 +56,7 @@
     /// The true mean pressure, in thousandths, of the front ends that run on `side`, and how many they are.
     pub fn truth(&self, side: u8) -> (f64, usize) {
         let up = self
-            .fronts
+            .peers
             .iter()
             .filter(|f| f.program.is_some() && f.side == side);
         let (sum, n) = up.fold((0.0, 0), |(s, n), f| {
@@ -68,7 +68,7 @@
     /// The largest and the root mean square error of the mean, as a part of the truth, over all that run.
     pub fn error(&self) -> (f64, f64) {
         let truth: Vec<f64> = (0..=1).map(|side| self.truth(side).0).collect();
-        let errors = self.fronts.iter().filter(|f| f.program.is_some()).map(|f| {
+        let errors = self.peers.iter().filter(|f| f.program.is_some()).map(|f| {
             let t = truth[usize::from(f.side)];
             (f64::from(f.news.pressure) - t).abs() / t.max(1.0)
         });
@@ -81,7 +81,7 @@
     /// The largest error of the fleet's size, as a part of the truth, over all that run.
     pub fn size_error(&self) -> f64 {
         let truth: Vec<f64> = (0..=1).map(|side| self.truth(side).1 as f64).collect();
-        let up = self.fronts.iter().filter(|f| f.program.is_some());
+        let up = self.peers.iter().filter(|f| f.program.is_some());
         up.map(|f| {
             let t = truth[usize::from(f.side)];
             (f.news.alive as f64 + 1.0 - t).abs() / t
--- a/scalelab/src/gossip_network/program.rs
+++ b/scalelab/src/gossip_network/gossip_node.rs
@@ -4,23 +4,23 @@
 
 /// Which program a front end runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum GossipProtocol {
     /// The one with the view.
-    Average,
+    BoundedView,
     /// The one before it: a summary of each front end to all.
     Summaries,
 }
 
-pub(super) enum Program {
-    Average(Box<Node>),
+pub(super) enum GossipNode {
+    BoundedView(Box<Node>),
     Summaries(Box<Swim>),
 }
 
-impl Program {
+impl GossipNode {
     pub(super) fn datagram(&mut self, now: u64, bytes: &[u8]) {
         match self {
-            Program::Average(n) => n.datagram(now, bytes),
-            Program::Summaries(s) => {
+            GossipNode::BoundedView(n) => n.datagram(now, bytes),
+            GossipNode::Summaries(s) => {
                 s.datagram(now, bytes);
             }
         }
@@ -28,15 +28,15 @@
 
     pub(super) fn next(&self) -> u64 {
         match self {
-            Program::Average(n) => n.next(),
-            Program::Summaries(s) => s.next().unwrap_or(u64::MAX),
+            GossipNode::BoundedView(n) => n.next(),
+            GossipNode::Summaries(s) => s.next().unwrap_or(u64::MAX),
         }
     }
 
     pub(super) fn tick(&mut self, now: u64) {
         match self {
-            Program::Average(n) => n.tick(now),
-            Program::Summaries(s) => s.tick(now),
+            GossipNode::BoundedView(n) => n.tick(now),
+            GossipNode::Summaries(s) => s.tick(now),
         }
     }
 
@@ -46,8 +46,8 @@
             ..Summary::default()
         };
         match self {
-            Program::Average(n) => n.publish(now, summary),
-            Program::Summaries(s) => {
+            GossipNode::BoundedView(n) => n.publish(now, summary),
+            GossipNode::Summaries(s) => {
                 s.publish(now, summary);
                 if s.alive() == 0 {
                     seeds.iter().for_each(|&a| s.join(now, a));
@@ -65,15 +65,15 @@
 
     pub(super) fn events(&mut self) -> Vec<(u64, PeerEvent)> {
         match self {
-            Program::Average(n) => n.events(),
-            Program::Summaries(s) => s.events(),
+            GossipNode::BoundedView(n) => n.events(),
+            GossipNode::Summaries(s) => s.events(),
         }
     }
 
     pub(super) fn outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         match self {
-            Program::Average(n) => n.outbox(),
-            Program::Summaries(s) => s
+            GossipNode::BoundedView(n) => n.outbox(),
+            GossipNode::Summaries(s) => s
                 .outbox()
                 .into_iter()
                 .map(|out| (out.to, out.bytes))
--- a/scalelab/src/gossip_network/mod.rs
+++ b/scalelab/src/gossip_network/mod.rs
@@ -1,13 +1,13 @@
 //! A simulated net: hollow front ends (their gossip alone, as the program runs it) in simulated time, with faults of
 //! the net and of the processes. Counts and bytes are the same every run.
 mod accuracy;
-mod program;
+mod gossip_node;
 
-pub use program::Kind;
+pub use gossip_node::GossipProtocol;
 
-use crate::tally::Tally;
-use crate::Fault;
-use program::Program;
+use crate::traffic_counts::TrafficCounts;
+use crate::ExperimentError;
+use gossip_node::GossipNode;
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -30,11 +30,11 @@
 const FIRST_INCARNATION: u64 = 1_790_000_000_000_000;
 
 /// One hollow front end.
-pub struct Front {
-    program: Option<Program>,
+pub struct SimulatedPeer {
+    program: Option<GossipNode>,
     /// Its own load, in thousandths of capacity.
     pub pressure: u32,
-    /// Front ends of different sides do not reach each other.
+    /// SimulatedPeer ends of different sides do not reach each other.
     pub side: u8,
     /// Nothing reaches it.
     pub deaf: bool,
@@ -46,7 +46,7 @@
     pub news: FleetNews,
     /// What waits for it while it is stopped.
     waiting: Vec<Vec<u8>>,
-    kind: Kind,
+    kind: GossipProtocol,
     incarnation: u64,
     publish_at: u64,
     wake_at: u64,
@@ -60,7 +60,7 @@
 
 /// A front end was declared down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Down {
+pub struct DownReport {
     /// When, in simulated microseconds.
     pub at: u64,
     /// Who holds so.
@@ -73,23 +73,23 @@
 const WAITING: usize = 200;
 
 /// A fleet on a net of chance.
-pub struct Net {
+pub struct SimulatedNetwork {
     /// The front ends, by number.
-    pub fronts: Vec<Front>,
+    pub peers: Vec<SimulatedPeer>,
     /// Part of datagrams lost, 0 to 1.
     pub loss: f64,
     /// Part of datagrams that come twice, 0 to 1.
-    pub twice: f64,
+    pub duplication: f64,
     /// Each front end's own pressure is drawn anew each time it tells it: 500 and up to so much more or less.
     pub redraw: Option<u32>,
     /// Simulated time, in microseconds.
     pub now: u64,
     /// What was sent and received.
-    pub tally: Tally,
+    pub traffic: TrafficCounts,
     /// One-way links that are cut: from, to.
     pub cut: BTreeSet<(usize, usize)>,
     /// Who declared whom down, and when.
-    pub downs: Vec<Down>,
+    pub downs: Vec<DownReport>,
     /// A front end whose datagrams are changed on their way out.
     pub tamper: Option<(usize, Tamper)>,
     seeds: Vec<SocketAddr>,
@@ -111,10 +111,10 @@
     }
 }
 
-impl Net {
+impl SimulatedNetwork {
     /// `n` front ends that start within a second and join by the first and the second; probe 500 ms, suspicion
     /// 1.5 s as the program's defaults, own pressures between 200 and 800.
-    pub fn new(n: usize, kind: Kind, seed: u64) -> Net {
+    pub fn new(n: usize, kind: GossipProtocol, seed: u64) -> SimulatedNetwork {
         let mut rng = SmallRng::seed_from_u64(seed);
         let settings = SwimSettings {
             cluster: CLUSTER,
@@ -125,8 +125,8 @@
             fresh_for: 1500 * MS,
             capacity: 1024,
         };
-        let fronts = (0..n)
-            .map(|i| Front {
+        let peers = (0..n)
+            .map(|i| SimulatedPeer {
                 program: None,
                 pressure: rng.random_range(200..=800),
                 side: 0,
@@ -142,13 +142,13 @@
             })
             .collect();
         let seeds = (0..n.min(2)).map(addr).collect();
-        let mut net = Net {
-            fronts,
+        let mut net = SimulatedNetwork {
+            peers,
             loss: 0.0,
-            twice: 0.0,
+            duplication: 0.0,
             redraw: None,
             now: 0,
-            tally: Tally::default(),
+            traffic: TrafficCounts::default(),
             cut: BTreeSet::new(),
             downs: Vec::new(),
             tamper: None,
@@ -167,9 +167,9 @@
 
     /// Ends front end `i` at once, as a crash would.
     pub fn kill(&mut self, i: usize) {
-        self.fronts[i].program = None;
-        self.fronts[i].stopped = false;
-        self.fronts[i].waiting.clear();
+        self.peers[i].program = None;
+        self.peers[i].stopped = false;
+        self.peers[i].waiting.clear();
     }
 
     /// Ends front end `i` in order: it tells the fleet that it leaves.
@@ -184,10 +184,10 @@
 
     /// Stops front end `i`, as SIGSTOP does, or has it go on.
     pub fn stop(&mut self, i: usize, stopped: bool) {
-        let was = std::mem::replace(&mut self.fronts[i].stopped, stopped);
+        let was = std::mem::replace(&mut self.peers[i].stopped, stopped);
         if was && !stopped {
             self.wake(i, self.now);
-            for bytes in std::mem::take(&mut self.fronts[i].waiting) {
+            for bytes in std::mem::take(&mut self.peers[i].waiting) {
                 self.push(self.now, i, bytes);
             }
         }
@@ -206,30 +206,30 @@
     /// Starts front end `i` again `after` microseconds from now, in a process whose clock is set back: its
     /// incarnation is smaller than the one before.
     pub fn start_set_back(&mut self, i: usize, after: u64) {
-        let before = self.fronts[i].incarnation;
-        self.fronts[i].incarnation =
+        let before = self.peers[i].incarnation;
+        self.peers[i].incarnation =
             before.saturating_sub(3_600_000_000 + self.now + after + 1_000_000);
         self.start(i, after);
     }
 
     fn running_node(&mut self, i: usize) -> Option<&mut Node> {
-        let front = &mut self.fronts[i];
+        let front = &mut self.peers[i];
         match front.program.as_mut().filter(|_| !front.stopped)? {
-            Program::Average(node) => Some(node),
-            Program::Summaries(_) => None,
+            GossipNode::BoundedView(node) => Some(node),
+            GossipNode::Summaries(_) => None,
         }
     }
 
     /// The node of front end `i`, while it runs.
     pub fn node(&self, i: usize) -> Option<&Node> {
-        match &self.fronts[i].program {
-            Some(Program::Average(node)) => Some(node),
+        match &self.peers[i].program {
+            Some(GossipNode::BoundedView(node)) => Some(node),
             _ => None,
         }
     }
 
     fn flush(&mut self, i: usize) {
-        let Some(program) = self.fronts[i].program.as_mut() else {
+        let Some(program) = self.peers[i].program.as_mut() else {
             return;
         };
         let out = program.outbox();
@@ -239,19 +239,19 @@
 
     /// Starts front end `i` in a new incarnation `after` microseconds from now.
     pub fn start(&mut self, i: usize, after: u64) {
-        let kind = self.fronts[i].kind;
+        let kind = self.peers[i].kind;
         self.start_as(i, after, kind);
     }
 
-    /// As [`Net::start`], with this program.
-    pub fn start_as(&mut self, i: usize, after: u64, kind: Kind) {
+    /// As [`SimulatedNetwork::start`], with this program.
+    pub fn start_as(&mut self, i: usize, after: u64, kind: GossipProtocol) {
         let seed = self.rng.random();
         let at = self.now + after;
-        let f = &mut self.fronts[i];
+        let f = &mut self.peers[i];
         f.incarnation += 1_000_000 + at;
         f.kind = kind;
         f.program = Some(match kind {
-            Kind::Average => {
+            GossipProtocol::BoundedView => {
                 let swim = SwimSettings {
                     extra_transmissions: EXTRA_TRANSMISSIONS,
                     ..self.settings
@@ -269,9 +269,9 @@
                     seeds: self.seeds.clone(),
                     summaries: true,
                 };
-                Program::Average(Box::new(Node::new(addr(i), f.incarnation, settings, seed)))
+                GossipNode::BoundedView(Box::new(Node::new(addr(i), f.incarnation, settings, seed)))
             }
-            Kind::Summaries => Program::Summaries(Box::new(Swim::new(
+            GossipProtocol::Summaries => GossipNode::Summaries(Box::new(Swim::new(
                 addr(i),
                 f.incarnation,
                 self.settings,
@@ -285,12 +285,12 @@
 
     /// Whether front end `i` runs.
     pub fn up(&self, i: usize) -> bool {
-        self.fronts[i].program.is_some()
+        self.peers[i].program.is_some()
     }
 
     /// Hands front end `i` a datagram from outside.
     pub fn inject(&mut self, i: usize, bytes: &[u8]) {
-        if let Some(p) = self.fronts[i].program.as_mut() {
+        if let Some(p) = self.peers[i].program.as_mut() {
             p.datagram(self.now, bytes);
         }
     }
@@ -301,7 +301,7 @@
     }
 
     fn wake(&mut self, i: usize, at: u64) {
-        self.fronts[i].wake_at = at;
+        self.peers[i].wake_at = at;
         self.push(at, i, Vec::new()); // no bytes: a timer
     }
 
@@ -312,7 +312,7 @@
                 break;
             };
             self.now = at;
-            let f = &mut self.fronts[i];
+            let f = &mut self.peers[i];
             if bytes.is_empty() && at != f.wake_at {
                 continue; // another wake took its place
             }
@@ -336,12 +336,12 @@
                     f.news = program.publish(at, f.pressure, &self.seeds);
                 }
             } else {
-                self.tally.received += bytes.len() as u64;
+                self.traffic.received += bytes.len() as u64;
                 program.datagram(at, &bytes);
             }
             for (at, event) in program.events() {
                 if let PeerEvent::Down(id) = event {
-                    self.downs.push(Down {
+                    self.downs.push(DownReport {
                         at,
                         by: i,
                         of: number(id.addr),
@@ -350,7 +350,7 @@
             }
             let out = program.outbox();
             let next = program.next().min(f.publish_at).max(at + 1);
-            self.tally.busy += began.elapsed();
+            self.traffic.busy += began.elapsed();
             if next < f.wake_at || bytes.is_empty() {
                 self.wake(i, next);
             }
@@ -365,15 +365,15 @@
         if let Some((_, tamper)) = self.tamper.as_ref().filter(|t| t.0 == from) {
             tamper(&mut bytes);
         }
-        self.tally.add(&bytes);
+        self.traffic.add(&bytes);
         let to = number(to);
-        if to >= self.fronts.len() || self.fronts[to].side != self.fronts[from].side {
+        if to >= self.peers.len() || self.peers[to].side != self.peers[from].side {
             return;
         }
-        if self.fronts[from].mute || self.fronts[to].deaf || self.cut.contains(&(from, to)) {
+        if self.peers[from].mute || self.peers[to].deaf || self.cut.contains(&(from, to)) {
             return;
         }
-        let copies = 1 + usize::from(self.rng.random::<f64>() < self.twice);
+        let copies = 1 + usize::from(self.rng.random::<f64>() < self.duplication);
         for _ in 0..copies {
             if self.rng.random::<f64>() < self.loss {
                 continue;
@@ -392,7 +392,7 @@
 
     /// Runs on until `holds` at every step of 100 ms for a second, for at most `within` microseconds; how long
     /// it took until it held, in microseconds.
-    pub fn until(&mut self, within: u64, holds: impl Fn(&Net) -> bool) -> Option<u64> {
+    pub fn until(&mut self, within: u64, holds: impl Fn(&SimulatedNetwork) -> bool) -> Option<u64> {
         let began = self.now;
         let mut since = None;
         while self.now - began < within + 1000 * MS {
@@ -407,10 +407,14 @@
     }
 
     /// Joins all, and lets them settle: all count all, and the news of the joins has been passed on.
-    pub fn settled(n: usize, kind: Kind, seed: u64) -> Result<Net, Fault> {
-        let mut net = Net::new(n, kind, seed);
+    pub fn settled(
+        n: usize,
+        kind: GossipProtocol,
+        seed: u64,
+    ) -> Result<SimulatedNetwork, ExperimentError> {
+        let mut net = SimulatedNetwork::new(n, kind, seed);
         net.until(180_000 * MS, |net| net.size_error() == 0.0)
-            .ok_or(Fault::Failed(format!(
+            .ok_or(ExperimentError::Failed(format!(
                 "{n} front ends had not found each other within 180 s"
             )))?;
         net.run(net.now + 10_000 * MS);
@@ -419,7 +423,7 @@
 
     /// A step of the load: the front ends of one zone go to `to` thousandths.
     pub fn step(&mut self, to: u32) {
-        self.fronts
+        self.peers
             .iter_mut()
             .step_by(ZONES)
             .for_each(|f| f.pressure = to);
--- a/scalelab/src/harness/board.rs
+++ b/scalelab/src/harness/discovery_service.rs
@@ -1,32 +1,32 @@
-//! A stand-in notice board.
+//! A stand-in notice discovery.
 use super::{failed, lock, thread};
-use crate::Fault;
+use crate::ExperimentError;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-/// A stand-in notice board.
-pub struct Board {
+/// A stand-in notice discovery.
+pub struct DiscoveryService {
     pub address: SocketAddr,
-    inside: Arc<Inside>,
+    state: Arc<ServiceState>,
 }
 
 #[derive(Default)]
-struct Inside {
-    told: Mutex<News>,
+struct ServiceState {
+    told: Mutex<EndpointFeed>,
     changed: Condvar,
     /// Bytes of events, events and calls so far.
     bytes: AtomicU64,
     events: AtomicU64,
     calls: AtomicU64,
     /// Calls that were ended at once, while it was down.
-    turned_away: AtomicU64,
+    rejected_connections: AtomicU64,
 }
 
 #[derive(Default)]
-struct News {
+struct EndpointFeed {
     /// Numbers and texts of what a caller is told that is behind.
     events: Vec<(u64, Arc<str>)>,
     /// Raised when all connections are to end.
@@ -34,80 +34,80 @@
     down: bool,
 }
 
-impl Board {
+impl DiscoveryService {
     /// Starts it with these events to tell.
     ///
     /// # Errors
     /// No port or thread can be had.
-    pub fn start(events: Vec<(u64, String)>) -> Result<Board, Fault> {
+    pub fn start(events: Vec<(u64, String)>) -> Result<DiscoveryService, ExperimentError> {
         let listener = TcpListener::bind("127.0.0.1:0").map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?;
         let events = events
             .into_iter()
             .map(|(rev, text)| (rev, text.into()))
             .collect();
-        let told = Mutex::new(News {
+        let told = Mutex::new(EndpointFeed {
             events,
-            ..News::default()
+            ..EndpointFeed::default()
         });
-        let inside = Arc::new(Inside {
+        let state = Arc::new(ServiceState {
             told,
-            ..Inside::default()
+            ..ServiceState::default()
         });
-        let of = inside.clone();
+        let of = state.clone();
         thread(move || {
             for stream in listener.incoming().flatten() {
                 let of = of.clone();
                 let _ = thread(move || drop(of.serve(stream)));
             }
         })?;
-        Ok(Board { address, inside })
+        Ok(DiscoveryService { address, state })
     }
 
     /// Tells one more event.
     pub fn tell(&self, rev: u64, text: String) {
-        lock(&self.inside.told).events.push((rev, text.into()));
-        self.inside.changed.notify_all();
+        lock(&self.state.told).events.push((rev, text.into()));
+        self.state.changed.notify_all();
     }
 
-    /// Ends all connections and takes none until it is up again; from then on whoever is behind is told `instead`.
+    /// Ends all connections and takes none wait_until it is up again; from then on whoever is behind is told `instead`.
     pub fn cut(&self, instead: Vec<(u64, String)>) {
-        let mut told = lock(&self.inside.told);
+        let mut told = lock(&self.state.told);
         told.events = instead
             .into_iter()
             .map(|(rev, text)| (rev, text.into()))
             .collect();
         (told.cut, told.down) = (told.cut + 1, true);
-        self.inside.changed.notify_all();
+        self.state.changed.notify_all();
     }
 
     /// Takes connections again.
     pub fn up(&self) {
-        lock(&self.inside.told).down = false;
+        lock(&self.state.told).down = false;
     }
 
     /// Bytes of events written so far, all callers together.
     pub fn bytes(&self) -> u64 {
-        self.inside.bytes.load(Ordering::Relaxed)
+        self.state.bytes.load(Ordering::Relaxed)
     }
 
     /// Events written so far.
     pub fn events(&self) -> u64 {
-        self.inside.events.load(Ordering::Relaxed)
+        self.state.events.load(Ordering::Relaxed)
     }
 
     /// Calls that it ended at once, as it was down.
-    pub fn turned_away(&self) -> u64 {
-        self.inside.turned_away.load(Ordering::Relaxed)
+    pub fn rejected_connections(&self) -> u64 {
+        self.state.rejected_connections.load(Ordering::Relaxed)
     }
 
     /// Calls that it took.
     pub fn calls(&self) -> u64 {
-        self.inside.calls.load(Ordering::Relaxed)
+        self.state.calls.load(Ordering::Relaxed)
     }
 }
 
-impl Inside {
+impl ServiceState {
     fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
         let (mut at, mut head) = (0, BufReader::new(stream.try_clone()?));
         let cut = lock(&self.told).cut;
@@ -124,7 +124,7 @@
             }
         }
         if lock(&self.told).down {
-            self.turned_away.fetch_add(1, Ordering::Relaxed);
+            self.rejected_connections.fetch_add(1, Ordering::Relaxed);
             return stream.shutdown(Shutdown::Both);
         }
         self.calls.fetch_add(1, Ordering::Relaxed);
--- a/scalelab/src/harness/front_end.rs
+++ b/scalelab/src/harness/front_end_process.rs
@@ -1,6 +1,6 @@
 //! The program as a child that ends with its parent.
-use super::{failed, until, Told, Usage};
-use crate::Fault;
+use super::{failed, wait_until, FrontEndOptions, ResourceUsage};
+use crate::ExperimentError;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -9,27 +9,27 @@
 use std::time::{Duration, Instant};
 
 /// One front end: a process that ends with this value, and with its parent should that be killed.
-pub struct Program {
+pub struct FrontEndProcess {
     child: Child,
     folder: PathBuf,
     /// Bytes of its log read so far.
     read: usize,
     /// When it was started.
-    pub since: Instant,
+    pub started_at: Instant,
     /// Where v2 clients connect.
     pub kserve: SocketAddr,
     /// The read-only administration.
     pub admin: SocketAddr,
-    /// Its gossip socket and the operators' door, where the fleet is on.
+    /// Its gossip socket and the operators' operator_address, where the fleet is on.
     pub gossip: Option<SocketAddr>,
-    pub door: Option<SocketAddr>,
+    pub operator_address: Option<SocketAddr>,
 }
 
 /// The program: `wrenseam` beside this one, or where tests find it.
 ///
 /// # Errors
 /// It is not there: the text says how it is built.
-pub fn binary() -> Result<PathBuf, Fault> {
+pub fn binary() -> Result<PathBuf, ExperimentError> {
     let own = std::env::current_exe().map_err(failed)?;
     let beside = own
         .ancestors()
@@ -37,14 +37,14 @@
         .take(2)
         .map(|folder| folder.join("wrenseam"))
         .find(|p| p.is_file());
-    beside.ok_or(Fault::Failed(
+    beside.ok_or(ExperimentError::Failed(
         "no program `wrenseam` beside this one: build it by `cargo build --release -p wrenseam`"
             .to_owned(),
     ))
 }
 
 /// A folder of its own under the system's, for the files of one process.
-fn folder() -> Result<PathBuf, Fault> {
+fn folder() -> Result<PathBuf, ExperimentError> {
     static RUNS: AtomicU64 = AtomicU64::new(0);
     let run = RUNS.fetch_add(1, Ordering::Relaxed);
     let folder = std::env::temp_dir().join(format!("scalelab-{}-{run}", std::process::id()));
@@ -52,15 +52,15 @@
     Ok(folder)
 }
 
-impl Program {
-    /// Starts it and does not wait: where it listens is known after [`Program::listening`].
+impl FrontEndProcess {
+    /// Starts it and does not wait: where it listens is known after [`FrontEndProcess::wait_for_listeners`].
     ///
     /// # Errors
     /// Its files cannot be written, or it cannot be started.
-    pub fn spawn(told: &Told) -> Result<Program, Fault> {
+    pub fn spawn(told: &FrontEndOptions) -> Result<FrontEndProcess, ExperimentError> {
         use std::os::unix::process::CommandExt;
         let folder = folder()?;
-        let write = |name: &str, text: &str| -> Result<PathBuf, Fault> {
+        let write = |name: &str, text: &str| -> Result<PathBuf, ExperimentError> {
             std::fs::write(folder.join(name), text).map_err(failed)?;
             Ok(folder.join(name))
         };
@@ -92,28 +92,28 @@
                     .map_err(std::io::Error::from)
             });
         }
-        let since = Instant::now();
+        let started_at = Instant::now();
         let child = command.spawn().map_err(failed)?;
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        Ok(Program {
+        Ok(FrontEndProcess {
             child,
             folder,
             read: 0,
-            since,
+            started_at,
             kserve: nowhere,
             admin: nowhere,
             gossip: None,
-            door: None,
+            operator_address: None,
         })
     }
 
-    /// Waits until it listens everywhere.
+    /// Waits wait_until it listens everywhere.
     ///
     /// # Errors
-    /// It does not within [`PATIENCE`].
-    pub fn listening(&mut self) -> Result<(), Fault> {
+    /// It does not within [`WAIT_TIMEOUT`].
+    pub fn wait_for_listeners(&mut self) -> Result<(), ExperimentError> {
         let log = self.folder.join("log");
-        until("a front end listens", Duration::from_millis(2), || {
+        wait_until("a front end listens", Duration::from_millis(2), || {
             let text = std::fs::read_to_string(&log).unwrap_or_default();
             let at = |what: &str| {
                 let line = text.lines().find(|l| l.contains(what))?;
@@ -128,19 +128,19 @@
                 return false;
             };
             (self.kserve, self.admin) = (kserve, admin);
-            (self.gossip, self.door) = (at("gossip listens"), at("door listens"));
+            (self.gossip, self.operator_address) = (at("gossip listens"), at("door listens"));
             true
         })
     }
 
-    /// Starts it and waits until it takes clients.
+    /// Starts it and waits wait_until it takes clients.
     ///
     /// # Errors
     /// It cannot be started or does not come up.
-    pub fn start(told: &Told) -> Result<Program, Fault> {
-        let mut program = Program::spawn(told)?;
-        program.listening()?;
-        until("a front end is ready", Duration::from_millis(5), || {
+    pub fn start(told: &FrontEndOptions) -> Result<FrontEndProcess, ExperimentError> {
+        let mut program = FrontEndProcess::spawn(told)?;
+        program.wait_for_listeners()?;
+        wait_until("a front end is ready", Duration::from_millis(5), || {
             program.is_ready()
         })?;
         Ok(program)
@@ -151,9 +151,9 @@
         ready(self.admin)
     }
 
-    /// A gauge of its telemetry, where the door is on.
+    /// A gauge of its telemetry, where the operator_address is on.
     pub fn gauge(&self, name: &str) -> Option<u64> {
-        let mut stream = TcpStream::connect(self.door?).ok()?;
+        let mut stream = TcpStream::connect(self.operator_address?).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
         stream.write_all(b"telemetry\n").ok()?;
         let mut text = String::new();
@@ -168,7 +168,7 @@
     ///
     /// # Errors
     /// It has ended.
-    pub fn usage(&self) -> Result<Usage, Fault> {
+    pub fn usage(&self) -> Result<ResourceUsage, ExperimentError> {
         let own = PathBuf::from(format!("/proc/{}", self.child.id()));
         let status = std::fs::read_to_string(own.join("status")).map_err(failed)?;
         let figure = |name: &str| {
@@ -186,19 +186,19 @@
         };
         let tasks: Vec<_> = tasks.flatten().filter_map(|t| spent(&t.path())).collect();
         let sum = |core: bool| tasks.iter().filter(|t| t.0 || !core).map(|t| t.1).sum();
-        let gone = || Fault::Failed("a front end has ended by itself".to_owned());
-        Ok(Usage {
-            at: Instant::now(),
-            cpu: Duration::from_nanos(sum(false)),
-            core: Duration::from_nanos(sum(true)),
-            rss: figure("VmRSS:").ok_or_else(gone)?,
-            most: figure("VmHWM:").ok_or_else(gone)?,
+        let gone = || ExperimentError::Failed("a front end has ended by itself".to_owned());
+        Ok(ResourceUsage {
+            measured_at: Instant::now(),
+            cpu_time: Duration::from_nanos(sum(false)),
+            core_thread_cpu_time: Duration::from_nanos(sum(true)),
+            resident_kib: figure("VmRSS:").ok_or_else(gone)?,
+            peak_resident_kib: figure("VmHWM:").ok_or_else(gone)?,
             descriptors: std::fs::read_dir(own.join("fd")).map_or(0, Iterator::count),
         })
     }
 
     /// What its log says that was not read here before.
-    pub fn news(&mut self) -> String {
+    pub fn new_log_lines(&mut self) -> String {
         let text = std::fs::read(self.folder.join("log")).unwrap_or_default();
         let whole = text
             .iter()
@@ -209,13 +209,13 @@
         news
     }
 
-    /// Waits until its log says this, counted from where it was last read.
+    /// Waits wait_until its log says this, counted from where it was last read.
     ///
     /// # Errors
-    /// It does not within [`PATIENCE`].
-    pub fn says(&mut self, what: &str) -> Result<(), Fault> {
-        until(what, Duration::from_millis(10), || {
-            self.news().contains(what)
+    /// It does not within [`WAIT_TIMEOUT`].
+    pub fn wait_for_log(&mut self, what: &str) -> Result<(), ExperimentError> {
+        wait_until(what, Duration::from_millis(10), || {
+            self.new_log_lines().contains(what)
         })
     }
 
@@ -225,7 +225,7 @@
     }
 }
 
-impl Drop for Program {
+impl Drop for FrontEndProcess {
     fn drop(&mut self) {
         let _ = self.child.kill(); // it may have ended already
         let _ = self.child.wait();
--- a/scalelab/src/harness/client.rs
+++ b/scalelab/src/harness/inference_client.rs
@@ -6,23 +6,23 @@
 use std::time::Duration;
 
 /// A kept connection of a v2 client.
-pub struct Caller {
+pub struct InferenceClient {
     stream: TcpStream,
 }
 
 /// Calls numbered so far: each has an id of its own.
 static CALLS: AtomicU64 = AtomicU64::new(0);
 
-impl Caller {
+impl InferenceClient {
     /// Connects to the v2 front.
     ///
     /// # Errors
     /// No connection comes up.
-    pub fn connect(to: SocketAddr) -> std::io::Result<Caller> {
+    pub fn connect(to: SocketAddr) -> std::io::Result<InferenceClient> {
         let stream = TcpStream::connect(to)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(Duration::from_secs(5)))?;
-        Ok(Caller { stream })
+        Ok(InferenceClient { stream })
     }
 
     /// Calls a function that takes so long to load; the answer's status.
--- a/scalelab/src/lib.rs
+++ b/scalelab/src/lib.rs
@@ -1,32 +1,32 @@
 //! Scale tests: each experiment varies one thing, measures at several sizes, and gives slopes with their spread.
 //! Hollow front ends (state machines on simulated time) share this process where real ones don't fit.
-pub mod bursts;
 pub mod chart;
+pub mod disruptions;
 pub mod experiment;
 pub mod fit;
-pub mod gossip;
+pub mod gossip_experiments;
 pub mod gossip_network;
 pub mod harness;
-pub mod links;
-pub mod module;
-pub mod process;
-pub mod seats;
+pub mod policy_scaling;
+pub mod process_experiments;
 pub mod simulated_front_end;
-pub mod tally;
-pub mod yard;
+pub mod simulated_workers;
+pub mod slow_start_senders;
+pub mod traffic_counts;
+pub mod worker_connections;
 
-pub use experiment::{Column, Experiment, Fault, Sweep};
+pub use experiment::{Column, Experiment, ExperimentError, Sweep};
 pub use fit::Fit;
 
 /// All experiments, by the file that holds them.
 pub fn experiments() -> Vec<&'static Experiment> {
     [
-        gossip::EXPERIMENTS,
-        module::EXPERIMENTS,
-        bursts::EXPERIMENTS,
-        seats::EXPERIMENTS,
-        process::EXPERIMENTS,
-        links::EXPERIMENTS,
+        gossip_experiments::EXPERIMENTS,
+        policy_scaling::EXPERIMENTS,
+        disruptions::EXPERIMENTS,
+        slow_start_senders::EXPERIMENTS,
+        process_experiments::EXPERIMENTS,
+        worker_connections::EXPERIMENTS,
     ]
     .into_iter()
     .flatten()
--- a/scalelab/src/main.rs
+++ b/scalelab/src/main.rs
@@ -1,6 +1,6 @@
 //! scalelab: runs scale tests and prints their tables and fits. See docs/scale.md.
 use clap::{Parser, Subcommand};
-use scalelab::{chart, experiments, Fault};
+use scalelab::{chart, experiments, ExperimentError};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -33,12 +33,17 @@
     },
 }
 
-fn run(name: &str, sizes: &[u64], seed: u64, charts: Option<PathBuf>) -> Result<(), Fault> {
+fn run(
+    name: &str,
+    sizes: &[u64],
+    seed: u64,
+    charts: Option<PathBuf>,
+) -> Result<(), ExperimentError> {
     let all = experiments();
     let experiment = all
         .iter()
         .find(|e| e.name == name)
-        .ok_or_else(|| Fault::Unknown(name.into()))?;
+        .ok_or_else(|| ExperimentError::UnknownExperiment(name.into()))?;
     for (i, sweep) in (experiment.run)(&experiment.sizes(sizes)?, seed)?
         .iter()
         .enumerate()
@@ -47,7 +52,7 @@
         if let Some(folder) = &charts {
             let path = folder.join(format!("{name}-{}.svg", i + 1));
             chart::draw(sweep, &path)
-                .map_err(|e| Fault::Failed(format!("{}: {e}", path.display())))?;
+                .map_err(|e| ExperimentError::Failed(format!("{}: {e}", path.display())))?;
         }
     }
     Ok(())
--- a/scalelab/src/process/cold_start.rs
+++ b/scalelab/src/process_experiments/cold_start.rs
@@ -1,8 +1,8 @@
 //! What a cold start takes on the wire.
-use super::{measured, ms, part_of};
-use crate::harness::{self, event, Program, Told};
-use crate::yard::{Work, Yard};
-use crate::{Fault, Sweep};
+use super::{measured, ms, quantile};
+use crate::harness::{self, watch_event, FrontEndOptions, FrontEndProcess};
+use crate::simulated_workers::{ServiceTimes, SimulatedWorkers};
+use crate::{ExperimentError, Sweep};
 use std::time::{Duration, Instant};
 
 /// Calls of a cold start's test, and how many are out at a time.
@@ -19,26 +19,26 @@
     back: f64,
 }
 
-pub(super) fn cold(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, Fault> {
+pub(super) fn cold(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut rows = Vec::new();
     for &load in sizes {
-        let work = Work {
+        let work = ServiceTimes {
             load: Duration::from_millis(load),
             call: Duration::from_millis(5),
         };
-        let yard = Yard::start(1_000, work)?;
-        let told = Told {
-            known: (1, vec![event(1, true, &yard.list)]),
+        let simulated = SimulatedWorkers::start(1_000, work)?;
+        let told = FrontEndOptions {
+            known: (1, vec![watch_event(1, true, &simulated.list)]),
             seed,
-            ..Told::default()
+            ..FrontEndOptions::default()
         };
-        let program = Program::start(&told)?;
+        let program = FrontEndProcess::start(&told)?;
         std::thread::sleep(Duration::from_millis(500));
         let (ended, parts) = std::sync::mpsc::channel();
         for caller in 0..CALLERS {
-            let (tally, ended, to) = (yard.tally.clone(), ended.clone(), program.kserve);
+            let (tally, ended, to) = (simulated.tally.clone(), ended.clone(), program.kserve);
             harness::thread(move || {
-                let Ok(mut stream) = harness::Caller::connect(to) else {
+                let Ok(mut stream) = harness::InferenceClient::connect(to) else {
                     return;
                 };
                 for n in 0..CALLS / CALLERS {
@@ -70,10 +70,10 @@
         let all: Vec<Option<Parts>> = parts.iter().collect();
         let served: Vec<&Parts> = all.iter().flatten().collect();
         let of = |part: f64, f: &dyn Fn(&Parts) -> f64| {
-            part_of(&mut served.iter().map(|p| f(p)).collect::<Vec<_>>(), part)
+            quantile(&mut served.iter().map(|p| f(p)).collect::<Vec<_>>(), part)
         };
         let there = |new: bool| {
-            part_of(
+            quantile(
                 &mut served
                     .iter()
                     .filter(|p| p.new == new)
--- a/scalelab/src/process/fleet.rs
+++ b/scalelab/src/process_experiments/fleet.rs
@@ -1,7 +1,9 @@
 //! What a fleet of processes sends.
-use super::{measured, mib, part_of, ACROSS};
-use crate::harness::{self, event, hollow, until, Program, Told};
-use crate::{Fault, Sweep};
+use super::{measured, mib, quantile, MEASURED_TIME};
+use crate::harness::{
+    self, unreachable_endpoints, wait_until, watch_event, FrontEndOptions, FrontEndProcess,
+};
+use crate::{ExperimentError, Sweep};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -16,8 +18,8 @@
 }
 
 impl Relay {
-    fn start() -> Result<Relay, Fault> {
-        let failed = |e: std::io::Error| Fault::Failed(e.to_string());
+    fn start() -> Result<Relay, ExperimentError> {
+        let failed = |e: std::io::Error| ExperimentError::Failed(e.to_string());
         let socket = UdpSocket::bind("127.0.0.1:0").map_err(failed)?;
         let address = socket.local_addr().map_err(failed)?;
         let (to, datagrams, bytes) = (Arc::new(Mutex::new(None)), Arc::default(), Arc::default());
@@ -46,10 +48,10 @@
     }
 }
 
-pub(super) fn fleet(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, Fault> {
+pub(super) fn fleet(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut rows = Vec::new();
     for &processes in sizes {
-        let list = event(1, true, &hollow(100));
+        let list = watch_event(1, true, &unreachable_endpoints(100));
         let relays = (0..processes)
             .map(|_| Relay::start())
             .collect::<Result<Vec<_>, _>>()?;
@@ -61,24 +63,24 @@
                 relay.address,
                 if index == 0 { "" } else { &seeds }
             );
-            let known = (1, vec![event(1, true, &[]), list.clone()]);
-            let told = Told {
+            let known = (1, vec![watch_event(1, true, &[]), list.clone()]);
+            let told = FrontEndOptions {
                 known,
                 index,
                 seed: seed + index as u64,
                 fleet: Some(file),
-                ..Told::default()
+                ..FrontEndOptions::default()
             };
-            programs.push(Program::spawn(&told)?);
+            programs.push(FrontEndProcess::spawn(&told)?);
         }
         let since = Instant::now();
         for (program, relay) in programs.iter_mut().zip(&relays) {
-            program.listening()?;
+            program.wait_for_listeners()?;
             *harness::lock(&relay.to) = program.gossip;
         }
-        let alive = |p: &Program| p.gauge("app.fleet.peers") == Some(processes - 1);
+        let alive = |p: &FrontEndProcess| p.gauge("app.fleet.peers") == Some(processes - 1);
         for program in &programs {
-            until("all count all", Duration::from_millis(50), || {
+            wait_until("all count all", Duration::from_millis(50), || {
                 alive(program)
             })?;
         }
@@ -97,30 +99,34 @@
             count(),
             programs
                 .iter()
-                .map(Program::usage)
+                .map(FrontEndProcess::usage)
                 .collect::<Result<Vec<_>, _>>()?,
         );
-        std::thread::sleep(ACROSS);
+        std::thread::sleep(MEASURED_TIME);
         let (then, after) = (
             count(),
             programs
                 .iter()
-                .map(Program::usage)
+                .map(FrontEndProcess::usage)
                 .collect::<Result<Vec<_>, _>>()?,
         );
         let missing = programs.iter().filter(|p| !alive(p)).count();
-        let time = (after[0].at - before[0].at).as_secs_f64() * processes as f64;
-        let mut shares: Vec<f64> = before.iter().zip(&after).map(|(b, a)| a.share(b)).collect();
-        let mut memory: Vec<f64> = after.iter().map(|a| mib(a.rss)).collect();
+        let time = (after[0].measured_at - before[0].measured_at).as_secs_f64() * processes as f64;
+        let mut shares: Vec<f64> = before
+            .iter()
+            .zip(&after)
+            .map(|(b, a)| a.cpu_percent(b))
+            .collect();
+        let mut memory: Vec<f64> = after.iter().map(|a| mib(a.resident_kib)).collect();
         rows.push((
             processes,
             vec![
                 (then.0 - sent.0) as f64 / time,
                 (then.1 - sent.1) as f64 / time,
-                part_of(&mut shares, 0.5),
-                part_of(&mut shares, 1.0),
-                part_of(&mut memory, 0.5),
-                part_of(&mut memory, 1.0),
+                quantile(&mut shares, 0.5),
+                quantile(&mut shares, 1.0),
+                quantile(&mut memory, 0.5),
+                quantile(&mut memory, 1.0),
                 joined.as_secs_f64(),
                 missing as f64,
             ],
--- a/scalelab/src/process/mod.rs
+++ b/scalelab/src/process_experiments/mod.rs
@@ -1,21 +1,21 @@
 //! Real processes on loopback: what an idle one takes, list changes, a list read anew, starts, a fleet, cold starts.
-mod changes;
 mod cold_start;
+mod endpoint_changes;
 mod fleet;
 mod idle;
 mod reconnect;
-mod restart;
+mod simultaneous_start;
 
-pub use reconnect::{told_anew, Anew};
+pub use reconnect::{measure_resync, ResyncCost};
 
-use crate::harness::{event, instance, until, Program, Usage};
-use crate::{Column, Experiment, Fault};
-use changes::changes;
+use crate::harness::{endpoint_json, wait_until, watch_event, FrontEndProcess, ResourceUsage};
+use crate::{Column, Experiment, ExperimentError};
 use cold_start::cold;
+use endpoint_changes::changes;
 use fleet::fleet;
 use idle::idle;
 use reconnect::{anew, redial};
-use restart::restart;
+use simultaneous_start::restart;
 use std::time::Duration;
 
 /// The experiments of this file.
@@ -71,12 +71,12 @@
     },
 ];
 
-/// Instances in one event of the board: 4,000 take 0.57 MB, and 1 MiB is the most.
-pub const PART: usize = 4_000;
-const ACROSS: Duration = Duration::from_secs(10); // what processor time is taken over
-const SETTLE: Duration = Duration::from_secs(2);
+/// Instances in one event of the discovery: 4,000 take 0.57 MB, and 1 MiB is the most.
+pub const MAX_ENDPOINTS_PER_EVENT: usize = 4_000;
+const MEASURED_TIME: Duration = Duration::from_secs(10); // what processor time is taken over
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 /// The list of the tests that vary something else, in workers.
-const LIST: u64 = 4_000;
+const DEFAULT_WORKERS: u64 = 4_000;
 
 fn measured(name: &'static str) -> Column {
     Column { name, exact: false }
@@ -95,7 +95,7 @@
 }
 
 /// A part of some times, ms; 0 of none.
-pub fn part_of(times: &mut [f64], part: f64) -> f64 {
+pub fn quantile(times: &mut [f64], part: f64) -> f64 {
     times.sort_by(f64::total_cmp);
     let last = times.len().saturating_sub(1);
     times
@@ -104,12 +104,12 @@
         .unwrap_or(0.0)
 }
 
-/// Waits until a process has taken so many members.
-fn listed(program: &mut Program, workers: u64) -> Result<(), Fault> {
+/// Waits wait_until a process has taken so many members.
+fn listed(program: &mut FrontEndProcess, workers: u64) -> Result<(), ExperimentError> {
     let mut seen = 0;
-    until("the whole list is taken", Duration::from_millis(10), || {
+    wait_until("the whole list is taken", Duration::from_millis(10), || {
         seen += program
-            .news()
+            .new_log_lines()
             .lines()
             .filter(|l| l.starts_with("member "))
             .count() as u64;
@@ -117,7 +117,10 @@
     })
 }
 
-fn over(program: &Program, time: Duration) -> Result<(Usage, Usage), Fault> {
+fn over(
+    program: &FrontEndProcess,
+    time: Duration,
+) -> Result<(ResourceUsage, ResourceUsage), ExperimentError> {
     let before = program.usage()?;
     std::thread::sleep(time);
     Ok((before, program.usage()?))
@@ -134,8 +137,8 @@
     );
     let id = |round: u64| place + round * 0x10_0000;
     let now = [
-        instance(id(round), &address, "gone"),
-        instance(id(round + 1), &address, "ready"),
+        endpoint_json(id(round), &address, "gone"),
+        endpoint_json(id(round + 1), &address, "ready"),
     ];
-    event(rev, false, &now)
+    watch_event(rev, false, &now)
 }
--- a/scalelab/src/process/reconnect.rs
+++ b/scalelab/src/process_experiments/reconnect.rs
@@ -1,25 +1,28 @@
 //! What a list read anew takes after its board was cut.
-use super::{exact, listed, measured, ms, part_of, replaced, LIST};
-use crate::harness::{event, hollow, instance, until, Board, Program, Told};
-use crate::{Fault, Sweep};
+use super::{exact, listed, measured, ms, quantile, replaced, DEFAULT_WORKERS};
+use crate::harness::{
+    endpoint_json, unreachable_endpoints, wait_until, watch_event, DiscoveryService,
+    FrontEndOptions, FrontEndProcess,
+};
+use crate::{ExperimentError, Sweep};
 use std::time::{Duration, Instant};
 
 /// The worker that shows in a log that what was told last has been taken.
 fn marker(n: u64) -> (String, String) {
     let id = 0xF000_0000 + n;
     (
-        instance(id, &format!("127.200.0.{n}:8443"), "ready"),
+        endpoint_json(id, &format!("127.200.0.{n}:8443"), "ready"),
         format!("member s-{id:08x}: Ready"),
     )
 }
 
 /// What it took to have the whole list again.
 #[derive(Clone, Copy, Debug)]
-pub struct Anew {
+pub struct ResyncCost {
     pub bytes: u64,
     pub calls: u64,
     pub time: Duration,
-    pub cpu: Duration,
+    pub cpu_time: Duration,
 }
 
 /// Cuts the board of one process and has it tell the whole list of one worker more, after so many events that the
@@ -27,55 +30,55 @@
 ///
 /// # Errors
 /// The process does not come up, or never has the list.
-pub fn told_anew(workers: u64, missed: u64, seed: u64) -> Result<Anew, Fault> {
-    let mut list = hollow(workers);
-    let board = Board::start(vec![(1, event(1, true, &list))])?;
-    let told = Told {
-        board: Some(board.address),
+pub fn measure_resync(workers: u64, missed: u64, seed: u64) -> Result<ResyncCost, ExperimentError> {
+    let mut list = unreachable_endpoints(workers);
+    let discovery = DiscoveryService::start(vec![(1, watch_event(1, true, &list))])?;
+    let told = FrontEndOptions {
+        discovery: Some(discovery.address),
         seed,
-        ..Told::default()
+        ..FrontEndOptions::default()
     };
-    let mut program = Program::start(&told)?;
+    let mut program = FrontEndProcess::start(&told)?;
     listed(&mut program, workers)?;
     let (shown, says) = marker(1);
     list.push(shown);
-    board.cut(vec![(1 + missed, event(1 + missed, true, &list))]);
-    until(
+    discovery.cut(vec![(1 + missed, watch_event(1 + missed, true, &list))]);
+    wait_until(
         "the process has lost its board",
         Duration::from_millis(5),
-        || board.turned_away() > 1,
+        || discovery.rejected_connections() > 1,
     )?;
     let (bytes, calls, before, since) = (
-        board.bytes(),
-        board.calls(),
+        discovery.bytes(),
+        discovery.calls(),
         program.usage()?,
         Instant::now(),
     );
-    board.up();
-    program.says(&says)?;
+    discovery.up();
+    program.wait_for_log(&says)?;
     let (time, after) = (since.elapsed(), program.usage()?);
-    let (bytes, calls) = (board.bytes() - bytes, board.calls() - calls);
-    Ok(Anew {
+    let (bytes, calls) = (discovery.bytes() - bytes, discovery.calls() - calls);
+    Ok(ResyncCost {
         bytes,
         calls,
         time,
-        cpu: after.cpu - before.cpu,
+        cpu_time: after.cpu_time - before.cpu_time,
     })
 }
 
-pub(super) fn anew(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, Fault> {
+pub(super) fn anew(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut rows = Vec::new();
     for &workers in sizes {
         let mut row = Vec::new();
         // One event missed, or five, so that the numbers show a gap.
         for missed in [1, 5] {
-            let Anew {
+            let ResyncCost {
                 bytes,
                 calls,
                 time,
-                cpu,
-            } = told_anew(workers, missed, seed)?;
-            row.extend([bytes as f64, calls as f64, ms(time), ms(cpu)]);
+                cpu_time,
+            } = measure_resync(workers, missed, seed)?;
+            row.extend([bytes as f64, calls as f64, ms(time), ms(cpu_time)]);
         }
         rows.push((workers, row));
     }
@@ -98,7 +101,7 @@
     }])
 }
 
-pub(super) fn redial(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, Fault> {
+pub(super) fn redial(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut sweeps = Vec::new();
     for (whole, title) in [
         (false, "A cut board that tells what was missed; 4,000 workers, 10 more changes within a second"),
@@ -106,58 +109,58 @@
     ] {
         let mut rows = Vec::new();
         for &processes in sizes {
-            let mut list = hollow(LIST);
-            let board = Board::start(vec![(1, event(1, true, &list))])?;
-            let told = |index| Told {
-                board: Some(board.address),
+            let mut list = unreachable_endpoints(DEFAULT_WORKERS);
+            let discovery = DiscoveryService::start(vec![(1, watch_event(1, true, &list))])?;
+            let told = |index| FrontEndOptions {
+                discovery: Some(discovery.address),
                 index,
                 seed: seed + index as u64,
-                known: (1, vec![event(1, true, &list)]),
-                ..Told::default()
+                known: (1, vec![watch_event(1, true, &list)]),
+                ..FrontEndOptions::default()
             };
             let mut programs =
-                (0..processes as usize).map(|i| Program::spawn(&told(i))).collect::<Result<Vec<_>, _>>()?;
+                (0..processes as usize).map(|i| FrontEndProcess::spawn(&told(i))).collect::<Result<Vec<_>, _>>()?;
             for program in &mut programs {
-                program.listening()?;
-                listed(program, LIST)?;
+                program.wait_for_listeners()?;
+                listed(program, DEFAULT_WORKERS)?;
             }
-            until("all hang on the board", Duration::from_millis(20), || board.calls() >= processes)?;
-            let missed: Vec<_> = (0..5).map(|n| (2 + n, replaced(2 + n, n, LIST))).collect();
+            wait_until("all hang on the board", Duration::from_millis(20), || discovery.calls() >= processes)?;
+            let missed: Vec<_> = (0..5).map(|n| (2 + n, replaced(2 + n, n, DEFAULT_WORKERS))).collect();
             list[..5].clone_from_slice(
                 &(0..5)
-                    .map(|n| instance(n + 0x10_0000, &format!("127.1.0.{n}:8443"), "ready"))
+                    .map(|n| endpoint_json(n + 0x10_0000, &format!("127.1.0.{n}:8443"), "ready"))
                     .collect::<Vec<_>>(),
             );
-            board.cut(if whole { vec![(6, event(6, true, &list))] } else { missed });
-            let lost = || board.turned_away() > 3 * processes;
-            until("all have lost their board", Duration::from_millis(20), lost)?;
-            let before = programs.iter().map(Program::usage).collect::<Result<Vec<_>, _>>()?;
-            let (bytes, calls, since) = (board.bytes(), board.calls(), Instant::now());
-            board.up();
+            discovery.cut(if whole { vec![(6, watch_event(6, true, &list))] } else { missed });
+            let lost = || discovery.rejected_connections() > 3 * processes;
+            wait_until("all have lost their board", Duration::from_millis(20), lost)?;
+            let before = programs.iter().map(FrontEndProcess::usage).collect::<Result<Vec<_>, _>>()?;
+            let (bytes, calls, since) = (discovery.bytes(), discovery.calls(), Instant::now());
+            discovery.up();
             for n in 0..10 {
                 let due = since + Duration::from_millis(100 * (n + 1));
                 std::thread::sleep(due.saturating_duration_since(Instant::now()));
-                let last = (n == 9).then(|| event(7 + n, false, &[marker(1).0]));
-                board.tell(7 + n, last.unwrap_or_else(|| replaced(7 + n, 100 + n, LIST)));
+                let last = (n == 9).then(|| watch_event(7 + n, false, &[marker(1).0]));
+                discovery.tell(7 + n, last.unwrap_or_else(|| replaced(7 + n, 100 + n, DEFAULT_WORKERS)));
             }
             let says = marker(1).1;
             for program in &mut programs {
-                program.says(&says)?;
+                program.wait_for_log(&says)?;
             }
             let time = since.elapsed();
             let mut spent = Vec::new();
             for (program, before) in programs.iter().zip(&before) {
-                spent.push(ms(program.usage()?.cpu - before.cpu));
+                spent.push(ms(program.usage()?.cpu_time - before.cpu_time));
             }
             let each = |all: u64| all as f64 / processes as f64;
             rows.push((
                 processes,
                 vec![
-                    each(board.bytes() - bytes),
-                    each(board.calls() - calls),
+                    each(discovery.bytes() - bytes),
+                    each(discovery.calls() - calls),
                     ms(time) - 1000.0,
-                    part_of(&mut spent, 0.5),
-                    part_of(&mut spent, 1.0),
+                    quantile(&mut spent, 0.5),
+                    quantile(&mut spent, 1.0),
                 ],
             ));
         }
--- a/scalelab/src/process/restart.rs
+++ b/scalelab/src/process_experiments/simultaneous_start.rs
@@ -1,10 +1,13 @@
 //! What starts at once take.
-use super::{measured, mib, ms, part_of, LIST};
-use crate::harness::{self, event, hollow, until, Board, Program, Told};
-use crate::{Fault, Sweep};
+use super::{measured, mib, ms, quantile, DEFAULT_WORKERS};
+use crate::harness::{
+    self, unreachable_endpoints, wait_until, watch_event, DiscoveryService, FrontEndOptions,
+    FrontEndProcess,
+};
+use crate::{ExperimentError, Sweep};
 use std::time::Duration;
 
-pub(super) fn restart(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, Fault> {
+pub(super) fn restart(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut sweeps = Vec::new();
     for (known, title) in [
         (
@@ -18,10 +21,10 @@
     ] {
         let mut rows = Vec::new();
         for &processes in sizes {
-            let list = event(1, true, &hollow(LIST));
-            let board = Board::start(vec![(1, list.clone())])?;
-            let told = |index| Told {
-                board: Some(board.address),
+            let list = watch_event(1, true, &unreachable_endpoints(DEFAULT_WORKERS));
+            let discovery = DiscoveryService::start(vec![(1, list.clone())])?;
+            let told = |index| FrontEndOptions {
+                discovery: Some(discovery.address),
                 index,
                 seed: seed + index as u64,
                 known: if known {
@@ -29,10 +32,10 @@
                 } else {
                     (0, Vec::new())
                 },
-                ..Told::default()
+                ..FrontEndOptions::default()
             };
             let programs = (0..processes as usize)
-                .map(|i| Program::spawn(&told(i)))
+                .map(|i| FrontEndProcess::spawn(&told(i)))
                 .collect::<Result<Vec<_>, _>>()?;
             let (done, times) = std::sync::mpsc::channel();
             let waits: Vec<_> = programs
@@ -40,9 +43,9 @@
                 .map(|mut program| {
                     let done = done.clone();
                     move || {
-                        let up = program.listening().and_then(|()| {
-                            until("ready", Duration::from_millis(20), || program.is_ready())?;
-                            Ok((ms(program.since.elapsed()), program.usage()?))
+                        let up = program.wait_for_listeners().and_then(|()| {
+                            wait_until("ready", Duration::from_millis(20), || program.is_ready())?;
+                            Ok((ms(program.started_at.elapsed()), program.usage()?))
                         });
                         let _ = done.send(up.map(|(time, usage)| (time, usage, program)));
                     }
@@ -54,16 +57,16 @@
             drop(done);
             let up = times.iter().collect::<Result<Vec<_>, _>>()?;
             let mut waited: Vec<f64> = up.iter().map(|u| u.0).collect();
-            let mut spent: Vec<f64> = up.iter().map(|u| ms(u.1.cpu)).collect();
-            let mut most: Vec<f64> = up.iter().map(|u| mib(u.1.most)).collect();
+            let mut spent: Vec<f64> = up.iter().map(|u| ms(u.1.cpu_time)).collect();
+            let mut most: Vec<f64> = up.iter().map(|u| mib(u.1.peak_resident_kib)).collect();
             rows.push((
                 processes,
                 vec![
-                    part_of(&mut waited, 0.5),
-                    part_of(&mut waited, 0.9),
-                    part_of(&mut waited, 1.0),
-                    part_of(&mut spent, 0.5),
-                    part_of(&mut most, 1.0),
+                    quantile(&mut waited, 0.5),
+                    quantile(&mut waited, 0.9),
+                    quantile(&mut waited, 1.0),
+                    quantile(&mut spent, 0.5),
+                    quantile(&mut most, 1.0),
                 ],
             ));
         }
--- a/scalelab/src/simulated_front_end/mod.rs
+++ b/scalelab/src/simulated_front_end/mod.rs
@@ -1,14 +1,14 @@
 //! A front end without sockets: the decision module before stand-in workers, on simulated time. All that it counts is
-//! the same in every run of a shape and seed; only what the clock measures is not.
-mod counts;
-mod plan;
+//! the same in every run of a scenario and seed; only what the clock measures is not.
+mod measurements;
 mod popularity;
-mod shape;
+mod scenario;
+mod schedule;
 
-pub use counts::{Counts, Spent};
-use plan::{Due, Todo};
-pub use popularity::Popularity;
-pub use shape::Shape;
+pub use measurements::{HandlingTimes, PolicyCounts};
+pub use popularity::FunctionPopularity;
+pub use scenario::Scenario;
+use schedule::{PolicyAction, ScheduledEvent};
 
 use allocation_counter::{measure, AllocationInfo};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -24,7 +24,7 @@
 pub const MS: Micros = 1_000;
 pub const SEC: Micros = 1_000_000;
 /// Calls start here, so that a start told as 0 is long ago.
-pub const START: Micros = 1_000 * SEC;
+pub const START_TIME: Micros = 1_000 * SEC;
 const AWAY: Micros = 250 * MS; // a connection to a worker that is not there counts as failed after this
 
 fn name(worker: usize) -> WorkerId {
@@ -43,21 +43,21 @@
 }
 
 /// One front end.
-pub struct Front {
-    pub shape: Shape,
+pub struct SimulatedFrontEnd {
+    pub scenario: Scenario,
     controller: Controller,
-    popularity: Rc<Popularity>,
+    popularity: Rc<FunctionPopularity>,
     pub now: Micros,
     rng: Pcg64Mcg,
-    due: BTreeMap<(Micros, u64), Due>,
+    due: BTreeMap<(Micros, u64), ScheduledEvent>,
     serial: u64,
     out: Vec<Action>,
-    todo: Vec<Todo>,
+    todo: Vec<PolicyAction>,
     calls: BTreeMap<RequestId, Call>,
     ends: BTreeMap<(RequestId, usize), (Micros, u64)>,
     /// Until when a copy that we caused stands.
     warm: BTreeMap<(usize, usize), Micros>,
-    met: BTreeSet<usize>,
+    functions_called: BTreeSet<usize>,
     /// The workers of the list, and those that are gone without a word.
     listed: Vec<usize>,
     next_worker: usize,
@@ -65,40 +65,50 @@
     /// Workers at which nobody else's calls keep a copy, as they came back empty.
     emptied: BTreeSet<usize>,
     gone: Option<usize>,
-    pub counts: Counts,
-    pub spent: Spent,
+    pub counts: PolicyCounts,
+    pub handling_times: HandlingTimes,
     /// Time from arrival to the attempt that was served, of first calls of a function.
-    pub waits: Vec<Micros>,
+    pub first_waits: Vec<Micros>,
     /// When an attempt went to whom, and when an order or question did, where asked for.
     pub log: Option<Vec<(Micros, usize, bool)>>,
 }
 
-impl Front {
+impl SimulatedFrontEnd {
     /// A front end that has just started and has been told of all workers.
-    pub fn new(shape: &Shape) -> Front {
-        Front::at(shape, &Rc::new(Popularity::new(shape)), 0, START)
+    pub fn new(scenario: &Scenario) -> SimulatedFrontEnd {
+        SimulatedFrontEnd::with_index(
+            scenario,
+            &Rc::new(FunctionPopularity::new(scenario)),
+            0,
+            START_TIME,
+        )
     }
 
     /// The same for the front end of this number at this time.
-    pub fn at(shape: &Shape, popularity: &Rc<Popularity>, index: u32, now: Micros) -> Front {
-        let seed = shape
+    pub fn with_index(
+        scenario: &Scenario,
+        popularity: &Rc<FunctionPopularity>,
+        index: u32,
+        now: Micros,
+    ) -> SimulatedFrontEnd {
+        let seed = scenario
             .seed
             .wrapping_mul(1_000_003)
             .wrapping_add(u64::from(index));
-        let room = 256 + 4 * shape.workers; // never grows, as its growth would count as the module's
+        let room = 256 + 4 * scenario.workers; // never grows, as its growth would count as the module's
         let mut controller = None;
         let held = measure(|| {
             let settings = Settings {
                 front_end_index: Some(index),
-                ..shape.settings()
+                ..scenario.settings()
             };
             controller = Some(Controller::new(settings, seed));
         });
         let controller = controller.expect("made by the closure");
-        let mut front = Front {
+        let mut front = SimulatedFrontEnd {
             controller,
             popularity: popularity.clone(),
-            shape: shape.clone(),
+            scenario: scenario.clone(),
             now,
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0x5eed),
             due: BTreeMap::new(),
@@ -108,26 +118,29 @@
             calls: BTreeMap::new(),
             ends: BTreeMap::new(),
             warm: BTreeMap::new(),
-            met: BTreeSet::new(),
-            listed: (0..shape.workers).collect(),
-            next_worker: shape.workers,
+            functions_called: BTreeSet::new(),
+            listed: (0..scenario.workers).collect(),
+            next_worker: scenario.workers,
             away: BTreeSet::new(),
             emptied: BTreeSet::new(),
             gone: None,
-            counts: Counts::default(),
-            spent: Spent::default(),
-            waits: Vec::new(),
+            counts: PolicyCounts::default(),
+            handling_times: HandlingTimes::default(),
+            first_waits: Vec::new(),
             log: None,
         };
-        front.counts.held = held.bytes_current;
+        front.counts.held_bytes = held.bytes_current;
         let listed = front.listed.clone();
-        front.list(true, &listed, WorkerState::Ready, 0);
-        if shape.calls > 0.0 {
-            let first = front.pause(shape.calls);
-            front.plan(first, Due::Call);
+        front.update_endpoints(true, &listed, WorkerState::Ready, 0);
+        if scenario.requests_per_s > 0.0 {
+            let first = front.pause(scenario.requests_per_s);
+            front.plan(first, ScheduledEvent::Call);
         }
-        if shape.changes > 0.0 {
-            front.plan((SEC as f64 / shape.changes) as Micros, Due::Change);
+        if scenario.endpoint_changes_per_s > 0.0 {
+            front.plan(
+                (SEC as f64 / scenario.endpoint_changes_per_s) as Micros,
+                ScheduledEvent::Change,
+            );
         }
         front
     }
@@ -140,19 +153,25 @@
         (-(1.0 - self.chance()).ln() / rate * SEC as f64) as Micros
     }
 
-    fn plan(&mut self, after: Micros, due: Due) -> (Micros, u64) {
+    fn plan(&mut self, after: Micros, due: ScheduledEvent) -> (Micros, u64) {
         self.serial += 1;
         self.due.insert((self.now + after, self.serial), due);
         (self.now + after, self.serial)
     }
 
     /// Tells the module of these workers.
-    pub fn list(&mut self, full: bool, workers: &[usize], state: WorkerState, started_at: Micros) {
-        let shape = self.shape.clone();
+    pub fn update_endpoints(
+        &mut self,
+        full: bool,
+        workers: &[usize],
+        state: WorkerState,
+        started_at: Micros,
+    ) {
+        let scenario = self.scenario.clone();
         let entries = || {
             workers
                 .iter()
-                .map(|&n| shape.entry(n, state, started_at))
+                .map(|&n| scenario.entry(n, state, started_at))
                 .collect()
         };
         self.feed(|| Event::EndpointUpdate {
@@ -162,14 +181,14 @@
     }
 
     /// The workers whose machines are silent from now on, or no more.
-    pub fn lose(&mut self, workers: &[usize]) {
+    pub fn disconnect_workers(&mut self, workers: &[usize]) {
         self.away.extend(workers);
         self.emptied.extend(workers);
         let lost: BTreeSet<usize> = workers.iter().copied().collect();
         self.warm.retain(|&(_, w), _| !lost.contains(&w));
     }
 
-    pub fn back(&mut self, workers: &[usize]) {
+    pub fn reconnect_workers(&mut self, workers: &[usize]) {
         workers.iter().for_each(|w| {
             self.away.remove(w);
         });
@@ -192,12 +211,12 @@
         self.now = end;
     }
 
-    fn happen(&mut self, due: Due) {
+    fn happen(&mut self, due: ScheduledEvent) {
         match due {
-            Due::Timer(token) => self.feed(|| Event::Timer { token }),
-            Due::Call => self.call(),
-            Due::Change => self.change(),
-            Due::End {
+            ScheduledEvent::Timer(token) => self.feed(|| Event::Timer { token }),
+            ScheduledEvent::Call => self.call(),
+            ScheduledEvent::Change => self.change(),
+            ScheduledEvent::End {
                 id,
                 attempt,
                 outcome,
@@ -211,7 +230,7 @@
                 } else {
                     None
                 };
-                self.waits.extend(first.map(|c| since - c.arrived));
+                self.first_waits.extend(first.map(|c| since - c.arrived));
                 let elapsed = self.now - since;
                 let (crowd, inflight) = (Some(0), Some(2.0));
                 self.feed(|| {
@@ -227,7 +246,7 @@
                     })
                 });
             }
-            Due::Answer {
+            ScheduledEvent::Answer {
                 worker,
                 function,
                 count,
@@ -236,7 +255,7 @@
             } => {
                 let elapsed = self.now - since;
                 if count > 0 {
-                    let until = self.now + self.shape.keep;
+                    let until = self.now + self.scenario.keep_alive;
                     self.warm.insert((function as usize, worker), until);
                 }
                 self.feed(|| Event::LoadOrderEnded {
@@ -251,14 +270,14 @@
     }
 
     fn call(&mut self) {
-        let next = self.pause(self.shape.calls);
-        self.plan(next, Due::Call);
+        let next = self.pause(self.scenario.requests_per_s);
+        self.plan(next, ScheduledEvent::Call);
         let (chance, mark) = (self.chance(), self.rng.next_u64());
         let n = self.popularity.draw(chance);
-        self.counts.calls += 1;
-        let id = self.counts.calls;
-        let first = self.met.insert(n);
-        self.counts.first += u64::from(first);
+        self.counts.requests += 1;
+        let id = self.counts.requests;
+        let first = self.functions_called.insert(n);
+        self.counts.first_requests += u64::from(first);
         self.calls.insert(
             id,
             Call {
@@ -269,7 +288,7 @@
             },
         );
         let (class, tenant) = ((mark % 2) as usize, Some((mark >> 8) as usize % 5));
-        let (left, load_time) = (4 * SEC, self.shape.load);
+        let (left, load_time) = (4 * SEC, self.scenario.load_time);
         let (memory_mb, lanes, retry, function) = (500.0, 4, false, n as u64);
         self.feed(|| {
             Event::Request(NewRequest {
@@ -287,18 +306,21 @@
     }
 
     fn change(&mut self) {
-        self.plan((SEC as f64 / self.shape.changes) as Micros, Due::Change);
+        self.plan(
+            (SEC as f64 / self.scenario.endpoint_changes_per_s) as Micros,
+            ScheduledEvent::Change,
+        );
         if self.gone.take().is_some() {
             let w = self.next_worker;
             self.next_worker += 1;
             self.listed.push(w);
             let now = self.now;
-            return self.list(false, &[w], WorkerState::Ready, now);
+            return self.update_endpoints(false, &[w], WorkerState::Ready, now);
         }
         let at = self.rng.next_u64() as usize % self.listed.len();
         let w = self.listed.swap_remove(at);
         self.gone = Some(w);
-        self.list(false, &[w], WorkerState::Gone, 0);
+        self.update_endpoints(false, &[w], WorkerState::Gone, 0);
     }
 
     /// Whether a copy stands there: ours, or by the calls of the others, which go where ours go.
@@ -310,13 +332,14 @@
         {
             return true;
         }
-        let peers = f64::from(self.shape.front_ends.saturating_sub(1));
-        let others = if self.shape.others && !self.emptied.contains(&worker) {
-            self.shape.calls * peers
+        let peers = f64::from(self.scenario.front_ends.saturating_sub(1));
+        let others = if self.scenario.other_replicas_loaded && !self.emptied.contains(&worker) {
+            self.scenario.requests_per_s * peers
         } else {
             0.0
         };
-        let rate = others * self.popularity.part(function) * self.shape.keep as f64 / SEC as f64;
+        let rate =
+            others * self.popularity.share(function) * self.scenario.keep_alive as f64 / SEC as f64;
         self.chance() < 1.0 - (-rate).exp()
     }
 
@@ -339,35 +362,35 @@
                 controller.handle(now, event, out);
                 took = start.elapsed().as_nanos() as u64;
             });
-            self.todo.extend(self.out.drain(..).map(Todo::from));
+            self.todo.extend(self.out.drain(..).map(PolicyAction::from));
         });
-        let s = &mut self.spent;
+        let s = &mut self.handling_times;
         *[
-            &mut s.request,
-            &mut s.outcome,
-            &mut s.timer,
-            &mut s.members,
-            &mut s.loaded,
+            &mut s.requests,
+            &mut s.attempt_results,
+            &mut s.timers,
+            &mut s.endpoint_updates,
+            &mut s.load_results,
         ][slot] += took;
-        self.spent.longest = self.spent.longest.max(took);
+        self.handling_times.longest = self.handling_times.longest.max(took);
         self.counts.events += 1;
         self.counts.allocations += inside.count_total;
-        self.counts.allocated += inside.bytes_total;
-        self.counts.held += all.bytes_current;
+        self.counts.allocated_bytes += inside.bytes_total;
+        self.counts.held_bytes += all.bytes_current;
         let todo = std::mem::take(&mut self.todo);
         todo.iter().for_each(|t| self.act(*t));
         self.todo = todo;
         self.todo.clear();
     }
 
-    fn act(&mut self, todo: Todo) {
+    fn act(&mut self, todo: PolicyAction) {
         match todo {
-            Todo::Send(id, w) => self.attempt(id, w),
-            Todo::Cancel(id, attempt) => {
+            PolicyAction::Send(id, w) => self.attempt(id, w),
+            PolicyAction::Cancel(id, attempt) => {
                 self.counts.cancels += 1;
                 if let Some(key) = self.ends.remove(&(id, attempt)) {
-                    if let Some(Due::End { since, .. }) = self.due.remove(&key) {
-                        let end = Due::End {
+                    if let Some(ScheduledEvent::End { since, .. }) = self.due.remove(&key) {
+                        let end = ScheduledEvent::End {
                             id,
                             attempt,
                             outcome: Outcome::Cancelled,
@@ -379,34 +402,34 @@
                     }
                 }
             }
-            Todo::Refuse(id) => {
-                self.counts.refused += 1;
+            PolicyAction::Refuse(id) => {
+                self.counts.rejected += 1;
                 let first = self.calls.remove(&id).is_some_and(|c| c.first);
-                self.counts.first_refused += u64::from(first);
+                self.counts.first_rejected += u64::from(first);
             }
-            Todo::Fail(id) => {
+            PolicyAction::Fail(id) => {
                 self.counts.failed += 1;
                 self.calls.remove(&id);
             }
-            Todo::Timer(delay, token) => {
-                self.plan(delay, Due::Timer(token));
+            PolicyAction::Timer(delay, token) => {
+                self.plan(delay, ScheduledEvent::Timer(token));
             }
-            Todo::Load(worker, function, wanted) => {
+            PolicyAction::Load(worker, function, wanted) => {
                 let since = self.now;
                 let f = function as usize;
                 self.log
                     .iter_mut()
                     .for_each(|l| l.push((since, worker, false)));
                 if wanted > 0 {
-                    self.counts.orders += 1
+                    self.counts.load_orders += 1
                 } else {
-                    self.counts.questions += 1
+                    self.counts.queries += 1
                 }
                 if self.away.contains(&worker) {
                     let (count, outcome) = (0, Outcome::ConnectFailed);
                     self.plan(
                         AWAY,
-                        Due::Answer {
+                        ScheduledEvent::Answer {
                             worker,
                             function,
                             count,
@@ -418,7 +441,7 @@
                 }
                 let stands = self.stands(f, worker);
                 let took = if wanted > 0 && !stands {
-                    self.shape.load
+                    self.scenario.load_time
                 } else {
                     0
                 } + MS;
@@ -429,7 +452,7 @@
                 };
                 self.plan(
                     took,
-                    Due::Answer {
+                    ScheduledEvent::Answer {
                         worker,
                         function,
                         count,
@@ -438,16 +461,16 @@
                     },
                 );
             }
-            Todo::Drop(worker, function) => {
-                self.counts.drops += 1;
+            PolicyAction::Drop(worker, function) => {
+                self.counts.unloads += 1;
                 self.warm.remove(&(function as usize, worker));
             }
-            Todo::Other => {}
+            PolicyAction::Other => {}
         }
     }
 
     fn attempt(&mut self, id: RequestId, w: usize) {
-        self.counts.sends += 1;
+        self.counts.attempts += 1;
         let now = self.now;
         self.log.iter_mut().for_each(|l| l.push((now, w, true)));
         let Some(call) = self.calls.get_mut(&id) else {
@@ -456,8 +479,8 @@
         let (f, attempt, since) = (call.function, call.attempts, self.now);
         call.attempts += 1;
         if self.away.contains(&w) {
-            self.counts.nobody += 1;
-            let end = Due::End {
+            self.counts.unreachable += 1;
+            let end = ScheduledEvent::End {
                 id,
                 attempt,
                 outcome: Outcome::ConnectFailed,
@@ -469,21 +492,22 @@
             return;
         }
         let stands = self.stands(f, w);
-        let miss = !stands && !self.shape.load_on_demand;
-        self.counts.cold += u64::from(!stands);
+        let miss = !stands && !self.scenario.load_on_demand;
+        self.counts.loads_begun += u64::from(!stands);
         let service = (25.0 + 50.0 * self.chance()) as Micros * MS;
-        let load = if stands { 0 } else { self.shape.load };
+        let load = if stands { 0 } else { self.scenario.load_time };
         let (outcome, took) = if miss {
             (Outcome::NotLoaded, MS)
         } else {
             (Outcome::Ok, MS + service + load)
         };
         if !miss {
-            self.warm.insert((f, w), self.now + took + self.shape.keep);
+            self.warm
+                .insert((f, w), self.now + took + self.scenario.keep_alive);
         }
         let key = self.plan(
             took,
-            Due::End {
+            ScheduledEvent::End {
                 id,
                 attempt,
                 outcome,
@@ -495,9 +519,9 @@
     }
 }
 
-impl Front {
+impl SimulatedFrontEnd {
     /// Functions that this front end has called.
-    pub fn met(&self) -> usize {
-        self.met.len()
+    pub fn functions_called(&self) -> usize {
+        self.functions_called.len()
     }
 }
--- a/scalelab/src/simulated_front_end/shape.rs
+++ b/scalelab/src/simulated_front_end/scenario.rs
@@ -6,52 +6,52 @@
 
 /// What is varied, one at a time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shape {
+pub struct Scenario {
     pub front_ends: u32,
     pub workers: usize,
     pub functions: usize,
     /// Calls a second at this front end; all others together have the same each.
-    pub calls: f64,
+    pub requests_per_s: f64,
     pub zones: usize,
     /// List changes a second: a worker goes, and the next time a new one comes.
-    pub changes: f64,
-    /// Popularity of the n-th function is (n + offset) to the power of -exponent.
-    pub exponent: f64,
-    pub offset: f64,
-    pub keep: Micros,
+    pub endpoint_changes_per_s: f64,
+    /// FunctionPopularity of the n-th function is (n + offset) to the power of -exponent.
+    pub popularity_exponent: f64,
+    pub popularity_offset: f64,
+    pub keep_alive: Micros,
     /// How long a copy takes to load.
-    pub load: Micros,
+    pub load_time: Micros,
     /// Workers load what they lack for a call, else they answer with a miss and only orders load.
     pub load_on_demand: bool,
     /// Calls a second that the tenants' shares allow together, over all front ends.
-    pub quota: f64,
+    pub quota_per_s: f64,
     /// Whether the other front ends' calls keep copies standing; else each function stands where we had it loaded alone.
-    pub others: bool,
+    pub other_replicas_loaded: bool,
     pub seed: u64,
 }
 
-impl Default for Shape {
-    fn default() -> Shape {
-        Shape {
+impl Default for Scenario {
+    fn default() -> Scenario {
+        Scenario {
             front_ends: 660,
             workers: 10_000,
             functions: 16_000,
-            calls: 152.0,
+            requests_per_s: 152.0,
             zones: 7,
-            changes: 0.0,
-            exponent: 3.0,
-            offset: 150.0,
-            keep: 10 * SEC,
-            load: 400 * MS,
+            endpoint_changes_per_s: 0.0,
+            popularity_exponent: 3.0,
+            popularity_offset: 150.0,
+            keep_alive: 10 * SEC,
+            load_time: 400 * MS,
             load_on_demand: true,
-            quota: 120_000.0,
-            others: true,
+            quota_per_s: 120_000.0,
+            other_replicas_loaded: true,
             seed: 1,
         }
     }
 }
 
-impl Shape {
+impl Scenario {
     pub fn settings(&self) -> Settings {
         let class = |effect, aim| ClassSettings {
             idempotency: effect,
@@ -62,7 +62,7 @@
             ..ClassSettings::default()
         };
         let tenant = |_| TenantSettings {
-            quota_per_s: self.quota / 5.0,
+            quota_per_s: self.quota_per_s / 5.0,
             ..TenantSettings::default()
         };
         Settings {
@@ -78,7 +78,7 @@
             kinds: vec!["std".into()],
             over_quota_weight: 0.1,
             kind_memory_mb: vec![8192.0],
-            keep_alive: self.keep,
+            keep_alive: self.keep_alive,
             load_on_demand: self.load_on_demand,
             load_orders: true,
             order_timeout: 10 * SEC,
--- a/scalelab/src/simulated_front_end/plan.rs
+++ b/scalelab/src/simulated_front_end/schedule.rs
@@ -3,7 +3,7 @@
 use wrenseam_policy::{Action, FunctionId, Micros, Outcome, RequestId};
 
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Due {
+pub(super) enum ScheduledEvent {
     Timer(u64),
     Call,
     Change,
@@ -24,7 +24,7 @@
 }
 
 #[derive(Clone, Copy)]
-pub(super) enum Todo {
+pub(super) enum PolicyAction {
     Send(RequestId, usize),
     Cancel(RequestId, usize),
     Refuse(RequestId),
@@ -35,21 +35,21 @@
     Other,
 }
 
-impl From<Action> for Todo {
-    fn from(action: Action) -> Todo {
+impl From<Action> for PolicyAction {
+    fn from(action: Action) -> PolicyAction {
         match action {
-            Action::Send { id, worker, .. } => Todo::Send(id, number(&worker)),
-            Action::Cancel { id, attempt } => Todo::Cancel(id, attempt),
-            Action::Reject { id, .. } => Todo::Refuse(id),
-            Action::Fail { id } => Todo::Fail(id),
-            Action::Timer { delay, token } => Todo::Timer(delay, token),
+            Action::Send { id, worker, .. } => PolicyAction::Send(id, number(&worker)),
+            Action::Cancel { id, attempt } => PolicyAction::Cancel(id, attempt),
+            Action::Reject { id, .. } => PolicyAction::Refuse(id),
+            Action::Fail { id } => PolicyAction::Fail(id),
+            Action::Timer { delay, token } => PolicyAction::Timer(delay, token),
             Action::Load {
                 worker,
                 function,
                 replicas: count,
-            } => Todo::Load(number(&worker), function, count),
-            Action::Unload { worker, function } => Todo::Drop(number(&worker), function),
-            Action::WatchEndpoints | Action::Log { .. } => Todo::Other,
+            } => PolicyAction::Load(number(&worker), function, count),
+            Action::Unload { worker, function } => PolicyAction::Drop(number(&worker), function),
+            Action::WatchEndpoints | Action::Log { .. } => PolicyAction::Other,
         }
     }
 }
--- a/scalelab/src/yard.rs
+++ b/scalelab/src/simulated_workers.rs
@@ -1,7 +1,7 @@
 //! Stand-in workers on the platform's frames: thousands of listeners and their connections on one thread, each
 //! worker with what it has loaded. They end when the yard is dropped.
-use crate::harness::{instance, lock, thread};
-use crate::Fault;
+use crate::harness::{endpoint_json, lock, thread};
+use crate::ExperimentError;
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
@@ -18,14 +18,14 @@
 
 /// What the workers take for their work.
 #[derive(Clone, Copy)]
-pub struct Work {
+pub struct ServiceTimes {
     pub load: Duration,
     pub call: Duration,
 }
 
 /// What a worker saw of a function's first call.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen {
+pub struct FirstRequest {
     /// Its first order or call came whole, its call came whole, its answer was written.
     pub came: Instant,
     pub called: Instant,
@@ -38,7 +38,7 @@
 
 /// What all workers saw.
 #[derive(Default)]
-pub struct Tally {
+pub struct WorkerCounts {
     /// Connections taken, and those that stand now.
     pub accepts: AtomicU64,
     pub standing: AtomicU64,
@@ -50,10 +50,10 @@
     pub called: Mutex<HashSet<usize>>,
     pub reached: Mutex<HashSet<usize>>,
     /// What was seen of each function's first call.
-    pub seen: Mutex<HashMap<u64, Seen>>,
+    pub seen: Mutex<HashMap<u64, FirstRequest>>,
 }
 
-impl Tally {
+impl WorkerCounts {
     /// Its counts now: accepts, calls, orders, questions.
     pub fn counts(&self) -> [u64; 4] {
         [&self.accepts, &self.calls, &self.orders, &self.questions]
@@ -62,27 +62,27 @@
 }
 
 /// The workers; they end with this value.
-pub struct Yard {
+pub struct SimulatedWorkers {
     /// The list that tells of them.
     pub list: Vec<String>,
-    pub tally: Arc<Tally>,
+    pub tally: Arc<WorkerCounts>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Yard {
+impl SimulatedWorkers {
     /// Starts so many workers.
     ///
     /// # Errors
     /// No port or thread can be had.
-    pub fn start(count: u64, work: Work) -> Result<Yard, Fault> {
-        let failed = |e: &dyn std::fmt::Display| Fault::Failed(e.to_string());
+    pub fn start(count: u64, work: ServiceTimes) -> Result<SimulatedWorkers, ExperimentError> {
+        let failed = |e: &dyn std::fmt::Display| ExperimentError::Failed(e.to_string());
         let epoll = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC).map_err(|e| failed(&e))?;
         let (mut list, mut listeners) = (Vec::new(), Vec::new());
         for id in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0").map_err(|e| failed(&e))?;
             listener.set_nonblocking(true).map_err(|e| failed(&e))?;
-            list.push(instance(
+            list.push(endpoint_json(
                 id,
                 &listener.local_addr().map_err(|e| failed(&e))?.to_string(),
                 "ready",
@@ -92,10 +92,13 @@
                 .map_err(|e| failed(&e))?;
             listeners.push((listener, HashMap::new()));
         }
-        let (tally, stop) = (Arc::new(Tally::default()), Arc::new(AtomicBool::new(false)));
+        let (tally, stop) = (
+            Arc::new(WorkerCounts::default()),
+            Arc::new(AtomicBool::new(false)),
+        );
         let next = count;
         let (links, due, answers) = (HashMap::new(), BinaryHeap::new(), BTreeMap::new());
-        let mut inside = Inside {
+        let mut inside = EventLoop {
             epoll,
             listeners,
             links,
@@ -107,7 +110,7 @@
         };
         let of = stop.clone();
         let thread = Some(thread(move || inside.run(&of))?);
-        Ok(Yard {
+        Ok(SimulatedWorkers {
             list,
             tally,
             stop,
@@ -116,7 +119,7 @@
     }
 }
 
-impl Drop for Yard {
+impl Drop for SimulatedWorkers {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -126,7 +129,7 @@
 }
 
 /// A connection, and what came of a frame that is not whole.
-struct Link {
+struct Connection {
     stream: TcpStream,
     worker: usize,
     got: Vec<u8>,
@@ -134,28 +137,28 @@
 }
 
 /// An answer that waits for its time.
-struct Answer {
+struct ScheduledReply {
     link: u64,
     bytes: Vec<u8>,
     function: u64,
-    seen: Seen,
+    seen: FirstRequest,
     call: bool,
 }
 
-struct Inside {
+struct EventLoop {
     epoll: Epoll,
     /// Each worker, and when each function that it holds stands.
     listeners: Vec<(TcpListener, HashMap<u64, Instant>)>,
-    links: HashMap<u64, Link>,
+    links: HashMap<u64, Connection>,
     /// The number of the next connection; workers have those before.
     next: u64,
-    work: Work,
+    work: ServiceTimes,
     due: BinaryHeap<Reverse<(Instant, u64)>>,
-    answers: BTreeMap<u64, Answer>,
-    tally: Arc<Tally>,
+    answers: BTreeMap<u64, ScheduledReply>,
+    tally: Arc<WorkerCounts>,
 }
 
-impl Inside {
+impl EventLoop {
     fn run(&mut self, stop: &AtomicBool) {
         let mut events = vec![EpollEvent::empty(); 256];
         while !stop.load(Ordering::Relaxed) {
@@ -198,7 +201,7 @@
                 self.tally.standing.fetch_add(1, Ordering::Relaxed);
                 self.links.insert(
                     self.next,
-                    Link {
+                    Connection {
                         stream,
                         worker,
                         got: Vec::new(),
@@ -293,7 +296,7 @@
         } else {
             reply(id, "slots_up=1", &[])
         };
-        let seen = Seen {
+        let seen = FirstRequest {
             came,
             called: came,
             answered: came,
@@ -303,7 +306,7 @@
         let n = self.answers.last_key_value().map_or(0, |(n, _)| n + 1);
         self.answers.insert(
             n,
-            Answer {
+            ScheduledReply {
                 link,
                 bytes,
                 function,
@@ -314,8 +317,8 @@
         self.due.push(Reverse((at, n)));
     }
 
-    fn answer(&mut self, answer: Answer) {
-        let Answer {
+    fn answer(&mut self, answer: ScheduledReply) {
+        let ScheduledReply {
             link,
             bytes,
             function,
@@ -325,7 +328,9 @@
         let answered = Instant::now();
         {
             let mut all = lock(&self.tally.seen);
-            let first = all.entry(function).or_insert(Seen { answered, ..seen });
+            let first = all
+                .entry(function)
+                .or_insert(FirstRequest { answered, ..seen });
             if call && first.ordered {
                 (first.called, first.answered) = (seen.called, answered);
             }
--- a/scalelab/src/seats.rs
+++ b/scalelab/src/slow_start_senders.rs
@@ -1,7 +1,9 @@
 //! Cold workers' seats and the ration of loads: what many modules that share nothing send together, and what one of
 //! them refuses.
-use crate::module::{base, told};
-use crate::simulated_front_end::{Front, Popularity, Shape, MS, SEC, START};
+use crate::policy_scaling::{base, describe};
+use crate::simulated_front_end::{
+    FunctionPopularity, Scenario, SimulatedFrontEnd, MS, SEC, START_TIME,
+};
 use crate::{Column, Experiment, Sweep};
 use std::rc::Rc;
 use wrenseam_policy::{Micros, WorkerState};
@@ -28,10 +30,10 @@
         sizes: &[10, 19, 38, 76, 152, 304],
         bound: 1_000,
         run: |sizes, seed| {
-            let miss = Shape { load_on_demand: false, workers: 2_000, ..base(seed) };
-            let even = Shape { exponent: 0.0, offset: 0.0, ..miss.clone() };
-            let alone = Shape { others: false, ..even.clone() };
-            let vary = |s: &mut Shape, n| s.calls = n as f64;
+            let miss = Scenario { load_on_demand: false, workers: 2_000, ..base(seed) };
+            let even = Scenario { popularity_exponent: 0.0, popularity_offset: 0.0, ..miss.clone() };
+            let alone = Scenario { other_replicas_loaded: false, ..even.clone() };
+            let vary = |s: &mut Scenario, n| s.requests_per_s = n as f64;
             Ok(vec![
                 first("calls/s", sizes, &miss, vary, (60, false)),
                 first("calls/s, all functions called alike", sizes, &even, vary, (60, false)),
@@ -45,17 +47,17 @@
         sizes: &[55, 110, 220, 440],
         bound: 4_000,
         run: |sizes, seed| {
-            let alone = Shape {
+            let alone = Scenario {
                 load_on_demand: false,
-                others: false,
+                other_replicas_loaded: false,
                 workers: 2_000,
-                calls: 0.5,
-                exponent: 0.0,
-                offset: 0.0,
+                requests_per_s: 0.5,
+                popularity_exponent: 0.0,
+                popularity_offset: 0.0,
                 ..base(seed)
             };
-            let loads = Shape { load_on_demand: true, ..alone.clone() };
-            let vary = |s: &mut Shape, n| s.load = n * MS;
+            let loads = Scenario { load_on_demand: true, ..alone.clone() };
+            let vary = |s: &mut Scenario, n| s.load_time = n * MS;
             Ok(vec![
                 first("load, ms", sizes, &loads, vary, (1_200, false)),
                 first("load, ms; one of seven zones is silent", sizes, &loads, vary, (1_200, true)),
@@ -74,7 +76,7 @@
 }
 
 /// What was sent to the workers of `cold` since they started, in order.
-fn sent(fronts: &mut [Front], cold: &[usize], started: Micros) -> Vec<Micros> {
+fn sent(fronts: &mut [SimulatedFrontEnd], cold: &[usize], started: Micros) -> Vec<Micros> {
     let logs = fronts.iter_mut().filter_map(|f| f.log.take()).flatten();
     let mut times: Vec<_> = logs
         .filter(|(_, w, call)| *call && cold.contains(w))
@@ -85,8 +87,8 @@
 }
 
 /// The most that any span of the rule's length held, as a part of what the rule allows at its end.
-fn worst(shape: &Shape, times: &[Micros]) -> f64 {
-    let (set, mut begin, mut worst) = (shape.settings(), 0, 0.0f64);
+fn worst(scenario: &Scenario, times: &[Micros]) -> f64 {
+    let (set, mut begin, mut worst) = (scenario.settings(), 0, 0.0f64);
     for (n, &t) in times
         .iter()
         .enumerate()
@@ -119,32 +121,36 @@
 
 fn pressed(sizes: &[u64], seed: u64) -> Sweep {
     let play = |n: u64| {
-        let shape = Shape {
+        let scenario = Scenario {
             front_ends: n as u32,
             workers: 1,
             functions: 160,
-            calls: 10.0,
-            quota: CAPACITY,
+            requests_per_s: 10.0,
+            quota_per_s: CAPACITY,
             ..base(seed)
         };
-        let popularity = Rc::new(Popularity::new(&shape));
+        let popularity = Rc::new(FunctionPopularity::new(&scenario));
         let mut fronts: Vec<_> = (0..n as u32)
-            .map(|i| Front::at(&shape, &popularity, i, START))
+            .map(|i| SimulatedFrontEnd::with_index(&scenario, &popularity, i, START_TIME))
             .collect();
         for front in &mut fronts {
-            front.list(false, &[0], WorkerState::Ready, START);
+            front.update_endpoints(false, &[0], WorkerState::Ready, START_TIME);
             front.log = Some(Vec::new());
             front.run(SHOWN * SEC);
         }
         let (times, within) = (
-            sent(&mut fronts, &[0], START),
-            shape.settings().slow_start_duration,
+            sent(&mut fronts, &[0], START_TIME),
+            scenario.settings().slow_start_duration,
         );
         let cold = times.iter().filter(|&&t| t < within).count() as f64;
         let rate = cold / (within / SEC) as f64 / CAPACITY;
         (
             n,
-            vec![worst(&shape, &times), rate, reaches(&times, 0.9 * CAPACITY)],
+            vec![
+                worst(&scenario, &times),
+                rate,
+                reaches(&times, 0.9 * CAPACITY),
+            ],
         )
     };
     Sweep {
@@ -162,40 +168,40 @@
 fn returned(sizes: &[u64], seed: u64) -> Sweep {
     const WORKERS: usize = 98;
     let play = |n: u64| {
-        let shape = Shape {
+        let scenario = Scenario {
             front_ends: n as u32,
             workers: WORKERS,
             functions: 160,
-            offset: 20.0,
-            calls: 10.0 * WORKERS as f64 / n as f64,
-            quota: CAPACITY * WORKERS as f64,
+            popularity_offset: 20.0,
+            requests_per_s: 10.0 * WORKERS as f64 / n as f64,
+            quota_per_s: CAPACITY * WORKERS as f64,
             ..base(seed)
         };
-        let popularity = Rc::new(Popularity::new(&shape));
+        let popularity = Rc::new(FunctionPopularity::new(&scenario));
         let mut fronts: Vec<_> = (0..n as u32)
-            .map(|i| Front::at(&shape, &popularity, i, START))
+            .map(|i| SimulatedFrontEnd::with_index(&scenario, &popularity, i, START_TIME))
             .collect();
-        let zone: Vec<usize> = (0..WORKERS).filter(|w| w % shape.zones == 0).collect();
+        let zone: Vec<usize> = (0..WORKERS).filter(|w| w % scenario.zones == 0).collect();
         for front in &mut fronts {
             front.run(20 * SEC);
             front.log = Some(Vec::new());
             front.run(10 * SEC);
         }
-        let usual = sent(&mut fronts, &zone, START + 20 * SEC).len() as f64 / 10.0;
-        let started = START + 30 * SEC;
+        let usual = sent(&mut fronts, &zone, START_TIME + 20 * SEC).len() as f64 / 10.0;
+        let started = START_TIME + 30 * SEC;
         let mut refused = 0;
         for front in &mut fronts {
-            front.lose(&zone);
-            front.back(&zone);
-            front.list(false, &zone, WorkerState::Ready, started);
+            front.disconnect_workers(&zone);
+            front.reconnect_workers(&zone);
+            front.update_endpoints(false, &zone, WorkerState::Ready, started);
             front.log = Some(Vec::new());
-            let before = front.counts.refused + front.counts.failed;
+            let before = front.counts.rejected + front.counts.failed;
             front.run(SHOWN * SEC);
-            refused += front.counts.refused + front.counts.failed - before;
+            refused += front.counts.rejected + front.counts.failed - before;
         }
         let (times, within) = (
             sent(&mut fronts, &zone, started),
-            shape.settings().slow_start_duration,
+            scenario.settings().slow_start_duration,
         );
         let cold = times.iter().filter(|&&t| t < within).count() as f64 / (within / SEC) as f64;
         let after =
@@ -223,41 +229,41 @@
 fn first(
     what: &'static str,
     sizes: &[u64],
-    held: &Shape,
-    vary: impl Fn(&mut Shape, u64),
+    held: &Scenario,
+    vary: impl Fn(&mut Scenario, u64),
     (seconds, silent): (u64, bool),
 ) -> Sweep {
     let row = |&n: &u64| {
-        let mut shape = held.clone();
-        vary(&mut shape, n);
-        let mut front = Front::new(&shape);
+        let mut scenario = held.clone();
+        vary(&mut scenario, n);
+        let mut front = SimulatedFrontEnd::new(&scenario);
         if silent {
-            let zone: Vec<usize> = (0..shape.workers)
-                .filter(|w| w % shape.zones == 0)
+            let zone: Vec<usize> = (0..scenario.workers)
+                .filter(|w| w % scenario.zones == 0)
                 .collect();
-            front.lose(&zone);
+            front.disconnect_workers(&zone);
         }
         front.run(seconds * SEC);
         let c = &front.counts;
-        front.waits.sort_unstable();
+        front.first_waits.sort_unstable();
         let at = |part: f64| {
-            let n = (front.waits.len() as f64 * part) as usize;
-            front.waits.get(n).map_or(0.0, |&w| w as f64 / 1e3)
+            let n = (front.first_waits.len() as f64 * part) as usize;
+            front.first_waits.get(n).map_or(0.0, |&w| w as f64 / 1e3)
         };
-        let first = c.first.max(1) as f64;
+        let first = c.first_requests.max(1) as f64;
         let row = vec![
-            c.first as f64,
-            100.0 * c.first_refused as f64 / first,
-            100.0 * c.refused as f64 / c.calls.max(1) as f64,
-            c.questions as f64 / first,
-            c.orders as f64 / seconds as f64,
+            c.first_requests as f64,
+            100.0 * c.first_rejected as f64 / first,
+            100.0 * c.rejected as f64 / c.requests.max(1) as f64,
+            c.queries as f64 / first,
+            c.load_orders as f64 / seconds as f64,
             at(0.5),
             at(0.99),
         ];
         (n, row)
     };
     Sweep {
-        title: format!("{what}, the first {seconds} s: {}", told(held)),
+        title: format!("{what}, the first {seconds} s: {}", describe(held)),
         varied: what,
         columns: [
             "first calls",
--- a/scalelab/src/tally.rs
+++ b/scalelab/src/traffic_counts.rs
@@ -5,7 +5,7 @@
 
 /// What was sent and received since the tally was taken.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tally {
+pub struct TrafficCounts {
     /// Datagrams sent.
     pub datagrams: u64,
     /// Bytes sent, without those of IP and UDP.
@@ -26,7 +26,7 @@
     pub busy: Duration,
 }
 
-impl Tally {
+impl TrafficCounts {
     /// Counts a datagram sent.
     pub fn add(&mut self, bytes: &[u8]) {
         let n = bytes.len() as u64;
--- a/scalelab/src/links.rs
+++ b/scalelab/src/worker_connections.rs
@@ -1,9 +1,9 @@
 //! Connections to workers: how many stand, and which share of calls pays for one. Measured at one process beside
 //! the worked-out model.
-use crate::harness::{self, event, Caller, Program, Told};
-use crate::process::part_of;
-use crate::yard::{Work, Yard};
-use crate::{Column, Experiment, Fault, Sweep};
+use crate::harness::{self, watch_event, FrontEndOptions, FrontEndProcess, InferenceClient};
+use crate::process_experiments::quantile;
+use crate::simulated_workers::{ServiceTimes, SimulatedWorkers};
+use crate::{Column, Experiment, ExperimentError, Sweep};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -38,7 +38,7 @@
 /// How long a worker connection stays that is not used: 15 s less a fifth, and half a sweep of 1 s.
 const KEPT_FOR: f64 = 12.5;
 const WARM: Duration = Duration::from_secs(14);
-const ACROSS: Duration = Duration::from_secs(12);
+const MEASURED_TIME: Duration = Duration::from_secs(12);
 /// Exponent at which the middle of 16,000 functions is called once in a minute, of 100,000 calls/s in all.
 const ZIPF: f64 = 1.65;
 
@@ -68,8 +68,8 @@
 }
 
 /// Connections that the pool lets stand beside the test's clients.
-pub fn most(sockets: usize) -> f64 {
-    Pool::new(sockets, KEPT).most(CLIENTS as usize) as f64
+pub fn most(max_descriptors: usize) -> f64 {
+    Pool::new(max_descriptors, KEPT).most(CLIENTS as usize) as f64
 }
 
 /// The functions' parts of all calls, by rank.
@@ -98,7 +98,7 @@
     (chance.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// One client: calls at seeded Poisson times until `stop`.
+/// One client: calls at seeded Poisson times wait_until `stop`.
 fn client(
     to: std::net::SocketAddr,
     rate: f64,
@@ -109,7 +109,7 @@
     answers: &Answers,
 ) {
     let mut chance = Pcg64::seed_from_u64(seed);
-    let mut kept: Option<Caller> = None;
+    let mut kept: Option<InferenceClient> = None;
     let mut due = Instant::now();
     loop {
         due += Duration::from_secs_f64(-(1.0 - even(&mut chance)).ln() / rate);
@@ -129,7 +129,7 @@
         let first = kept.as_mut().map(|c| c.call(function, load));
         let status = match first {
             Some(Ok(status)) => Ok(status),
-            _ => Caller::connect(to).and_then(|mut c| {
+            _ => InferenceClient::connect(to).and_then(|mut c| {
                 let status = c.call(function, load);
                 kept = Some(c);
                 status
@@ -151,29 +151,29 @@
 fn measure(
     workers: u64,
     rate: u64,
-    sockets: usize,
+    max_descriptors: usize,
     spread: Spread,
     seed: u64,
-) -> Result<Vec<f64>, Fault> {
-    let work = Work {
+) -> Result<Vec<f64>, ExperimentError> {
+    let work = ServiceTimes {
         load: Duration::from_millis(100),
         call: Duration::from_millis(5),
     };
-    let yard = Yard::start(workers, work)?;
-    let told = Told {
-        known: (1, vec![event(1, true, &yard.list)]),
-        sockets,
+    let simulated = SimulatedWorkers::start(workers, work)?;
+    let told = FrontEndOptions {
+        known: (1, vec![watch_event(1, true, &simulated.list)]),
+        max_descriptors,
         seed,
-        ..Told::default()
+        ..FrontEndOptions::default()
     };
-    let program = Program::start(&told)?;
+    let program = FrontEndProcess::start(&told)?;
     let (stop, answers) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(Answers::default()),
     );
     let parts = shares(spread);
     let (w, r) = (workers as f64, rate as f64);
-    let (standing_worked, share_worked) = worked_out(w, r, KEPT_FOR, &parts, most(sockets));
+    let (standing_worked, share_worked) = worked_out(w, r, KEPT_FOR, &parts, most(max_descriptors));
     // Summed up, so that a number from 0 to 1 draws a function.
     let ranks = parts
         .iter()
@@ -187,30 +187,30 @@
         harness::thread(move || client(to, each, seed, &ranks, work.load, &stop, &answers))?;
     }
     std::thread::sleep(WARM);
-    let counted = yard.tally.counts();
+    let counted = simulated.tally.counts();
     let (served, other) = (
         answers.served.load(Ordering::Relaxed),
         answers.other.load(Ordering::Relaxed),
     );
     harness::lock(&answers.times).clear();
-    harness::lock(&yard.tally.called).clear();
+    harness::lock(&simulated.tally.called).clear();
     let (before, since) = (program.usage()?, Instant::now());
     let (mut descriptors, mut standing, mut looks) = (0, 0, 0);
-    while since.elapsed() < ACROSS {
+    while since.elapsed() < MEASURED_TIME {
         descriptors = descriptors.max(program.usage()?.descriptors);
         (standing, looks) = (
-            standing + yard.tally.standing.load(Ordering::Relaxed),
+            standing + simulated.tally.standing.load(Ordering::Relaxed),
             looks + 1,
         );
         std::thread::sleep(Duration::from_millis(100));
     }
     let after = program.usage()?;
-    let now = yard.tally.counts();
+    let now = simulated.tally.counts();
     let [accepts, calls, orders, questions] = std::array::from_fn(|i| (now[i] - counted[i]) as f64);
     let served = (answers.served.load(Ordering::Relaxed) - served) as f64;
     let other = (answers.other.load(Ordering::Relaxed) - other) as f64;
     stop.store(true, Ordering::Relaxed);
-    let called = harness::lock(&yard.tally.called).len() as f64;
+    let called = harness::lock(&simulated.tally.called).len() as f64;
     let row = vec![
         descriptors as f64,
         standing as f64 / f64::from(looks.max(1)),
@@ -218,12 +218,12 @@
         100.0 * accepts / calls.max(1.0),
         100.0 * share_worked,
         called,
-        calls / ACROSS.as_secs_f64(),
-        (orders + questions) / ACROSS.as_secs_f64(),
+        calls / MEASURED_TIME.as_secs_f64(),
+        (orders + questions) / MEASURED_TIME.as_secs_f64(),
         100.0 * served / (served + other).max(1.0),
-        part_of(&mut harness::lock(&answers.times), 0.99),
-        after.share(&before),
-        after.rss as f64 / 1024.0,
+        quantile(&mut harness::lock(&answers.times), 0.99),
+        after.cpu_percent(&before),
+        after.resident_kib as f64 / 1024.0,
     ];
     Ok(row)
 }
@@ -248,13 +248,16 @@
     .collect()
 }
 
-fn by_workers(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, Fault> {
+fn by_workers(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut sweeps = Vec::new();
-    for sockets in [1_024, 16_384] {
-        let row = |&w: &u64| Ok((w, measure(w, CALLS, sockets, Spread::Even, seed)?));
-        let rows = sizes.iter().map(row).collect::<Result<_, Fault>>()?;
+    for max_descriptors in [1_024, 16_384] {
+        let row = |&w: &u64| Ok((w, measure(w, CALLS, max_descriptors, Spread::Even, seed)?));
+        let rows = sizes
+            .iter()
+            .map(row)
+            .collect::<Result<_, ExperimentError>>()?;
         let title = format!(
-            "Connections at {CALLS} calls/s, {FUNCTIONS} functions evenly, {sockets} descriptors"
+            "Connections at {CALLS} calls/s, {FUNCTIONS} functions evenly, {max_descriptors} descriptors"
         );
         sweeps.push(Sweep {
             title,
@@ -266,14 +269,17 @@
     Ok(sweeps)
 }
 
-fn by_calls(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, Fault> {
+fn by_calls(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut sweeps = Vec::new();
     for (spread, told) in [
         (Spread::Even, "evenly"),
         (Spread::Zipf, "by Zipf with exponent 1.65"),
     ] {
         let row = |&r: &u64| Ok((r, measure(4_000, r, 1_024, spread, seed)?));
-        let rows = sizes.iter().map(row).collect::<Result<_, Fault>>()?;
+        let rows = sizes
+            .iter()
+            .map(row)
+            .collect::<Result<_, ExperimentError>>()?;
         let title = format!(
             "Connections before 4,000 workers, {FUNCTIONS} functions {told}, 1,024 descriptors"
         );
--- a/scalelab/tests/lab.rs
+++ b/scalelab/tests/experiment.rs
@@ -1,6 +1,6 @@
 //! The lab's own arithmetic, and what it says to sizes it does not run at.
 use rstest::rstest;
-use scalelab::{chart, Column, Experiment, Fault, Fit, Sweep};
+use scalelab::{chart, Column, Experiment, ExperimentError, Fit, Sweep};
 
 const NONE: Experiment = Experiment {
     name: "none",
@@ -46,10 +46,13 @@
 #[rstest]
 #[case::own(&[], Ok(vec![1, 2, 3, 4]))]
 #[case::named(&[9, 7, 8, 7, 5], Ok(vec![5, 7, 8, 9]))]
-#[case::beyond(&[1, 2, 3, 101], Err(Fault::Size { asked: 101, bound: 100 }))]
-#[case::zero(&[0, 1, 2, 3], Err(Fault::Size { asked: 0, bound: 100 }))]
-#[case::few(&[1, 2, 2, 3], Err(Fault::Few { given: 3, least: 4 }))]
-fn sizes_are_held_to_the_bound(#[case] named: &[u64], #[case] expected: Result<Vec<u64>, Fault>) {
+#[case::beyond(&[1, 2, 3, 101], Err(ExperimentError::SizeOutOfBounds { asked: 101, bound: 100 }))]
+#[case::zero(&[0, 1, 2, 3], Err(ExperimentError::SizeOutOfBounds { asked: 0, bound: 100 }))]
+#[case::few(&[1, 2, 2, 3], Err(ExperimentError::TooFewSizes { given: 3, least: 4 }))]
+fn sizes_are_held_to_the_bound(
+    #[case] named: &[u64],
+    #[case] expected: Result<Vec<u64>, ExperimentError>,
+) {
     assert_eq!(NONE.sizes(named), expected);
 }
 
--- a/scalelab/tests/gossip.rs
+++ b/scalelab/tests/gossip.rs
@@ -1,8 +1,10 @@
 //! Hollow front ends on the simulated net: what the view costs and says, and the faults it is to bear. All is
 //! seeded and in simulated time, so the figures are the same every run.
 use rstest::rstest;
-use scalelab::gossip_network::{addr, Kind, Net, CLUSTER, IP_UDP, MS, ZONES};
-use scalelab::tally::Tally;
+use scalelab::gossip_network::{
+    addr, GossipProtocol, SimulatedNetwork, CLUSTER, IP_UDP, MS, ZONES,
+};
+use scalelab::traffic_counts::TrafficCounts;
 use wrenseam::fleet::average::{Exchange, MAX_FLOW, RINGS};
 use wrenseam::fleet::identity::AVERAGE_VERSION;
 use wrenseam::fleet::message::RECORDS_VERSION;
@@ -10,31 +12,31 @@
 
 const S: u64 = 1000 * MS;
 
-fn settled(n: usize, kind: Kind, seed: u64) -> Net {
-    Net::settled(n, kind, seed).expect("all find all")
+fn settled(n: usize, kind: GossipProtocol, seed: u64) -> SimulatedNetwork {
+    SimulatedNetwork::settled(n, kind, seed).expect("all find all")
 }
 
-fn steady(n: usize, kind: Kind, seed: u64) -> Tally {
+fn steady(n: usize, kind: GossipProtocol, seed: u64) -> TrafficCounts {
     let mut net = settled(n, kind, seed);
-    net.tally = Tally::default();
+    net.traffic = TrafficCounts::default();
     net.run(net.now + 10 * S);
-    net.tally
+    net.traffic
 }
 
 /// Bytes a second that each front end sends and receives, with IP and UDP.
-fn each(t: Tally, n: usize) -> u64 {
+fn each(t: TrafficCounts, n: usize) -> u64 {
     (t.sent + t.received + 2 * IP_UDP * t.datagrams) / 10 / n as u64
 }
 
 /// Half of the 22 KB/s is left to configuration; what goes before the view shows that this tells the two apart.
 #[rstest]
-#[case::few(10, Kind::Average, true)]
-#[case::more(60, Kind::Average, true)]
-#[case::many(100, Kind::Average, true)]
-#[case::before_the_view(60, Kind::Summaries, false)]
+#[case::few(10, GossipProtocol::BoundedView, true)]
+#[case::more(60, GossipProtocol::BoundedView, true)]
+#[case::many(100, GossipProtocol::BoundedView, true)]
+#[case::before_the_view(60, GossipProtocol::Summaries, false)]
 fn a_front_end_sends_and_receives_under_11_kb(
     #[case] n: usize,
-    #[case] kind: Kind,
+    #[case] kind: GossipProtocol,
     #[case] holds: bool,
 ) {
     let t = steady(n, kind, 1);
@@ -48,15 +50,19 @@
         t.sent,
         t.swim + t.members + t.summaries + t.average + t.records
     );
-    assert_eq!(t.summaries == 0, kind == Kind::Average, "{t:?}");
+    assert_eq!(
+        t.summaries == 0,
+        kind == GossipProtocol::BoundedView,
+        "{t:?}"
+    );
 }
 
 #[test]
 fn bytes_are_the_same_every_run_and_do_not_grow_with_the_fleet() {
     let (some, again, more) = (
-        steady(60, Kind::Average, 2),
-        steady(60, Kind::Average, 2),
-        steady(120, Kind::Average, 2),
+        steady(60, GossipProtocol::BoundedView, 2),
+        steady(60, GossipProtocol::BoundedView, 2),
+        steady(120, GossipProtocol::BoundedView, 2),
     );
     assert_eq!(
         (some.datagrams, some.sent, some.received),
@@ -76,8 +82,8 @@
     #[values(3, 10, 30, 100)] n: usize,
     #[values((0.0, 0.0), (0.01, 0.05))] (loss, twice): (f64, f64),
 ) {
-    let mut net = settled(n, Kind::Average, 3);
-    (net.loss, net.twice) = (loss, twice);
+    let mut net = settled(n, GossipProtocol::BoundedView, 3);
+    (net.loss, net.duplication) = (loss, twice);
     for to in [4000, 100] {
         net.step(to);
         let took = net.until(3 * S, |net| net.error().0 <= 0.05);
@@ -99,7 +105,7 @@
     #[case] worst: f64,
     #[case] rms: f64,
 ) {
-    let mut net = settled(100, Kind::Average, 4);
+    let mut net = settled(100, GossipProtocol::BoundedView, 4);
     net.redraw = Some(more);
     net.run(net.now + 5 * S);
     let (mut most, mut square) = (0.0f64, 0.0);
@@ -116,8 +122,8 @@
     );
 }
 
-fn zone(net: &Net) -> Vec<usize> {
-    (0..net.fronts.len())
+fn zone(net: &SimulatedNetwork) -> Vec<usize> {
+    (0..net.peers.len())
         .filter(|i| i % ZONES == ZONES - 1)
         .collect()
 }
@@ -125,11 +131,11 @@
 /// The zone that goes carries three times its capacity: the mean falls by some half as it goes.
 #[rstest]
 fn a_zone_lost_and_back_is_seen(#[values(14, 35, 70)] n: usize, #[values(0.0, 0.01)] loss: f64) {
-    let mut net = settled(n, Kind::Average, 5);
+    let mut net = settled(n, GossipProtocol::BoundedView, 5);
     net.loss = loss;
     zone(&net)
         .into_iter()
-        .for_each(|i| net.fronts[i].pressure = 3000);
+        .for_each(|i| net.peers[i].pressure = 3000);
     net.run(net.now + 5 * S);
     zone(&net).into_iter().for_each(|i| net.kill(i));
     let mean = net.until(3 * S, |net| net.error().0 <= 0.05);
@@ -151,9 +157,9 @@
 /// Two minutes: longer than SWIM remembers a peer that is down.
 #[rstest]
 fn regions_cut_for_long_go_by_their_own_and_find_each_other(#[values(14, 42)] n: usize) {
-    let mut net = settled(n, Kind::Average, 6);
+    let mut net = settled(n, GossipProtocol::BoundedView, 6);
     for (i, f) in net
-        .fronts
+        .peers
         .iter_mut()
         .enumerate()
         .filter(|(i, _)| i % ZONES >= 4)
@@ -170,7 +176,7 @@
         net.size_error()
     );
     net.run(net.now + 120 * S);
-    net.fronts.iter_mut().for_each(|f| f.side = 0);
+    net.peers.iter_mut().for_each(|f| f.side = 0);
     let healed = net.until(30 * S, |net| {
         net.size_error() <= 0.05 && net.error().0 <= 0.05
     });
@@ -185,7 +191,7 @@
 /// One answer holds some 60 members: who starts into a larger fleet asks on until its list is full.
 #[test]
 fn a_front_end_that_starts_counts_a_large_fleet_soon() {
-    let mut net = settled(160, Kind::Average, 11);
+    let mut net = settled(160, GossipProtocol::BoundedView, 11);
     net.kill(9);
     net.run(net.now + 10 * S);
     net.start(9, 0);
@@ -196,18 +202,18 @@
 /// Regions that find each other have much to tell: no second of it passes 36 KB, and the limit is 22 a second.
 #[test]
 fn news_of_many_members_are_spread_over_time() {
-    let mut net = settled(98, Kind::Average, 12);
-    net.fronts
+    let mut net = settled(98, GossipProtocol::BoundedView, 12);
+    net.peers
         .iter_mut()
         .enumerate()
         .for_each(|(i, f)| f.side = u8::from(i % ZONES >= 4));
     net.run(net.now + 60 * S);
-    net.fronts.iter_mut().for_each(|f| f.side = 0);
+    net.peers.iter_mut().for_each(|f| f.side = 0);
     let mut most = 0;
     for _ in 0..10 {
-        net.tally = Tally::default();
+        net.traffic = TrafficCounts::default();
         net.run(net.now + S);
-        most = most.max((net.tally.sent + net.tally.received) / 98);
+        most = most.max((net.traffic.sent + net.traffic.received) / 98);
     }
     assert!(most <= 36_000, "{most} bytes in a second");
     assert!(net.size_error() <= 0.05, "size off by {}", net.size_error());
@@ -220,11 +226,11 @@
     #[values(1, 5)] down_s: u64,
     #[values(0, 2)] apart_s: u64,
 ) {
-    let mut net = settled(n, Kind::Average, 7);
+    let mut net = settled(n, GossipProtocol::BoundedView, 7);
     for i in 2..2 + (n * 12).div_ceil(100) {
         net.kill(i);
         net.start(i, down_s * S);
-        net.fronts[i].pressure = 3000;
+        net.peers[i].pressure = 3000;
         net.run(net.now + apart_s * S);
     }
     net.run(net.now + down_s * S);
@@ -246,7 +252,7 @@
 #[case::back_and_forth(|x: &mut Exchange| (x.flow, x.estimate) = if x.seq.is_multiple_of(2) { (i32::MAX, 0) } else { (i32::MIN, i32::MAX) })]
 fn a_liar_moves_the_mean_by_its_flows_and_no_more(#[case] lie: fn(&mut Exchange)) {
     const N: usize = 98;
-    let mut net = settled(N, Kind::Average, 8);
+    let mut net = settled(N, GossipProtocol::BoundedView, 8);
     let truth = net.truth(0).0;
     net.tamper = Some((
         5,
@@ -262,7 +268,7 @@
     for _ in 0..30 {
         net.run(net.now + S);
         let honest = || {
-            net.fronts
+            net.peers
                 .iter()
                 .enumerate()
                 .filter(|(i, _)| *i != 5)
@@ -291,12 +297,12 @@
 /// The loads differ by the program, so a mean over one kind alone would be far off.
 #[test]
 fn front_ends_before_and_after_stand_in_one_fleet() {
-    let mut net = settled(20, Kind::Average, 9);
+    let mut net = settled(20, GossipProtocol::BoundedView, 9);
     let old = |i: usize| i % 2 == 1;
     (0..20).filter(|&i| old(i)).for_each(|i| {
         net.kill(i);
-        net.start_as(i, S, Kind::Summaries);
-        net.fronts[i].pressure = 3000;
+        net.start_as(i, S, GossipProtocol::Summaries);
+        net.peers[i].pressure = 3000;
     });
     let mixed = net.until(20 * S, |net| {
         net.size_error() == 0.0 && net.error().0 <= 0.05
@@ -307,18 +313,18 @@
         net.error(),
         net.size_error()
     );
-    assert!((0..20).all(|i| net.fronts[i].news.mixed != old(i)));
+    assert!((0..20).all(|i| net.peers[i].news.mixed != old(i)));
     assert!(
-        net.fronts[1].news.dropped.foreign > 0,
+        net.peers[1].news.dropped.foreign > 0,
         "the view's datagrams are foreign to it"
     );
     (0..20).filter(|&i| old(i)).for_each(|i| {
         net.kill(i);
-        net.start_as(i, S, Kind::Average);
+        net.start_as(i, S, GossipProtocol::BoundedView);
         net.run(net.now + 3 * S);
     });
     let new = net.until(20 * S, |net| {
-        net.size_error() == 0.0 && net.error().0 <= 0.05 && net.fronts.iter().all(|f| !f.news.mixed)
+        net.size_error() == 0.0 && net.error().0 <= 0.05 && net.peers.iter().all(|f| !f.news.mixed)
     });
     assert!(
         new.is_some(),
@@ -326,9 +332,9 @@
         net.error(),
         net.size_error()
     );
-    net.tally = Tally::default();
+    net.traffic = TrafficCounts::default();
     net.run(net.now + 5 * S);
-    assert_eq!(net.tally.summaries, 0);
+    assert_eq!(net.traffic.summaries, 0);
 }
 
 /// Probes and suspicion are SWIM's as before: over all seeds a dead peer is counted out by all no later, but for a
@@ -349,7 +355,10 @@
         each.sort_unstable();
         (each[each.len() / 2], each.iter().sum::<u64>() / seeds)
     };
-    let (before, after) = (took(Kind::Summaries), took(Kind::Average));
+    let (before, after) = (
+        took(GossipProtocol::Summaries),
+        took(GossipProtocol::BoundedView),
+    );
     eprintln!("{n} front ends: median and mean {before:?} us before, {after:?} after");
     assert!(
         after.0 <= before.0 + S / 10 && after.1 <= before.1 + S / 2,
@@ -361,8 +370,8 @@
 /// mean does not move.
 #[test]
 fn bad_datagrams_are_counted_and_move_nothing() {
-    let mut net = settled(10, Kind::Average, 10);
-    let before: Vec<_> = net.fronts.iter().map(|f| f.news).collect();
+    let mut net = settled(10, GossipProtocol::BoundedView, 10);
+    let before: Vec<_> = net.peers.iter().map(|f| f.news).collect();
     let c = CLUSTER.to_be_bytes();
     let header = [b'w', b'F', AVERAGE_VERSION, c[0], c[1], c[2], c[3]];
     let from = wrenseam::fleet::PeerId {
@@ -399,7 +408,7 @@
         }
     }
     net.run(net.now + S);
-    for (f, before) in net.fronts.iter().zip(before) {
+    for (f, before) in net.peers.iter().zip(before) {
         let counts = |n: &FleetNews| {
             let (d, v) = (n.dropped, n.average_dropped);
             [
--- a/scalelab/tests/agreement.rs
+++ b/scalelab/tests/gossip_convergence.rs
@@ -2,14 +2,14 @@
 //! that lives and is heard is declared down meanwhile. Random schedules on the simulated net, seeded and shrunk.
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use scalelab::gossip_network::{Kind, Net, MS};
+use scalelab::gossip_network::{GossipProtocol, SimulatedNetwork, MS};
 use std::collections::BTreeSet;
 use wrenseam::fleet::record::Entry;
 
 const S: u64 = 1000 * MS;
 /// After the last fault has ended all views are to be equal and right within this.
 const AGREED_WITHIN: u64 = 10 * S;
-/// A front end that was in trouble itself so lately may still be declared down for it.
+/// A front end that was in fault itself so lately may still be declared down for it.
 const TROUBLED_FOR: u64 = 8 * S;
 
 /// One thing that happens; front ends by number, taken modulo how many there are.
@@ -51,9 +51,9 @@
     ]
 }
 
-/// A fleet under a schedule, and since when each front end has been out of trouble.
+/// A fleet under a schedule, and since when each front end has been out of fault.
 struct Play {
-    net: Net,
+    net: SimulatedNetwork,
     troubled_at: Vec<u64>,
     updates: u32,
     checked: usize,
@@ -61,7 +61,8 @@
 
 impl Play {
     fn new(n: usize, seed: u64) -> Play {
-        let net = Net::settled(n, Kind::Average, seed).expect("all find all");
+        let net =
+            SimulatedNetwork::settled(n, GossipProtocol::BoundedView, seed).expect("all find all");
         Play {
             troubled_at: vec![0; n],
             net,
@@ -71,20 +72,20 @@
     }
 
     fn size(&self) -> usize {
-        self.net.fronts.len()
+        self.net.peers.len()
     }
 
-    /// Whether a front end is in trouble itself: it does not run, is not heard, does not hear, or is cut off.
+    /// Whether a front end is in fault itself: it does not run, is not heard, does not hear, or is cut off.
     fn in_trouble(&self, i: usize) -> bool {
-        let front = &self.net.fronts[i];
-        let cut_off = self.net.fronts.iter().any(|other| other.side != front.side);
+        let front = &self.net.peers[i];
+        let cut_off = self.net.peers.iter().any(|other| other.side != front.side);
         !self.net.up(i) || front.deaf || front.mute || front.stopped || cut_off
     }
 
     /// How many run though they hear nothing, are not heard, or stand still.
     fn bad(&self) -> usize {
         self.net
-            .fronts
+            .peers
             .iter()
             .filter(|front| front.deaf || front.mute || front.stopped)
             .count()
@@ -123,38 +124,38 @@
     fn apply(&mut self, step: &Step) {
         let n = self.size();
         let few_bad = (self.bad() + 1) * 4 <= n;
-        let up = |net: &Net| (0..n).filter(|&i| net.up(i)).count();
+        let up = |net: &SimulatedNetwork| (0..n).filter(|&i| net.up(i)).count();
         match *step {
             Step::Crash(i) if up(&self.net) > 2 => self.net.kill(i % n),
             Step::Leave(i) if up(&self.net) > 2 => self.net.leave(i % n),
             Step::Restart(i) if !self.net.up(i % n) => self.net.start(i % n, 0),
             Step::RestartSetBack(i) if !self.net.up(i % n) => self.net.start_set_back(i % n, 0),
             Step::Partition { of, ways } => {
-                let sides = self.net.fronts.iter_mut().enumerate();
+                let sides = self.net.peers.iter_mut().enumerate();
                 sides.for_each(|(i, front)| front.side = ((i + of) % usize::from(ways)) as u8);
             }
             Step::Heal => self.heal(),
             Step::CutOneWay(from, to) if self.net.cut.len() * 4 < n => {
                 self.net.cut.insert((from % n, to % n));
             }
-            Step::Deaf(i) if few_bad => self.net.fronts[i % n].deaf = true,
-            Step::Mute(i) if few_bad => self.net.fronts[i % n].mute = true,
+            Step::Deaf(i) if few_bad => self.net.peers[i % n].deaf = true,
+            Step::Mute(i) if few_bad => self.net.peers[i % n].mute = true,
             Step::Stop(i) if few_bad && self.net.up(i % n) => self.net.stop(i % n, true),
             Step::Recover(i) => self.recover(i % n),
             Step::Lose { percent } => self.net.loss = f64::from(percent) / 100.0,
-            Step::Repeat { percent } => self.net.twice = f64::from(percent) / 100.0,
+            Step::Repeat { percent } => self.net.duplication = f64::from(percent) / 100.0,
             Step::Update(i) => self.update(i % n),
             _ => {}
         }
     }
 
     fn heal(&mut self) {
-        self.net.fronts.iter_mut().for_each(|front| front.side = 0);
+        self.net.peers.iter_mut().for_each(|front| front.side = 0);
         self.net.cut = BTreeSet::new();
     }
 
     fn recover(&mut self, i: usize) {
-        (self.net.fronts[i].deaf, self.net.fronts[i].mute) = (false, false);
+        (self.net.peers[i].deaf, self.net.peers[i].mute) = (false, false);
         self.net.stop(i, false);
     }
 
@@ -173,7 +174,7 @@
     fn end_faults(&mut self) {
         self.heal();
         (0..self.size()).for_each(|i| self.recover(i));
-        (self.net.loss, self.net.twice) = (0.0, 0.0);
+        (self.net.loss, self.net.duplication) = (0.0, 0.0);
     }
 
     /// How long it takes until all views are equal and right, and stay so for a second.
--- a/scalelab/tests/agreement_bounds.rs
+++ b/scalelab/tests/gossip_convergence_time.rs
@@ -1,27 +1,28 @@
 //! How soon all views are equal and right after one fault, and who is not to be declared down by it. On the simulated
 //! net with the program's default times (probe 500 ms, suspicion 1.5 s).
 use rstest::rstest;
-use scalelab::gossip_network::{addr, Kind, Net, MS};
+use scalelab::gossip_network::{addr, GossipProtocol, SimulatedNetwork, MS};
 use std::collections::BTreeSet;
 use wrenseam::fleet::record::Entry;
 use wrenseam::fleet::Lifecycle;
 
 const S: u64 = 1000 * MS;
 
-fn settled(n: usize, seed: u64) -> Net {
-    let mut net = Net::settled(n, Kind::Average, seed).expect("all find all");
+fn settled(n: usize, seed: u64) -> SimulatedNetwork {
+    let mut net =
+        SimulatedNetwork::settled(n, GossipProtocol::BoundedView, seed).expect("all find all");
     net.until(10 * S, |net| net.disagreement(0).is_none())
         .expect("all agree");
     net
 }
 
-fn agreed(net: &mut Net, within: u64) -> u64 {
+fn agreed(net: &mut SimulatedNetwork, within: u64) -> u64 {
     let took = net.until(within, |net| net.disagreement(0).is_none());
     took.unwrap_or_else(|| panic!("{within} us after the fault: {:?}", net.disagreement(0)))
 }
 
-/// Who was declared down, but for those who were in trouble themselves.
-fn wronged(net: &Net, troubled: &[usize]) -> BTreeSet<usize> {
+/// Who was declared down, but for those who were in fault themselves.
+fn wronged(net: &SimulatedNetwork, troubled: &[usize]) -> BTreeSet<usize> {
     net.downs
         .iter()
         .map(|down| down.of)
@@ -52,12 +53,12 @@
     let counted = net.until(S, |net| {
         (0..12)
             .filter(|&i| i != 5)
-            .all(|i| net.fronts[i].news.by_lifecycle[Lifecycle::Draining as usize] == 1)
+            .all(|i| net.peers[i].news.by_lifecycle[Lifecycle::Draining as usize] == 1)
     });
     assert!(counted.is_some());
     assert!((0..12)
         .filter(|&i| i != 5)
-        .all(|i| net.fronts[i].news.ready() == 10));
+        .all(|i| net.peers[i].news.ready() == 10));
 }
 
 #[rstest]
@@ -89,7 +90,7 @@
 fn a_cut_heals(#[values(12, 40)] n: usize, #[values(1, 2, 3)] seed: u64) {
     let mut net = settled(n, seed);
     let side = |i: usize| u8::from(i % 2 == 1);
-    net.fronts
+    net.peers
         .iter_mut()
         .enumerate()
         .for_each(|(i, front)| front.side = side(i));
@@ -100,7 +101,7 @@
     }
     net.run(net.now + 40 * S);
     net.downs.clear();
-    net.fronts.iter_mut().for_each(|front| front.side = 0);
+    net.peers.iter_mut().for_each(|front| front.side = 0);
     let took = agreed(&mut net, 2 * S);
     let same_side: Vec<_> = net
         .downs
@@ -137,22 +138,22 @@
     agreed(&mut net, 3 * S);
 }
 
-fn deaf(net: &mut Net, i: usize, on: bool) {
-    net.fronts[i].deaf = on;
+fn deaf(net: &mut SimulatedNetwork, i: usize, on: bool) {
+    net.peers[i].deaf = on;
 }
 
-fn mute(net: &mut Net, i: usize, on: bool) {
-    net.fronts[i].mute = on;
+fn mute(net: &mut SimulatedNetwork, i: usize, on: bool) {
+    net.peers[i].mute = on;
 }
 
-fn stopped(net: &mut Net, i: usize, on: bool) {
+fn stopped(net: &mut SimulatedNetwork, i: usize, on: bool) {
     net.stop(i, on);
 }
 
 /// A front end that is deaf, mute or stopped has nobody else declared down, not by itself either, and finds back.
 #[rstest]
 fn a_bad_observer_has_nobody_declared_down(
-    #[values(deaf, mute, stopped)] fault: fn(&mut Net, usize, bool),
+    #[values(deaf, mute, stopped)] fault: fn(&mut SimulatedNetwork, usize, bool),
     #[values(1, 3)] bad: usize,
     #[values(2, 10)] lasts_s: u64,
     #[values(1, 2, 3)] seed: u64,
@@ -186,7 +187,7 @@
     let mut net = settled(12, 5);
     net.stop(1, true);
     net.kill(7);
-    let holders = |net: &Net| -> Vec<usize> {
+    let holders = |net: &SimulatedNetwork| -> Vec<usize> {
         let holds = |i: usize| {
             let directory = net.node(i).expect("runs").members().directory();
             directory.alive().any(|id| id.addr == addr(7))
@@ -211,16 +212,16 @@
 #[test]
 fn the_budget_of_bytes_holds_in_the_worst_second() {
     let mut net = settled(98, 6);
-    net.fronts
+    net.peers
         .iter_mut()
         .enumerate()
         .for_each(|(i, front)| front.side = u8::from(i % 7 >= 4));
     net.run(net.now + 60 * S);
-    net.fronts.iter_mut().for_each(|front| front.side = 0);
+    net.peers.iter_mut().for_each(|front| front.side = 0);
     for _ in 0..10 {
-        net.tally = Default::default();
+        net.traffic = Default::default();
         net.run(net.now + S);
-        let each = (net.tally.sent + net.tally.received) / 98;
+        let each = (net.traffic.sent + net.traffic.received) / 98;
         assert!(each < 22_000, "{each} bytes sent and received");
     }
     agreed(&mut net, S);
--- a/scalelab/tests/module.rs
+++ b/scalelab/tests/policy_scaling.rs
@@ -1,17 +1,17 @@
 //! The counts and bytes of the module's scale tests at small sizes: the same every run, and no steeper than they are now.
 use rstest::rstest;
-use scalelab::module::{play, sweep};
-use scalelab::simulated_front_end::{Front, Shape, SEC};
-use scalelab::{bursts, module, seats, Fault, Sweep};
+use scalelab::policy_scaling::{play, sweep};
+use scalelab::simulated_front_end::{Scenario, SimulatedFrontEnd, SEC};
+use scalelab::{disruptions, policy_scaling, slow_start_senders, ExperimentError, Sweep};
 
 /// Small enough for seconds without optimisation.
-fn small() -> Shape {
-    Shape {
+fn small() -> Scenario {
+    Scenario {
         workers: 200,
         functions: 300,
-        calls: 20.0,
-        keep: 2 * SEC,
-        ..Shape::default()
+        requests_per_s: 20.0,
+        keep_alive: 2 * SEC,
+        ..Scenario::default()
     }
 }
 
@@ -24,31 +24,35 @@
 }
 
 #[rstest]
-#[case::where_workers_load(Shape { load_on_demand: true, ..small() })]
-#[case::where_only_orders_load(Shape { load_on_demand: false, ..small() })]
-#[case::with_list_changes(Shape { changes: 2.0, ..small() })]
-fn counts_and_bytes_are_the_same_every_run(#[case] shape: Shape) {
-    assert_eq!(play(&shape).0, play(&shape).0);
-    let other = Shape {
+#[case::where_workers_load(Scenario { load_on_demand: true, ..small() })]
+#[case::where_only_orders_load(Scenario { load_on_demand: false, ..small() })]
+#[case::with_list_changes(Scenario { endpoint_changes_per_s: 2.0, ..small() })]
+fn counts_and_bytes_are_the_same_every_run(#[case] scenario: Scenario) {
+    assert_eq!(play(&scenario).0, play(&scenario).0);
+    let other = Scenario {
         seed: 2,
-        ..shape.clone()
+        ..scenario.clone()
     };
-    assert_ne!(play(&shape).0, play(&other).0, "another seed, other calls");
+    assert_ne!(
+        play(&scenario).0,
+        play(&other).0,
+        "another seed, other calls"
+    );
 }
 
 /// The slopes of this day and a tenth more: a build may be flatter, not steeper.
 #[rstest]
-#[case::held_by_workers("MB held", 0.00147, |s: &mut Shape, n| s.workers = n as usize, &[100, 200, 400, 800])]
-#[case::allocated_by_workers("KB allocated/call", 0.0356, |s: &mut Shape, n| s.workers = n as usize, &[100, 200, 400, 800])]
-#[case::held_by_functions("MB held", 1.32e-4, |s: &mut Shape, n| s.functions = n as usize, &[100, 200, 400, 800])]
-#[case::allocated_by_fleet("KB allocated/call", 0.001, |s: &mut Shape, n| s.front_ends = n as u32, &[30, 100, 330, 660])]
-#[case::allocated_by_changes("KB allocated/call", 0.302, |s: &mut Shape, n| s.changes = n as f64, &[1, 2, 4, 8])]
-#[case::allocated_by_zones("KB allocated/call", 0.05, |s: &mut Shape, n| s.zones = n as usize, &[1, 2, 4, 7])]
-#[case::held_by_keep("MB held", 0.0632, |s: &mut Shape, n| s.keep = n * SEC, &[1, 2, 4, 8])]
+#[case::held_by_workers("MB held", 0.00147, |s: &mut Scenario, n| s.workers = n as usize, &[100, 200, 400, 800])]
+#[case::allocated_by_workers("KB allocated/call", 0.0356, |s: &mut Scenario, n| s.workers = n as usize, &[100, 200, 400, 800])]
+#[case::held_by_functions("MB held", 1.32e-4, |s: &mut Scenario, n| s.functions = n as usize, &[100, 200, 400, 800])]
+#[case::allocated_by_fleet("KB allocated/call", 0.001, |s: &mut Scenario, n| s.front_ends = n as u32, &[30, 100, 330, 660])]
+#[case::allocated_by_changes("KB allocated/call", 0.302, |s: &mut Scenario, n| s.endpoint_changes_per_s = n as f64, &[1, 2, 4, 8])]
+#[case::allocated_by_zones("KB allocated/call", 0.05, |s: &mut Scenario, n| s.zones = n as usize, &[1, 2, 4, 7])]
+#[case::held_by_keep("MB held", 0.0632, |s: &mut Scenario, n| s.keep_alive = n * SEC, &[1, 2, 4, 8])]
 fn slopes_are_no_steeper_than_they_were(
     #[case] figure: &str,
     #[case] most: f64,
-    #[case] vary: fn(&mut Shape, u64),
+    #[case] vary: fn(&mut Scenario, u64),
     #[case] sizes: &[u64],
 ) {
     let table = sweep(1, "size", sizes, &small(), vary);
@@ -59,7 +63,7 @@
 /// What a front end that has just started asks for, and the whole of what all of them send to a cold worker.
 #[test]
 fn what_a_cold_worker_is_sent_does_not_grow_with_the_front_ends() {
-    let pressed = seats::EXPERIMENTS
+    let pressed = slow_start_senders::EXPERIMENTS
         .iter()
         .find(|e| e.name == "seats-pressed")
         .expect("an experiment");
@@ -70,25 +74,28 @@
 
 #[test]
 fn a_hollow_front_end_loses_no_call() {
-    let mut front = Front::new(&small());
+    let mut front = SimulatedFrontEnd::new(&small());
     front.run(30 * SEC);
     let c = &front.counts;
-    assert!(c.calls > 400 && c.refused + c.failed == 0, "{c:?}");
-    assert!(c.sends >= c.calls && c.sends < c.calls + 20, "{c:?}");
-    assert!(c.held > 0 && c.allocations > c.calls, "{c:?}");
+    assert!(c.requests > 400 && c.rejected + c.failed == 0, "{c:?}");
+    assert!(
+        c.attempts >= c.requests && c.attempts < c.requests + 20,
+        "{c:?}"
+    );
+    assert!(c.held_bytes > 0 && c.allocations > c.requests, "{c:?}");
 }
 
 #[test]
 fn a_size_beyond_the_bound_is_said_and_ends_it() {
-    let all = module::EXPERIMENTS
+    let all = policy_scaling::EXPERIMENTS
         .iter()
-        .chain(seats::EXPERIMENTS)
-        .chain(bursts::EXPERIMENTS);
+        .chain(slow_start_senders::EXPERIMENTS)
+        .chain(disruptions::EXPERIMENTS);
     for e in all {
         let (asked, bound) = (e.bound + 1, e.bound);
         assert_eq!(
             e.sizes(&[1, 2, 3, asked]),
-            Err(Fault::Size { asked, bound }),
+            Err(ExperimentError::SizeOutOfBounds { asked, bound }),
             "{}",
             e.name
         );
--- a/scalelab/tests/processes.rs
+++ b/scalelab/tests/processes.rs
@@ -1,9 +1,12 @@
 //! What real processes do that is the same every run, at small sizes; and that experiments end as they should.
 use rstest::rstest;
-use scalelab::harness::{event, hollow, lock, until, Board, Caller, Program, Told};
-use scalelab::links::{self, Spread};
-use scalelab::yard::{Work, Yard};
-use scalelab::{experiments, process, Fault};
+use scalelab::harness::{
+    lock, unreachable_endpoints, wait_until, watch_event, DiscoveryService, FrontEndOptions,
+    FrontEndProcess, InferenceClient,
+};
+use scalelab::simulated_workers::{ServiceTimes, SimulatedWorkers};
+use scalelab::worker_connections::{self, Spread};
+use scalelab::{experiments, process_experiments, ExperimentError};
 use std::process::{Command, Stdio};
 use std::sync::atomic::Ordering;
 use std::sync::Once;
@@ -34,20 +37,24 @@
     });
 }
 
-/// The list's bytes at a start: about 150 an instance, read once.
+/// The list's bytes at a start: about 150 an endpoint_json, read once.
 #[rstest]
 #[case::few(20, 3_050)]
 #[case::more(80, 12_014)]
 fn a_start_reads_the_list_once(#[case] count: u64, #[case] bytes: u64) {
     built();
-    let board = Board::start(vec![(1, event(1, true, &hollow(count)))]).expect("a board");
-    let told = Told {
-        board: Some(board.address),
-        ..Told::default()
+    let discovery = DiscoveryService::start(vec![(
+        1,
+        watch_event(1, true, &unreachable_endpoints(count)),
+    )])
+    .expect("a board");
+    let told = FrontEndOptions {
+        discovery: Some(discovery.address),
+        ..FrontEndOptions::default()
     };
-    let _program = Program::start(&told).expect("it starts");
+    let _program = FrontEndProcess::start(&told).expect("it starts");
     assert_eq!(
-        (board.bytes(), board.events(), board.calls()),
+        (discovery.bytes(), discovery.events(), discovery.calls()),
         (bytes, 1, 1)
     );
 }
@@ -62,7 +69,7 @@
     #[case] calls: u64,
 ) {
     built();
-    let told = process::told_anew(20, missed, 1).expect("it has the list");
+    let told = process_experiments::measure_resync(20, missed, 1).expect("it has the list");
     assert_eq!((told.calls, told.bytes), (calls, calls * 3_200), "{told:?}");
 }
 
@@ -70,29 +77,29 @@
 #[test]
 fn calls_in_turn_open_a_connection_for_each_worker_they_reach() {
     built();
-    let yard = Yard::start(
+    let simulated = SimulatedWorkers::start(
         40,
-        Work {
+        ServiceTimes {
             load: Duration::ZERO,
             call: Duration::ZERO,
         },
     )
     .expect("workers");
     let (tally, told) = (
-        &yard.tally,
-        Told {
-            known: (1, vec![event(1, true, &yard.list)]),
-            ..Told::default()
+        &simulated.tally,
+        FrontEndOptions {
+            known: (1, vec![watch_event(1, true, &simulated.list)]),
+            ..FrontEndOptions::default()
         },
     );
-    let program = Program::start(&told).expect("it starts");
-    let mut caller = Caller::connect(program.kserve).expect("a connection");
+    let program = FrontEndProcess::start(&told).expect("it starts");
+    let mut caller = InferenceClient::connect(program.kserve).expect("a connection");
     let mut call = |function| caller.call(function, Duration::ZERO).ok();
     assert!((1..=30).chain(1..=30).all(|f| call(f) == Some(200)));
     let reached = || lock(&tally.reached).len() as u64;
     let accepts = || tally.accepts.load(Ordering::Relaxed);
     // What was asked of a worker may still be on its way there.
-    until("each connection has carried something", SOON, || {
+    wait_until("each connection has carried something", SOON, || {
         accepts() == reached()
     })
     .expect("one a worker");
@@ -117,7 +124,13 @@
     #[case] standing: f64,
     #[case] paid: f64,
 ) {
-    let told = links::worked_out(4_000.0, 152.0, 12.5, &links::shares(spread), most);
+    let told = worker_connections::worked_out(
+        4_000.0,
+        152.0,
+        12.5,
+        &worker_connections::shares(spread),
+        most,
+    );
     assert!(
         (told.0 - standing).abs() < 0.1 && (told.1 - paid).abs() < 1e-4,
         "{told:?}"
@@ -144,7 +157,7 @@
         let beyond = one.sizes(&[1, 2, 3, one.bound + 1]);
         assert_eq!(
             beyond,
-            Err(Fault::Size {
+            Err(ExperimentError::SizeOutOfBounds {
                 asked: one.bound + 1,
                 bound: one.bound
             }),
@@ -174,7 +187,7 @@
         .expect("it starts");
     let id = lab.id();
     let mut child = String::new();
-    until("it has started a process", SOON, || {
+    wait_until("it has started a process", SOON, || {
         let all = std::fs::read_dir("/proc").expect("proc").flatten();
         let stat =
             |name: &str| std::fs::read_to_string(format!("/proc/{name}/stat")).unwrap_or_default();
@@ -197,7 +210,7 @@
     .expect("a process");
     lab.kill().expect("killed");
     lab.wait().expect("ended");
-    until("the process has ended", SOON, || {
+    wait_until("the process has ended", SOON, || {
         let stat = std::fs::read_to_string(format!("/proc/{child}/stat")).unwrap_or_default();
         stat.is_empty() || stat.contains(") Z ")
     })
