--- a/scalelab/src/disruptions.rs
+++ b/scalelab/src/disruptions.rs
@@ -1,7 +1,7 @@
 //! What comes at once: front ends that start, a zone that is lost and comes back cold, a list that is read anew.
 use crate::policy_scaling::{base, counts_since, describe};
 use crate::simulated_front_end::{
-    FunctionPopularity, HandlingTimes, Scenario, SimulatedFrontEnd, SEC, START_TIME,
+    FunctionPopularity, HandlingTimes, Scenario, SentMessage, SimulatedFrontEnd, SEC, START_TIME,
 };
 use crate::{Column, Experiment, Sweep};
 use std::collections::BTreeMap;
@@ -47,12 +47,18 @@
 fn starts(sizes: &[u64], seed: u64) -> Vec<Sweep> {
     let scenario = base(seed);
     let popularity = Rc::new(FunctionPopularity::new(&scenario));
-    let mut apart = [0, 1].map(|s| (s, BTreeMap::<(u64, usize, bool), u64>::new(), Vec::new()));
+    let mut apart = [0, 1].map(|s| {
+        (
+            s,
+            BTreeMap::<(u64, usize, SentMessage), u64>::new(),
+            Vec::new(),
+        )
+    });
     let (mut sum, mut list, mut rest) = ([0; 4], 0, 0);
     for i in 0..sizes.last().copied().unwrap_or(0) {
         let mut front = SimulatedFrontEnd::with_index(&scenario, &popularity, i as u32, START_TIME);
         list += front.handling_times.endpoint_updates;
-        front.log = Some(Vec::new());
+        front.sent_log = Some(Vec::new());
         front.run(10 * SEC);
         let c = &front.counts;
         let own = [
@@ -63,28 +69,32 @@
         ];
         sum.iter_mut().zip(own).for_each(|(s, n)| *s += n);
         rest += front.handling_times.total() - front.handling_times.endpoint_updates;
-        let log = front.log.take().unwrap_or_default();
+        let log = front.sent_log.take().unwrap_or_default();
         for (s, each, rows) in &mut apart {
-            for &(t, w, call) in &log {
+            for sent in &log {
                 *each
-                    .entry(((t - START_TIME) / SEC + i * *s, w, call))
+                    .entry((
+                        (sent.at - START_TIME) / SEC + i * *s,
+                        sent.worker,
+                        sent.message,
+                    ))
                     .or_default() += 1;
             }
             if !sizes.contains(&(i + 1)) {
                 continue;
             }
-            let most = |call| {
+            let most = |message| {
                 each.iter()
-                    .filter(|(k, _)| k.2 == call)
+                    .filter(|(k, _)| k.2 == message)
                     .map(|(_, &n)| n)
                     .max()
                     .unwrap_or(0)
             };
             let of = |n: u64| n as f64 / (i + 1) as f64;
-            let exact = sum
-                .map(of)
-                .into_iter()
-                .chain([most(true) as f64, most(false) as f64]);
+            let exact = sum.map(of).into_iter().chain([
+                most(SentMessage::Attempt) as f64,
+                most(SentMessage::LoadOrder) as f64,
+            ]);
             let timed = [of(list) / 1e6, rest as f64 / 1e3 / sum[0].max(1) as f64];
             rows.push((i + 1, exact.chain(timed).collect()));
         }
--- a/scalelab/src/simulated_front_end/mod.rs
+++ b/scalelab/src/simulated_front_end/mod.rs
@@ -1,14 +1,15 @@
-//! A front end without sockets: the decision module before stand-in workers, on simulated time. All that it counts is
-//! the same in every run of a scenario and seed; only what the clock measures is not.
+//! A front end without sockets: the decision policy on simulated time, before simulated workers. All that it counts
+//! is the same in every run of a scenario and seed; only what the clock measures is not.
 mod measurements;
 mod popularity;
 mod scenario;
 mod schedule;
+mod simulated_workers;
 
-pub use measurements::{HandlingTimes, PolicyCounts};
+pub use measurements::{HandlingTimes, PolicyCounts, SentMessage, SentRecord};
 pub use popularity::FunctionPopularity;
 pub use scenario::Scenario;
-use schedule::{PolicyAction, ScheduledEvent};
+use schedule::{AttemptEnd, AttemptKey, LoadOrderEnd, PolicyAction, ScheduleKey, ScheduledEvent};
 
 use allocation_counter::{measure, AllocationInfo};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -21,507 +22,398 @@
     WorkerId, WorkerState,
 };
 
+/// A millisecond, in simulated microseconds.
 pub const MS: Micros = 1_000;
+/// A second, in simulated microseconds.
 pub const SEC: Micros = 1_000_000;
-/// Calls start here, so that a start told as 0 is long ago.
+/// Requests start here, so that a worker's start time of 0 is long ago.
 pub const START_TIME: Micros = 1_000 * SEC;
-const AWAY: Micros = 250 * MS; // a connection to a worker that is not there counts as failed after this
+/// A connection to an unreachable worker counts as failed after this.
+const CONNECT_TIMEOUT: Micros = 250 * MS;
+/// Time that a client waits for its answer.
+const REQUEST_TIMEOUT: Micros = 4 * SEC;
+/// Memory of one replica, in megabytes.
+const REPLICA_MEMORY_MB: f64 = 500.0;
+/// Requests that one replica works on at a time.
+const REPLICA_CONCURRENCY: u32 = 4;
+/// Classes and tenants that requests are spread over.
+const CLASSES: u64 = 2;
+const TENANTS: usize = 5;
+/// Requests in flight that each answer of a worker reports.
+const REPORTED_IN_FLIGHT: f64 = 2.0;
 
-fn name(worker: usize) -> WorkerId {
-    format!("s-{worker:08x}")
-}
-
-fn number(worker: &str) -> usize {
-    usize::from_str_radix(&worker[2..], 16).expect("named by us")
-}
-
-struct Call {
+/// A request that has no answer yet.
+struct PendingRequest {
     function: usize,
-    arrived: Micros,
+    arrived_at: Micros,
+    /// Whether it is the first for its function at this front end.
     first: bool,
     attempts: usize,
 }
 
 /// One front end.
 pub struct SimulatedFrontEnd {
+    /// What it plays.
     pub scenario: Scenario,
+    /// Simulated time, in microseconds.
+    pub now: Micros,
+    /// What the policy was given and asked for.
+    pub counts: PolicyCounts,
+    /// Time within the policy.
+    pub handling_times: HandlingTimes,
+    /// Time from arrival to the attempt that was served, of first requests for a function.
+    pub first_waits: Vec<Micros>,
+    /// What was sent to whom, where it is to be recorded.
+    pub sent_log: Option<Vec<SentRecord>>,
     controller: Controller,
     popularity: Rc<FunctionPopularity>,
-    pub now: Micros,
     rng: Pcg64Mcg,
-    due: BTreeMap<(Micros, u64), ScheduledEvent>,
-    serial: u64,
-    out: Vec<Action>,
-    todo: Vec<PolicyAction>,
-    calls: BTreeMap<RequestId, Call>,
-    ends: BTreeMap<(RequestId, usize), (Micros, u64)>,
-    /// Until when a copy that we caused stands.
-    warm: BTreeMap<(usize, usize), Micros>,
+    scheduled: BTreeMap<ScheduleKey, ScheduledEvent>,
+    last_serial: u64,
+    /// Reused buffers: of the policy's actions, and of the same without heap data.
+    actions: Vec<Action>,
+    pending_actions: Vec<PolicyAction>,
+    pending_requests: BTreeMap<RequestId, PendingRequest>,
+    attempt_ends: BTreeMap<AttemptKey, ScheduleKey>,
+    /// Until when a replica that this front end caused stays, by function and worker.
+    loaded_until: BTreeMap<(usize, usize), Micros>,
     functions_called: BTreeSet<usize>,
-    /// The workers of the list, and those that are gone without a word.
+    /// The workers of the endpoint list.
     listed: Vec<usize>,
     next_worker: usize,
-    away: BTreeSet<usize>,
-    /// Workers at which nobody else's calls keep a copy, as they came back empty.
-    emptied: BTreeSet<usize>,
-    gone: Option<usize>,
-    pub counts: PolicyCounts,
-    pub handling_times: HandlingTimes,
-    /// Time from arrival to the attempt that was served, of first calls of a function.
-    pub first_waits: Vec<Micros>,
-    /// When an attempt went to whom, and when an order or question did, where asked for.
-    pub log: Option<Vec<(Micros, usize, bool)>>,
+    unreachable: BTreeSet<usize>,
+    /// Workers that came back with nothing loaded: other front ends keep no replica there.
+    restarted: BTreeSet<usize>,
+    /// The worker that left at the last change of the list and has no successor yet.
+    departed: Option<usize>,
+}
+
+fn worker_name(index: usize) -> WorkerId {
+    format!("s-{index:08x}")
+}
+
+fn worker_index(name: &str) -> usize {
+    usize::from_str_radix(&name[2..], 16).expect("a name made by worker_name")
 }
 
 impl SimulatedFrontEnd {
-    /// A front end that has just started and has been told of all workers.
+    /// A front end that has just started and has read the whole endpoint list.
     pub fn new(scenario: &Scenario) -> SimulatedFrontEnd {
-        SimulatedFrontEnd::with_index(
-            scenario,
-            &Rc::new(FunctionPopularity::new(scenario)),
-            0,
-            START_TIME,
-        )
+        let popularity = Rc::new(FunctionPopularity::new(scenario));
+        SimulatedFrontEnd::with_index(scenario, &popularity, 0, START_TIME)
     }
 
-    /// The same for the front end of this number at this time.
+    /// The same for the front end of this index, started at this time.
     pub fn with_index(
         scenario: &Scenario,
         popularity: &Rc<FunctionPopularity>,
         index: u32,
         now: Micros,
+    ) -> SimulatedFrontEnd {
+        let mut front_end = SimulatedFrontEnd::without_endpoints(scenario, popularity, index, now);
+        let listed = front_end.listed.clone();
+        front_end.update_endpoints(true, &listed, WorkerState::Ready, 0);
+        if scenario.requests_per_s > 0.0 {
+            let delay = front_end.request_interval();
+            front_end.schedule(delay, ScheduledEvent::Request);
+        }
+        if scenario.endpoint_changes_per_s > 0.0 {
+            front_end.schedule_endpoint_change();
+        }
+        front_end
+    }
+
+    fn without_endpoints(
+        scenario: &Scenario,
+        popularity: &Rc<FunctionPopularity>,
+        index: u32,
+        now: Micros,
     ) -> SimulatedFrontEnd {
         let seed = scenario
             .seed
             .wrapping_mul(1_000_003)
             .wrapping_add(u64::from(index));
-        let room = 256 + 4 * scenario.workers; // never grows, as its growth would count as the module's
         let mut controller = None;
-        let held = measure(|| {
+        let allocated = measure(|| {
             let settings = Settings {
                 front_end_index: Some(index),
                 ..scenario.settings()
             };
             controller = Some(Controller::new(settings, seed));
         });
-        let controller = controller.expect("made by the closure");
-        let mut front = SimulatedFrontEnd {
-            controller,
-            popularity: popularity.clone(),
+        let counts = PolicyCounts {
+            held_bytes: allocated.bytes_current,
+            ..PolicyCounts::default()
+        };
+        // The buffers never grow: their growth would count as the policy's.
+        let buffer_capacity = 256 + 4 * scenario.workers;
+        SimulatedFrontEnd {
             scenario: scenario.clone(),
             now,
+            counts,
+            handling_times: HandlingTimes::default(),
+            first_waits: Vec::new(),
+            sent_log: None,
+            controller: controller.expect("made by the closure"),
+            popularity: popularity.clone(),
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0x5eed),
-            due: BTreeMap::new(),
-            serial: 0,
-            out: Vec::with_capacity(room),
-            todo: Vec::with_capacity(room),
-            calls: BTreeMap::new(),
-            ends: BTreeMap::new(),
-            warm: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
+            last_serial: 0,
+            actions: Vec::with_capacity(buffer_capacity),
+            pending_actions: Vec::with_capacity(buffer_capacity),
+            pending_requests: BTreeMap::new(),
+            attempt_ends: BTreeMap::new(),
+            loaded_until: BTreeMap::new(),
             functions_called: BTreeSet::new(),
             listed: (0..scenario.workers).collect(),
             next_worker: scenario.workers,
-            away: BTreeSet::new(),
-            emptied: BTreeSet::new(),
-            gone: None,
-            counts: PolicyCounts::default(),
-            handling_times: HandlingTimes::default(),
-            first_waits: Vec::new(),
-            log: None,
-        };
-        front.counts.held_bytes = held.bytes_current;
-        let listed = front.listed.clone();
-        front.update_endpoints(true, &listed, WorkerState::Ready, 0);
-        if scenario.requests_per_s > 0.0 {
-            let first = front.pause(scenario.requests_per_s);
-            front.plan(first, ScheduledEvent::Call);
-        }
-        if scenario.endpoint_changes_per_s > 0.0 {
-            front.plan(
-                (SEC as f64 / scenario.endpoint_changes_per_s) as Micros,
-                ScheduledEvent::Change,
-            );
+            unreachable: BTreeSet::new(),
+            restarted: BTreeSet::new(),
+            departed: None,
         }
-        front
-    }
-
-    fn chance(&mut self) -> f64 {
-        (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn pause(&mut self, rate: f64) -> Micros {
-        (-(1.0 - self.chance()).ln() / rate * SEC as f64) as Micros
+    /// The workers of the endpoint list.
+    pub fn workers(&self) -> &[usize] {
+        &self.listed
     }
 
-    fn plan(&mut self, after: Micros, due: ScheduledEvent) -> (Micros, u64) {
-        self.serial += 1;
-        self.due.insert((self.now + after, self.serial), due);
-        (self.now + after, self.serial)
+    /// Functions that this front end has called.
+    pub fn functions_called(&self) -> usize {
+        self.functions_called.len()
     }
 
-    /// Tells the module of these workers.
+    /// Gives the policy an update of the endpoint list: these workers, as the whole list or as a change.
     pub fn update_endpoints(
         &mut self,
-        full: bool,
+        complete: bool,
         workers: &[usize],
         state: WorkerState,
         started_at: Micros,
     ) {
         let scenario = self.scenario.clone();
-        let entries = || {
-            workers
-                .iter()
-                .map(|&n| scenario.entry(n, state, started_at))
-                .collect()
-        };
-        self.feed(|| Event::EndpointUpdate {
-            complete: full,
-            endpoints: entries(),
+        let endpoint = |&worker: &usize| scenario.endpoint(worker, state, started_at);
+        self.handle(|| Event::EndpointUpdate {
+            complete,
+            endpoints: workers.iter().map(endpoint).collect(),
         });
     }
 
-    /// The workers whose machines are silent from now on, or no more.
-    pub fn disconnect_workers(&mut self, workers: &[usize]) {
-        self.away.extend(workers);
-        self.emptied.extend(workers);
-        let lost: BTreeSet<usize> = workers.iter().copied().collect();
-        self.warm.retain(|&(_, w), _| !lost.contains(&w));
+    /// Lets simulated time pass.
+    pub fn run(&mut self, duration: Micros) {
+        let end = self.now + duration;
+        while let Some(entry) = self.scheduled.first_entry() {
+            if entry.key().0 >= end {
+                break;
+            }
+            let ((at, _), event) = entry.remove_entry();
+            self.now = at;
+            self.dispatch(event);
+        }
+        self.now = end;
     }
 
-    pub fn reconnect_workers(&mut self, workers: &[usize]) {
-        workers.iter().for_each(|w| {
-            self.away.remove(w);
-        });
+    fn dispatch(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Timer(token) => self.handle(|| Event::Timer { token }),
+            ScheduledEvent::Request => self.receive_request(),
+            ScheduledEvent::EndpointChange => self.change_endpoint(),
+            ScheduledEvent::AttemptEnd(end) => self.end_attempt(end),
+            ScheduledEvent::LoadOrderEnd(end) => self.end_load_order(end),
+        }
     }
 
-    pub fn workers(&self) -> &[usize] {
-        &self.listed
+    /// A uniform number from 0 to 1.
+    fn uniform(&mut self) -> f64 {
+        (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Lets this span pass.
-    pub fn run(&mut self, span: Micros) {
-        let end = self.now + span;
-        while let Some((&(at, serial), &due)) =
-            self.due.first_key_value().filter(|(k, _)| k.0 < end)
-        {
-            self.due.remove(&(at, serial));
-            self.now = at;
-            self.happen(due);
-        }
-        self.now = end;
+    /// Time until the next request: requests arrive as a Poisson process.
+    fn request_interval(&mut self) -> Micros {
+        let rate = self.scenario.requests_per_s;
+        (-(1.0 - self.uniform()).ln() / rate * SEC as f64) as Micros
     }
 
-    fn happen(&mut self, due: ScheduledEvent) {
-        match due {
-            ScheduledEvent::Timer(token) => self.feed(|| Event::Timer { token }),
-            ScheduledEvent::Call => self.call(),
-            ScheduledEvent::Change => self.change(),
-            ScheduledEvent::End {
-                id,
-                attempt,
-                outcome,
-                since,
-                warm,
-            } => {
-                self.ends.remove(&(id, attempt));
-                let closed = outcome == Outcome::Ok;
-                let first = if closed {
-                    self.calls.remove(&id).filter(|c| c.first)
-                } else {
-                    None
-                };
-                self.first_waits.extend(first.map(|c| since - c.arrived));
-                let elapsed = self.now - since;
-                let (crowd, inflight) = (Some(0), Some(2.0));
-                self.feed(|| {
-                    Event::AttemptEnded(AttemptResult {
-                        id,
-                        attempt,
-                        outcome,
-                        elapsed,
-                        request_closed: closed,
-                        replica_loaded: warm,
-                        queue_depth: crowd,
-                        in_flight: inflight,
-                    })
-                });
-            }
-            ScheduledEvent::Answer {
-                worker,
-                function,
-                count,
-                outcome,
-                since,
-            } => {
-                let elapsed = self.now - since;
-                if count > 0 {
-                    let until = self.now + self.scenario.keep_alive;
-                    self.warm.insert((function as usize, worker), until);
-                }
-                self.feed(|| Event::LoadOrderEnded {
-                    worker: name(worker),
-                    function,
-                    replicas: count,
-                    outcome,
-                    elapsed,
-                });
-            }
-        }
+    fn schedule(&mut self, delay: Micros, event: ScheduledEvent) -> ScheduleKey {
+        self.last_serial += 1;
+        let key = (self.now + delay, self.last_serial);
+        self.scheduled.insert(key, event);
+        key
     }
 
-    fn call(&mut self) {
-        let next = self.pause(self.scenario.requests_per_s);
-        self.plan(next, ScheduledEvent::Call);
-        let (chance, mark) = (self.chance(), self.rng.next_u64());
-        let n = self.popularity.draw(chance);
+    fn schedule_endpoint_change(&mut self) {
+        let interval = (SEC as f64 / self.scenario.endpoint_changes_per_s) as Micros;
+        self.schedule(interval, ScheduledEvent::EndpointChange);
+    }
+
+    fn receive_request(&mut self) {
+        let interval = self.request_interval();
+        self.schedule(interval, ScheduledEvent::Request);
+        let uniform = self.uniform();
+        let attributes = self.rng.next_u64();
+        let function = self.popularity.draw(uniform);
+        let first = self.functions_called.insert(function);
         self.counts.requests += 1;
-        let id = self.counts.requests;
-        let first = self.functions_called.insert(n);
         self.counts.first_requests += u64::from(first);
-        self.calls.insert(
+        let id = self.counts.requests;
+        let pending = PendingRequest {
+            function,
+            arrived_at: self.now,
+            first,
+            attempts: 0,
+        };
+        self.pending_requests.insert(id, pending);
+        let request = NewRequest {
             id,
-            Call {
-                function: n,
-                arrived: self.now,
-                first,
-                attempts: 0,
-            },
-        );
-        let (class, tenant) = ((mark % 2) as usize, Some((mark >> 8) as usize % 5));
-        let (left, load_time) = (4 * SEC, self.scenario.load_time);
-        let (memory_mb, lanes, retry, function) = (500.0, 4, false, n as u64);
-        self.feed(|| {
-            Event::Request(NewRequest {
-                id,
-                class,
-                tenant,
-                function,
-                time_left: left,
-                memory_mb,
-                concurrency: lanes,
-                load_time,
-                retry,
-            })
-        });
+            class: (attributes % CLASSES) as usize,
+            tenant: Some((attributes >> 8) as usize % TENANTS),
+            function: function as u64,
+            time_left: REQUEST_TIMEOUT,
+            memory_mb: REPLICA_MEMORY_MB,
+            concurrency: REPLICA_CONCURRENCY,
+            load_time: self.scenario.load_time,
+            retry: false,
+        };
+        self.handle(|| Event::Request(request));
     }
 
-    fn change(&mut self) {
-        self.plan(
-            (SEC as f64 / self.scenario.endpoint_changes_per_s) as Micros,
-            ScheduledEvent::Change,
-        );
-        if self.gone.take().is_some() {
-            let w = self.next_worker;
+    /// A worker leaves the list; at the next change a new one joins it.
+    fn change_endpoint(&mut self) {
+        self.schedule_endpoint_change();
+        if self.departed.take().is_some() {
+            let joined = self.next_worker;
             self.next_worker += 1;
-            self.listed.push(w);
-            let now = self.now;
-            return self.update_endpoints(false, &[w], WorkerState::Ready, now);
+            self.listed.push(joined);
+            self.update_endpoints(false, &[joined], WorkerState::Ready, self.now);
+            return;
         }
-        let at = self.rng.next_u64() as usize % self.listed.len();
-        let w = self.listed.swap_remove(at);
-        self.gone = Some(w);
-        self.update_endpoints(false, &[w], WorkerState::Gone, 0);
+        let position = self.rng.next_u64() as usize % self.listed.len();
+        let departed = self.listed.swap_remove(position);
+        self.departed = Some(departed);
+        self.update_endpoints(false, &[departed], WorkerState::Gone, 0);
     }
 
-    /// Whether a copy stands there: ours, or by the calls of the others, which go where ours go.
-    fn stands(&mut self, function: usize, worker: usize) -> bool {
-        if self
-            .warm
-            .get(&(function, worker))
-            .is_some_and(|&t| t > self.now)
-        {
-            return true;
+    fn end_attempt(&mut self, end: AttemptEnd) {
+        self.attempt_ends.remove(&(end.request, end.attempt));
+        let served = end.outcome == Outcome::Ok;
+        if served {
+            let request = self.pending_requests.remove(&end.request);
+            if let Some(request) = request.filter(|request| request.first) {
+                self.first_waits.push(end.sent_at - request.arrived_at);
+            }
         }
-        let peers = f64::from(self.scenario.front_ends.saturating_sub(1));
-        let others = if self.scenario.other_replicas_loaded && !self.emptied.contains(&worker) {
-            self.scenario.requests_per_s * peers
-        } else {
-            0.0
+        let result = AttemptResult {
+            id: end.request,
+            attempt: end.attempt,
+            outcome: end.outcome,
+            elapsed: self.now - end.sent_at,
+            request_closed: served,
+            replica_loaded: end.replica_loaded,
+            queue_depth: Some(0),
+            in_flight: Some(REPORTED_IN_FLIGHT),
         };
-        let rate =
-            others * self.popularity.share(function) * self.scenario.keep_alive as f64 / SEC as f64;
-        self.chance() < 1.0 - (-rate).exp()
+        self.handle(|| Event::AttemptEnded(result));
     }
 
-    /// Gives the module an event and does what it asks for. What it allocates and frees is counted, with
-    /// the event made for it and what it asks for let go.
-    fn feed(&mut self, event: impl FnOnce() -> Event) {
-        let (mut slot, mut took, mut inside) = (0, 0, AllocationInfo::default());
+    fn end_load_order(&mut self, end: LoadOrderEnd) {
+        if end.replicas > 0 {
+            let replica = (end.function as usize, end.worker);
+            let until = self.now + self.scenario.keep_alive;
+            self.loaded_until.insert(replica, until);
+        }
+        let elapsed = self.now - end.sent_at;
+        self.handle(|| Event::LoadOrderEnded {
+            worker: worker_name(end.worker),
+            function: end.function,
+            replicas: end.replicas,
+            outcome: end.outcome,
+            elapsed,
+        });
+    }
+
+    /// Gives the policy an event and performs its actions. What it allocates and frees is counted, together with the
+    /// event that is made for it and the actions that are let go.
+    fn handle(&mut self, make_event: impl FnOnce() -> Event) {
+        let mut nanoseconds = 0;
+        let mut within_policy = AllocationInfo::default();
         let all = measure(|| {
-            let event = event();
-            slot = match event {
-                Event::Request(_) => 0,
-                Event::AttemptEnded(_) => 1,
-                Event::Timer { .. } | Event::RequestCancelled { .. } => 2,
-                Event::EndpointUpdate { .. } => 3,
-                Event::LoadOrderEnded { .. } => 4,
-            };
-            let (controller, out, now) = (&mut self.controller, &mut self.out, self.now);
-            inside = measure(|| {
+            let event = make_event();
+            let kind = time_of_kind(&mut self.handling_times, &event);
+            let (controller, actions, now) = (&mut self.controller, &mut self.actions, self.now);
+            within_policy = measure(|| {
                 let start = Instant::now();
-                controller.handle(now, event, out);
-                took = start.elapsed().as_nanos() as u64;
+                controller.handle(now, event, actions);
+                nanoseconds = start.elapsed().as_nanos() as u64;
             });
-            self.todo.extend(self.out.drain(..).map(PolicyAction::from));
+            *kind += nanoseconds;
+            let actions = self.actions.drain(..).map(PolicyAction::from);
+            self.pending_actions.extend(actions);
         });
-        let s = &mut self.handling_times;
-        *[
-            &mut s.requests,
-            &mut s.attempt_results,
-            &mut s.timers,
-            &mut s.endpoint_updates,
-            &mut s.load_results,
-        ][slot] += took;
-        self.handling_times.longest = self.handling_times.longest.max(took);
+        self.handling_times.longest = self.handling_times.longest.max(nanoseconds);
         self.counts.events += 1;
-        self.counts.allocations += inside.count_total;
-        self.counts.allocated_bytes += inside.bytes_total;
+        self.counts.allocations += within_policy.count_total;
+        self.counts.allocated_bytes += within_policy.bytes_total;
         self.counts.held_bytes += all.bytes_current;
-        let todo = std::mem::take(&mut self.todo);
-        todo.iter().for_each(|t| self.act(*t));
-        self.todo = todo;
-        self.todo.clear();
+        let mut actions = std::mem::take(&mut self.pending_actions);
+        for action in actions.drain(..) {
+            self.perform(action);
+        }
+        self.pending_actions = actions;
     }
 
-    fn act(&mut self, todo: PolicyAction) {
-        match todo {
-            PolicyAction::Send(id, w) => self.attempt(id, w),
-            PolicyAction::Cancel(id, attempt) => {
-                self.counts.cancels += 1;
-                if let Some(key) = self.ends.remove(&(id, attempt)) {
-                    if let Some(ScheduledEvent::End { since, .. }) = self.due.remove(&key) {
-                        let end = ScheduledEvent::End {
-                            id,
-                            attempt,
-                            outcome: Outcome::Cancelled,
-                            since,
-                            warm: None,
-                        };
-                        let key = self.plan(0, end);
-                        self.ends.insert((id, attempt), key);
-                    }
-                }
-            }
-            PolicyAction::Refuse(id) => {
+    fn perform(&mut self, action: PolicyAction) {
+        match action {
+            PolicyAction::Send { request, worker } => self.send_attempt(request, worker),
+            PolicyAction::Cancel { request, attempt } => self.cancel_attempt(request, attempt),
+            PolicyAction::Reject(request) => {
                 self.counts.rejected += 1;
-                let first = self.calls.remove(&id).is_some_and(|c| c.first);
+                let pending = self.pending_requests.remove(&request);
+                let first = pending.is_some_and(|pending| pending.first);
                 self.counts.first_rejected += u64::from(first);
             }
-            PolicyAction::Fail(id) => {
+            PolicyAction::Fail(request) => {
                 self.counts.failed += 1;
-                self.calls.remove(&id);
-            }
-            PolicyAction::Timer(delay, token) => {
-                self.plan(delay, ScheduledEvent::Timer(token));
+                self.pending_requests.remove(&request);
             }
-            PolicyAction::Load(worker, function, wanted) => {
-                let since = self.now;
-                let f = function as usize;
-                self.log
-                    .iter_mut()
-                    .for_each(|l| l.push((since, worker, false)));
-                if wanted > 0 {
-                    self.counts.load_orders += 1
-                } else {
-                    self.counts.queries += 1
-                }
-                if self.away.contains(&worker) {
-                    let (count, outcome) = (0, Outcome::ConnectFailed);
-                    self.plan(
-                        AWAY,
-                        ScheduledEvent::Answer {
-                            worker,
-                            function,
-                            count,
-                            outcome,
-                            since,
-                        },
-                    );
-                    return;
-                }
-                let stands = self.stands(f, worker);
-                let took = if wanted > 0 && !stands {
-                    self.scenario.load_time
-                } else {
-                    0
-                } + MS;
-                let count = if wanted > 0 {
-                    wanted
-                } else {
-                    u32::from(stands)
-                };
-                self.plan(
-                    took,
-                    ScheduledEvent::Answer {
-                        worker,
-                        function,
-                        count,
-                        outcome: Outcome::Ok,
-                        since,
-                    },
-                );
+            PolicyAction::Timer { delay, token } => {
+                self.schedule(delay, ScheduledEvent::Timer(token));
             }
-            PolicyAction::Drop(worker, function) => {
+            PolicyAction::Load {
+                worker,
+                function,
+                replicas,
+            } => self.send_load_order(worker, function, replicas),
+            PolicyAction::Unload { worker, function } => {
                 self.counts.unloads += 1;
-                self.warm.remove(&(function as usize, worker));
+                self.loaded_until.remove(&(function as usize, worker));
             }
-            PolicyAction::Other => {}
+            PolicyAction::Ignored => {}
         }
     }
 
-    fn attempt(&mut self, id: RequestId, w: usize) {
-        self.counts.attempts += 1;
-        let now = self.now;
-        self.log.iter_mut().for_each(|l| l.push((now, w, true)));
-        let Some(call) = self.calls.get_mut(&id) else {
+    fn cancel_attempt(&mut self, request: RequestId, attempt: usize) {
+        self.counts.cancels += 1;
+        let Some(key) = self.attempt_ends.remove(&(request, attempt)) else {
             return;
         };
-        let (f, attempt, since) = (call.function, call.attempts, self.now);
-        call.attempts += 1;
-        if self.away.contains(&w) {
-            self.counts.unreachable += 1;
-            let end = ScheduledEvent::End {
-                id,
-                attempt,
-                outcome: Outcome::ConnectFailed,
-                since,
-                warm: None,
+        if let Some(ScheduledEvent::AttemptEnd(end)) = self.scheduled.remove(&key) {
+            let cancelled = AttemptEnd {
+                outcome: Outcome::Cancelled,
+                replica_loaded: None,
+                ..end
             };
-            let key = self.plan(AWAY, end);
-            self.ends.insert((id, attempt), key);
-            return;
+            self.schedule_attempt_end(0, cancelled);
         }
-        let stands = self.stands(f, w);
-        let miss = !stands && !self.scenario.load_on_demand;
-        self.counts.loads_begun += u64::from(!stands);
-        let service = (25.0 + 50.0 * self.chance()) as Micros * MS;
-        let load = if stands { 0 } else { self.scenario.load_time };
-        let (outcome, took) = if miss {
-            (Outcome::NotLoaded, MS)
-        } else {
-            (Outcome::Ok, MS + service + load)
-        };
-        if !miss {
-            self.warm
-                .insert((f, w), self.now + took + self.scenario.keep_alive);
-        }
-        let key = self.plan(
-            took,
-            ScheduledEvent::End {
-                id,
-                attempt,
-                outcome,
-                since,
-                warm: (!miss).then_some(stands),
-            },
-        );
-        self.ends.insert((id, attempt), key);
     }
 }
 
-impl SimulatedFrontEnd {
-    /// Functions that this front end has called.
-    pub fn functions_called(&self) -> usize {
-        self.functions_called.len()
+/// The time that an event of this kind adds to.
+fn time_of_kind<'a>(times: &'a mut HandlingTimes, event: &Event) -> &'a mut u64 {
+    match event {
+        Event::Request(_) => &mut times.requests,
+        Event::AttemptEnded(_) => &mut times.attempt_results,
+        Event::Timer { .. } | Event::RequestCancelled { .. } => &mut times.timers,
+        Event::EndpointUpdate { .. } => &mut times.endpoint_updates,
+        Event::LoadOrderEnded { .. } => &mut times.load_results,
     }
 }
--- a/scalelab/src/simulated_front_end/popularity.rs
+++ b/scalelab/src/simulated_front_end/popularity.rs
@@ -1,32 +1,39 @@
-//! How the calls fall on the functions.
+//! How requests are distributed over the functions.
 use super::Scenario;
 
-/// How the calls fall on the functions.
+/// Cumulative shares of the functions, by rank; the last is 1.
 pub struct FunctionPopularity(Vec<f64>);
 
 impl FunctionPopularity {
+    /// The distribution that a scenario asks for.
     pub fn new(scenario: &Scenario) -> FunctionPopularity {
-        let mut sum = 0.0;
-        let part = |n: usize| {
-            (n as f64 + 1.0 + scenario.popularity_offset).powf(-scenario.popularity_exponent)
+        let weight = |rank: usize| {
+            (rank as f64 + 1.0 + scenario.popularity_offset).powf(-scenario.popularity_exponent)
         };
-        let mut sums: Vec<f64> = (0..scenario.functions)
-            .map(|n| {
-                sum += part(n);
-                sum
-            })
-            .collect();
-        sums.iter_mut().for_each(|s| *s /= sum);
-        FunctionPopularity(sums)
+        let mut total = 0.0;
+        let mut cumulative = Vec::with_capacity(scenario.functions);
+        for rank in 0..scenario.functions {
+            total += weight(rank);
+            cumulative.push(total);
+        }
+        for sum in &mut cumulative {
+            *sum /= total;
+        }
+        FunctionPopularity(cumulative)
     }
 
-    pub(super) fn draw(&self, chance: f64) -> usize {
-        self.0
-            .partition_point(|&s| s <= chance)
-            .min(self.0.len() - 1)
+    /// The function that a uniform number from 0 to 1 selects.
+    pub(super) fn draw(&self, uniform: f64) -> usize {
+        let function = self.0.partition_point(|&sum| sum <= uniform);
+        function.min(self.0.len() - 1)
     }
 
-    pub fn share(&self, n: usize) -> f64 {
-        self.0[n] - if n == 0 { 0.0 } else { self.0[n - 1] }
+    /// The part of all requests that this function has.
+    pub fn share(&self, function: usize) -> f64 {
+        let before = match function {
+            0 => 0.0,
+            _ => self.0[function - 1],
+        };
+        self.0[function] - before
     }
 }
--- a/scalelab/src/simulated_front_end/scenario.rs
+++ b/scalelab/src/simulated_front_end/scenario.rs
@@ -1,32 +1,42 @@
-//! What is varied, one at a time.
-use super::{name, AWAY, MS, SEC};
+//! What a simulated front end plays: the size of the fleet, the traffic and the settings that experiments vary.
+use super::{worker_name, CONNECT_TIMEOUT, MS, SEC, TENANTS};
 use wrenseam_policy::{
     ClassSettings, Endpoint, Idempotency, KeyScope, Micros, Settings, TenantSettings, WorkerState,
 };
 
-/// What is varied, one at a time.
+/// Workers that share a cell.
+const WORKERS_PER_CELL: usize = 6;
+
+/// What experiments vary, one at a time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
+    /// Front ends that share the workers.
     pub front_ends: u32,
+    /// Workers in the endpoint list.
     pub workers: usize,
+    /// Functions that clients call.
     pub functions: usize,
-    /// Calls a second at this front end; all others together have the same each.
+    /// Requests a second at this front end; each of the others has as many.
     pub requests_per_s: f64,
+    /// Zones that the workers are spread over.
     pub zones: usize,
-    /// List changes a second: a worker goes, and the next time a new one comes.
+    /// Endpoint list changes a second: a worker leaves, and at the next change a new one joins.
     pub endpoint_changes_per_s: f64,
-    /// FunctionPopularity of the n-th function is (n + offset) to the power of -exponent.
+    /// The weight of the n-th function is (n + `popularity_offset`) to the power of minus this.
     pub popularity_exponent: f64,
+    /// Added to the rank of each function.
     pub popularity_offset: f64,
+    /// How long an idle replica stays loaded.
     pub keep_alive: Micros,
-    /// How long a copy takes to load.
+    /// How long a replica takes to load.
     pub load_time: Micros,
-    /// Workers load what they lack for a call, else they answer with a miss and only orders load.
+    /// Workers load a function for a request; else they answer that it is not loaded and only orders load.
     pub load_on_demand: bool,
-    /// Calls a second that the tenants' shares allow together, over all front ends.
+    /// Requests a second that the tenants' quotas allow together, over all front ends.
     pub quota_per_s: f64,
-    /// Whether the other front ends' calls keep copies standing; else each function stands where we had it loaded alone.
+    /// Whether the other front ends' requests keep replicas loaded; else only this front end's requests do.
     pub other_replicas_loaded: bool,
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
@@ -52,17 +62,18 @@
 }
 
 impl Scenario {
+    /// The settings of the policy.
     pub fn settings(&self) -> Settings {
-        let class = |effect, aim| ClassSettings {
-            idempotency: effect,
+        let class = |idempotency, latency_objective| ClassSettings {
+            idempotency,
             key_scope: KeyScope::Zone,
             key_memory: 5 * SEC,
-            latency_objective: aim,
+            latency_objective,
             priority_weight: 1.0,
             ..ClassSettings::default()
         };
         let tenant = |_| TenantSettings {
-            quota_per_s: self.quota_per_s / 5.0,
+            quota_per_s: self.quota_per_s / TENANTS as f64,
             ..TenantSettings::default()
         };
         Settings {
@@ -73,8 +84,8 @@
                 class(Idempotency::Keyed, 400 * MS),
             ],
             longest_wait: 5 * SEC,
-            tenants: (0..5).map(tenant).collect(),
-            zones: (0..self.zones).map(|z| format!("z{z}")).collect(),
+            tenants: (0..TENANTS).map(tenant).collect(),
+            zones: (0..self.zones).map(|zone| format!("z{zone}")).collect(),
             kinds: vec!["std".into()],
             over_quota_weight: 0.1,
             kind_memory_mb: vec![8192.0],
@@ -89,7 +100,7 @@
             cancellation: true,
             hedging: true,
             max_retry_after: SEC,
-            connect_timeout: AWAY,
+            connect_timeout: CONNECT_TIMEOUT,
             connection_idle_timeout: 15 * SEC,
             streams_per_connection: 100,
             slow_start_from: 0.3,
@@ -100,14 +111,15 @@
         }
     }
 
-    pub fn entry(&self, n: usize, state: WorkerState, started_at: Micros) -> Endpoint {
+    /// An entry of the endpoint list.
+    pub fn endpoint(&self, index: usize, state: WorkerState, started_at: Micros) -> Endpoint {
         Endpoint {
-            worker: name(n),
+            worker: worker_name(index),
             state,
             started_at,
-            zone: Some(n % self.zones.max(1)),
+            zone: Some(index % self.zones.max(1)),
             kind: 0,
-            cell: Some((n / 6) as u64),
+            cell: Some((index / WORKERS_PER_CELL) as u64),
         }
     }
 }
--- a/scalelab/src/simulated_front_end/schedule.rs
+++ b/scalelab/src/simulated_front_end/schedule.rs
@@ -1,55 +1,104 @@
-//! What is due, and what the module asked for.
-use super::number;
+//! What is scheduled on simulated time, and what the policy asked for, without heap data.
+use super::worker_index;
 use wrenseam_policy::{Action, FunctionId, Micros, Outcome, RequestId};
 
+/// Position in the schedule: the time, and a serial number that keeps the order among events of one time.
+pub(super) type ScheduleKey = (Micros, u64);
+
+/// An attempt, by its request and its number within it.
+pub(super) type AttemptKey = (RequestId, usize);
+
+/// The end of an attempt.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct AttemptEnd {
+    pub(super) request: RequestId,
+    pub(super) attempt: usize,
+    pub(super) outcome: Outcome,
+    pub(super) sent_at: Micros,
+    /// Whether the worker had the function loaded; `None` where it did not serve the attempt.
+    pub(super) replica_loaded: Option<bool>,
+}
+
+/// The answer to a load order, or to a query (an order of no replicas).
+#[derive(Clone, Copy, Debug)]
+pub(super) struct LoadOrderEnd {
+    pub(super) worker: usize,
+    pub(super) function: FunctionId,
+    pub(super) replicas: u32,
+    pub(super) outcome: Outcome,
+    pub(super) sent_at: Micros,
+}
+
+/// What happens at a scheduled time.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ScheduledEvent {
+    /// A timer of the policy, with its token.
     Timer(u64),
-    Call,
-    Change,
-    End {
-        id: RequestId,
-        attempt: usize,
-        outcome: Outcome,
-        since: Micros,
-        warm: Option<bool>,
-    },
-    Answer {
-        worker: usize,
-        function: FunctionId,
-        count: u32,
-        outcome: Outcome,
-        since: Micros,
-    },
+    /// The next client request arrives.
+    Request,
+    /// The endpoint list changes.
+    EndpointChange,
+    AttemptEnd(AttemptEnd),
+    LoadOrderEnd(LoadOrderEnd),
 }
 
+/// An action of the policy, with workers by index.
 #[derive(Clone, Copy)]
 pub(super) enum PolicyAction {
-    Send(RequestId, usize),
-    Cancel(RequestId, usize),
-    Refuse(RequestId),
+    Send {
+        request: RequestId,
+        worker: usize,
+    },
+    Cancel {
+        request: RequestId,
+        attempt: usize,
+    },
+    Reject(RequestId),
     Fail(RequestId),
-    Timer(Micros, u64),
-    Load(usize, FunctionId, u32),
-    Drop(usize, FunctionId),
-    Other,
+    Timer {
+        delay: Micros,
+        token: u64,
+    },
+    Load {
+        worker: usize,
+        function: FunctionId,
+        replicas: u32,
+    },
+    Unload {
+        worker: usize,
+        function: FunctionId,
+    },
+    Ignored,
 }
 
 impl From<Action> for PolicyAction {
     fn from(action: Action) -> PolicyAction {
         match action {
-            Action::Send { id, worker, .. } => PolicyAction::Send(id, number(&worker)),
-            Action::Cancel { id, attempt } => PolicyAction::Cancel(id, attempt),
-            Action::Reject { id, .. } => PolicyAction::Refuse(id),
+            Action::Send { id, worker, .. } => PolicyAction::Send {
+                request: id,
+                worker: worker_index(&worker),
+            },
+            Action::Cancel { id, attempt } => PolicyAction::Cancel {
+                request: id,
+                attempt,
+            },
+            Action::Reject { id, .. } => PolicyAction::Reject(id),
             Action::Fail { id } => PolicyAction::Fail(id),
-            Action::Timer { delay, token } => PolicyAction::Timer(delay, token),
+            Action::Timer { delay, token } => PolicyAction::Timer { delay, token },
             Action::Load {
                 worker,
                 function,
-                replicas: count,
-            } => PolicyAction::Load(number(&worker), function, count),
-            Action::Unload { worker, function } => PolicyAction::Drop(number(&worker), function),
-            Action::WatchEndpoints | Action::Log { .. } => PolicyAction::Other,
+                replicas,
+            } => PolicyAction::Load {
+                worker: worker_index(&worker),
+                function,
+                replicas,
+            },
+            Action::Unload { worker, function } => PolicyAction::Unload {
+                worker: worker_index(&worker),
+                function,
+            },
+            Action::WatchEndpoints | Action::Log { .. } => PolicyAction::Ignored,
         }
     }
 }
--- a/scalelab/src/slow_start_senders.rs
+++ b/scalelab/src/slow_start_senders.rs
@@ -2,7 +2,7 @@
 //! them refuses.
 use crate::policy_scaling::{base, describe};
 use crate::simulated_front_end::{
-    FunctionPopularity, Scenario, SimulatedFrontEnd, MS, SEC, START_TIME,
+    FunctionPopularity, Scenario, SentMessage, SimulatedFrontEnd, MS, SEC, START_TIME,
 };
 use crate::{Column, Experiment, Sweep};
 use std::rc::Rc;
@@ -75,12 +75,19 @@
     Column { name, exact: true }
 }
 
-/// What was sent to the workers of `cold` since they started, in order.
-fn sent(fronts: &mut [SimulatedFrontEnd], cold: &[usize], started: Micros) -> Vec<Micros> {
-    let logs = fronts.iter_mut().filter_map(|f| f.log.take()).flatten();
-    let mut times: Vec<_> = logs
-        .filter(|(_, w, call)| *call && cold.contains(w))
-        .map(|l| l.0 - started)
+/// Times of the attempts sent to these workers since they started, in order.
+fn attempt_times(
+    front_ends: &mut [SimulatedFrontEnd],
+    workers: &[usize],
+    started: Micros,
+) -> Vec<Micros> {
+    let logs = front_ends
+        .iter_mut()
+        .filter_map(|front_end| front_end.sent_log.take());
+    let mut times: Vec<Micros> = logs
+        .flatten()
+        .filter(|sent| sent.message == SentMessage::Attempt && workers.contains(&sent.worker))
+        .map(|sent| sent.at - started)
         .collect();
     times.sort_unstable();
     times
@@ -135,11 +142,11 @@
             .collect();
         for front in &mut fronts {
             front.update_endpoints(false, &[0], WorkerState::Ready, START_TIME);
-            front.log = Some(Vec::new());
+            front.sent_log = Some(Vec::new());
             front.run(SHOWN * SEC);
         }
         let (times, within) = (
-            sent(&mut fronts, &[0], START_TIME),
+            attempt_times(&mut fronts, &[0], START_TIME),
             scenario.settings().slow_start_duration,
         );
         let cold = times.iter().filter(|&&t| t < within).count() as f64;
@@ -184,23 +191,23 @@
         let zone: Vec<usize> = (0..WORKERS).filter(|w| w % scenario.zones == 0).collect();
         for front in &mut fronts {
             front.run(20 * SEC);
-            front.log = Some(Vec::new());
+            front.sent_log = Some(Vec::new());
             front.run(10 * SEC);
         }
-        let usual = sent(&mut fronts, &zone, START_TIME + 20 * SEC).len() as f64 / 10.0;
+        let usual = attempt_times(&mut fronts, &zone, START_TIME + 20 * SEC).len() as f64 / 10.0;
         let started = START_TIME + 30 * SEC;
         let mut refused = 0;
         for front in &mut fronts {
             front.disconnect_workers(&zone);
             front.reconnect_workers(&zone);
             front.update_endpoints(false, &zone, WorkerState::Ready, started);
-            front.log = Some(Vec::new());
+            front.sent_log = Some(Vec::new());
             let before = front.counts.rejected + front.counts.failed;
             front.run(SHOWN * SEC);
             refused += front.counts.rejected + front.counts.failed - before;
         }
         let (times, within) = (
-            sent(&mut fronts, &zone, started),
+            attempt_times(&mut fronts, &zone, started),
             scenario.settings().slow_start_duration,
         );
         let cold = times.iter().filter(|&&t| t < within).count() as f64 / (within / SEC) as f64;
