--- a/scalelab/src/harness/discovery_service.rs
+++ b/scalelab/src/harness/discovery_service.rs
@@ -1,5 +1,5 @@
-//! A stand-in notice discovery.
-use super::{failed, lock, thread};
+//! A stand-in discovery service: a watch stream of endpoint events over HTTP.
+use super::{failed, lock, spawn_thread, WatchEvent};
 use crate::ExperimentError;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,149 +7,166 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-/// A stand-in notice discovery.
+/// A watcher that nothing is sent to gets a comment line this often.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+
+/// A discovery service that counts what its watchers read.
 pub struct DiscoveryService {
+    /// Where watchers connect.
     pub address: SocketAddr,
     state: Arc<ServiceState>,
 }
 
 #[derive(Default)]
 struct ServiceState {
-    told: Mutex<EndpointFeed>,
+    feed: Mutex<EventFeed>,
     changed: Condvar,
-    /// Bytes of events, events and calls so far.
-    bytes: AtomicU64,
-    events: AtomicU64,
-    calls: AtomicU64,
-    /// Calls that were ended at once, while it was down.
-    rejected_connections: AtomicU64,
+    bytes_sent: AtomicU64,
+    events_sent: AtomicU64,
+    watches: AtomicU64,
+    /// Watches that were ended at once, while the service was down.
+    rejected: AtomicU64,
 }
 
 #[derive(Default)]
-struct EndpointFeed {
-    /// Numbers and texts of what a caller is told that is behind.
-    events: Vec<(u64, Arc<str>)>,
+struct EventFeed {
+    /// What a watcher that is behind is sent.
+    events: Vec<Arc<WatchEvent>>,
     /// Raised when all connections are to end.
-    cut: u64,
+    interruptions: u64,
     down: bool,
 }
 
+impl EventFeed {
+    fn after(&self, revision: u64) -> Vec<Arc<WatchEvent>> {
+        let later = self.events.iter().filter(|event| event.revision > revision);
+        later.cloned().collect()
+    }
+}
+
 impl DiscoveryService {
-    /// Starts it with these events to tell.
+    /// Starts it with these events to send.
     ///
     /// # Errors
     /// No port or thread can be had.
-    pub fn start(events: Vec<(u64, String)>) -> Result<DiscoveryService, ExperimentError> {
+    pub fn start(events: Vec<WatchEvent>) -> Result<DiscoveryService, ExperimentError> {
         let listener = TcpListener::bind("127.0.0.1:0").map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?;
-        let events = events
-            .into_iter()
-            .map(|(rev, text)| (rev, text.into()))
-            .collect();
-        let told = Mutex::new(EndpointFeed {
-            events,
-            ..EndpointFeed::default()
-        });
-        let state = Arc::new(ServiceState {
-            told,
-            ..ServiceState::default()
-        });
-        let of = state.clone();
-        thread(move || {
+        let state = Arc::new(ServiceState::default());
+        lock(&state.feed).events = events.into_iter().map(Arc::new).collect();
+        let accepting = state.clone();
+        spawn_thread(move || {
             for stream in listener.incoming().flatten() {
-                let of = of.clone();
-                let _ = thread(move || drop(of.serve(stream)));
+                let serving = accepting.clone();
+                let _ = spawn_thread(move || drop(serving.serve(stream)));
             }
         })?;
         Ok(DiscoveryService { address, state })
     }
 
-    /// Tells one more event.
-    pub fn tell(&self, rev: u64, text: String) {
-        lock(&self.state.told).events.push((rev, text.into()));
+    /// Sends one more event.
+    pub fn publish(&self, event: WatchEvent) {
+        lock(&self.state.feed).events.push(Arc::new(event));
         self.state.changed.notify_all();
     }
 
-    /// Ends all connections and takes none wait_until it is up again; from then on whoever is behind is told `instead`.
-    pub fn cut(&self, instead: Vec<(u64, String)>) {
-        let mut told = lock(&self.state.told);
-        told.events = instead
-            .into_iter()
-            .map(|(rev, text)| (rev, text.into()))
-            .collect();
-        (told.cut, told.down) = (told.cut + 1, true);
+    /// Ends all connections and takes none until [`DiscoveryService::restore`]; from then on a watcher that is behind
+    /// is sent these events instead.
+    pub fn interrupt(&self, events: Vec<WatchEvent>) {
+        let mut feed = lock(&self.state.feed);
+        feed.events = events.into_iter().map(Arc::new).collect();
+        feed.interruptions += 1;
+        feed.down = true;
         self.state.changed.notify_all();
     }
 
     /// Takes connections again.
-    pub fn up(&self) {
-        lock(&self.state.told).down = false;
+    pub fn restore(&self) {
+        lock(&self.state.feed).down = false;
     }
 
-    /// Bytes of events written so far, all callers together.
+    /// Bytes of events sent so far, to all watchers together.
     pub fn bytes(&self) -> u64 {
-        self.state.bytes.load(Ordering::Relaxed)
+        self.state.bytes_sent.load(Ordering::Relaxed)
     }
 
-    /// Events written so far.
+    /// Events sent so far.
     pub fn events(&self) -> u64 {
-        self.state.events.load(Ordering::Relaxed)
+        self.state.events_sent.load(Ordering::Relaxed)
     }
 
-    /// Calls that it ended at once, as it was down.
-    pub fn rejected_connections(&self) -> u64 {
-        self.state.rejected_connections.load(Ordering::Relaxed)
+    /// Watches that were ended at once, as the service was down.
+    pub fn rejected(&self) -> u64 {
+        self.state.rejected.load(Ordering::Relaxed)
     }
 
-    /// Calls that it took.
-    pub fn calls(&self) -> u64 {
-        self.state.calls.load(Ordering::Relaxed)
+    /// Watches that were served.
+    pub fn watches(&self) -> u64 {
+        self.state.watches.load(Ordering::Relaxed)
+    }
+}
+
+/// Reads a request's head; the number of the last event that the watcher has.
+fn last_event_id(stream: &TcpStream) -> std::io::Result<Option<u64>> {
+    let mut last = 0;
+    let mut head = BufReader::new(stream.try_clone()?);
+    loop {
+        let mut line = String::new();
+        if head.read_line(&mut line)? == 0 {
+            return Ok(None);
+        }
+        if let Some(id) = line.strip_prefix("Last-Event-ID: ") {
+            last = id.trim().parse().unwrap_or(0);
+        }
+        if line.trim().is_empty() {
+            return Ok(Some(last));
+        }
     }
 }
 
 impl ServiceState {
     fn serve(&self, mut stream: TcpStream) -> std::io::Result<()> {
-        let (mut at, mut head) = (0, BufReader::new(stream.try_clone()?));
-        let cut = lock(&self.told).cut;
-        loop {
-            let mut line = String::new();
-            if head.read_line(&mut line)? == 0 {
-                return Ok(());
-            }
-            if let Some(last) = line.strip_prefix("Last-Event-ID: ") {
-                at = last.trim().parse().unwrap_or(0);
-            }
-            if line.trim().is_empty() {
-                break;
-            }
-        }
-        if lock(&self.told).down {
-            self.rejected_connections.fetch_add(1, Ordering::Relaxed);
+        let interruptions = lock(&self.feed).interruptions;
+        let Some(mut revision) = last_event_id(&stream)? else {
+            return Ok(());
+        };
+        if lock(&self.feed).down {
+            self.rejected.fetch_add(1, Ordering::Relaxed);
             return stream.shutdown(Shutdown::Both);
         }
-        self.calls.fetch_add(1, Ordering::Relaxed);
+        self.watches.fetch_add(1, Ordering::Relaxed);
         stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n")?;
-        loop {
-            let mut told = lock(&self.told);
-            if told.cut == cut && !told.events.iter().any(|e| e.0 > at) {
-                let wait = self.changed.wait_timeout(told, Duration::from_secs(1));
-                told = wait.unwrap_or_else(PoisonError::into_inner).0;
-            }
-            if told.cut != cut {
-                return stream.shutdown(Shutdown::Both);
-            }
-            let due: Vec<_> = told.events.iter().filter(|e| e.0 > at).cloned().collect();
-            drop(told);
-            if due.is_empty() {
+        while let Some(events) = self.wait_for_events(interruptions, revision) {
+            if events.is_empty() {
                 stream.write_all(b":\n\n")?;
             }
-            for (rev, text) in due {
-                let text = format!("id: {rev}\ndata: {text}\n\n");
-                stream.write_all(text.as_bytes())?;
-                self.bytes.fetch_add(text.len() as u64, Ordering::Relaxed);
-                self.events.fetch_add(1, Ordering::Relaxed);
-                at = rev;
+            for event in events {
+                self.send(&mut stream, &event)?;
+                revision = event.revision;
             }
         }
+        stream.shutdown(Shutdown::Both)
+    }
+
+    /// The events after this one, none after a heartbeat interval; `None` once the stream is to end.
+    fn wait_for_events(&self, interruptions: u64, revision: u64) -> Option<Vec<Arc<WatchEvent>>> {
+        let mut feed = lock(&self.feed);
+        if feed.interruptions == interruptions && feed.after(revision).is_empty() {
+            let waited = self.changed.wait_timeout(feed, HEARTBEAT_INTERVAL);
+            feed = waited.unwrap_or_else(PoisonError::into_inner).0;
+        }
+        if feed.interruptions != interruptions {
+            return None;
+        }
+        Some(feed.after(revision))
+    }
+
+    fn send(&self, stream: &mut TcpStream, event: &WatchEvent) -> std::io::Result<()> {
+        let text = format!("id: {}\ndata: {}\n\n", event.revision, event.body);
+        stream.write_all(text.as_bytes())?;
+        self.bytes_sent
+            .fetch_add(text.len() as u64, Ordering::Relaxed);
+        self.events_sent.fetch_add(1, Ordering::Relaxed);
+        Ok(())
     }
 }
--- a/scalelab/src/harness/front_end_options.rs
+++ b/scalelab/src/harness/front_end_options.rs
@@ -1,45 +1,55 @@
-//! What one front end is told at its start.
-use super::watch_events::ZONES;
+//! How a front end process is configured.
+use super::watch_events::{WatchEvent, ZONES};
 use super::{CLASS, FRONT_ENDS};
 use std::net::SocketAddr;
 
-/// What one front end is told at its start.
+/// Limit of descriptors unless an experiment names another.
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
+
+/// The configuration of one front end process, as far as experiments vary it.
 pub struct FrontEndOptions {
-    /// The events of the list that stand in its configuration, and the number of the last.
-    pub known: (u64, Vec<String>),
-    /// The notice discovery.
+    /// The watch events that its configuration contains.
+    pub known_events: Vec<WatchEvent>,
+    /// The discovery service.
     pub discovery: Option<SocketAddr>,
-    /// How many front ends share the workers, and which this is.
+    /// Front ends that share the workers.
     pub front_ends: usize,
+    /// Which of these front ends this is.
     pub index: usize,
     /// Its limit of descriptors.
     pub max_descriptors: usize,
-    /// The whole of the fleet's file, where it is on.
+    /// The text of its fleet configuration file, where gossip is on.
     pub fleet: Option<String>,
+    /// Seed of its random numbers.
     pub seed: u64,
 }
 
 impl Default for FrontEndOptions {
     fn default() -> Self {
-        let (known, discovery, fleet) = ((0, Vec::new()), None, None);
         FrontEndOptions {
-            known,
-            discovery,
+            known_events: Vec::new(),
+            discovery: None,
             front_ends: FRONT_ENDS,
             index: 0,
-            max_descriptors: 1024,
-            fleet,
+            max_descriptors: DEFAULT_MAX_DESCRIPTORS,
+            fleet: None,
             seed: 1,
         }
     }
 }
 
 impl FrontEndOptions {
+    /// The configuration file.
     pub(super) fn config(&self) -> String {
-        let (rev, notices) = &self.known;
+        let rev = self.known_events.last().map_or(0, |event| event.revision);
+        let notices: Vec<&str> = self
+            .known_events
+            .iter()
+            .map(|event| event.body.as_str())
+            .collect();
         let board = self
             .discovery
-            .map_or(String::new(), |b| format!(r#""board":"{b}","#));
+            .map_or(String::new(), |address| format!(r#""board":"{address}","#));
         format!(
             r#"{{"name":"n{index}","listen":"127.0.0.1:0","seed":"{seed:x}",{board}"limits":{{"memory_mb":192,"sockets":{sockets}}},
             "known":{{"rev":{rev},"notices":[{notices}]}},
--- a/scalelab/src/harness/inference_client.rs
+++ b/scalelab/src/harness/inference_client.rs
@@ -1,27 +1,32 @@
-//! v2 clients.
+//! A client of the v2 inference protocol.
 use super::CLASS;
-use std::io::{Read, Write};
+use std::io::{Error, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// A kept connection of a v2 client.
+/// Longest wait for an answer.
+const READ_TIMEOUT: Duration = Duration::from_secs(5);
+/// Odd, so that request numbers give different ids that look random (2^64 divided by the golden ratio).
+const ID_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
+
+/// Requests numbered so far: each has an id of its own.
+static REQUESTS: AtomicU64 = AtomicU64::new(0);
+
+/// A persistent connection of a v2 client.
 pub struct InferenceClient {
     stream: TcpStream,
 }
 
-/// Calls numbered so far: each has an id of its own.
-static CALLS: AtomicU64 = AtomicU64::new(0);
-
 impl InferenceClient {
-    /// Connects to the v2 front.
+    /// Connects to the v2 listener.
     ///
     /// # Errors
     /// No connection comes up.
     pub fn connect(to: SocketAddr) -> std::io::Result<InferenceClient> {
         let stream = TcpStream::connect(to)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(Duration::from_secs(5)))?;
+        stream.set_read_timeout(Some(READ_TIMEOUT))?;
         Ok(InferenceClient { stream })
     }
 
@@ -30,39 +35,49 @@
     /// # Errors
     /// The connection ends before a whole answer.
     pub fn call(&mut self, function: u64, load: Duration) -> std::io::Result<u16> {
-        let id = (CALLS.fetch_add(1, Ordering::Relaxed) + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        let number = REQUESTS.fetch_add(1, Ordering::Relaxed) + 1;
+        let id = number.wrapping_mul(ID_MULTIPLIER);
         let body = format!(
             r#"{{"id":"{id:016x}","parameters":{{"class":"{CLASS}","tenant":"acme","wait_ms":3000,"memory_mb":500,"lanes":4,"load_ms":{}}},"inputs":[]}}"#,
             load.as_millis()
         );
-        let text = format!(
+        let request = format!(
             "POST /v2/models/{function:016x}/infer HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        self.stream.write_all(text.as_bytes())?;
-        let (mut got, mut chunk) = (Vec::new(), [0u8; 1024]);
+        self.stream.write_all(request.as_bytes())?;
+        self.read_status()
+    }
+
+    /// Reads a whole answer.
+    fn read_status(&mut self) -> std::io::Result<u16> {
+        let mut received = Vec::new();
+        let mut chunk = [0u8; 1024];
         loop {
-            let n = self.stream.read(&mut chunk)?;
-            if n == 0 {
-                return Err(std::io::ErrorKind::UnexpectedEof.into());
+            let count = self.stream.read(&mut chunk)?;
+            if count == 0 {
+                return Err(ErrorKind::UnexpectedEof.into());
             }
-            got.extend_from_slice(&chunk[..n]);
-            let text = String::from_utf8_lossy(&got);
-            let Some((head, rest)) = text.split_once("\r\n\r\n") else {
+            received.extend_from_slice(&chunk[..count]);
+            let text = String::from_utf8_lossy(&received);
+            let Some((head, body)) = text.split_once("\r\n\r\n") else {
                 continue;
             };
-            let named = |l: &str| {
-                l.to_ascii_lowercase()
-                    .strip_prefix("content-length:")?
-                    .trim()
-                    .parse()
-                    .ok()
-            };
-            let length: usize = head.lines().find_map(named).unwrap_or(0);
-            if rest.len() >= length {
-                let status = head.split_whitespace().nth(1).and_then(|s| s.parse().ok());
-                return status.ok_or(std::io::ErrorKind::InvalidData.into());
+            if body.len() >= content_length(head) {
+                return status(head).ok_or(Error::from(ErrorKind::InvalidData));
             }
         }
     }
 }
+
+fn content_length(head: &str) -> usize {
+    let lengths = head.lines().filter_map(|line| {
+        let line = line.to_ascii_lowercase();
+        line.strip_prefix("content-length:")?.trim().parse().ok()
+    });
+    lengths.into_iter().next().unwrap_or(0)
+}
+
+fn status(head: &str) -> Option<u16> {
+    head.split_whitespace().nth(1)?.parse().ok()
+}
--- a/scalelab/src/harness/resource_usage.rs
+++ b/scalelab/src/harness/resource_usage.rs
@@ -1,29 +1,95 @@
-//! What a process takes, as the kernel counts it.
+//! What a process uses, as the kernel counts it.
+use crate::ExperimentError;
+use std::fs;
+use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// What a process took so far, and holds now.
+/// Name of the thread that runs the program's core.
+const CORE_THREAD: &str = "core";
+
+/// What a process has used so far, and holds now.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceUsage {
+    /// When it was measured.
     pub measured_at: Instant,
-    /// Processor time of all its threads, and that of the core's alone.
+    /// Processor time of all its threads.
     pub cpu_time: Duration,
+    /// Processor time of the core's thread alone.
     pub core_thread_cpu_time: Duration,
-    /// Resident memory, KiB: now, and the most so far.
+    /// Resident memory now, KiB.
     pub resident_kib: u64,
+    /// The most resident memory so far, KiB.
     pub peak_resident_kib: u64,
+    /// Open descriptors.
     pub descriptors: usize,
 }
 
+/// Processor time of one thread.
+struct ThreadTime {
+    is_core: bool,
+    nanoseconds: u64,
+}
+
 impl ResourceUsage {
+    /// Reads what the process of this id has used.
+    ///
+    /// # Errors
+    /// It has ended.
+    pub(super) fn read(process: u32) -> Result<ResourceUsage, ExperimentError> {
+        let folder = Path::new("/proc").join(process.to_string());
+        let status = fs::read_to_string(folder.join("status")).map_err(super::failed)?;
+        let figure = |name: &str| {
+            let line = status.lines().find_map(|line| line.strip_prefix(name));
+            line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok())
+                .ok_or_else(|| {
+                    ExperimentError::Failed("a front end has ended by itself".to_owned())
+                })
+        };
+        let threads: Vec<ThreadTime> = fs::read_dir(folder.join("task"))
+            .map_err(super::failed)?
+            .flatten()
+            .filter_map(|thread| ThreadTime::read(&thread.path()))
+            .collect();
+        let all = threads.iter().map(|thread| thread.nanoseconds).sum();
+        let core = threads.iter().filter(|thread| thread.is_core);
+        let core = core.map(|thread| thread.nanoseconds).sum();
+        Ok(ResourceUsage {
+            measured_at: Instant::now(),
+            cpu_time: Duration::from_nanos(all),
+            core_thread_cpu_time: Duration::from_nanos(core),
+            resident_kib: figure("VmRSS:")?,
+            peak_resident_kib: figure("VmHWM:")?,
+            descriptors: fs::read_dir(folder.join("fd")).map_or(0, Iterator::count),
+        })
+    }
+
     /// Share of one core, in percent, since `before`.
     pub fn cpu_percent(&self, before: &ResourceUsage) -> f64 {
-        100.0 * (self.cpu_time - before.cpu_time).as_secs_f64()
-            / (self.measured_at - before.measured_at).as_secs_f64()
+        self.percent_of_core(before, self.cpu_time - before.cpu_time)
     }
 
     /// The same of the core's thread alone.
     pub fn core_thread_percent(&self, before: &ResourceUsage) -> f64 {
-        100.0 * (self.core_thread_cpu_time - before.core_thread_cpu_time).as_secs_f64()
-            / (self.measured_at - before.measured_at).as_secs_f64()
+        self.percent_of_core(
+            before,
+            self.core_thread_cpu_time - before.core_thread_cpu_time,
+        )
+    }
+
+    fn percent_of_core(&self, before: &ResourceUsage, cpu_time: Duration) -> f64 {
+        let elapsed = self.measured_at - before.measured_at;
+        100.0 * cpu_time.as_secs_f64() / elapsed.as_secs_f64()
+    }
+}
+
+impl ThreadTime {
+    /// Reads a thread's folder; `None` where the thread has ended.
+    fn read(folder: &Path) -> Option<ThreadTime> {
+        let name = fs::read_to_string(folder.join("comm")).ok()?;
+        let statistics = fs::read_to_string(folder.join("schedstat")).ok()?;
+        Some(ThreadTime {
+            is_core: name.trim() == CORE_THREAD,
+            nanoseconds: statistics.split_whitespace().next()?.parse().ok()?,
+        })
     }
 }
--- a/scalelab/src/process_experiments/endpoint_changes.rs
+++ b/scalelab/src/process_experiments/endpoint_changes.rs
@@ -1,10 +1,10 @@
-//! What list changes take.
+//! What endpoint changes cost a process that nobody calls.
 use super::{
-    exact, listed, measured, mib, replaced, DEFAULT_WORKERS, MAX_ENDPOINTS_PER_EVENT,
-    MEASURED_TIME, SETTLE_TIME,
+    exact, measured, mib, replacement_event, sleep_until, wait_for_endpoints, DEFAULT_WORKERS,
+    MAX_ENDPOINTS_PER_EVENT, MEASURED_TIME, SETTLE_TIME,
 };
 use crate::harness::{
-    unreachable_endpoints, watch_events, DiscoveryService, FrontEndOptions, FrontEndProcess,
+    unreachable_endpoints, DiscoveryService, FrontEndOptions, FrontEndProcess, WatchEvent,
 };
 use crate::{ExperimentError, Sweep};
 use std::time::Instant;
@@ -14,55 +14,54 @@
     for workers in [1_000, DEFAULT_WORKERS] {
         let mut rows = Vec::new();
         for &rate in sizes {
-            let discovery = DiscoveryService::start(watch_events(
-                &unreachable_endpoints(workers),
-                MAX_ENDPOINTS_PER_EVENT,
-            ))?;
-            let told = FrontEndOptions {
-                discovery: Some(discovery.address),
-                seed,
-                ..FrontEndOptions::default()
-            };
-            let mut program = FrontEndProcess::start(&told)?;
-            listed(&mut program, workers)?;
-            std::thread::sleep(SETTLE_TIME);
-            let (list, before, since) = (discovery.bytes(), program.usage()?, Instant::now());
-            let count = rate * MEASURED_TIME.as_secs();
-            for n in 0..count {
-                let due = since + MEASURED_TIME.mul_f64((n + 1) as f64 / count as f64);
-                std::thread::sleep(due.saturating_duration_since(Instant::now()));
-                discovery.tell(2 + n, replaced(2 + n, n, workers));
-            }
-            let after = program.usage()?;
-            listed(&mut program, 2 * count)?;
-            let bytes = (discovery.bytes() - list) as f64;
-            rows.push((
-                rate,
-                vec![
-                    after.cpu_percent(&before),
-                    after.core_thread_percent(&before),
-                    bytes / count as f64,
-                    bytes / MEASURED_TIME.as_secs_f64(),
-                    mib(after.resident_kib) - mib(before.resident_kib),
-                ],
-            ));
+            rows.push((rate, row(workers, rate, seed)?));
         }
-        let columns = vec![
-            measured("% of a core"),
-            measured("of it the core's thread"),
-            exact("bytes a change"),
-            exact("bytes/s"),
-            measured("MiB grown in 10 s"),
-        ];
-        let title = format!(
-            "List changes: one process, {workers} workers, each change an instance replaced"
-        );
         sweeps.push(Sweep {
-            title,
+            title: format!(
+                "List changes: one process, {workers} workers, each change an instance replaced"
+            ),
             varied: "changes a second",
-            columns,
+            columns: vec![
+                measured("% of a core"),
+                measured("of it the core's thread"),
+                exact("bytes a change"),
+                exact("bytes/s"),
+                measured("MiB grown in 10 s"),
+            ],
             rows,
         });
     }
     Ok(sweeps)
 }
+
+/// One row: `rate` workers replaced a second.
+fn row(workers: u64, rate: u64, seed: u64) -> Result<Vec<f64>, ExperimentError> {
+    let endpoints = unreachable_endpoints(workers);
+    let discovery =
+        DiscoveryService::start(WatchEvent::split(&endpoints, MAX_ENDPOINTS_PER_EVENT))?;
+    let mut process = FrontEndProcess::start(&FrontEndOptions {
+        discovery: Some(discovery.address),
+        seed,
+        ..FrontEndOptions::default()
+    })?;
+    wait_for_endpoints(&mut process, workers)?;
+    std::thread::sleep(SETTLE_TIME);
+    let list_bytes = discovery.bytes();
+    let before = process.usage()?;
+    let started = Instant::now();
+    let changes = rate * MEASURED_TIME.as_secs();
+    for change in 0..changes {
+        sleep_until(started + MEASURED_TIME.mul_f64((change + 1) as f64 / changes as f64));
+        discovery.publish(replacement_event(2 + change, change, workers));
+    }
+    let after = process.usage()?;
+    wait_for_endpoints(&mut process, 2 * changes)?;
+    let change_bytes = (discovery.bytes() - list_bytes) as f64;
+    Ok(vec![
+        after.cpu_percent(&before),
+        after.core_thread_percent(&before),
+        change_bytes / changes as f64,
+        change_bytes / MEASURED_TIME.as_secs_f64(),
+        mib(after.resident_kib) - mib(before.resident_kib),
+    ])
+}
--- a/scalelab/src/process_experiments/idle.rs
+++ b/scalelab/src/process_experiments/idle.rs
@@ -1,54 +1,55 @@
-//! What an idle process takes.
+//! What a process uses that nobody calls, against the workers in its list.
 use super::{
-    exact, listed, measured, mib, ms, over, MAX_ENDPOINTS_PER_EVENT, MEASURED_TIME, SETTLE_TIME,
+    exact, measured, mib, ms, wait_for_endpoints, MAX_ENDPOINTS_PER_EVENT, MEASURED_TIME,
+    SETTLE_TIME,
 };
 use crate::harness::{
-    unreachable_endpoints, watch_events, DiscoveryService, FrontEndOptions, FrontEndProcess,
+    unreachable_endpoints, DiscoveryService, FrontEndOptions, FrontEndProcess, WatchEvent,
 };
 use crate::{ExperimentError, Sweep};
 
 pub(super) fn idle(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut rows = Vec::new();
     for &workers in sizes {
-        let discovery = DiscoveryService::start(watch_events(
-            &unreachable_endpoints(workers),
-            MAX_ENDPOINTS_PER_EVENT,
-        ))?;
-        let told = FrontEndOptions {
-            discovery: Some(discovery.address),
-            seed,
-            ..FrontEndOptions::default()
-        };
-        let mut program = FrontEndProcess::start(&told)?;
-        listed(&mut program, workers)?;
-        let (whole, started) = (program.started_at.elapsed(), program.usage()?);
-        std::thread::sleep(SETTLE_TIME);
-        let (before, after) = over(&program, MEASURED_TIME)?;
-        rows.push((
-            workers,
-            vec![
-                after.cpu_percent(&before),
-                after.core_thread_percent(&before),
-                mib(after.resident_kib),
-                discovery.bytes() as f64,
-                ms(whole),
-                ms(started.cpu_time),
-            ],
-        ));
+        rows.push((workers, row(workers, seed)?));
     }
-    let columns = vec![
-        measured("% of a core, idle"),
-        measured("of it the core's thread"),
-        measured("RSS, MiB"),
-        exact("bytes of the list at a start"),
-        measured("ms from exec to the whole list"),
-        measured("ms of processor to there"),
-    ];
-    let title = "An idle process against the workers listed; 10 s each, nobody calls".to_owned();
     Ok(vec![Sweep {
-        title,
+        title: "An idle process against the workers listed; 10 s each, nobody calls".to_owned(),
         varied: "workers",
-        columns,
+        columns: vec![
+            measured("% of a core, idle"),
+            measured("of it the core's thread"),
+            measured("RSS, MiB"),
+            exact("bytes of the list at a start"),
+            measured("ms from exec to the whole list"),
+            measured("ms of processor to there"),
+        ],
         rows,
     }])
 }
+
+fn row(workers: u64, seed: u64) -> Result<Vec<f64>, ExperimentError> {
+    let endpoints = unreachable_endpoints(workers);
+    let discovery =
+        DiscoveryService::start(WatchEvent::split(&endpoints, MAX_ENDPOINTS_PER_EVENT))?;
+    let mut process = FrontEndProcess::start(&FrontEndOptions {
+        discovery: Some(discovery.address),
+        seed,
+        ..FrontEndOptions::default()
+    })?;
+    wait_for_endpoints(&mut process, workers)?;
+    let list_time = process.started_at.elapsed();
+    let started = process.usage()?;
+    std::thread::sleep(SETTLE_TIME);
+    let before = process.usage()?;
+    std::thread::sleep(MEASURED_TIME);
+    let after = process.usage()?;
+    Ok(vec![
+        after.cpu_percent(&before),
+        after.core_thread_percent(&before),
+        mib(after.resident_kib),
+        discovery.bytes() as f64,
+        ms(list_time),
+        ms(started.cpu_time),
+    ])
+}
--- a/scalelab/src/process_experiments/mod.rs
+++ b/scalelab/src/process_experiments/mod.rs
@@ -1,22 +1,27 @@
-//! Real processes on loopback: what an idle one takes, list changes, a list read anew, starts, a fleet, cold starts.
+//! Experiments on real processes on loopback: an idle process, endpoint changes, a list read again, starts, a fleet that
+//! gossips, cold starts.
 mod cold_start;
 mod endpoint_changes;
 mod fleet;
 mod idle;
 mod reconnect;
+mod resync;
 mod simultaneous_start;
 
-pub use reconnect::{measure_resync, ResyncCost};
+pub use resync::{measure_resync, ResyncCost};
 
-use crate::harness::{endpoint_json, wait_until, watch_event, FrontEndProcess, ResourceUsage};
+use crate::harness::{
+    endpoint_json, unreachable_address, wait_until, FrontEndProcess, ResourceUsage, WatchEvent,
+};
 use crate::{Column, Experiment, ExperimentError};
 use cold_start::cold;
 use endpoint_changes::changes;
 use fleet::fleet;
 use idle::idle;
-use reconnect::{anew, redial};
+use reconnect::redial;
+use resync::anew;
 use simultaneous_start::restart;
-use std::time::Duration;
+use std::time::{Duration, Instant};
 
 /// The experiments of this file.
 pub const EXPERIMENTS: &[Experiment] = &[
@@ -71,12 +76,18 @@
     },
 ];
 
-/// Instances in one event of the discovery: 4,000 take 0.57 MB, and 1 MiB is the most.
+/// Endpoints in one watch event: 4,000 take 0.57 MB, and 1 MiB is the most.
 pub const MAX_ENDPOINTS_PER_EVENT: usize = 4_000;
-const MEASURED_TIME: Duration = Duration::from_secs(10); // what processor time is taken over
+/// What processor time is taken over.
+const MEASURED_TIME: Duration = Duration::from_secs(10);
+/// What a process that has just read its list is given to become idle.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
-/// The list of the tests that vary something else, in workers.
+/// The list of the experiments that vary something else, in workers.
 const DEFAULT_WORKERS: u64 = 4_000;
+/// Added to a worker's id by each replacement, so that ids stay different.
+const REPLACEMENT_ID_STEP: u64 = 0x10_0000;
+/// Ids of the workers that mark the end of a list.
+const FIRST_MARKER_ID: u64 = 0xF000_0000;
 
 fn measured(name: &'static str) -> Column {
     Column { name, exact: false }
@@ -94,51 +105,65 @@
     time.as_secs_f64() * 1000.0
 }
 
-/// A part of some times, ms; 0 of none.
-pub fn quantile(times: &mut [f64], part: f64) -> f64 {
-    times.sort_by(f64::total_cmp);
-    let last = times.len().saturating_sub(1);
-    times
-        .get((last as f64 * part).round() as usize)
-        .copied()
-        .unwrap_or(0.0)
+/// The value below which this part of the values lies; sorts them; 0 of none.
+pub fn quantile(values: &mut [f64], part: f64) -> f64 {
+    values.sort_by(f64::total_cmp);
+    let last = values.len().saturating_sub(1);
+    let position = (last as f64 * part).round() as usize;
+    values.get(position).copied().unwrap_or(0.0)
 }
 
-/// Waits wait_until a process has taken so many members.
-fn listed(program: &mut FrontEndProcess, workers: u64) -> Result<(), ExperimentError> {
+/// Waits until a process has taken this many endpoints.
+fn wait_for_endpoints(
+    process: &mut FrontEndProcess,
+    endpoints: u64,
+) -> Result<(), ExperimentError> {
     let mut seen = 0;
     wait_until("the whole list is taken", Duration::from_millis(10), || {
-        seen += program
-            .new_log_lines()
+        let lines = process.new_log_lines();
+        seen += lines
             .lines()
-            .filter(|l| l.starts_with("member "))
+            .filter(|line| line.starts_with("member "))
             .count() as u64;
-        seen >= workers
+        seen >= endpoints
     })
 }
 
-fn over(
-    program: &FrontEndProcess,
-    time: Duration,
-) -> Result<(ResourceUsage, ResourceUsage), ExperimentError> {
-    let before = program.usage()?;
-    std::thread::sleep(time);
-    Ok((before, program.usage()?))
+fn sleep_until(due: Instant) {
+    std::thread::sleep(due.saturating_duration_since(Instant::now()));
 }
 
-/// The event in which worker `n` of a list gives way to a new one at its address.
-fn replaced(rev: u64, n: u64, workers: u64) -> String {
-    let (round, place) = (n / workers, n % workers);
-    let address = format!(
-        "127.{}.{}.{}:8443",
-        1 + (place >> 16),
-        (place >> 8) & 255,
-        place & 255
-    );
-    let id = |round: u64| place + round * 0x10_0000;
-    let now = [
+/// What each process has used.
+fn usages(processes: &[FrontEndProcess]) -> Result<Vec<ResourceUsage>, ExperimentError> {
+    processes.iter().map(FrontEndProcess::usage).collect()
+}
+
+/// The event in which a worker of a list of `workers` gives way to a new one at its address; `replacement` counts
+/// these events from 0.
+fn replacement_event(revision: u64, replacement: u64, workers: u64) -> WatchEvent {
+    let round = replacement / workers;
+    let position = replacement % workers;
+    let address = unreachable_address(position);
+    let id = |round: u64| position + round * REPLACEMENT_ID_STEP;
+    let endpoints = [
         endpoint_json(id(round), &address, "gone"),
         endpoint_json(id(round + 1), &address, "ready"),
     ];
-    watch_event(rev, false, &now)
+    WatchEvent::change(revision, &endpoints)
+}
+
+/// A worker whose line in a log shows that the last event sent has been taken.
+struct MarkerEndpoint {
+    endpoint: String,
+    log_line: String,
+}
+
+impl MarkerEndpoint {
+    fn new(number: u64) -> MarkerEndpoint {
+        let id = FIRST_MARKER_ID + number;
+        MarkerEndpoint {
+            endpoint: endpoint_json(id, &format!("127.200.0.{number}:8443"), "ready"),
+            log_line: format!("member s-{id:08x}: Ready"),
+        }
+    }
 }
--- a/scalelab/src/process_experiments/reconnect.rs
+++ b/scalelab/src/process_experiments/reconnect.rs
@@ -1,177 +1,155 @@
-//! What a list read anew takes after its board was cut.
-use super::{exact, listed, measured, ms, quantile, replaced, DEFAULT_WORKERS};
+//! What many processes pay that reconnect to one discovery service while endpoints change.
+use super::{
+    measured, ms, quantile, replacement_event, sleep_until, usages, wait_for_endpoints,
+    MarkerEndpoint, DEFAULT_WORKERS, REPLACEMENT_ID_STEP,
+};
 use crate::harness::{
-    endpoint_json, unreachable_endpoints, wait_until, watch_event, DiscoveryService,
-    FrontEndOptions, FrontEndProcess,
+    endpoint_json, unreachable_address, unreachable_endpoints, wait_until, DiscoveryService,
+    FrontEndOptions, FrontEndProcess, WatchEvent,
 };
 use crate::{ExperimentError, Sweep};
 use std::time::{Duration, Instant};
 
-/// The worker that shows in a log that what was told last has been taken.
-fn marker(n: u64) -> (String, String) {
-    let id = 0xF000_0000 + n;
-    (
-        endpoint_json(id, &format!("127.200.0.{n}:8443"), "ready"),
-        format!("member s-{id:08x}: Ready"),
-    )
-}
+/// Changes that the processes miss while the service is down; revision 1 is the list.
+const MISSED_CHANGES: u64 = 5;
+/// Changes while the processes reconnect, and the time between them.
+const LATER_CHANGES: u64 = 10;
+const CHANGE_INTERVAL: Duration = Duration::from_millis(100);
+/// The later changes replace workers from here on, which the missed ones did not.
+const FIRST_LATER_REPLACEMENT: u64 = 100;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// A process has noticed that its service is gone once it was rejected so often.
+const REJECTIONS_EACH: u64 = 3;
 
-/// What it took to have the whole list again.
-#[derive(Clone, Copy, Debug)]
-pub struct ResyncCost {
-    pub bytes: u64,
-    pub calls: u64,
-    pub time: Duration,
-    pub cpu_time: Duration,
+/// What the service sends once it is back.
+#[derive(Clone, Copy, PartialEq)]
+enum Resync {
+    MissedChanges,
+    WholeList,
 }
 
-/// Cuts the board of one process and has it tell the whole list of one worker more, after so many events that the
-/// process missed.
-///
-/// # Errors
-/// The process does not come up, or never has the list.
-pub fn measure_resync(workers: u64, missed: u64, seed: u64) -> Result<ResyncCost, ExperimentError> {
-    let mut list = unreachable_endpoints(workers);
-    let discovery = DiscoveryService::start(vec![(1, watch_event(1, true, &list))])?;
-    let told = FrontEndOptions {
-        discovery: Some(discovery.address),
-        seed,
-        ..FrontEndOptions::default()
-    };
-    let mut program = FrontEndProcess::start(&told)?;
-    listed(&mut program, workers)?;
-    let (shown, says) = marker(1);
-    list.push(shown);
-    discovery.cut(vec![(1 + missed, watch_event(1 + missed, true, &list))]);
-    wait_until(
-        "the process has lost its board",
-        Duration::from_millis(5),
-        || discovery.rejected_connections() > 1,
-    )?;
-    let (bytes, calls, before, since) = (
-        discovery.bytes(),
-        discovery.calls(),
-        program.usage()?,
-        Instant::now(),
-    );
-    discovery.up();
-    program.wait_for_log(&says)?;
-    let (time, after) = (since.elapsed(), program.usage()?);
-    let (bytes, calls) = (discovery.bytes() - bytes, discovery.calls() - calls);
-    Ok(ResyncCost {
-        bytes,
-        calls,
-        time,
-        cpu_time: after.cpu_time - before.cpu_time,
-    })
-}
+impl Resync {
+    fn title(self) -> &'static str {
+        match self {
+            Resync::MissedChanges => "A cut board that tells what was missed; 4,000 workers, 10 more changes within a second",
+            Resync::WholeList => "A cut board that tells the whole list anew; 4,000 workers, 10 more changes within a second",
+        }
+    }
 
-pub(super) fn anew(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
-    let mut rows = Vec::new();
-    for &workers in sizes {
-        let mut row = Vec::new();
-        // One event missed, or five, so that the numbers show a gap.
-        for missed in [1, 5] {
-            let ResyncCost {
-                bytes,
-                calls,
-                time,
-                cpu_time,
-            } = measure_resync(workers, missed, seed)?;
-            row.extend([bytes as f64, calls as f64, ms(time), ms(cpu_time)]);
+    /// The events that the processes missed, or the list that comes of them.
+    fn events(self, mut endpoints: Vec<String>) -> Vec<WatchEvent> {
+        if self == Resync::MissedChanges {
+            let change = |n| replacement_event(2 + n, n, DEFAULT_WORKERS);
+            return (0..MISSED_CHANGES).map(change).collect();
+        }
+        for (position, endpoint) in (0..MISSED_CHANGES).zip(&mut endpoints) {
+            let address = unreachable_address(position);
+            *endpoint = endpoint_json(position + REPLACEMENT_ID_STEP, &address, "ready");
         }
-        rows.push((workers, row));
+        vec![WatchEvent::complete(1 + MISSED_CHANGES, &endpoints)]
     }
-    let columns = vec![
-        exact("bytes, one event missed"),
-        exact("calls of the board"),
-        measured("ms to have it"),
-        measured("ms of processor"),
-        exact("bytes, five events missed"),
-        exact("calls of the board "),
-        measured("ms to have it "),
-        measured("ms of processor "),
-    ];
-    let title = "The whole list told anew after a cut board, one process".to_owned();
-    Ok(vec![Sweep {
-        title,
-        varied: "workers",
-        columns,
-        rows,
-    }])
 }
 
 pub(super) fn redial(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut sweeps = Vec::new();
-    for (whole, title) in [
-        (false, "A cut board that tells what was missed; 4,000 workers, 10 more changes within a second"),
-        (true, "A cut board that tells the whole list anew; 4,000 workers, 10 more changes within a second"),
-    ] {
+    for resync in [Resync::MissedChanges, Resync::WholeList] {
         let mut rows = Vec::new();
         for &processes in sizes {
-            let mut list = unreachable_endpoints(DEFAULT_WORKERS);
-            let discovery = DiscoveryService::start(vec![(1, watch_event(1, true, &list))])?;
-            let told = |index| FrontEndOptions {
-                discovery: Some(discovery.address),
-                index,
-                seed: seed + index as u64,
-                known: (1, vec![watch_event(1, true, &list)]),
-                ..FrontEndOptions::default()
-            };
-            let mut programs =
-                (0..processes as usize).map(|i| FrontEndProcess::spawn(&told(i))).collect::<Result<Vec<_>, _>>()?;
-            for program in &mut programs {
-                program.wait_for_listeners()?;
-                listed(program, DEFAULT_WORKERS)?;
-            }
-            wait_until("all hang on the board", Duration::from_millis(20), || discovery.calls() >= processes)?;
-            let missed: Vec<_> = (0..5).map(|n| (2 + n, replaced(2 + n, n, DEFAULT_WORKERS))).collect();
-            list[..5].clone_from_slice(
-                &(0..5)
-                    .map(|n| endpoint_json(n + 0x10_0000, &format!("127.1.0.{n}:8443"), "ready"))
-                    .collect::<Vec<_>>(),
-            );
-            discovery.cut(if whole { vec![(6, watch_event(6, true, &list))] } else { missed });
-            let lost = || discovery.rejected_connections() > 3 * processes;
-            wait_until("all have lost their board", Duration::from_millis(20), lost)?;
-            let before = programs.iter().map(FrontEndProcess::usage).collect::<Result<Vec<_>, _>>()?;
-            let (bytes, calls, since) = (discovery.bytes(), discovery.calls(), Instant::now());
-            discovery.up();
-            for n in 0..10 {
-                let due = since + Duration::from_millis(100 * (n + 1));
-                std::thread::sleep(due.saturating_duration_since(Instant::now()));
-                let last = (n == 9).then(|| watch_event(7 + n, false, &[marker(1).0]));
-                discovery.tell(7 + n, last.unwrap_or_else(|| replaced(7 + n, 100 + n, DEFAULT_WORKERS)));
-            }
-            let says = marker(1).1;
-            for program in &mut programs {
-                program.wait_for_log(&says)?;
-            }
-            let time = since.elapsed();
-            let mut spent = Vec::new();
-            for (program, before) in programs.iter().zip(&before) {
-                spent.push(ms(program.usage()?.cpu_time - before.cpu_time));
-            }
-            let each = |all: u64| all as f64 / processes as f64;
-            rows.push((
-                processes,
-                vec![
-                    each(discovery.bytes() - bytes),
-                    each(discovery.calls() - calls),
-                    ms(time) - 1000.0,
-                    quantile(&mut spent, 0.5),
-                    quantile(&mut spent, 1.0),
-                ],
-            ));
+            rows.push((processes, row(processes, resync, seed)?));
         }
-        let columns = vec![
-            measured("bytes each"),
-            measured("calls of the board each"),
-            measured("ms from the last change to the last that has it"),
-            measured("ms of processor each, median"),
-            measured("most"),
-        ];
-        sweeps.push(Sweep { title: title.to_owned(), varied: "processes", columns, rows });
+        sweeps.push(Sweep {
+            title: resync.title().to_owned(),
+            varied: "processes",
+            columns: vec![
+                measured("bytes each"),
+                measured("calls of the board each"),
+                measured("ms from the last change to the last that has it"),
+                measured("ms of processor each, median"),
+                measured("most"),
+            ],
+            rows,
+        });
     }
     Ok(sweeps)
 }
+
+fn row(count: u64, resync: Resync, seed: u64) -> Result<Vec<f64>, ExperimentError> {
+    let endpoints = unreachable_endpoints(DEFAULT_WORKERS);
+    let list = WatchEvent::complete(1, &endpoints);
+    let discovery = DiscoveryService::start(vec![list.clone()])?;
+    let mut processes = start_processes(count, &discovery, &list, seed)?;
+    wait_until("all hang on the board", POLL_INTERVAL, || {
+        discovery.watches() >= count
+    })?;
+    discovery.interrupt(resync.events(endpoints));
+    wait_until("all have lost their board", POLL_INTERVAL, || {
+        discovery.rejected() > REJECTIONS_EACH * count
+    })?;
+    let before = usages(&processes)?;
+    let bytes = discovery.bytes();
+    let watches = discovery.watches();
+    let time = restore_and_change(&discovery, &mut processes)?;
+    let mut cpu_times = Vec::new();
+    for (after, before) in usages(&processes)?.iter().zip(&before) {
+        cpu_times.push(ms(after.cpu_time - before.cpu_time));
+    }
+    let each = |total: u64| total as f64 / count as f64;
+    Ok(vec![
+        each(discovery.bytes() - bytes),
+        each(discovery.watches() - watches),
+        ms(time) - ms(CHANGE_INTERVAL) * LATER_CHANGES as f64,
+        quantile(&mut cpu_times, 0.5),
+        quantile(&mut cpu_times, 1.0),
+    ])
+}
+
+/// Starts processes whose configuration contains the list, and waits until all have taken it.
+fn start_processes(
+    count: u64,
+    discovery: &DiscoveryService,
+    list: &WatchEvent,
+    seed: u64,
+) -> Result<Vec<FrontEndProcess>, ExperimentError> {
+    let start = |index| {
+        FrontEndProcess::spawn(&FrontEndOptions {
+            discovery: Some(discovery.address),
+            index,
+            seed: seed + index as u64,
+            known_events: vec![list.clone()],
+            ..FrontEndOptions::default()
+        })
+    };
+    let mut processes = (0..count as usize)
+        .map(start)
+        .collect::<Result<Vec<_>, _>>()?;
+    for process in &mut processes {
+        process.wait_for_listeners()?;
+        wait_for_endpoints(process, DEFAULT_WORKERS)?;
+    }
+    Ok(processes)
+}
+
+/// Restores the service, sends the later changes and waits until all processes have the last; how long that took.
+fn restore_and_change(
+    discovery: &DiscoveryService,
+    processes: &mut [FrontEndProcess],
+) -> Result<Duration, ExperimentError> {
+    let marker = MarkerEndpoint::new(1);
+    let restored_at = Instant::now();
+    discovery.restore();
+    for change in 0..LATER_CHANGES {
+        sleep_until(restored_at + CHANGE_INTERVAL * (change as u32 + 1));
+        let revision = 2 + MISSED_CHANGES + change;
+        let event = if change + 1 == LATER_CHANGES {
+            WatchEvent::change(revision, std::slice::from_ref(&marker.endpoint))
+        } else {
+            let replacement = FIRST_LATER_REPLACEMENT + change;
+            replacement_event(revision, replacement, DEFAULT_WORKERS)
+        };
+        discovery.publish(event);
+    }
+    for process in processes {
+        process.wait_for_log(&marker.log_line)?;
+    }
+    Ok(restored_at.elapsed())
+}
--- a/scalelab/src/process_experiments/simultaneous_start.rs
+++ b/scalelab/src/process_experiments/simultaneous_start.rs
@@ -1,88 +1,120 @@
-//! What starts at once take.
+//! What processes pay that start at once.
 use super::{measured, mib, ms, quantile, DEFAULT_WORKERS};
 use crate::harness::{
-    self, unreachable_endpoints, wait_until, watch_event, DiscoveryService, FrontEndOptions,
-    FrontEndProcess,
+    spawn_thread, unreachable_endpoints, wait_until, DiscoveryService, FrontEndOptions,
+    FrontEndProcess, ResourceUsage, WatchEvent,
 };
 use crate::{ExperimentError, Sweep};
+use std::sync::mpsc;
 use std::time::Duration;
 
+/// How often a process is asked whether it is ready: seldom, as all share the processors with what is measured.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Where the processes find their list.
+#[derive(Clone, Copy, PartialEq)]
+enum ListSource {
+    Discovery,
+    Configuration,
+}
+
+impl ListSource {
+    fn title(self) -> &'static str {
+        match self {
+            ListSource::Discovery => {
+                "Processes started at once; the board tells 4,000 workers; one core for all"
+            }
+            ListSource::Configuration => {
+                "Processes started at once; their configuration tells 4,000 workers; one core for all"
+            }
+        }
+    }
+}
+
+/// A process that has come up. It runs on until all have.
+struct StartedProcess {
+    ready_ms: f64,
+    usage: ResourceUsage,
+    _process: FrontEndProcess,
+}
+
 pub(super) fn restart(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut sweeps = Vec::new();
-    for (known, title) in [
-        (
-            false,
-            "Processes started at once; the board tells 4,000 workers; one core for all",
-        ),
-        (
-            true,
-            "Processes started at once; their configuration tells 4,000 workers; one core for all",
-        ),
-    ] {
+    for source in [ListSource::Discovery, ListSource::Configuration] {
         let mut rows = Vec::new();
         for &processes in sizes {
-            let list = watch_event(1, true, &unreachable_endpoints(DEFAULT_WORKERS));
-            let discovery = DiscoveryService::start(vec![(1, list.clone())])?;
-            let told = |index| FrontEndOptions {
-                discovery: Some(discovery.address),
-                index,
-                seed: seed + index as u64,
-                known: if known {
-                    (1, vec![list.clone()])
-                } else {
-                    (0, Vec::new())
-                },
-                ..FrontEndOptions::default()
-            };
-            let programs = (0..processes as usize)
-                .map(|i| FrontEndProcess::spawn(&told(i)))
-                .collect::<Result<Vec<_>, _>>()?;
-            let (done, times) = std::sync::mpsc::channel();
-            let waits: Vec<_> = programs
-                .into_iter()
-                .map(|mut program| {
-                    let done = done.clone();
-                    move || {
-                        let up = program.wait_for_listeners().and_then(|()| {
-                            wait_until("ready", Duration::from_millis(20), || program.is_ready())?;
-                            Ok((ms(program.started_at.elapsed()), program.usage()?))
-                        });
-                        let _ = done.send(up.map(|(time, usage)| (time, usage, program)));
-                    }
-                })
-                .collect();
-            for wait in waits {
-                harness::thread(wait)?;
-            }
-            drop(done);
-            let up = times.iter().collect::<Result<Vec<_>, _>>()?;
-            let mut waited: Vec<f64> = up.iter().map(|u| u.0).collect();
-            let mut spent: Vec<f64> = up.iter().map(|u| ms(u.1.cpu_time)).collect();
-            let mut most: Vec<f64> = up.iter().map(|u| mib(u.1.peak_resident_kib)).collect();
-            rows.push((
-                processes,
-                vec![
-                    quantile(&mut waited, 0.5),
-                    quantile(&mut waited, 0.9),
-                    quantile(&mut waited, 1.0),
-                    quantile(&mut spent, 0.5),
-                    quantile(&mut most, 1.0),
-                ],
-            ));
+            rows.push((processes, row(processes, source, seed)?));
         }
-        let columns = vec![
-            measured("ms from exec to ready, median"),
-            measured("nine in ten"),
-            measured("last"),
-            measured("ms of processor each"),
-            measured("most RSS of one, MiB"),
-        ];
         sweeps.push(Sweep {
-            title: title.to_owned(),
+            title: source.title().to_owned(),
             varied: "processes at once",
-            columns,
+            columns: vec![
+                measured("ms from exec to ready, median"),
+                measured("nine in ten"),
+                measured("last"),
+                measured("ms of processor each"),
+                measured("most RSS of one, MiB"),
+            ],
             rows,
         });
     }
     Ok(sweeps)
 }
+
+fn row(count: u64, source: ListSource, seed: u64) -> Result<Vec<f64>, ExperimentError> {
+    let list = WatchEvent::complete(1, &unreachable_endpoints(DEFAULT_WORKERS));
+    let discovery = DiscoveryService::start(vec![list.clone()])?;
+    let known_events = match source {
+        ListSource::Discovery => Vec::new(),
+        ListSource::Configuration => vec![list],
+    };
+    let spawn = |index| {
+        FrontEndProcess::spawn(&FrontEndOptions {
+            discovery: Some(discovery.address),
+            index,
+            seed: seed + index as u64,
+            known_events: known_events.clone(),
+            ..FrontEndOptions::default()
+        })
+    };
+    let processes = (0..count as usize)
+        .map(spawn)
+        .collect::<Result<Vec<_>, _>>()?;
+    let started = wait_for_all(processes)?;
+    let mut ready: Vec<f64> = started.iter().map(|s| s.ready_ms).collect();
+    let mut cpu_times: Vec<f64> = started.iter().map(|s| ms(s.usage.cpu_time)).collect();
+    let mut peaks: Vec<f64> = started
+        .iter()
+        .map(|s| mib(s.usage.peak_resident_kib))
+        .collect();
+    Ok(vec![
+        quantile(&mut ready, 0.5),
+        quantile(&mut ready, 0.9),
+        quantile(&mut ready, 1.0),
+        quantile(&mut cpu_times, 0.5),
+        quantile(&mut peaks, 1.0),
+    ])
+}
+
+/// Waits for each process in a thread of its own, so that the time of each is its own.
+fn wait_for_all(processes: Vec<FrontEndProcess>) -> Result<Vec<StartedProcess>, ExperimentError> {
+    let (sender, started) = mpsc::channel();
+    for process in processes {
+        let sender = sender.clone();
+        spawn_thread(move || {
+            let _ = sender.send(wait_until_ready(process));
+        })?;
+    }
+    drop(sender);
+    started.iter().collect()
+}
+
+fn wait_until_ready(mut process: FrontEndProcess) -> Result<StartedProcess, ExperimentError> {
+    process.wait_for_listeners()?;
+    wait_until("ready", READY_POLL_INTERVAL, || process.is_ready())?;
+    Ok(StartedProcess {
+        ready_ms: ms(process.started_at.elapsed()),
+        usage: process.usage()?,
+        _process: process,
+    })
+}
--- a/scalelab/src/simulated_workers.rs
+++ b/scalelab/src/simulated_workers.rs
@@ -1,6 +1,6 @@
 //! Stand-in workers on the platform's frames: thousands of listeners and their connections on one thread, each
 //! worker with what it has loaded. They end when the yard is dropped.
-use crate::harness::{endpoint_json, lock, thread};
+use crate::harness::{endpoint_json, lock, spawn_thread};
 use crate::ExperimentError;
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
 use std::cmp::Reverse;
@@ -27,11 +27,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FirstRequest {
     /// Its first order or call came whole, its call came whole, its answer was written.
-    pub came: Instant,
-    pub called: Instant,
-    pub answered: Instant,
+    pub received_at: Instant,
+    pub called_at: Instant,
+    pub answered_at: Instant,
     /// Whether that was the first frame of its connection.
-    pub first: bool,
+    pub new_connection: bool,
     /// Whether an order to load came before the call.
     pub ordered: bool,
 }
@@ -50,7 +50,7 @@
     pub called: Mutex<HashSet<usize>>,
     pub reached: Mutex<HashSet<usize>>,
     /// What was seen of each function's first call.
-    pub seen: Mutex<HashMap<u64, FirstRequest>>,
+    pub first_requests: Mutex<HashMap<u64, FirstRequest>>,
 }
 
 impl WorkerCounts {
@@ -65,7 +65,7 @@
 pub struct SimulatedWorkers {
     /// The list that tells of them.
     pub list: Vec<String>,
-    pub tally: Arc<WorkerCounts>,
+    pub counts: Arc<WorkerCounts>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
@@ -92,7 +92,7 @@
                 .map_err(|e| failed(&e))?;
             listeners.push((listener, HashMap::new()));
         }
-        let (tally, stop) = (
+        let (counts, stop) = (
             Arc::new(WorkerCounts::default()),
             Arc::new(AtomicBool::new(false)),
         );
@@ -106,13 +106,13 @@
             work,
             due,
             answers,
-            tally: tally.clone(),
+            counts: counts.clone(),
         };
         let of = stop.clone();
-        let thread = Some(thread(move || inside.run(&of))?);
+        let thread = Some(spawn_thread(move || inside.run(&of))?);
         Ok(SimulatedWorkers {
             list,
-            tally,
+            counts,
             stop,
             thread,
         })
@@ -155,7 +155,7 @@
     work: ServiceTimes,
     due: BinaryHeap<Reverse<(Instant, u64)>>,
     answers: BTreeMap<u64, ScheduledReply>,
-    tally: Arc<WorkerCounts>,
+    counts: Arc<WorkerCounts>,
 }
 
 impl EventLoop {
@@ -197,8 +197,8 @@
             let event = EpollEvent::new(EpollFlags::EPOLLIN, self.next);
             let ready = stream.set_nonblocking(true).is_ok() && stream.set_nodelay(true).is_ok();
             if ready && self.epoll.add(&stream, event).is_ok() {
-                self.tally.accepts.fetch_add(1, Ordering::Relaxed);
-                self.tally.standing.fetch_add(1, Ordering::Relaxed);
+                self.counts.accepts.fetch_add(1, Ordering::Relaxed);
+                self.counts.standing.fetch_add(1, Ordering::Relaxed);
                 self.links.insert(
                     self.next,
                     Connection {
@@ -214,7 +214,7 @@
 
     fn end(&mut self, link: u64) {
         if self.links.remove(&link).is_some() {
-            self.tally.standing.fetch_sub(1, Ordering::Relaxed); // closing takes it out of the set
+            self.counts.standing.fetch_sub(1, Ordering::Relaxed); // closing takes it out of the set
         }
     }
 
@@ -261,20 +261,20 @@
         let copies = field("slots_up").and_then(|n| n.parse::<u32>().ok());
         let (came, held) = (Instant::now(), &mut self.listeners[worker].1);
         let call = frame[1] == 2;
-        lock(&self.tally.reached).insert(worker);
+        lock(&self.counts.reached).insert(worker);
         match (frame[1], copies) {
             (2, _) => {
-                self.tally.calls.fetch_add(1, Ordering::Relaxed);
-                lock(&self.tally.called).insert(worker);
+                self.counts.calls.fetch_add(1, Ordering::Relaxed);
+                lock(&self.counts.called).insert(worker);
             }
             (6, Some(0)) => {
-                self.tally.questions.fetch_add(1, Ordering::Relaxed);
+                self.counts.questions.fetch_add(1, Ordering::Relaxed);
                 let stands = held.get(&function).is_some_and(|&at| at <= came);
                 let bytes = reply(id, &format!("slots_up={}", u8::from(stands)), &[]);
                 return self.write(link, &bytes);
             }
             (6, _) => {
-                self.tally.orders.fetch_add(1, Ordering::Relaxed);
+                self.counts.orders.fetch_add(1, Ordering::Relaxed);
             }
             (8, _) => {
                 held.remove(&function);
@@ -297,10 +297,10 @@
             reply(id, "slots_up=1", &[])
         };
         let seen = FirstRequest {
-            came,
-            called: came,
-            answered: came,
-            first,
+            received_at: came,
+            called_at: came,
+            answered_at: came,
+            new_connection: first,
             ordered: !call,
         };
         let n = self.answers.last_key_value().map_or(0, |(n, _)| n + 1);
@@ -327,12 +327,14 @@
         } = answer;
         let answered = Instant::now();
         {
-            let mut all = lock(&self.tally.seen);
-            let first = all
-                .entry(function)
-                .or_insert(FirstRequest { answered, ..seen });
+            let mut all = lock(&self.counts.first_requests);
+            let first = all.entry(function).or_insert(FirstRequest {
+                answered_at: answered,
+                ..seen
+            });
             if call && first.ordered {
-                (first.called, first.answered) = (seen.called, answered);
+                first.called_at = seen.called_at;
+                first.answered_at = answered;
             }
         }
         self.write(link, &bytes);
--- a/scalelab/src/worker_connections.rs
+++ b/scalelab/src/worker_connections.rs
@@ -1,6 +1,6 @@
 //! Connections to workers: how many stand, and which share of calls pays for one. Measured at one process beside
 //! the worked-out model.
-use crate::harness::{self, watch_event, FrontEndOptions, FrontEndProcess, InferenceClient};
+use crate::harness::{self, FrontEndOptions, FrontEndProcess, InferenceClient, WatchEvent};
 use crate::process_experiments::quantile;
 use crate::simulated_workers::{ServiceTimes, SimulatedWorkers};
 use crate::{Column, Experiment, ExperimentError, Sweep};
@@ -161,7 +161,7 @@
     };
     let simulated = SimulatedWorkers::start(workers, work)?;
     let told = FrontEndOptions {
-        known: (1, vec![watch_event(1, true, &simulated.list)]),
+        known_events: vec![WatchEvent::complete(1, &simulated.list)],
         max_descriptors,
         seed,
         ..FrontEndOptions::default()
@@ -184,33 +184,33 @@
         let (stop, answers, ranks, to) =
             (stop.clone(), answers.clone(), ranks.clone(), program.kserve);
         let (each, seed) = (rate as f64 / CLIENTS as f64, seed << 16 | n);
-        harness::thread(move || client(to, each, seed, &ranks, work.load, &stop, &answers))?;
+        harness::spawn_thread(move || client(to, each, seed, &ranks, work.load, &stop, &answers))?;
     }
     std::thread::sleep(WARM);
-    let counted = simulated.tally.counts();
+    let counted = simulated.counts.counts();
     let (served, other) = (
         answers.served.load(Ordering::Relaxed),
         answers.other.load(Ordering::Relaxed),
     );
     harness::lock(&answers.times).clear();
-    harness::lock(&simulated.tally.called).clear();
+    harness::lock(&simulated.counts.called).clear();
     let (before, since) = (program.usage()?, Instant::now());
     let (mut descriptors, mut standing, mut looks) = (0, 0, 0);
     while since.elapsed() < MEASURED_TIME {
         descriptors = descriptors.max(program.usage()?.descriptors);
         (standing, looks) = (
-            standing + simulated.tally.standing.load(Ordering::Relaxed),
+            standing + simulated.counts.standing.load(Ordering::Relaxed),
             looks + 1,
         );
         std::thread::sleep(Duration::from_millis(100));
     }
     let after = program.usage()?;
-    let now = simulated.tally.counts();
+    let now = simulated.counts.counts();
     let [accepts, calls, orders, questions] = std::array::from_fn(|i| (now[i] - counted[i]) as f64);
     let served = (answers.served.load(Ordering::Relaxed) - served) as f64;
     let other = (answers.other.load(Ordering::Relaxed) - other) as f64;
     stop.store(true, Ordering::Relaxed);
-    let called = harness::lock(&simulated.tally.called).len() as f64;
+    let called = harness::lock(&simulated.counts.called).len() as f64;
     let row = vec![
         descriptors as f64,
         standing as f64 / f64::from(looks.max(1)),
--- a/scalelab/tests/processes.rs
+++ b/scalelab/tests/processes.rs
@@ -1,8 +1,8 @@
 //! What real processes do that is the same every run, at small sizes; and that experiments end as they should.
 use rstest::rstest;
 use scalelab::harness::{
-    lock, unreachable_endpoints, wait_until, watch_event, DiscoveryService, FrontEndOptions,
-    FrontEndProcess, InferenceClient,
+    lock, unreachable_endpoints, wait_until, DiscoveryService, FrontEndOptions, FrontEndProcess,
+    InferenceClient, WatchEvent,
 };
 use scalelab::simulated_workers::{ServiceTimes, SimulatedWorkers};
 use scalelab::worker_connections::{self, Spread};
@@ -43,18 +43,16 @@
 #[case::more(80, 12_014)]
 fn a_start_reads_the_list_once(#[case] count: u64, #[case] bytes: u64) {
     built();
-    let discovery = DiscoveryService::start(vec![(
-        1,
-        watch_event(1, true, &unreachable_endpoints(count)),
-    )])
-    .expect("a board");
+    let discovery =
+        DiscoveryService::start(vec![WatchEvent::complete(1, &unreachable_endpoints(count))])
+            .expect("a board");
     let told = FrontEndOptions {
         discovery: Some(discovery.address),
         ..FrontEndOptions::default()
     };
     let _program = FrontEndProcess::start(&told).expect("it starts");
     assert_eq!(
-        (discovery.bytes(), discovery.events(), discovery.calls()),
+        (discovery.bytes(), discovery.events(), discovery.watches()),
         (bytes, 1, 1)
     );
 }
@@ -70,7 +68,11 @@
 ) {
     built();
     let told = process_experiments::measure_resync(20, missed, 1).expect("it has the list");
-    assert_eq!((told.calls, told.bytes), (calls, calls * 3_200), "{told:?}");
+    assert_eq!(
+        (told.watches, told.bytes),
+        (calls, calls * 3_200),
+        "{told:?}"
+    );
 }
 
 /// One connection for each worker that a call or a question reaches, however often, within the idle time.
@@ -86,9 +88,9 @@
     )
     .expect("workers");
     let (tally, told) = (
-        &simulated.tally,
+        &simulated.counts,
         FrontEndOptions {
-            known: (1, vec![watch_event(1, true, &simulated.list)]),
+            known_events: vec![WatchEvent::complete(1, &simulated.list)],
             ..FrontEndOptions::default()
         },
     );
