--- a/scalelab/src/gossip_network/mod.rs
+++ b/scalelab/src/gossip_network/mod.rs
@@ -34,7 +34,7 @@
     program: Option<GossipNode>,
     /// Its own load, in thousandths of capacity.
     pub pressure: u32,
-    /// SimulatedPeer ends of different sides do not reach each other.
+    /// Front ends of different sides do not reach each other.
     pub side: u8,
     /// Nothing reaches it.
     pub deaf: bool,
--- a/scalelab/src/simulated_workers.rs
+++ b/scalelab/src/simulated_workers.rs
@@ -1,5 +1,5 @@
-//! Stand-in workers on the platform's frames: thousands of listeners and their connections on one thread, each
-//! worker with what it has loaded. They end when the yard is dropped.
+//! Simulated workers on the platform's frames: thousands of listeners and their connections on one thread, each worker
+//! with what it has loaded. They end when [`SimulatedWorkers`] is dropped.
 use crate::harness::{endpoint_json, lock, spawn_thread};
 use crate::ExperimentError;
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
@@ -13,108 +13,146 @@
 use std::time::{Duration, Instant};
 use wrenseam::worker::frames::encode;
 
-const LOOK: Duration = Duration::from_millis(50); // how often it looks whether it is to end
-const HEADER: usize = 16;
+/// How often the thread looks whether it is to end.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Events taken from the kernel at a time.
+const EVENTS_PER_WAIT: usize = 256;
+/// Bytes of a frame before its fields.
+const HEADER_BYTES: usize = 16;
+/// Bytes of a frame after its body.
+const CHECKSUM_BYTES: usize = 4;
+/// Kinds of frames that a front end sends.
+const REQUEST_FRAME: u8 = 2;
+const LOAD_FRAME: u8 = 6;
+const UNLOAD_FRAME: u8 = 8;
+/// Kind of an answer, and the first byte of frames that workers send.
+const ANSWER_FRAME: u8 = 200;
+const WORKER_MARK: u8 = 127;
 
-/// What the workers take for their work.
+/// How long the workers' work takes.
 #[derive(Clone, Copy)]
 pub struct ServiceTimes {
+    /// A load of a function.
     pub load: Duration,
+    /// A request, once the function is loaded.
     pub call: Duration,
 }
 
-/// What a worker saw of a function's first call.
+/// What a worker saw of a function's first request.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstRequest {
-    /// Its first order or call came whole, its call came whole, its answer was written.
+    /// When its first load order or request had come as a whole.
     pub received_at: Instant,
+    /// When its request had come as a whole.
     pub called_at: Instant,
+    /// When its answer was written.
     pub answered_at: Instant,
     /// Whether that was the first frame of its connection.
     pub new_connection: bool,
-    /// Whether an order to load came before the call.
+    /// Whether a load order came before the request.
     pub ordered: bool,
 }
 
 /// What all workers saw.
 #[derive(Default)]
 pub struct WorkerCounts {
-    /// Connections taken, and those that stand now.
+    /// Connections accepted so far.
     pub accepts: AtomicU64,
+    /// Connections that are open now.
     pub standing: AtomicU64,
+    /// Requests received.
     pub calls: AtomicU64,
-    /// Orders to load, and questions (orders of no copies).
+    /// Load orders received.
     pub orders: AtomicU64,
+    /// Queries (orders of no replicas) received.
     pub questions: AtomicU64,
-    /// Workers called so far, and those that any frame reached.
+    /// Workers that received a request.
     pub called: Mutex<HashSet<usize>>,
+    /// Workers that received any frame.
     pub reached: Mutex<HashSet<usize>>,
-    /// What was seen of each function's first call.
+    /// What was seen of each function's first request.
     pub first_requests: Mutex<HashMap<u64, FirstRequest>>,
 }
 
+/// The counters of [`WorkerCounts`] at one time.
+#[derive(Clone, Copy, Debug)]
+pub struct CountsSnapshot {
+    /// Connections accepted.
+    pub accepts: u64,
+    /// Requests received.
+    pub calls: u64,
+    /// Load orders received.
+    pub orders: u64,
+    /// Queries received.
+    pub questions: u64,
+}
+
 impl WorkerCounts {
-    /// Its counts now: accepts, calls, orders, questions.
-    pub fn counts(&self) -> [u64; 4] {
-        [&self.accepts, &self.calls, &self.orders, &self.questions]
-            .map(|c| c.load(Ordering::Relaxed))
+    /// The counters now.
+    pub fn snapshot(&self) -> CountsSnapshot {
+        CountsSnapshot {
+            accepts: self.accepts.load(Ordering::Relaxed),
+            calls: self.calls.load(Ordering::Relaxed),
+            orders: self.orders.load(Ordering::Relaxed),
+            questions: self.questions.load(Ordering::Relaxed),
+        }
     }
 }
 
 /// The workers; they end with this value.
 pub struct SimulatedWorkers {
-    /// The list that tells of them.
+    /// The endpoint list that contains them.
     pub list: Vec<String>,
+    /// What they saw.
     pub counts: Arc<WorkerCounts>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
+fn failed(error: impl std::fmt::Display) -> ExperimentError {
+    ExperimentError::Failed(error.to_string())
+}
+
 impl SimulatedWorkers {
-    /// Starts so many workers.
+    /// Starts this many workers.
     ///
     /// # Errors
     /// No port or thread can be had.
-    pub fn start(count: u64, work: ServiceTimes) -> Result<SimulatedWorkers, ExperimentError> {
-        let failed = |e: &dyn std::fmt::Display| ExperimentError::Failed(e.to_string());
-        let epoll = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC).map_err(|e| failed(&e))?;
-        let (mut list, mut listeners) = (Vec::new(), Vec::new());
+    pub fn start(count: u64, times: ServiceTimes) -> Result<SimulatedWorkers, ExperimentError> {
+        let epoll = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC).map_err(failed)?;
+        let mut list = Vec::new();
+        let mut workers = Vec::new();
         for id in 0..count {
-            let listener = TcpListener::bind("127.0.0.1:0").map_err(|e| failed(&e))?;
-            listener.set_nonblocking(true).map_err(|e| failed(&e))?;
-            list.push(endpoint_json(
-                id,
-                &listener.local_addr().map_err(|e| failed(&e))?.to_string(),
-                "ready",
-            ));
-            epoll
-                .add(&listener, EpollEvent::new(EpollFlags::EPOLLIN, id))
-                .map_err(|e| failed(&e))?;
-            listeners.push((listener, HashMap::new()));
+            let listener = TcpListener::bind("127.0.0.1:0").map_err(failed)?;
+            listener.set_nonblocking(true).map_err(failed)?;
+            let address = listener.local_addr().map_err(failed)?;
+            list.push(endpoint_json(id, &address.to_string(), "ready"));
+            let event = EpollEvent::new(EpollFlags::EPOLLIN, id);
+            epoll.add(&listener, event).map_err(failed)?;
+            workers.push(Worker {
+                listener,
+                loaded_at: HashMap::new(),
+            });
         }
-        let (counts, stop) = (
-            Arc::new(WorkerCounts::default()),
-            Arc::new(AtomicBool::new(false)),
-        );
-        let next = count;
-        let (links, due, answers) = (HashMap::new(), BinaryHeap::new(), BTreeMap::new());
-        let mut inside = EventLoop {
+        let counts = Arc::new(WorkerCounts::default());
+        let stop = Arc::new(AtomicBool::new(false));
+        let mut event_loop = EventLoop {
             epoll,
-            listeners,
-            links,
-            next,
-            work,
-            due,
-            answers,
+            workers,
+            connections: HashMap::new(),
+            last_token: count,
+            times,
+            due: BinaryHeap::new(),
+            replies: BTreeMap::new(),
             counts: counts.clone(),
         };
-        let of = stop.clone();
-        let thread = Some(spawn_thread(move || inside.run(&of))?);
+        let stopped = stop.clone();
+        let thread = spawn_thread(move || event_loop.run(&stopped))?;
         Ok(SimulatedWorkers {
             list,
             counts,
             stop,
-            thread,
+            thread: Some(thread),
         })
     }
 }
@@ -123,237 +161,283 @@
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            let _ = thread.join(); // it may have panicked, which has been told
+            let _ = thread.join(); // it may have panicked, which has been printed
         }
     }
 }
 
-/// A connection, and what came of a frame that is not whole.
+struct Worker {
+    listener: TcpListener,
+    /// When each function that it holds is loaded.
+    loaded_at: HashMap<u64, Instant>,
+}
+
+/// A connection, and what came of a frame that is not complete.
 struct Connection {
     stream: TcpStream,
     worker: usize,
-    got: Vec<u8>,
+    received: Vec<u8>,
+    /// Whether no complete frame has come yet.
+    new: bool,
+}
+
+/// A complete frame, and where it came from.
+struct Frame {
+    connection: u64,
+    worker: usize,
+    /// Whether it is the first of its connection.
     first: bool,
+    kind: u8,
+    id: u64,
+    fields: String,
+    body: Vec<u8>,
+}
+
+impl Frame {
+    /// Takes a complete frame off the bytes received.
+    fn take(token: u64, connection: &mut Connection) -> Option<Frame> {
+        let head = *connection.received.first_chunk::<HEADER_BYTES>()?;
+        let fields_length = usize::from(u16::from_be_bytes([head[2], head[3]]));
+        let body_length = u32::from_be_bytes([head[4], head[5], head[6], head[7]]) as usize;
+        let length = HEADER_BYTES + fields_length + body_length + CHECKSUM_BYTES;
+        if connection.received.len() < length {
+            return None;
+        }
+        let bytes: Vec<u8> = connection.received.drain(..length).collect();
+        let body_start = HEADER_BYTES + fields_length;
+        Some(Frame {
+            connection: token,
+            worker: connection.worker,
+            first: std::mem::take(&mut connection.new),
+            kind: head[1],
+            id: u64::from_be_bytes(head[8..].try_into().expect("eight bytes")),
+            fields: String::from_utf8_lossy(&bytes[HEADER_BYTES..body_start]).into_owned(),
+            body: bytes[body_start..length - CHECKSUM_BYTES].to_vec(),
+        })
+    }
+
+    fn field(&self, name: &str) -> Option<&str> {
+        let mut fields = self.fields.split(',');
+        fields.find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
+    }
+
+    fn function(&self) -> u64 {
+        let path = self.field("path");
+        path.and_then(|path| u64::from_str_radix(path, 16).ok())
+            .unwrap_or(self.id)
+    }
+
+    /// Replicas that a load order asks for.
+    fn replicas(&self) -> Option<u32> {
+        self.field("slots_up")?.parse().ok()
+    }
 }
 
 /// An answer that waits for its time.
 struct ScheduledReply {
-    link: u64,
+    connection: u64,
     bytes: Vec<u8>,
     function: u64,
     seen: FirstRequest,
-    call: bool,
+    is_request: bool,
 }
 
 struct EventLoop {
     epoll: Epoll,
-    /// Each worker, and when each function that it holds stands.
-    listeners: Vec<(TcpListener, HashMap<u64, Instant>)>,
-    links: HashMap<u64, Connection>,
-    /// The number of the next connection; workers have those before.
-    next: u64,
-    work: ServiceTimes,
+    workers: Vec<Worker>,
+    connections: HashMap<u64, Connection>,
+    /// Token of the latest connection; the workers' listeners have those from 0.
+    last_token: u64,
+    times: ServiceTimes,
     due: BinaryHeap<Reverse<(Instant, u64)>>,
-    answers: BTreeMap<u64, ScheduledReply>,
+    replies: BTreeMap<u64, ScheduledReply>,
     counts: Arc<WorkerCounts>,
 }
 
 impl EventLoop {
     fn run(&mut self, stop: &AtomicBool) {
-        let mut events = vec![EpollEvent::empty(); 256];
+        let mut events = vec![EpollEvent::empty(); EVENTS_PER_WAIT];
         while !stop.load(Ordering::Relaxed) {
-            let next = self
-                .due
-                .peek()
-                .map(|Reverse((at, _))| at.saturating_duration_since(Instant::now()));
-            let wait = next.map_or(LOOK, |n| n.min(LOOK));
-            // Rounded up to whole milliseconds, as the kernel counts.
-            let wait = wait.as_micros().div_ceil(1000) as u16;
-            let count = self
-                .epoll
-                .wait(&mut events, EpollTimeout::from(wait))
-                .unwrap_or(0); // a signal came
-            for event in events[..count].iter().map(EpollEvent::data) {
-                match self.listeners.get(event as usize) {
-                    Some(_) => self.accept(event as usize),
-                    None => self.read(event),
+            let count = self.epoll.wait(&mut events, self.timeout()).unwrap_or(0); // a signal came
+            for token in events[..count].iter().map(EpollEvent::data) {
+                if (token as usize) < self.workers.len() {
+                    self.accept(token as usize);
+                } else {
+                    self.read(token);
                 }
             }
-            let now = Instant::now();
-            while self.due.peek().is_some_and(|Reverse((at, _))| *at <= now) {
-                let Some(Reverse((_, n))) = self.due.pop() else {
-                    break;
-                };
-                if let Some(answer) = self.answers.remove(&n) {
-                    self.answer(answer);
-                }
+            self.send_due_replies();
+        }
+    }
+
+    /// Time until the next reply is due, rounded up to whole milliseconds, as the kernel counts.
+    fn timeout(&self) -> EpollTimeout {
+        let mut wait = STOP_POLL_INTERVAL;
+        if let Some(Reverse((at, _))) = self.due.peek() {
+            wait = wait.min(at.saturating_duration_since(Instant::now()));
+        }
+        EpollTimeout::from(wait.as_micros().div_ceil(1000) as u16)
+    }
+
+    fn send_due_replies(&mut self) {
+        let now = Instant::now();
+        while let Some(&Reverse((at, number))) = self.due.peek() {
+            if at > now {
+                return;
+            }
+            self.due.pop();
+            if let Some(reply) = self.replies.remove(&number) {
+                self.send(reply);
             }
         }
     }
 
     fn accept(&mut self, worker: usize) {
-        while let Ok((stream, _)) = self.listeners[worker].0.accept() {
-            self.next += 1;
-            let event = EpollEvent::new(EpollFlags::EPOLLIN, self.next);
+        while let Ok((stream, _)) = self.workers[worker].listener.accept() {
+            self.last_token += 1;
+            let event = EpollEvent::new(EpollFlags::EPOLLIN, self.last_token);
             let ready = stream.set_nonblocking(true).is_ok() && stream.set_nodelay(true).is_ok();
-            if ready && self.epoll.add(&stream, event).is_ok() {
-                self.counts.accepts.fetch_add(1, Ordering::Relaxed);
-                self.counts.standing.fetch_add(1, Ordering::Relaxed);
-                self.links.insert(
-                    self.next,
-                    Connection {
-                        stream,
-                        worker,
-                        got: Vec::new(),
-                        first: true,
-                    },
-                );
+            if !ready || self.epoll.add(&stream, event).is_err() {
+                continue;
             }
+            self.counts.accepts.fetch_add(1, Ordering::Relaxed);
+            self.counts.standing.fetch_add(1, Ordering::Relaxed);
+            let connection = Connection {
+                stream,
+                worker,
+                received: Vec::new(),
+                new: true,
+            };
+            self.connections.insert(self.last_token, connection);
         }
     }
 
-    fn end(&mut self, link: u64) {
-        if self.links.remove(&link).is_some() {
-            self.counts.standing.fetch_sub(1, Ordering::Relaxed); // closing takes it out of the set
+    fn close(&mut self, token: u64) {
+        if self.connections.remove(&token).is_some() {
+            self.counts.standing.fetch_sub(1, Ordering::Relaxed); // closing takes it out of the epoll set
         }
     }
 
-    fn read(&mut self, number: u64) {
-        let Some(link) = self.links.get_mut(&number) else {
+    fn read(&mut self, token: u64) {
+        let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
         let mut chunk = [0u8; 4096];
         loop {
-            match link.stream.read(&mut chunk) {
-                Ok(0) => return self.end(number),
-                Ok(n) => link.got.extend_from_slice(&chunk[..n]),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => return self.end(number),
+            match connection.stream.read(&mut chunk) {
+                Ok(0) => return self.close(token),
+                Ok(count) => connection.received.extend_from_slice(&chunk[..count]),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
+                Err(_) => return self.close(token),
             }
         }
-        while let Some(link) = self.links.get_mut(&number) {
-            let Some(head) = link.got.first_chunk::<HEADER>() else {
+        while let Some(connection) = self.connections.get_mut(&token) {
+            let Some(frame) = Frame::take(token, connection) else {
                 break;
             };
-            let fields = usize::from(u16::from_be_bytes([head[2], head[3]]));
-            let body = u32::from_be_bytes([head[4], head[5], head[6], head[7]]) as usize;
-            let all = HEADER + fields + body + 4;
-            if link.got.len() < all {
-                break;
-            }
-            let frame: Vec<u8> = link.got.drain(..all).collect();
-            let (worker, first) = (link.worker, std::mem::take(&mut link.first));
-            self.frame(number, worker, first, &frame, fields);
+            self.handle(&frame);
         }
     }
 
-    /// Takes a whole frame: a call, an order, a question or an unloading.
-    fn frame(&mut self, link: u64, worker: usize, first: bool, frame: &[u8], fields: usize) {
-        let id = u64::from_be_bytes(frame[8..HEADER].try_into().expect("eight bytes"));
-        let text = String::from_utf8_lossy(&frame[HEADER..HEADER + fields]).into_owned();
-        let field = |name: &str| {
-            text.split(',')
-                .find_map(|f| f.strip_prefix(name)?.strip_prefix('='))
-        };
-        let function = field("path")
-            .and_then(|p| u64::from_str_radix(p, 16).ok())
-            .unwrap_or(id);
-        let copies = field("slots_up").and_then(|n| n.parse::<u32>().ok());
-        let (came, held) = (Instant::now(), &mut self.listeners[worker].1);
-        let call = frame[1] == 2;
-        lock(&self.counts.reached).insert(worker);
-        match (frame[1], copies) {
-            (2, _) => {
+    /// Handles a request, a load order, a query or an unload order.
+    fn handle(&mut self, frame: &Frame) {
+        lock(&self.counts.reached).insert(frame.worker);
+        match (frame.kind, frame.replicas()) {
+            (REQUEST_FRAME, _) => {
                 self.counts.calls.fetch_add(1, Ordering::Relaxed);
-                lock(&self.counts.called).insert(worker);
-            }
-            (6, Some(0)) => {
-                self.counts.questions.fetch_add(1, Ordering::Relaxed);
-                let stands = held.get(&function).is_some_and(|&at| at <= came);
-                let bytes = reply(id, &format!("slots_up={}", u8::from(stands)), &[]);
-                return self.write(link, &bytes);
+                lock(&self.counts.called).insert(frame.worker);
+                self.schedule_reply(frame);
             }
-            (6, _) => {
+            (LOAD_FRAME, Some(0)) => self.answer_query(frame),
+            (LOAD_FRAME, _) => {
                 self.counts.orders.fetch_add(1, Ordering::Relaxed);
+                self.schedule_reply(frame);
             }
-            (8, _) => {
-                held.remove(&function);
-                return;
+            (UNLOAD_FRAME, _) => {
+                let loaded_at = &mut self.workers[frame.worker].loaded_at;
+                loaded_at.remove(&frame.function());
             }
-            _ => return,
+            _ => {}
         }
-        // When it stands: loaded before, being loaded for another, or begun now.
-        let begun = came + self.work.load;
-        let (stands, detail) = match held.get(&function) {
-            Some(&at) if at <= came => (at, "detail=resident"),
+    }
+
+    fn answer_query(&mut self, frame: &Frame) {
+        self.counts.questions.fetch_add(1, Ordering::Relaxed);
+        let loaded_at = self.workers[frame.worker].loaded_at.get(&frame.function());
+        let loaded = loaded_at.is_some_and(|&at| at <= Instant::now());
+        let bytes = answer(frame.id, &format!("slots_up={}", u8::from(loaded)), &[]);
+        self.write(frame.connection, &bytes);
+    }
+
+    /// Loads the function if need be, and schedules the reply for when it is loaded and the request is done.
+    fn schedule_reply(&mut self, frame: &Frame) {
+        let now = Instant::now();
+        let function = frame.function();
+        let loaded_at = &mut self.workers[frame.worker].loaded_at;
+        let (loaded, detail) = match loaded_at.get(&function) {
+            Some(&at) if at <= now => (at, "detail=resident"),
             Some(&at) => (at, "detail=rode"),
-            None => (*held.entry(function).or_insert(begun), "detail=booted"),
-        };
-        let at = stands.max(came) + if call { self.work.call } else { Duration::ZERO };
-        let body = &frame[HEADER + fields..frame.len() - 4];
-        let bytes = if call {
-            reply(id, detail, body)
-        } else {
-            reply(id, "slots_up=1", &[])
-        };
-        let seen = FirstRequest {
-            received_at: came,
-            called_at: came,
-            answered_at: came,
-            new_connection: first,
-            ordered: !call,
+            None => {
+                let at = now + self.times.load;
+                loaded_at.insert(function, at);
+                (at, "detail=booted")
+            }
         };
-        let n = self.answers.last_key_value().map_or(0, |(n, _)| n + 1);
-        self.answers.insert(
-            n,
-            ScheduledReply {
-                link,
-                bytes,
-                function,
-                seen,
-                call,
+        let is_request = frame.kind == REQUEST_FRAME;
+        let mut due = loaded.max(now);
+        let mut bytes = answer(frame.id, "slots_up=1", &[]);
+        if is_request {
+            due += self.times.call;
+            bytes = answer(frame.id, detail, &frame.body);
+        }
+        let reply = ScheduledReply {
+            connection: frame.connection,
+            bytes,
+            function,
+            seen: FirstRequest {
+                received_at: now,
+                called_at: now,
+                answered_at: now,
+                new_connection: frame.first,
+                ordered: !is_request,
             },
-        );
-        self.due.push(Reverse((at, n)));
+            is_request,
+        };
+        let last = self.replies.last_key_value();
+        let number = last.map_or(0, |(number, _)| number + 1);
+        self.replies.insert(number, reply);
+        self.due.push(Reverse((due, number)));
     }
 
-    fn answer(&mut self, answer: ScheduledReply) {
-        let ScheduledReply {
-            link,
-            bytes,
-            function,
-            seen,
-            call,
-        } = answer;
-        let answered = Instant::now();
-        {
-            let mut all = lock(&self.counts.first_requests);
-            let first = all.entry(function).or_insert(FirstRequest {
-                answered_at: answered,
-                ..seen
-            });
-            if call && first.ordered {
-                first.called_at = seen.called_at;
-                first.answered_at = answered;
-            }
+    fn send(&mut self, reply: ScheduledReply) {
+        let now = Instant::now();
+        let seen = FirstRequest {
+            answered_at: now,
+            ..reply.seen
+        };
+        let mut all = lock(&self.counts.first_requests);
+        let first = all.entry(reply.function).or_insert(seen);
+        if reply.is_request && first.ordered {
+            first.called_at = seen.called_at;
+            first.answered_at = now;
         }
-        self.write(link, &bytes);
+        drop(all);
+        self.write(reply.connection, &reply.bytes);
     }
 
-    fn write(&mut self, number: u64, bytes: &[u8]) {
-        // What does not go at once is a peer that does not read: frames here are small.
-        if self
-            .links
-            .get_mut(&number)
-            .is_some_and(|l| l.stream.write_all(bytes).is_err())
-        {
-            self.end(number);
+    /// Writes a frame. Frames here are small: what the kernel does not take at once shows a peer that does not read.
+    fn write(&mut self, token: u64, bytes: &[u8]) {
+        let Some(connection) = self.connections.get_mut(&token) else {
+            return;
+        };
+        if connection.stream.write_all(bytes).is_err() {
+            self.close(token);
         }
     }
 }
 
-fn reply(id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
-    let mut bytes = encode(200, id, fields, body);
-    bytes[0] = 127; // the mark of a worker
+fn answer(id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
+    let mut bytes = encode(ANSWER_FRAME, id, fields, body);
+    bytes[0] = WORKER_MARK;
     bytes
 }
--- a/scalelab/src/worker_connections.rs
+++ b/scalelab/src/worker_connections.rs
@@ -1,11 +1,12 @@
-//! Connections to workers: how many stand, and which share of calls pays for one. Measured at one process beside
-//! the worked-out model.
+//! Connections to workers: how many are open, and which share of requests opens one. Measured at one process beside a
+//! model.
 use crate::harness::{self, FrontEndOptions, FrontEndProcess, InferenceClient, WatchEvent};
 use crate::process_experiments::quantile;
 use crate::simulated_workers::{ServiceTimes, SimulatedWorkers};
 use crate::{Column, Experiment, ExperimentError, Sweep};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
+use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -36,13 +37,23 @@
 /// Client connections, each with its own part of the calls.
 const CLIENTS: u64 = 64;
 /// How long a worker connection stays that is not used: 15 s less a fifth, and half a sweep of 1 s.
-const KEPT_FOR: f64 = 12.5;
-const WARM: Duration = Duration::from_secs(14);
+const CONNECTION_IDLE_S: f64 = 12.5;
+/// What the connections are given to come to their level, and then what is counted.
+const WARM_UP_TIME: Duration = Duration::from_secs(14);
 const MEASURED_TIME: Duration = Duration::from_secs(12);
 /// Exponent at which the middle of 16,000 functions is called once in a minute, of 100,000 calls/s in all.
-const ZIPF: f64 = 1.65;
+const ZIPF_EXPONENT: f64 = 1.65;
 
-/// How calls are spread over functions.
+/// How often connections and descriptors are counted.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
+/// How often a client that waits looks whether it is to end.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
+const SERVICE_TIMES: ServiceTimes = ServiceTimes {
+    load: Duration::from_millis(100),
+    call: Duration::from_millis(5),
+};
+
+/// How requests are spread over functions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Spread {
     /// All alike.
@@ -51,181 +62,252 @@
     Zipf,
 }
 
-/// Connections that stand and the share of calls that find none, where each function has its calls at one worker that
-/// any is with equal chance, a connection stays for `kept` seconds after a call, and at most `most` stand: those
-/// called last. `shares` are the functions' parts of all `rate` calls a second.
-pub fn worked_out(workers: f64, rate: f64, kept: f64, shares: &[f64], most: f64) -> (f64, f64) {
-    let not_called = |share: &f64| (-rate * kept * share).exp();
-    let called: f64 = shares.iter().map(|s| 1.0 - not_called(s)).sum();
-    // A worker that none of those functions stands at.
-    let free = (-called / workers).exp();
-    let standing = workers * (1.0 - free);
-    let late = shares.iter().map(|s| s * not_called(s)).sum::<f64>() * free;
-    match standing > most {
-        true => (most, late.max(1.0 - most / workers)),
-        false => (standing, late),
+/// Worker connections, as the model has them.
+#[derive(Clone, Copy, Debug)]
+pub struct ModelledConnections {
+    /// Connections open at a time.
+    pub open: f64,
+    /// Part of the requests that open a connection, 0 to 1.
+    pub opening_share: f64,
+}
+
+/// The model: each function has its requests at one worker, which any is with equal chance; a connection stays open for
+/// `idle_s` seconds after a request; at most `most` are open, those used last. `shares` are the functions' parts of all
+/// `rate` requests a second.
+pub fn model(
+    workers: f64,
+    rate: f64,
+    idle_s: f64,
+    shares: &[f64],
+    most: f64,
+) -> ModelledConnections {
+    let not_called = |share: &f64| (-rate * idle_s * share).exp();
+    let called: f64 = shares.iter().map(|share| 1.0 - not_called(share)).sum();
+    // The chance that none of those functions is at a worker.
+    let unused = (-called / workers).exp();
+    let open = workers * (1.0 - unused);
+    let late: f64 = shares.iter().map(|share| share * not_called(share)).sum();
+    let opening_share = late * unused;
+    if open > most {
+        return ModelledConnections {
+            open: most,
+            opening_share: opening_share.max(1.0 - most / workers),
+        };
+    }
+    ModelledConnections {
+        open,
+        opening_share,
     }
 }
 
-/// Connections that the pool lets stand beside the test's clients.
+/// Connections that the pool keeps open beside the experiment's clients.
 pub fn most(max_descriptors: usize) -> f64 {
     Pool::new(max_descriptors, KEPT).most(CLIENTS as usize) as f64
 }
 
-/// The functions' parts of all calls, by rank.
+/// The functions' parts of all requests, by rank.
 pub fn shares(spread: Spread) -> Vec<f64> {
-    let weight = |rank: u64| {
-        if spread == Spread::Zipf {
-            (rank as f64).powf(-ZIPF)
-        } else {
-            1.0
-        }
+    let weight = |rank: u64| match spread {
+        Spread::Even => 1.0,
+        Spread::Zipf => (rank as f64).powf(-ZIPF_EXPONENT),
     };
     let weights: Vec<f64> = (1..=FUNCTIONS).map(weight).collect();
-    let all: f64 = weights.iter().sum();
-    weights.into_iter().map(|w| w / all).collect()
+    let total: f64 = weights.iter().sum();
+    weights.into_iter().map(|weight| weight / total).collect()
 }
 
-#[derive(Default)]
-struct Answers {
+/// Sums of the shares, so that a uniform number from 0 to 1 draws a function.
+fn cumulative(shares: &[f64]) -> Vec<f64> {
+    let mut total = 0.0;
+    let mut sums = Vec::with_capacity(shares.len());
+    for share in shares {
+        total += share;
+        sums.push(total);
+    }
+    sums
+}
+
+/// What all clients share.
+struct Clients {
+    address: SocketAddr,
+    requests_per_s: f64,
+    cumulative_shares: Vec<f64>,
+    stop: AtomicBool,
     served: AtomicU64,
-    other: AtomicU64,
+    not_served: AtomicU64,
     /// Times of those served, ms.
     times: Mutex<Vec<f64>>,
 }
 
-fn even(chance: &mut Pcg64) -> f64 {
-    (chance.next_u64() >> 11) as f64 / (1u64 << 53) as f64
+fn uniform(random: &mut Pcg64) -> f64 {
+    (random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// One client: calls at seeded Poisson times wait_until `stop`.
-fn client(
-    to: std::net::SocketAddr,
-    rate: f64,
-    seed: u64,
-    ranks: &[f64],
-    load: Duration,
-    stop: &AtomicBool,
-    answers: &Answers,
-) {
-    let mut chance = Pcg64::seed_from_u64(seed);
-    let mut kept: Option<InferenceClient> = None;
-    let mut due = Instant::now();
-    loop {
-        due += Duration::from_secs_f64(-(1.0 - even(&mut chance)).ln() / rate);
-        while let Some(wait) = due.checked_duration_since(Instant::now()) {
-            std::thread::sleep(wait.min(Duration::from_millis(200)));
-            if stop.load(Ordering::Relaxed) {
+impl Clients {
+    fn start(
+        address: SocketAddr,
+        rate: u64,
+        shares: &[f64],
+        seed: u64,
+    ) -> Result<Arc<Clients>, ExperimentError> {
+        let clients = Arc::new(Clients {
+            address,
+            requests_per_s: rate as f64 / CLIENTS as f64,
+            cumulative_shares: cumulative(shares),
+            stop: AtomicBool::new(false),
+            served: AtomicU64::new(0),
+            not_served: AtomicU64::new(0),
+            times: Mutex::default(),
+        });
+        for client in 0..CLIENTS {
+            let clients = clients.clone();
+            harness::spawn_thread(move || clients.run(seed << 16 | client))?;
+        }
+        Ok(clients)
+    }
+
+    /// One client: requests at seeded Poisson times until all are to stop.
+    fn run(&self, seed: u64) {
+        let mut random = Pcg64::seed_from_u64(seed);
+        let mut connection = None;
+        let mut due = Instant::now();
+        loop {
+            let interval = -(1.0 - uniform(&mut random)).ln() / self.requests_per_s;
+            due += Duration::from_secs_f64(interval);
+            if !self.wait(due) {
                 return;
             }
+            let drawn = uniform(&mut random);
+            let sums = &self.cumulative_shares;
+            let function = sums.partition_point(|&sum| sum < drawn) as u64 + 1;
+            let sent_at = Instant::now();
+            let status = self.call(&mut connection, function);
+            if matches!(status, Ok(200)) {
+                self.served.fetch_add(1, Ordering::Relaxed);
+                harness::lock(&self.times).push(sent_at.elapsed().as_secs_f64() * 1000.0);
+                continue;
+            }
+            self.not_served.fetch_add(1, Ordering::Relaxed);
+            if status.is_err() {
+                connection = None;
+            }
         }
-        if stop.load(Ordering::Relaxed) {
-            return;
+    }
+
+    /// Waits until a request is due; false: the clients are to stop.
+    fn wait(&self, due: Instant) -> bool {
+        while let Some(wait) = due.checked_duration_since(Instant::now()) {
+            std::thread::sleep(wait.min(STOP_POLL_INTERVAL));
+            if self.stop.load(Ordering::Relaxed) {
+                return false;
+            }
         }
-        let drawn = even(&mut chance);
-        let function = ranks.partition_point(|&sum| sum < drawn) as u64 + 1;
-        let since = Instant::now();
-        // One that was closed while idle is made again, as the protocol's clients do.
-        let first = kept.as_mut().map(|c| c.call(function, load));
-        let status = match first {
-            Some(Ok(status)) => Ok(status),
-            _ => InferenceClient::connect(to).and_then(|mut c| {
-                let status = c.call(function, load);
-                kept = Some(c);
-                status
-            }),
-        };
-        if matches!(status, Ok(200)) {
-            answers.served.fetch_add(1, Ordering::Relaxed);
-            harness::lock(&answers.times).push(since.elapsed().as_secs_f64() * 1000.0);
-        } else {
-            answers.other.fetch_add(1, Ordering::Relaxed);
-            if status.is_err() {
-                kept = None;
+        !self.stop.load(Ordering::Relaxed)
+    }
+
+    /// Sends a request. A connection that was closed while idle is made again, as the protocol's clients do.
+    fn call(
+        &self,
+        connection: &mut Option<InferenceClient>,
+        function: u64,
+    ) -> std::io::Result<u16> {
+        if let Some(client) = connection {
+            if let Ok(status) = client.call(function, SERVICE_TIMES.load) {
+                return Ok(status);
             }
         }
+        let mut client = InferenceClient::connect(self.address)?;
+        let status = client.call(function, SERVICE_TIMES.load);
+        *connection = Some(client);
+        status
+    }
+}
+
+/// What was sampled while the row's time passed.
+#[derive(Default)]
+struct Samples {
+    most_descriptors: usize,
+    mean_connections: f64,
+}
+
+fn sample(
+    process: &FrontEndProcess,
+    workers: &SimulatedWorkers,
+) -> Result<Samples, ExperimentError> {
+    let started = Instant::now();
+    let mut samples = Samples::default();
+    let mut connections = 0;
+    let mut count = 0;
+    while started.elapsed() < MEASURED_TIME {
+        let descriptors = process.usage()?.descriptors;
+        samples.most_descriptors = samples.most_descriptors.max(descriptors);
+        connections += workers.counts.standing.load(Ordering::Relaxed);
+        count += 1;
+        std::thread::sleep(SAMPLE_INTERVAL);
     }
+    samples.mean_connections = connections as f64 / f64::from(count.max(1));
+    Ok(samples)
 }
 
-/// One row: so many workers, calls a second and descriptors.
-fn measure(
+/// One row: so many workers, requests a second and descriptors.
+fn row(
     workers: u64,
     rate: u64,
     max_descriptors: usize,
     spread: Spread,
     seed: u64,
 ) -> Result<Vec<f64>, ExperimentError> {
-    let work = ServiceTimes {
-        load: Duration::from_millis(100),
-        call: Duration::from_millis(5),
-    };
-    let simulated = SimulatedWorkers::start(workers, work)?;
-    let told = FrontEndOptions {
+    let simulated = SimulatedWorkers::start(workers, SERVICE_TIMES)?;
+    let process = FrontEndProcess::start(&FrontEndOptions {
         known_events: vec![WatchEvent::complete(1, &simulated.list)],
         max_descriptors,
         seed,
         ..FrontEndOptions::default()
-    };
-    let program = FrontEndProcess::start(&told)?;
-    let (stop, answers) = (
-        Arc::new(AtomicBool::new(false)),
-        Arc::new(Answers::default()),
-    );
-    let parts = shares(spread);
-    let (w, r) = (workers as f64, rate as f64);
-    let (standing_worked, share_worked) = worked_out(w, r, KEPT_FOR, &parts, most(max_descriptors));
-    // Summed up, so that a number from 0 to 1 draws a function.
-    let ranks = parts
-        .iter()
-        .scan(0.0, |sum, part| (*sum += part, Some(*sum)).1)
-        .collect::<Vec<f64>>();
-    let ranks = Arc::new(ranks);
-    for n in 0..CLIENTS {
-        let (stop, answers, ranks, to) =
-            (stop.clone(), answers.clone(), ranks.clone(), program.kserve);
-        let (each, seed) = (rate as f64 / CLIENTS as f64, seed << 16 | n);
-        harness::spawn_thread(move || client(to, each, seed, &ranks, work.load, &stop, &answers))?;
-    }
-    std::thread::sleep(WARM);
-    let counted = simulated.counts.counts();
-    let (served, other) = (
-        answers.served.load(Ordering::Relaxed),
-        answers.other.load(Ordering::Relaxed),
+    })?;
+    let shares = shares(spread);
+    let limit = most(max_descriptors);
+    let modelled = model(
+        workers as f64,
+        rate as f64,
+        CONNECTION_IDLE_S,
+        &shares,
+        limit,
     );
-    harness::lock(&answers.times).clear();
+    let clients = Clients::start(process.kserve, rate, &shares, seed)?;
+    std::thread::sleep(WARM_UP_TIME);
+    let counts_before = simulated.counts.snapshot();
+    let served_before = clients.served.load(Ordering::Relaxed);
+    let not_served_before = clients.not_served.load(Ordering::Relaxed);
+    harness::lock(&clients.times).clear();
     harness::lock(&simulated.counts.called).clear();
-    let (before, since) = (program.usage()?, Instant::now());
-    let (mut descriptors, mut standing, mut looks) = (0, 0, 0);
-    while since.elapsed() < MEASURED_TIME {
-        descriptors = descriptors.max(program.usage()?.descriptors);
-        (standing, looks) = (
-            standing + simulated.counts.standing.load(Ordering::Relaxed),
-            looks + 1,
-        );
-        std::thread::sleep(Duration::from_millis(100));
-    }
-    let after = program.usage()?;
-    let now = simulated.counts.counts();
-    let [accepts, calls, orders, questions] = std::array::from_fn(|i| (now[i] - counted[i]) as f64);
-    let served = (answers.served.load(Ordering::Relaxed) - served) as f64;
-    let other = (answers.other.load(Ordering::Relaxed) - other) as f64;
-    stop.store(true, Ordering::Relaxed);
-    let called = harness::lock(&simulated.counts.called).len() as f64;
-    let row = vec![
-        descriptors as f64,
-        standing as f64 / f64::from(looks.max(1)),
-        standing_worked,
+    let before = process.usage()?;
+    let samples = sample(&process, &simulated)?;
+    let after = process.usage()?;
+    let counts = simulated.counts.snapshot();
+    let served = (clients.served.load(Ordering::Relaxed) - served_before) as f64;
+    let not_served = (clients.not_served.load(Ordering::Relaxed) - not_served_before) as f64;
+    clients.stop.store(true, Ordering::Relaxed);
+    let workers_called = harness::lock(&simulated.counts.called).len() as f64;
+    let accepts = (counts.accepts - counts_before.accepts) as f64;
+    let calls = (counts.calls - counts_before.calls) as f64;
+    let orders = counts.orders - counts_before.orders;
+    let queries = counts.questions - counts_before.questions;
+    let seconds = MEASURED_TIME.as_secs_f64();
+    let p99 = quantile(&mut harness::lock(&clients.times), 0.99);
+    Ok(vec![
+        samples.most_descriptors as f64,
+        samples.mean_connections,
+        modelled.open,
         100.0 * accepts / calls.max(1.0),
-        100.0 * share_worked,
-        called,
-        calls / MEASURED_TIME.as_secs_f64(),
-        (orders + questions) / MEASURED_TIME.as_secs_f64(),
-        100.0 * served / (served + other).max(1.0),
-        quantile(&mut harness::lock(&answers.times), 0.99),
+        100.0 * modelled.opening_share,
+        workers_called,
+        calls / seconds,
+        (orders + queries) as f64 / seconds,
+        100.0 * served / (served + not_served).max(1.0),
+        p99,
         after.cpu_percent(&before),
         after.resident_kib as f64 / 1024.0,
-    ];
-    Ok(row)
+    ])
 }
 
 fn columns() -> Vec<Column> {
@@ -251,10 +333,10 @@
 fn by_workers(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut sweeps = Vec::new();
     for max_descriptors in [1_024, 16_384] {
-        let row = |&w: &u64| Ok((w, measure(w, CALLS, max_descriptors, Spread::Even, seed)?));
+        let sized_row = |&w: &u64| Ok((w, row(w, CALLS, max_descriptors, Spread::Even, seed)?));
         let rows = sizes
             .iter()
-            .map(row)
+            .map(sized_row)
             .collect::<Result<_, ExperimentError>>()?;
         let title = format!(
             "Connections at {CALLS} calls/s, {FUNCTIONS} functions evenly, {max_descriptors} descriptors"
@@ -271,17 +353,17 @@
 
 fn by_calls(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut sweeps = Vec::new();
-    for (spread, told) in [
+    for (spread, description) in [
         (Spread::Even, "evenly"),
         (Spread::Zipf, "by Zipf with exponent 1.65"),
     ] {
-        let row = |&r: &u64| Ok((r, measure(4_000, r, 1_024, spread, seed)?));
+        let sized_row = |&r: &u64| Ok((r, row(4_000, r, 1_024, spread, seed)?));
         let rows = sizes
             .iter()
-            .map(row)
+            .map(sized_row)
             .collect::<Result<_, ExperimentError>>()?;
         let title = format!(
-            "Connections before 4,000 workers, {FUNCTIONS} functions {told}, 1,024 descriptors"
+            "Connections before 4,000 workers, {FUNCTIONS} functions {description}, 1,024 descriptors"
         );
         sweeps.push(Sweep {
             title,
--- a/scalelab/tests/processes.rs
+++ b/scalelab/tests/processes.rs
@@ -126,7 +126,7 @@
     #[case] standing: f64,
     #[case] paid: f64,
 ) {
-    let told = worker_connections::worked_out(
+    let modelled = worker_connections::model(
         4_000.0,
         152.0,
         12.5,
@@ -134,8 +134,8 @@
         most,
     );
     assert!(
-        (told.0 - standing).abs() < 0.1 && (told.1 - paid).abs() < 1e-4,
-        "{told:?}"
+        (modelled.open - standing).abs() < 0.1 && (modelled.opening_share - paid).abs() < 1e-4,
+        "{modelled:?}"
     );
 }
 
