--- a/scalelab/examples/hollow_front.rs
+++ b/scalelab/examples/hollow_front.rs
@@ -1,4 +1,4 @@
-//! One hollow front end at one scenario, for a profiler:
+//! One simulated front end at one scenario, for a profiler:
 //!
 //!     valgrind --tool=callgrind --toggle-collect='*Controller*handle*' target/release/examples/hollow_front 10000 16000 152 20
 //!
--- a/scalelab/src/gossip_experiments.rs
+++ b/scalelab/src/gossip_experiments.rs
@@ -1,4 +1,4 @@
-//! What front ends send each other, against the fleet's size and its fault_scenarios: experiments on the simulated net.
+//! What front ends send each other, against the fleet's size and its faults: experiments on the simulated network.
 use crate::gossip_network::{GossipProtocol, SimulatedNetwork, IP_UDP, MS, ZONES};
 use crate::traffic_counts::TrafficCounts;
 use crate::{Column, Experiment, ExperimentError, Sweep};
--- a/scalelab/src/gossip_network/accuracy.rs
+++ b/scalelab/src/gossip_network/accuracy.rs
@@ -1,4 +1,4 @@
-//! What the front ends make of the fleet, beside the truth.
+//! How far the front ends' views of the fleet are from the truth.
 use super::{addr, number, SimulatedNetwork};
 use std::collections::BTreeSet;
 use wrenseam::fleet::identity::MAX_PRESSURE;
@@ -58,7 +58,7 @@
         let up = self
             .peers
             .iter()
-            .filter(|f| f.program.is_some() && f.side == side);
+            .filter(|f| f.node.is_some() && f.side == side);
         let (sum, n) = up.fold((0.0, 0), |(s, n), f| {
             (s + f64::from(f.pressure.min(MAX_PRESSURE)), n + 1)
         });
@@ -68,7 +68,7 @@
     /// The largest and the root mean square error of the mean, as a part of the truth, over all that run.
     pub fn error(&self) -> (f64, f64) {
         let truth: Vec<f64> = (0..=1).map(|side| self.truth(side).0).collect();
-        let errors = self.peers.iter().filter(|f| f.program.is_some()).map(|f| {
+        let errors = self.peers.iter().filter(|f| f.node.is_some()).map(|f| {
             let t = truth[usize::from(f.side)];
             (f64::from(f.news.pressure) - t).abs() / t.max(1.0)
         });
@@ -81,7 +81,7 @@
     /// The largest error of the fleet's size, as a part of the truth, over all that run.
     pub fn size_error(&self) -> f64 {
         let truth: Vec<f64> = (0..=1).map(|side| self.truth(side).1 as f64).collect();
-        let up = self.peers.iter().filter(|f| f.program.is_some());
+        let up = self.peers.iter().filter(|f| f.node.is_some());
         up.map(|f| {
             let t = truth[usize::from(f.side)];
             (f.news.alive as f64 + 1.0 - t).abs() / t
--- a/scalelab/src/gossip_network/mod.rs
+++ b/scalelab/src/gossip_network/mod.rs
@@ -1,16 +1,17 @@
-//! A simulated net: hollow front ends (their gossip alone, as the program runs it) in simulated time, with faults of
-//! the net and of the processes. Counts and bytes are the same every run.
+//! A simulated network: front ends (their gossip alone, as the program runs it) on simulated time, with faults of the
+//! network and of the processes. Counts and bytes are the same every run.
 mod accuracy;
+mod event_queue;
 mod gossip_node;
 
 pub use gossip_node::GossipProtocol;
 
 use crate::traffic_counts::TrafficCounts;
 use crate::ExperimentError;
+use event_queue::{Delivery, EventQueue};
 use gossip_node::GossipNode;
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
-use std::cmp::Reverse;
-use std::collections::{BTreeSet, BinaryHeap};
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Instant;
 use wrenseam::fleet::node::EXTRA_TRANSMISSIONS;
@@ -24,14 +25,16 @@
 pub const CLUSTER: u32 = 7;
 /// Zones that the front ends are spread over; the first four are one region, the others the second.
 pub const ZONES: usize = 7;
+/// Zones of the first region.
+const FIRST_REGION_ZONES: usize = 4;
 /// Bytes of IPv4 and UDP before each datagram.
 pub const IP_UDP: u64 = 28;
 /// Incarnations as the program's: microseconds of the Unix time.
 const FIRST_INCARNATION: u64 = 1_790_000_000_000_000;
 
-/// One hollow front end.
+/// One simulated front end.
 pub struct SimulatedPeer {
-    program: Option<GossipNode>,
+    node: Option<GossipNode>,
     /// Its own load, in thousandths of capacity.
     pub pressure: u32,
     /// Front ends of different sides do not reach each other.
@@ -55,9 +58,6 @@
 /// A way to change what a front end sends: as a liar would.
 pub type Tamper = Box<dyn Fn(&mut Vec<u8>)>;
 
-/// When, in which order among those of one time, at whom, and the bytes: none is a timer.
-type Event = (u64, u64, usize, Vec<u8>);
-
 /// A front end was declared down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DownReport {
@@ -70,7 +70,7 @@
 }
 
 /// Datagrams that wait for a stopped process at the most: a socket's buffer holds some.
-const WAITING: usize = 200;
+const MAX_WAITING: usize = 200;
 
 /// A fleet on a net of chance.
 pub struct SimulatedNetwork {
@@ -93,8 +93,7 @@
     /// A front end whose datagrams are changed on their way out.
     pub tamper: Option<(usize, Tamper)>,
     seeds: Vec<SocketAddr>,
-    queue: BinaryHeap<Reverse<Event>>,
-    order: u64,
+    queue: EventQueue,
     rng: SmallRng,
     settings: SwimSettings,
 }
@@ -111,6 +110,49 @@
     }
 }
 
+impl SimulatedPeer {
+    /// Front end `i`, which has not started yet.
+    fn new(i: usize, kind: GossipProtocol, pressure: u32) -> SimulatedPeer {
+        SimulatedPeer {
+            node: None,
+            pressure,
+            side: 0,
+            deaf: false,
+            mute: false,
+            stopped: false,
+            waiting: Vec::new(),
+            news: FleetNews::default(),
+            kind,
+            incarnation: FIRST_INCARNATION + i as u64,
+            publish_at: 0,
+            wake_at: u64::MAX,
+        }
+    }
+
+    /// What comes for a process that stands still: datagrams wait, as far as there is room.
+    fn hold(&mut self, delivery: Delivery) {
+        if let Delivery::Datagram(bytes) = delivery {
+            if self.waiting.len() < MAX_WAITING {
+                self.waiting.push(bytes);
+            }
+        }
+    }
+}
+
+/// Whether a front end is in the first region.
+fn in_first_region(peer: usize) -> bool {
+    peer % ZONES < FIRST_REGION_ZONES
+}
+
+/// Time of a datagram on its way: half a millisecond to two within a region, 20 to 30 between them.
+fn delay_range(from: usize, to: usize) -> std::ops::Range<u64> {
+    if in_first_region(from) == in_first_region(to) {
+        MS / 2..2 * MS
+    } else {
+        20 * MS..30 * MS
+    }
+}
+
 impl SimulatedNetwork {
     /// `n` front ends that start within a second and join by the first and the second; probe 500 ms, suspicion
     /// 1.5 s as the program's defaults, own pressures between 200 and 800.
@@ -126,20 +168,7 @@
             capacity: 1024,
         };
         let peers = (0..n)
-            .map(|i| SimulatedPeer {
-                program: None,
-                pressure: rng.random_range(200..=800),
-                side: 0,
-                deaf: false,
-                mute: false,
-                stopped: false,
-                waiting: Vec::new(),
-                news: FleetNews::default(),
-                kind,
-                incarnation: FIRST_INCARNATION + i as u64,
-                publish_at: 0,
-                wake_at: u64::MAX,
-            })
+            .map(|i| SimulatedPeer::new(i, kind, rng.random_range(200..=800)))
             .collect();
         let seeds = (0..n.min(2)).map(addr).collect();
         let mut net = SimulatedNetwork {
@@ -153,21 +182,20 @@
             downs: Vec::new(),
             tamper: None,
             seeds,
-            queue: BinaryHeap::new(),
-            order: 0,
+            queue: EventQueue::default(),
             rng,
             settings,
         };
-        (0..n).for_each(|i| {
-            let at = net.rng.random_range(0..1000 * MS);
-            net.start(i, at);
-        });
+        for i in 0..n {
+            let after = net.rng.random_range(0..1000 * MS);
+            net.start(i, after);
+        }
         net
     }
 
     /// Ends front end `i` at once, as a crash would.
     pub fn kill(&mut self, i: usize) {
-        self.peers[i].program = None;
+        self.peers[i].node = None;
         self.peers[i].stopped = false;
         self.peers[i].waiting.clear();
     }
@@ -188,7 +216,7 @@
         if was && !stopped {
             self.wake(i, self.now);
             for bytes in std::mem::take(&mut self.peers[i].waiting) {
-                self.push(self.now, i, bytes);
+                self.queue.push(self.now, i, Delivery::Datagram(bytes));
             }
         }
     }
@@ -213,8 +241,11 @@
     }
 
     fn running_node(&mut self, i: usize) -> Option<&mut Node> {
-        let front = &mut self.peers[i];
-        match front.program.as_mut().filter(|_| !front.stopped)? {
+        let peer = &mut self.peers[i];
+        if peer.stopped {
+            return None;
+        }
+        match peer.node.as_mut()? {
             GossipNode::BoundedView(node) => Some(node),
             GossipNode::Summaries(_) => None,
         }
@@ -222,19 +253,19 @@
 
     /// The node of front end `i`, while it runs.
     pub fn node(&self, i: usize) -> Option<&Node> {
-        match &self.peers[i].program {
+        match &self.peers[i].node {
             Some(GossipNode::BoundedView(node)) => Some(node),
             _ => None,
         }
     }
 
     fn flush(&mut self, i: usize) {
-        let Some(program) = self.peers[i].program.as_mut() else {
+        let Some(node) = self.peers[i].node.as_mut() else {
             return;
         };
-        let out = program.outbox();
-        out.into_iter()
-            .for_each(|(to, bytes)| self.send(i, to, bytes));
+        for (to, bytes) in node.outbox() {
+            self.send(i, to, bytes);
+        }
     }
 
     /// Starts front end `i` in a new incarnation `after` microseconds from now.
@@ -243,134 +274,135 @@
         self.start_as(i, after, kind);
     }
 
-    /// As [`SimulatedNetwork::start`], with this program.
+    /// As [`SimulatedNetwork::start`], with this gossip protocol.
     pub fn start_as(&mut self, i: usize, after: u64, kind: GossipProtocol) {
         let seed = self.rng.random();
         let at = self.now + after;
-        let f = &mut self.peers[i];
-        f.incarnation += 1_000_000 + at;
-        f.kind = kind;
-        f.program = Some(match kind {
+        let incarnation = self.peers[i].incarnation + 1_000_000 + at;
+        let node = match kind {
             GossipProtocol::BoundedView => {
-                let swim = SwimSettings {
-                    extra_transmissions: EXTRA_TRANSMISSIONS,
-                    ..self.settings
-                };
-                let facts = Facts {
-                    lifecycle: Lifecycle::Ready,
-                    zone: format!("zone-{}", i % ZONES),
-                    program: env!("CARGO_PKG_VERSION").to_owned(),
-                    config_digest: 7,
-                    ..Facts::default()
-                };
-                let settings = NodeSettings {
-                    swim,
-                    facts,
-                    seeds: self.seeds.clone(),
-                    summaries: true,
-                };
-                GossipNode::BoundedView(Box::new(Node::new(addr(i), f.incarnation, settings, seed)))
+                let settings = self.node_settings(i);
+                let node = Node::new(addr(i), incarnation, settings, seed);
+                GossipNode::BoundedView(Box::new(node))
+            }
+            GossipProtocol::Summaries => {
+                let swim = Swim::new(addr(i), incarnation, self.settings, seed);
+                GossipNode::Summaries(Box::new(swim))
             }
-            GossipProtocol::Summaries => GossipNode::Summaries(Box::new(Swim::new(
-                addr(i),
-                f.incarnation,
-                self.settings,
-                seed,
-            ))),
-        });
-        f.publish_at = at;
-        f.news = FleetNews::default();
+        };
+        let peer = &mut self.peers[i];
+        peer.incarnation = incarnation;
+        peer.kind = kind;
+        peer.node = Some(node);
+        peer.publish_at = at;
+        peer.news = FleetNews::default();
         self.wake(i, at);
     }
 
+    /// The settings of front end `i` where it runs [`GossipProtocol::BoundedView`].
+    fn node_settings(&self, i: usize) -> NodeSettings {
+        let swim = SwimSettings {
+            extra_transmissions: EXTRA_TRANSMISSIONS,
+            ..self.settings
+        };
+        let facts = Facts {
+            lifecycle: Lifecycle::Ready,
+            zone: format!("zone-{}", i % ZONES),
+            program: env!("CARGO_PKG_VERSION").to_owned(),
+            config_digest: 7,
+            ..Facts::default()
+        };
+        NodeSettings {
+            swim,
+            facts,
+            seeds: self.seeds.clone(),
+            summaries: true,
+        }
+    }
+
     /// Whether front end `i` runs.
     pub fn up(&self, i: usize) -> bool {
-        self.peers[i].program.is_some()
+        self.peers[i].node.is_some()
     }
 
     /// Hands front end `i` a datagram from outside.
     pub fn inject(&mut self, i: usize, bytes: &[u8]) {
-        if let Some(p) = self.peers[i].program.as_mut() {
-            p.datagram(self.now, bytes);
+        if let Some(node) = self.peers[i].node.as_mut() {
+            node.datagram(self.now, bytes);
         }
     }
 
-    fn push(&mut self, at: u64, i: usize, bytes: Vec<u8>) {
-        self.order += 1;
-        self.queue.push(Reverse((at, self.order, i, bytes)));
-    }
-
     fn wake(&mut self, i: usize, at: u64) {
         self.peers[i].wake_at = at;
-        self.push(at, i, Vec::new()); // no bytes: a timer
+        self.queue.push(at, i, Delivery::Wake);
     }
 
     /// Runs until the time is `until`, in simulated microseconds.
     pub fn run(&mut self, until: u64) {
-        while self.queue.peek().is_some_and(|Reverse(e)| e.0 <= until) {
-            let Some(Reverse((at, _, i, bytes))) = self.queue.pop() else {
-                break;
-            };
-            self.now = at;
-            let f = &mut self.peers[i];
-            if bytes.is_empty() && at != f.wake_at {
-                continue; // another wake took its place
-            }
-            if f.stopped {
-                if !bytes.is_empty() && f.waiting.len() < WAITING {
-                    f.waiting.push(bytes);
-                }
-                continue;
-            }
-            let Some(program) = f.program.as_mut() else {
-                continue;
-            };
-            let began = Instant::now();
-            if bytes.is_empty() {
-                program.tick(at);
-                if at >= f.publish_at {
-                    f.publish_at = at + self.settings.probe;
-                    if let Some(more) = self.redraw {
-                        f.pressure = self.rng.random_range(500 - more..=500 + more);
+        while let Some(event) = self.queue.pop_until(until) {
+            self.now = event.at;
+            self.deliver(event.peer, event.delivery);
+        }
+        self.now = until;
+    }
+
+    fn deliver(&mut self, i: usize, delivery: Delivery) {
+        let now = self.now;
+        let peer = &mut self.peers[i];
+        let is_wake = matches!(delivery, Delivery::Wake);
+        if is_wake && now != peer.wake_at {
+            return; // another wake took its place
+        }
+        if peer.stopped {
+            peer.hold(delivery);
+            return;
+        }
+        let Some(node) = peer.node.as_mut() else {
+            return;
+        };
+        let began = Instant::now();
+        match delivery {
+            Delivery::Wake => {
+                node.tick(now);
+                if now >= peer.publish_at {
+                    peer.publish_at = now + self.settings.probe;
+                    if let Some(range) = self.redraw {
+                        peer.pressure = self.rng.random_range(500 - range..=500 + range);
                     }
-                    f.news = program.publish(at, f.pressure, &self.seeds);
-                }
-            } else {
-                self.traffic.received += bytes.len() as u64;
-                program.datagram(at, &bytes);
-            }
-            for (at, event) in program.events() {
-                if let PeerEvent::Down(id) = event {
-                    self.downs.push(DownReport {
-                        at,
-                        by: i,
-                        of: number(id.addr),
-                    });
+                    peer.news = node.publish(now, peer.pressure, &self.seeds);
                 }
             }
-            let out = program.outbox();
-            let next = program.next().min(f.publish_at).max(at + 1);
-            self.traffic.busy += began.elapsed();
-            if next < f.wake_at || bytes.is_empty() {
-                self.wake(i, next);
+            Delivery::Datagram(bytes) => {
+                self.traffic.received += bytes.len() as u64;
+                node.datagram(now, &bytes);
             }
-            for (to, bytes) in out {
-                self.send(i, to, bytes);
+        }
+        for (at, event) in node.events() {
+            if let PeerEvent::Down(id) = event {
+                let of = number(id.addr);
+                self.downs.push(DownReport { at, by: i, of });
             }
         }
-        self.now = until;
+        let datagrams = node.outbox();
+        let next = node.next().min(peer.publish_at).max(now + 1);
+        self.traffic.busy += began.elapsed();
+        if next < peer.wake_at || is_wake {
+            self.wake(i, next);
+        }
+        for (to, bytes) in datagrams {
+            self.send(i, to, bytes);
+        }
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, mut bytes: Vec<u8>) {
-        if let Some((_, tamper)) = self.tamper.as_ref().filter(|t| t.0 == from) {
-            tamper(&mut bytes);
+        if let Some((peer, tamper)) = &self.tamper {
+            if *peer == from {
+                tamper(&mut bytes);
+            }
         }
         self.traffic.add(&bytes);
         let to = number(to);
-        if to >= self.peers.len() || self.peers[to].side != self.peers[from].side {
-            return;
-        }
-        if self.peers[from].mute || self.peers[to].deaf || self.cut.contains(&(from, to)) {
+        if !self.reaches(from, to) {
             return;
         }
         let copies = 1 + usize::from(self.rng.random::<f64>() < self.duplication);
@@ -378,18 +410,21 @@
             if self.rng.random::<f64>() < self.loss {
                 continue;
             }
-            // Half a millisecond to two within a region, 20 to 30 between them.
-            let far = (from % ZONES < 4) != (to % ZONES < 4);
-            let delay = if far {
-                20 * MS..30 * MS
-            } else {
-                MS / 2..2 * MS
-            };
-            let at = self.now + self.rng.random_range(delay);
-            self.push(at, to, bytes.clone());
+            let at = self.now + self.rng.random_range(delay_range(from, to));
+            self.queue.push(at, to, Delivery::Datagram(bytes.clone()));
         }
     }
 
+    /// Whether datagrams from one front end come to the other, but for random loss.
+    fn reaches(&self, from: usize, to: usize) -> bool {
+        let sender = &self.peers[from];
+        let Some(receiver) = self.peers.get(to) else {
+            return false;
+        };
+        let heard = !sender.mute && !receiver.deaf;
+        heard && receiver.side == sender.side && !self.cut.contains(&(from, to))
+    }
+
     /// Runs on until `holds` at every step of 100 ms for a second, for at most `within` microseconds; how long
     /// it took until it held, in microseconds.
     pub fn until(&mut self, within: u64, holds: impl Fn(&SimulatedNetwork) -> bool) -> Option<u64> {
@@ -407,6 +442,9 @@
     }
 
     /// Joins all, and lets them settle: all count all, and the news of the joins has been passed on.
+    ///
+    /// # Errors
+    /// They have not found each other within three simulated minutes.
     pub fn settled(
         n: usize,
         kind: GossipProtocol,
--- a/scalelab/tests/processes.rs
+++ b/scalelab/tests/processes.rs
@@ -37,7 +37,7 @@
     });
 }
 
-/// The list's bytes at a start: about 150 an endpoint_json, read once.
+/// The list's bytes at a start: about 150 an endpoint, read once.
 #[rstest]
 #[case::few(20, 3_050)]
 #[case::more(80, 12_014)]
