--- a/scalelab/src/gossip_network/mod.rs
+++ b/scalelab/src/gossip_network/mod.rs
@@ -377,12 +377,18 @@
                 node.datagram(now, &bytes);
             }
         }
-        for (at, event) in node.events() {
-            if let PeerEvent::Down(id) = event {
-                let of = number(id.addr);
-                self.downs.push(DownReport { at, by: i, of });
-            }
-        }
+        let downs = node
+            .events()
+            .into_iter()
+            .filter_map(|(at, event)| match event {
+                PeerEvent::Down(id) => Some(DownReport {
+                    at,
+                    by: i,
+                    of: number(id.addr),
+                }),
+                _ => None,
+            });
+        self.downs.extend(downs);
         let datagrams = node.outbox();
         let next = node.next().min(peer.publish_at).max(now + 1);
         self.traffic.busy += began.elapsed();
--- a/scalelab/src/policy_scaling.rs
+++ b/scalelab/src/policy_scaling.rs
@@ -1,6 +1,6 @@
-//! The decision module alone: processor time, memory and actions against workers, functions, calls, front ends, list
-//! changes, zones and the time that idle copies are kept.
-use crate::simulated_front_end::{HandlingTimes, PolicyCounts, Scenario, SimulatedFrontEnd, SEC};
+//! The decision policy alone: processor time, memory and actions against workers, functions, requests, front ends,
+//! endpoint list changes, zones and the keep-alive time of idle replicas.
+use crate::simulated_front_end::{HandlingTimes, Scenario, SimulatedFrontEnd, SEC};
 use crate::{Column, Experiment, ExperimentError, Sweep};
 
 /// The experiments of this file.
@@ -44,10 +44,11 @@
         sizes: &[30, 100, 330, 660, 1_024],
         bound: 4_096,
         run: |sizes, seed| {
-            let scenario = |s: &mut Scenario, n| {
-                (s.front_ends, s.quota_per_s) = (n as u32, 1.2 * s.requests_per_s * n as f64);
+            let vary = |s: &mut Scenario, n| {
+                s.front_ends = n as u32;
+                s.quota_per_s = QUOTA_HEADROOM * s.requests_per_s * n as f64;
             };
-            Ok(vec![sweep(PLAYS, "front ends", sizes, &base(seed), scenario)])
+            Ok(vec![sweep(PLAYS, "front ends", sizes, &base(seed), vary)])
         },
     },
     Experiment {
@@ -100,19 +101,48 @@
 }
 
 /// The scenario in words, for a title.
-pub fn describe(s: &Scenario) -> String {
-    let absence = if s.load_on_demand { "loads" } else { "a miss" };
+pub fn describe(scenario: &Scenario) -> String {
+    let absence = if scenario.load_on_demand {
+        "loads"
+    } else {
+        "a miss"
+    };
     format!(
         "{} front ends, {} workers in {} zones, {} functions by (rank + {})^-{}, {} calls/s at this one, keep {} s, {} list changes/s, absence {absence}",
-        s.front_ends, s.workers, s.zones, s.functions, s.popularity_offset, s.popularity_exponent, s.requests_per_s, s.keep_alive / SEC, s.endpoint_changes_per_s
+        scenario.front_ends,
+        scenario.workers,
+        scenario.zones,
+        scenario.functions,
+        scenario.popularity_offset,
+        scenario.popularity_exponent,
+        scenario.requests_per_s,
+        scenario.keep_alive / SEC,
+        scenario.endpoint_changes_per_s
     )
 }
 
-/// Seconds that are measured once what is forgotten has come to its level, and where the list changes.
-const MEASURED: [u64; 2] = [20, 120];
+/// Quota of the tenants, as a multiple of the requests that come.
+const QUOTA_HEADROOM: f64 = 1.2;
+/// Seconds that are measured once what is forgotten has come to its level.
+const MEASURED_S: u64 = 20;
+/// The same where the endpoint list changes, as changes are seldom.
+const MEASURED_WITH_CHANGES_S: u64 = 120;
+/// Plays of one scenario: times are their median.
 const PLAYS: usize = 3;
+/// Endpoint list changes a second in the experiment over an hour.
+const HOUR_CHANGES_PER_S: f64 = 0.1;
 
-/// Varies one thing of a scenario; times are the median of so many plays, one at the least.
+/// Columns of exact figures, then of measured ones.
+pub(crate) fn columns(exact: &[&'static str], measured: &[&'static str]) -> Vec<Column> {
+    let column = |exact| move |&name: &&'static str| Column { name, exact };
+    exact
+        .iter()
+        .map(column(true))
+        .chain(measured.iter().map(column(false)))
+        .collect()
+}
+
+/// Varies one thing of a scenario; times are the median of this many plays, one at the least.
 pub fn sweep(
     plays: usize,
     what: &'static str,
@@ -120,141 +150,164 @@
     held: &Scenario,
     vary: impl Fn(&mut Scenario, u64),
 ) -> Sweep {
-    let rows = sizes.iter().map(|&n| {
+    let row = |&size: &u64| {
         let mut scenario = held.clone();
-        vary(&mut scenario, n);
-        let mut all: Vec<_> = (0..plays.max(1)).map(|_| play(&scenario)).collect();
-        all.sort_by(|a, b| a.1[0].total_cmp(&b.1[0]));
-        let (exact, [us, timer]) = all[all.len() / 2];
-        let (least, most) = (all[0].1[0], all[all.len() - 1].1[0]);
-        (
-            n,
-            exact.into_iter().chain([us, least, most, timer]).collect(),
-        )
-    });
+        vary(&mut scenario, size);
+        (size, median_row(plays, &scenario))
+    };
     Sweep {
         title: format!("{what}: {}", describe(held)),
         varied: what,
-        columns: columns(),
-        rows: rows.collect(),
+        columns: columns(
+            &[
+                "MB held",
+                "allocations/call",
+                "KB allocated/call",
+                "functions met",
+                "orders/s",
+                "questions/s",
+                "refused or failed/s",
+            ],
+            &["us/call", "least", "most", "timers, us/s"],
+        ),
+        rows: sizes.iter().map(row).collect(),
     }
 }
 
-/// The columns of [`sweep`].
-fn columns() -> Vec<Column> {
-    let exact = [
-        "MB held",
-        "allocations/call",
-        "KB allocated/call",
-        "functions met",
-        "orders/s",
-        "questions/s",
-        "refused or failed/s",
-    ];
-    let timed = ["us/call", "least", "most", "timers, us/s"];
-    let column = |exact| move |name| Column { name, exact };
-    exact
-        .into_iter()
-        .map(column(true))
-        .chain(timed.into_iter().map(column(false)))
-        .collect()
+/// The figures of the play with the median time, beside the least and the most time.
+fn median_row(plays: usize, scenario: &Scenario) -> Vec<f64> {
+    let mut results: Vec<SteadyState> = (0..plays.max(1)).map(|_| play(scenario)).collect();
+    results.sort_by(|a, b| a.us_per_request.total_cmp(&b.us_per_request));
+    let least = results[0].us_per_request;
+    let most = results[results.len() - 1].us_per_request;
+    let median = &results[results.len() / 2];
+    let exact = &median.exact;
+    vec![
+        exact.held_mb,
+        exact.allocations_per_request,
+        exact.allocated_kb_per_request,
+        exact.functions_called,
+        exact.load_orders_per_s,
+        exact.queries_per_s,
+        exact.not_served_per_s,
+        median.us_per_request,
+        least,
+        most,
+        median.timer_us_per_s,
+    ]
 }
 
-/// Plays a scenario until it has come to its level, then for as many seconds as `MEASURED` says.
-pub fn play(scenario: &Scenario) -> ([f64; 7], [f64; 2]) {
-    let mut front = SimulatedFrontEnd::new(scenario);
-    front.run(4 * scenario.keep_alive + SEC);
-    let before = front.counts.clone();
-    front.handling_times = HandlingTimes::default();
-    let measured = MEASURED[usize::from(scenario.endpoint_changes_per_s > 0.0)];
-    front.run(measured * SEC);
-    let (c, s) = (&front.counts, &front.handling_times);
-    let calls = (c.requests - before.requests).max(1) as f64;
-    let each = |now: u64, then: u64| (now - then) as f64 / calls;
-    let second = |now: u64, then: u64| (now - then) as f64 / measured as f64;
-    let exact = [
-        c.held_bytes as f64 / 1e6,
-        each(c.allocations, before.allocations),
-        each(c.allocated_bytes, before.allocated_bytes) / 1e3,
-        front.functions_called() as f64,
-        second(c.load_orders, before.load_orders),
-        second(c.queries, before.queries),
-        second(c.rejected + c.failed, before.rejected + before.failed),
-    ];
-    (
-        exact,
-        [
-            s.total() as f64 / 1e3 / calls,
-            s.timers as f64 / 1e3 / measured as f64,
-        ],
-    )
+/// Figures that are the same in every run of a scenario and seed.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ExactFigures {
+    /// Megabytes that the policy holds at the end.
+    pub held_mb: f64,
+    /// Heap allocations for each request.
+    pub allocations_per_request: f64,
+    /// Kilobytes allocated for each request.
+    pub allocated_kb_per_request: f64,
+    /// Functions called since the start.
+    pub functions_called: f64,
+    /// Load orders a second.
+    pub load_orders_per_s: f64,
+    /// Queries a second.
+    pub queries_per_s: f64,
+    /// Requests rejected or failed a second.
+    pub not_served_per_s: f64,
 }
 
-fn hour(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
-    let exact =
-        ["MB held", "functions met", "KB allocated/call", "orders/s"].map(|name| (name, true));
-    let columns = exact.into_iter().chain([("us/call", false)]);
-    let columns: Vec<_> = columns
-        .map(|(name, exact)| Column { name, exact })
-        .collect();
-    let shapes = [
-        Scenario {
-            endpoint_changes_per_s: 0.1,
-            ..base(seed)
-        },
-        Scenario {
-            endpoint_changes_per_s: 0.1,
-            popularity_exponent: 1.0,
-            popularity_offset: 0.0,
-            ..base(seed)
+/// What a play measured once the policy's state had come to its level.
+#[derive(Clone, Debug)]
+pub struct SteadyState {
+    /// Counts and bytes.
+    pub exact: ExactFigures,
+    /// Microseconds within the policy for each request.
+    pub us_per_request: f64,
+    /// Microseconds within the policy's timers a second.
+    pub timer_us_per_s: f64,
+}
+
+/// Plays a scenario until the policy's state has come to its level, then measures.
+pub fn play(scenario: &Scenario) -> SteadyState {
+    let mut front_end = SimulatedFrontEnd::new(scenario);
+    front_end.run(4 * scenario.keep_alive + SEC);
+    let before = front_end.counts.clone();
+    front_end.handling_times = HandlingTimes::default();
+    let seconds = if scenario.endpoint_changes_per_s > 0.0 {
+        MEASURED_WITH_CHANGES_S
+    } else {
+        MEASURED_S
+    };
+    front_end.run(seconds * SEC);
+    let counts = &front_end.counts;
+    let times = &front_end.handling_times;
+    let requests = (counts.requests - before.requests).max(1) as f64;
+    let per_request = |now: u64, then: u64| (now - then) as f64 / requests;
+    let per_second = |now: u64, then: u64| (now - then) as f64 / seconds as f64;
+    let allocated_per_request = per_request(counts.allocated_bytes, before.allocated_bytes);
+    SteadyState {
+        exact: ExactFigures {
+            held_mb: counts.held_bytes as f64 / 1e6,
+            allocations_per_request: per_request(counts.allocations, before.allocations),
+            allocated_kb_per_request: allocated_per_request / 1e3,
+            functions_called: front_end.functions_called() as f64,
+            load_orders_per_s: per_second(counts.load_orders, before.load_orders),
+            queries_per_s: per_second(counts.queries, before.queries),
+            not_served_per_s: per_second(counts.not_served(), before.not_served()),
         },
-    ];
-    let play = |scenario: &Scenario| {
-        let (mut front, mut minute) = (SimulatedFrontEnd::new(scenario), 0);
-        // What is counted a call and a second is since the row before.
-        let row = |&n: &u64| {
-            let before = front.counts.clone();
-            front.handling_times = HandlingTimes::default();
-            front.run((n - minute) * 60 * SEC);
-            let seconds = ((n - minute) * 60) as f64;
-            minute = n;
-            let c = &front.counts;
-            let calls = (c.requests - before.requests).max(1) as f64;
-            let kb = (c.allocated_bytes - before.allocated_bytes) as f64 / 1e3 / calls;
-            let orders = (c.load_orders - before.load_orders) as f64 / seconds;
-            let us = front.handling_times.total() as f64 / 1e3 / calls;
-            (
-                n,
-                vec![
-                    c.held_bytes as f64 / 1e6,
-                    front.functions_called() as f64,
-                    kb,
-                    orders,
-                    us,
-                ],
-            )
-        };
-        let rows = sizes.iter().map(row).collect();
-        Sweep {
-            title: format!("minutes: {}", describe(scenario)),
-            varied: "minutes",
-            columns: columns.clone(),
-            rows,
-        }
+        us_per_request: times.total() as f64 / 1e3 / requests,
+        timer_us_per_s: times.timers as f64 / 1e3 / seconds as f64,
+    }
+}
+
+fn hour(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
+    let base = Scenario {
+        endpoint_changes_per_s: HOUR_CHANGES_PER_S,
+        ..base(seed)
+    };
+    let by_rank = Scenario {
+        popularity_exponent: 1.0,
+        popularity_offset: 0.0,
+        ..base
     };
-    Ok(shapes.iter().map(play).collect())
+    Ok(vec![
+        over_minutes(sizes, &base),
+        over_minutes(sizes, &by_rank),
+    ])
 }
 
-/// The difference of two counts, as far as tables show it: attempts, to nobody, that load, orders, questions, refused or
-/// failed.
-pub fn counts_since(now: &PolicyCounts, then: &PolicyCounts) -> [f64; 6] {
-    [
-        now.attempts - then.attempts,
-        now.unreachable - then.unreachable,
-        now.loads_begun - then.loads_begun,
-        now.load_orders - then.load_orders,
-        now.queries - then.queries,
-        now.rejected + now.failed - then.rejected - then.failed,
-    ]
-    .map(|n| n as f64)
+/// One front end, measured after each of these minutes; what is counted for a request and a second is since the row
+/// before.
+fn over_minutes(minutes: &[u64], scenario: &Scenario) -> Sweep {
+    let mut front_end = SimulatedFrontEnd::new(scenario);
+    let mut played = 0;
+    let mut rows = Vec::new();
+    for &minute in minutes {
+        let before = front_end.counts.clone();
+        front_end.handling_times = HandlingTimes::default();
+        let seconds = (minute - played) * 60;
+        front_end.run(seconds * SEC);
+        played = minute;
+        let counts = &front_end.counts;
+        let requests = (counts.requests - before.requests).max(1) as f64;
+        let allocated_kb = (counts.allocated_bytes - before.allocated_bytes) as f64 / 1e3;
+        let load_orders = (counts.load_orders - before.load_orders) as f64;
+        let row = vec![
+            counts.held_bytes as f64 / 1e6,
+            front_end.functions_called() as f64,
+            allocated_kb / requests,
+            load_orders / seconds as f64,
+            front_end.handling_times.total() as f64 / 1e3 / requests,
+        ];
+        rows.push((minute, row));
+    }
+    Sweep {
+        title: format!("minutes: {}", describe(scenario)),
+        varied: "minutes",
+        columns: columns(
+            &["MB held", "functions met", "KB allocated/call", "orders/s"],
+            &["us/call"],
+        ),
+        rows,
+    }
 }
--- a/scalelab/src/simulated_front_end/measurements.rs
+++ b/scalelab/src/simulated_front_end/measurements.rs
@@ -37,6 +37,13 @@
     pub held_bytes: i64,
 }
 
+impl PolicyCounts {
+    /// Requests rejected or failed.
+    pub fn not_served(&self) -> u64 {
+        self.rejected + self.failed
+    }
+}
+
 /// Time within the policy by kind of event, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HandlingTimes {
--- a/scalelab/src/simulated_front_end/mod.rs
+++ b/scalelab/src/simulated_front_end/mod.rs
@@ -96,6 +96,20 @@
     usize::from_str_radix(&name[2..], 16).expect("a name made by worker_name")
 }
 
+/// The policy of the front end of this index, and the bytes that it holds.
+fn new_controller(scenario: &Scenario, index: u32, seed: u64) -> (Controller, i64) {
+    let mut controller = None;
+    let allocated = measure(|| {
+        let settings = Settings {
+            front_end_index: Some(index),
+            ..scenario.settings()
+        };
+        controller = Some(Controller::new(settings, seed));
+    });
+    let controller = controller.expect("made by the closure");
+    (controller, allocated.bytes_current)
+}
+
 impl SimulatedFrontEnd {
     /// A front end that has just started and has read the whole endpoint list.
     pub fn new(scenario: &Scenario) -> SimulatedFrontEnd {
@@ -133,16 +147,9 @@
             .seed
             .wrapping_mul(1_000_003)
             .wrapping_add(u64::from(index));
-        let mut controller = None;
-        let allocated = measure(|| {
-            let settings = Settings {
-                front_end_index: Some(index),
-                ..scenario.settings()
-            };
-            controller = Some(Controller::new(settings, seed));
-        });
+        let (controller, held_bytes) = new_controller(scenario, index, seed);
         let counts = PolicyCounts {
-            held_bytes: allocated.bytes_current,
+            held_bytes,
             ..PolicyCounts::default()
         };
         // The buffers never grow: their growth would count as the policy's.
@@ -154,7 +161,7 @@
             handling_times: HandlingTimes::default(),
             first_waits: Vec::new(),
             sent_log: None,
-            controller: controller.expect("made by the closure"),
+            controller,
             popularity: popularity.clone(),
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0x5eed),
             scheduled: BTreeMap::new(),
--- a/scalelab/src/slow_start_senders.rs
+++ b/scalelab/src/slow_start_senders.rs
@@ -1,10 +1,11 @@
-//! Cold workers' seats and the ration of loads: what many modules that share nothing send together, and what one of
-//! them refuses.
-use crate::policy_scaling::{base, describe};
+//! Slow start and the load budget: what many front ends that share nothing send together to workers that warm up, and
+//! what one of them rejects.
+use crate::disruptions::first_zone;
+use crate::policy_scaling::{base, columns, describe};
 use crate::simulated_front_end::{
     FunctionPopularity, Scenario, SentMessage, SimulatedFrontEnd, MS, SEC, START_TIME,
 };
-use crate::{Column, Experiment, Sweep};
+use crate::{Experiment, Sweep};
 use std::rc::Rc;
 use wrenseam_policy::{Micros, WorkerState};
 
@@ -31,13 +32,13 @@
         bound: 1_000,
         run: |sizes, seed| {
             let miss = Scenario { load_on_demand: false, workers: 2_000, ..base(seed) };
-            let even = Scenario { popularity_exponent: 0.0, popularity_offset: 0.0, ..miss.clone() };
-            let alone = Scenario { other_replicas_loaded: false, ..even.clone() };
+            let even = Scenario { popularity_exponent: 0.0, popularity_offset: 0.0, ..miss };
+            let alone = Scenario { other_replicas_loaded: false, ..even };
             let vary = |s: &mut Scenario, n| s.requests_per_s = n as f64;
             Ok(vec![
-                first("calls/s", sizes, &miss, vary, (60, false)),
-                first("calls/s, all functions called alike", sizes, &even, vary, (60, false)),
-                first("calls/s, all called alike and nothing stands anywhere", sizes, &alone, vary, (60, false)),
+                first_requests("calls/s", sizes, &miss, vary, RATE_RUN),
+                first_requests("calls/s, all functions called alike", sizes, &even, vary, RATE_RUN),
+                first_requests("calls/s, all called alike and nothing stands anywhere", sizes, &alone, vary, RATE_RUN),
             ])
         },
     },
@@ -56,25 +57,53 @@
                 popularity_offset: 0.0,
                 ..base(seed)
             };
-            let loads = Scenario { load_on_demand: true, ..alone.clone() };
+            let loads = Scenario { load_on_demand: true, ..alone };
             let vary = |s: &mut Scenario, n| s.load_time = n * MS;
             Ok(vec![
-                first("load, ms", sizes, &loads, vary, (1_200, false)),
-                first("load, ms; one of seven zones is silent", sizes, &loads, vary, (1_200, true)),
-                first("load, ms", sizes, &alone, vary, (1_200, false)),
-                first("load, ms; one of seven zones is silent", sizes, &alone, vary, (1_200, true)),
+                first_requests("load, ms", sizes, &loads, vary, REACHABLE_RUN),
+                first_requests("load, ms; one of seven zones is silent", sizes, &loads, vary, SILENT_ZONE_RUN),
+                first_requests("load, ms", sizes, &alone, vary, REACHABLE_RUN),
+                first_requests("load, ms; one of seven zones is silent", sizes, &alone, vary, SILENT_ZONE_RUN),
             ])
         },
     },
 ];
 
-const CAPACITY: f64 = 12.0; // calls a second that the shares allow for each worker
-const SHOWN: u64 = 30; // seconds that are played after the start
+/// Requests a second that the quotas allow for each worker.
+const CAPACITY: f64 = 12.0;
+/// Seconds that are played after the start.
+const SHOWN: u64 = 30;
+/// Seconds until the warm workers' rate is measured, and over which it is.
+const BEFORE_USUAL_S: u64 = 20;
+const USUAL_S: u64 = 10;
+/// Part of the usual rate at which a worker counts as warm.
+const WARM_RATE: f64 = 0.9;
+/// Workers of which a zone comes back.
+const ZONED_WORKERS: usize = 98;
+/// Requests a second at one front end before one worker, and for each of the zoned workers.
+const REQUESTS_PER_S: f64 = 10.0;
 
-fn column(name: &'static str) -> Column {
-    Column { name, exact: true }
+/// How first requests are measured.
+#[derive(Clone, Copy)]
+struct FirstRequestRun {
+    seconds: u64,
+    /// Whether one zone cannot be reached.
+    silent_zone: bool,
 }
 
+const RATE_RUN: FirstRequestRun = FirstRequestRun {
+    seconds: 60,
+    silent_zone: false,
+};
+const REACHABLE_RUN: FirstRequestRun = FirstRequestRun {
+    seconds: 1_200,
+    silent_zone: false,
+};
+const SILENT_ZONE_RUN: FirstRequestRun = FirstRequestRun {
+    silent_zone: true,
+    ..REACHABLE_RUN
+};
+
 /// Times of the attempts sent to these workers since they started, in order.
 fn attempt_times(
     front_ends: &mut [SimulatedFrontEnd],
@@ -93,196 +122,215 @@
     times
 }
 
-/// The most that any span of the rule's length held, as a part of what the rule allows at its end.
-fn worst(scenario: &Scenario, times: &[Micros]) -> f64 {
-    let (set, mut begin, mut worst) = (scenario.settings(), 0, 0.0f64);
-    for (n, &t) in times
-        .iter()
-        .enumerate()
-        .take_while(|(_, &t)| t < set.slow_start_duration)
-    {
-        while times[begin] + set.overload_window <= t {
-            begin += 1;
+/// The most attempts in any span of the overload window, as a part of what slow start allows at the span's end.
+fn worst_span(scenario: &Scenario, times: &[Micros]) -> f64 {
+    let settings = scenario.settings();
+    let span_s = settings.overload_window as f64 / SEC as f64;
+    let mut span_begin = 0;
+    let mut worst = 0.0f64;
+    for (position, &time) in times.iter().enumerate() {
+        if time >= settings.slow_start_duration {
+            break;
+        }
+        while times[span_begin] + settings.overload_window <= time {
+            span_begin += 1;
         }
-        let share = set.slow_start_from
-            + (1.0 - set.slow_start_from) * t as f64 / set.slow_start_duration as f64;
-        let span = set.overload_window as f64 / SEC as f64;
-        worst =
-            worst.max((n - begin + 1) as f64 / (set.overload_multiple * share * CAPACITY * span));
+        let progress = time as f64 / settings.slow_start_duration as f64;
+        let share = settings.slow_start_from + (1.0 - settings.slow_start_from) * progress;
+        let allowed = settings.overload_multiple * share * CAPACITY * span_s;
+        worst = worst.max((position - span_begin + 1) as f64 / allowed);
     }
     worst
 }
 
-/// The first second after which two seconds held as much as this rate; [`SHOWN`] if none.
-fn reaches(times: &[Micros], rate: f64) -> f64 {
-    let within = |s: u64| {
-        times
-            .iter()
-            .filter(|&&t| (s * SEC..(s + 2) * SEC).contains(&t))
-            .count()
+/// The first second after which two seconds held as many attempts as this rate; [`SHOWN`] if none.
+fn seconds_until(times: &[Micros], rate: f64) -> f64 {
+    let reached = |second: &u64| {
+        let span = second * SEC..(second + 2) * SEC;
+        let attempts = times.iter().filter(|&time| span.contains(time)).count();
+        attempts as f64 >= 2.0 * rate
     };
-    (0..SHOWN - 1)
-        .find(|&s| within(s) as f64 >= 2.0 * rate)
-        .unwrap_or(SHOWN) as f64
+    (0..SHOWN - 1).find(reached).unwrap_or(SHOWN) as f64
+}
+
+fn start_front_ends(scenario: &Scenario) -> Vec<SimulatedFrontEnd> {
+    let popularity = Rc::new(FunctionPopularity::new(scenario));
+    (0..scenario.front_ends)
+        .map(|index| SimulatedFrontEnd::with_index(scenario, &popularity, index, START_TIME))
+        .collect()
 }
 
 fn pressed(sizes: &[u64], seed: u64) -> Sweep {
-    let play = |n: u64| {
-        let scenario = Scenario {
-            front_ends: n as u32,
-            workers: 1,
-            functions: 160,
-            requests_per_s: 10.0,
-            quota_per_s: CAPACITY,
-            ..base(seed)
-        };
-        let popularity = Rc::new(FunctionPopularity::new(&scenario));
-        let mut fronts: Vec<_> = (0..n as u32)
-            .map(|i| SimulatedFrontEnd::with_index(&scenario, &popularity, i, START_TIME))
-            .collect();
-        for front in &mut fronts {
-            front.update_endpoints(false, &[0], WorkerState::Ready, START_TIME);
-            front.sent_log = Some(Vec::new());
-            front.run(SHOWN * SEC);
-        }
-        let (times, within) = (
-            attempt_times(&mut fronts, &[0], START_TIME),
-            scenario.settings().slow_start_duration,
-        );
-        let cold = times.iter().filter(|&&t| t < within).count() as f64;
-        let rate = cold / (within / SEC) as f64 / CAPACITY;
-        (
-            n,
-            vec![
-                worst(&scenario, &times),
-                rate,
-                reaches(&times, 0.9 * CAPACITY),
-            ],
-        )
-    };
     Sweep {
         title: format!(
             "seats: one cold worker that can do {CAPACITY} calls/s when warm, 10 calls/s from each front end"
         ),
         varied: "front ends",
-        columns: ["most, as part of the rule", "mean of 12 s, as part of warm", "s until 90% of warm"]
-            .map(column)
-            .into(),
-        rows: sizes.iter().map(|&n| play(n)).collect(),
+        columns: columns(
+            &[
+                "most, as part of the rule",
+                "mean of 12 s, as part of warm",
+                "s until 90% of warm",
+            ],
+            &[],
+        ),
+        rows: sizes.iter().map(|&size| (size, pressed_row(size, seed))).collect(),
     }
 }
 
-fn returned(sizes: &[u64], seed: u64) -> Sweep {
-    const WORKERS: usize = 98;
-    let play = |n: u64| {
-        let scenario = Scenario {
-            front_ends: n as u32,
-            workers: WORKERS,
-            functions: 160,
-            popularity_offset: 20.0,
-            requests_per_s: 10.0 * WORKERS as f64 / n as f64,
-            quota_per_s: CAPACITY * WORKERS as f64,
-            ..base(seed)
-        };
-        let popularity = Rc::new(FunctionPopularity::new(&scenario));
-        let mut fronts: Vec<_> = (0..n as u32)
-            .map(|i| SimulatedFrontEnd::with_index(&scenario, &popularity, i, START_TIME))
-            .collect();
-        let zone: Vec<usize> = (0..WORKERS).filter(|w| w % scenario.zones == 0).collect();
-        for front in &mut fronts {
-            front.run(20 * SEC);
-            front.sent_log = Some(Vec::new());
-            front.run(10 * SEC);
-        }
-        let usual = attempt_times(&mut fronts, &zone, START_TIME + 20 * SEC).len() as f64 / 10.0;
-        let started = START_TIME + 30 * SEC;
-        let mut refused = 0;
-        for front in &mut fronts {
-            front.disconnect_workers(&zone);
-            front.reconnect_workers(&zone);
-            front.update_endpoints(false, &zone, WorkerState::Ready, started);
-            front.sent_log = Some(Vec::new());
-            let before = front.counts.rejected + front.counts.failed;
-            front.run(SHOWN * SEC);
-            refused += front.counts.rejected + front.counts.failed - before;
-        }
-        let (times, within) = (
-            attempt_times(&mut fronts, &zone, started),
-            scenario.settings().slow_start_duration,
-        );
-        let cold = times.iter().filter(|&&t| t < within).count() as f64 / (within / SEC) as f64;
-        let after =
-            times.iter().filter(|&&t| t >= within).count() as f64 / (SHOWN - within / SEC) as f64;
-        let row = vec![
-            usual,
-            cold / usual,
-            after / usual,
-            reaches(&times, 0.9 * usual),
-            refused as f64,
-        ];
-        (n, row)
+/// One worker that has just started, with far more requests than it can do.
+fn pressed_row(front_ends: u64, seed: u64) -> Vec<f64> {
+    let scenario = Scenario {
+        front_ends: front_ends as u32,
+        workers: 1,
+        functions: 160,
+        requests_per_s: REQUESTS_PER_S,
+        quota_per_s: CAPACITY,
+        ..base(seed)
     };
+    let mut front_ends = start_front_ends(&scenario);
+    for front_end in &mut front_ends {
+        front_end.update_endpoints(false, &[0], WorkerState::Ready, START_TIME);
+        front_end.sent_log = Some(Vec::new());
+        front_end.run(SHOWN * SEC);
+    }
+    let times = attempt_times(&mut front_ends, &[0], START_TIME);
+    let slow_start = scenario.settings().slow_start_duration;
+    let attempts = times.iter().filter(|&&time| time < slow_start).count() as f64;
+    let mean_rate = attempts / (slow_start / SEC) as f64 / CAPACITY;
+    vec![
+        worst_span(&scenario, &times),
+        mean_rate,
+        seconds_until(&times, WARM_RATE * CAPACITY),
+    ]
+}
+
+fn returned(sizes: &[u64], seed: u64) -> Sweep {
     Sweep {
         title: "seats: 14 of 98 workers come back cold, 10 calls/s a worker over all front ends, warm within 12 s".into(),
         varied: "front ends",
-        columns: ["calls/s to the 14 before", "part of it, 0 to 12 s", "part of it, 12 to 30 s", "s until 90% of it", "refused"]
-            .map(column)
-            .into(),
-        rows: sizes.iter().map(|&n| play(n)).collect(),
+        columns: columns(
+            &[
+                "calls/s to the 14 before",
+                "part of it, 0 to 12 s",
+                "part of it, 12 to 30 s",
+                "s until 90% of it",
+                "refused",
+            ],
+            &[],
+        ),
+        rows: sizes.iter().map(|&size| (size, returned_row(size, seed))).collect(),
     }
 }
 
-/// First calls of a front end's first seconds, where one zone may be silent.
-fn first(
+/// A zone that comes back with nothing loaded.
+fn returned_row(front_ends: u64, seed: u64) -> Vec<f64> {
+    let scenario = Scenario {
+        front_ends: front_ends as u32,
+        workers: ZONED_WORKERS,
+        functions: 160,
+        popularity_offset: 20.0,
+        requests_per_s: REQUESTS_PER_S * ZONED_WORKERS as f64 / front_ends as f64,
+        quota_per_s: CAPACITY * ZONED_WORKERS as f64,
+        ..base(seed)
+    };
+    let zone = first_zone(&scenario);
+    let mut front_ends = start_front_ends(&scenario);
+    for front_end in &mut front_ends {
+        front_end.run(BEFORE_USUAL_S * SEC);
+        front_end.sent_log = Some(Vec::new());
+        front_end.run(USUAL_S * SEC);
+    }
+    let usual = attempt_times(&mut front_ends, &zone, START_TIME + BEFORE_USUAL_S * SEC);
+    let usual_rate = usual.len() as f64 / USUAL_S as f64;
+    let started = START_TIME + (BEFORE_USUAL_S + USUAL_S) * SEC;
+    let mut not_served = 0;
+    for front_end in &mut front_ends {
+        not_served += return_zone(front_end, &zone, started);
+    }
+    let times = attempt_times(&mut front_ends, &zone, started);
+    let slow_start = scenario.settings().slow_start_duration;
+    let slow_start_s = slow_start / SEC;
+    let warming = times.iter().filter(|&&time| time < slow_start).count();
+    let warming_rate = warming as f64 / slow_start_s as f64;
+    let later_rate = (times.len() - warming) as f64 / (SHOWN - slow_start_s) as f64;
+    vec![
+        usual_rate,
+        warming_rate / usual_rate,
+        later_rate / usual_rate,
+        seconds_until(&times, WARM_RATE * usual_rate),
+        not_served as f64,
+    ]
+}
+
+/// Restarts the zone's workers and plays on; the requests that were rejected or failed.
+fn return_zone(front_end: &mut SimulatedFrontEnd, zone: &[usize], started: Micros) -> u64 {
+    front_end.disconnect_workers(zone);
+    front_end.reconnect_workers(zone);
+    front_end.update_endpoints(false, zone, WorkerState::Ready, started);
+    front_end.sent_log = Some(Vec::new());
+    let before = front_end.counts.not_served();
+    front_end.run(SHOWN * SEC);
+    front_end.counts.not_served() - before
+}
+
+/// First requests of a front end that has just started.
+fn first_requests(
     what: &'static str,
     sizes: &[u64],
     held: &Scenario,
     vary: impl Fn(&mut Scenario, u64),
-    (seconds, silent): (u64, bool),
+    run: FirstRequestRun,
 ) -> Sweep {
-    let row = |&n: &u64| {
+    let row = |&size: &u64| {
         let mut scenario = held.clone();
-        vary(&mut scenario, n);
-        let mut front = SimulatedFrontEnd::new(&scenario);
-        if silent {
-            let zone: Vec<usize> = (0..scenario.workers)
-                .filter(|w| w % scenario.zones == 0)
-                .collect();
-            front.disconnect_workers(&zone);
-        }
-        front.run(seconds * SEC);
-        let c = &front.counts;
-        front.first_waits.sort_unstable();
-        let at = |part: f64| {
-            let n = (front.first_waits.len() as f64 * part) as usize;
-            front.first_waits.get(n).map_or(0.0, |&w| w as f64 / 1e3)
-        };
-        let first = c.first_requests.max(1) as f64;
-        let row = vec![
-            c.first_requests as f64,
-            100.0 * c.first_rejected as f64 / first,
-            100.0 * c.rejected as f64 / c.requests.max(1) as f64,
-            c.queries as f64 / first,
-            c.load_orders as f64 / seconds as f64,
-            at(0.5),
-            at(0.99),
-        ];
-        (n, row)
+        vary(&mut scenario, size);
+        (size, first_requests_row(&scenario, run))
     };
     Sweep {
-        title: format!("{what}, the first {seconds} s: {}", describe(held)),
+        title: format!(
+            "{what}, the first {seconds} s: {}",
+            describe(held),
+            seconds = run.seconds
+        ),
         varied: what,
-        columns: [
-            "first calls",
-            "% of them refused",
-            "% of all refused",
-            "questions/first call",
-            "orders/s",
-            "ms to its attempt, median",
-            "ms, 99 of 100",
-        ]
-        .map(column)
-        .into(),
+        columns: columns(
+            &[
+                "first calls",
+                "% of them refused",
+                "% of all refused",
+                "questions/first call",
+                "orders/s",
+                "ms to its attempt, median",
+                "ms, 99 of 100",
+            ],
+            &[],
+        ),
         rows: sizes.iter().map(row).collect(),
     }
 }
+
+fn first_requests_row(scenario: &Scenario, run: FirstRequestRun) -> Vec<f64> {
+    let mut front_end = SimulatedFrontEnd::new(scenario);
+    if run.silent_zone {
+        front_end.disconnect_workers(&first_zone(scenario));
+    }
+    front_end.run(run.seconds * SEC);
+    front_end.first_waits.sort_unstable();
+    let waits = &front_end.first_waits;
+    let wait_ms = |part: f64| {
+        let position = (waits.len() as f64 * part) as usize;
+        waits.get(position).map_or(0.0, |&wait| wait as f64 / 1e3)
+    };
+    let counts = &front_end.counts;
+    let first = counts.first_requests.max(1) as f64;
+    vec![
+        counts.first_requests as f64,
+        100.0 * counts.first_rejected as f64 / first,
+        100.0 * counts.rejected as f64 / counts.requests.max(1) as f64,
+        counts.queries as f64 / first,
+        counts.load_orders as f64 / run.seconds as f64,
+        wait_ms(0.5),
+        wait_ms(0.99),
+    ]
+}
--- a/scalelab/src/worker_connections.rs
+++ b/scalelab/src/worker_connections.rs
@@ -1,8 +1,10 @@
 //! Connections to workers: how many are open, and which share of requests opens one. Measured at one process beside a
 //! model.
-use crate::harness::{self, FrontEndOptions, FrontEndProcess, InferenceClient, WatchEvent};
+use crate::harness::{
+    self, FrontEndOptions, FrontEndProcess, InferenceClient, ResourceUsage, WatchEvent,
+};
 use crate::process_experiments::quantile;
-use crate::simulated_workers::{ServiceTimes, SimulatedWorkers};
+use crate::simulated_workers::{CountsSnapshot, ServiceTimes, SimulatedWorkers};
 use crate::{Column, Experiment, ExperimentError, Sweep};
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
@@ -44,6 +46,7 @@
 /// Exponent at which the middle of 16,000 functions is called once in a minute, of 100,000 calls/s in all.
 const ZIPF_EXPONENT: f64 = 1.65;
 
+const KIB_PER_MIB: f64 = 1024.0;
 /// How often connections and descriptors are counted.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 /// How often a client that waits looks whether it is to end.
@@ -249,65 +252,106 @@
     Ok(samples)
 }
 
-/// One row: so many workers, requests a second and descriptors.
-fn row(
+/// What one row varies.
+#[derive(Clone, Copy)]
+struct Load {
     workers: u64,
-    rate: u64,
+    requests_per_s: u64,
     max_descriptors: usize,
     spread: Spread,
-    seed: u64,
-) -> Result<Vec<f64>, ExperimentError> {
-    let simulated = SimulatedWorkers::start(workers, SERVICE_TIMES)?;
+}
+
+/// One row: the model beside one process, of which the time after the warm-up counts.
+fn row(load: Load, seed: u64) -> Result<Vec<f64>, ExperimentError> {
+    let workers = SimulatedWorkers::start(load.workers, SERVICE_TIMES)?;
     let process = FrontEndProcess::start(&FrontEndOptions {
-        known_events: vec![WatchEvent::complete(1, &simulated.list)],
-        max_descriptors,
+        known_events: vec![WatchEvent::complete(1, &workers.list)],
+        max_descriptors: load.max_descriptors,
         seed,
         ..FrontEndOptions::default()
     })?;
-    let shares = shares(spread);
-    let limit = most(max_descriptors);
+    let shares = shares(load.spread);
     let modelled = model(
-        workers as f64,
-        rate as f64,
+        load.workers as f64,
+        load.requests_per_s as f64,
         CONNECTION_IDLE_S,
         &shares,
-        limit,
+        most(load.max_descriptors),
     );
-    let clients = Clients::start(process.kserve, rate, &shares, seed)?;
+    let clients = Clients::start(process.kserve, load.requests_per_s, &shares, seed)?;
     std::thread::sleep(WARM_UP_TIME);
-    let counts_before = simulated.counts.snapshot();
+    let measured = measure(&process, &workers, &clients);
+    clients.stop.store(true, Ordering::Relaxed);
+    Ok(measured?.row(modelled))
+}
+
+/// What was measured after the warm-up.
+struct Measured {
+    samples: Samples,
+    counts_before: CountsSnapshot,
+    counts: CountsSnapshot,
+    served: u64,
+    not_served: u64,
+    workers_called: usize,
+    p99_ms: f64,
+    usage_before: ResourceUsage,
+    usage: ResourceUsage,
+}
+
+fn measure(
+    process: &FrontEndProcess,
+    workers: &SimulatedWorkers,
+    clients: &Clients,
+) -> Result<Measured, ExperimentError> {
+    let counts_before = workers.counts.snapshot();
     let served_before = clients.served.load(Ordering::Relaxed);
     let not_served_before = clients.not_served.load(Ordering::Relaxed);
     harness::lock(&clients.times).clear();
-    harness::lock(&simulated.counts.called).clear();
-    let before = process.usage()?;
-    let samples = sample(&process, &simulated)?;
-    let after = process.usage()?;
-    let counts = simulated.counts.snapshot();
-    let served = (clients.served.load(Ordering::Relaxed) - served_before) as f64;
-    let not_served = (clients.not_served.load(Ordering::Relaxed) - not_served_before) as f64;
-    clients.stop.store(true, Ordering::Relaxed);
-    let workers_called = harness::lock(&simulated.counts.called).len() as f64;
-    let accepts = (counts.accepts - counts_before.accepts) as f64;
-    let calls = (counts.calls - counts_before.calls) as f64;
-    let orders = counts.orders - counts_before.orders;
-    let queries = counts.questions - counts_before.questions;
-    let seconds = MEASURED_TIME.as_secs_f64();
-    let p99 = quantile(&mut harness::lock(&clients.times), 0.99);
-    Ok(vec![
-        samples.most_descriptors as f64,
-        samples.mean_connections,
-        modelled.open,
-        100.0 * accepts / calls.max(1.0),
-        100.0 * modelled.opening_share,
+    harness::lock(&workers.counts.called).clear();
+    let usage_before = process.usage()?;
+    let samples = sample(process, workers)?;
+    let usage = process.usage()?;
+    let counts = workers.counts.snapshot();
+    let served = clients.served.load(Ordering::Relaxed) - served_before;
+    let not_served = clients.not_served.load(Ordering::Relaxed) - not_served_before;
+    let workers_called = harness::lock(&workers.counts.called).len();
+    let p99_ms = quantile(&mut harness::lock(&clients.times), 0.99);
+    Ok(Measured {
+        samples,
+        counts_before,
+        counts,
+        served,
+        not_served,
         workers_called,
-        calls / seconds,
-        (orders + queries) as f64 / seconds,
-        100.0 * served / (served + not_served).max(1.0),
-        p99,
-        after.cpu_percent(&before),
-        after.resident_kib as f64 / 1024.0,
-    ])
+        p99_ms,
+        usage_before,
+        usage,
+    })
+}
+
+impl Measured {
+    fn row(&self, modelled: ModelledConnections) -> Vec<f64> {
+        let accepts = (self.counts.accepts - self.counts_before.accepts) as f64;
+        let calls = (self.counts.calls - self.counts_before.calls) as f64;
+        let orders = self.counts.orders - self.counts_before.orders;
+        let queries = self.counts.questions - self.counts_before.questions;
+        let seconds = MEASURED_TIME.as_secs_f64();
+        let answered = (self.served + self.not_served).max(1) as f64;
+        vec![
+            self.samples.most_descriptors as f64,
+            self.samples.mean_connections,
+            modelled.open,
+            100.0 * accepts / calls.max(1.0),
+            100.0 * modelled.opening_share,
+            self.workers_called as f64,
+            calls / seconds,
+            (orders + queries) as f64 / seconds,
+            100.0 * self.served as f64 / answered,
+            self.p99_ms,
+            self.usage.cpu_percent(&self.usage_before),
+            self.usage.resident_kib as f64 / KIB_PER_MIB,
+        ]
+    }
 }
 
 fn columns() -> Vec<Column> {
@@ -330,23 +374,38 @@
     .collect()
 }
 
+fn sweep(
+    title: String,
+    varied: &'static str,
+    loads: impl Iterator<Item = (u64, Load)>,
+    seed: u64,
+) -> Result<Sweep, ExperimentError> {
+    let mut rows = Vec::new();
+    for (size, load) in loads {
+        rows.push((size, row(load, seed)?));
+    }
+    Ok(Sweep {
+        title,
+        varied,
+        columns: columns(),
+        rows,
+    })
+}
+
 fn by_workers(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut sweeps = Vec::new();
     for max_descriptors in [1_024, 16_384] {
-        let sized_row = |&w: &u64| Ok((w, row(w, CALLS, max_descriptors, Spread::Even, seed)?));
-        let rows = sizes
-            .iter()
-            .map(sized_row)
-            .collect::<Result<_, ExperimentError>>()?;
         let title = format!(
             "Connections at {CALLS} calls/s, {FUNCTIONS} functions evenly, {max_descriptors} descriptors"
         );
-        sweeps.push(Sweep {
-            title,
-            varied: "workers",
-            columns: columns(),
-            rows,
-        });
+        let load = |&workers: &u64| Load {
+            workers,
+            requests_per_s: CALLS,
+            max_descriptors,
+            spread: Spread::Even,
+        };
+        let loads = sizes.iter().map(|size| (*size, load(size)));
+        sweeps.push(sweep(title, "workers", loads, seed)?);
     }
     Ok(sweeps)
 }
@@ -357,20 +416,17 @@
         (Spread::Even, "evenly"),
         (Spread::Zipf, "by Zipf with exponent 1.65"),
     ] {
-        let sized_row = |&r: &u64| Ok((r, row(4_000, r, 1_024, spread, seed)?));
-        let rows = sizes
-            .iter()
-            .map(sized_row)
-            .collect::<Result<_, ExperimentError>>()?;
         let title = format!(
             "Connections before 4,000 workers, {FUNCTIONS} functions {description}, 1,024 descriptors"
         );
-        sweeps.push(Sweep {
-            title,
-            varied: "calls a second",
-            columns: columns(),
-            rows,
-        });
+        let load = |&requests_per_s: &u64| Load {
+            workers: 4_000,
+            requests_per_s,
+            max_descriptors: 1_024,
+            spread,
+        };
+        let loads = sizes.iter().map(|size| (*size, load(size)));
+        sweeps.push(sweep(title, "calls a second", loads, seed)?);
     }
     Ok(sweeps)
 }
--- a/scalelab/tests/policy_scaling.rs
+++ b/scalelab/tests/policy_scaling.rs
@@ -28,14 +28,14 @@
 #[case::where_only_orders_load(Scenario { load_on_demand: false, ..small() })]
 #[case::with_list_changes(Scenario { endpoint_changes_per_s: 2.0, ..small() })]
 fn counts_and_bytes_are_the_same_every_run(#[case] scenario: Scenario) {
-    assert_eq!(play(&scenario).0, play(&scenario).0);
+    assert_eq!(play(&scenario).exact, play(&scenario).exact);
     let other = Scenario {
         seed: 2,
-        ..scenario.clone()
+        ..scenario
     };
     assert_ne!(
-        play(&scenario).0,
-        play(&other).0,
+        play(&scenario).exact,
+        play(&other).exact,
         "another seed, other calls"
     );
 }
