--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -4,9 +4,9 @@
 
 pub const MS: Micros = 1_000;
 pub const SEC: Micros = 1_000_000;
-pub const SAFE: usize = 0;
+pub const IDEMPOTENT: usize = 0;
 pub const KEYED: usize = 1;
-pub const UNSAFE: usize = 2;
+pub const NOT_IDEMPOTENT: usize = 2;
 
 pub fn class(effect: Idempotency, group: KeyScope) -> ClassSettings {
     ClassSettings {
@@ -19,7 +19,7 @@
     }
 }
 
-/// One gateway before workers where only an order loads; tests change what they need.
+/// One front end before workers where only an order loads; tests change what they need.
 pub fn settings() -> Settings {
     Settings {
         front_ends: 1,
@@ -50,7 +50,7 @@
     }
 }
 
-pub fn entry(n: usize) -> Endpoint {
+pub fn endpoint(n: usize) -> Endpoint {
     Endpoint {
         worker: format!("w{n}"),
         state: WorkerState::Ready,
@@ -61,33 +61,33 @@
     }
 }
 
-pub struct Rig {
-    pub c: Controller,
+pub struct ControllerHarness {
+    pub controller: Controller,
     pub now: Micros,
 }
 
-impl Rig {
+impl ControllerHarness {
     /// A controller that has been told of `n` warm workers, `w0` ...
     pub fn new(settings: Settings, n: usize) -> Self {
-        let mut rig = Rig {
-            c: Controller::new(settings, 11),
+        let mut harness = ControllerHarness {
+            controller: Controller::new(settings, 11),
             now: 100 * SEC,
         };
-        rig.feed(Event::EndpointUpdate {
+        harness.feed(Event::EndpointUpdate {
             complete: true,
-            endpoints: (0..n).map(entry).collect(),
+            endpoints: (0..n).map(endpoint).collect(),
         });
-        rig
+        harness
     }
 
     pub fn feed(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.c.handle(self.now, event, &mut out);
+        self.controller.handle(self.now, event, &mut out);
         out
     }
 
-    /// Lets time pass with the module's own periodic timer, and returns all that it does.
-    pub fn pass(&mut self, span: Micros) -> Vec<Action> {
+    /// Lets time pass with the policy's own periodic timer, and returns all that it does.
+    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
         while self.now < end {
@@ -111,7 +111,7 @@
         }))
     }
 
-    pub fn outcome(
+    pub fn end_attempt(
         &mut self,
         id: u64,
         attempt: usize,
@@ -132,7 +132,7 @@
         }))
     }
 
-    pub fn loaded(
+    pub fn end_load_order(
         &mut self,
         worker: &str,
         function: u64,
@@ -149,19 +149,19 @@
     }
 
     /// Makes the function believed warm at these workers, by answers to the questions of a first request.
-    pub fn warm(&mut self, function: u64, id: u64, workers: &[&str]) {
-        let asked = self.request(id, SAFE, function);
-        let names = loads(&asked, 0);
+    pub fn mark_loaded(&mut self, function: u64, id: u64, workers: &[&str]) {
+        let asked = self.request(id, IDEMPOTENT, function);
+        let names = load_orders(&asked, 0);
         for name in &names {
             let stands = workers.contains(&name.as_str());
-            self.loaded(name, function, u32::from(stands), Outcome::Ok);
+            self.end_load_order(name, function, u32::from(stands), Outcome::Ok);
         }
-        self.outcome(id, 0, Outcome::Ok, 50 * MS);
+        self.end_attempt(id, 0, Outcome::Ok, 50 * MS);
     }
 }
 
-/// The workers that were ordered to hold this many copies.
-pub fn loads(actions: &[Action], wanted: u32) -> Vec<String> {
+/// The workers that were ordered to hold this many replicas.
+pub fn load_orders(actions: &[Action], wanted: u32) -> Vec<String> {
     let pick = |a: &Action| match a {
         Action::Load {
             worker,
@@ -174,7 +174,7 @@
 }
 
 /// The workers that requests were sent to.
-pub fn sends(actions: &[Action]) -> Vec<String> {
+pub fn sent_workers(actions: &[Action]) -> Vec<String> {
     let pick = |a: &Action| match a {
         Action::Send { worker, .. } => Some(worker.clone()),
         _ => None,
--- a/policy/tests/design.rs
+++ b/policy/tests/design.rs
@@ -67,16 +67,16 @@
 enum Given {
     /// The function is believed warm at these workers.
     Warm(u64, &'static [&'static str]),
-    /// A request of the function is out.
+    /// A request of the function is in flight.
     Out(u64),
     /// So many seconds pass, and no order is answered.
     Seconds(u64),
-    /// The calls out of the function are answered.
+    /// The requests in flight of the function are answered.
     Answered,
 }
 
-/// What a request of the function brings: where it may be sent (none: it waits), how many new copies are ordered, and
-/// whether workers are asked what stands.
+/// What a request of the function brings: where it may be sent (none: it waits), how many new replicas are ordered, and
+/// whether workers are queried for what is loaded.
 struct Want {
     sent_to: &'static [&'static str],
     new_copies: usize,
@@ -113,32 +113,32 @@
     &[Given::Warm(F, &["w0"]), Given::Seconds(5)],
     Want { sent_to: &["w0"], new_copies: 0, asked: false }
 )]
-// Nothing is believed of a function never called: others' copies may stand, so workers are asked (ours).
+// Nothing is believed of a function never called: others' replicas may stand, so workers are asked (ours).
 #[case::nothing_known(&[], Want { sent_to: &[], new_copies: 0, asked: true })]
 #[case::only_another_function_is_warm(
     &[Given::Warm(8, &["w0"])],
     Want { sent_to: &[], new_copies: 0, asked: true }
 )]
 fn the_ordinary_path(#[case] given: &[Given], #[case] want: Want) {
-    let mut rig = Rig::new(settings(), 3);
+    let mut harness = ControllerHarness::new(settings(), 3);
     let mut id = 10;
     for step in given {
         id += 1;
         match *step {
-            Given::Warm(function, workers) => rig.warm(function, id, workers),
-            Given::Out(function) => drop(rig.request(id, SAFE, function)),
-            Given::Seconds(seconds) => drop(rig.pass(seconds * SEC)),
-            Given::Answered => drop(rig.outcome(id - 1, 0, Outcome::Ok, 50 * MS)),
+            Given::Warm(function, workers) => harness.mark_loaded(function, id, workers),
+            Given::Out(function) => drop(harness.request(id, IDEMPOTENT, function)),
+            Given::Seconds(seconds) => drop(harness.advance(seconds * SEC)),
+            Given::Answered => drop(harness.end_attempt(id - 1, 0, Outcome::Ok, 50 * MS)),
         }
     }
-    let out = rig.request(100, SAFE, F);
-    let sent = sends(&out);
+    let out = harness.request(100, IDEMPOTENT, F);
+    let sent = sent_workers(&out);
     assert_eq!(sent.len(), usize::from(!want.sent_to.is_empty()), "{out:?}");
     assert!(
         sent.iter()
             .all(|worker| want.sent_to.contains(&worker.as_str())),
         "{out:?}"
     );
-    assert_eq!(loads(&out, 1).len(), want.new_copies, "{out:?}");
-    assert_eq!(!loads(&out, 0).is_empty(), want.asked, "{out:?}");
+    assert_eq!(load_orders(&out, 1).len(), want.new_copies, "{out:?}");
+    assert_eq!(!load_orders(&out, 0).is_empty(), want.asked, "{out:?}");
 }
--- a/policy/tests/mechanism.rs
+++ b/policy/tests/mechanism.rs
@@ -1,51 +1,57 @@
-//! The ordinary path: beliefs, losses, copies and the random choice.
+//! The ordinary path: replica states, losses, replicas and the random choice.
 mod common;
 use common::*;
 use wrenseam_policy::*;
 
 #[test]
-fn a_new_gateway_asks_before_it_loads() {
-    let mut rig = Rig::new(settings(), 3);
-    let out = rig.request(1, SAFE, 7);
-    assert_eq!(loads(&out, 0).len(), 3);
-    assert!(loads(&out, 1).is_empty() && sends(&out).is_empty());
-    assert_eq!(sends(&rig.loaded("w1", 7, 1, Outcome::Ok)), ["w1"]);
+fn a_new_front_end_queries_before_it_loads() {
+    let mut harness = ControllerHarness::new(settings(), 3);
+    let out = harness.request(1, IDEMPOTENT, 7);
+    assert_eq!(load_orders(&out, 0).len(), 3);
+    assert!(load_orders(&out, 1).is_empty() && sent_workers(&out).is_empty());
+    assert_eq!(
+        sent_workers(&harness.end_load_order("w1", 7, 1, Outcome::Ok)),
+        ["w1"]
+    );
 }
 
 #[test]
-fn where_nothing_stands_one_load_is_ordered_and_the_request_follows_it() {
-    let mut rig = Rig::new(settings(), 3);
-    rig.request(1, SAFE, 7);
+fn where_nothing_is_loaded_one_load_is_ordered_and_the_request_follows_it() {
+    let mut harness = ControllerHarness::new(settings(), 3);
+    harness.request(1, IDEMPOTENT, 7);
     let mut out = Vec::new();
     for w in ["w0", "w1", "w2"] {
-        out.extend(rig.loaded(w, 7, 0, Outcome::Ok));
+        out.extend(harness.end_load_order(w, 7, 0, Outcome::Ok));
     }
-    let ordered = loads(&out, 1);
+    let ordered = load_orders(&out, 1);
     assert_eq!(ordered.len(), 1);
-    assert!(sends(&out).is_empty());
-    assert_eq!(sends(&rig.loaded(&ordered[0], 7, 1, Outcome::Ok)), ordered);
+    assert!(sent_workers(&out).is_empty());
+    assert_eq!(
+        sent_workers(&harness.end_load_order(&ordered[0], 7, 1, Outcome::Ok)),
+        ordered
+    );
 }
 
 #[test]
 fn a_second_waiting_request_does_not_load_the_same_thing_again() {
-    let mut rig = Rig::new(settings(), 3);
-    rig.request(1, SAFE, 7);
+    let mut harness = ControllerHarness::new(settings(), 3);
+    harness.request(1, IDEMPOTENT, 7);
     for w in ["w0", "w1", "w2"] {
-        rig.loaded(w, 7, 0, Outcome::Ok);
+        harness.end_load_order(w, 7, 0, Outcome::Ok);
     }
-    assert!(loads(&rig.request(2, SAFE, 7), 1).is_empty());
+    assert!(load_orders(&harness.request(2, IDEMPOTENT, 7), 1).is_empty());
 }
 
 #[test]
-fn requests_spread_evenly_over_free_warm_workers() {
-    let mut rig = Rig::new(settings(), 4);
-    rig.warm(7, 1, &["w0", "w1", "w2"]);
+fn requests_spread_evenly_over_free_loaded_workers() {
+    let mut harness = ControllerHarness::new(settings(), 4);
+    harness.mark_loaded(7, 1, &["w0", "w1", "w2"]);
     let mut seen = [0; 4];
     for id in 100..700 {
-        let to = sends(&rig.request(id, SAFE, 7));
+        let to = sent_workers(&harness.request(id, IDEMPOTENT, 7));
         let w: usize = to[0][1..].parse().unwrap();
         seen[w] += 1;
-        rig.outcome(id, 0, Outcome::Ok, 50 * MS);
+        harness.end_attempt(id, 0, Outcome::Ok, 50 * MS);
     }
     // 600 draws over three: 200 each, give or take four standard deviations.
     assert_eq!(seen[3], 0);
@@ -56,27 +62,27 @@
 }
 
 #[test]
-fn a_lost_request_joins_the_warm_worker_with_fewest_and_a_copy_is_added() {
-    let mut rig = Rig::new(settings(), 3);
-    rig.warm(7, 1, &["w0"]);
-    assert_eq!(sends(&rig.request(2, SAFE, 7)), ["w0"]);
-    let out = rig.request(3, SAFE, 7);
-    assert_eq!(sends(&out), ["w0"]);
-    let ordered = loads(&out, 1);
+fn a_lost_request_joins_the_loaded_worker_with_fewest_in_flight_and_a_replica_is_added() {
+    let mut harness = ControllerHarness::new(settings(), 3);
+    harness.mark_loaded(7, 1, &["w0"]);
+    assert_eq!(sent_workers(&harness.request(2, IDEMPOTENT, 7)), ["w0"]);
+    let out = harness.request(3, IDEMPOTENT, 7);
+    assert_eq!(sent_workers(&out), ["w0"]);
+    let ordered = load_orders(&out, 1);
     assert_eq!(ordered.len(), 1);
     assert_ne!(ordered[0], "w0");
     // While that load is out, further losses add none.
-    assert!(loads(&rig.request(4, SAFE, 7), 1).is_empty());
+    assert!(load_orders(&harness.request(4, IDEMPOTENT, 7), 1).is_empty());
 }
 
 #[test]
-fn marked_repeats_are_no_fresh_losses() {
-    let mut rig = Rig::new(settings(), 3);
-    rig.warm(7, 1, &["w0"]);
-    rig.request(2, SAFE, 7);
-    let out = rig.feed(Event::Request(NewRequest {
+fn marked_retries_are_no_new_losses() {
+    let mut harness = ControllerHarness::new(settings(), 3);
+    harness.mark_loaded(7, 1, &["w0"]);
+    harness.request(2, IDEMPOTENT, 7);
+    let out = harness.feed(Event::Request(NewRequest {
         id: 3,
-        class: SAFE,
+        class: IDEMPOTENT,
         tenant: None,
         function: 7,
         time_left: 3 * SEC,
@@ -85,24 +91,24 @@
         load_time: 0,
         retry: true,
     }));
-    assert_eq!(sends(&out), ["w0"]);
-    assert!(loads(&out, 1).is_empty());
+    assert_eq!(sent_workers(&out), ["w0"]);
+    assert!(load_orders(&out, 1).is_empty());
 }
 
 #[test]
-fn the_new_copy_goes_where_the_least_recently_lost_function_lies_idle() {
-    let mut rig = Rig::new(settings(), 3);
-    rig.warm(1, 1, &["w1"]);
-    rig.pass(100 * MS);
-    rig.warm(2, 2, &["w2"]);
-    rig.pass(100 * MS);
-    rig.warm(7, 3, &["w0"]);
-    rig.request(4, SAFE, 7);
-    assert_eq!(loads(&rig.request(5, SAFE, 7), 1), ["w1"]);
+fn the_new_replica_goes_where_the_least_recently_lost_function_is_idle() {
+    let mut harness = ControllerHarness::new(settings(), 3);
+    harness.mark_loaded(1, 1, &["w1"]);
+    harness.advance(100 * MS);
+    harness.mark_loaded(2, 2, &["w2"]);
+    harness.advance(100 * MS);
+    harness.mark_loaded(7, 3, &["w0"]);
+    harness.request(4, IDEMPOTENT, 7);
+    assert_eq!(load_orders(&harness.request(5, IDEMPOTENT, 7), 1), ["w1"]);
 }
 
 #[test]
-fn gateways_draw_the_same_place_for_a_function() {
+fn front_ends_prefer_the_same_worker_for_a_function() {
     let place = |seed| {
         let mut set = settings();
         (set.front_ends, set.load_on_demand) = (3, true);
@@ -112,31 +118,35 @@
             SEC,
             Event::EndpointUpdate {
                 complete: true,
-                endpoints: (0..9).map(entry).collect(),
+                endpoints: (0..9).map(endpoint).collect(),
             },
             &mut out,
         );
-        let mut rig = Rig { c, now: SEC };
-        rig.request(1, SAFE, 7);
-        let replies = (0..9).flat_map(|w| rig.loaded(&format!("w{w}"), 7, 0, Outcome::Ok));
-        loads(&replies.collect::<Vec<_>>(), 1)
+        let mut harness = ControllerHarness {
+            controller: c,
+            now: SEC,
+        };
+        harness.request(1, IDEMPOTENT, 7);
+        let replies =
+            (0..9).flat_map(|w| harness.end_load_order(&format!("w{w}"), 7, 0, Outcome::Ok));
+        load_orders(&replies.collect::<Vec<_>>(), 1)
     };
     assert_eq!(place(1).len(), 1);
     assert!((2..12).all(|seed| place(seed) == place(1)));
 }
 
 #[test]
-fn memory_short_by_our_own_account_drops_the_least_recently_lost() {
+fn memory_short_by_own_account_unloads_the_least_recently_lost() {
     let mut set = settings();
     set.kind_memory_mb = vec![1600.0]; // two copies of 500 MB stay under the margin, three do not
-    let mut rig = Rig::new(set, 2);
-    rig.warm(1, 1, &["w1"]);
-    rig.pass(100 * MS);
-    rig.warm(2, 2, &["w1"]);
-    rig.pass(100 * MS);
-    rig.warm(7, 3, &["w0"]);
-    rig.request(4, SAFE, 7);
-    let out = rig.request(5, SAFE, 7);
+    let mut harness = ControllerHarness::new(set, 2);
+    harness.mark_loaded(1, 1, &["w1"]);
+    harness.advance(100 * MS);
+    harness.mark_loaded(2, 2, &["w1"]);
+    harness.advance(100 * MS);
+    harness.mark_loaded(7, 3, &["w0"]);
+    harness.request(4, IDEMPOTENT, 7);
+    let out = harness.request(5, IDEMPOTENT, 7);
     assert!(
         out.contains(&Action::Unload {
             worker: "w1".into(),
@@ -151,47 +161,47 @@
 }
 
 #[test]
-fn beliefs_lapse_after_the_keep_alive_and_a_hold_renews_the_last_copy() {
-    let mut rig = Rig::new(settings(), 2);
-    rig.warm(7, 1, &["w0"]);
-    let out = rig.pass(7 * SEC);
-    assert_eq!(loads(&out, 1), ["w0"]);
-    // With no answer to the hold the belief lapses: the next call has to ask again.
-    rig.pass(5 * SEC);
-    assert!(sends(&rig.request(2, SAFE, 7)).is_empty());
+fn replica_state_expires_after_the_keep_alive_and_an_order_renews_the_last_replica() {
+    let mut harness = ControllerHarness::new(settings(), 2);
+    harness.mark_loaded(7, 1, &["w0"]);
+    let out = harness.advance(7 * SEC);
+    assert_eq!(load_orders(&out, 1), ["w0"]);
+    // With no answer to the order the replica state expires: the next request has to query again.
+    harness.advance(5 * SEC);
+    assert!(sent_workers(&harness.request(2, IDEMPOTENT, 7)).is_empty());
 }
 
 #[test]
-fn a_miss_voids_the_belief_and_the_request_goes_on() {
-    let mut rig = Rig::new(settings(), 2);
-    rig.warm(7, 1, &["w0"]);
-    assert_eq!(sends(&rig.request(2, UNSAFE, 7)), ["w0"]);
-    let out = rig.outcome(2, 0, Outcome::NotLoaded, 2 * MS);
-    assert!(!loads(&out, 0).is_empty() || !loads(&out, 1).is_empty());
-    let again = rig.request(3, SAFE, 7);
-    assert!(sends(&again).is_empty());
+fn a_not_loaded_answer_clears_the_replica_state_and_the_request_goes_on() {
+    let mut harness = ControllerHarness::new(settings(), 2);
+    harness.mark_loaded(7, 1, &["w0"]);
+    assert_eq!(sent_workers(&harness.request(2, NOT_IDEMPOTENT, 7)), ["w0"]);
+    let out = harness.end_attempt(2, 0, Outcome::NotLoaded, 2 * MS);
+    assert!(!load_orders(&out, 0).is_empty() || !load_orders(&out, 1).is_empty());
+    let again = harness.request(3, IDEMPOTENT, 7);
+    assert!(sent_workers(&again).is_empty());
 }
 
 #[test]
-fn where_calls_load_by_themselves_and_the_ration_is_spent_the_call_goes_there() {
+fn where_requests_load_on_demand_and_the_load_budget_is_spent_the_request_is_sent() {
     let mut set = settings();
     (set.load_on_demand, set.load_budget_window) = (true, 5 * SEC); // nothing free, no share: no order at all
-    let mut rig = Rig::new(set, 2);
-    rig.request(1, SAFE, 7);
-    let mut out = rig.loaded("w0", 7, 0, Outcome::Ok);
-    out.extend(rig.loaded("w1", 7, 0, Outcome::Ok));
-    assert_eq!(sends(&out).len(), 1);
-    assert!(loads(&out, 1).is_empty());
+    let mut harness = ControllerHarness::new(set, 2);
+    harness.request(1, IDEMPOTENT, 7);
+    let mut out = harness.end_load_order("w0", 7, 0, Outcome::Ok);
+    out.extend(harness.end_load_order("w1", 7, 0, Outcome::Ok));
+    assert_eq!(sent_workers(&out).len(), 1);
+    assert!(load_orders(&out, 1).is_empty());
 }
 
 #[test]
-fn crowd_notes_take_lanes() {
-    let mut rig = Rig::new(settings(), 3);
-    rig.warm(7, 1, &["w0", "w1"]);
+fn reported_queue_depth_takes_concurrency() {
+    let mut harness = ControllerHarness::new(settings(), 3);
+    harness.mark_loaded(7, 1, &["w0", "w1"]);
     for id in 2..40 {
-        let to = sends(&rig.request(id, SAFE, 7)).remove(0);
+        let to = sent_workers(&harness.request(id, IDEMPOTENT, 7)).remove(0);
         let crowd = (to == "w0").then_some(3);
-        rig.feed(Event::AttemptEnded(AttemptResult {
+        harness.feed(Event::AttemptEnded(AttemptResult {
             id,
             attempt: 0,
             outcome: Outcome::Ok,
@@ -202,43 +212,50 @@
             in_flight: None,
         }));
         if to == "w0" {
-            assert_eq!(sends(&rig.request(id + 100, SAFE, 7)), ["w1"]);
+            assert_eq!(
+                sent_workers(&harness.request(id + 100, IDEMPOTENT, 7)),
+                ["w1"]
+            );
             return;
         }
     }
     panic!("w0 was never drawn");
 }
 
-/// Feeds one call of function 7 at each of these distances, answered at once, and returns what is ordered
-/// after each: copies to hold within the last second before the next, at other times, and copies dropped.
+/// Feeds one request of function 7 at each of these distances, answered at once, and returns what is ordered
+/// after each: replicas ordered within the last second before the next, at other times, and replicas unloaded.
 fn fire(gaps: &[Micros]) -> Vec<(usize, usize, usize)> {
-    let mut rig = Rig::new(settings(), 3);
+    let mut harness = ControllerHarness::new(settings(), 3);
     let after = |(n, &gap): (usize, &Micros)| {
-        let mut out = rig.request(n as u64, SAFE, 7);
-        for w in loads(&out, 0) {
-            out.extend(rig.loaded(&w, 7, 0, Outcome::Ok));
+        let mut out = harness.request(n as u64, IDEMPOTENT, 7);
+        for w in load_orders(&out, 0) {
+            out.extend(harness.end_load_order(&w, 7, 0, Outcome::Ok));
         }
-        for w in loads(&out, 1) {
-            rig.loaded(&w, 7, 1, Outcome::Ok);
+        for w in load_orders(&out, 1) {
+            harness.end_load_order(&w, 7, 1, Outcome::Ok);
         }
-        rig.outcome(n as u64, 0, Outcome::Ok, 50 * MS);
-        let (early, late) = (rig.pass(gap - SEC), rig.pass(SEC));
-        loads(&late, 1)
+        harness.end_attempt(n as u64, 0, Outcome::Ok, 50 * MS);
+        let (early, late) = (harness.advance(gap - SEC), harness.advance(SEC));
+        load_orders(&late, 1)
             .iter()
-            .for_each(|w| drop(rig.loaded(w, 7, 1, Outcome::Ok)));
+            .for_each(|w| drop(harness.end_load_order(w, 7, 1, Outcome::Ok)));
         let drops = early
             .iter()
             .filter(|a| matches!(a, Action::Unload { .. }))
             .count();
-        (loads(&late, 1).len(), loads(&early, 1).len(), drops)
+        (
+            load_orders(&late, 1).len(),
+            load_orders(&early, 1).len(),
+            drops,
+        )
     };
     gaps.iter().enumerate().map(after).collect()
 }
 
-/// Seen on sockets: eight in ten calls on timers found no copy, as it had been unloaded in between, and their
-/// copies, kept though nothing called them, took the room of others.
+/// Seen on sockets: eight in ten requests on timers found no replica, as it had been unloaded in between, and their
+/// replicas, kept though nothing called them, took the room of others.
 #[test]
-fn a_call_on_a_timer_finds_a_copy_held_ahead_and_none_is_kept_in_between() {
+fn a_periodic_request_finds_a_prefetched_replica_and_none_is_kept_in_between() {
     let even = fire(&[10 * SEC; 5]);
     assert!(
         even[2..]
--- a/policy/tests/properties.rs
+++ b/policy/tests/properties.rs
@@ -1,4 +1,4 @@
-//! The five rules over seeded random event streams, judged by a checker that shares no code with the module.
+//! The five rules over seeded random event streams, judged by a checker that shares no code with the policy.
 mod common;
 use common::*;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -28,14 +28,14 @@
     requests: BTreeMap<u64, Known>,
     unready: BTreeMap<String, Micros>,
     started: BTreeMap<String, Micros>,
-    /// Calls to cold workers: which, when, and when it had started.
+    /// Requests to warming workers: which, when, and when it had started.
     to_cold: Vec<(String, Micros, Micros)>,
     taken: Vec<Micros>,
     orders: Vec<Micros>,
     breaches: Vec<String>,
 }
 
-/// When a gateway that stands still for two seconds in every five hears of what happens at `t`.
+/// When a front end that stands still for two seconds in every five is notified of what happens at `t`.
 fn heard(t: Micros, stalls: bool) -> Micros {
     let into = t % (5 * SEC);
     if stalls && into < 2 * SEC {
@@ -136,7 +136,7 @@
                 let cell = |w: &str| w[1..].parse::<usize>().unwrap() / 2;
                 for s in r.sent.iter().filter(|s| s.ran) {
                     let inside = cell(&s.worker) == cell(worker) && now <= s.at + 3 * SEC;
-                    if r.class == UNSAFE || r.class == KEYED && !inside {
+                    if r.class == NOT_IDEMPOTENT || r.class == KEYED && !inside {
                         breach("2 sent again");
                     }
                 }
@@ -156,7 +156,7 @@
                     .filter(|&&t| now < t + set.slow_start_duration)
                 {
                     self.to_cold.push((worker.clone(), now, t));
-                    // One of the gateways alone may not go beyond what all may send.
+                    // One of the front ends alone may not go beyond what all may send.
                     let share = set.slow_start_from
                         + (1.0 - set.slow_start_from) * (now - t) as f64
                             / set.slow_start_duration as f64;
@@ -196,7 +196,7 @@
                     breach("1 answered twice or late");
                 }
                 let ran = r.sent.iter().any(|s| s.ran);
-                if matches!(action, Action::Reject { .. }) && r.class != SAFE && ran {
+                if matches!(action, Action::Reject { .. }) && r.class != IDEMPOTENT && ran {
                     breach("2 refused what may have run");
                 }
                 r.answered = true;
@@ -230,7 +230,7 @@
         (start, 0),
         Event::EndpointUpdate {
             complete: true,
-            endpoints: (0..6).map(entry).collect(),
+            endpoints: (0..6).map(endpoint).collect(),
         },
     );
     let mut at = start;
@@ -273,7 +273,7 @@
             let e = Endpoint {
                 state,
                 started_at,
-                ..entry(draw(6) as usize)
+                ..endpoint(draw(6) as usize)
             };
             serial += 1;
             due.insert(
@@ -409,14 +409,14 @@
 fn the_rules_hold_over_random_streams() {
     for (n, set) in sites().into_iter().enumerate() {
         for seed in 0..40 {
-            let stalls = seed % 2 == 1; // every other gateway stands still now and then
+            let stalls = seed % 2 == 1; // every other front end stands still now and then
             let checker = stream(seed, set.clone(), stalls);
             assert!(
                 checker.breaches.is_empty(),
                 "site {n}, seed {seed}: {:?}",
                 checker.breaches
             );
-            // One of two hundred gateways may send next to nothing to a fleet that restarts all the time.
+            // One of two hundred front ends may send next to nothing to a fleet that restarts all the time.
             let least = if set.front_ends > 100 {
                 0
             } else if stalls {
@@ -493,11 +493,11 @@
             retry: false,
         })
     };
-    checker.event(0, &request(1, UNSAFE));
-    checker.event(0, &request(2, SAFE));
+    checker.event(0, &request(1, NOT_IDEMPOTENT));
+    checker.event(0, &request(2, IDEMPOTENT));
     let gone = Endpoint {
         state: WorkerState::Gone,
-        ..entry(0)
+        ..endpoint(0)
     };
     checker.event(
         0,
--- a/policy/tests/versions.rs
+++ b/policy/tests/replicas_invalidated.rs
@@ -1,4 +1,4 @@
-//! New versions of what is loaded, on a quiet day: every copy is void at once, and what was warm loads or misses.
+//! New versions of what is loaded, on a quiet day: every replica is invalid at once, and what was loaded loads again or answers "not loaded".
 mod common;
 use common::*;
 use rstest::rstest;
@@ -8,36 +8,36 @@
 const LOAD: Micros = 400 * MS;
 const WORK: Micros = 50 * MS;
 
-/// Workers on which copies stand, and all that is still to happen, by time.
+/// Workers on which replicas are loaded, and all that is still to happen, by time.
 struct World {
-    rig: Rig,
+    harness: ControllerHarness,
     stands: BTreeSet<(String, u64)>,
     due: BTreeMap<(Micros, u64), Event>,
     set: u64,
     attempts: BTreeMap<u64, usize>,
-    /// The function of each call, and how each ended: whether it was served.
+    /// The function of each request, and how each ended: whether it was served.
     calls: BTreeMap<u64, u64>,
     ends: BTreeMap<u64, Vec<bool>>,
     taken: Vec<Micros>,
     orders: Vec<Micros>,
-    /// The time at which a copy that is being loaded stands.
+    /// The time at which a replica that is being loaded is ready.
     loading: BTreeMap<(String, u64), Micros>,
-    absent_loads: bool,
+    load_on_demand: bool,
 }
 
 impl World {
     fn after(&mut self, span: Micros, event: Event) {
         self.set += 1;
-        self.due.insert((self.rig.now + span, self.set), event);
+        self.due.insert((self.harness.now + span, self.set), event);
     }
 
-    /// When a copy stands at a worker that may be loading it already.
+    /// When a replica is ready at a worker that may be loading it already.
     fn load(&mut self, place: &(String, u64)) -> Micros {
         *self
             .loading
             .entry(place.clone())
-            .or_insert(self.rig.now + LOAD)
-            - self.rig.now
+            .or_insert(self.harness.now + LOAD)
+            - self.harness.now
     }
 
     fn act(&mut self, actions: Vec<Action>) {
@@ -52,7 +52,7 @@
                     let coming = self.loading.contains_key(&place);
                     let (outcome, warm, elapsed) = match self.stands.contains(&place) {
                         true => (Outcome::Ok, true, WORK),
-                        false if coming || self.absent_loads => {
+                        false if coming || self.load_on_demand => {
                             (Outcome::Ok, false, self.load(&place) + WORK)
                         }
                         false => (Outcome::NotLoaded, false, 2 * MS),
@@ -84,7 +84,7 @@
                         self.load(&place)
                     };
                     if count > 0 {
-                        self.orders.push(self.rig.now);
+                        self.orders.push(self.harness.now);
                     }
                     let (count, outcome) = (u32::from(stood || count > 0), Outcome::Ok);
                     self.after(
@@ -110,13 +110,13 @@
     }
 
     fn run(&mut self, until: Micros) {
-        while self.rig.now < until {
-            let tick = self.rig.now + 20 * MS;
+        while self.harness.now < until {
+            let tick = self.harness.now + 20 * MS;
             while let Some((&key, _)) = self.due.first_key_value().filter(|(k, _)| k.0 <= tick) {
                 let Some(event) = self.due.remove(&key) else {
                     break;
                 };
-                self.rig.now = key.0;
+                self.harness.now = key.0;
                 let ready: Vec<_> = self
                     .loading
                     .iter()
@@ -139,36 +139,36 @@
                     }
                     _ => {}
                 }
-                let actions = self.rig.feed(event);
+                let actions = self.harness.feed(event);
                 self.act(actions);
             }
-            self.rig.now = tick;
-            let actions = self.rig.feed(Event::Timer { token: 0 });
+            self.harness.now = tick;
+            let actions = self.harness.feed(Event::Timer { token: 0 });
             self.act(actions);
         }
     }
 }
 
-/// Each call ends once, orders keep the ration, and service is back once each function has been loaded again.
+/// Each request ends once, orders keep within the load budget, and service is back once each function has been loaded again.
 #[rstest]
-fn all_copies_void_at_once_on_a_quiet_day(
-    #[values(true, false)] absent_loads: bool,
-    #[values(1, 4, 300)] gateways: u32,
+fn all_replicas_invalidated_at_once_while_traffic_is_low(
+    #[values(true, false)] load_on_demand: bool,
+    #[values(1, 4, 300)] front_ends: u32,
     #[values((3.0, 0.2, 5), (6.0, 0.3, 3), (0.0, 0.0, 0))] ration: (f64, f64, u64),
-    #[values(SAFE, KEYED, UNSAFE)] class: usize,
+    #[values(IDEMPOTENT, KEYED, NOT_IDEMPOTENT)] class: usize,
 ) {
-    let (load_free, load_share, window) = ration;
+    let (budget_base, budget_per_request, window) = ration;
     let set = Settings {
-        front_ends: gateways,
-        load_on_demand: absent_loads,
-        load_budget_base: load_free,
-        load_budget_per_request: load_share,
+        front_ends,
+        load_on_demand,
+        load_budget_base: budget_base,
+        load_budget_per_request: budget_per_request,
         load_budget_window: window * SEC,
         max_attempts: 6,
         ..settings()
     };
     let mut world = World {
-        rig: Rig::new(set, 8),
+        harness: ControllerHarness::new(set, 8),
         stands: BTreeSet::new(),
         due: BTreeMap::new(),
         set: 0,
@@ -178,9 +178,9 @@
         taken: Vec::new(),
         orders: Vec::new(),
         loading: BTreeMap::new(),
-        absent_loads,
+        load_on_demand,
     };
-    let start = world.rig.now;
+    let start = world.harness.now;
     let calls = 400u64;
     for id in 1..=calls {
         let function = 1 + id % 5;
@@ -202,7 +202,7 @@
     }
     world.run(start + 20 * SEC);
     world.stands.clear();
-    let void = world.rig.now;
+    let void = world.harness.now;
     world.run(start + 45 * SEC);
     for id in 1..=calls {
         assert_eq!(
@@ -216,7 +216,7 @@
         let given = world.orders[..=n].iter().filter(within).count() as f64;
         let taken = world.taken.iter().filter(within).count() as f64;
         assert!(
-            given <= load_free + load_share * taken,
+            given <= budget_base + budget_per_request * taken,
             "{given} orders for {taken} calls"
         );
     }
--- a/policy/tests/scale.rs
+++ b/policy/tests/scale.rs
@@ -1,25 +1,25 @@
-//! A hundred gateways and more: each sees little, and what each does is multiplied.
+//! A hundred front ends and more: each sees little, and what each does is multiplied.
 mod common;
 use common::*;
 use wrenseam_policy::*;
 
-fn many(gateways: u32) -> Settings {
+fn many(front_ends: u32) -> Settings {
     let tenant = |quota_per_s| TenantSettings {
         quota_per_s,
         ..TenantSettings::default()
     };
     let tenants = vec![tenant(60.0), tenant(40.0)];
     Settings {
-        front_ends: gateways,
+        front_ends,
         tenants,
         ..settings()
     }
 }
 
-fn call(rig: &mut Rig, id: u64, function: u64, tenant: usize) -> Vec<Action> {
-    rig.feed(Event::Request(NewRequest {
+fn call(harness: &mut ControllerHarness, id: u64, function: u64, tenant: usize) -> Vec<Action> {
+    harness.feed(Event::Request(NewRequest {
         id,
-        class: SAFE,
+        class: IDEMPOTENT,
         tenant: Some(tenant),
         function,
         time_left: 3 * SEC,
@@ -31,14 +31,14 @@
 }
 
 fn answer(
-    rig: &mut Rig,
+    harness: &mut ControllerHarness,
     id: u64,
     outcome: Outcome,
     elapsed: Micros,
     inflight: Option<f64>,
 ) -> Vec<Action> {
     let closed = outcome == Outcome::Ok;
-    rig.feed(Event::AttemptEnded(AttemptResult {
+    harness.feed(Event::AttemptEnded(AttemptResult {
         id,
         attempt: 0,
         outcome,
@@ -51,19 +51,19 @@
 }
 
 /// Makes `function` believed warm at all of the workers that are asked about it.
-fn warm_all(rig: &mut Rig, id: u64, function: u64) -> usize {
-    let asked = loads(&call(rig, id, function, 0), 0);
+fn warm_all(harness: &mut ControllerHarness, id: u64, function: u64) -> usize {
+    let asked = load_orders(&call(harness, id, function, 0), 0);
     for w in &asked {
-        rig.loaded(w, function, 1, Outcome::Ok);
+        harness.end_load_order(w, function, 1, Outcome::Ok);
     }
-    answer(rig, id, Outcome::Ok, 50 * MS, None);
+    answer(harness, id, Outcome::Ok, 50 * MS, None);
     asked.len()
 }
 
 #[test]
-fn a_start_asks_a_few_places_and_not_the_fleet() {
-    let mut rig = Rig::new(many(200), 60);
-    let asked = loads(&call(&mut rig, 1, 7, 0), 0).len();
+fn a_new_front_end_queries_a_few_preferred_workers_and_not_the_fleet() {
+    let mut harness = ControllerHarness::new(many(200), 60);
+    let asked = load_orders(&call(&mut harness, 1, 7, 0), 0).len();
     assert!(
         (1..=8).contains(&asked),
         "{asked} questions for one function"
@@ -77,44 +77,50 @@
         .count()
 }
 
-/// Feeds calls at these times from the start, each answered after `took`; returns how many were refused.
+/// Feeds requests at these times from the start, each answered after `took`; returns how many were rejected.
 fn play(calls: &[(Micros, usize)], took: Micros, inflight: Option<f64>) -> usize {
     play_at(200, calls, |_| took, inflight)
 }
 
-/// The same at one of so many gateways, and each call has a time of its own.
+/// The same at one of so many front ends, and each request has a time of its own.
 fn play_at(
-    gateways: u32,
+    front_ends: u32,
     calls: &[(Micros, usize)],
     took: impl Fn(usize) -> Micros,
     inflight: Option<f64>,
 ) -> usize {
-    let mut rig = Rig::new(many(gateways), 6);
-    warm_all(&mut rig, 1, 7);
-    let (start, mut next, mut refused) = (rig.now, 0, 0);
+    let mut harness = ControllerHarness::new(many(front_ends), 6);
+    warm_all(&mut harness, 1, 7);
+    let (start, mut next, mut refused) = (harness.now, 0, 0);
     let mut open = std::collections::VecDeque::new();
     while next < calls.len() || !open.is_empty() {
-        rig.pass(20 * MS);
-        while next < calls.len() && calls[next].0 <= rig.now - start {
+        harness.advance(20 * MS);
+        while next < calls.len() && calls[next].0 <= harness.now - start {
             let id = 100 + next as u64;
-            let out = call(&mut rig, id, 7, calls[next].1);
+            let out = call(&mut harness, id, 7, calls[next].1);
             refused += refusals(&out);
             if refusals(&out) == 0 {
-                open.push_back((rig.now + took(next), id));
+                open.push_back((harness.now + took(next), id));
             }
             next += 1;
         }
-        while let Some(n) = open.iter().position(|&(t, _)| t <= rig.now) {
+        while let Some(n) = open.iter().position(|&(t, _)| t <= harness.now) {
             let (_, id) = open.remove(n).unwrap();
-            answer(&mut rig, id, Outcome::Ok, took(id as usize - 100), inflight);
+            answer(
+                &mut harness,
+                id,
+                Outcome::Ok,
+                took(id as usize - 100),
+                inflight,
+            );
         }
     }
     refused
 }
 
-/// Four calls within half a second are no overload of two hundred gateways, only chance at one of them.
+/// Four requests within half a second are no overload of two hundred front ends, only chance at one of them.
 #[test]
-fn a_few_calls_at_once_at_one_of_many_gateways_refuse_nothing() {
+fn a_few_requests_at_once_at_one_of_many_front_ends_shed_no_load() {
     let calls: Vec<_> = (0..48u64)
         .map(|n| (n / 4 * 2 * SEC + n % 4 * 110 * MS, 0))
         .collect();
@@ -126,7 +132,7 @@
     usize::from([false, false, false, true, true][n as usize % 5])
 }
 
-/// Seen on sockets: a fifth of the calls of the third second were refused though all were answered in time.
+/// Seen on sockets: a fifth of the requests of the third second were rejected though all were answered in time.
 /// The rate of answers had started at nothing and lagged, which read as a queue.
 #[test]
 fn the_first_seconds_and_a_rise_in_traffic_are_no_overload() {
@@ -143,9 +149,9 @@
     );
 }
 
-/// Seen on sockets: copies vanished, calls waited for loads, and what found a copy was refused for it.
+/// Seen on sockets: replicas vanished, requests waited for loads, and what found a replica was rejected for it.
 #[test]
-fn calls_that_wait_for_loads_are_no_queue() {
+fn requests_that_wait_for_loads_are_no_queue() {
     let calls: Vec<_> = (0..190u64).map(|n| (n * 20 * MS, share(n))).collect();
     let took = |n: usize| {
         if n.is_multiple_of(2) && n > 100 {
@@ -158,7 +164,7 @@
 }
 
 #[test]
-fn where_workers_report_room_a_slow_spell_at_one_gateway_refuses_nothing() {
+fn where_workers_report_capacity_slow_answers_at_one_front_end_shed_no_load() {
     let calls: Vec<_> = (0..80u64).map(|n| (n * 250 * MS, 0)).collect();
     assert_eq!(play(&calls, 1600 * MS, Some(1.0)), 0);
     assert!(
@@ -167,12 +173,12 @@
     );
 }
 
-/// Half of a thin stream is no proof that a tenant whose share is 40% goes beyond it at all gateways.
+/// Half of a thin stream is no proof that a tenant whose share is 40% goes beyond it at all front ends.
 #[test]
-fn a_tenants_share_is_judged_by_its_part_of_the_traffic() {
+fn a_tenants_quota_is_judged_by_its_part_of_the_traffic() {
     let calls: Vec<_> = (0..60u64).map(|n| (n * 500 * MS, n as usize % 2)).collect();
     assert_eq!(play(&calls, 700 * MS, None), 0);
-    // Nine in ten of the calls are proof.
+    // Nine in ten of the requests are proof.
     let calls: Vec<_> = (0..60u64)
         .map(|n| (n * 500 * MS, usize::from(n % 10 > 0)))
         .collect();
@@ -180,147 +186,148 @@
 }
 
 #[test]
-fn calls_of_many_gateways_spread_a_function_that_one_alone_would_not() {
-    let workers = |gateways| {
-        let mut rig = Rig::new(many(gateways), 40);
-        warm_all(&mut rig, 1, 7);
+fn requests_of_many_front_ends_spread_a_function_that_one_alone_would_not() {
+    let workers = |front_ends| {
+        let mut harness = ControllerHarness::new(many(front_ends), 40);
+        warm_all(&mut harness, 1, 7);
         let mut held = std::collections::BTreeSet::new();
         for id in 10..40 {
-            let out = call(&mut rig, id, 7, 0);
-            for w in loads(&out, 1) {
-                rig.loaded(&w, 7, 1, Outcome::Ok);
+            let out = call(&mut harness, id, 7, 0);
+            for w in load_orders(&out, 1) {
+                harness.end_load_order(&w, 7, 1, Outcome::Ok);
                 held.insert(w);
             }
-            rig.pass(100 * MS);
-            answer(&mut rig, id, Outcome::Ok, 100 * MS, Some(1.0));
-            rig.pass(300 * MS);
+            harness.advance(100 * MS);
+            answer(&mut harness, id, Outcome::Ok, 100 * MS, Some(1.0));
+            harness.advance(300 * MS);
         }
         held.len()
     };
     let (few, hundreds) = (workers(2), workers(200));
     assert!(
         hundreds >= few + 5,
-        "{few} workers for two gateways, {hundreds} for two hundred"
+        "{few} workers for two front_ends, {hundreds} for two hundred"
     );
 }
 
 #[test]
-fn what_a_worker_turns_away_by_tenant_stays_away_and_other_tenants_are_served() {
-    let mut rig = Rig::new(many(200), 1);
-    warm_all(&mut rig, 1, 7);
-    rig.pass(200 * MS);
-    call(&mut rig, 2, 7, 0);
-    answer(&mut rig, 2, Outcome::Ok, 50 * MS, Some(1.0)); // it reports room
-    rig.pass(200 * MS);
-    call(&mut rig, 3, 7, 0);
-    answer(&mut rig, 3, Outcome::Rejected, 50 * MS, Some(1.0));
-    rig.pass(2 * SEC);
+fn a_tenant_rejected_by_a_worker_stays_away_and_other_tenants_are_served() {
+    let mut harness = ControllerHarness::new(many(200), 1);
+    warm_all(&mut harness, 1, 7);
+    harness.advance(200 * MS);
+    call(&mut harness, 2, 7, 0);
+    answer(&mut harness, 2, Outcome::Ok, 50 * MS, Some(1.0)); // it reports room
+    harness.advance(200 * MS);
+    call(&mut harness, 3, 7, 0);
+    answer(&mut harness, 3, Outcome::Rejected, 50 * MS, Some(1.0));
+    harness.advance(2 * SEC);
     assert!(
-        sends(&call(&mut rig, 4, 7, 0)).is_empty(),
+        sent_workers(&call(&mut harness, 4, 7, 0)).is_empty(),
         "its tenant was turned away two seconds ago"
     );
-    assert_eq!(sends(&call(&mut rig, 5, 7, 1)), ["w0"]);
+    assert_eq!(sent_workers(&call(&mut harness, 5, 7, 1)), ["w0"]);
 }
 
 #[test]
-fn a_worker_that_turns_all_away_is_left_longer_each_time() {
-    let mut rig = Rig::new(many(200), 1);
-    warm_all(&mut rig, 1, 7);
+fn a_worker_that_rejects_all_gets_a_growing_backoff() {
+    let mut harness = ControllerHarness::new(many(200), 1);
+    warm_all(&mut harness, 1, 7);
     let mut tries = 0;
     for id in 10..110 {
-        if !sends(&call(&mut rig, id, 7, 0)).is_empty() {
+        if !sent_workers(&call(&mut harness, id, 7, 0)).is_empty() {
             tries += 1;
-            answer(&mut rig, id, Outcome::Rejected, MS, None);
+            answer(&mut harness, id, Outcome::Rejected, MS, None);
         }
-        rig.pass(40 * MS);
+        harness.advance(40 * MS);
     }
     // Four seconds: at 0, 0.2, 0.6, 1.4 and 3 s; with a constant wait it would be twenty.
     assert!((3..=7).contains(&tries), "{tries} tries");
 }
 
 #[test]
-fn load_reported_some_seconds_ago_is_known_where_calls_are_few() {
-    let mut rig = Rig::new(many(200), 6);
-    warm_all(&mut rig, 1, 7);
+fn load_reported_some_seconds_ago_is_known_where_requests_are_few() {
+    let mut harness = ControllerHarness::new(many(200), 6);
+    warm_all(&mut harness, 1, 7);
     let mut to = std::collections::BTreeMap::new();
     for id in 10..130 {
-        let w = sends(&call(&mut rig, id, 7, 0)).remove(0);
+        let w = sent_workers(&call(&mut harness, id, 7, 0)).remove(0);
         *to.entry(w.clone()).or_insert(0) += 1;
         let held = if w == "w0" { 30.0 } else { 2.0 };
-        answer(&mut rig, id, Outcome::Ok, 50 * MS, Some(held));
-        rig.pass(SEC);
+        answer(&mut harness, id, Outcome::Ok, 50 * MS, Some(held));
+        harness.advance(SEC);
     }
     // An even share would be 20; a load forgotten in two seconds comes to most of that.
     assert!(to.get("w0").copied().unwrap_or(0) <= 12, "{to:?}");
 }
 
 #[test]
-fn where_no_load_is_reported_slow_answers_keep_calls_away() {
-    let mut rig = Rig::new(many(200), 6);
-    warm_all(&mut rig, 1, 7);
+fn where_no_load_is_reported_slow_answers_keep_requests_away() {
+    let mut harness = ControllerHarness::new(many(200), 6);
+    warm_all(&mut harness, 1, 7);
     let mut slow = 0;
     for id in 10..130 {
-        let w = sends(&call(&mut rig, id, 7, 0)).remove(0);
+        let w = sent_workers(&call(&mut harness, id, 7, 0)).remove(0);
         slow += usize::from(w == "w0");
         let elapsed = if w == "w0" { 250 * MS } else { 100 * MS };
-        answer(&mut rig, id, Outcome::Ok, elapsed, None);
-        rig.pass(SEC / 4);
+        answer(&mut harness, id, Outcome::Ok, elapsed, None);
+        harness.advance(SEC / 4);
     }
     assert!(slow <= 15, "{slow} of 120 calls went to the slow worker");
 }
 
 #[test]
-fn a_gateway_that_stood_still_accuses_no_worker_and_sends_nothing_twice() {
+fn a_front_end_that_stood_still_ejects_no_worker_and_sends_nothing_twice() {
     let mut set = many(100);
     set.hedging = true;
-    let mut rig = Rig::new(set, 4);
-    warm_all(&mut rig, 1, 7);
-    rig.pass(SEC);
+    let mut harness = ControllerHarness::new(set, 4);
+    warm_all(&mut harness, 1, 7);
+    harness.advance(SEC);
     let sent: Vec<u64> = (10..14)
-        .filter(|&id| !sends(&call(&mut rig, id, 7, 0)).is_empty())
+        .filter(|&id| !sent_workers(&call(&mut harness, id, 7, 0)).is_empty())
         .collect();
     assert_eq!(sent.len(), 4);
-    rig.now += 2900 * MS; // it stands still; then everything comes at once, the timer first
-    let woken = rig.feed(Event::Timer { token: 0 });
+    harness.now += 2900 * MS; // it stands still; then everything comes at once, the timer first
+    let woken = harness.feed(Event::Timer { token: 0 });
     assert!(
-        sends(&woken).is_empty() && !woken.iter().any(|a| matches!(a, Action::Cancel { .. })),
+        sent_workers(&woken).is_empty()
+            && !woken.iter().any(|a| matches!(a, Action::Cancel { .. })),
         "{woken:?}"
     );
     for id in sent {
-        answer(&mut rig, id, Outcome::Ok, 2900 * MS, None);
+        answer(&mut harness, id, Outcome::Ok, 2900 * MS, None);
     }
-    rig.pass(200 * MS);
-    // All are still in the choice for a class that gets no trial calls.
+    harness.advance(200 * MS);
+    // All are still in the choice for a class that gets no trial requests.
     let mut seen = std::collections::BTreeSet::new();
     for id in 100..160 {
-        seen.extend(sends(&rig.request(id, UNSAFE, 7)));
-        answer(&mut rig, id, Outcome::Ok, 50 * MS, None);
+        seen.extend(sent_workers(&harness.request(id, NOT_IDEMPOTENT, 7)));
+        answer(&mut harness, id, Outcome::Ok, 50 * MS, None);
     }
     assert_eq!(seen.len(), 4, "{seen:?}");
 }
 
 /// Where a worker is seen every few seconds, one time-out is all the warning there is.
 #[test]
-fn a_single_time_out_keeps_calls_away_for_some_seconds() {
-    let mut rig = Rig::new(many(200), 60);
-    warm_all(&mut rig, 1, 7);
-    rig.pass(SEC);
-    let silent = sends(&rig.request(2, UNSAFE, 7)).remove(0);
-    rig.outcome(2, 0, Outcome::Timeout, 900 * MS);
+fn a_single_timeout_keeps_requests_away_for_some_seconds() {
+    let mut harness = ControllerHarness::new(many(200), 60);
+    warm_all(&mut harness, 1, 7);
+    harness.advance(SEC);
+    let silent = sent_workers(&harness.request(2, NOT_IDEMPOTENT, 7)).remove(0);
+    harness.end_attempt(2, 0, Outcome::Timeout, 900 * MS);
     for id in 10..40 {
-        rig.pass(SEC / 8);
+        harness.advance(SEC / 8);
         assert!(
-            !sends(&rig.request(id, UNSAFE, 7)).contains(&silent),
+            !sent_workers(&harness.request(id, NOT_IDEMPOTENT, 7)).contains(&silent),
             "call {id}"
         );
-        answer(&mut rig, id, Outcome::Ok, 50 * MS, None);
+        answer(&mut harness, id, Outcome::Ok, 50 * MS, None);
     }
 }
 
-/// A hundred gateways that call one function for the first time: none asks, and all go where one load serves
-/// them all. Guards against the price of questions, and against a copy for each gateway.
+/// A hundred front ends that request one function for the first time: none queries, and all go where one load serves
+/// them all. Guards against the cost of queries, and against a replica for each front end.
 #[test]
-fn first_calls_of_a_hundred_gateways_meet_at_one_worker_without_a_question() {
+fn first_requests_of_a_hundred_front_ends_meet_at_one_worker_without_a_query() {
     let mut met = std::collections::BTreeSet::new();
     for seed in 0..100 {
         let c = Controller::new(
@@ -330,25 +337,28 @@
             },
             seed,
         );
-        let mut rig = Rig { c, now: 100 * SEC };
-        rig.feed(Event::EndpointUpdate {
+        let mut harness = ControllerHarness {
+            controller: c,
+            now: 100 * SEC,
+        };
+        harness.feed(Event::EndpointUpdate {
             complete: true,
-            endpoints: (0..60).map(entry).collect(),
+            endpoints: (0..60).map(endpoint).collect(),
         });
-        let out = call(&mut rig, 1, 7, 0);
+        let out = call(&mut harness, 1, 7, 0);
         assert!(
-            loads(&out, 0).is_empty() && loads(&out, 1).is_empty(),
+            load_orders(&out, 0).is_empty() && load_orders(&out, 1).is_empty(),
             "{out:?}"
         );
-        met.extend(sends(&out));
+        met.extend(sent_workers(&out));
     }
     assert_eq!(met.len(), 1, "{met:?}");
 }
 
-/// What a first call found standing is a sample of its worker's health like any other: most are such at size.
+/// What a first request found loaded is a sample of its worker's health like any other: most are such at size.
 #[test]
-fn a_first_call_that_finds_a_copy_standing_judges_its_worker() {
-    let mut rig = Rig::new(
+fn a_first_request_that_finds_a_replica_loaded_is_a_health_sample() {
+    let mut harness = ControllerHarness::new(
         Settings {
             load_on_demand: true,
             ..many(100)
@@ -357,13 +367,13 @@
     );
     let mut first = Vec::new();
     for function in 1..80 {
-        let to = sends(&call(&mut rig, function, function, 0)).remove(0);
+        let to = sent_workers(&call(&mut harness, function, function, 0)).remove(0);
         let slow = to == "w3";
         first.push(slow);
         let elapsed = if slow { 2 * SEC } else { 50 * MS };
         let (outcome, warm) = (Outcome::Ok, Some(true));
         let (id, attempt, closed, crowd, inflight) = (function, 0, true, None, None);
-        rig.feed(Event::AttemptEnded(AttemptResult {
+        harness.feed(Event::AttemptEnded(AttemptResult {
             id,
             attempt,
             outcome,
@@ -373,7 +383,7 @@
             queue_depth: crowd,
             in_flight: inflight,
         }));
-        rig.pass(100 * MS);
+        harness.advance(100 * MS);
     }
     let slow_ones = |part: &[bool]| part.iter().filter(|&&slow| slow).count();
     let (early, late) = (slow_ones(&first[..20]), slow_ones(&first[20..]));
@@ -383,12 +393,12 @@
     );
 }
 
-/// What workers hold of a function when our calls come tells how many of the common places its calls need.
-/// Guards one place from the calls of all gateways, and the others from copies of what is seldom called.
+/// What workers hold of a function when our requests come tells how many of the preferred workers its requests need.
+/// Guards one worker from the requests of all front ends, and the others from replicas of what is seldom called.
 #[test]
-fn calls_of_a_crowded_function_spread_over_more_of_the_common_places() {
+fn requests_of_an_overloaded_function_spread_over_more_preferred_workers() {
     let spread = |held: Option<u32>| {
-        let mut rig = Rig::new(
+        let mut harness = ControllerHarness::new(
             Settings {
                 load_on_demand: true,
                 ..many(100)
@@ -397,10 +407,10 @@
         );
         let mut met = std::collections::BTreeSet::new();
         for id in 1..60 {
-            met.extend(sends(&call(&mut rig, id, 7, 0)));
+            met.extend(sent_workers(&call(&mut harness, id, 7, 0)));
             let (attempt, outcome, elapsed, closed) = (0, Outcome::Ok, 50 * MS, true);
             let (warm, crowd, inflight) = (Some(true), held, None);
-            rig.feed(Event::AttemptEnded(AttemptResult {
+            harness.feed(Event::AttemptEnded(AttemptResult {
                 id,
                 attempt,
                 outcome,
@@ -410,7 +420,7 @@
                 queue_depth: crowd,
                 in_flight: inflight,
             }));
-            rig.pass(600 * MS);
+            harness.advance(600 * MS);
         }
         met.len()
     };
@@ -419,11 +429,11 @@
     assert!((3..=9).contains(&places), "{places} places");
 }
 
-/// A zone that vanishes without a word: two mute workers are enough to keep calls from all of it, and what was
-/// never tried there is as good again as soon as one of it answers. Guards a third of each gateway's calls.
+/// A zone that vanishes without a word: two silent workers are enough to keep requests from all of it, and what was
+/// never tried there is as good again as soon as one of it answers. Guards a third of each front end's requests.
 #[test]
-fn two_mute_workers_take_their_zone_out_of_the_choice_until_one_answers() {
-    let mut rig = Rig::new(
+fn two_unresponsive_workers_eject_their_zone_until_one_answers() {
+    let mut harness = ControllerHarness::new(
         Settings {
             load_on_demand: true,
             ..many(100)
@@ -432,42 +442,42 @@
     );
     let zone = |w: &str| w[1..].parse::<usize>().unwrap() % 2;
     let (mut id, mut mute) = (0, std::collections::BTreeSet::new());
-    let mut first = |rig: &mut Rig| {
+    let mut first = |harness: &mut ControllerHarness| {
         id += 1;
-        (id, sends(&call(rig, id, id, 0)).remove(0))
+        (id, sent_workers(&call(harness, id, id, 0)).remove(0))
     };
     while mute.len() < 2 {
-        let (id, w) = first(&mut rig);
+        let (id, w) = first(&mut harness);
         if zone(&w) == 0 {
-            rig.now += 250 * MS;
-            rig.outcome(id, 0, Outcome::ConnectFailed, 250 * MS);
+            harness.now += 250 * MS;
+            harness.end_attempt(id, 0, Outcome::ConnectFailed, 250 * MS);
             mute.insert(w);
         } else {
-            answer(&mut rig, id, Outcome::Ok, 50 * MS, None);
+            answer(&mut harness, id, Outcome::Ok, 50 * MS, None);
         }
-        rig.pass(20 * MS);
+        harness.advance(20 * MS);
     }
     for _ in 0..30 {
-        let (id, w) = first(&mut rig);
+        let (id, w) = first(&mut harness);
         assert_eq!(zone(&w), 1, "{w} is in the lost zone");
-        answer(&mut rig, id, Outcome::Ok, 50 * MS, None);
+        answer(&mut harness, id, Outcome::Ok, 50 * MS, None);
     }
-    let asked = loads(&rig.pass(3 * SEC), 0);
+    let asked = load_orders(&harness.advance(3 * SEC), 0);
     assert!(
         (1..=4).contains(&asked.len()),
         "{asked:?}: the zone is asked, not each of its workers"
     );
     let known = asked[0].clone();
     for function in 1..40 {
-        rig.loaded(&known, function, 0, Outcome::Ok);
+        harness.end_load_order(&known, function, 0, Outcome::Ok);
     }
-    let met: Vec<usize> = (0..30).map(|_| zone(&first(&mut rig).1)).collect();
+    let met: Vec<usize> = (0..30).map(|_| zone(&first(&mut harness).1)).collect();
     assert!(met.contains(&0), "the zone is back");
 }
 
-/// Guards a worker that is gone from a question of every gateway each second, all in step.
+/// Guards a worker that is gone from a probe of every front end each second, all in step.
 #[test]
-fn questions_to_a_suspect_come_ever_more_seldom_and_out_of_step() {
+fn probes_of_an_ejected_worker_back_off_and_are_out_of_step() {
     let asked = |seed: u64| {
         let c = Controller::new(
             Settings {
@@ -476,18 +486,24 @@
             },
             seed,
         );
-        let mut rig = Rig { c, now: 100 * SEC };
-        rig.feed(Event::EndpointUpdate {
+        let mut harness = ControllerHarness {
+            controller: c,
+            now: 100 * SEC,
+        };
+        harness.feed(Event::EndpointUpdate {
             complete: true,
-            endpoints: vec![entry(0), entry(1), entry(2)],
+            endpoints: vec![endpoint(0), endpoint(1), endpoint(2)],
         });
-        let dead = sends(&call(&mut rig, 1, 7, 0)).remove(0);
-        rig.outcome(1, 0, Outcome::ConnectFailed, 2 * MS);
+        let dead = sent_workers(&call(&mut harness, 1, 7, 0)).remove(0);
+        harness.end_attempt(1, 0, Outcome::ConnectFailed, 2 * MS);
         let mut times = Vec::new();
         for step in 0..800 {
-            for w in loads(&rig.pass(20 * MS), 0).iter().filter(|w| **w == dead) {
+            for w in load_orders(&harness.advance(20 * MS), 0)
+                .iter()
+                .filter(|w| **w == dead)
+            {
                 times.push(step);
-                rig.loaded(w, 7, 0, Outcome::ConnectFailed);
+                harness.end_load_order(w, 7, 0, Outcome::ConnectFailed);
             }
         }
         times
@@ -501,38 +517,41 @@
     assert!(second.len() > 8, "in step: {second:?}");
 }
 
-/// Guards the copies that a hundred gateways share from the account of one: what lies idle by it serves others.
+/// Guards the replicas that a hundred front ends share from the account of one: what lies idle by it serves others.
 #[test]
-fn at_size_nothing_is_unloaded_for_a_copy_of_ones_own() {
-    let drops = |gateways: u32| {
+fn in_a_large_fleet_nothing_is_unloaded_for_an_own_replica() {
+    let drops = |front_ends: u32| {
         let set = Settings {
             load_on_demand: true,
             kind_memory_mb: vec![1500.0],
-            ..many(gateways)
+            ..many(front_ends)
         };
-        let mut rig = Rig::new(set, 2);
+        let mut harness = ControllerHarness::new(set, 2);
         let mut all = Vec::new();
         for function in 1..20u64 {
-            let first = call(&mut rig, function, function, 0);
-            for (n, w) in loads(&first, 0).iter().enumerate() {
-                rig.loaded(w, function, u32::from(n == 0), Outcome::Ok);
+            let first = call(&mut harness, function, function, 0);
+            for (n, w) in load_orders(&first, 0).iter().enumerate() {
+                harness.end_load_order(w, function, u32::from(n == 0), Outcome::Ok);
             }
-            answer(&mut rig, function, Outcome::Ok, 50 * MS, None);
-            // More than its lanes take: a copy of one's own is wanted, on memory that is short.
+            answer(&mut harness, function, Outcome::Ok, 50 * MS, None);
+            // More than its lanes take: a replica of one's own is wanted, on memory that is short.
             let burst: Vec<u64> = (1..10).map(|n| 1000 * n + function).collect();
             for &id in &burst {
-                let out = call(&mut rig, id, function, 0);
-                for w in loads(&out, 1) {
-                    all.extend(rig.loaded(&w, function, 1, Outcome::Ok));
+                let out = call(&mut harness, id, function, 0);
+                for w in load_orders(&out, 1) {
+                    all.extend(harness.end_load_order(&w, function, 1, Outcome::Ok));
                 }
                 all.extend(out);
             }
             for &id in &burst {
-                all.extend(answer(&mut rig, id, Outcome::Ok, 50 * MS, None));
+                all.extend(answer(&mut harness, id, Outcome::Ok, 50 * MS, None));
             }
-            all.extend(rig.pass(100 * MS));
+            all.extend(harness.advance(100 * MS));
         }
-        assert!(!loads(&all, 1).is_empty(), "the test must order copies");
+        assert!(
+            !load_orders(&all, 1).is_empty(),
+            "the test must order copies"
+        );
         all.iter()
             .filter(|a| matches!(a, Action::Unload { .. }))
             .count()
@@ -541,70 +560,70 @@
     assert_eq!(drops(100), 0);
 }
 
-/// A worker short of connections refuses ours: calls leave it at once, each with one final answer elsewhere, it
-/// is not tried in a loop, and what stands there is known still when it answers again.
+/// A worker short of connections refuses ours: requests leave it at once, each with one final answer elsewhere, it
+/// is not tried in a loop, and what is loaded there is still known when it answers again.
 #[test]
-fn a_worker_that_refuses_connections_is_left_and_found_again_with_its_copies() {
-    let mut rig = Rig::new(
+fn a_worker_that_refuses_connections_is_ejected_and_found_again_with_its_replicas() {
+    let mut harness = ControllerHarness::new(
         Settings {
             load_on_demand: true,
             ..many(100)
         },
         20,
     );
-    let home = sends(&call(&mut rig, 1, 7, 0)).remove(0);
-    answer(&mut rig, 1, Outcome::Ok, 50 * MS, None);
+    let home = sent_workers(&call(&mut harness, 1, 7, 0)).remove(0);
+    answer(&mut harness, 1, Outcome::Ok, 50 * MS, None);
     let (mut tried, mut asked) = (0, Vec::new());
     for id in 2..42 {
-        let to = sends(&call(&mut rig, id, 7, 0)).remove(0);
+        let to = sent_workers(&call(&mut harness, id, 7, 0)).remove(0);
         if to == home {
             tried += 1;
-            let moved = sends(&rig.outcome(id, 0, Outcome::ConnectFailed, 2 * MS));
+            let moved = sent_workers(&harness.end_attempt(id, 0, Outcome::ConnectFailed, 2 * MS));
             assert!(moved.len() == 1 && moved[0] != home, "{moved:?}");
-            rig.outcome(id, 1, Outcome::Ok, 50 * MS);
+            harness.end_attempt(id, 1, Outcome::Ok, 50 * MS);
         } else {
-            answer(&mut rig, id, Outcome::Ok, 50 * MS, None);
+            answer(&mut harness, id, Outcome::Ok, 50 * MS, None);
         }
-        for w in loads(&rig.pass(200 * MS), 0) {
+        for w in load_orders(&harness.advance(200 * MS), 0) {
             asked.push(w.clone());
-            rig.loaded(&w, 7, 0, Outcome::ConnectFailed);
+            harness.end_load_order(&w, 7, 0, Outcome::ConnectFailed);
         }
     }
     assert!(
         tried <= 2 && (1..=6).contains(&asked.len()),
         "{tried} calls and {asked:?} in 8 s"
     );
-    while loads(&rig.pass(20 * MS), 0) != [home.as_str()] {}
-    rig.loaded(&home, 7, 1, Outcome::Ok);
+    while load_orders(&harness.advance(20 * MS), 0) != [home.as_str()] {}
+    harness.end_load_order(&home, 7, 1, Outcome::Ok);
     let back = (100..140).any(|id| {
-        let to = sends(&call(&mut rig, id, 7, 0)).remove(0);
-        answer(&mut rig, id, Outcome::Ok, 50 * MS, None);
+        let to = sent_workers(&call(&mut harness, id, 7, 0)).remove(0);
+        answer(&mut harness, id, Outcome::Ok, 50 * MS, None);
         to == home
     });
     assert!(back, "never called again");
 }
 
-/// Processor time moves the clock of a front end with part of a core: without calls it wakes ten times a second,
+/// Processor time moves the clock of a front end with part of a core: without requests it wakes ten times a second,
 /// however many members there are, and sends nothing.
 #[test]
-fn an_idle_gateway_before_a_large_fleet_wakes_seldom_and_asks_nothing() {
-    let mut rig = Rig::new(
+fn an_idle_front_end_before_a_large_fleet_wakes_seldom_and_queries_nothing() {
+    let mut harness = ControllerHarness::new(
         Settings {
             load_on_demand: true,
             ..many(100)
         },
         60,
     );
-    call(&mut rig, 1, 7, 0);
-    answer(&mut rig, 1, Outcome::Ok, 50 * MS, None);
-    rig.pass(30 * SEC); // the last copy is renewed no more
-    let (end, mut wakes) = (rig.now + 10 * SEC, 0);
-    while rig.now < end {
-        let out = rig.feed(Event::Timer { token: 0 });
+    call(&mut harness, 1, 7, 0);
+    answer(&mut harness, 1, Outcome::Ok, 50 * MS, None);
+    harness.advance(30 * SEC); // the last copy is renewed no more
+    let (end, mut wakes) = (harness.now + 10 * SEC, 0);
+    while harness.now < end {
+        let out = harness.feed(Event::Timer { token: 0 });
         let [Action::Timer { delay, .. }] = out[..] else {
             panic!("{out:?}")
         };
-        rig.now += delay;
+        harness.now += delay;
         wakes += 1;
     }
     assert!(wakes <= 110, "{wakes} in 10 s");
--- a/policy/tests/cold.rs
+++ b/policy/tests/slow_start.rs
@@ -1,11 +1,11 @@
-//! Rule 4 over the sum of all front_ends: what they send together to a worker that has just started.
+//! Rule 4 over the sum of all front ends: what they send together to a worker that has just started.
 mod common;
 use common::*;
 use std::collections::{BTreeMap, BTreeSet};
 use wrenseam_policy::*;
 
-const TOLD: f64 = 20.0; // calls a second that the tenants' shares allow for each worker
-const SMALL: f64 = 0.75; // what the worker can do, as a part of that: it is smaller than the mean
+const ALLOWED_RATE: f64 = 20.0; // calls a second that the tenants' shares allow for each worker
+const WORKER_CAPACITY: f64 = 0.75; // what the worker can do, as a part of that: it is smaller than the mean
 
 /// A fleet that shares nothing before one worker that has just started, as one model of it sees them.
 struct Fleet {
@@ -16,12 +16,12 @@
     seed: u64,
     calls: u64,
     due: BTreeMap<(Micros, u64), (usize, u64, usize, Outcome)>,
-    /// Attempts of each request, by gateway.
+    /// Attempts of each request, by front end.
     tries: BTreeMap<(usize, u64), usize>,
     /// When `w0` went down to come back at `START` as a new process, if it did; what it has loaded since.
     down: Micros,
     holds: BTreeSet<u64>,
-    /// What went to the cold worker: when, its weight, and whether its sender had been told of the start.
+    /// What went to the warming worker: when, its weight, and whether its sender had been notified of the start.
     sent: Vec<(Micros, f64, bool)>,
 }
 
@@ -37,7 +37,7 @@
             class(Idempotency::NotIdempotent, 500 * MS),
         ],
         tenants: vec![TenantSettings {
-            quota_per_s: TOLD,
+            quota_per_s: ALLOWED_RATE,
             ..TenantSettings::default()
         }],
         ..settings()
@@ -45,7 +45,7 @@
 }
 
 impl Fleet {
-    /// Gateways that learn of the start up to `late` after it; `numbered` if each is told which it is.
+    /// Front ends that learn of the start up to `late` after it; `numbered` if each knows its index.
     fn new(set: Settings, numbered: bool, late: Micros, seed: u64) -> Fleet {
         let n = set.front_ends as usize;
         let mut fleet = Fleet {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// What is due is answered.
+    /// Answers what is due.
     fn answers(&mut self, now: Micros) {
         while let Some((&key, &(i, id, attempt, outcome))) =
             self.due.iter().next().filter(|(k, _)| k.0 <= now)
@@ -190,7 +190,7 @@
     }
 
     /// The most of a span against the rule's bound with chance, N and twice its root and 2; and of all spans beyond it the
-    /// largest part that came from those that had been told. (The rule asks for that of the first alone.)
+    /// largest part that came from those that had been notified. (The rule asks for that of the first alone.)
     fn fall(&self) -> (f64, f64) {
         let (set, mut first, mut most, mut worst) = (&self.set, 0, 0.0f64, 0.0f64);
         for (at, &(now, ..)) in self.sent.iter().enumerate() {
@@ -200,7 +200,7 @@
             let share = set.slow_start_from
                 + (1.0 - set.slow_start_from) * (now - START) as f64
                     / set.slow_start_duration as f64;
-            let n = set.overload_multiple * share.min(1.0) * TOLD * SMALL;
+            let n = set.overload_multiple * share.min(1.0) * ALLOWED_RATE * WORKER_CAPACITY;
             let span = &self.sent[first..=at];
             let held = span.len() as f64 / (n + 2.0 * n.sqrt() + 2.0);
             if held > 1.0 {
@@ -212,7 +212,7 @@
         (most, worst)
     }
 
-    /// Every gateway has a call in each tenth of a second, far more than the worker can do, for `span`; at
+    /// Every front end has a request in each tenth of a second, far more than the worker can do, for `span`; at
     /// `fall` seven in ten start anew.
     fn play(&mut self, span: Micros, fall: Micros, numbered: bool) {
         self.play_from(0, span, fall, numbered);
@@ -233,7 +233,7 @@
                     self.told[i] = true;
                     let entries = vec![Endpoint {
                         started_at: START,
-                        ..entry(0)
+                        ..endpoint(0)
                     }];
                     self.feed(
                         i,
@@ -264,7 +264,8 @@
             let share = set.slow_start_from
                 + (1.0 - set.slow_start_from) * (at - START) as f64
                     / set.slow_start_duration as f64;
-            worst = worst.max(held / (set.overload_multiple * share * TOLD * SMALL));
+            worst =
+                worst.max(held / (set.overload_multiple * share * ALLOWED_RATE * WORKER_CAPACITY));
         }
         worst
     }
@@ -272,9 +273,9 @@
 
 const START: Micros = 100 * SEC;
 
-/// Seen on the full fleet: 57 calls in a second from 48 front ends, each of which had saved up one or two, at a worker that could do 18.
+/// Seen on the full fleet: 57 requests in a second from 48 front ends, each of which had saved up one or two, at a worker that could do 18.
 #[test]
-fn what_all_gateways_send_to_a_cold_worker_stays_within_the_rule_at_any_size() {
+fn attempts_of_all_front_ends_to_a_warming_worker_stay_within_slow_start_at_any_fleet_size() {
     for (front_ends, seeds) in [
         (1, 8),
         (3, 8),
@@ -301,9 +302,9 @@
     }
 }
 
-/// Where no gateway is told its number, each takes its seat by chance.
+/// Where no front end knows its index, each is a sender by chance.
 #[test]
-fn gateways_without_numbers_stay_within_the_rule_by_chance() {
+fn front_ends_without_an_index_stay_within_slow_start_by_chance() {
     let mut worst = Vec::new();
     for seed in 0..12 {
         let mut fleet = Fleet::new(rules(200), false, SEC, seed);
@@ -313,9 +314,9 @@
     assert!(worst.iter().all(|&w| w <= 1.0), "{worst:.2?}");
 }
 
-/// Settings that say nothing of use, and starts that lie ahead or come again, free no more than one call a gateway's seat.
+/// Settings that say nothing of use, and starts that lie ahead or come again, free no more than one request for each sender.
 #[test]
-fn odd_settings_and_starts_free_nothing() {
+fn odd_settings_and_start_times_admit_nothing_more() {
     let odd = |change: fn(&mut Settings)| {
         let mut set = rules(30);
         change(&mut set);
@@ -329,8 +330,8 @@
     ] {
         let mut sent = 0;
         for i in 0..30 {
-            let mut rig = Rig {
-                c: Controller::new(
+            let mut harness = ControllerHarness {
+                controller: Controller::new(
                     Settings {
                         front_end_index: Some(i),
                         ..set.clone()
@@ -343,17 +344,17 @@
             for n in 0..10 {
                 let entries = vec![Endpoint {
                     started_at: START + n * 300 * MS + SEC,
-                    ..entry(0)
+                    ..endpoint(0)
                 }];
-                rig.feed(Event::EndpointUpdate {
+                harness.feed(Event::EndpointUpdate {
                     complete: true,
                     endpoints: entries,
                 });
-                sent += sends(&rig.pass(300 * MS)).len();
-                let out = rig.request(n, SAFE, 7);
-                sent += sends(&out).len();
-                for w in loads(&out, 0) {
-                    sent += sends(&rig.loaded(&w, 7, 1, Outcome::Ok)).len();
+                sent += sent_workers(&harness.advance(300 * MS)).len();
+                let out = harness.request(n, IDEMPOTENT, 7);
+                sent += sent_workers(&out).len();
+                for w in load_orders(&out, 0) {
+                    sent += sent_workers(&harness.end_load_order(&w, 7, 1, Outcome::Ok)).len();
                 }
             }
         }
@@ -364,10 +365,10 @@
     }
 }
 
-/// A gateway's process and one that replaces it run beside each other under one number, all of them at once; demand
+/// A front end's process and one that replaces it run beside each other under one index, all of them at once; demand
 /// far above what the worker can do. The one before stands aside once it has seen the other, which waits for that.
 #[test]
-fn processes_beside_each_other_send_no_more_than_one() {
+fn processes_of_one_index_beside_each_other_send_no_more_than_one() {
     for front_ends in [20, 30, 300] {
         let mut fleet = Fleet::new(rules(front_ends), true, MS, 7);
         // The second half are the replacing processes, each under the number of one of the first.
@@ -409,11 +410,11 @@
     }
 }
 
-/// A worker restarts under its id, and the list tells each gateway up to 7 s later; until then it is sent to as a
+/// A worker restarts under its id, and the list notifies each front end up to 7 s later; until then it is sent to as a
 /// warm one: nobody else can know. The fleet of ten workers has so much of the work that it can do. Where a span holds more
-/// than the rule and chance allow, no more than two thirds of that may come from those that were told.
+/// than the rule and chance allow, no more than two thirds of that may come from those that were notified.
 #[test]
-fn a_restart_that_is_told_late_is_no_fall_by_those_that_were_told() {
+fn a_restart_listed_late_is_no_breach_by_front_ends_that_know_of_it() {
     for (front_ends, load) in [
         (20, 0.9),
         (30, 0.9),
@@ -424,11 +425,14 @@
     ] {
         for seed in 0..3 {
             let mut fleet = Fleet::new(rules(front_ends), true, 7 * SEC, seed);
-            let (n, all) = (front_ends as usize, (0..10).map(entry).collect::<Vec<_>>());
-            fleet.set.tenants[0].quota_per_s = 10.0 * TOLD;
+            let (n, all) = (
+                front_ends as usize,
+                (0..10).map(endpoint).collect::<Vec<_>>(),
+            );
+            fleet.set.tenants[0].quota_per_s = 10.0 * ALLOWED_RATE;
             fleet.down = START - 300 * MS;
             (0..n).for_each(|i| fleet.start(i, true));
-            let (demand, mut owed) = (load * 10.0 * TOLD * SMALL / 20.0, 0.0);
+            let (demand, mut owed) = (load * 10.0 * ALLOWED_RATE * WORKER_CAPACITY / 20.0, 0.0);
             for step in 0..300u64 {
                 let now = START - 5 * SEC + step * 50 * MS;
                 fleet.answers(now);
@@ -446,7 +450,7 @@
                         fleet.told[i] = true;
                         let entries = vec![Endpoint {
                             started_at: START,
-                            ..entry(0)
+                            ..endpoint(0)
                         }];
                         fleet.feed(
                             i,
