--- a/scalelab/src/gossip_experiments.rs
+++ b/scalelab/src/gossip_experiments.rs
@@ -1,5 +1,5 @@
 //! What front ends send each other, against the fleet's size and its faults: experiments on the simulated network.
-use crate::gossip_network::{GossipProtocol, SimulatedNetwork, IP_UDP, MS, ZONES};
+use crate::gossip_network::{GossipProtocol, MeanError, SimulatedNetwork, IP_UDP, MS, ZONES};
 use crate::traffic_counts::TrafficCounts;
 use crate::{Column, Experiment, ExperimentError, Sweep};
 
@@ -72,53 +72,7 @@
 ) -> Result<Sweep, ExperimentError> {
     let mut rows = Vec::new();
     for &size in sizes {
-        let n = size as usize;
-        let mut net = SimulatedNetwork::settled(n, kind, seed)?;
-        net.traffic = TrafficCounts::default();
-        let (worst, rms) = watch_error(&mut net, MEASURED);
-        let t = net.traffic;
-        let mut redrawn = [(0.0, 0.0); 2];
-        for (errors, more) in redrawn.iter_mut().zip([75, 300]) {
-            net.redraw = Some(more);
-            net.run(net.now + 3000 * MS);
-            *errors = watch_error(&mut net, MEASURED);
-        }
-        net.redraw = None;
-        net.run(net.now + 3000 * MS);
-        let heard = net
-            .peers
-            .iter()
-            .map(|f| f.news.edges.0 as f64 / f.news.edges.1.max(1) as f64);
-        let heard = heard.fold(1.0, f64::min);
-        net.step(4000);
-        let step = net.until(60_000 * MS, |net| net.error().0 <= 0.05);
-        net.kill(n / 2);
-        let dead = net.until(60_000 * MS, |net| net.size_error() == 0.0);
-        let each = |x: u64| x as f64 / MEASURED as f64 / n as f64;
-        let both = each(t.sent + t.received);
-        rows.push((
-            size,
-            vec![
-                each(t.datagrams),
-                each(t.sent),
-                both,
-                both + 2.0 * IP_UDP as f64 * each(t.datagrams),
-                each(t.swim),
-                each(t.members),
-                each(t.summaries),
-                each(t.average),
-                each(t.records),
-                each(t.busy.as_micros() as u64),
-                worst * 100.0,
-                rms * 100.0,
-                redrawn[0].0 * 100.0,
-                redrawn[1].0 * 100.0,
-                redrawn[1].1 * 100.0,
-                heard * 100.0,
-                seconds(step),
-                seconds(dead),
-            ],
-        ));
+        rows.push((size, row(size as usize, kind, seed)?));
     }
     let title = format!("Gossip for each front end, {title} (probe 500 ms, no loss, seed {seed})");
     Ok(Sweep {
@@ -129,19 +83,93 @@
     })
 }
 
+/// One fleet: its steady state, with loads that change, after a step of the load and after a crash.
+fn row(front_ends: usize, kind: GossipProtocol, seed: u64) -> Result<Vec<f64>, ExperimentError> {
+    let mut net = SimulatedNetwork::settled(front_ends, kind, seed)?;
+    net.traffic = TrafficCounts::default();
+    let steady = watch_error(&mut net, MEASURED);
+    let mut row = traffic_figures(&net.traffic, front_ends);
+    let small_redraw = error_with_redraw(&mut net, SMALL_REDRAW);
+    let large_redraw = error_with_redraw(&mut net, LARGE_REDRAW);
+    net.redraw = None;
+    net.run(net.now + REDRAW_SETTLE);
+    let heard = net
+        .peers
+        .iter()
+        .map(|peer| peer.news.edges.0 as f64 / peer.news.edges.1.max(1) as f64)
+        .fold(1.0, f64::min);
+    net.step(STEP_PRESSURE);
+    let step = net.until(RECOVERY_LIMIT, |net| net.error().worst <= CLOSE);
+    net.kill(front_ends / 2);
+    let dead = net.until(RECOVERY_LIMIT, |net| net.size_error() == 0.0);
+    row.extend([
+        steady.worst * 100.0,
+        steady.rms * 100.0,
+        small_redraw.worst * 100.0,
+        large_redraw.worst * 100.0,
+        large_redraw.rms * 100.0,
+        heard * 100.0,
+        seconds(step),
+        seconds(dead),
+    ]);
+    Ok(row)
+}
+
+/// The first columns: what each front end sent and received in a second, and its processor time.
+fn traffic_figures(traffic: &TrafficCounts, front_ends: usize) -> Vec<f64> {
+    let each = |total: u64| total as f64 / MEASURED as f64 / front_ends as f64;
+    let both = each(traffic.sent + traffic.received);
+    vec![
+        each(traffic.datagrams),
+        each(traffic.sent),
+        both,
+        both + 2.0 * IP_UDP as f64 * each(traffic.datagrams),
+        each(traffic.swim),
+        each(traffic.members),
+        each(traffic.summaries),
+        each(traffic.average),
+        each(traffic.records),
+        each(traffic.busy.as_micros() as u64),
+    ]
+}
+
+/// Ranges of loads that are drawn again in each probe period, in thousandths about 500: 15% and 60% of it.
+const SMALL_REDRAW: u32 = 75;
+const LARGE_REDRAW: u32 = 300;
+/// Simulated time until the error of the mean has come to the level of a redraw.
+const REDRAW_SETTLE: u64 = 3000 * MS;
+/// The load of one zone after a step, in thousandths of capacity.
+const STEP_PRESSURE: u32 = 4000;
+/// Longest simulated time that a recovery is waited for.
+const RECOVERY_LIMIT: u64 = 60_000 * MS;
+/// An error that counts as small, as a part of the truth.
+const CLOSE: f64 = 0.05;
+/// Bytes a second that a front end should not exceed.
+const BYTES_LIMIT: f64 = 22_000.0;
+
+fn error_with_redraw(net: &mut SimulatedNetwork, range: u32) -> MeanError {
+    net.redraw = Some(range);
+    net.run(net.now + REDRAW_SETTLE);
+    watch_error(net, MEASURED)
+}
+
 /// Simulated seconds over which a steady state is measured.
 const MEASURED: u64 = 10;
 
-/// The largest error of the mean over so many seconds, and its root mean square.
-fn watch_error(net: &mut SimulatedNetwork, seconds: u64) -> (f64, f64) {
-    let (mut worst, mut square) = (0.0f64, 0.0);
+/// The largest error of the mean over this many seconds, and its root mean square.
+fn watch_error(net: &mut SimulatedNetwork, seconds: u64) -> MeanError {
+    let mut worst = 0.0f64;
+    let mut square = 0.0;
     for _ in 0..seconds {
         net.run(net.now + 1000 * MS);
-        let (most, rms) = net.error();
-        worst = worst.max(most);
-        square += rms * rms;
+        let error = net.error();
+        worst = worst.max(error.worst);
+        square += error.rms * error.rms;
+    }
+    MeanError {
+        worst,
+        rms: f64::sqrt(square / seconds as f64),
     }
-    (worst, f64::sqrt(square / seconds as f64))
 }
 
 /// One fault: what is done to the settled fleet, and after how long it is undone.
@@ -188,12 +216,12 @@
         name: "regions cut for an hour",
         begin: |net| {
             load(net, |i| i % ZONES >= 4);
-            for (i, f) in net.peers.iter_mut().enumerate() {
-                f.side = u8::from(i % ZONES >= 4);
+            for (i, peer) in net.peers.iter_mut().enumerate() {
+                peer.side = u8::from(i % ZONES >= 4);
             }
         },
         lasts: 3_600_000 * MS,
-        end: |net| net.peers.iter_mut().for_each(|f| f.side = 0),
+        end: |net| net.peers.iter_mut().for_each(|peer| peer.side = 0),
     },
     FaultScenario {
         name: "12% restarted at once, 5 s down",
@@ -273,8 +301,7 @@
 
 impl Watched {
     /// Runs for `within` microseconds; since when the mean was within 5%, the size within 5%, the size right, and all
-    /// views equal and right,
-    /// in seconds (not a number: not at the end).
+    /// views equal and right, in seconds (not a number: not at the end).
     fn watch(&mut self, net: &mut SimulatedNetwork, within: u64) -> [f64; 4] {
         let began = net.now;
         let mut since = [Some(0); 4];
@@ -283,8 +310,8 @@
             for _ in 0..10 {
                 net.run(net.now + 100 * MS);
                 let holds = [
-                    net.error().0 <= 0.05,
-                    net.size_error() <= 0.05,
+                    net.error().worst <= CLOSE,
+                    net.size_error() <= CLOSE,
                     net.size_error() == 0.0,
                     net.disagreement(0).is_none(),
                 ];
@@ -299,7 +326,9 @@
             let bytes =
                 (net.traffic.sent + net.traffic.received - before) as f64 / net.peers.len() as f64;
             self.most = self.most.max(bytes);
-            self.above += f64::from(u8::from(bytes > 22_000.0));
+            if bytes > BYTES_LIMIT {
+                self.above += 1.0;
+            }
         }
         since.map(seconds)
     }
--- a/scalelab/src/gossip_network/accuracy.rs
+++ b/scalelab/src/gossip_network/accuracy.rs
@@ -1,10 +1,28 @@
 //! How far the front ends' views of the fleet are from the truth.
-use super::{addr, number, SimulatedNetwork};
+use super::{addr, number, SimulatedNetwork, SimulatedPeer};
 use std::collections::BTreeSet;
 use wrenseam::fleet::identity::MAX_PRESSURE;
 use wrenseam::fleet::record::Record;
 use wrenseam::fleet::{Node, PeerId};
 
+/// Errors of the mean pressure that front ends hold, as a part of the truth.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct MeanError {
+    /// The largest.
+    pub worst: f64,
+    /// The root mean square.
+    pub rms: f64,
+}
+
+/// What is true of the front ends of one side.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct FleetTruth {
+    /// Their mean pressure, in thousandths of capacity.
+    pub mean_pressure: f64,
+    /// How many run.
+    pub running: usize,
+}
+
 impl SimulatedNetwork {
     /// What differs between the views of all that run on a side, or between them and the truth of who runs and says
     /// what; `None`: all agree, and are right.
@@ -53,39 +71,55 @@
         Some(format!("{i} has another record of {}", number(other.owner)))
     }
 
-    /// The true mean pressure, in thousandths, of the front ends that run on `side`, and how many they are.
-    pub fn truth(&self, side: u8) -> (f64, usize) {
-        let up = self
-            .peers
-            .iter()
-            .filter(|f| f.node.is_some() && f.side == side);
-        let (sum, n) = up.fold((0.0, 0), |(s, n), f| {
-            (s + f64::from(f.pressure.min(MAX_PRESSURE)), n + 1)
-        });
-        (sum / n.max(1) as f64, n)
+    fn running(&self) -> impl Iterator<Item = &SimulatedPeer> {
+        self.peers.iter().filter(|peer| peer.node.is_some())
     }
 
-    /// The largest and the root mean square error of the mean, as a part of the truth, over all that run.
-    pub fn error(&self) -> (f64, f64) {
-        let truth: Vec<f64> = (0..=1).map(|side| self.truth(side).0).collect();
-        let errors = self.peers.iter().filter(|f| f.node.is_some()).map(|f| {
-            let t = truth[usize::from(f.side)];
-            (f64::from(f.news.pressure) - t).abs() / t.max(1.0)
-        });
-        let (most, sum, n) = errors.fold((0.0, 0.0, 0.0), |(m, s, n), e| {
-            (f64::max(m, e), s + e * e, n + 1.0)
-        });
-        (most, f64::sqrt(sum / f64::max(n, 1.0)))
+    /// The truth of the front ends that run on `side`.
+    pub fn truth(&self, side: u8) -> FleetTruth {
+        let mut sum = 0.0;
+        let mut running = 0;
+        for peer in self.running().filter(|peer| peer.side == side) {
+            sum += f64::from(peer.pressure.min(MAX_PRESSURE));
+            running += 1;
+        }
+        FleetTruth {
+            mean_pressure: sum / running.max(1) as f64,
+            running,
+        }
+    }
+
+    /// The truth of both sides.
+    fn truths(&self) -> [FleetTruth; 2] {
+        [self.truth(0), self.truth(1)]
+    }
+
+    /// The errors of the mean pressure, over all that run.
+    pub fn error(&self) -> MeanError {
+        let truths = self.truths();
+        let mut worst = 0.0;
+        let mut square = 0.0;
+        let mut count = 0.0;
+        for peer in self.running() {
+            let mean = truths[usize::from(peer.side)].mean_pressure;
+            let error = (f64::from(peer.news.pressure) - mean).abs() / mean.max(1.0);
+            worst = f64::max(worst, error);
+            square += error * error;
+            count += 1.0;
+        }
+        MeanError {
+            worst,
+            rms: f64::sqrt(square / f64::max(count, 1.0)),
+        }
     }
 
     /// The largest error of the fleet's size, as a part of the truth, over all that run.
     pub fn size_error(&self) -> f64 {
-        let truth: Vec<f64> = (0..=1).map(|side| self.truth(side).1 as f64).collect();
-        let up = self.peers.iter().filter(|f| f.node.is_some());
-        up.map(|f| {
-            let t = truth[usize::from(f.side)];
-            (f.news.alive as f64 + 1.0 - t).abs() / t
-        })
-        .fold(0.0, f64::max)
+        let truths = self.truths();
+        let error = |peer: &SimulatedPeer| {
+            let size = truths[usize::from(peer.side)].running as f64;
+            (peer.news.alive as f64 + 1.0 - size).abs() / size
+        };
+        self.running().map(error).fold(0.0, f64::max)
     }
 }
--- a/scalelab/src/gossip_network/mod.rs
+++ b/scalelab/src/gossip_network/mod.rs
@@ -4,6 +4,7 @@
 mod event_queue;
 mod gossip_node;
 
+pub use accuracy::{FleetTruth, MeanError};
 pub use gossip_node::GossipProtocol;
 
 use crate::traffic_counts::TrafficCounts;
--- a/scalelab/tests/experiment.rs
+++ b/scalelab/tests/experiment.rs
@@ -92,7 +92,7 @@
 /// As from the command line: a size beyond the bound, or an unknown name, is said and ends it with 2.
 #[rstest]
 #[case::unknown(&["run", "no-such"], "no experiment is named no-such")]
-fn the_command_says_what_is_wrong_and_ends(#[case] words: &[&str], #[case] told: &str) {
+fn the_command_reports_an_error_and_ends(#[case] words: &[&str], #[case] told: &str) {
     let out = std::process::Command::new(env!("CARGO_BIN_EXE_scalelab"))
         .args(words)
         .output()
--- a/scalelab/tests/gossip.rs
+++ b/scalelab/tests/gossip.rs
@@ -1,4 +1,4 @@
-//! Hollow front ends on the simulated net: what the view costs and says, and the faults it is to bear. All is
+//! Simulated front ends on the simulated network: what the view costs and says, and the faults it is to bear. All is
 //! seeded and in simulated time, so the figures are the same every run.
 use rstest::rstest;
 use scalelab::gossip_network::{
@@ -86,7 +86,7 @@
     (net.loss, net.duplication) = (loss, twice);
     for to in [4000, 100] {
         net.step(to);
-        let took = net.until(3 * S, |net| net.error().0 <= 0.05);
+        let took = net.until(3 * S, |net| net.error().worst <= 0.05);
         assert!(
             took.is_some(),
             "{n} front ends, step to {to}: still off by {:?}",
@@ -111,9 +111,9 @@
     let (mut most, mut square) = (0.0f64, 0.0);
     for _ in 0..20 {
         net.run(net.now + S / 2);
-        let (w, r) = net.error();
-        most = most.max(w);
-        square += r * r / 20.0;
+        let error = net.error();
+        most = most.max(error.worst);
+        square += error.rms * error.rms / 20.0;
     }
     assert!(
         most <= worst && f64::sqrt(square) <= rms,
@@ -138,13 +138,13 @@
         .for_each(|i| net.peers[i].pressure = 3000);
     net.run(net.now + 5 * S);
     zone(&net).into_iter().for_each(|i| net.kill(i));
-    let mean = net.until(3 * S, |net| net.error().0 <= 0.05);
+    let mean = net.until(3 * S, |net| net.error().worst <= 0.05);
     assert!(mean.is_some(), "mean off by {:?}", net.error());
     let size = net.until(10 * S, |net| net.size_error() <= 0.05);
     assert!(size.is_some(), "size off by {}", net.size_error());
     zone(&net).into_iter().for_each(|i| net.start(i, 0));
     let back = net.until(10 * S, |net| {
-        net.size_error() <= 0.05 && net.error().0 <= 0.05
+        net.size_error() <= 0.05 && net.error().worst <= 0.05
     });
     assert!(
         back.is_some(),
@@ -167,7 +167,7 @@
         (f.pressure, f.side) = (2000 + i as u32, 1);
     }
     let cut = net.until(40 * S, |net| {
-        net.size_error() <= 0.05 && net.error().0 <= 0.05
+        net.size_error() <= 0.05 && net.error().worst <= 0.05
     });
     assert!(
         cut.is_some(),
@@ -178,7 +178,7 @@
     net.run(net.now + 120 * S);
     net.peers.iter_mut().for_each(|f| f.side = 0);
     let healed = net.until(30 * S, |net| {
-        net.size_error() <= 0.05 && net.error().0 <= 0.05
+        net.size_error() <= 0.05 && net.error().worst <= 0.05
     });
     assert!(
         healed.is_some(),
@@ -235,7 +235,7 @@
     }
     net.run(net.now + down_s * S);
     let back = net.until(10 * S, |net| {
-        net.size_error() == 0.0 && net.error().0 <= 0.05
+        net.size_error() == 0.0 && net.error().worst <= 0.05
     });
     assert!(
         back.is_some(),
@@ -253,7 +253,7 @@
 fn a_liar_moves_the_mean_by_its_flows_and_no_more(#[case] lie: fn(&mut Exchange)) {
     const N: usize = 98;
     let mut net = settled(N, GossipProtocol::BoundedView, 8);
-    let truth = net.truth(0).0;
+    let truth = net.truth(0).mean_pressure;
     net.tamper = Some((
         5,
         Box::new(move |bytes| {
@@ -288,7 +288,7 @@
     // And it leaves nothing behind.
     net.tamper = None;
     assert!(
-        net.until(5 * S, |net| net.error().0 <= 0.05).is_some(),
+        net.until(5 * S, |net| net.error().worst <= 0.05).is_some(),
         "{:?}",
         net.error()
     );
@@ -305,7 +305,7 @@
         net.peers[i].pressure = 3000;
     });
     let mixed = net.until(20 * S, |net| {
-        net.size_error() == 0.0 && net.error().0 <= 0.05
+        net.size_error() == 0.0 && net.error().worst <= 0.05
     });
     assert!(
         mixed.is_some(),
@@ -324,7 +324,9 @@
         net.run(net.now + 3 * S);
     });
     let new = net.until(20 * S, |net| {
-        net.size_error() == 0.0 && net.error().0 <= 0.05 && net.peers.iter().all(|f| !f.news.mixed)
+        net.size_error() == 0.0
+            && net.error().worst <= 0.05
+            && net.peers.iter().all(|f| !f.news.mixed)
     });
     assert!(
         new.is_some(),
--- a/scalelab/tests/policy_scaling.rs
+++ b/scalelab/tests/policy_scaling.rs
@@ -62,7 +62,7 @@
 
 /// What a front end that has just started asks for, and the whole of what all of them send to a cold worker.
 #[test]
-fn what_a_cold_worker_is_sent_does_not_grow_with_the_front_ends() {
+fn attempts_at_a_warming_worker_do_not_grow_with_the_front_ends() {
     let pressed = slow_start_senders::EXPERIMENTS
         .iter()
         .find(|e| e.name == "seats-pressed")
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_hollow_front_end_loses_no_call() {
+fn a_simulated_front_end_loses_no_request() {
     let mut front = SimulatedFrontEnd::new(&small());
     front.run(30 * SEC);
     let c = &front.counts;
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_size_beyond_the_bound_is_said_and_ends_it() {
+fn a_size_beyond_the_bound_is_reported_and_ends_the_run() {
     let all = policy_scaling::EXPERIMENTS
         .iter()
         .chain(slow_start_senders::EXPERIMENTS)
--- a/scalelab/tests/processes.rs
+++ b/scalelab/tests/processes.rs
@@ -62,10 +62,7 @@
 #[rstest]
 #[case::nothing_between(1, 1)]
 #[case::a_gap(5, 2)]
-fn a_list_told_anew_is_read_again_where_numbers_show_a_gap(
-    #[case] missed: u64,
-    #[case] calls: u64,
-) {
+fn a_whole_list_is_read_again_where_revisions_show_a_gap(#[case] missed: u64, #[case] calls: u64) {
     built();
     let told = process_experiments::measure_resync(20, missed, 1).expect("it has the list");
     assert_eq!(
