--- a/scalelab/src/chart.rs
+++ b/scalelab/src/chart.rs
@@ -22,13 +22,13 @@
         .x_desc(sweep.varied)
         .y_desc("part of the column's largest")
         .draw()?;
-    for (i, column) in sweep.columns.iter().enumerate() {
-        let points = sweep.points(i);
+    for (position, column) in sweep.columns.iter().enumerate() {
+        let points = sweep.points(position);
         let top = points.iter().map(|p| p.1.abs()).fold(0.0, f64::max);
         if top == 0.0 || !top.is_finite() {
             continue;
         }
-        let colour = Palette99::pick(i).stroke_width(2);
+        let colour = Palette99::pick(position).stroke_width(2);
         let label = format!(
             "{} (largest {})",
             column.name,
--- a/scalelab/src/experiment.rs
+++ b/scalelab/src/experiment.rs
@@ -1,6 +1,5 @@
 //! What an experiment is: the thing varied, the sizes it may be asked for, and the table it leaves.
 use crate::Fit;
-use std::fmt::Write;
 
 /// One experiment.
 pub struct Experiment {
@@ -59,7 +58,7 @@
         };
         sizes.sort_unstable();
         sizes.dedup();
-        if let Some(&asked) = sizes.iter().find(|&&s| s == 0 || s > self.bound) {
+        if let Some(&asked) = sizes.iter().find(|&&size| size == 0 || size > self.bound) {
             return Err(ExperimentError::SizeOutOfBounds {
                 asked,
                 bound: self.bound,
@@ -113,36 +112,44 @@
 
     /// The table, and a line for each column's fit with its spread.
     pub fn markdown(&self) -> String {
-        let mut md = format!("### {}\n\n| {} |", self.title, self.varied);
-        self.columns
-            .iter()
-            .for_each(|c| md += &format!(" {} |", c.name));
-        md += "\n| --- |";
-        md += &" --- |".repeat(self.columns.len());
-        for (x, ys) in &self.rows {
-            let _ = write!(md, "\n| {x} |");
-            ys.iter().for_each(|y| md += &format!(" {} |", figure(*y)));
+        let mut text = format!("### {}\n\n| {} |", self.title, self.varied);
+        for column in &self.columns {
+            text += &format!(" {} |", column.name);
+        }
+        text += "\n| --- |";
+        text += &" --- |".repeat(self.columns.len());
+        for (size, figures) in &self.rows {
+            text += &format!("\n| {size} |");
+            for value in figures {
+                text += &format!(" {} |", figure(*value));
+            }
         }
-        md += "\n\n| fit | slope | ± | at 0 | r2 | largest residual | exponent |\n| --- | --- | --- | --- | --- | --- | --- |\n";
-        for (i, c) in self.columns.iter().enumerate() {
-            let Some(f) = self.fit(i) else { continue };
-            let _ = writeln!(
-                md,
-                "| {}{} | {} | {} | {} | {:.3} | {:.1}% | {} |",
-                c.name,
-                if c.exact { " (exact)" } else { "" },
-                figure(f.slope),
-                figure(f.slope_error),
-                figure(f.intercept),
-                f.r2,
-                f.residual * 100.0,
-                f.exponent.map_or("-".into(), |e| format!("{e:.2}"))
-            );
+        text += "\n\n| fit | slope | ± | at 0 | r2 | largest residual | exponent |\n| --- | --- | --- | --- | --- | --- | --- |\n";
+        for (position, column) in self.columns.iter().enumerate() {
+            if let Some(fit) = self.fit(position) {
+                text += &fit_line(column, &fit);
+            }
         }
-        md
+        text
     }
 }
 
+fn fit_line(column: &Column, fit: &Fit) -> String {
+    let suffix = if column.exact { " (exact)" } else { "" };
+    let exponent = fit
+        .exponent
+        .map_or("-".to_owned(), |exponent| format!("{exponent:.2}"));
+    format!(
+        "| {}{suffix} | {} | {} | {} | {:.3} | {:.1}% | {exponent} |\n",
+        column.name,
+        figure(fit.slope),
+        figure(fit.slope_error),
+        figure(fit.intercept),
+        fit.r2,
+        fit.residual * 100.0,
+    )
+}
+
 /// Three or four digits that count, plain.
 pub fn figure(y: f64) -> String {
     match y.abs() {
--- a/scalelab/src/gossip_experiments.rs
+++ b/scalelab/src/gossip_experiments.rs
@@ -68,11 +68,11 @@
     title: &str,
     sizes: &[u64],
     seed: u64,
-    kind: GossipProtocol,
+    protocol: GossipProtocol,
 ) -> Result<Sweep, ExperimentError> {
     let mut rows = Vec::new();
     for &size in sizes {
-        rows.push((size, row(size as usize, kind, seed)?));
+        rows.push((size, row(size as usize, protocol, seed)?));
     }
     let title = format!("Gossip for each front end, {title} (probe 500 ms, no loss, seed {seed})");
     Ok(Sweep {
@@ -84,8 +84,12 @@
 }
 
 /// One fleet: its steady state, with loads that change, after a step of the load and after a crash.
-fn row(front_ends: usize, kind: GossipProtocol, seed: u64) -> Result<Vec<f64>, ExperimentError> {
-    let mut net = SimulatedNetwork::settled(front_ends, kind, seed)?;
+fn row(
+    front_ends: usize,
+    protocol: GossipProtocol,
+    seed: u64,
+) -> Result<Vec<f64>, ExperimentError> {
+    let mut net = SimulatedNetwork::settled(front_ends, protocol, seed)?;
     net.traffic = TrafficCounts::default();
     let steady = watch_error(&mut net, MEASURED);
     let mut row = traffic_figures(&net.traffic, front_ends);
--- a/scalelab/src/gossip_network/gossip_node.rs
+++ b/scalelab/src/gossip_network/gossip_node.rs
@@ -1,16 +1,17 @@
-//! The programs that a simulated front end may run.
+//! The gossip protocols that a simulated front end may run.
 use std::net::SocketAddr;
 use wrenseam::fleet::{FleetNews, Node, PeerEvent, Summary, Swim};
 
-/// Which program a front end runs.
+/// Which gossip protocol a front end speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GossipProtocol {
-    /// The one with the view.
+    /// The fleet view of bounded size.
     BoundedView,
-    /// The one before it: a summary of each front end to all.
+    /// The protocol before it: a summary of each front end to all.
     Summaries,
 }
 
+/// The state machine of one protocol.
 pub(super) enum GossipNode {
     BoundedView(Box<Node>),
     Summaries(Box<Swim>),
@@ -19,24 +20,24 @@
 impl GossipNode {
     pub(super) fn datagram(&mut self, now: u64, bytes: &[u8]) {
         match self {
-            GossipNode::BoundedView(n) => n.datagram(now, bytes),
-            GossipNode::Summaries(s) => {
-                s.datagram(now, bytes);
+            GossipNode::BoundedView(node) => node.datagram(now, bytes),
+            GossipNode::Summaries(swim) => {
+                swim.datagram(now, bytes);
             }
         }
     }
 
     pub(super) fn next(&self) -> u64 {
         match self {
-            GossipNode::BoundedView(n) => n.next(),
-            GossipNode::Summaries(s) => s.next().unwrap_or(u64::MAX),
+            GossipNode::BoundedView(node) => node.next(),
+            GossipNode::Summaries(swim) => swim.next().unwrap_or(u64::MAX),
         }
     }
 
     pub(super) fn tick(&mut self, now: u64) {
         match self {
-            GossipNode::BoundedView(n) => n.tick(now),
-            GossipNode::Summaries(s) => s.tick(now),
+            GossipNode::BoundedView(node) => node.tick(now),
+            GossipNode::Summaries(swim) => swim.tick(now),
         }
     }
 
@@ -46,17 +47,19 @@
             ..Summary::default()
         };
         match self {
-            GossipNode::BoundedView(n) => n.publish(now, summary),
-            GossipNode::Summaries(s) => {
-                s.publish(now, summary);
-                if s.alive() == 0 {
-                    seeds.iter().for_each(|&a| s.join(now, a));
+            GossipNode::BoundedView(node) => node.publish(now, summary),
+            GossipNode::Summaries(swim) => {
+                swim.publish(now, summary);
+                if swim.alive() == 0 {
+                    for &seed in seeds {
+                        swim.join(now, seed);
+                    }
                 }
                 FleetNews {
-                    alive: s.alive(),
-                    pressure: s.pressure(now, own),
-                    edges: (s.summaries(now).len(), s.alive()),
-                    dropped: s.dropped,
+                    alive: swim.alive(),
+                    pressure: swim.pressure(now, own),
+                    edges: (swim.summaries(now).len(), swim.alive()),
+                    dropped: swim.dropped,
                     ..FleetNews::default()
                 }
             }
@@ -65,15 +68,15 @@
 
     pub(super) fn events(&mut self) -> Vec<(u64, PeerEvent)> {
         match self {
-            GossipNode::BoundedView(n) => n.events(),
-            GossipNode::Summaries(s) => s.events(),
+            GossipNode::BoundedView(node) => node.events(),
+            GossipNode::Summaries(swim) => swim.events(),
         }
     }
 
     pub(super) fn outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
         match self {
-            GossipNode::BoundedView(n) => n.outbox(),
-            GossipNode::Summaries(s) => s
+            GossipNode::BoundedView(node) => node.outbox(),
+            GossipNode::Summaries(swim) => swim
                 .outbox()
                 .into_iter()
                 .map(|out| (out.to, out.bytes))
--- a/scalelab/src/gossip_network/mod.rs
+++ b/scalelab/src/gossip_network/mod.rs
@@ -50,7 +50,7 @@
     pub news: FleetNews,
     /// What waits for it while it is stopped.
     waiting: Vec<Vec<u8>>,
-    kind: GossipProtocol,
+    protocol: GossipProtocol,
     incarnation: u64,
     publish_at: u64,
     wake_at: u64,
@@ -113,7 +113,7 @@
 
 impl SimulatedPeer {
     /// Front end `i`, which has not started yet.
-    fn new(i: usize, kind: GossipProtocol, pressure: u32) -> SimulatedPeer {
+    fn new(i: usize, protocol: GossipProtocol, pressure: u32) -> SimulatedPeer {
         SimulatedPeer {
             node: None,
             pressure,
@@ -123,7 +123,7 @@
             stopped: false,
             waiting: Vec::new(),
             news: FleetNews::default(),
-            kind,
+            protocol,
             incarnation: FIRST_INCARNATION + i as u64,
             publish_at: 0,
             wake_at: u64::MAX,
@@ -157,7 +157,7 @@
 impl SimulatedNetwork {
     /// `n` front ends that start within a second and join by the first and the second; probe 500 ms, suspicion
     /// 1.5 s as the program's defaults, own pressures between 200 and 800.
-    pub fn new(n: usize, kind: GossipProtocol, seed: u64) -> SimulatedNetwork {
+    pub fn new(n: usize, protocol: GossipProtocol, seed: u64) -> SimulatedNetwork {
         let mut rng = SmallRng::seed_from_u64(seed);
         let settings = SwimSettings {
             cluster: CLUSTER,
@@ -169,7 +169,7 @@
             capacity: 1024,
         };
         let peers = (0..n)
-            .map(|i| SimulatedPeer::new(i, kind, rng.random_range(200..=800)))
+            .map(|i| SimulatedPeer::new(i, protocol, rng.random_range(200..=800)))
             .collect();
         let seeds = (0..n.min(2)).map(addr).collect();
         let mut net = SimulatedNetwork {
@@ -271,16 +271,16 @@
 
     /// Starts front end `i` in a new incarnation `after` microseconds from now.
     pub fn start(&mut self, i: usize, after: u64) {
-        let kind = self.peers[i].kind;
-        self.start_as(i, after, kind);
+        let protocol = self.peers[i].protocol;
+        self.start_as(i, after, protocol);
     }
 
     /// As [`SimulatedNetwork::start`], with this gossip protocol.
-    pub fn start_as(&mut self, i: usize, after: u64, kind: GossipProtocol) {
+    pub fn start_as(&mut self, i: usize, after: u64, protocol: GossipProtocol) {
         let seed = self.rng.random();
         let at = self.now + after;
         let incarnation = self.peers[i].incarnation + 1_000_000 + at;
-        let node = match kind {
+        let node = match protocol {
             GossipProtocol::BoundedView => {
                 let settings = self.node_settings(i);
                 let node = Node::new(addr(i), incarnation, settings, seed);
@@ -293,7 +293,7 @@
         };
         let peer = &mut self.peers[i];
         peer.incarnation = incarnation;
-        peer.kind = kind;
+        peer.protocol = protocol;
         peer.node = Some(node);
         peer.publish_at = at;
         peer.news = FleetNews::default();
@@ -454,10 +454,10 @@
     /// They have not found each other within three simulated minutes.
     pub fn settled(
         n: usize,
-        kind: GossipProtocol,
+        protocol: GossipProtocol,
         seed: u64,
     ) -> Result<SimulatedNetwork, ExperimentError> {
-        let mut net = SimulatedNetwork::new(n, kind, seed);
+        let mut net = SimulatedNetwork::new(n, protocol, seed);
         net.until(180_000 * MS, |net| net.size_error() == 0.0)
             .ok_or(ExperimentError::Failed(format!(
                 "{n} front ends had not found each other within 180 s"
--- a/scalelab/src/lib.rs
+++ b/scalelab/src/lib.rs
@@ -1,5 +1,5 @@
 //! Scale tests: each experiment varies one thing, measures at several sizes, and gives slopes with their spread.
-//! Hollow front ends (state machines on simulated time) share this process where real ones don't fit.
+//! Simulated front ends (state machines on simulated time) share this process where real ones would not fit.
 pub mod chart;
 pub mod disruptions;
 pub mod experiment;
--- a/scalelab/src/main.rs
+++ b/scalelab/src/main.rs
@@ -4,6 +4,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+/// Exit status of an experiment that did not run.
+const EXIT_FAULT: u8 = 2;
+
 #[derive(Parser)]
 #[command(
     name = "scalelab",
@@ -12,11 +15,11 @@
 )]
 struct Cli {
     #[command(subcommand)]
-    command: Order,
+    command: Action,
 }
 
 #[derive(Subcommand)]
-enum Order {
+enum Action {
     /// Names the experiments, their sizes and bounds.
     List,
     /// Runs one experiment; prints its tables and fits.
@@ -42,17 +45,16 @@
     let all = experiments();
     let experiment = all
         .iter()
-        .find(|e| e.name == name)
+        .find(|experiment| experiment.name == name)
         .ok_or_else(|| ExperimentError::UnknownExperiment(name.into()))?;
-    for (i, sweep) in (experiment.run)(&experiment.sizes(sizes)?, seed)?
-        .iter()
-        .enumerate()
-    {
+    let sizes = experiment.sizes(sizes)?;
+    let sweeps = (experiment.run)(&sizes, seed)?;
+    for (number, sweep) in (1..).zip(&sweeps) {
         println!("{}", sweep.markdown());
         if let Some(folder) = &charts {
-            let path = folder.join(format!("{name}-{}.svg", i + 1));
+            let path = folder.join(format!("{name}-{number}.svg"));
             chart::draw(sweep, &path)
-                .map_err(|e| ExperimentError::Failed(format!("{}: {e}", path.display())))?;
+                .map_err(|error| ExperimentError::Failed(format!("{}: {error}", path.display())))?;
         }
     }
     Ok(())
@@ -60,16 +62,16 @@
 
 fn main() -> ExitCode {
     let result = match Cli::parse().command {
-        Order::List => {
-            for e in experiments() {
+        Action::List => {
+            for experiment in experiments() {
                 println!(
                     "{}: {} Sizes {:?}, {} at the most.",
-                    e.name, e.about, e.sizes, e.bound
+                    experiment.name, experiment.about, experiment.sizes, experiment.bound
                 );
             }
             Ok(())
         }
-        Order::Run {
+        Action::Run {
             name,
             sizes,
             seed,
@@ -78,9 +80,9 @@
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            eprintln!("scalelab: {e}");
-            ExitCode::from(2)
+        Err(error) => {
+            eprintln!("scalelab: {error}");
+            ExitCode::from(EXIT_FAULT)
         }
     }
 }
