--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: settings of the two kinds of site and short ways to feed a controller.
+//! What the tests share: settings, and short ways to give a controller events.
 #![allow(dead_code)]
 use wrenseam_policy::*;
 
@@ -61,13 +61,14 @@
     }
 }
 
+/// A controller and the time that tests give it.
 pub struct ControllerHarness {
     pub controller: Controller,
     pub now: Micros,
 }
 
 impl ControllerHarness {
-    /// A controller that has been told of `n` warm workers, `w0` ...
+    /// A controller whose endpoint list has `n` warm workers, `w0` ...
     pub fn new(settings: Settings, n: usize) -> Self {
         let mut harness = ControllerHarness {
             controller: Controller::new(settings, 11),
@@ -148,7 +149,7 @@
         })
     }
 
-    /// Makes the function believed warm at these workers, by answers to the questions of a first request.
+    /// Makes the controller take the function for loaded at these workers, by answers to the queries of a first request.
     pub fn mark_loaded(&mut self, function: u64, id: u64, workers: &[&str]) {
         let asked = self.request(id, IDEMPOTENT, function);
         let names = load_orders(&asked, 0);
--- a/policy/tests/design.rs
+++ b/policy/tests/design.rs
@@ -65,7 +65,7 @@
 /// A step that brings a state about.
 #[derive(Clone, Copy)]
 enum Given {
-    /// The function is believed warm at these workers.
+    /// The controller takes the function for loaded at these workers.
     Warm(u64, &'static [&'static str]),
     /// A request of the function is in flight.
     Out(u64),
@@ -113,7 +113,7 @@
     &[Given::Warm(F, &["w0"]), Given::Seconds(5)],
     Want { sent_to: &["w0"], new_copies: 0, asked: false }
 )]
-// Nothing is believed of a function never called: others' replicas may stand, so workers are asked (ours).
+// Nothing is known of a function never called: others' replicas may be loaded, so workers are queried (ours).
 #[case::nothing_known(&[], Want { sent_to: &[], new_copies: 0, asked: true })]
 #[case::only_another_function_is_warm(
     &[Given::Warm(8, &["w0"])],
--- a/policy/tests/failures.rs
+++ b/policy/tests/failures.rs
@@ -363,7 +363,7 @@
         harness.mark_loaded(7, 1, &["w0", "w1"]);
         harness.advance(3 * SEC);
         (10..10 + crowd).for_each(|id| drop(harness.request(id, IDEMPOTENT, 7)));
-        harness.advance(12 * SEC); // so few calls are judged over several seconds
+        harness.advance(12 * SEC); // so few requests are judged over several seconds
         let out = harness.feed(Event::Request(NewRequest {
             id: 999,
             class: IDEMPOTENT,
--- a/policy/tests/mechanism.rs
+++ b/policy/tests/mechanism.rs
@@ -138,7 +138,7 @@
 #[test]
 fn memory_short_by_own_account_unloads_the_least_recently_lost() {
     let mut set = settings();
-    set.kind_memory_mb = vec![1600.0]; // two copies of 500 MB stay under the margin, three do not
+    set.kind_memory_mb = vec![1600.0]; // two replicas of 500 MB stay under the margin, three do not
     let mut harness = ControllerHarness::new(set, 2);
     harness.mark_loaded(1, 1, &["w1"]);
     harness.advance(100 * MS);
--- a/policy/tests/scale.rs
+++ b/policy/tests/scale.rs
@@ -50,7 +50,7 @@
     }))
 }
 
-/// Makes `function` believed warm at all of the workers that are asked about it.
+/// Makes the controller take `function` for loaded at all of the workers that it queries.
 fn warm_all(harness: &mut ControllerHarness, id: u64, function: u64) -> usize {
     let asked = load_orders(&call(harness, id, function, 0), 0);
     for w in &asked {
--- a/policy/tests/slow_start.rs
+++ b/policy/tests/slow_start.rs
@@ -340,7 +340,7 @@
                 ),
                 now: START,
             };
-            // A start told for a time ahead, and the same worker starting anew every 300 ms.
+            // A start time that lies ahead, and the same worker starting anew every 300 ms.
             for n in 0..10 {
                 let entries = vec![Endpoint {
                     started_at: START + n * 300 * MS + SEC,
