--- a/scalelab/src/simulated_workers.rs
+++ b/scalelab/src/simulated_workers/mod.rs
@@ -1,7 +1,10 @@
 //! Simulated workers on the platform's frames: thousands of listeners and their connections on one thread, each worker
 //! with what it has loaded. They end when [`SimulatedWorkers`] is dropped.
+mod frame;
+
 use crate::harness::{endpoint_json, lock, spawn_thread};
 use crate::ExperimentError;
+use frame::{answer, Frame, LOAD_FRAME, REQUEST_FRAME, UNLOAD_FRAME};
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
@@ -11,24 +14,11 @@
 use std::sync::{Arc, Mutex};
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
-use wrenseam::worker::frames::encode;
 
 /// How often the thread looks whether it is to end.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Events taken from the kernel at a time.
 const EVENTS_PER_WAIT: usize = 256;
-/// Bytes of a frame before its fields.
-const HEADER_BYTES: usize = 16;
-/// Bytes of a frame after its body.
-const CHECKSUM_BYTES: usize = 4;
-/// Kinds of frames that a front end sends.
-const REQUEST_FRAME: u8 = 2;
-const LOAD_FRAME: u8 = 6;
-const UNLOAD_FRAME: u8 = 8;
-/// Kind of an answer, and the first byte of frames that workers send.
-const ANSWER_FRAME: u8 = 200;
-const WORKER_MARK: u8 = 127;
-
 /// How long the workers' work takes.
 #[derive(Clone, Copy)]
 pub struct ServiceTimes {
@@ -181,58 +171,6 @@
     new: bool,
 }
 
-/// A complete frame, and where it came from.
-struct Frame {
-    connection: u64,
-    worker: usize,
-    /// Whether it is the first of its connection.
-    first: bool,
-    kind: u8,
-    id: u64,
-    fields: String,
-    body: Vec<u8>,
-}
-
-impl Frame {
-    /// Takes a complete frame off the bytes received.
-    fn take(token: u64, connection: &mut Connection) -> Option<Frame> {
-        let head = *connection.received.first_chunk::<HEADER_BYTES>()?;
-        let fields_length = usize::from(u16::from_be_bytes([head[2], head[3]]));
-        let body_length = u32::from_be_bytes([head[4], head[5], head[6], head[7]]) as usize;
-        let length = HEADER_BYTES + fields_length + body_length + CHECKSUM_BYTES;
-        if connection.received.len() < length {
-            return None;
-        }
-        let bytes: Vec<u8> = connection.received.drain(..length).collect();
-        let body_start = HEADER_BYTES + fields_length;
-        Some(Frame {
-            connection: token,
-            worker: connection.worker,
-            first: std::mem::take(&mut connection.new),
-            kind: head[1],
-            id: u64::from_be_bytes(head[8..].try_into().expect("eight bytes")),
-            fields: String::from_utf8_lossy(&bytes[HEADER_BYTES..body_start]).into_owned(),
-            body: bytes[body_start..length - CHECKSUM_BYTES].to_vec(),
-        })
-    }
-
-    fn field(&self, name: &str) -> Option<&str> {
-        let mut fields = self.fields.split(',');
-        fields.find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
-    }
-
-    fn function(&self) -> u64 {
-        let path = self.field("path");
-        path.and_then(|path| u64::from_str_radix(path, 16).ok())
-            .unwrap_or(self.id)
-    }
-
-    /// Replicas that a load order asks for.
-    fn replicas(&self) -> Option<u32> {
-        self.field("slots_up")?.parse().ok()
-    }
-}
-
 /// An answer that waits for its time.
 struct ScheduledReply {
     connection: u64,
@@ -435,9 +373,3 @@
         }
     }
 }
-
-fn answer(id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
-    let mut bytes = encode(ANSWER_FRAME, id, fields, body);
-    bytes[0] = WORKER_MARK;
-    bytes
-}
--- a/scalelab/src/worker_connections.rs
+++ b/scalelab/src/worker_connections/mod.rs
@@ -1,16 +1,16 @@
 //! Connections to workers: how many are open, and which share of requests opens one. Measured at one process beside a
 //! model.
-use crate::harness::{
-    self, FrontEndOptions, FrontEndProcess, InferenceClient, ResourceUsage, WatchEvent,
-};
+mod clients;
+mod model;
+
+pub use model::{model, ModelledConnections};
+
+use crate::harness::{self, FrontEndOptions, FrontEndProcess, ResourceUsage, WatchEvent};
 use crate::process_experiments::quantile;
 use crate::simulated_workers::{CountsSnapshot, ServiceTimes, SimulatedWorkers};
 use crate::{Column, Experiment, ExperimentError, Sweep};
-use rand_pcg::rand_core::{RngCore, SeedableRng};
-use rand_pcg::Pcg64;
-use std::net::SocketAddr;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
+use clients::Clients;
+use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 use wrenseam::limits::KEPT;
 use wrenseam::worker::pool::Pool;
@@ -49,8 +49,6 @@
 const KIB_PER_MIB: f64 = 1024.0;
 /// How often connections and descriptors are counted.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-/// How often a client that waits looks whether it is to end.
-const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 const SERVICE_TIMES: ServiceTimes = ServiceTimes {
     load: Duration::from_millis(100),
     call: Duration::from_millis(5),
@@ -65,44 +63,6 @@
     Zipf,
 }
 
-/// Worker connections, as the model has them.
-#[derive(Clone, Copy, Debug)]
-pub struct ModelledConnections {
-    /// Connections open at a time.
-    pub open: f64,
-    /// Part of the requests that open a connection, 0 to 1.
-    pub opening_share: f64,
-}
-
-/// The model: each function has its requests at one worker, which any is with equal chance; a connection stays open for
-/// `idle_s` seconds after a request; at most `most` are open, those used last. `shares` are the functions' parts of all
-/// `rate` requests a second.
-pub fn model(
-    workers: f64,
-    rate: f64,
-    idle_s: f64,
-    shares: &[f64],
-    most: f64,
-) -> ModelledConnections {
-    let not_called = |share: &f64| (-rate * idle_s * share).exp();
-    let called: f64 = shares.iter().map(|share| 1.0 - not_called(share)).sum();
-    // The chance that none of those functions is at a worker.
-    let unused = (-called / workers).exp();
-    let open = workers * (1.0 - unused);
-    let late: f64 = shares.iter().map(|share| share * not_called(share)).sum();
-    let opening_share = late * unused;
-    if open > most {
-        return ModelledConnections {
-            open: most,
-            opening_share: opening_share.max(1.0 - most / workers),
-        };
-    }
-    ModelledConnections {
-        open,
-        opening_share,
-    }
-}
-
 /// Connections that the pool keeps open beside the experiment's clients.
 pub fn most(max_descriptors: usize) -> f64 {
     Pool::new(max_descriptors, KEPT).most(CLIENTS as usize) as f64
@@ -119,113 +79,6 @@
     weights.into_iter().map(|weight| weight / total).collect()
 }
 
-/// Sums of the shares, so that a uniform number from 0 to 1 draws a function.
-fn cumulative(shares: &[f64]) -> Vec<f64> {
-    let mut total = 0.0;
-    let mut sums = Vec::with_capacity(shares.len());
-    for share in shares {
-        total += share;
-        sums.push(total);
-    }
-    sums
-}
-
-/// What all clients share.
-struct Clients {
-    address: SocketAddr,
-    requests_per_s: f64,
-    cumulative_shares: Vec<f64>,
-    stop: AtomicBool,
-    served: AtomicU64,
-    not_served: AtomicU64,
-    /// Times of those served, ms.
-    times: Mutex<Vec<f64>>,
-}
-
-fn uniform(random: &mut Pcg64) -> f64 {
-    (random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
-}
-
-impl Clients {
-    fn start(
-        address: SocketAddr,
-        rate: u64,
-        shares: &[f64],
-        seed: u64,
-    ) -> Result<Arc<Clients>, ExperimentError> {
-        let clients = Arc::new(Clients {
-            address,
-            requests_per_s: rate as f64 / CLIENTS as f64,
-            cumulative_shares: cumulative(shares),
-            stop: AtomicBool::new(false),
-            served: AtomicU64::new(0),
-            not_served: AtomicU64::new(0),
-            times: Mutex::default(),
-        });
-        for client in 0..CLIENTS {
-            let clients = clients.clone();
-            harness::spawn_thread(move || clients.run(seed << 16 | client))?;
-        }
-        Ok(clients)
-    }
-
-    /// One client: requests at seeded Poisson times until all are to stop.
-    fn run(&self, seed: u64) {
-        let mut random = Pcg64::seed_from_u64(seed);
-        let mut connection = None;
-        let mut due = Instant::now();
-        loop {
-            let interval = -(1.0 - uniform(&mut random)).ln() / self.requests_per_s;
-            due += Duration::from_secs_f64(interval);
-            if !self.wait(due) {
-                return;
-            }
-            let drawn = uniform(&mut random);
-            let sums = &self.cumulative_shares;
-            let function = sums.partition_point(|&sum| sum < drawn) as u64 + 1;
-            let sent_at = Instant::now();
-            let status = self.call(&mut connection, function);
-            if matches!(status, Ok(200)) {
-                self.served.fetch_add(1, Ordering::Relaxed);
-                harness::lock(&self.times).push(sent_at.elapsed().as_secs_f64() * 1000.0);
-                continue;
-            }
-            self.not_served.fetch_add(1, Ordering::Relaxed);
-            if status.is_err() {
-                connection = None;
-            }
-        }
-    }
-
-    /// Waits until a request is due; false: the clients are to stop.
-    fn wait(&self, due: Instant) -> bool {
-        while let Some(wait) = due.checked_duration_since(Instant::now()) {
-            std::thread::sleep(wait.min(STOP_POLL_INTERVAL));
-            if self.stop.load(Ordering::Relaxed) {
-                return false;
-            }
-        }
-        !self.stop.load(Ordering::Relaxed)
-    }
-
-    /// Sends a request. A connection that was closed while idle is made again, as the protocol's clients do.
-    fn call(
-        &self,
-        connection: &mut Option<InferenceClient>,
-        function: u64,
-    ) -> std::io::Result<u16> {
-        if let Some(client) = connection {
-            if let Ok(status) = client.call(function, SERVICE_TIMES.load) {
-                return Ok(status);
-            }
-        }
-        let mut client = InferenceClient::connect(self.address)?;
-        let status = client.call(function, SERVICE_TIMES.load);
-        *connection = Some(client);
-        status
-    }
-}
-
 /// What was sampled while the row's time passed.
 #[derive(Default)]
 struct Samples {
