--- a/scalelab/src/gossip_experiments.rs
+++ b/scalelab/src/gossip_experiments.rs
@@ -100,7 +100,7 @@
     let heard = net
         .peers
         .iter()
-        .map(|peer| peer.news.edges.0 as f64 / peer.news.edges.1.max(1) as f64)
+        .map(|peer| peer.news.edges.heard as f64 / peer.news.edges.total.max(1) as f64)
         .fold(1.0, f64::min);
     net.step(STEP_PRESSURE);
     let step = net.until(RECOVERY_LIMIT, |net| net.error().worst <= CLOSE);
--- a/scalelab/src/gossip_network/accuracy.rs
+++ b/scalelab/src/gossip_network/accuracy.rs
@@ -31,10 +31,10 @@
         let running: Vec<(usize, &Node)> =
             on_side.filter_map(|i| Some((i, self.node(i)?))).collect();
         let (first, node) = running.first()?;
-        let digest = node.members().digest().0;
+        let digest = node.members().view_digest().value;
         if let Some((other, _)) = running
             .iter()
-            .find(|(_, node)| node.members().digest().0 != digest)
+            .find(|(_, node)| node.members().view_digest().value != digest)
         {
             let wrong = self
                 .wrong_in(*other, &running)
--- a/scalelab/src/gossip_network/gossip_node.rs
+++ b/scalelab/src/gossip_network/gossip_node.rs
@@ -1,6 +1,8 @@
 //! The gossip protocols that a simulated front end may run.
 use std::net::SocketAddr;
-use wrenseam::fleet::{FleetNews, Node, PeerEvent, Summary, Swim};
+use wrenseam::fleet::average::EdgeCounts;
+use wrenseam::fleet::traffic::Outgoing;
+use wrenseam::fleet::{FleetStatus, Node, Summary, Swim, TimedPeerEvent};
 
 /// Which gossip protocol a front end speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,17 +22,17 @@
 impl GossipNode {
     pub(super) fn datagram(&mut self, now: u64, bytes: &[u8]) {
         match self {
-            GossipNode::BoundedView(node) => node.datagram(now, bytes),
+            GossipNode::BoundedView(node) => node.handle_datagram(now, bytes),
             GossipNode::Summaries(swim) => {
-                swim.datagram(now, bytes);
+                swim.handle_datagram(now, bytes);
             }
         }
     }
 
     pub(super) fn next(&self) -> u64 {
         match self {
-            GossipNode::BoundedView(node) => node.next(),
-            GossipNode::Summaries(swim) => swim.next().unwrap_or(u64::MAX),
+            GossipNode::BoundedView(node) => node.next_wakeup(),
+            GossipNode::Summaries(swim) => swim.next_wakeup().unwrap_or(u64::MAX),
         }
     }
 
@@ -41,7 +43,7 @@
         }
     }
 
-    pub(super) fn publish(&mut self, now: u64, own: u32, seeds: &[SocketAddr]) -> FleetNews {
+    pub(super) fn publish(&mut self, now: u64, own: u32, seeds: &[SocketAddr]) -> FleetStatus {
         let summary = Summary {
             pressure: own,
             ..Summary::default()
@@ -55,32 +57,31 @@
                         swim.join(now, seed);
                     }
                 }
-                FleetNews {
+                FleetStatus {
                     alive: swim.alive(),
                     pressure: swim.pressure(now, own),
-                    edges: (swim.summaries(now).len(), swim.alive()),
+                    edges: EdgeCounts {
+                        heard: swim.summaries(now).len(),
+                        total: swim.alive(),
+                    },
                     dropped: swim.dropped,
-                    ..FleetNews::default()
+                    ..FleetStatus::default()
                 }
             }
         }
     }
 
-    pub(super) fn events(&mut self) -> Vec<(u64, PeerEvent)> {
+    pub(super) fn events(&mut self) -> Vec<TimedPeerEvent> {
         match self {
             GossipNode::BoundedView(node) => node.events(),
             GossipNode::Summaries(swim) => swim.events(),
         }
     }
 
-    pub(super) fn outbox(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+    pub(super) fn outbox(&mut self) -> Vec<Outgoing> {
         match self {
             GossipNode::BoundedView(node) => node.outbox(),
-            GossipNode::Summaries(swim) => swim
-                .outbox()
-                .into_iter()
-                .map(|out| (out.to, out.bytes))
-                .collect(),
+            GossipNode::Summaries(swim) => swim.outbox(),
         }
     }
 }
--- a/scalelab/src/gossip_network/mod.rs
+++ b/scalelab/src/gossip_network/mod.rs
@@ -17,7 +17,8 @@
 use std::time::Instant;
 use wrenseam::fleet::node::EXTRA_TRANSMISSIONS;
 use wrenseam::fleet::{
-    Facts, FleetNews, Lifecycle, Node, NodeSettings, PeerEvent, Swim, SwimSettings,
+    FleetStatus, Lifecycle, Metadata, Node, NodeSettings, PeerEvent, Swim, SwimSettings,
+    TimedPeerEvent,
 };
 
 /// A millisecond, in simulated microseconds.
@@ -47,7 +48,7 @@
     /// It stands still, as after SIGSTOP; what comes for it waits, as far as there is room.
     pub stopped: bool,
     /// What it last made of the fleet.
-    pub news: FleetNews,
+    pub news: FleetStatus,
     /// What waits for it while it is stopped.
     waiting: Vec<Vec<u8>>,
     protocol: GossipProtocol,
@@ -122,7 +123,7 @@
             mute: false,
             stopped: false,
             waiting: Vec::new(),
-            news: FleetNews::default(),
+            news: FleetStatus::default(),
             protocol,
             incarnation: FIRST_INCARNATION + i as u64,
             publish_at: 0,
@@ -223,7 +224,7 @@
     }
 
     /// Changes what front end `i` says of itself.
-    pub fn update(&mut self, i: usize, change: impl FnOnce(&mut Facts)) {
+    pub fn update(&mut self, i: usize, change: impl FnOnce(&mut Metadata)) {
         let now = self.now;
         if let Some(node) = self.running_node(i) {
             let _ = node.update(now, change);
@@ -264,8 +265,8 @@
         let Some(node) = self.peers[i].node.as_mut() else {
             return;
         };
-        for (to, bytes) in node.outbox() {
-            self.send(i, to, bytes);
+        for out in node.outbox() {
+            self.send(i, out.to, out.bytes);
         }
     }
 
@@ -296,7 +297,7 @@
         peer.protocol = protocol;
         peer.node = Some(node);
         peer.publish_at = at;
-        peer.news = FleetNews::default();
+        peer.news = FleetStatus::default();
         self.wake(i, at);
     }
 
@@ -306,16 +307,16 @@
             extra_transmissions: EXTRA_TRANSMISSIONS,
             ..self.settings
         };
-        let facts = Facts {
+        let metadata = Metadata {
             lifecycle: Lifecycle::Ready,
             zone: format!("zone-{}", i % ZONES),
             program: env!("CARGO_PKG_VERSION").to_owned(),
             config_digest: 7,
-            ..Facts::default()
+            ..Metadata::default()
         };
         NodeSettings {
             swim,
-            facts,
+            metadata,
             seeds: self.seeds.clone(),
             summaries: true,
         }
@@ -378,17 +379,17 @@
                 node.datagram(now, &bytes);
             }
         }
-        let downs = node
-            .events()
-            .into_iter()
-            .filter_map(|(at, event)| match event {
-                PeerEvent::Down(id) => Some(DownReport {
-                    at,
-                    by: i,
-                    of: number(id.addr),
-                }),
-                _ => None,
-            });
+        let downs =
+            node.events()
+                .into_iter()
+                .filter_map(|TimedPeerEvent { at, event }| match event {
+                    PeerEvent::Down(id) => Some(DownReport {
+                        at,
+                        by: i,
+                        of: number(id.addr),
+                    }),
+                    _ => None,
+                });
         self.downs.extend(downs);
         let datagrams = node.outbox();
         let next = node.next().min(peer.publish_at).max(now + 1);
@@ -396,8 +397,8 @@
         if next < peer.wake_at || is_wake {
             self.wake(i, next);
         }
-        for (to, bytes) in datagrams {
-            self.send(i, to, bytes);
+        for out in datagrams {
+            self.send(i, out.to, out.bytes);
         }
     }
 
--- a/scalelab/src/process_experiments/mod.rs
+++ b/scalelab/src/process_experiments/mod.rs
@@ -123,7 +123,7 @@
         let lines = process.new_log_lines();
         seen += lines
             .lines()
-            .filter(|line| line.starts_with("member "))
+            .filter(|line| line.starts_with("endpoint "))
             .count() as u64;
         seen >= endpoints
     })
@@ -163,7 +163,7 @@
         let id = FIRST_MARKER_ID + number;
         MarkerEndpoint {
             endpoint: endpoint_json(id, &format!("127.200.0.{number}:8443"), "ready"),
-            log_line: format!("member s-{id:08x}: Ready"),
+            log_line: format!("endpoint s-{id:08x}: Ready"),
         }
     }
 }
--- /dev/null
+++ b/wrenseam/src/core/fleet_admission.rs
@@ -0,0 +1,183 @@
+//! The fleet's limits as one core applies them: shedding at arrival, and the retry budget at each further attempt.
+//! `crate::fleet` has the algorithms; this holds their state for the core and the totals for `telemetry`.
+use crate::config::Fleet;
+use crate::fleet::traffic::TrafficKind;
+use crate::fleet::{FleetSize, FleetStatus, Lifecycle, RetryBudget, Shedder, Summary};
+use rand::{rngs::SmallRng, RngExt, SeedableRng};
+use std::fmt::Write;
+use wrenseam_policy::{Micros, Settings};
+
+/// How long the largest fleet size seen is kept once peers are no longer heard.
+const FLEET_SIZE_HOLD: Micros = 60_000_000;
+
+/// Keeps the shedder's random numbers apart from those that the policy draws from the same seed.
+const SHEDDING_SEED_MASK: u64 = 0x5eed_f1ee;
+
+/// Admission control of one core: which requests are shed, and which further attempts may start.
+pub struct FleetAdmission {
+    retry_budget: RetryBudget,
+    fleet_size: FleetSize,
+    shedder: Shedder,
+    rng: SmallRng,
+    /// The Retry-After of a request that is shed.
+    shed_retry_after: Micros,
+    /// Open requests at which this front end counts as full.
+    capacity: u32,
+    status: FleetStatus,
+    totals: Totals,
+}
+
+/// Counts since the start of the process.
+#[derive(Default)]
+struct Totals {
+    shed: u64,
+    extra_attempts: u64,
+    extra_attempts_denied: u64,
+}
+
+impl FleetAdmission {
+    /// Admission control as the fleet's file configures it. Classes to shed that the settings do not name are ignored.
+    pub fn new(fleet: &Fleet, settings: &Settings, seed: u64) -> FleetAdmission {
+        let window = fleet.window_ms * 1000;
+        let shed_order: Vec<usize> = fleet
+            .shed_order
+            .iter()
+            .filter_map(|name| settings.classes.iter().position(|c| &c.name == name))
+            .collect();
+        FleetAdmission {
+            retry_budget: RetryBudget::new(fleet.retry_ratio, fleet.retry_floor_per_s, window),
+            fleet_size: FleetSize::new(fleet.expected, FLEET_SIZE_HOLD),
+            shedder: Shedder::new(&shed_order, settings.classes.len(), window),
+            rng: SmallRng::seed_from_u64(seed ^ SHEDDING_SEED_MASK),
+            shed_retry_after: fleet.shed_wait_ms * 1000,
+            capacity: fleet.capacity.max(1),
+            status: FleetStatus::default(),
+            totals: Totals::default(),
+        }
+    }
+
+    /// Updates the fleet's status from gossip.
+    pub fn update(&mut self, now: Micros, status: FleetStatus) {
+        self.status = status;
+        self.fleet_size.departed(status.departed);
+        self.fleet_size.seen(now, status.ready());
+        self.shedder.pressure(now, status.pressure);
+    }
+
+    /// This front end's load summary with this many requests open.
+    pub fn summary(&self, now: Micros, open_requests: usize) -> Summary {
+        let usage = self.retry_budget.usage(now);
+        let in_flight = open_requests.min(u32::MAX as usize) as u32;
+        let pressure = u64::from(in_flight) * 1000 / u64::from(self.capacity);
+        Summary {
+            in_flight,
+            pressure: saturate(pressure),
+            firsts: usage.firsts,
+            extras: usage.extras,
+            denied: usage.denied,
+            shed: saturate(self.totals.shed),
+            ..Summary::default()
+        }
+    }
+
+    /// Decides at its arrival whether a request of this class is shed; if so, the Retry-After to answer.
+    pub fn shed(&mut self, now: Micros, class: usize) -> Option<Micros> {
+        let chance = self.rng.random::<f64>();
+        if !self.shedder.refuses(now, class, chance) {
+            return None;
+        }
+        self.totals.shed += 1;
+        Some(self.shed_retry_after)
+    }
+
+    /// Whether an attempt may start. First attempts always may; `extra` ones (retries and hedged requests) are subject
+    /// to the fleet's retry budget.
+    pub fn admit_attempt(&mut self, now: Micros, extra: bool) -> bool {
+        if !extra {
+            self.retry_budget.first(now);
+            return true;
+        }
+        let admitted = self.retry_budget.extra(now, self.fleet_size.estimate());
+        if admitted {
+            self.totals.extra_attempts += 1;
+        } else {
+            self.totals.extra_attempts_denied += 1;
+        }
+        admitted
+    }
+
+    /// Appends the fleet's lines of `telemetry`.
+    pub fn write_telemetry(&self, text: &mut String) {
+        self.write_limits(text);
+        self.write_view(text);
+        self.write_traffic(text);
+        self.write_dropped(text);
+    }
+
+    fn write_limits(&self, text: &mut String) {
+        let refusing_permille = (self.shedder.refusing() * 1000.0) as u64;
+        let _ = writeln!(text, "app.fleet.peers:{}|g", self.status.alive);
+        let _ = writeln!(text, "app.fleet.size:{}|g", self.fleet_size.estimate());
+        let _ = writeln!(text, "app.fleet.pressure:{}|g", self.status.pressure);
+        let _ = writeln!(text, "app.fleet.refusing_permille:{refusing_permille}|g");
+        let extra = self.totals.extra_attempts;
+        let _ = writeln!(text, "app.fleet.extra_attempts:{extra}|c");
+        let denied = self.totals.extra_attempts_denied;
+        let _ = writeln!(text, "app.fleet.extra_denied:{denied}|c");
+        let _ = writeln!(text, "app.fleet.shed:{}|c", self.totals.shed);
+    }
+
+    fn write_view(&self, text: &mut String) {
+        let status = &self.status;
+        let _ = writeln!(text, "app.fleet.edges:{}|g", status.edges.total);
+        let _ = writeln!(text, "app.fleet.edges_heard:{}|g", status.edges.heard);
+        let _ = writeln!(text, "app.fleet.mixed:{}|g", u8::from(status.mixed));
+        for lifecycle in Lifecycle::ALL {
+            let name = lifecycle.name();
+            let count = status.by_lifecycle[lifecycle as usize];
+            let _ = writeln!(text, "app.fleet.peers_{name}:{count}|g");
+        }
+        let stood_ms = status.digest_stood / 1000;
+        let _ = writeln!(text, "app.fleet.view_digest:{}|g", status.digest);
+        let _ = writeln!(text, "app.fleet.view_stood_ms:{stood_ms}|g");
+        let _ = writeln!(
+            text,
+            "app.fleet.doubt_factor:{}|g",
+            status.health_multiplier
+        );
+    }
+
+    fn write_traffic(&self, text: &mut String) {
+        for kind in TrafficKind::ALL {
+            let name = kind.name();
+            let sent = self.status.bytes_sent[kind as usize];
+            let held_back = self.status.bytes_held_back[kind as usize];
+            let _ = writeln!(text, "app.fleet.bytes_{name}:{sent}|c");
+            let _ = writeln!(text, "app.fleet.held_back_{name}:{held_back}|c");
+        }
+    }
+
+    fn write_dropped(&self, text: &mut String) {
+        let records = &self.status.records;
+        let datagrams = &self.status.dropped;
+        let averages = &self.status.average_dropped;
+        let garbled = datagrams.garbled + averages.garbled + records.garbled;
+        let _ = writeln!(text, "app.fleet.repairs:{}|c", records.repairs);
+        let _ = writeln!(text, "app.fleet.records_taken:{}|c", records.taken);
+        let dropped = [
+            ("oversized", datagrams.oversized),
+            ("foreign", datagrams.foreign),
+            ("garbled", garbled),
+            ("stale", averages.stale),
+            ("stranger", averages.stranger + records.stranger),
+            ("impostor", records.impostor),
+        ];
+        for (cause, count) in dropped {
+            let _ = writeln!(text, "app.fleet.dropped_{cause}:{count}|c");
+        }
+    }
+}
+
+fn saturate(count: u64) -> u32 {
+    u32::try_from(count).unwrap_or(u32::MAX)
+}
--- a/wrenseam/tests/golden_admin.rs
+++ b/wrenseam/tests/golden_admin.rs
@@ -2,15 +2,15 @@
 //! What differs from run to run (ports, times, digests) is masked; all else is compared byte for byte.
 mod common;
 
-use common::{connect, door, get, Fleet, Speech, Stage};
+use common::{connect, get, Fleet, Harness, Protocol};
 use rstest::rstest;
 use std::io::{Read, Write};
 use wrenseam::config;
-use wrenseam::core::{Gate, Gauges, Tally};
-use wrenseam::fleet::average::AverageDropped;
+use wrenseam::core::{FleetAdmission, Gauges, RequestCounters};
+use wrenseam::fleet::average::{AverageDropped, EdgeCounts};
 use wrenseam::fleet::members::RecordCounts;
 use wrenseam::fleet::swim::Dropped;
-use wrenseam::fleet::FleetNews;
+use wrenseam::fleet::FleetStatus;
 use wrenseam::model::{AdminCommand, RequestEnd};
 use wrenseam_policy::Settings;
 
@@ -35,8 +35,8 @@
     format!("{before}[{{{}}}]{after}", endpoints.join("},{"))
 }
 
-fn tally() -> Tally {
-    let mut tally = Tally::new(2);
+fn counters() -> RequestCounters {
+    let mut counters = RequestCounters::new(2);
     let ends = [
         RequestEnd::Completed,
         RequestEnd::Completed,
@@ -45,10 +45,10 @@
         RequestEnd::Rejected,
         RequestEnd::Failed,
     ];
-    ends.into_iter().for_each(|end| tally.ended(1, end));
-    (0..5).for_each(|_| tally.sent());
-    tally.unsent();
-    tally
+    ends.into_iter().for_each(|end| counters.record_end(1, end));
+    (0..5).for_each(|_| counters.record_attempt_sent());
+    counters.record_attempt_not_sent();
+    counters
 }
 
 #[test]
@@ -60,7 +60,7 @@
     };
     let names = ["tile-render", "tile-order"].map(str::to_owned);
     pinned(
-        &tally().text(&names, gauges),
+        &counters().telemetry(&names, gauges, None),
         "app.downstream_requests.tile-render.completed:0|c\n\
          app.downstream_requests.tile-render.rejected:0|c\n\
          app.downstream_requests.tile-render.failed:0|c\n\
@@ -96,17 +96,17 @@
 }
 
 /// Gossip's figures, each of another value.
-fn fleet_news() -> FleetNews {
-    FleetNews {
+fn fleet_news() -> FleetStatus {
+    FleetStatus {
         alive: 10,
         by_lifecycle: [1, 2, 3, 4],
         departed: 0,
         digest: 0x1234_5678_9abc_def0,
         digest_stood: 5_678_901,
         pressure: 432,
-        edges: (6, 8),
+        edges: EdgeCounts { heard: 6, total: 8 },
         mixed: true,
-        doubt_factor: 2,
+        health_multiplier: 2,
         bytes_sent: [101, 102, 103, 104, 105, 106, 107],
         bytes_held_back: [201, 202, 203, 204, 205, 206, 207],
         records: RecordCounts {
@@ -132,12 +132,15 @@
 
 #[test]
 fn fleet_figures_keep_their_lines() {
-    let mut gate = Gate::new(&fleet_file(), &Settings::default(), 1);
-    gate.news(1_000_000, fleet_news());
-    gate.attempt(1_000_000, false);
-    assert!(!gate.attempt(1_000_000, true), "the budget allows no retry");
+    let mut admission = FleetAdmission::new(&fleet_file(), &Settings::default(), 1);
+    admission.update(1_000_000, fleet_news());
+    admission.admit_attempt(1_000_000, false);
+    assert!(
+        !admission.admit_attempt(1_000_000, true),
+        "the budget allows no retry"
+    );
     let mut text = String::new();
-    gate.text(&mut text);
+    admission.write_telemetry(&mut text);
     pinned(
         &text,
         "app.fleet.peers:10|g\n\
@@ -185,18 +188,18 @@
 /// A process that has served one request and from which one worker is excluded.
 #[test]
 fn telemetry_and_state_of_a_process_keep_their_text() {
-    let stage = Stage::new(Speech::Platform);
-    stage.play(
-        Speech::Platform,
+    let harness = Harness::new(Protocol::Platform);
+    harness.run_scenario(
+        Protocol::Platform,
         "
         client send tile-render - x 9000
         worker expect tile-render - x
         worker send ok DONE
         client expect served DONE",
     );
-    assert_eq!(door(stage.door, "exclude w3\n"), "YES excluded w3\n");
+    assert_eq!(harness.admin_command("exclude w3\n"), "YES excluded w3\n");
     pinned(
-        &door(stage.door, "telemetry\n"),
+        &harness.admin_command("telemetry\n"),
         "app.downstream_requests.tile-render.completed:1|c\n\
          app.downstream_requests.tile-render.rejected:0|c\n\
          app.downstream_requests.tile-render.failed:0|c\n\
@@ -209,7 +212,7 @@
          app.members_unavailable:1|g\n\
          END\n",
     );
-    let state = get(stage.admin, "/v1/state");
+    let state = get(harness.admin, "/v1/state");
     let (head, body) = state.split_once("\r\n\r\n").expect("a body");
     pinned(
         &masked(head, "Content-Length: "),
@@ -226,7 +229,7 @@
 fn telemetry_of_a_fleet_keeps_its_names() {
     let fleet = Fleet::new(1);
     pinned(
-        &masked(&door(fleet.nodes[0].door, "telemetry\n"), ":"),
+        &masked(&fleet.nodes[0].admin_command("telemetry\n"), ":"),
         "app.downstream_requests.tile-render.completed:N|c\n\
          app.downstream_requests.tile-render.rejected:N|c\n\
          app.downstream_requests.tile-render.failed:N|c\n\
@@ -282,8 +285,8 @@
 
 #[test]
 fn state_of_v2_workers_keeps_its_text() {
-    let stage = Stage::new(Speech::Kserve);
-    let state = get(stage.admin, "/v1/state");
+    let harness = Harness::new(Protocol::Kserve);
+    let state = get(harness.admin, "/v1/state");
     let body = state.split_once("\r\n\r\n").expect("a body").1;
     pinned(&with_endpoints_sorted(&masked(body, "127.0.0.1:")), "{\"endpoints\":[{\"address\":\"127.0.0.1:N\",\"name\":\"127.0.0.1:N\",\"speech\":\"kserve\",\"state\":\"ready\",\"zone\":\"hall-a\"},{\"address\":\"127.0.0.1:N\",\"name\":\"127.0.0.1:N\",\"speech\":\"kserve\",\"state\":\"ready\",\"zone\":\"hall-a\"},{\"address\":\"127.0.0.1:N\",\"name\":\"127.0.0.1:N\",\"speech\":\"kserve\",\"state\":\"ready\",\"zone\":\"hall-b\"},{\"address\":\"127.0.0.1:N\",\"name\":\"127.0.0.1:N\",\"speech\":\"kserve\",\"state\":\"ready\",\"zone\":\"hall-b\"}],\"open_requests\":0,\"tenants\":[{\"asked\":0,\"failed\":0,\"name\":\"acme\",\"quota_per_s\":70.0,\"refused\":0,\"served\":0,\"withdrawn\":0},{\"asked\":0,\"failed\":0,\"name\":\"(unknown)\",\"quota_per_s\":0.0,\"refused\":0,\"served\":0,\"withdrawn\":0}]}");
 }
@@ -308,16 +311,16 @@
          {\"error\":\"there are /healthz and /v1/state\"}"
 )]
 fn administration_answers_keep_their_bytes(#[case] path: &str, #[case] golden: &str) {
-    let stage = Stage::new(Speech::Platform);
-    pinned(&get(stage.admin, path), golden);
+    let harness = Harness::new(Protocol::Platform);
+    pinned(&get(harness.admin, path), golden);
 }
 
 #[test]
 fn administration_answers_of_a_draining_process_keep_their_bytes() {
-    let stage = Stage::new(Speech::Platform);
-    assert_eq!(door(stage.door, "evacuate\n"), "YES draining\n");
+    let harness = Harness::new(Protocol::Platform);
+    assert_eq!(harness.admin_command("evacuate\n"), "YES draining\n");
     pinned(
-        &get(stage.admin, "/healthz"),
+        &get(harness.admin, "/healthz"),
         "HTTP/1.1 503 Service Unavailable\r\n\
          Content-Type: application/json\r\n\
          Content-Length: 15\r\n\
@@ -330,8 +333,8 @@
 
 #[test]
 fn administration_is_read_only() {
-    let stage = Stage::new(Speech::Platform);
-    let mut stream = connect(stage.admin);
+    let harness = Harness::new(Protocol::Platform);
+    let mut stream = connect(harness.admin);
     stream
         .write_all(b"DELETE /v1/state HTTP/1.1\r\nConnection: close\r\n\r\n")
         .expect("written");
@@ -351,7 +354,7 @@
 /// Each line to the admin endpoint in turn, and its whole answer.
 #[test]
 fn admin_endpoint_replies_keep_their_bytes() {
-    let stage = Stage::new(Speech::Platform);
+    let harness = Harness::new(Protocol::Platform);
     let replies = [
         ("readyz\n", "YES ready\n"),
         ("readyz\r\n", "YES ready\n"),
@@ -370,7 +373,7 @@
         ("\n", "NO empty line\n"),
     ];
     for (line, golden) in replies {
-        assert_eq!(door(stage.door, line), golden, "{line:?}");
+        assert_eq!(harness.admin_command(line), golden, "{line:?}");
     }
 }
 
--- a/wrenseam/tests/large_list.rs
+++ b/wrenseam/tests/large_list.rs
@@ -95,7 +95,7 @@
         loop {
             let mut stream: TcpStream = connect(self.2);
             stream.write_all(&health).expect("written");
-            if fastcgi_answer(&mut stream).is_ok_and(|a| a.0.contains(" 200 ")) {
+            if fastcgi_answer(&mut stream).is_ok_and(|a| a.head.contains(" 200 ")) {
                 break;
             }
             assert!(
@@ -109,7 +109,7 @@
     }
 
     fn members(&self) -> usize {
-        let told = common::door(self.3, "telemetry\n");
+        let told = common::admin_command(self.3, "telemetry\n");
         let told = told
             .lines()
             .find_map(|l| l.strip_prefix("app.members:"))
@@ -203,7 +203,7 @@
     assert_eq!(program.members(), workers);
     let lasts = calls.iter().take(3).map(|c| c.contains("Last-Event-ID: 1"));
     assert_eq!(lasts.collect::<Vec<_>>(), [false, true, true]);
-    program.says("member s-new: Ready");
+    program.says("endpoint s-new: Ready");
     assert_eq!(program.members(), workers, "one new, one gone");
     let peak = program.peak();
     assert!(peak < MEMORY_MB as f64 / 2.0, "{peak:.0} MB");
--- /dev/null
+++ b/wrenseam/tests/unresponsive.rs
@@ -0,0 +1,133 @@
+//! When a connection counts as unresponsive, whatever holds the scheduler up meanwhile.
+mod link;
+
+use link::{frame, request, say, FIRST};
+use rstest::rstest;
+use std::net::{TcpListener, TcpStream};
+use std::sync::mpsc::{channel, Receiver, Sender};
+use std::sync::{Mutex, PoisonError};
+use std::time::{Duration, Instant};
+use wrenseam::limits::Limits;
+use wrenseam::queue::Message;
+use wrenseam::worker::frames::Frames;
+use wrenseam::worker::{AttemptLimits, Transport};
+use wrenseam_policy::{Outcome, Settings};
+
+const CODE_CALL: u8 = 2;
+const CODE_HOLD: u8 = 6;
+const CODE_OK: u8 = 200;
+
+/// The id of the call under test.
+const CALL: u64 = 9;
+
+/// How long its answer is awaited, in microseconds: the test ends long before.
+const ANSWER_TIMEOUT: u64 = 60_000_000;
+
+/// How long the test waits for what must come, also on a busy machine.
+const PATIENCE: Duration = Duration::from_secs(20);
+
+/// When the scheduler stands still, for longer than a worker has time to answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Stall {
+    BeforeProbeIsWritten,
+    BeforeAnswerIsRead,
+    /// Never, and the worker does not answer.
+    NeverAndNoAnswer,
+}
+
+/// Has the scheduler stand still until the sender is dropped.
+fn stall_scheduler() -> Sender<()> {
+    let (stands, stood) = channel();
+    let (go_on, held) = channel::<()>();
+    wrenseam::net::spawn(64 * 1024, move || {
+        stands.send(()).expect("the test waits");
+        let _ = held.recv();
+    })
+    .expect("a coroutine");
+    stood.recv_timeout(PATIENCE).expect("it stands still");
+    go_on
+}
+
+/// Makes keepalive checks for longer than a worker has time to answer a probe.
+fn check_beyond_timeouts(transport: &mut Frames) {
+    let limits = Limits::new(192, 1024, &Settings::default());
+    let span = 2 * (limits.link_quiet + limits.link_answer);
+    let since = Instant::now();
+    while since.elapsed() <= span {
+        transport.check_keepalive();
+        std::thread::yield_now();
+    }
+}
+
+/// Makes keepalive checks until the worker has received a probe. Returns its id.
+fn receive_probe(transport: &mut Frames, worker: &mut TcpStream) -> u64 {
+    worker.set_nonblocking(true).expect("set");
+    let since = Instant::now();
+    while worker.peek(&mut [0]).is_err() {
+        assert!(since.elapsed() < PATIENCE, "no probe");
+        transport.check_keepalive();
+    }
+    worker.set_nonblocking(false).expect("set");
+    let (probe, code) = frame(worker);
+    assert_eq!(code, CODE_HOLD);
+    probe
+}
+
+/// The outcome of the call. Keepalive checks go on meanwhile if its worker does not answer.
+fn outcome_of_call(
+    transport: &mut Frames,
+    reports: &Receiver<Message>,
+    goes_on_checking: bool,
+) -> Outcome {
+    let since = Instant::now();
+    loop {
+        if let Ok(Message::AttemptEnded { key: _, report }) = reports.try_recv() {
+            return report.outcome;
+        }
+        if goes_on_checking {
+            transport.check_keepalive();
+        } else {
+            std::thread::yield_now();
+        }
+        assert!(since.elapsed() < PATIENCE, "nothing ended");
+    }
+}
+
+/// A stall of the scheduler outlasts all the time that a worker has to answer, and is no silence of the worker's.
+#[rstest]
+#[case::before_the_probe_is_written(Stall::BeforeProbeIsWritten, Outcome::Ok)]
+#[case::before_the_answer_is_read(Stall::BeforeAnswerIsRead, Outcome::Ok)]
+#[case::never_and_no_answer_comes(Stall::NeverAndNoAnswer, Outcome::Reset)]
+fn a_connection_ends_if_its_worker_is_unresponsive_and_not_if_we_are_held_up(
+    #[case] stall: Stall,
+    #[case] end: Outcome,
+) {
+    static ONE: Mutex<()> = Mutex::new(()); // there is one scheduler
+    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let (mut transport, reports) = link::transport(listener.local_addr().expect("bound"), |_| {});
+    let limits = AttemptLimits::with_timeout(ANSWER_TIMEOUT);
+    transport.send(FIRST, &request(CALL), limits);
+    let mut worker = listener.accept().expect("a connection").0;
+    assert_eq!(frame(&mut worker), (CALL, CODE_CALL));
+    if stall == Stall::BeforeProbeIsWritten {
+        let stalled = stall_scheduler();
+        check_beyond_timeouts(&mut transport);
+        drop(stalled);
+    }
+    let probe = receive_probe(&mut transport, &mut worker);
+    if stall == Stall::BeforeAnswerIsRead {
+        let stalled = stall_scheduler();
+        say(&mut worker, CODE_OK, probe, "slots_up=1", b"");
+        check_beyond_timeouts(&mut transport);
+        drop(stalled);
+    }
+    if stall == Stall::BeforeProbeIsWritten {
+        say(&mut worker, CODE_OK, probe, "slots_up=1", b"");
+    }
+    let is_answered = stall != Stall::NeverAndNoAnswer;
+    if is_answered {
+        say(&mut worker, CODE_OK, CALL, "detail=resident", b"");
+    }
+    assert_eq!(outcome_of_call(&mut transport, &reports, !is_answered), end);
+}
