--- a/scalelab/src/experiment.rs
+++ b/scalelab/src/experiment.rs
@@ -1,6 +1,5 @@
 //! What an experiment is: the thing varied, the sizes it may be asked for, and the table it leaves.
 use crate::Fit;
-use std::fmt::{self, Write};
 
 /// One experiment.
 pub struct Experiment {
@@ -13,57 +12,45 @@
     /// Largest size it may be asked for: what memory and time of half a machine bear.
     pub bound: u64,
     /// Runs at the sizes, with the seed; one sweep for each thing that was varied.
-    pub run: fn(&[u64], u64) -> Result<Vec<Sweep>, Fault>,
+    pub run: fn(&[u64], u64) -> Result<Vec<Sweep>, ExperimentError>,
 }
 
 /// Why an experiment did not run.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Fault {
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum ExperimentError {
     /// A size of 0, or beyond the experiment's bound.
-    Size { asked: u64, bound: u64 },
+    #[error("size {asked} is not within 1 to {bound}, this test's bound")]
+    SizeOutOfBounds {
+        /// The size that was asked for.
+        asked: u64,
+        /// The largest size that the experiment runs at.
+        bound: u64,
+    },
     /// A slope needs more sizes than were given.
-    Few { given: usize, least: usize },
+    #[error("{given} sizes given, a slope needs {least} different ones")]
+    TooFewSizes {
+        /// Different sizes that were given.
+        given: usize,
+        /// Different sizes that a slope needs.
+        least: usize,
+    },
     /// No experiment of this name.
-    Unknown(String),
+    #[error("no experiment is named {0}; `scalelab list` names them")]
+    UnknownExperiment(String),
     /// A process, socket or file failed.
+    #[error("{0}")]
     Failed(String),
 }
 
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Fault::Size { asked, bound } => {
-                write!(
-                    f,
-                    "size {asked} is not within 1 to {bound}, this test's bound"
-                )
-            }
-            Fault::Few { given, least } => {
-                write!(
-                    f,
-                    "{given} sizes given, a slope needs {least} different ones"
-                )
-            }
-            Fault::Unknown(name) => write!(
-                f,
-                "no experiment is named {name}; `scalelab list` names them"
-            ),
-            Fault::Failed(why) => f.write_str(why),
-        }
-    }
-}
-
-impl std::error::Error for Fault {}
-
 /// Fewest sizes of a slope.
-pub const LEAST: usize = 4;
+pub const MIN_SIZES: usize = 4;
 
 impl Experiment {
     /// The sizes to run at, sorted, each once: those named, or its own.
     ///
     /// # Errors
-    /// A size out of bounds, or fewer than [`LEAST`] different ones.
-    pub fn sizes(&self, named: &[u64]) -> Result<Vec<u64>, Fault> {
+    /// A size out of bounds, or fewer than [`MIN_SIZES`] different ones.
+    pub fn sizes(&self, named: &[u64]) -> Result<Vec<u64>, ExperimentError> {
         let mut sizes = if named.is_empty() {
             self.sizes.to_vec()
         } else {
@@ -71,16 +58,16 @@
         };
         sizes.sort_unstable();
         sizes.dedup();
-        if let Some(&asked) = sizes.iter().find(|&&s| s == 0 || s > self.bound) {
-            return Err(Fault::Size {
+        if let Some(&asked) = sizes.iter().find(|&&size| size == 0 || size > self.bound) {
+            return Err(ExperimentError::SizeOutOfBounds {
                 asked,
                 bound: self.bound,
             });
         }
-        if sizes.len() < LEAST {
-            return Err(Fault::Few {
+        if sizes.len() < MIN_SIZES {
+            return Err(ExperimentError::TooFewSizes {
                 given: sizes.len(),
-                least: LEAST,
+                least: MIN_SIZES,
             });
         }
         Ok(sizes)
@@ -125,36 +112,44 @@
 
     /// The table, and a line for each column's fit with its spread.
     pub fn markdown(&self) -> String {
-        let mut md = format!("### {}\n\n| {} |", self.title, self.varied);
-        self.columns
-            .iter()
-            .for_each(|c| md += &format!(" {} |", c.name));
-        md += "\n| --- |";
-        md += &" --- |".repeat(self.columns.len());
-        for (x, ys) in &self.rows {
-            let _ = write!(md, "\n| {x} |");
-            ys.iter().for_each(|y| md += &format!(" {} |", figure(*y)));
+        let mut text = format!("### {}\n\n| {} |", self.title, self.varied);
+        for column in &self.columns {
+            text += &format!(" {} |", column.name);
+        }
+        text += "\n| --- |";
+        text += &" --- |".repeat(self.columns.len());
+        for (size, figures) in &self.rows {
+            text += &format!("\n| {size} |");
+            for value in figures {
+                text += &format!(" {} |", figure(*value));
+            }
         }
-        md += "\n\n| fit | slope | ± | at 0 | r2 | largest residual | exponent |\n| --- | --- | --- | --- | --- | --- | --- |\n";
-        for (i, c) in self.columns.iter().enumerate() {
-            let Some(f) = self.fit(i) else { continue };
-            let _ = writeln!(
-                md,
-                "| {}{} | {} | {} | {} | {:.3} | {:.1}% | {} |",
-                c.name,
-                if c.exact { " (exact)" } else { "" },
-                figure(f.slope),
-                figure(f.slope_error),
-                figure(f.intercept),
-                f.r2,
-                f.residual * 100.0,
-                f.exponent.map_or("-".into(), |e| format!("{e:.2}"))
-            );
+        text += "\n\n| fit | slope | ± | at 0 | r2 | largest residual | exponent |\n| --- | --- | --- | --- | --- | --- | --- |\n";
+        for (position, column) in self.columns.iter().enumerate() {
+            if let Some(fit) = self.fit(position) {
+                text += &fit_line(column, &fit);
+            }
         }
-        md
+        text
     }
 }
 
+fn fit_line(column: &Column, fit: &Fit) -> String {
+    let suffix = if column.exact { " (exact)" } else { "" };
+    let exponent = fit
+        .exponent
+        .map_or("-".to_owned(), |exponent| format!("{exponent:.2}"));
+    format!(
+        "| {}{suffix} | {} | {} | {} | {:.3} | {:.1}% | {exponent} |\n",
+        column.name,
+        figure(fit.slope),
+        figure(fit.slope_error),
+        figure(fit.intercept),
+        fit.r2,
+        fit.residual * 100.0,
+    )
+}
+
 /// Three or four digits that count, plain.
 pub fn figure(y: f64) -> String {
     match y.abs() {
