--- a/fleetlab/tests/common/mod.rs
+++ b/fleetlab/tests/common/mod.rs
@@ -6,18 +6,18 @@
 use std::process::{Command, Output};
 
 /// A run's figures, from the lab's TOTALS and PEERS lines.
-pub struct Run {
-    pub totals: Vec<(String, f64)>,
-    pub peers: Vec<Option<u64>>,
+pub(crate) struct Run {
+    pub(crate) totals: Vec<(String, f64)>,
+    pub(crate) peers: Vec<Option<u64>>,
     /// Per worker that came back cold: the most of any second, as a part of what the rule allows.
-    pub cold: Vec<f64>,
+    pub(crate) cold: Vec<f64>,
     /// How many front ends agreed, and how many log lines declared a sound one down, where the scenario asks.
-    pub agreed_fronts: Option<usize>,
-    pub wronged: Option<usize>,
+    pub(crate) agreed_fronts: Option<usize>,
+    pub(crate) wronged: Option<usize>,
 }
 
 impl Run {
-    pub fn get(&self, name: &str) -> f64 {
+    pub(crate) fn get(&self, name: &str) -> f64 {
         self.totals
             .iter()
             .find(|(total, _)| total == name)
@@ -27,7 +27,7 @@
 }
 
 /// The `wrenseam` in this folder, or what to build: it is missing, or older than a source that it was built from.
-pub fn program(folder: &Path) -> Result<PathBuf, String> {
+pub(crate) fn program(folder: &Path) -> Result<PathBuf, String> {
     let program = folder.join("wrenseam");
     let changed = |file: &Path| {
         file.metadata()
@@ -54,7 +54,7 @@
     ))
 }
 
-pub fn folder(name: &str) -> PathBuf {
+pub(crate) fn folder(name: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("lab-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
@@ -62,7 +62,7 @@
 }
 
 /// Runs the lab with a program that runs `first` in a shell, and is the front end from then on.
-pub fn run(name: &str, scenario: &str, first: &str) -> Output {
+pub(crate) fn run(name: &str, scenario: &str, first: &str) -> Output {
     let exe = PathBuf::from(env!("CARGO_BIN_EXE_fleetlab"));
     let wrenseam = program(exe.parent().expect("a folder")).unwrap_or_else(|why| panic!("{why}"));
     let folder = folder(name);
@@ -81,7 +81,7 @@
     lab.output().expect("the lab runs")
 }
 
-pub fn lab(name: &str, scenario: &str, first: &str) -> Run {
+pub(crate) fn lab(name: &str, scenario: &str, first: &str) -> Run {
     let out = run(name, scenario, first);
     let text = String::from_utf8_lossy(&out.stdout).into_owned();
     assert!(
--- a/policy/src/action.rs
+++ b/policy/src/action.rs
@@ -35,7 +35,7 @@
         /// The request.
         id: RequestId,
     },
-    /// Call back with [`Event::Timer`].
+    /// Call back with [`Event::Timer`](crate::Event::Timer).
     Timer {
         /// After this span.
         delay: Micros,
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -2,13 +2,13 @@
 #![allow(dead_code)]
 use wrenseam_policy::*;
 
-pub const MS: Micros = 1_000;
-pub const SEC: Micros = 1_000_000;
-pub const IDEMPOTENT: usize = 0;
-pub const KEYED: usize = 1;
-pub const NOT_IDEMPOTENT: usize = 2;
+pub(crate) const MS: Micros = 1_000;
+pub(crate) const SEC: Micros = 1_000_000;
+pub(crate) const IDEMPOTENT: usize = 0;
+pub(crate) const KEYED: usize = 1;
+pub(crate) const NOT_IDEMPOTENT: usize = 2;
 
-pub fn class(effect: Idempotency, group: KeyScope) -> ClassSettings {
+pub(crate) fn class(effect: Idempotency, group: KeyScope) -> ClassSettings {
     ClassSettings {
         idempotency: effect,
         key_scope: group,
@@ -20,7 +20,7 @@
 }
 
 /// One front end before workers where only an order loads; tests change what they need.
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     Settings {
         front_ends: 1,
         classes: vec![
@@ -50,7 +50,7 @@
     }
 }
 
-pub fn endpoint(n: usize) -> Endpoint {
+pub(crate) fn endpoint(n: usize) -> Endpoint {
     Endpoint {
         worker: format!("w{n}"),
         state: WorkerState::Ready,
@@ -62,14 +62,14 @@
 }
 
 /// A controller and the time that tests give it.
-pub struct ControllerHarness {
-    pub controller: Controller,
-    pub now: Micros,
+pub(crate) struct ControllerHarness {
+    pub(crate) controller: Controller,
+    pub(crate) now: Micros,
 }
 
 impl ControllerHarness {
     /// A controller whose endpoint list has `n` warm workers, `w0` ...
-    pub fn new(settings: Settings, n: usize) -> Self {
+    pub(crate) fn new(settings: Settings, n: usize) -> Self {
         let mut harness = ControllerHarness {
             controller: Controller::new(settings, 11),
             now: 100 * SEC,
@@ -81,14 +81,14 @@
         harness
     }
 
-    pub fn feed(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn feed(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.controller.handle(self.now, event, &mut out);
         out
     }
 
     /// Lets time pass with the policy's own periodic timer, and returns all that it does.
-    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
+    pub(crate) fn advance(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
         while self.now < end {
@@ -98,7 +98,7 @@
         all
     }
 
-    pub fn request(&mut self, id: u64, class: usize, function: u64) -> Vec<Action> {
+    pub(crate) fn request(&mut self, id: u64, class: usize, function: u64) -> Vec<Action> {
         self.feed(Event::Request(NewRequest {
             id,
             class,
@@ -112,7 +112,7 @@
         }))
     }
 
-    pub fn end_attempt(
+    pub(crate) fn end_attempt(
         &mut self,
         id: u64,
         attempt: usize,
@@ -133,7 +133,7 @@
         }))
     }
 
-    pub fn end_load_order(
+    pub(crate) fn end_load_order(
         &mut self,
         worker: &str,
         function: u64,
@@ -150,7 +150,7 @@
     }
 
     /// Makes the controller take the function for loaded at these workers, by answers to the queries of a first request.
-    pub fn mark_loaded(&mut self, function: u64, id: u64, workers: &[&str]) {
+    pub(crate) fn mark_loaded(&mut self, function: u64, id: u64, workers: &[&str]) {
         let asked = self.request(id, IDEMPOTENT, function);
         let names = load_orders(&asked, 0);
         for name in &names {
@@ -162,7 +162,7 @@
 }
 
 /// The workers that were ordered to hold this many replicas.
-pub fn load_orders(actions: &[Action], wanted: u32) -> Vec<String> {
+pub(crate) fn load_orders(actions: &[Action], wanted: u32) -> Vec<String> {
     let pick = |a: &Action| match a {
         Action::Load {
             worker,
@@ -175,7 +175,7 @@
 }
 
 /// The workers that requests were sent to.
-pub fn sent_workers(actions: &[Action]) -> Vec<String> {
+pub(crate) fn sent_workers(actions: &[Action]) -> Vec<String> {
     let pick = |a: &Action| match a {
         Action::Send { worker, .. } => Some(worker.clone()),
         _ => None,
--- a/policy/tests/properties.rs
+++ b/policy/tests/properties.rs
@@ -215,6 +215,7 @@
 }
 
 /// One random stream: a world that answers, fails, drains and restarts at random.
+#[allow(clippy::too_many_lines)] // one random world, whose parts share a generator and must draw in this order
 fn stream(seed: u64, set: Settings, stalls: bool) -> Checker {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut draw = move |n: u64| u64::from(rng.next_u32()) % n;
--- a/policy/tests/world/mod.rs
+++ b/policy/tests/world/mod.rs
@@ -17,7 +17,7 @@
 
 /// How often requests come.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Traffic {
+pub(crate) enum Traffic {
     Light,
     /// So often that most workers are busy.
     Busy,
@@ -27,20 +27,20 @@
 
 /// What a stream varies.
 #[derive(Clone, Copy)]
-pub struct Scenario {
-    pub seed: u64,
-    pub front_ends: u32,
-    pub workers: usize,
+pub(crate) struct Scenario {
+    pub(crate) seed: u64,
+    pub(crate) front_ends: u32,
+    pub(crate) workers: usize,
     /// Whether workers load a missing function for a request.
-    pub load_on_demand: bool,
+    pub(crate) load_on_demand: bool,
     /// Whether workers send load reports, notes on replicas and queue depths.
-    pub reports: bool,
+    pub(crate) reports: bool,
     /// Whether hedged requests are allowed and loads are budgeted.
-    pub hedging: bool,
+    pub(crate) hedging: bool,
     /// How often requests come.
-    pub traffic: Traffic,
+    pub(crate) traffic: Traffic,
     /// Events that are fed before the stream ends.
-    pub events: usize,
+    pub(crate) events: usize,
 }
 
 /// A simulated worker process.
@@ -69,7 +69,7 @@
 }
 
 /// The deployment and the events that are due.
-pub struct World {
+pub(crate) struct World {
     scenario: Scenario,
     random: Pcg64,
     now: Micros,
@@ -87,7 +87,7 @@
 }
 
 impl World {
-    pub fn new(scenario: Scenario) -> World {
+    pub(crate) fn new(scenario: Scenario) -> World {
         let random = Pcg64::seed_from_u64(scenario.seed);
         let mut world = World {
             scenario,
@@ -177,7 +177,7 @@
     }
 
     /// The front end's process was replaced: nothing of before reaches the new one, and the list is sent anew.
-    pub fn announce_after_restart(&mut self) {
+    pub(crate) fn announce_after_restart(&mut self) {
         self.due.clear();
         self.open.clear();
         self.cancelled.clear();
@@ -189,7 +189,7 @@
     }
 
     /// The next event and its time; arrivals and faults are drawn as the clock passes them.
-    pub fn next(&mut self) -> (Micros, Event) {
+    pub(crate) fn next(&mut self) -> (Micros, Event) {
         loop {
             let first = self.due.keys().next().map_or(Micros::MAX, |key| key.0);
             if self.next_arrival <= first && self.next_arrival <= self.next_fault {
@@ -377,7 +377,7 @@
     }
 
     /// Carries out one action of the module.
-    pub fn carry_out(&mut self, action: &Action) {
+    pub(crate) fn carry_out(&mut self, action: &Action) {
         match action {
             Action::Send {
                 id,
--- a/wrenseam/examples/large_fleet.rs
+++ b/wrenseam/examples/large_fleet.rs
@@ -109,6 +109,7 @@
     }
 }
 
+#[allow(clippy::too_many_lines)] // a script: one measurement after another
 fn main() {
     let mut sizes = std::env::args()
         .skip(1)
--- a/wrenseam/src/fleet/message.rs
+++ b/wrenseam/src/fleet/message.rs
@@ -93,7 +93,7 @@
     /// A record in it cannot be read.
     #[error("a record cannot be read")]
     Record(#[from] RecordError),
-    /// An incarnation above [`MAX_INCARNATION`].
+    /// An incarnation above `MAX_INCARNATION`.
     #[error("incarnation {0} is out of range")]
     IncarnationOutOfRange(u64),
     /// A liveness that this program does not know.
--- a/wrenseam/src/fleet/mod.rs
+++ b/wrenseam/src/fleet/mod.rs
@@ -10,7 +10,7 @@
 //! - [`traffic`]: the byte budget; [`node`], [`status`]: one front end's gossip as a whole, and its view of the fleet;
 //! - [`budget`], [`shed`]: the retry budget that the fleet shares, and load shedding by class.
 //!
-//! The sockets are in `crate::gossip`; docs/fleet.md and docs/fleet-view.md have the design.
+//! The sockets are in the module `gossip`; docs/fleet.md and docs/fleet-view.md have the design.
 pub mod average;
 pub mod budget;
 pub mod detector;
--- a/wrenseam/tests/common/clients/fastcgi.rs
+++ b/wrenseam/tests/common/clients/fastcgi.rs
@@ -14,23 +14,23 @@
 /// The responder's role, on a connection that is kept.
 const RESPONDER: [u8; 8] = [0, 1, 1, 0, 0, 0, 0, 0];
 /// Protocol status of a request that is rejected because the program is overloaded.
-pub const OVERLOADED: u8 = 2;
+pub(crate) const OVERLOADED: u8 = 2;
 /// Bytes of a body that go into one record.
 const PIECE: usize = 8_000;
 
 /// An answer read to its END_REQUEST.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 #[derive(Debug)]
-pub struct FastCgiAnswer {
+pub(crate) struct FastCgiAnswer {
     /// The headers, without the empty line that ends them.
-    pub head: String,
-    pub body: Vec<u8>,
-    pub protocol_status: u8,
+    pub(crate) head: String,
+    pub(crate) body: Vec<u8>,
+    pub(crate) protocol_status: u8,
 }
 
 /// One record without padding.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub fn record(kind: u8, id: u16, content: &[u8]) -> Vec<u8> {
+pub(crate) fn record(kind: u8, id: u16, content: &[u8]) -> Vec<u8> {
     let [id_high, id_low] = id.to_be_bytes();
     let [length_high, length_low] = (content.len() as u16).to_be_bytes();
     let header = [1, kind, id_high, id_low, length_high, length_low, 0, 0];
@@ -38,18 +38,18 @@
 }
 
 /// The record that cancels a request.
-pub fn abort_request(id: u16) -> Vec<u8> {
+pub(crate) fn abort_request(id: u16) -> Vec<u8> {
     record(ABORT_REQUEST, id, &[])
 }
 
 /// A record with a piece of a request's body.
-pub fn stdin_record(id: u16, piece: &[u8]) -> Vec<u8> {
+pub(crate) fn stdin_record(id: u16, piece: &[u8]) -> Vec<u8> {
     record(STDIN, id, piece)
 }
 
 /// A whole request with these parameters, none of which is longer than 127 bytes.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub fn fastcgi(id: u16, params: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+pub(crate) fn fastcgi(id: u16, params: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let params: Vec<u8> = params
         .iter()
         .flat_map(|(name, value)| encode_param(name, value))
@@ -70,7 +70,7 @@
 }
 
 /// A call as a whole request; its FastCGI id is the end of the call's.
-pub fn call(id: u64, request: &ClientRequest) -> Vec<u8> {
+pub(crate) fn call(id: u64, request: &ClientRequest) -> Vec<u8> {
     let content = &request.content;
     let script_name = format!("/v1/{}", content.class);
     let call_id = format!("{id:016x}");
@@ -91,7 +91,7 @@
 
 /// Reads one answer; a record of a kind that none of it has fails the test.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub fn fastcgi_answer(stream: &mut impl Read) -> io::Result<FastCgiAnswer> {
+pub(crate) fn fastcgi_answer(stream: &mut impl Read) -> io::Result<FastCgiAnswer> {
     let mut stdout = Vec::new();
     loop {
         let header = read_bytes(stream, 8)?;
--- a/wrenseam/tests/common/clients/mod.rs
+++ b/wrenseam/tests/common/clients/mod.rs
@@ -1,6 +1,6 @@
 //! Stand-in clients of both fronts, and what they send and read on one connection.
-pub mod fastcgi;
-pub mod v2;
+pub(crate) mod fastcgi;
+pub(crate) mod v2;
 
 use super::support::http::{read_message, HttpMessage};
 use super::support::sockets::{connect, PATIENCE};
@@ -20,14 +20,14 @@
 
 /// A request of a client.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClientRequest {
-    pub content: CallContent,
-    pub timeout_ms: u64,
+pub(crate) struct ClientRequest {
+    pub(crate) content: CallContent,
+    pub(crate) timeout_ms: u64,
 }
 
 /// A final answer to a client.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ClientAnswer {
+pub(crate) enum ClientAnswer {
     Served(String),
     /// Nothing ran; the client is told when to retry.
     Rejected,
@@ -35,7 +35,7 @@
 }
 
 /// A stand-in client with one connection.
-pub struct Client {
+pub(crate) struct Client {
     protocol: Protocol,
     stream: TcpStream,
     /// The FastCGI id of its last request.
@@ -43,7 +43,7 @@
 }
 
 /// Sends what means nothing, at full speed for as long as it is taken, at most `PATIENCE`.
-pub fn flood(protocol: Protocol, address: SocketAddr) {
+pub(crate) fn flood(protocol: Protocol, address: SocketAddr) {
     let mut stream = connect(address);
     let bytes = match protocol {
         Protocol::Platform => abort_request(STRAY_REQUEST_ID).repeat(8_000),
@@ -59,7 +59,7 @@
 
 /// The response to an HTTP GET, up to the end of the connection.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub fn get(address: SocketAddr, path: &str) -> String {
+pub(crate) fn get(address: SocketAddr, path: &str) -> String {
     let mut stream = connect(address);
     let request = format!("GET {path} HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).expect("written");
@@ -69,7 +69,7 @@
 }
 
 impl Client {
-    pub fn connect(protocol: Protocol, address: SocketAddr) -> Client {
+    pub(crate) fn connect(protocol: Protocol, address: SocketAddr) -> Client {
         Client {
             protocol,
             stream: connect(address),
@@ -78,7 +78,7 @@
     }
 
     /// Sends a whole request, under an id of its own.
-    pub fn send(&mut self, request: &ClientRequest) {
+    pub(crate) fn send(&mut self, request: &ClientRequest) {
         static IDS: AtomicU64 = AtomicU64::new(1);
         let id = IDS.fetch_add(1, Ordering::Relaxed);
         self.last_request_id = id as u16;
@@ -90,7 +90,7 @@
     }
 
     /// Sends a request but for its last bytes.
-    pub fn send_part(&mut self) {
+    pub(crate) fn send_part(&mut self) {
         let bytes = match self.protocol {
             Protocol::Platform => fastcgi(1, &[("SCRIPT_NAME", "/v1/tile-render")], b"half"),
             Protocol::Kserve => {
@@ -102,7 +102,7 @@
     }
 
     /// Sends a body until the connection takes no more of it.
-    pub fn send_endless(&mut self) {
+    pub(crate) fn send_endless(&mut self) {
         self.send_part();
         let mut stream = self.stream.try_clone().expect("cloned");
         let piece = match self.protocol {
@@ -115,12 +115,12 @@
     }
 
     /// Closes the connection.
-    pub fn close(&mut self) {
+    pub(crate) fn close(&mut self) {
         self.stream.shutdown(Shutdown::Both).expect("open");
     }
 
     /// Cancels the last request; in v2 that is done by closing.
-    pub fn abort(&mut self) {
+    pub(crate) fn abort(&mut self) {
         match self.protocol {
             Protocol::Platform => {
                 let record = abort_request(self.last_request_id);
@@ -131,7 +131,7 @@
     }
 
     /// Fails unless the program ends the connection.
-    pub fn expect_closed(&mut self, context: &str) {
+    pub(crate) fn expect_closed(&mut self, context: &str) {
         let mut rest = Vec::new();
         if let Err(error) = self.stream.read_to_end(&mut rest) {
             let kind = error.kind();
@@ -140,7 +140,7 @@
     }
 
     /// Fails if anything comes.
-    pub fn expect_nothing(&mut self, context: &str) {
+    pub(crate) fn expect_nothing(&mut self, context: &str) {
         self.stream.set_read_timeout(Some(QUIET)).expect("set");
         let got = self.stream.read(&mut [0; 64]);
         assert!(got.is_err(), "{context}: {got:?}");
@@ -148,7 +148,7 @@
     }
 
     /// The next final answer; a rejection must say when to retry, and a v2 error must be an error object.
-    pub fn answer(&mut self, context: &str) -> ClientAnswer {
+    pub(crate) fn answer(&mut self, context: &str) -> ClientAnswer {
         match self.protocol {
             Protocol::Platform => self.fastcgi_answer(context),
             Protocol::Kserve => self.v2_answer(context),
--- a/wrenseam/tests/common/clients/v2.rs
+++ b/wrenseam/tests/common/clients/v2.rs
@@ -6,7 +6,7 @@
 use wrenseam_policy::json::{as_text, list, object, parse, part, text};
 
 /// A call as a whole HTTP request.
-pub fn call(id: u64, request: &ClientRequest) -> Vec<u8> {
+pub(crate) fn call(id: u64, request: &ClientRequest) -> Vec<u8> {
     let content = &request.content;
     let (class, text, timeout) = (&content.class, &content.body, request.timeout_ms);
     let token = match &content.idempotency_key {
@@ -22,7 +22,7 @@
 }
 
 /// The text that a body carries: that of the first tensor of a v2 body, else the bytes as they are.
-pub fn text_of(body: &[u8]) -> String {
+pub(crate) fn text_of(body: &[u8]) -> String {
     let plain = String::from_utf8_lossy(body).into_owned();
     let Ok(json) = parse(&plain) else {
         return plain;
--- a/wrenseam/tests/common/discovery.rs
+++ b/wrenseam/tests/common/discovery.rs
@@ -12,21 +12,21 @@
 const COMMENT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A discovery service that accepts watches and leaves to the test what they carry.
-pub struct DiscoveryService {
-    pub address: SocketAddr,
+pub(crate) struct DiscoveryService {
+    pub(crate) address: SocketAddr,
     /// The watches that the program began, in their order.
-    pub watches: Receiver<WatchStream>,
+    pub(crate) watches: Receiver<WatchStream>,
 }
 
 /// A watch that the program began.
-pub struct WatchStream {
+pub(crate) struct WatchStream {
     /// The last event that the program says it knows.
-    pub last_event_id: String,
+    pub(crate) last_event_id: String,
     stream: TcpStream,
 }
 
 impl DiscoveryService {
-    pub fn start() -> DiscoveryService {
+    pub(crate) fn start() -> DiscoveryService {
         let (begun, watches) = channel();
         let address = listen(move |stream| {
             if let Some(watch) = WatchStream::accept(stream) {
@@ -49,7 +49,7 @@
     }
 
     /// Sends an event that a worker came to this state.
-    pub fn send_event(&self, id: &str, worker: &str, state: &str) {
+    pub(crate) fn send_event(&self, id: &str, worker: &str, state: &str) {
         let instance = format!(
             r#"{{"instanceId":"{worker}","hostPort":"127.0.0.1:9","zone":"hall-a","machineType":"std","cell":0,"lifecycle":"{state}","startedAtMs":0}}"#
         );
@@ -60,7 +60,7 @@
     }
 
     /// Sends a comment now and then, until the connection ends.
-    pub fn send_comments(&self) {
+    pub(crate) fn send_comments(&self) {
         let mut stream = self.stream.try_clone().expect("cloned");
         std::thread::spawn(move || {
             while stream.write_all(COMMENT).is_ok() {
@@ -70,7 +70,7 @@
     }
 
     /// Ends the connection.
-    pub fn close(&self) {
+    pub(crate) fn close(&self) {
         self.stream.shutdown(Shutdown::Both).expect("open");
     }
 }
--- a/wrenseam/tests/common/fleet.rs
+++ b/wrenseam/tests/common/fleet.rs
@@ -10,22 +10,22 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The processes, in the order of their first start.
-pub struct Fleet {
-    pub nodes: Vec<Node>,
+pub(crate) struct Fleet {
+    pub(crate) nodes: Vec<Node>,
     folder: PathBuf,
 }
 
 /// One process of a fleet.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub struct Node {
+pub(crate) struct Node {
     program: Program,
-    pub admin_endpoint: SocketAddr,
-    pub gossip: SocketAddr,
+    pub(crate) admin_endpoint: SocketAddr,
+    pub(crate) gossip: SocketAddr,
 }
 
 impl Node {
     /// Sends a command line to the admin endpoint; the reply.
-    pub fn admin_command(&self, line: &str) -> String {
+    pub(crate) fn admin_command(&self, line: &str) -> String {
         admin_command(self.admin_endpoint, line)
     }
 }
@@ -33,7 +33,7 @@
 #[allow(dead_code, reason = "each test binary uses its own part")]
 impl Fleet {
     /// Starts `count` processes; each after the first joins by way of the first.
-    pub fn new(count: usize) -> Fleet {
+    pub(crate) fn new(count: usize) -> Fleet {
         let mut fleet = Fleet {
             nodes: Vec::new(),
             folder: create_run_folder("fleet-"),
@@ -85,24 +85,24 @@
     }
 
     /// Ends a process at once, as a crash would.
-    pub fn kill(&mut self, index: usize) {
+    pub(crate) fn kill(&mut self, index: usize) {
         self.nodes[index].program.kill();
     }
 
     /// Starts a process again at its gossip address; it joins by way of another.
-    pub fn restart(&mut self, index: usize, seed_index: usize) {
+    pub(crate) fn restart(&mut self, index: usize, seed_index: usize) {
         let gossip = self.nodes[index].gossip;
         let seed = self.nodes[seed_index].gossip;
         self.nodes[index] = self.start(index, gossip, Some(seed));
     }
 
     /// Whether a process still runs.
-    pub fn running(&mut self, index: usize) -> bool {
+    pub(crate) fn running(&mut self, index: usize) -> bool {
         self.nodes[index].program.is_running()
     }
 
     /// A figure of a process's telemetry, by its name.
-    pub fn figure(&self, index: usize, name: &str) -> Option<u64> {
+    pub(crate) fn figure(&self, index: usize, name: &str) -> Option<u64> {
         let telemetry = self.nodes[index].admin_command("telemetry\n");
         let figure = telemetry
             .lines()
@@ -112,7 +112,7 @@
     }
 
     /// Waits until a process counts so many peers alive; how long that took.
-    pub fn until_peers(&self, index: usize, peers: u64, within: Duration) -> Duration {
+    pub(crate) fn until_peers(&self, index: usize, peers: u64, within: Duration) -> Duration {
         let since = Instant::now();
         loop {
             let counted = self.figure(index, "app.fleet.peers");
--- a/wrenseam/tests/common/harness.rs
+++ b/wrenseam/tests/common/harness.rs
@@ -21,17 +21,17 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The running program with four stand-in workers in two zones, and two discovery services of which it follows one.
-pub struct Harness {
+pub(crate) struct Harness {
     program: Program,
     /// Where FastCGI clients connect.
-    pub front: SocketAddr,
+    pub(crate) front: SocketAddr,
     /// Where KServe v2 clients connect.
-    pub kserve: SocketAddr,
+    pub(crate) kserve: SocketAddr,
     /// The administration API, over HTTP.
-    pub admin: SocketAddr,
+    pub(crate) admin: SocketAddr,
     /// The admin endpoint, which reads command lines.
     #[allow(dead_code, reason = "each test binary uses its own part")]
-    pub admin_endpoint: SocketAddr,
+    pub(crate) admin_endpoint: SocketAddr,
     /// Calls that came to any worker.
     pub(super) calls: Receiver<ReceivedCall>,
     pub(super) orders: Arc<OrderControl>,
@@ -44,12 +44,12 @@
 #[allow(dead_code, reason = "each test binary uses its own part")]
 impl Harness {
     /// Starts the program with workers of this protocol.
-    pub fn new(workers: Protocol) -> Harness {
+    pub(crate) fn new(workers: Protocol) -> Harness {
         Harness::with(workers, &[])
     }
 
     /// Starts it with a configuration in which each first text is replaced by the second.
-    pub fn with(workers: Protocol, changes: &[(&str, &str)]) -> Harness {
+    pub(crate) fn with(workers: Protocol, changes: &[(&str, &str)]) -> Harness {
         let folder = create_run_folder("");
         let (received, calls) = channel();
         let orders = Arc::<OrderControl>::default();
@@ -94,23 +94,23 @@
     }
 
     /// Sends SIGTERM and waits for the program's end; whether it ended well.
-    pub fn terminate(&mut self) -> bool {
+    pub(crate) fn terminate(&mut self) -> bool {
         self.signal("-TERM");
         self.program.wait()
     }
 
     /// Sends a command line to the admin endpoint; the reply.
-    pub fn admin_command(&self, line: &str) -> String {
+    pub(crate) fn admin_command(&self, line: &str) -> String {
         admin_command(self.admin_endpoint, line)
     }
 
     /// The id of the program's process.
-    pub fn pid(&self) -> u32 {
+    pub(crate) fn pid(&self) -> u32 {
         self.program.pid()
     }
 
     /// Sends the program a signal, named as `kill` wants it.
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         self.program.signal(name);
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// Answers the next call, of this class, at any worker; false if none comes within a second.
-    pub fn answer_next_call(&self, class: &str) -> bool {
+    pub(crate) fn answer_next_call(&self, class: &str) -> bool {
         let Ok(call) = self.calls.recv_timeout(Duration::from_secs(1)) else {
             return false;
         };
@@ -144,18 +144,18 @@
     }
 
     /// The ids of the calls that came to any worker since they were last asked for.
-    pub fn received_call_ids(&self) -> Vec<u64> {
+    pub(crate) fn received_call_ids(&self) -> Vec<u64> {
         self.calls.try_iter().map(|call| call.id).collect()
     }
 
     /// The folder of the program's files, which is its TMPDIR too.
-    pub fn folder(&self) -> PathBuf {
+    pub(crate) fn folder(&self) -> PathBuf {
         let folder = self.config.path.parent();
         folder.expect("a folder").to_path_buf()
     }
 
     /// Waits until the administration API shows this state of a worker, or that it is `absent`.
-    pub fn wait_for_endpoint(&self, worker: &str, state: &str, context: &str) {
+    pub(crate) fn wait_for_endpoint(&self, worker: &str, state: &str, context: &str) {
         let since = Instant::now();
         loop {
             let response = get(self.admin, "/v1/state");
--- a/wrenseam/tests/common/mod.rs
+++ b/wrenseam/tests/common/mod.rs
@@ -12,7 +12,7 @@
 mod workers;
 
 #[allow(unused_imports, reason = "each test binary uses its own part")]
-pub use {
+pub(crate) use {
     clients::{
         fastcgi::{fastcgi, fastcgi_answer, record},
         get,
@@ -26,14 +26,14 @@
 use std::time::Duration;
 
 /// The function that all calls ask for.
-pub const FUNCTION: &str = "7f3a9c21e0b4d655";
+pub(crate) const FUNCTION: &str = "7f3a9c21e0b4d655";
 
 /// How long nothing must come where nothing is expected.
 const QUIET: Duration = Duration::from_millis(300);
 
 /// The two families of protocols, on the side of the clients and on that of the workers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Protocol {
+pub(crate) enum Protocol {
     /// The platform's own: FastCGI from clients, binary frames to workers.
     Platform,
     /// KServe v2 over HTTP/1.1 on both sides.
@@ -42,7 +42,7 @@
 
 /// What a call asks for, as its client or its worker sees it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CallContent {
+pub(crate) struct CallContent {
     class: String,
     idempotency_key: Option<String>,
     body: String,
--- a/wrenseam/tests/common/program.rs
+++ b/wrenseam/tests/common/program.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// The policy's settings in the configuration of each test.
-pub const SETTINGS: &str = r#"{"balancers":1,"classes":[
+pub(crate) const SETTINGS: &str = r#"{"balancers":1,"classes":[
  {"effect":"retryable","goal-time":400,"key-scope":"all","memory-span":5000,"name":"tile-render","worth":1},
  {"effect":"dedup","goal-time":400,"key-scope":"zone","memory-span":5000,"name":"tile-order","worth":3}],
  "failure-domains":["hall-a","hall-b"],"flavors":["std"],"tenants":[{"name":"acme","portion":1,"quota-per-s":70}],
@@ -19,10 +19,10 @@
  "fall-multiple":2,"warm-within":17000}}"#;
 
 /// A variable of the program's environment.
-pub type Variable<'a> = (&'a str, &'a OsStr);
+pub(crate) type Variable<'a> = (&'a str, &'a OsStr);
 
 /// A process of the program. It is killed when this is dropped.
-pub struct Program {
+pub(crate) struct Program {
     child: Child,
     /// The log, until the rest of it is forwarded.
     log: Option<Lines<BufReader<ChildStderr>>>,
@@ -30,7 +30,7 @@
 
 impl Program {
     /// Starts the program on a free port, with its temporary files in `folder`.
-    pub fn start(folder: &Path, config: &Path, environment: &[Variable]) -> Program {
+    pub(crate) fn start(folder: &Path, config: &Path, environment: &[Variable]) -> Program {
         let mut child = Command::new(env!("CARGO_BIN_EXE_wrenseam"))
             .env("NODE_CONFIG", config)
             .env("NODE_LISTEN", "127.0.0.1:0")
@@ -47,7 +47,7 @@
     }
 
     /// The next address on which the log says that the program listens.
-    pub fn next_listen_address(&mut self) -> SocketAddr {
+    pub(crate) fn next_listen_address(&mut self) -> SocketAddr {
         let log = self.log.as_mut().expect("a log that is not forwarded yet");
         loop {
             let line = log.next().expect("a line of the log").expect("text");
@@ -58,7 +58,7 @@
     }
 
     /// Reads the rest of the log, so that it cannot fill up, and shows it with a failed test.
-    pub fn forward_log(&mut self, label: String) {
+    pub(crate) fn forward_log(&mut self, label: String) {
         let log = self.log.take().expect("a log that is not forwarded yet");
         std::thread::spawn(move || {
             for line in log.map_while(Result::ok) {
@@ -68,30 +68,30 @@
     }
 
     /// The id of the process.
-    pub fn pid(&self) -> u32 {
+    pub(crate) fn pid(&self) -> u32 {
         self.child.id()
     }
 
     /// Sends a signal, named as `kill` wants it.
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let pid = self.pid().to_string();
         let status = Command::new("kill").args([name, &pid]).status();
         assert!(status.expect("kill runs").success());
     }
 
     /// Waits for the end of the process; whether it ended well.
-    pub fn wait(&mut self) -> bool {
+    pub(crate) fn wait(&mut self) -> bool {
         self.child.wait().expect("it ends").success()
     }
 
     /// Ends the process at once, as a crash would.
-    pub fn kill(&mut self) {
+    pub(crate) fn kill(&mut self) {
         let _ = self.child.kill(); // it may have ended already
         let _ = self.child.wait();
     }
 
     /// Whether the process has not ended.
-    pub fn is_running(&mut self) -> bool {
+    pub(crate) fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("asked").is_none()
     }
 }
@@ -103,7 +103,7 @@
 }
 
 /// A folder of their own for the files of this run.
-pub fn create_run_folder(prefix: &str) -> PathBuf {
+pub(crate) fn create_run_folder(prefix: &str) -> PathBuf {
     static RUNS: AtomicU64 = AtomicU64::new(0);
     let run = RUNS.fetch_add(1, Ordering::Relaxed);
     let name = format!("{prefix}{}-{run}", std::process::id());
@@ -111,20 +111,20 @@
 }
 
 /// Creates a folder, which may be there already.
-pub fn create_folder(path: &Path) -> PathBuf {
+pub(crate) fn create_folder(path: &Path) -> PathBuf {
     std::fs::create_dir_all(path).expect("a folder for the files");
     path.to_path_buf()
 }
 
 /// Writes a file; its path.
-pub fn write_file(path: PathBuf, text: &str) -> PathBuf {
+pub(crate) fn write_file(path: PathBuf, text: &str) -> PathBuf {
     std::fs::write(&path, text).expect("written");
     path
 }
 
 /// Sends a command line to an admin endpoint; what came back until the connection ended.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub fn admin_command(address: SocketAddr, line: &str) -> String {
+pub(crate) fn admin_command(address: SocketAddr, line: &str) -> String {
     let mut stream = connect(address);
     stream.write_all(line.as_bytes()).expect("written");
     let mut reply = String::new();
--- a/wrenseam/tests/common/scenario/interpreter.rs
+++ b/wrenseam/tests/common/scenario/interpreter.rs
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// A scenario that is being run.
-pub struct Interpreter<'h> {
+pub(crate) struct Interpreter<'h> {
     harness: &'h Harness,
     front: Protocol,
     front_address: SocketAddr,
@@ -26,7 +26,7 @@
 
 impl<'h> Interpreter<'h> {
     /// Begins a scenario with a client connected to one front.
-    pub fn new(harness: &'h Harness, front: Protocol) -> Interpreter<'h> {
+    pub(crate) fn new(harness: &'h Harness, front: Protocol) -> Interpreter<'h> {
         let front_address = match front {
             Protocol::Platform => harness.front,
             Protocol::Kserve => harness.kserve,
@@ -45,12 +45,12 @@
     }
 
     /// What clients and workers saw.
-    pub fn into_transcript(self) -> Vec<String> {
+    pub(crate) fn into_transcript(self) -> Vec<String> {
         self.transcript
     }
 
     /// Executes a step; the context is shown if it fails.
-    pub fn execute(&mut self, step: Step, context: String) {
+    pub(crate) fn execute(&mut self, step: Step, context: String) {
         self.context = context;
         match step {
             Step::Client(step) => self.execute_client(step),
--- a/wrenseam/tests/common/scenario/mod.rs
+++ b/wrenseam/tests/common/scenario/mod.rs
@@ -40,7 +40,7 @@
 #[allow(dead_code, reason = "each test binary uses its own part")]
 impl Harness {
     /// Runs a scenario through one front; what clients and workers saw, line by line.
-    pub fn run_scenario(&self, front: Protocol, scenario: &str) -> Vec<String> {
+    pub(crate) fn run_scenario(&self, front: Protocol, scenario: &str) -> Vec<String> {
         let lines = scenario.lines().map(str::trim);
         let steps: Vec<(&str, Step)> = lines
             .filter(|line| !line.is_empty())
--- a/wrenseam/tests/common/scenario/step.rs
+++ b/wrenseam/tests/common/scenario/step.rs
@@ -8,7 +8,7 @@
 const NO_KEY: &str = "-";
 
 /// One step of a scenario.
-pub enum Step {
+pub(crate) enum Step {
     Client(ClientStep),
     Worker(WorkerStep),
     Orders(OrderMode),
@@ -19,7 +19,7 @@
 }
 
 /// What the client does or sees.
-pub enum ClientStep {
+pub(crate) enum ClientStep {
     Send(ClientRequest),
     SendPart,
     SendEndless,
@@ -34,7 +34,7 @@
 }
 
 /// What workers do or see; but for calls it concerns the last call.
-pub enum WorkerStep {
+pub(crate) enum WorkerStep {
     ExpectCall {
         content: CallContent,
         /// Whether it must come to the zone of the call before it.
@@ -48,7 +48,7 @@
 }
 
 /// What the discovery service does or sees; but for watches it concerns the last watch.
-pub enum DiscoveryStep {
+pub(crate) enum DiscoveryStep {
     ExpectWatch {
         last_event_id: String,
     },
@@ -62,7 +62,7 @@
 }
 
 /// What is done to the program.
-pub enum ProgramStep {
+pub(crate) enum ProgramStep {
     ReloadWithOtherService,
     ReloadCorrupt,
     Terminate,
@@ -70,7 +70,7 @@
 
 impl Step {
     /// Reads a step; a line that is none fails the test.
-    pub fn parse(line: &str) -> Step {
+    pub(crate) fn parse(line: &str) -> Step {
         let words: Vec<&str> = line.split_whitespace().collect();
         Step::from_words(&words).unwrap_or_else(|| panic!("no such step: {line}"))
     }
--- a/wrenseam/tests/common/workers/frames.rs
+++ b/wrenseam/tests/common/workers/frames.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 /// Serves a connection until one side ends it.
-pub fn serve(mut stream: TcpStream, zone: usize, context: &WorkerContext) -> io::Result<()> {
+pub(crate) fn serve(mut stream: TcpStream, zone: usize, context: &WorkerContext) -> io::Result<()> {
     let silenced = Arc::new(AtomicBool::new(false));
     loop {
         let frame = read_frame(&mut stream)?;
@@ -62,7 +62,7 @@
 }
 
 /// An answer to a call as bytes.
-pub fn encode_call_answer(id: u64, answer: &WorkerAnswer) -> Vec<u8> {
+pub(crate) fn encode_call_answer(id: u64, answer: &WorkerAnswer) -> Vec<u8> {
     let answer_code = match answer {
         WorkerAnswer::NotLoaded => code::NOT_LOADED,
         WorkerAnswer::Rejected => code::REJECTED,
--- a/wrenseam/tests/common/workers/mod.rs
+++ b/wrenseam/tests/common/workers/mod.rs
@@ -3,7 +3,7 @@
 mod orders;
 mod v2;
 
-pub use orders::{OrderControl, OrderMode};
+pub(crate) use orders::{OrderControl, OrderMode};
 
 use super::support::sockets::{listen, PATIENCE};
 use super::{CallContent, Protocol};
@@ -21,18 +21,18 @@
 
 /// What the workers of a test share.
 #[derive(Clone)]
-pub struct WorkerContext {
+pub(crate) struct WorkerContext {
     /// Where calls go, of whichever worker.
-    pub calls: Sender<ReceivedCall>,
-    pub orders: Arc<OrderControl>,
+    pub(crate) calls: Sender<ReceivedCall>,
+    pub(crate) orders: Arc<OrderControl>,
 }
 
 /// A call as it reached a worker, and the connection on which it is to be answered.
-pub struct ReceivedCall {
-    pub zone: usize,
+pub(crate) struct ReceivedCall {
+    pub(crate) zone: usize,
     /// Its id in a frame; 0 in v2.
-    pub id: u64,
-    pub content: CallContent,
+    pub(crate) id: u64,
+    pub(crate) content: CallContent,
     protocol: Protocol,
     stream: TcpStream,
     /// Whether the worker ignores what else comes on the connection.
@@ -41,7 +41,7 @@
 
 /// How a worker answers a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum WorkerAnswer {
+pub(crate) enum WorkerAnswer {
     Ok(String),
     Rejected,
     NotLoaded,
@@ -55,7 +55,7 @@
 }
 
 /// Starts a worker in a zone; its address.
-pub fn start_worker(protocol: Protocol, zone: usize, context: WorkerContext) -> SocketAddr {
+pub(crate) fn start_worker(protocol: Protocol, zone: usize, context: WorkerContext) -> SocketAddr {
     listen(move |stream| {
         let context = context.clone();
         std::thread::spawn(move || {
@@ -69,17 +69,17 @@
 
 impl ReceivedCall {
     /// From now on the worker ignores what else comes on the connection.
-    pub fn silence(&self) {
+    pub(crate) fn silence(&self) {
         self.silenced.store(true, Ordering::Release);
     }
 
     /// Ends the connection.
-    pub fn close(&self) {
+    pub(crate) fn close(&self) {
         self.stream.shutdown(Shutdown::Both).expect("open");
     }
 
     /// Waits for the end of the connection; what else comes there is for the worker to read.
-    pub fn expect_closed(&self, context: &str) {
+    pub(crate) fn expect_closed(&self, context: &str) {
         let since = Instant::now();
         while !matches!(self.stream.peek(&mut [0]), Ok(0) | Err(_)) {
             std::thread::sleep(POLL_INTERVAL);
@@ -89,7 +89,7 @@
     }
 
     /// Answers the call.
-    pub fn answer(&self, answer: &WorkerAnswer) {
+    pub(crate) fn answer(&self, answer: &WorkerAnswer) {
         let mut bytes = match self.protocol {
             Protocol::Platform => frames::encode_call_answer(self.id, answer),
             Protocol::Kserve => v2::encode_call_answer(answer),
--- a/wrenseam/tests/common/workers/orders.rs
+++ b/wrenseam/tests/common/workers/orders.rs
@@ -3,7 +3,7 @@
 
 /// What workers do with orders to load, and with questions how many replicas are loaded.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum OrderMode {
+pub(crate) enum OrderMode {
     /// Both are answered at once: a replica of each function is loaded.
     #[default]
     Answer,
@@ -15,14 +15,14 @@
 
 /// The mode that all workers of a test are in.
 #[derive(Default)]
-pub struct OrderControl {
+pub(crate) struct OrderControl {
     mode: Mutex<OrderMode>,
     changed: Condvar,
 }
 
 /// What the program asks of a worker beside calls.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Order {
+pub(crate) enum Order {
     /// Replicas are to be loaded or unloaded.
     Load,
     /// How many replicas are loaded?
@@ -31,18 +31,18 @@
 
 impl OrderControl {
     /// Changes the mode; what was held back and is to be answered now, is.
-    pub fn set(&self, mode: OrderMode) {
+    pub(crate) fn set(&self, mode: OrderMode) {
         *self.mode.lock().expect("not poisoned") = mode;
         self.changed.notify_all();
     }
 
     /// Whether any orders are held back.
-    pub fn holds_back(&self) -> bool {
+    pub(crate) fn holds_back(&self) -> bool {
         *self.mode.lock().expect("not poisoned") != OrderMode::Answer
     }
 
     /// Waits for as long as such orders are held back; how many replicas are loaded then.
-    pub fn wait_for_replicas(&self, order: Order) -> u32 {
+    pub(crate) fn wait_for_replicas(&self, order: Order) -> u32 {
         let held = |mode: &mut OrderMode| match mode {
             OrderMode::Answer => false,
             OrderMode::Hold => true,
--- a/wrenseam/tests/common/workers/v2.rs
+++ b/wrenseam/tests/common/workers/v2.rs
@@ -10,7 +10,7 @@
 use wrenseam_policy::json::{object, parse, part, text};
 
 /// Serves a connection until one side ends it.
-pub fn serve(mut stream: TcpStream, zone: usize, context: &WorkerContext) -> io::Result<()> {
+pub(crate) fn serve(mut stream: TcpStream, zone: usize, context: &WorkerContext) -> io::Result<()> {
     let infer = format!("/v2/models/{FUNCTION}/infer");
     loop {
         let request = read_message(&mut stream)?;
@@ -54,7 +54,7 @@
 }
 
 /// An answer to a call as bytes.
-pub fn encode_call_answer(answer: &WorkerAnswer) -> Vec<u8> {
+pub(crate) fn encode_call_answer(answer: &WorkerAnswer) -> Vec<u8> {
     if let Some(body) = answer.success_body() {
         let output = format!(
             r#"{{"parameters":{{"detail":"resident"}},"outputs":[{{"name":"body","shape":[1],"datatype":"BYTES","data":["{body}"]}}]}}"#
--- a/wrenseam/tests/standin/behaviour.rs
+++ b/wrenseam/tests/standin/behaviour.rs
@@ -5,29 +5,29 @@
 
 /// Seeded random numbers that several threads draw from.
 #[derive(Clone)]
-pub struct SeededRandom(Arc<Mutex<Pcg32>>);
+pub(crate) struct SeededRandom(Arc<Mutex<Pcg32>>);
 
 impl SeededRandom {
     /// The sequence of this seed.
-    pub fn new(seed: u64) -> SeededRandom {
+    pub(crate) fn new(seed: u64) -> SeededRandom {
         SeededRandom(Arc::new(Mutex::new(Pcg32::seed_from_u64(seed))))
     }
 
     /// A number below `limit`.
-    pub fn below(&self, limit: u32) -> u32 {
+    pub(crate) fn below(&self, limit: u32) -> u32 {
         let mut generator = self.0.lock().expect("not poisoned");
         ((u64::from(generator.next_u32()) * u64::from(limit)) >> 32) as u32
     }
 
     /// True in so many of a hundred draws.
-    pub fn percent(&self, percent: u32) -> bool {
+    pub(crate) fn percent(&self, percent: u32) -> bool {
         self.below(100) < percent
     }
 }
 
 /// What a worker does with a call that has come complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Behaviour {
+pub(crate) enum Behaviour {
     Serve,
     ServeLate,
     ServeTwice,
@@ -68,12 +68,12 @@
 
 impl Behaviour {
     /// Any behaviour, each as likely as the others.
-    pub fn random(random: &SeededRandom) -> Behaviour {
+    pub(crate) fn random(random: &SeededRandom) -> Behaviour {
         ALL[random.below(ALL.len() as u32) as usize]
     }
 
     /// Whether the answer says that the call has not run.
-    pub fn never_ran(self) -> bool {
+    pub(crate) fn never_ran(self) -> bool {
         matches!(
             self,
             Behaviour::NotLoaded | Behaviour::Reject | Behaviour::RejectTwice | Behaviour::NotBegun
@@ -81,7 +81,7 @@
     }
 
     /// Whether the answer is sent a second time.
-    pub fn repeats(self) -> bool {
+    pub(crate) fn repeats(self) -> bool {
         matches!(self, Behaviour::ServeTwice | Behaviour::RejectTwice)
     }
 }
--- a/wrenseam/tests/standin/frames.rs
+++ b/wrenseam/tests/standin/frames.rs
@@ -14,7 +14,7 @@
 type SharedStream = Arc<Mutex<TcpStream>>;
 
 /// Serves a connection until one side ends it.
-pub fn serve(worker: &Worker, mut stream: TcpStream) -> io::Result<()> {
+pub(crate) fn serve(worker: &Worker, mut stream: TcpStream) -> io::Result<()> {
     let answers = Arc::new(Mutex::new(stream.try_clone()?));
     loop {
         if worker.cuts(&mut stream) {
--- a/wrenseam/tests/standin/kserve.rs
+++ b/wrenseam/tests/standin/kserve.rs
@@ -9,7 +9,7 @@
 const ID_DIGITS: usize = 16;
 
 /// Serves a connection until one side ends it.
-pub fn serve(worker: &Worker, mut stream: TcpStream) -> io::Result<()> {
+pub(crate) fn serve(worker: &Worker, mut stream: TcpStream) -> io::Result<()> {
     loop {
         if worker.cuts(&mut stream) {
             return Ok(());
--- a/wrenseam/tests/standin/ledger.rs
+++ b/wrenseam/tests/standin/ledger.rs
@@ -6,19 +6,19 @@
 
 /// One call that came complete to a worker.
 #[derive(Clone, Copy, Debug)]
-pub struct Arrival {
-    pub at: Instant,
-    pub zone: usize,
+pub(crate) struct Arrival {
+    pub(crate) at: Instant,
+    pub(crate) zone: usize,
     /// What the worker did with it.
-    pub behaviour: Behaviour,
+    pub(crate) behaviour: Behaviour,
 }
 
 impl Arrival {
     /// Whether it may have run: the worker has not answered that it never did.
-    pub fn ran(&self) -> bool {
+    pub(crate) fn ran(&self) -> bool {
         !self.behaviour.never_ran()
     }
 }
 
 /// All calls that came complete, by the id that the client gave.
-pub type Ledger = Arc<Mutex<BTreeMap<u64, Vec<Arrival>>>>;
+pub(crate) type Ledger = Arc<Mutex<BTreeMap<u64, Vec<Arrival>>>>;
--- a/wrenseam/tests/standin/mod.rs
+++ b/wrenseam/tests/standin/mod.rs
@@ -7,8 +7,8 @@
 #[path = "../support/mod.rs"]
 mod support;
 
-pub use behaviour::{Behaviour, SeededRandom};
-pub use ledger::{Arrival, Ledger};
+pub(crate) use behaviour::{Behaviour, SeededRandom};
+pub(crate) use ledger::{Arrival, Ledger};
 
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::ops::ControlFlow;
@@ -27,16 +27,16 @@
 
 /// A worker in a zone that misbehaves in so many of a hundred calls.
 #[derive(Clone)]
-pub struct Worker {
-    pub zone: usize,
-    pub fault_percent: u32,
-    pub random: SeededRandom,
-    pub ledger: Ledger,
+pub(crate) struct Worker {
+    pub(crate) zone: usize,
+    pub(crate) fault_percent: u32,
+    pub(crate) random: SeededRandom,
+    pub(crate) ledger: Ledger,
 }
 
 impl Worker {
     /// Starts the worker; its address.
-    pub fn start(self, protocol: TransportProtocol) -> SocketAddr {
+    pub(crate) fn start(self, protocol: TransportProtocol) -> SocketAddr {
         listen(move |stream| {
             let worker = self.clone();
             std::thread::spawn(move || {
--- a/wrenseam/tests/support/frames.rs
+++ b/wrenseam/tests/support/frames.rs
@@ -4,21 +4,21 @@
 
 /// The codes of frames.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub mod code {
+pub(crate) mod code {
     /// A call to run a function.
-    pub const CALL: u8 = 2;
+    pub(crate) const CALL: u8 = 2;
     /// An order to load or unload replicas of a function, or a question how many are loaded.
-    pub const LOAD_ORDER: u8 = 6;
+    pub(crate) const LOAD_ORDER: u8 = 6;
     /// An answer: it ran.
-    pub const OK: u8 = 200;
+    pub(crate) const OK: u8 = 200;
     /// An answer: the function is not loaded here.
-    pub const NOT_LOADED: u8 = 202;
+    pub(crate) const NOT_LOADED: u8 = 202;
     /// An answer: no capacity is left.
-    pub const REJECTED: u8 = 203;
+    pub(crate) const REJECTED: u8 = 203;
     /// An answer: it failed, and may have run.
-    pub const ERROR: u8 = 204;
+    pub(crate) const ERROR: u8 = 204;
     /// An answer: it was not begun.
-    pub const NOT_BEGUN: u8 = 205;
+    pub(crate) const NOT_BEGUN: u8 = 205;
 }
 
 const FROM_PROGRAM: u8 = 126;
@@ -27,19 +27,19 @@
 const CHECKSUM_LENGTH: usize = 4;
 
 /// A frame that the program wrote.
-pub struct Frame {
-    pub code: u8,
-    pub id: u64,
+pub(crate) struct Frame {
+    pub(crate) code: u8,
+    pub(crate) id: u64,
     /// `name=value,name=value`.
-    pub fields: String,
+    pub(crate) fields: String,
     #[allow(dead_code, reason = "each test binary uses its own part")]
-    pub body: Vec<u8>,
+    pub(crate) body: Vec<u8>,
 }
 
 impl Frame {
     /// The value of a field.
     #[allow(dead_code, reason = "each test binary uses its own part")]
-    pub fn field(&self, name: &str) -> Option<&str> {
+    pub(crate) fn field(&self, name: &str) -> Option<&str> {
         self.fields
             .split(',')
             .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
@@ -47,7 +47,7 @@
 }
 
 /// Reads the next frame that the program wrote; one with a wrong origin or checksum fails the test.
-pub fn read_frame(stream: &mut impl Read) -> io::Result<Frame> {
+pub(crate) fn read_frame(stream: &mut impl Read) -> io::Result<Frame> {
     let header = read_bytes(stream, HEADER_LENGTH)?;
     let fields_length = usize::from(u16::from_be_bytes([header[2], header[3]]));
     let body_length = u32::from_be_bytes(header[4..8].try_into().expect("four bytes")) as usize;
@@ -70,7 +70,7 @@
 }
 
 /// A worker's frame as bytes.
-pub fn encode_answer(code: u8, id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
+pub(crate) fn encode_answer(code: u8, id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
     let content = [fields.as_bytes(), body].concat();
     let mut frame = vec![FROM_WORKER, code];
     frame.extend((fields.len() as u16).to_be_bytes());
--- a/wrenseam/tests/support/http.rs
+++ b/wrenseam/tests/support/http.rs
@@ -5,15 +5,15 @@
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// A request or a response.
-pub struct HttpMessage {
+pub(crate) struct HttpMessage {
     /// The start line and the headers, with the empty line that ends them.
-    pub head: String,
-    pub body: Vec<u8>,
+    pub(crate) head: String,
+    pub(crate) body: Vec<u8>,
 }
 
 impl HttpMessage {
     /// The value of a header, spelled as here.
-    pub fn header(&self, name: &str) -> Option<&str> {
+    pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.head
             .lines()
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
@@ -21,14 +21,14 @@
 
     /// The target of a request.
     #[allow(dead_code, reason = "each test binary uses its own part")]
-    pub fn target(&self) -> &str {
+    pub(crate) fn target(&self) -> &str {
         self.head.split(' ').nth(1).expect("a request line")
     }
 }
 
 /// Reads one message; without a `Content-Length` its body is empty.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub fn read_message(stream: &mut impl Read) -> io::Result<HttpMessage> {
+pub(crate) fn read_message(stream: &mut impl Read) -> io::Result<HttpMessage> {
     let mut head = Vec::new();
     while !head.ends_with(HEAD_END) {
         head.extend(read_bytes(stream, 1)?);
@@ -46,7 +46,7 @@
 
 /// A response; each of the further headers ends with a line break.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub fn response(status: &str, headers: &str, body: &str) -> Vec<u8> {
+pub(crate) fn response(status: &str, headers: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}").into_bytes()
 }
--- a/wrenseam/tests/support/mod.rs
+++ b/wrenseam/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! The bytes that stand-in clients, workers and services exchange with the program, coded from the specifications.
 //! Nothing here decides what a stand-in does.
-pub mod frames;
-pub mod http;
-pub mod sockets;
+pub(crate) mod frames;
+pub(crate) mod http;
+pub(crate) mod sockets;
--- a/wrenseam/tests/support/sockets.rs
+++ b/wrenseam/tests/support/sockets.rs
@@ -5,11 +5,11 @@
 
 /// How long a test waits for what must come.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub const PATIENCE: Duration = Duration::from_secs(10);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(10);
 
 /// Connects; a read that waits for longer than `PATIENCE` fails.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub fn connect(address: SocketAddr) -> TcpStream {
+pub(crate) fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("a connection");
     stream.set_read_timeout(Some(PATIENCE)).expect("set");
     stream
@@ -17,7 +17,7 @@
 
 /// Listens on a free port and hands over each connection, in the order in which they come.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub fn listen(mut accepted: impl FnMut(TcpStream) + Send + 'static) -> SocketAddr {
+pub(crate) fn listen(mut accepted: impl FnMut(TcpStream) + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
@@ -29,7 +29,7 @@
 }
 
 /// The next `length` bytes.
-pub fn read_bytes(stream: &mut impl Read, length: usize) -> io::Result<Vec<u8>> {
+pub(crate) fn read_bytes(stream: &mut impl Read, length: usize) -> io::Result<Vec<u8>> {
     let mut bytes = vec![0; length];
     stream.read_exact(&mut bytes)?;
     Ok(bytes)
--- a/wrenseam/tests/system_calls.rs
+++ b/wrenseam/tests/system_calls.rs
@@ -100,7 +100,7 @@
         number,
         calls: AtomicUsize::new(0),
     });
-    let inside = limits.clone();
+    let inside = limits;
     wrenseam::net::spawn(64 * 1024, move || {
         let stream = may::net::TcpStream::connect(address).expect("a connection");
         let budget = MemoryBudget::new(inside.held_bytes);
