--- a/wrenseam/src/core/actions.rs
+++ b/wrenseam/src/core/actions.rs
@@ -46,7 +46,7 @@
                 replicas,
             } => self.order_load(worker, function, replicas),
             Action::Unload { worker, function } => self.workers.unload(&worker, function),
-            Action::Log { text } => note!("{}", LogLine::Policy(&text)),
+            Action::Log { text } => log_limited!("{}", LogLine::Policy(&text)),
             Action::WatchEndpoints => {} // discovery watches the endpoint lists from the start
         }
     }
--- a/wrenseam/src/core/admin.rs
+++ b/wrenseam/src/core/admin.rs
@@ -22,7 +22,7 @@
     fn readiness(&self) -> AdminReply {
         if self.process_state.draining.load(Ordering::Acquire) {
             AdminReply::NotReadyDraining
-        } else if self.process_state.taking() {
+        } else if self.process_state.accepts_clients() {
             AdminReply::Ready
         } else {
             AdminReply::NotReadyStarting
--- a/wrenseam/src/core/attempts.rs
+++ b/wrenseam/src/core/attempts.rs
@@ -21,7 +21,7 @@
         write_by: Option<Instant>,
     ) {
         let now = self.clock.now();
-        let has_connection = self.make_room(&worker);
+        let has_connection = self.ensure_connection_available(&worker);
         let Some(request) = self.requests.request(id).cloned() else {
             return;
         };
@@ -147,6 +147,6 @@
             outcome,
             elapsed,
         };
-        note!("{line}");
+        log_limited!("{line}");
     }
 }
--- a/wrenseam/src/core/counters.rs
+++ b/wrenseam/src/core/counters.rs
@@ -1,6 +1,6 @@
 //! What the core counts: request ends by class and attempts for `telemetry`, and requests by tenant for `/v1/state`.
 //! All counts start from 0 in each process.
-use super::{DiscoveryFigures, FleetAdmission};
+use super::{DiscoveryMetrics, FleetAdmission};
 use crate::model::RequestEnd;
 use std::fmt::Write;
 
@@ -72,7 +72,7 @@
         &self,
         class_names: &[String],
         gauges: Gauges,
-        discovery: Option<DiscoveryFigures>,
+        discovery: Option<DiscoveryMetrics>,
         fleet: Option<&FleetAdmission>,
     ) -> String {
         let mut text = String::new();
--- a/wrenseam/src/core/discovery_contact.rs
+++ b/wrenseam/src/core/discovery_contact.rs
@@ -19,7 +19,7 @@
 
 /// The figures of the contact, as `telemetry` shows them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DiscoveryFigures {
+pub struct DiscoveryMetrics {
     /// Age of the last confirmation of the list, in milliseconds, if there was one in this process.
     pub confirmed_ms_ago: Option<u64>,
     /// How often the contact was interrupted.
@@ -30,7 +30,7 @@
     pub health_checks: u64,
 }
 
-impl DiscoveryFigures {
+impl DiscoveryMetrics {
     /// Writes the figures, one a line.
     pub fn write_telemetry(&self, text: &mut String) {
         if let Some(age) = self.confirmed_ms_ago {
@@ -55,7 +55,7 @@
                 self.apply_lease_actions(actions);
                 if let Some(lost_at) = self.contact.lost_at.take() {
                     let outage = now.saturating_sub(lost_at);
-                    note!("{}", LogLine::DiscoveryRegained { outage });
+                    log_limited!("{}", LogLine::DiscoveryRegained { outage });
                 }
             }
             DiscoveryContact::Interrupted { at, cause } => {
@@ -67,17 +67,17 @@
                     .contact
                     .confirmed_at
                     .map(|confirmed_at| now.saturating_sub(confirmed_at));
-                note!("{}", LogLine::DiscoveryLost { cause, age });
+                log_limited!("{}", LogLine::DiscoveryLost { cause, age });
             }
         }
     }
 
     /// The figures of the contact; `None` where no discovery service has ever been followed.
-    pub(super) fn discovery_figures(&self) -> Option<DiscoveryFigures> {
+    pub(super) fn discovery_figures(&self) -> Option<DiscoveryMetrics> {
         let contact = self.contact;
         let was_followed = contact.confirmed_at.is_some() || contact.interruptions > 0;
         let now = self.clock.now();
-        was_followed.then(|| DiscoveryFigures {
+        was_followed.then(|| DiscoveryMetrics {
             confirmed_ms_ago: contact
                 .confirmed_at
                 .map(|confirmed_at| now.saturating_sub(confirmed_at) / MICROS_PER_MILLI),
--- a/wrenseam/src/core/endpoints.rs
+++ b/wrenseam/src/core/endpoints.rs
@@ -78,11 +78,15 @@
         }
     }
 
-    /// Whether a worker's transport has a connection or may open one; see [`super::tables::WorkerTable::make_room`].
-    pub(super) fn make_room(&mut self, worker: &str) -> bool {
-        let clients = self.process_state.clients.load(Ordering::Acquire);
+    /// Whether a worker's transport has a connection or may open one; see
+    /// [`super::tables::WorkerTable::ensure_connection_available`].
+    pub(super) fn ensure_connection_available(&mut self, worker: &str) -> bool {
+        let clients = self
+            .process_state
+            .client_connections
+            .load(Ordering::Acquire);
         self.workers
-            .make_room(worker, self.connection_pool(), clients)
+            .ensure_connection_available(worker, self.connection_pool(), clients)
     }
 
     /// How many connections to workers there may be.
--- a/wrenseam/src/core/load_orders.rs
+++ b/wrenseam/src/core/load_orders.rs
@@ -12,7 +12,7 @@
     pub(super) fn order_load(&mut self, worker: WorkerId, function: FunctionId, replicas: u32) {
         let now = self.clock.now();
         let number = self.next_number();
-        let has_connection = self.make_room(&worker);
+        let has_connection = self.ensure_connection_available(&worker);
         let start_deadline = match replicas {
             0 => None,
             _ => self.lease_end(&worker),
@@ -68,7 +68,7 @@
                 outcome,
                 elapsed,
             };
-            note!("{line}");
+            log_limited!("{line}");
         }
         // A draining worker answers polls as any other does.
         if order.replicas > 0 || outcome != Outcome::Ok {
--- a/wrenseam/src/core/messages.rs
+++ b/wrenseam/src/core/messages.rs
@@ -16,7 +16,7 @@
             } => self.handle_request(request, client, tag),
             Message::RequestCancelled { connection, tag } => self.cancel_request(connection, tag),
             Message::ClientDisconnected { connection } => self.cancel_requests_of(connection),
-            Message::EndedAtFront { class, end } => {
+            Message::AnsweredAtFront { class, end } => {
                 let class = self.settings.class(&class);
                 self.request_counters.record_end(class, end);
             }
@@ -36,7 +36,7 @@
                 endpoints,
             } => self.update_endpoints(source, complete, endpoints),
             Message::DiscoveryContact(contact) => self.handle_discovery_contact(contact),
-            Message::Inspect { reply } => {
+            Message::StateReport { reply } => {
                 let _ = reply.send(self.state_report()); // the caller may have disconnected
             }
             Message::Admin { command, reply } => {
--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -22,7 +22,7 @@
 pub mod timers;
 
 pub use counters::{Gauges, RequestCounters, TenantCounters, TenantCounts};
-pub use discovery_contact::DiscoveryFigures;
+pub use discovery_contact::DiscoveryMetrics;
 pub use fleet_admission::FleetAdmission;
 
 use crate::clock::Clock;
@@ -140,7 +140,7 @@
 
     /// Makes these system calls on connections to workers in place of the machine's.
     #[must_use]
-    pub fn with_calls(mut self, system_calls: Arc<dyn SystemCalls>) -> Self {
+    pub fn with_system_calls(mut self, system_calls: Arc<dyn SystemCalls>) -> Self {
         self.system_calls = system_calls;
         self
     }
@@ -189,7 +189,7 @@
         let overdue = self.timers.overdue(self.clock.now());
         if overdue > REPORTED_DELAY {
             let open_requests = self.requests.len();
-            note!(
+            log_limited!(
                 "{}",
                 LogLine::TimersLate {
                     overdue,
--- a/wrenseam/src/core/readiness.rs
+++ b/wrenseam/src/core/readiness.rs
@@ -81,7 +81,7 @@
                 LeaseAction::Check(worker) => self.check_health(worker),
                 LeaseAction::Suspend { worker, reason } => {
                     let worker_id = &worker;
-                    note!("{}", LogLine::Suspended { worker_id, reason });
+                    log_limited!("{}", LogLine::Suspended { worker_id, reason });
                     changes.extend(self.membership.suspend(&worker));
                 }
                 LeaseAction::Resume {
@@ -89,7 +89,7 @@
                     may_have_restarted,
                 } => {
                     let worker_id = &worker;
-                    note!(
+                    log_limited!(
                         "{}",
                         LogLine::Resumed {
                             worker_id,
@@ -106,7 +106,7 @@
 
     fn check_health(&mut self, worker: WorkerId) {
         let number = self.next_number();
-        if !self.make_room(&worker) {
+        if !self.ensure_connection_available(&worker) {
             return;
         }
         let Some(transport) = self.workers.transport(&worker) else {
--- a/wrenseam/src/core/requests.rs
+++ b/wrenseam/src/core/requests.rs
@@ -15,7 +15,7 @@
         let tenant = self.settings.tenant(&request.tenant);
         if let Err(reason) = self.validate(&request, class, tenant) {
             let wire_id = request.wire_id;
-            note!("{}", LogLine::InvalidRequest { wire_id, reason });
+            log_limited!("{}", LogLine::InvalidRequest { wire_id, reason });
             self.request_counters.record_end(class, RequestEnd::Failed);
             client.answer(tag, Answer::Failed);
             return;
@@ -82,7 +82,9 @@
             retry: request.is_retry,
         }));
         self.requests.insert(id, accepted);
-        self.process_state.open.fetch_add(1, Ordering::AcqRel);
+        self.process_state
+            .open_requests
+            .fetch_add(1, Ordering::AcqRel);
         // The policy ends each request in time; this timer guarantees the answer should it not.
         self.timers.set(
             now.saturating_add(time_left),
@@ -146,7 +148,7 @@
             attempts: self.requests.attempts_made(id),
             elapsed: self.clock.now().saturating_sub(received_at),
         };
-        note!("{line}");
+        log_limited!("{line}");
     }
 
     /// Sends the final answer and removes the request's record if no attempt is open.
@@ -158,7 +160,9 @@
     /// Removes the record of a request that is answered and has no open attempt.
     pub(super) fn remove_if_finished(&mut self, id: u64) {
         if self.requests.remove_finished(id) {
-            self.process_state.open.fetch_sub(1, Ordering::AcqRel);
+            self.process_state
+                .open_requests
+                .fetch_sub(1, Ordering::AcqRel);
         }
     }
 }
--- a/wrenseam/src/core/tables/workers.rs
+++ b/wrenseam/src/core/tables/workers.rs
@@ -173,16 +173,21 @@
 
     /// Whether an attempt at this worker finds a connection or may open one, beside so many client connections. Where
     /// descriptors run short, the connections idle longest are closed for it, whichever worker they lead to.
-    pub fn make_room(&mut self, worker: &str, pool: Pool, clients: usize) -> bool {
+    pub fn ensure_connection_available(
+        &mut self,
+        worker: &str,
+        pool: Pool,
+        clients: usize,
+    ) -> bool {
         let needs_connection = self
             .0
             .get(worker)
             .is_some_and(|worker| worker.transport.connections().next_attempt_opens);
-        !needs_connection || self.trim(1, pool, clients)
+        !needs_connection || self.trim_idle_connections(1, pool, clients)
     }
 
     /// Closes the connections idle longest until `more` may be opened; false if too many are in use.
-    pub fn trim(&mut self, more: usize, pool: Pool, clients: usize) -> bool {
+    pub fn trim_idle_connections(&mut self, more: usize, pool: Pool, clients: usize) -> bool {
         let excess = pool.excess(ConnectionCounts {
             open: self.connections(),
             additional: more,
--- a/wrenseam/src/core/timer_events.rs
+++ b/wrenseam/src/core/timer_events.rs
@@ -42,8 +42,12 @@
         let period = self.limits.link_check;
         if now < self.last_liveness_check + 2 * period {
             self.workers.check_liveness();
-            let clients = self.process_state.clients.load(Ordering::Acquire);
-            self.workers.trim(0, self.connection_pool(), clients);
+            let clients = self
+                .process_state
+                .client_connections
+                .load(Ordering::Acquire);
+            self.workers
+                .trim_idle_connections(0, self.connection_pool(), clients);
         }
         self.last_liveness_check = now;
         self.timers.set(now + period, TimerEvent::LivenessCheck);
--- a/wrenseam/src/discovery/client.rs
+++ b/wrenseam/src/discovery/client.rs
@@ -107,7 +107,7 @@
         }
         if let Some(address) = address {
             let last_event = self.state.last_event();
-            note!(
+            log_limited!(
                 "{}",
                 log_lines::connection_ended(address, last_event, &error)
             );
--- a/wrenseam/src/discovery/event_stream.rs
+++ b/wrenseam/src/discovery/event_stream.rs
@@ -1,6 +1,6 @@
 //! The discovery service's response: an HTTP/1.1 head, then server-sent events, plain or in chunked coding. Bytes go
 //! in, events come out; no I/O.
-use crate::http::{Chunked, Coded, Head, HeadError, InvalidChunkSize};
+use crate::http::{ChunkedDecoder, DecodedByte, Head, HeadError, InvalidChunkSize};
 use crate::limits::DiscoveryLimits;
 use thiserror::Error;
 
@@ -133,7 +133,7 @@
 enum ResponsePart {
     Head(Vec<u8>),
     PlainBody,
-    ChunkedBody(Chunked),
+    ChunkedBody(ChunkedDecoder),
 }
 
 impl EventStreamResponse {
@@ -164,10 +164,10 @@
                 Ok(StreamItem::Incomplete)
             }
             ResponsePart::PlainBody => self.push_content(byte),
-            ResponsePart::ChunkedBody(chunked) => match chunked.byte(byte)? {
-                Coded::Byte(content) => self.push_content(content),
-                Coded::Nothing => Ok(StreamItem::Incomplete),
-                Coded::End => Err(EventStreamError::Ended),
+            ResponsePart::ChunkedBody(chunked) => match chunked.decode_byte(byte)? {
+                DecodedByte::Content(content) => self.push_content(content),
+                DecodedByte::Framing => Ok(StreamItem::Incomplete),
+                DecodedByte::LastChunk => Err(EventStreamError::Ended),
             },
         }
     }
@@ -182,12 +182,12 @@
 }
 
 fn parse_head(head: &[u8]) -> Result<ResponsePart, EventStreamError> {
-    let head = Head::answer(head)?;
+    let head = Head::response(head)?;
     if head.status != STATUS_OK {
         return Err(EventStreamError::Status(head.status));
     }
     if head.chunked {
-        return Ok(ResponsePart::ChunkedBody(Chunked::default()));
+        return Ok(ResponsePart::ChunkedBody(ChunkedDecoder::default()));
     }
     Ok(ResponsePart::PlainBody)
 }
--- a/wrenseam/src/discovery/watch.rs
+++ b/wrenseam/src/discovery/watch.rs
@@ -158,12 +158,12 @@
         match parse_event(fields) {
             Ok(event) => {
                 for fault in &event.faults {
-                    note!("{}", log_lines::known_event_fault(number, fault));
+                    log_limited!("{}", log_lines::known_event_fault(number, fault));
                 }
                 self.apply(number, event)
             }
             Err(error) => {
-                note!("{}", log_lines::known_event_skipped(number, &error));
+                log_limited!("{}", log_lines::known_event_skipped(number, &error));
                 self.incomplete.insert(number, 0);
                 None
             }
@@ -199,7 +199,7 @@
         self.incomplete.retain(|&number, repeated_requests| {
             let request_again = *repeated_requests < MAX_REPEATED_REQUESTS;
             if !request_again {
-                note!("{}", log_lines::event_fault_ignored(number));
+                log_limited!("{}", log_lines::event_fault_ignored(number));
             }
             request_again
         });
@@ -292,7 +292,7 @@
             };
             self.request_once_more(RepeatedRequest::Numbered(number), error)?;
         }
-        note!("{}", log_lines::event_fault(number, fault));
+        log_limited!("{}", log_lines::event_fault(number, fault));
         Ok(())
     }
 
@@ -321,7 +321,7 @@
 
     /// The list of a service that has restarted its event numbers replaces what was received before.
     fn adopt(&mut self, restarted: RestartedList) -> EndpointListUpdate {
-        note!(
+        log_limited!(
             "{}",
             log_lines::numbers_restarted(restarted.last_event, self.last_event)
         );
--- a/wrenseam/src/front/admin/exclusions.rs
+++ b/wrenseam/src/front/admin/exclusions.rs
@@ -103,7 +103,7 @@
         let mut ids = match read_exclusions(path) {
             Ok(ids) => ids,
             Err(error) => {
-                note!("{}", handover_not_read(HandoverContent::Exclusions, &error));
+                log_limited!("{}", handover_not_read(HandoverContent::Exclusions, &error));
                 return false;
             }
         };
--- a/wrenseam/src/front/admin/file.rs
+++ b/wrenseam/src/front/admin/file.rs
@@ -7,7 +7,7 @@
 pub(super) fn write_atomically(path: &Path, text: &str, content: HandoverContent) {
     let new = path.with_extension("new");
     if let Err(error) = std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, path)) {
-        note!("{}", handover_not_written(content, &error));
+        log_limited!("{}", handover_not_written(content, &error));
     }
 }
 
--- a/wrenseam/src/front/admin/handover.rs
+++ b/wrenseam/src/front/admin/handover.rs
@@ -30,7 +30,7 @@
         let path = std::env::temp_dir().join(format!("wrenseam-process-{name}"));
         // One that cannot be read may name another process.
         let previous = read_if_there(&path).unwrap_or_else(|error| {
-            note!(
+            log_limited!(
                 "{}",
                 handover_not_read(HandoverContent::ActiveProcess, &error)
             );
@@ -54,7 +54,7 @@
         let active = match read_if_there(&self.path) {
             Ok(active) => active,
             Err(error) => {
-                note!(
+                log_limited!(
                     "{}",
                     handover_not_read(HandoverContent::ActiveProcess, &error)
                 );
@@ -74,13 +74,13 @@
     let mut sent = None;
     loop {
         if let Some(is_standby) = active_process.poll() {
-            note!("{}", standby_changed(is_standby));
+            log_limited!("{}", standby_changed(is_standby));
             let _ = context.core.send(Message::Standby(is_standby)); // seen below if the core has ended
         }
         let ids = match context.exclusion_commands.read_settled(&path) {
             Ok(ids) => ids.filter(|ids| sent.as_ref() != Some(ids)),
             Err(error) => {
-                note!("{}", handover_not_read(HandoverContent::Exclusions, &error));
+                log_limited!("{}", handover_not_read(HandoverContent::Exclusions, &error));
                 None
             }
         };
--- a/wrenseam/src/front/admin/mod.rs
+++ b/wrenseam/src/front/admin/mod.rs
@@ -41,7 +41,7 @@
         match listener.accept() {
             Ok((stream, peer)) => admit(stream, peer, context, &connections),
             Err(error) => {
-                note!("{}", messages::accept_failed("admin", &error));
+                log_limited!("{}", messages::accept_failed("admin", &error));
                 sleep(ACCEPT_RETRY);
             }
         }
@@ -57,7 +57,7 @@
 ) {
     if connections.fetch_add(1, Ordering::AcqRel) >= MAX_CONNECTIONS {
         connections.fetch_sub(1, Ordering::AcqRel);
-        return note!("{}", messages::admin_connection_rejected(peer));
+        return log_limited!("{}", messages::admin_connection_rejected(peer));
     }
     let stack = context.limits.stack;
     let context = context.clone();
@@ -67,7 +67,7 @@
         connections.fetch_sub(1, Ordering::AcqRel);
     };
     if let Err(error) = spawn(stack, run) {
-        note!("{}", messages::connection_not_served("admin", peer, &error));
+        log_limited!("{}", messages::connection_not_served("admin", peer, &error));
     }
 }
 
@@ -75,12 +75,12 @@
 fn serve(mut stream: TcpStream, context: &ListenerContext) {
     let line = match read_line(&mut stream) {
         Ok(line) => line,
-        Err(error) => return note!("{}", messages::admin_connection_closed(&error)),
+        Err(error) => return log_limited!("{}", messages::admin_connection_closed(&error)),
     };
     let reply = render(&execute(&line, context));
     let _ = stream.set_write_timeout(Some(REPLY_TIMEOUT));
     if let Err(error) = stream.write_all(reply.as_bytes()) {
-        note!("{}", messages::admin_reply_not_written(&error));
+        log_limited!("{}", messages::admin_reply_not_written(&error));
     }
     let _ = stream.shutdown(Shutdown::Both);
 }
--- a/wrenseam/src/front/connection.rs
+++ b/wrenseam/src/front/connection.rs
@@ -2,7 +2,7 @@
 use super::fastcgi::FastCgiError;
 use super::kserve::HttpError;
 use super::{messages, ListenerContext};
-use crate::log::Line;
+use crate::log::RateLimitedLine;
 use crate::model::Client;
 use crate::net::{receive, ConnectionSlot, Outbox, ReadFairness, ReadOutcome, SlotGuard};
 use crate::ring::Ring;
@@ -48,15 +48,15 @@
 
 /// The log lines about the connections of one protocol, each limited in rate for that protocol.
 pub(super) struct ConnectionLog {
-    not_started: Line,
-    closed: Line,
+    not_started: RateLimitedLine,
+    closed: RateLimitedLine,
 }
 
 impl ConnectionLog {
     pub(super) const fn new() -> Self {
         ConnectionLog {
-            not_started: Line::new(),
-            closed: Line::new(),
+            not_started: RateLimitedLine::new(),
+            closed: RateLimitedLine::new(),
         }
     }
 
@@ -143,7 +143,7 @@
         if received == ReadOutcome::Closed {
             return Ok(Flow::Ended);
         }
-        self.filled_ring = self.ring.len() == self.ring.footprint();
+        self.filled_ring = self.ring.len() == self.ring.capacity();
         let is_quiet =
             received == ReadOutcome::NotReady && between_requests && self.ring.is_empty();
         if shutting_down && is_quiet && self.channel.slot.is_idle() {
@@ -174,7 +174,7 @@
     pub(super) fn discard_until_closed(&mut self) {
         let mut fairness = ReadFairness::default();
         loop {
-            fairness.record(self.ring.len() == self.ring.footprint());
+            fairness.record(self.ring.len() == self.ring.capacity());
             self.ring.truncate(0);
             if self.channel.out.is_closing() {
                 return;
--- a/wrenseam/src/front/fastcgi/connection.rs
+++ b/wrenseam/src/front/fastcgi/connection.rs
@@ -121,7 +121,7 @@
         match rejection {
             Rejection::Early(reason) => self.end_at_once(request_id, reason),
             Rejection::Invalid(error) => {
-                note!("{}", messages::fastcgi_request_invalid(request_id, &error));
+                log_limited!("{}", messages::fastcgi_request_invalid(request_id, &error));
                 let response = status_response(request_id, "400 Bad Request");
                 self.client.channel.out.send(response);
             }
@@ -199,7 +199,7 @@
 
     /// Ends a request whose parameters are not looked at; its connection stays.
     fn end_at_once(&self, request_id: u16, reason: EarlyEnd) {
-        note!(
+        log_limited!(
             "{}",
             messages::fastcgi_request_rejected(request_id, &reason)
         );
--- a/wrenseam/src/front/fastcgi/dispatch.rs
+++ b/wrenseam/src/front/fastcgi/dispatch.rs
@@ -47,7 +47,7 @@
     }
 
     fn report_health(&self, request_id: u16, close: bool) {
-        let status = if self.context.process_state.taking() {
+        let status = if self.context.process_state.accepts_clients() {
             "200 OK"
         } else {
             "503 Service Unavailable"
@@ -66,7 +66,7 @@
         if let Ok(request) = parameters.to_request(partial.body, &self.context.limits) {
             self.context
                 .core
-                .ended_at_front(request.class, RequestEnd::Rejected);
+                .answered_at_front(request.class, RequestEnd::Rejected);
         }
         let answer = Answer::Rejected {
             retry_after: SHUTDOWN_RETRY_AFTER,
--- a/wrenseam/src/front/kserve/admin_api.rs
+++ b/wrenseam/src/front/kserve/admin_api.rs
@@ -7,7 +7,7 @@
 
 /// Answers a request to the administration API.
 pub(super) fn reply(connection: &HttpConnection, request: HttpRequest) -> Reply {
-    let is_ready = || connection.context.process_state.taking();
+    let is_ready = || connection.context.process_state.accepts_clients();
     match (request.head.method.as_str(), request.head.path()) {
         ("GET", "/healthz") if is_ready() => Reply::now(Status::Ok, r#"{"ready":true}"#),
         ("GET", "/healthz") => Reply::now(Status::ServiceUnavailable, r#"{"ready":false}"#),
@@ -20,7 +20,7 @@
 /// The core's report.
 fn state(connection: &HttpConnection) -> Reply {
     let (reply, report) = may::sync::mpsc::channel();
-    let _ = connection.context.core.send(Message::Inspect { reply }); // no report comes from a core that has ended
+    let _ = connection.context.core.send(Message::StateReport { reply }); // no report comes from a core that has ended
     match report.recv() {
         Ok(report) => Reply::now(Status::Ok, report),
         Err(_) => Reply::error(Status::ServiceUnavailable, "the core is ending"),
--- a/wrenseam/src/front/kserve/decoder.rs
+++ b/wrenseam/src/front/kserve/decoder.rs
@@ -126,7 +126,7 @@
         if length > limits.body {
             return Err(HttpError::BodyTooLong);
         }
-        let expects_continue = head.expects && length > 0;
+        let expects_continue = head.expects_continue && length > 0;
         let body = Vec::with_capacity(length);
         self.partial = Some(HttpRequest { head, body });
         Ok(expects_continue)
--- a/wrenseam/src/front/kserve/routes.rs
+++ b/wrenseam/src/front/kserve/routes.rs
@@ -65,7 +65,7 @@
     if segments.len() > 4 && segments[3] == "versions" {
         segments.drain(3..5);
     }
-    let is_ready = || connection.context.process_state.taking();
+    let is_ready = || connection.context.process_state.accepts_clients();
     match (head.method.as_str(), &segments[..]) {
         ("GET", ["v2", "health", "live"]) => Reply::now(Status::Ok, r#"{"live":true}"#),
         ("GET", ["v2", "health", "ready"]) => server_ready(is_ready()),
@@ -105,13 +105,13 @@
     let context = connection.context;
     let received_at = Instant::now();
     let Some(reserved_bytes) = context.budget.reserve(body.len()) else {
-        note!("{}", messages::v2_memory_limit());
+        log_limited!("{}", messages::v2_memory_limit());
         return Reply::error(Status::ServiceUnavailable, "too many bytes are held");
     };
     let request = match to_request(name, body, &context.limits) {
         Ok(request) => request,
         Err(error) => {
-            note!("{}", messages::v2_request_invalid(&error));
+            log_limited!("{}", messages::v2_request_invalid(&error));
             return Reply::error(Status::BadRequest, &error.to_string());
         }
     };
@@ -119,7 +119,7 @@
         // The process ends soon: another process takes what comes now.
         context
             .core
-            .ended_at_front(request.class, RequestEnd::Rejected);
+            .answered_at_front(request.class, RequestEnd::Rejected);
         return Reply::error(Status::ServiceUnavailable, "the front end is ending");
     }
     let request = Request {
--- a/wrenseam/src/front/listener.rs
+++ b/wrenseam/src/front/listener.rs
@@ -55,7 +55,7 @@
             slots: ConnectionSlots::new(
                 limits.client_connections,
                 process_state.draining.clone(),
-                process_state.clients.clone(),
+                process_state.client_connections.clone(),
             ),
             limits,
             unsent_bytes: Arc::default(),
@@ -106,7 +106,7 @@
             }
             Err(_) if context.listeners_closing.load(Ordering::Acquire) => break,
             Err(error) => {
-                note!("{}", messages::accept_failed(front, &error));
+                log_limited!("{}", messages::accept_failed(front, &error));
                 sleep(ACCEPT_RETRY);
             }
         }
@@ -123,13 +123,13 @@
 ) {
     // Guards the descriptors that connections to workers and the discovery service need.
     let Some(guard) = acquire_slot(context) else {
-        return note!("{}", messages::slots_exhausted(front, peer));
+        return log_limited!("{}", messages::slots_exhausted(front, peer));
     };
     let connection_context = context.clone();
     let _ = stream.set_nodelay(true); // a connection without it is only slower
     let run = move || serve(stream, &connection_context, guard);
     if let Err(error) = spawn(context.limits.stack, run) {
-        note!("{}", messages::connection_not_served(front, peer, &error));
+        log_limited!("{}", messages::connection_not_served(front, peer, &error));
     }
 }
 
--- a/wrenseam/src/gossip.rs
+++ b/wrenseam/src/gossip.rs
@@ -177,7 +177,7 @@
             metadata.config_digest = config_digest;
         });
         if let Err(error) = updated {
-            note!("{}", log_lines::record_not_published(&error));
+            log_limited!("{}", log_lines::record_not_published(&error));
         }
     }
 
@@ -199,11 +199,11 @@
     fn log_status(&mut self, status: &FleetStatus) {
         if status.dropped != self.dropped {
             self.dropped = status.dropped;
-            note!("{}", log_lines::datagrams_dropped(&status.dropped));
+            log_limited!("{}", log_lines::datagrams_dropped(&status.dropped));
         }
         if status.mixed != self.is_mixed {
             self.is_mixed = status.mixed;
-            note!("{}", log_lines::mixed_versions(status.mixed));
+            log_limited!("{}", log_lines::mixed_versions(status.mixed));
         }
     }
 
@@ -219,12 +219,12 @@
         for TimedPeerEvent { event, .. } in self.node.events() {
             let alive = self.node.alive();
             match event {
-                PeerEvent::Up(peer) => note!("{}", log_lines::peer_up(peer.addr, alive)),
-                PeerEvent::Down(peer) => note!("{}", log_lines::peer_down(peer.addr, alive)),
-                PeerEvent::Left(peer) => note!("{}", log_lines::peer_left(peer.addr, alive)),
+                PeerEvent::Up(peer) => log_limited!("{}", log_lines::peer_up(peer.addr, alive)),
+                PeerEvent::Down(peer) => log_limited!("{}", log_lines::peer_down(peer.addr, alive)),
+                PeerEvent::Left(peer) => log_limited!("{}", log_lines::peer_left(peer.addr, alive)),
                 PeerEvent::NewIncarnation(_) => {}
-                PeerEvent::Isolated => note!("{}", log_lines::isolated()),
-                PeerEvent::Rejoined => note!("{}", log_lines::rejoined()),
+                PeerEvent::Isolated => log_limited!("{}", log_lines::isolated()),
+                PeerEvent::Rejoined => log_limited!("{}", log_lines::rejoined()),
             }
         }
     }
--- a/wrenseam/src/http.rs
+++ b/wrenseam/src/http.rs
@@ -86,7 +86,7 @@
     /// Whether the connection ends with this exchange.
     pub close: bool,
     /// Whether the client waits for a 100 Continue before it sends the body.
-    pub expects: bool,
+    pub expects_continue: bool,
     /// Whether a response has a Retry-After.
     pub retry_after: bool,
 }
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     /// The head is not HTTP/1, or its lengths contradict each other.
-    pub fn answer(head: &[u8]) -> Result<Head, HeadError> {
+    pub fn response(head: &[u8]) -> Result<Head, HeadError> {
         let mut headers = [httparse::EMPTY_HEADER; HEADERS];
         let mut response = httparse::Response::new(&mut headers);
         response.parse(head)?;
@@ -147,7 +147,7 @@
                     self.close = value == "close" || self.close && value != "keep-alive";
                 }
                 "retry-after" => self.retry_after = !value.is_empty(),
-                "expect" => self.expects = value == "100-continue",
+                "expect" => self.expects_continue = value == "100-continue",
                 _ => {}
             }
         }
@@ -170,33 +170,33 @@
 
 /// What a byte of the chunked coding stands for.
 #[derive(Debug, PartialEq)]
-pub enum Coded {
+pub enum DecodedByte {
     /// Content.
-    Byte(u8),
+    Content(u8),
     /// Part of the coding.
-    Nothing,
+    Framing,
     /// The last chunk has begun.
-    End,
+    LastChunk,
 }
 
 /// Decodes the chunked transfer coding, byte by byte.
 #[derive(Default)]
-pub struct Chunked {
+pub struct ChunkedDecoder {
     /// Bytes of the chunk's content that are still to come.
     remaining: usize,
     /// The first line of the next chunk, so far.
     line: Vec<u8>,
 }
 
-impl Chunked {
+impl ChunkedDecoder {
     /// Takes the next byte.
     ///
     /// # Errors
     /// The first line of a chunk names no size.
-    pub fn byte(&mut self, byte: u8) -> Result<Coded, InvalidChunkSize> {
+    pub fn decode_byte(&mut self, byte: u8) -> Result<DecodedByte, InvalidChunkSize> {
         if self.remaining > 0 {
             self.remaining -= 1;
-            return Ok(Coded::Byte(byte));
+            return Ok(DecodedByte::Content(byte));
         }
         match byte {
             b'\n' if self.line.is_empty() => {} // the line end behind a chunk
@@ -205,19 +205,19 @@
             _ if self.line.len() > CHUNK_LINE_LENGTH => return Err(InvalidChunkSize),
             _ => self.line.push(byte),
         }
-        Ok(Coded::Nothing)
+        Ok(DecodedByte::Framing)
     }
 
-    fn begin_chunk(&mut self) -> Result<Coded, InvalidChunkSize> {
+    fn begin_chunk(&mut self) -> Result<DecodedByte, InvalidChunkSize> {
         let line = String::from_utf8_lossy(&self.line);
         let size = line.split(';').next().unwrap_or_default().trim();
         let size = usize::from_str_radix(size, 16).map_err(|_| InvalidChunkSize)?;
         self.remaining = size;
         self.line.clear();
         if size == 0 {
-            return Ok(Coded::End);
+            return Ok(DecodedByte::LastChunk);
         }
-        Ok(Coded::Nothing)
+        Ok(DecodedByte::Framing)
     }
 }
 
--- a/wrenseam/src/log.rs
+++ b/wrenseam/src/log.rs
@@ -8,17 +8,17 @@
 
 /// One kind of line, by the place in the code that writes it.
 #[derive(Default)]
-pub struct Line {
+pub struct RateLimitedLine {
     /// The Unix second in which the last of the kind came.
     second: AtomicU64,
     /// How many came in it.
     count: AtomicU64,
 }
 
-impl Line {
+impl RateLimitedLine {
     /// A kind of which nothing has been written yet.
     pub const fn new() -> Self {
-        Line {
+        RateLimitedLine {
             second: AtomicU64::new(0),
             count: AtomicU64::new(0),
         }
@@ -56,11 +56,11 @@
     }
 }
 
-/// Writes a line to the log that a client, a worker or the board can cause; see [`Line`].
+/// Writes a line to the log that a client, a worker or the board can cause; see [`RateLimitedLine`].
 #[macro_export]
-macro_rules! note {
+macro_rules! log_limited {
     ($($text:tt)*) => {{
-        static LINE: $crate::log::Line = $crate::log::Line::new();
+        static LINE: $crate::log::RateLimitedLine = $crate::log::RateLimitedLine::new();
         LINE.write(format_args!($($text)*))
     }};
 }
--- a/wrenseam/src/net/outbox.rs
+++ b/wrenseam/src/net/outbox.rs
@@ -126,7 +126,7 @@
         let reserved = self.budget.reserve(length);
         let unsent = self.unsent.on_connection();
         if reserved.is_none() || unsent + length > self.unsent_limit {
-            note!("{}", messages::responses_unread(unsent));
+            log_limited!("{}", messages::responses_unread(unsent));
             return self.abort();
         }
         self.unsent.add(length);
--- a/wrenseam/src/net/writer.rs
+++ b/wrenseam/src/net/writer.rs
@@ -153,7 +153,7 @@
     }
 
     fn give_up(&mut self, reason: &dyn std::fmt::Display) {
-        note!("{}", messages::response_write_failed(reason));
+        log_limited!("{}", messages::response_write_failed(reason));
         self.is_broken = true;
         let _ = self.stream.shutdown(Shutdown::Both); // it may have ended by itself
     }
--- a/wrenseam/src/process_state.rs
+++ b/wrenseam/src/process_state.rs
@@ -7,7 +7,7 @@
 #[derive(Default)]
 pub struct ProcessState {
     /// Requests that the core accepted and still has a record of.
-    pub open: AtomicUsize,
+    pub open_requests: AtomicUsize,
     /// Whether the core runs and has an endpoint list.
     pub ready: AtomicBool,
     /// Whether the front end drains: it reports itself as not ready, and client connections close once idle.
@@ -15,7 +15,7 @@
     /// Whether the process is about to end: new requests on open connections are rejected at once.
     pub stopping: AtomicBool,
     /// Open client connections.
-    pub clients: Arc<AtomicUsize>,
+    pub client_connections: Arc<AtomicUsize>,
     /// A digest of the configuration in force.
     pub config_digest: AtomicU64,
     /// Whether the process is about to end and gossip is to notify the fleet.
@@ -41,7 +41,7 @@
     }
 
     /// Whether the front end accepts clients: it has an endpoint list and does not drain. What `/healthz` reports.
-    pub fn taking(&self) -> bool {
+    pub fn accepts_clients(&self) -> bool {
         self.ready.load(Ordering::Acquire) && !self.draining.load(Ordering::Acquire)
     }
 }
--- a/wrenseam/src/queue.rs
+++ b/wrenseam/src/queue.rs
@@ -35,7 +35,7 @@
         connection: u64,
     },
     /// A front answered a request itself, without the core.
-    EndedAtFront {
+    AnsweredAtFront {
         /// Name of the request's class.
         class: String,
         /// How it ended.
@@ -83,7 +83,7 @@
     /// The contact with the discovery service changed.
     DiscoveryContact(DiscoveryContact),
     /// The JSON of `/v1/state` is wanted: tenants, endpoints and counts.
-    Inspect {
+    StateReport {
         /// Where it goes.
         reply: may::sync::mpsc::Sender<String>,
     },
@@ -147,8 +147,8 @@
     }
 
     /// A front answered a request of this class itself.
-    pub fn ended_at_front(&self, class: String, end: RequestEnd) {
-        self.post(Message::EndedAtFront { class, end });
+    pub fn answered_at_front(&self, class: String, end: RequestEnd) {
+        self.post(Message::AnsweredAtFront { class, end });
     }
 
     /// An attempt ended.
--- a/wrenseam/src/ring.rs
+++ b/wrenseam/src/ring.rs
@@ -42,7 +42,7 @@
     }
 
     /// Bytes that the ring takes in memory now.
-    pub fn footprint(&self) -> usize {
+    pub fn capacity(&self) -> usize {
         self.bytes.len()
     }
 
@@ -102,7 +102,7 @@
     }
 
     /// Drops `len` bytes that begin `at` bytes behind the oldest.
-    pub fn cut(&mut self, at: usize, len: usize) {
+    pub fn remove_range(&mut self, at: usize, len: usize) {
         let mut all = Vec::with_capacity(self.len);
         self.take(usize::MAX, &mut all);
         let at = at.min(all.len());
--- a/wrenseam/src/server.rs
+++ b/wrenseam/src/server.rs
@@ -170,7 +170,7 @@
             Ok(excluded) => {
                 let _ = self.core.send(Message::Exclusions(excluded)); // the core ends only with the process
             }
-            Err(error) => note!(
+            Err(error) => log_limited!(
                 "{}",
                 messages::handover_not_read(HandoverContent::Exclusions, &error)
             ),
--- a/wrenseam/src/shutdown.rs
+++ b/wrenseam/src/shutdown.rs
@@ -43,7 +43,7 @@
     reject_new_requests(context);
     close_listeners(listeners, context);
     close_connections(context);
-    let open_requests = context.process_state.open.load(Ordering::Acquire);
+    let open_requests = context.process_state.open_requests.load(Ordering::Acquire);
     eprintln!("{}", messages::shutdown_complete(open_requests));
 }
 
@@ -126,7 +126,10 @@
 /// connection: it waits for one, and is no longer counted after a linger.
 fn remaining(context: &ListenerContext, started_at: Instant) -> usize {
     let accept_loops = context.accept_loops.load(Ordering::Acquire);
-    let connections = context.process_state.clients.load(Ordering::Acquire);
+    let connections = context
+        .process_state
+        .client_connections
+        .load(Ordering::Acquire);
     if started_at.elapsed() < context.limits.linger {
         accept_loops + connections
     } else {
--- a/wrenseam/src/worker/frames/mod.rs
+++ b/wrenseam/src/worker/frames/mod.rs
@@ -105,7 +105,7 @@
         };
         if let Err(error) = spawn(self.limits.stack, move || writer.run(&commands)) {
             // The timers of what is handed over end it.
-            note!("{}", log_lines::coroutine_not_started(self.address, &error));
+            log_limited!("{}", log_lines::coroutine_not_started(self.address, &error));
         }
         ConnectionHandle::new(sender, state)
     }
--- a/wrenseam/src/worker/frames/outgoing.rs
+++ b/wrenseam/src/worker/frames/outgoing.rs
@@ -245,7 +245,7 @@
         };
         let mut ended = Vec::new();
         for cut in cuts {
-            self.ring.cut(cut.at, cut.len);
+            self.ring.remove_range(cut.at, cut.len);
             let exchange = cut.id.and_then(|id| table.open.remove(&id));
             if let Some(exchange) = exchange.filter(|_| cut.ends) {
                 ended.push(exchange.kind);
--- a/wrenseam/src/worker/frames/reader.rs
+++ b/wrenseam/src/worker/frames/reader.rs
@@ -64,7 +64,7 @@
     /// Reads answers until the connection ends, and ends everything open on it.
     pub(super) fn run(mut self, address: SocketAddr) {
         if let Err(reason) = self.read_and_shut_down() {
-            note!("{}", log_lines::connection_closed(address, &reason));
+            log_limited!("{}", log_lines::connection_closed(address, &reason));
         }
         self.state.close(&self.reports);
         self.reports.worker_connection_ended(address);
--- a/wrenseam/src/worker/frames/writer.rs
+++ b/wrenseam/src/worker/frames/writer.rs
@@ -59,7 +59,7 @@
     /// Writes until the connection ends, and ends everything that is or comes still in the queue.
     pub(super) fn run(mut self, commands: &Receiver<Command>) {
         if let Err(reason) = self.serve(commands) {
-            note!("{}", log_lines::connection_ended(self.address, &reason));
+            log_limited!("{}", log_lines::connection_ended(self.address, &reason));
         }
         self.state.close(&self.reports);
         self.outgoing.end_all();
@@ -188,7 +188,7 @@
     fn check_close_requests(&mut self, stream: &TcpStream) -> Result<(), WriteError> {
         for asked_at in std::mem::take(&mut self.close_requests) {
             if self.is_silent_since(asked_at, stream) {
-                note!("{}", log_lines::keepalive_timed_out(self.address));
+                log_limited!("{}", log_lines::keepalive_timed_out(self.address));
                 return Err(WriteError::KeepaliveTimedOut);
             }
         }
--- a/wrenseam/src/worker/kserve/answer.rs
+++ b/wrenseam/src/worker/kserve/answer.rs
@@ -1,7 +1,7 @@
 //! Reads one HTTP answer of a v2 worker.
 use super::exchange::Exchange;
 use super::messages::Reply;
-use crate::http::{Chunked, Coded, Head, HeadError, InvalidChunkSize};
+use crate::http::{ChunkedDecoder, DecodedByte, Head, HeadError, InvalidChunkSize};
 use crate::limits::Limits;
 use crate::net::{receive, ReadOutcome};
 use crate::ring::Ring;
@@ -62,7 +62,7 @@
     head_bytes: Vec<u8>,
     head: Option<Head>,
     body: Vec<u8>,
-    chunks: Chunked,
+    chunks: ChunkedDecoder,
 }
 
 impl<'a> AnswerReader<'a> {
@@ -73,7 +73,7 @@
             head_bytes: Vec::new(),
             head: None,
             body: Vec::new(),
-            chunks: Chunked::default(),
+            chunks: ChunkedDecoder::default(),
         }
     }
 
@@ -138,7 +138,7 @@
     fn parse_head(&mut self) -> Result<(), AnswerError> {
         while self.head.is_none() && self.ring.take(1, &mut self.head_bytes) > 0 {
             if self.head_bytes.ends_with(HEAD_END) {
-                let head = Head::answer(&self.head_bytes)?;
+                let head = Head::response(&self.head_bytes)?;
                 if head
                     .length
                     .is_some_and(|length| length > self.limits.answer)
@@ -184,17 +184,17 @@
 
 /// Decodes the chunks that have come. Returns whether the last one has begun.
 fn decode_chunks(
-    chunks: &mut Chunked,
+    chunks: &mut ChunkedDecoder,
     ring: &mut Ring,
     body: &mut Vec<u8>,
 ) -> Result<bool, AnswerError> {
     let mut bytes = Vec::new();
     ring.take(usize::MAX, &mut bytes);
     for byte in bytes {
-        match chunks.byte(byte)? {
-            Coded::Byte(byte) => body.push(byte),
-            Coded::Nothing => {}
-            Coded::End => return Ok(true),
+        match chunks.decode_byte(byte)? {
+            DecodedByte::Content(byte) => body.push(byte),
+            DecodedByte::Framing => {}
+            DecodedByte::LastChunk => return Ok(true),
         }
     }
     Ok(false)
--- a/wrenseam/src/worker/kserve/connection.rs
+++ b/wrenseam/src/worker/kserve/connection.rs
@@ -108,7 +108,7 @@
             .read(&mut stream, exchange)
             .map_err(|reason| {
                 if !exchange.is_cancelled() {
-                    note!("{}", log_lines::answer_lost(self.address, &reason));
+                    log_limited!("{}", log_lines::answer_lost(self.address, &reason));
                 }
                 // Completely written and no complete answer: it may have run.
                 Outcome::Reset
@@ -118,7 +118,7 @@
             ExchangeKind::Order(_) | ExchangeKind::Unload => AnswerOwner::Unstated,
         };
         if owner == AnswerOwner::OtherCall {
-            note!("{}", log_lines::answer_mismatched(self.address));
+            log_limited!("{}", log_lines::answer_mismatched(self.address));
             return Err(Outcome::Reset); // nothing is known of this one
         }
         if owner == AnswerOwner::ThisCall {
@@ -181,7 +181,7 @@
     /// A new connection on which the exchange has been started.
     fn new_started_stream(&self, exchange: &Exchange) -> Result<TcpStream, Outcome> {
         let stream = self.connect().map_err(|reason| {
-            note!("{}", log_lines::not_connected(self.address, &reason));
+            log_limited!("{}", log_lines::not_connected(self.address, &reason));
             Outcome::ConnectFailed
         })?;
         if self.try_start(exchange) {
--- a/wrenseam/src/worker/kserve/mod.rs
+++ b/wrenseam/src/worker/kserve/mod.rs
@@ -142,7 +142,7 @@
         let queue = self.queue.clone();
         if let Err(error) = spawn(self.limits.stack, move || connection.run(&queue)) {
             self.shared.count_disconnected();
-            note!("{}", log_lines::coroutine_not_started(self.address, &error));
+            log_limited!("{}", log_lines::coroutine_not_started(self.address, &error));
         }
     }
 
--- a/wrenseam/src/worker/log_lines.rs
+++ b/wrenseam/src/worker/log_lines.rs
@@ -1,5 +1,5 @@
-//! The lines of the log about connections to workers, one function each. They are written by [`note!`](crate::note),
-//! which bounds how often.
+//! The lines of the log about connections to workers, one function each. They are written by
+//! [`log_limited!`](crate::log_limited), which bounds how often.
 use std::fmt::{self, Display};
 use std::net::SocketAddr;
 
--- a/wrenseam/tests/codecs.rs
+++ b/wrenseam/tests/codecs.rs
@@ -3,7 +3,7 @@
 use wrenseam::discovery::event::parse_event;
 use wrenseam::discovery::event_stream::{EventStreamParser, ServerSentEvent, StreamItem};
 use wrenseam::discovery::xds::parse_endpoints;
-use wrenseam::http::{Chunked, Coded, Head};
+use wrenseam::http::{ChunkedDecoder, DecodedByte, Head};
 use wrenseam::model::TransportProtocol;
 use wrenseam_policy::json::{object, parse};
 use wrenseam_policy::WorkerState;
@@ -44,7 +44,7 @@
 /// What others can cause at full speed is written a few times a second, then counted.
 #[test]
 fn repeated_lines_are_counted() {
-    let line = wrenseam::log::Line::new();
+    let line = wrenseam::log::RateLimitedLine::new();
     let written = (0..1_000)
         .filter_map(|_| line.admit(7, format_args!("x")))
         .count();
@@ -57,15 +57,15 @@
 
 #[test]
 fn chunks_are_undone() {
-    let mut chunked = Chunked::default();
-    let coded: Vec<Coded> = b"3\r\nabc\r\n1;x=y\r\nd\r\n0\r\n"
+    let mut chunked = ChunkedDecoder::default();
+    let coded: Vec<DecodedByte> = b"3\r\nabc\r\n1;x=y\r\nd\r\n0\r\n"
         .iter()
-        .map(|&b| chunked.byte(b).expect("sound"))
+        .map(|&b| chunked.decode_byte(b).expect("sound"))
         .collect();
     let content: Vec<u8> = coded
         .iter()
         .filter_map(|c| {
-            if let Coded::Byte(b) = c {
+            if let DecodedByte::Content(b) = c {
                 Some(*b)
             } else {
                 None
@@ -74,10 +74,10 @@
         .collect();
     assert_eq!(
         (content, coded.last()),
-        (b"abcd".to_vec(), Some(&Coded::End))
+        (b"abcd".to_vec(), Some(&DecodedByte::LastChunk))
     );
-    let mut broken = Chunked::default();
-    assert!(b"zz\r\n".iter().any(|&b| broken.byte(b).is_err()));
+    let mut broken = ChunkedDecoder::default();
+    assert!(b"zz\r\n".iter().any(|&b| broken.decode_byte(b).is_err()));
 }
 
 #[rstest]
--- a/wrenseam/tests/ring.rs
+++ b/wrenseam/tests/ring.rs
@@ -16,7 +16,7 @@
     ring.truncate(1);
     assert_eq!((ring.front(), ring.free()), (&[9u8][..], 6));
     ring.push(&[1, 2, 3, 4]);
-    ring.cut(1, 3);
+    ring.remove_range(1, 3);
     out.clear();
     ring.take(7, &mut out);
     assert_eq!(out, [9, 4]);
@@ -27,7 +27,7 @@
     let mut ring = Ring::new(64 * 1024);
     let all: Vec<u8> = (0..100_000u32).map(|n| n as u8).collect();
     assert_eq!(
-        (ring.footprint(), ring.free()),
+        (ring.capacity(), ring.free()),
         (Ring::INITIAL_CAPACITY, 64 * 1024)
     );
     let (mut from, mut out) = (&all[..], Vec::new());
@@ -37,11 +37,11 @@
     while ring.free() > 0 {
         ring.fill(&mut from).unwrap();
     }
-    assert_eq!((ring.len(), ring.footprint()), (64 * 1024, 64 * 1024));
+    assert_eq!((ring.len(), ring.capacity()), (64 * 1024, 64 * 1024));
     ring.take(usize::MAX, &mut out);
     assert_eq!(out, all[..out.len()]);
     assert_eq!(
-        (ring.is_empty(), ring.footprint()),
+        (ring.is_empty(), ring.capacity()),
         (true, Ring::INITIAL_CAPACITY)
     );
 }
--- a/wrenseam/tests/schedules.rs
+++ b/wrenseam/tests/schedules.rs
@@ -223,7 +223,8 @@
             CoreHandle::new(queue.clone()),
             Arc::<ProcessState>::default(),
         );
-        let core = Core::new(settings, mix.seed, limits, inbox, reports, shared).with_calls(calls);
+        let core =
+            Core::new(settings, mix.seed, limits, inbox, reports, shared).with_system_calls(calls);
         std::thread::spawn(move || core.run());
         let addresses: Vec<SocketAddr> =
             (0..WORKERS).map(|n| start(n, mix, &die, &ledger)).collect();
--- a/wrenseam/tests/telemetry.rs
+++ b/wrenseam/tests/telemetry.rs
@@ -1,5 +1,5 @@
 //! The core's counters: requests by class for `telemetry`, and by tenant for `/v1/state`.
-use wrenseam::core::{DiscoveryFigures, Gauges, RequestCounters, TenantCounters, TenantCounts};
+use wrenseam::core::{DiscoveryMetrics, Gauges, RequestCounters, TenantCounters, TenantCounts};
 use wrenseam::model::RequestEnd;
 
 #[test]
@@ -65,7 +65,7 @@
 #[test]
 fn figures_of_discovery_stand_before_the_end() {
     let counters = RequestCounters::new(0);
-    let figures = DiscoveryFigures {
+    let figures = DiscoveryMetrics {
         confirmed_ms_ago: Some(1234),
         interruptions: 2,
         suspended: 3,
--- a/wrenseam/tests/worker_table.rs
+++ b/wrenseam/tests/worker_table.rs
@@ -256,8 +256,11 @@
         connect(&mut table, id, transport);
     }
     let pool = Pool::new(64, 64); // no descriptor beside the least of four connections
-    assert!(table.trim(2, pool, 0) && calls.take().is_empty());
-    assert!(table.trim(3, pool, 0));
+    assert!(table.trim_idle_connections(2, pool, 0) && calls.take().is_empty());
+    assert!(table.trim_idle_connections(3, pool, 0));
     assert_eq!(calls.take(), ["early closes the connection idle longest"]);
-    assert!(!table.trim(5, pool, 0), "four may stand at the most");
+    assert!(
+        !table.trim_idle_connections(5, pool, 0),
+        "four may stand at the most"
+    );
 }
