--- a/wrenseam/src/core/actions.rs
+++ b/wrenseam/src/core/actions.rs
@@ -1,4 +1,4 @@
-//! Passes events to the policy and carries out its actions.
+//! Passes events to the policy and carries out the actions that it returns.
 use super::log_lines::LogLine;
 use super::timers::TimerEvent;
 use super::Core;
@@ -6,7 +6,8 @@
 use wrenseam_policy::{Action, Micros};
 
 impl Core {
-    /// Passes the queued events to the policy and carries out its actions in order, until no event is left.
+    /// Passes the queued events to the policy and carries out its actions in order until no event is left, including
+    /// the events that the actions themselves queue.
     pub(super) fn process_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
@@ -26,10 +27,10 @@
                 timeout,
                 retry_window,
             } => {
-                // Counted from the decision, as this thread may have been delayed since.
-                let write_by = retry_window
+                // Measured from the policy's decision, as this thread may have been delayed since then.
+                let write_deadline = retry_window
                     .map(|window| self.clock.instant(decided_at.saturating_add(window)));
-                self.send_attempt(id, worker, timeout, write_by);
+                self.send_attempt(id, worker, timeout, write_deadline);
             }
             Action::Cancel { id, attempt } => self.cancel_attempt(AttemptKey {
                 request: id,
@@ -47,7 +48,7 @@
             } => self.order_load(worker, function, replicas),
             Action::Unload { worker, function } => self.workers.unload(&worker, function),
             Action::Log { text } => log_limited!("{}", LogLine::Policy(&text)),
-            Action::WatchEndpoints => {} // discovery watches the endpoint lists from the start
+            Action::WatchEndpoints => {} // the discovery client watches the endpoint lists from the start
         }
     }
 
--- a/wrenseam/src/core/admin.rs
+++ b/wrenseam/src/core/admin.rs
@@ -1,4 +1,4 @@
-//! The core's answers to the commands of the admin endpoint.
+//! Carries out the commands of the admin endpoint.
 use super::log_lines::LogLine;
 use super::{Core, Gauges};
 use crate::discovery::membership::Unknown;
@@ -7,7 +7,7 @@
 use wrenseam_policy::WorkerState;
 
 impl Core {
-    /// Carries out a command.
+    /// Carries out a command and returns the reply.
     pub(super) fn handle_admin(&mut self, command: AdminCommand) -> AdminReply {
         match command {
             AdminCommand::Readyz => self.readiness(),
@@ -39,7 +39,7 @@
         self.request_counters.telemetry(
             &class_names,
             self.gauges(),
-            self.discovery_figures(),
+            self.discovery_metrics(),
             self.fleet_admission.as_ref(),
         )
     }
@@ -62,7 +62,7 @@
         gauges
     }
 
-    /// Sends a worker nothing new until it is included again.
+    /// Excludes a worker: it gets no new work until it is included again.
     fn exclude(&mut self, id: String) -> AdminReply {
         match self.membership.exclude(&id) {
             Ok(changes) => {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Puts an excluded worker back, as a new process.
+    /// Ends the exclusion of a worker, which then counts as a new process.
     fn include(&mut self, id: String) -> AdminReply {
         match self.membership.include(&id, self.clock.now()) {
             Ok(changes) => {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Starts a drain: the front end is not ready, and client connections close once they are idle.
+    /// Starts to drain: the front end reports that it is not ready, and client connections close once they are idle.
     fn evacuate(&mut self) -> AdminReply {
         if !self.process_state.draining.swap(true, Ordering::AcqRel) {
             eprintln!("{}", LogLine::Draining);
@@ -94,7 +94,7 @@
         AdminReply::DrainStarted
     }
 
-    /// Ends a drain.
+    /// Ends the drain: the front end accepts clients again.
     fn activate(&mut self) -> AdminReply {
         if self.process_state.draining.swap(false, Ordering::AcqRel) {
             eprintln!("{}", LogLine::Activated);
--- a/wrenseam/src/core/attempts.rs
+++ b/wrenseam/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: how they are sent, cancelled and ended.
+//! Sends, cancels and ends attempts.
 use super::log_lines::LogLine;
 use super::timers::TimerEvent;
 use super::Core;
@@ -9,16 +9,17 @@
 use wrenseam_policy::{AttemptResult, Event, Micros, Outcome};
 
 impl Core {
-    /// Sends an attempt. One that is not handed to a transport ends at once, and provably never ran.
+    /// Sends an attempt. If it cannot be handed to a transport it ends at once, with an outcome that states that it
+    /// never ran.
     ///
-    /// With `timeout` 0 it may use all of the request's time. `write_by` is the time by which it must be completely
-    /// written, if it repeats an attempt that may have run.
+    /// `timeout` 0 means that the attempt may use all of the request's remaining time. If the attempt is a retry of one
+    /// that may have run, `write_deadline` is the time by which it must have been written completely.
     pub(super) fn send_attempt(
         &mut self,
         id: u64,
         worker: String,
         timeout: Micros,
-        write_by: Option<Instant>,
+        write_deadline: Option<Instant>,
     ) {
         let now = self.clock.now();
         let has_connection = self.ensure_connection_available(&worker);
@@ -30,19 +31,19 @@
         let Some(key) = self.requests.start_attempt(id, worker.clone(), now) else {
             return;
         };
-        // The front knows that a client has gone before the core is notified.
+        // The front sets this flag before the core receives the message that the client has gone.
         let client_gone = request.client_gone.load(Ordering::Acquire);
         let start_deadline = self.lease_end(&worker);
         let startable = admitted && budget > 0 && !client_gone;
         match self.workers.ready_transport(&worker) {
-            // Reported as the worker's rejection, so that the policy avoids this worker for a while.
+            // No connection is free. Reported as a rejection by the worker, so that the policy avoids it for a while.
             Some(_) if !has_connection => {
                 self.end_attempt(key, AttemptReport::without_payload(Outcome::Rejected));
             }
             Some(transport) if startable => {
                 let limits = AttemptLimits {
                     answer_timeout: budget,
-                    write_deadline: write_by,
+                    write_deadline,
                     start_deadline,
                 };
                 transport.send(key, &request, limits);
@@ -56,7 +57,7 @@
         }
     }
 
-    /// How long an attempt may take: its timeout, where it has one, and never longer than its client waits.
+    /// How long an attempt may take: its timeout (0: none) or the request's remaining time, whichever is shorter.
     fn attempt_budget(&self, now: Micros, request: &Request, timeout: Micros) -> Micros {
         let time_left = self.time_left(now, request);
         match timeout {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Whether the fleet's retry budget allows the request's next attempt.
+    /// Whether the fleet's retry budget allows the request's next attempt. The first attempt is always allowed.
     fn admit_attempt(&mut self, now: Micros, id: u64) -> bool {
         let extra = self.requests.was_attempted(id);
         self.fleet_admission
@@ -73,37 +74,38 @@
             .is_none_or(|fleet_admission| fleet_admission.admit_attempt(now, extra))
     }
 
-    /// Cancels an attempt. While its request is owed an answer and the attempt may have begun, it stays open until its
-    /// transport reports its end or its timeout fires: whatever the policy sends in its place must not run beside it.
+    /// Cancels an attempt. If it may have started and its request is unanswered, it stays open until its transport
+    /// reports its end or its timeout fires, as the attempt that replaces it must not run at the same time.
     pub(super) fn cancel_attempt(&mut self, key: AttemptKey) {
         let Some(attempt) = self.requests.open_attempt(key) else {
             return;
         };
-        let answer_owed = !self.requests.is_answered(key.request);
+        let is_unanswered = !self.requests.is_answered(key.request);
         match self.workers.cancel(attempt.worker(), key) {
             CancelOutcome::NeverStarted => self.finish_attempt(key, Outcome::NotSent),
-            CancelOutcome::PendingConfirmation if answer_owed => {}
+            CancelOutcome::PendingConfirmation if is_unanswered => {}
             CancelOutcome::PendingConfirmation | CancelOutcome::Unknown => {
                 self.finish_attempt(key, Outcome::Cancelled)
             }
         }
     }
 
-    /// An attempt ended, and the policy reacts at once.
+    /// Ends an attempt that its transport reported or that timed out, and carries out the policy's actions at once.
     pub(super) fn handle_attempt_end(&mut self, key: AttemptKey, report: AttemptReport) {
         self.end_attempt(key, report);
         self.process_events();
         self.remove_if_finished(key.request);
     }
 
-    /// Ends an attempt without an answer, as part of an action. The policy handles the end after the current actions.
+    /// Ends an attempt without an answer while an action is carried out. The policy handles the end after the remaining
+    /// actions.
     fn finish_attempt(&mut self, key: AttemptKey, outcome: Outcome) {
         self.end_attempt(key, AttemptReport::without_payload(outcome));
         self.remove_if_finished(key.request);
     }
 
-    /// Ends an attempt and queues that for the policy. A second end of an attempt is ignored. The first successful
-    /// attempt answers the request.
+    /// Ends an attempt and queues the end as an event for the policy. The first successful attempt answers the request.
+    /// An attempt that has already ended is ignored.
     fn end_attempt(&mut self, key: AttemptKey, report: AttemptReport) {
         let Some(attempt) = self.requests.close_attempt(key) else {
             return;
@@ -116,7 +118,7 @@
             self.request_counters.record_attempt_not_sent();
         }
         self.log_attempt_end(key, &worker, report.outcome, elapsed);
-        self.note_work_ended(&worker, sent_at, report.outcome);
+        self.update_lease(&worker, sent_at, report.outcome);
         if let (Outcome::Ok, Some(payload)) = (report.outcome, report.payload) {
             self.answer(key.request, Answer::Served(payload));
         }
@@ -132,7 +134,7 @@
         }));
     }
 
-    /// Logs an end that asks for a retry or a rejection.
+    /// Logs the end of an attempt that neither succeeded nor was cancelled.
     fn log_attempt_end(&self, key: AttemptKey, worker: &str, outcome: Outcome, elapsed: Micros) {
         if matches!(outcome, Outcome::Ok | Outcome::Cancelled) {
             return;
--- a/wrenseam/src/core/counters.rs
+++ b/wrenseam/src/core/counters.rs
@@ -1,5 +1,5 @@
-//! What the core counts: request ends by class and attempts for `telemetry`, and requests by tenant for `/v1/state`.
-//! All counts start from 0 in each process.
+//! The core's counters: request ends by class and attempts for `telemetry`, and requests by tenant for `/v1/state`. All
+//! start at 0 when the process starts.
 use super::{DiscoveryMetrics, FleetAdmission};
 use crate::model::RequestEnd;
 use std::fmt::Write;
@@ -22,21 +22,21 @@
     }
 }
 
-/// Request ends by class, and attempts sent to workers.
+/// The counters of `telemetry`: request ends by class, and attempts sent to workers.
 #[derive(Clone, Debug, Default)]
 pub struct RequestCounters {
     classes: Vec<ClassCounts>,
     attempts_sent: u64,
 }
 
-/// The gauges, as they stand when `telemetry` is asked for.
+/// The gauges of `telemetry`, at the time of the command.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests that are owed an answer.
+    /// Requests that are unanswered.
     pub pending: usize,
     /// Workers that are listed and not gone.
     pub members: usize,
-    /// Of those, the ones that get no new requests: excluded, draining or ejected as outliers.
+    /// Of `members`, those that get no new requests: draining, excluded, suspended or ejected as outliers.
     pub unavailable: usize,
 }
 
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Counts the end of a request; classes that the settings do not name are not counted.
+    /// Counts the end of a request. `class` is its position in the settings; positions beyond the last class are not
+    /// counted.
     pub fn record_end(&mut self, class: usize, end: RequestEnd) {
         if let Some(counts) = self.classes.get_mut(class) {
             counts.record(end);
@@ -61,13 +62,13 @@
         self.attempts_sent += 1;
     }
 
-    /// Reverts the count of an attempt that was not completely written after all.
+    /// Takes back the count of an attempt that turned out not to have been written completely.
     pub fn record_attempt_not_sent(&mut self) {
         self.attempts_sent = self.attempts_sent.saturating_sub(1);
     }
 
-    /// The answer to `telemetry`: one figure a line, discovery's where it is followed, the fleet's where it is on, then
-    /// `END`.
+    /// The reply to `telemetry`: one metric per line, then `END`. `discovery` and `fleet` are `None` where the front end
+    /// has no discovery service or no fleet.
     pub fn telemetry(
         &self,
         class_names: &[String],
@@ -108,19 +109,19 @@
 /// The counts of one tenant.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TenantCounts {
-    /// Requests that passed the checks of their fields.
+    /// Valid requests received.
     pub received: u64,
-    /// Requests served.
+    /// Requests served by a worker.
     pub completed: u64,
     /// Requests rejected by the policy.
     pub rejected: u64,
-    /// Requests failed.
+    /// Requests answered as failed.
     pub failed: u64,
     /// Requests cancelled by their clients.
     pub cancelled: u64,
 }
 
-/// The counts of all tenants. Requests whose tenant the settings do not name share one more record.
+/// The counts of all tenants. All requests whose tenant the settings do not name are counted together.
 #[derive(Clone, Debug)]
 pub struct TenantCounters {
     tenants: Vec<TenantCounts>,
@@ -136,12 +137,12 @@
         }
     }
 
-    /// Counts a request that passed the checks of its fields.
+    /// Counts a request that is valid. `tenant` is its position in the settings; `None` if the settings do not name it.
     pub fn record_received(&mut self, tenant: Option<usize>) {
         self.counts_mut(tenant).received += 1;
     }
 
-    /// Counts the end of a request.
+    /// Counts the end of a request of this tenant.
     pub fn record_end(&mut self, tenant: Option<usize>, end: RequestEnd) {
         let counts = self.counts_mut(tenant);
         match end {
--- a/wrenseam/src/core/discovery_contact.rs
+++ b/wrenseam/src/core/discovery_contact.rs
@@ -1,5 +1,5 @@
-//! The contact with the discovery service, as operators see it: when the endpoint list was last confirmed, and how often
-//! that was interrupted.
+//! The contact with the discovery service, as log and `telemetry` show it: when the endpoint list was last confirmed,
+//! and how often contact was interrupted.
 use super::log_lines::LogLine;
 use super::Core;
 use crate::model::DiscoveryContact;
@@ -8,30 +8,33 @@
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// When the list was last confirmed, and since when it is not any more.
+/// When the endpoint list was last confirmed, and whether contact is lost.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ContactRecord {
-    /// `None`: not in this process.
+    /// `None` if the list has never been confirmed in this process.
     confirmed_at: Option<Micros>,
+    /// Time of the first interruption since the list was last confirmed; `None` if there was none.
     lost_at: Option<Micros>,
+    /// Interruptions since the start of this process.
     interruptions: u64,
 }
 
-/// The figures of the contact, as `telemetry` shows them.
+/// The metrics of the contact with discovery, as `telemetry` writes them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DiscoveryMetrics {
-    /// Age of the last confirmation of the list, in milliseconds, if there was one in this process.
+    /// Time since the endpoint list was last confirmed, in milliseconds; `None` if it never was in this process.
     pub confirmed_ms_ago: Option<u64>,
-    /// How often the contact was interrupted.
+    /// How often contact was interrupted since the start of this process.
     pub interruptions: u64,
-    /// Workers that are listed as ready and get nothing new, as discovery was not heard for too long.
+    /// Workers that are listed as ready but suspended: while contact was lost, their readiness leases ended, they
+    /// turned away a health check or they refused a connection.
     pub suspended: usize,
-    /// Health checks sent to workers.
+    /// Health checks sent to workers since the start of this process.
     pub health_checks: u64,
 }
 
 impl DiscoveryMetrics {
-    /// Writes the figures, one a line.
+    /// Appends the metrics to the text of `telemetry`, one per line.
     pub fn write_telemetry(&self, text: &mut String) {
         if let Some(age) = self.confirmed_ms_ago {
             let _ = writeln!(text, "app.discovery.confirmed_ms_ago:{age}|g");
@@ -44,7 +47,8 @@
 }
 
 impl Core {
-    /// The contact with the discovery service changed.
+    /// Updates the readiness leases when the discovery client reports that the list is confirmed or contact
+    /// interrupted.
     pub(super) fn handle_discovery_contact(&mut self, contact: DiscoveryContact) {
         let now = self.clock.now();
         match contact {
@@ -72,12 +76,12 @@
         }
     }
 
-    /// The figures of the contact; `None` where no discovery service has ever been followed.
-    pub(super) fn discovery_figures(&self) -> Option<DiscoveryMetrics> {
+    /// The metrics of the contact; `None` if no discovery service has been contacted in this process.
+    pub(super) fn discovery_metrics(&self) -> Option<DiscoveryMetrics> {
         let contact = self.contact;
-        let was_followed = contact.confirmed_at.is_some() || contact.interruptions > 0;
+        let was_contacted = contact.confirmed_at.is_some() || contact.interruptions > 0;
         let now = self.clock.now();
-        was_followed.then(|| DiscoveryMetrics {
+        was_contacted.then(|| DiscoveryMetrics {
             confirmed_ms_ago: contact
                 .confirmed_at
                 .map(|confirmed_at| now.saturating_sub(confirmed_at) / MICROS_PER_MILLI),
--- a/wrenseam/src/core/endpoints.rs
+++ b/wrenseam/src/core/endpoints.rs
@@ -1,5 +1,5 @@
-//! Endpoint updates: what a change of the endpoint lists does to workers and policy, and whether a worker can get one
-//! more connection.
+//! Applies changes of the endpoint lists to the workers' transports and to the policy, and checks whether a worker may
+//! get one more connection.
 use super::log_lines::LogLine;
 use super::readiness::ids;
 use super::Core;
@@ -13,7 +13,7 @@
 use wrenseam_policy::Event;
 
 impl Core {
-    /// Applies an update of one source's endpoint list. The front end is ready from the first update on.
+    /// Applies an update of one source's endpoint list. The first update makes the front end ready.
     pub(super) fn update_endpoints(
         &mut self,
         source: TransportProtocol,
@@ -28,7 +28,7 @@
         self.process_state.ready.store(true, Ordering::Release);
     }
 
-    /// Carries out changes of the endpoint list: at the workers' transports, and in the policy's list.
+    /// Logs changes of the endpoint list and applies them to the workers' transports and to the policy's list.
     pub(super) fn apply_changes(&mut self, changes: Vec<Change>) {
         for change in &changes {
             eprintln!("{}", LogLine::EndpointChanged(&change.endpoint));
@@ -36,7 +36,8 @@
         self.apply_readiness_changes(changes);
     }
 
-    /// The same for changes that were logged as what they are.
+    /// Applies changes to the workers' transports and to the policy's list, without a log line. The caller has logged
+    /// each as a suspension or its end.
     pub(super) fn apply_readiness_changes(&mut self, changes: Vec<Change>) {
         let mut endpoints = Vec::with_capacity(changes.len());
         for change in changes {
@@ -66,7 +67,7 @@
         });
     }
 
-    /// The endpoint as the policy knows it, with positions in the settings in place of names.
+    /// The endpoint in the policy's form, with positions in place of the names of zone and kind.
     fn policy_endpoint(&mut self, endpoint: &Endpoint) -> wrenseam_policy::Endpoint {
         wrenseam_policy::Endpoint {
             worker: endpoint.id.clone(),
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Whether a worker's transport has a connection or may open one; see
+    /// Whether an attempt at this worker has a connection to use or may open one; see
     /// [`super::tables::WorkerTable::ensure_connection_available`].
     pub(super) fn ensure_connection_available(&mut self, worker: &str) -> bool {
         let clients = self
@@ -89,7 +90,7 @@
             .ensure_connection_available(worker, self.connection_pool(), clients)
     }
 
-    /// How many connections to workers there may be.
+    /// The limit on connections to workers, from the process's limit on descriptors.
     pub(super) fn connection_pool(&self) -> Pool {
         Pool::new(self.limits.descriptors, RESERVED_DESCRIPTORS)
     }
--- a/wrenseam/src/core/fleet_admission.rs
+++ b/wrenseam/src/core/fleet_admission.rs
@@ -1,5 +1,5 @@
-//! The fleet's limits as one core applies them: shedding at arrival, and the retry budget at each further attempt.
-//! `crate::fleet` has the algorithms; this holds their state for the core and the totals for `telemetry`.
+//! Admission control by the fleet's limits: load shedding when a request arrives, and the retry budget for each attempt
+//! after the first. `crate::fleet` has the algorithms; this module holds their state and the totals for `telemetry`.
 use crate::config::Fleet;
 use crate::fleet::traffic::TrafficKind;
 use crate::fleet::{FleetSize, FleetStatus, Lifecycle, RetryBudget, Shedder, Summary};
@@ -7,10 +7,11 @@
 use std::fmt::Write;
 use wrenseam_policy::{Micros, Settings};
 
-/// How long the largest fleet size seen is kept once peers are no longer heard.
+/// How long the largest fleet size is still assumed after peers become unreachable, in microseconds.
 const FLEET_SIZE_HOLD: Micros = 60_000_000;
 
-/// Keeps the shedder's random numbers apart from those that the policy draws from the same seed.
+/// XORed with the seed, so that the shedder's random numbers differ from those that the policy draws from the same
+/// seed.
 const SHEDDING_SEED_MASK: u64 = 0x5eed_f1ee;
 
 /// Admission control of one core: which requests are shed, and which further attempts may start.
@@ -19,15 +20,15 @@
     fleet_size: FleetSize,
     shedder: Shedder,
     rng: SmallRng,
-    /// The Retry-After of a request that is shed.
+    /// The Retry-After of a request that is shed, in microseconds.
     shed_retry_after: Micros,
-    /// Open requests at which this front end counts as full.
+    /// The number of open requests that counts as full load: a pressure of 1000 thousandths.
     capacity: u32,
     status: FleetStatus,
     totals: Totals,
 }
 
-/// Counts since the start of the process.
+/// Counts since the start of this process.
 #[derive(Default)]
 struct Totals {
     shed: u64,
@@ -36,7 +37,8 @@
 }
 
 impl FleetAdmission {
-    /// Admission control as the fleet's file configures it. Classes to shed that the settings do not name are ignored.
+    /// Admission control as the fleet's file configures it. Names in the shed order that are not classes of the
+    /// settings are ignored.
     pub fn new(fleet: &Fleet, settings: &Settings, seed: u64) -> FleetAdmission {
         let window = fleet.window_ms * 1000;
         let shed_order: Vec<usize> = fleet
@@ -56,7 +58,7 @@
         }
     }
 
-    /// Updates the fleet's status from gossip.
+    /// Takes the fleet's status from gossip, which sets its size and the pressure that the shedder follows.
     pub fn update(&mut self, now: Micros, status: FleetStatus) {
         self.status = status;
         self.fleet_size.departed(status.departed);
@@ -64,7 +66,7 @@
         self.shedder.pressure(now, status.pressure);
     }
 
-    /// This front end's load summary with this many requests open.
+    /// This front end's load summary for its peers, with this many requests open.
     pub fn summary(&self, now: Micros, open_requests: usize) -> Summary {
         let usage = self.retry_budget.usage(now);
         let in_flight = open_requests.min(u32::MAX as usize) as u32;
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Decides at its arrival whether a request of this class is shed; if so, the Retry-After to answer.
+    /// Decides whether an arriving request of this class is shed. Returns the Retry-After of the rejection if it is.
     pub fn shed(&mut self, now: Micros, class: usize) -> Option<Micros> {
         let chance = self.rng.random::<f64>();
         if !self.shedder.refuses(now, class, chance) {
@@ -90,8 +92,8 @@
         Some(self.shed_retry_after)
     }
 
-    /// Whether an attempt may start. First attempts always may; `extra` ones (retries and hedged requests) are subject
-    /// to the fleet's retry budget.
+    /// Whether an attempt may start; counts it either way. First attempts always may. An `extra` attempt (a retry or a
+    /// hedged request) needs room in the fleet's retry budget.
     pub fn admit_attempt(&mut self, now: Micros, extra: bool) -> bool {
         if !extra {
             self.retry_budget.first(now);
@@ -106,7 +108,7 @@
         admitted
     }
 
-    /// Appends the fleet's lines of `telemetry`.
+    /// Appends the fleet's metrics to the text of `telemetry`, one per line.
     pub fn write_telemetry(&self, text: &mut String) {
         self.write_limits(text);
         self.write_view(text);
@@ -115,11 +117,11 @@
     }
 
     fn write_limits(&self, text: &mut String) {
-        let refusing_permille = (self.shedder.refusing() * 1000.0) as u64;
+        let shed_permille = (self.shedder.refusing() * 1000.0) as u64;
         let _ = writeln!(text, "app.fleet.peers:{}|g", self.status.alive);
         let _ = writeln!(text, "app.fleet.size:{}|g", self.fleet_size.estimate());
         let _ = writeln!(text, "app.fleet.pressure:{}|g", self.status.pressure);
-        let _ = writeln!(text, "app.fleet.refusing_permille:{refusing_permille}|g");
+        let _ = writeln!(text, "app.fleet.refusing_permille:{shed_permille}|g");
         let extra = self.totals.extra_attempts;
         let _ = writeln!(text, "app.fleet.extra_attempts:{extra}|c");
         let denied = self.totals.extra_attempts_denied;
--- a/wrenseam/src/core/load_orders.rs
+++ b/wrenseam/src/core/load_orders.rs
@@ -1,4 +1,4 @@
-//! Load orders: how workers are ordered to load replicas, and how such orders end.
+//! Sends and ends load orders, which order a worker to load replicas of a function.
 use super::log_lines::LogLine;
 use super::tables::LoadOrder;
 use super::timers::TimerEvent;
@@ -6,9 +6,10 @@
 use wrenseam_policy::{Event, FunctionId, Outcome, WorkerId};
 
 impl Core {
-    /// Orders a worker to hold at least this many replicas of a function; 0 only asks how many it holds.
+    /// Orders a worker to hold at least this many replicas of a function. 0 is a poll, which only asks how many it
+    /// holds.
     ///
-    /// Only a ready worker is ordered to load, whatever the policy asked for; a draining one may still be asked.
+    /// Only a ready worker gets an order to load, whatever the policy decided. A poll goes to a draining worker too.
     pub(super) fn order_load(&mut self, worker: WorkerId, function: FunctionId, replicas: u32) {
         let now = self.clock.now();
         let number = self.next_number();
@@ -21,7 +22,7 @@
             0 => self.workers.transport(&worker),
             _ => self.workers.ready_transport(&worker),
         };
-        // An order that cannot be sent ends through the queue, like one that the worker answers.
+        // The end of an order that cannot be sent also goes through the core's queue, like a worker's answer.
         match transport {
             Some(transport) if has_connection => {
                 transport.order(number, function, replicas, start_deadline);
@@ -47,7 +48,8 @@
         );
     }
 
-    /// Ends an order that got no answer. Its connection stops waiting for one, or it would never count as idle.
+    /// Ends an order that got no answer. Its connection stops waiting for one, as it would otherwise never count as
+    /// idle.
     pub(super) fn time_out_load_order(&mut self, number: u64) {
         if let Some(order) = self.load_orders.get(number) {
             self.workers.abandon_load_order(&order.worker, number);
@@ -55,7 +57,7 @@
         self.end_load_order(number, Outcome::Timeout, 0);
     }
 
-    /// Ends an order and queues that for the policy; a second end is ignored.
+    /// Ends an order and queues the end as an event for the policy. An order that has already ended is ignored.
     pub(super) fn end_load_order(&mut self, number: u64, outcome: Outcome, replicas: u32) {
         let Some(order) = self.load_orders.remove(number) else {
             return;
@@ -70,9 +72,9 @@
             };
             log_limited!("{line}");
         }
-        // A draining worker answers polls as any other does.
+        // An answered poll shows nothing about readiness, as a draining worker answers polls too.
         if order.replicas > 0 || outcome != Outcome::Ok {
-            self.note_work_ended(&order.worker, order.ordered_at, outcome);
+            self.update_lease(&order.worker, order.ordered_at, outcome);
         }
         self.events.push_back(Event::LoadOrderEnded {
             worker: order.worker,
--- a/wrenseam/src/core/log_lines.rs
+++ b/wrenseam/src/core/log_lines.rs
@@ -1,4 +1,5 @@
-//! The texts of the log lines that the core writes. docs/oncall.md lists them with what to do about each.
+//! The texts of the core's log lines. docs/oncall.md lists them with what operators do about each. Some lines contain the
+//! name of an enum variant, so renaming such a variant changes the text.
 use crate::model::{Endpoint, RequestEnd};
 use std::fmt::{Display, Formatter, Result};
 use wrenseam_policy::readiness_lease::{Interruption, SuspendReason};
@@ -9,16 +10,16 @@
 /// Why a request is answered as failed at its arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
-    /// The settings do not name its class.
+    /// The settings name no class of this name.
     #[error("unknown class")]
     UnknownClass,
-    /// The settings name tenants, and not its own.
+    /// The settings name tenants, but none of this name.
     #[error("unknown tenant")]
     UnknownTenant,
-    /// Its class needs an idempotency key, and it has none.
+    /// Its class requires an idempotency key, and it has none.
     #[error("no idempotency key, which its class needs")]
     MissingIdempotencyKey,
-    /// A request of the same id is owed an answer.
+    /// Another unanswered request has the same id.
     #[error("a request with this id is open")]
     DuplicateId,
 }
@@ -28,19 +29,19 @@
 pub enum LogLine<'a> {
     /// Timers fired late.
     TimersLate {
-        /// By how much the earliest was overdue.
+        /// By how much the earliest timer was overdue.
         overdue: Micros,
-        /// Requests in the table.
+        /// Requests in the core's table, including answered ones with open attempts.
         open_requests: usize,
     },
     /// A request was answered as failed at its arrival.
     InvalidRequest {
-        /// The id that its client gave.
+        /// The id that its client gave the request.
         wire_id: u64,
-        /// Why.
+        /// Why the request is invalid.
         reason: InvalidRequest,
     },
-    /// A worker did not serve an attempt.
+    /// An attempt ended without success.
     AttemptNotServed {
         /// The id that its client gave the request.
         wire_id: u64,
@@ -50,68 +51,68 @@
         worker: &'a str,
         /// How it ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Micros,
     },
-    /// A request got another final answer than a worker's.
+    /// A request was answered as rejected or failed.
     RequestNotServed {
-        /// The id that its client gave.
+        /// The id that its client gave the request.
         wire_id: u64,
-        /// The answer.
+        /// How the request ended.
         end: RequestEnd,
-        /// Attempts that were made.
+        /// Attempts that were started.
         attempts: usize,
-        /// Time since it was received.
+        /// Time since the request was received.
         elapsed: Micros,
     },
-    /// An order to load did not succeed.
+    /// A load order did not succeed.
     LoadOrderFailed {
-        /// The function.
+        /// The function whose replicas were ordered.
         function: FunctionId,
         /// The worker that was ordered.
         worker: &'a str,
         /// How it ended.
         outcome: Outcome,
-        /// Time since the order.
+        /// Time since the order was sent.
         elapsed: Micros,
     },
-    /// Nothing is received from the discovery service any more.
+    /// Contact with the discovery service was lost.
     DiscoveryLost {
-        /// Why.
+        /// How contact was lost.
         cause: Interruption,
-        /// Time since the list was last confirmed, if it was in this process.
+        /// Time since the endpoint list was last confirmed; `None` if it never was in this process.
         age: Option<Micros>,
     },
     /// The endpoint list is confirmed again.
     DiscoveryRegained {
-        /// Time since the contact was lost.
+        /// Time since contact was lost.
         outage: Micros,
     },
-    /// A worker listed as ready gets nothing new, as discovery was not heard for too long.
+    /// A worker that is listed as ready gets no new work, by its readiness lease.
     Suspended {
         /// The worker's id.
         worker_id: &'a str,
-        /// Why.
+        /// Why it is suspended.
         reason: SuspendReason,
     },
     /// A suspended worker gets new work again.
     Resumed {
         /// The worker's id.
         worker_id: &'a str,
-        /// Whether it may be a new process.
+        /// Whether the worker may be a new process that discovery has not reported.
         may_have_restarted: bool,
     },
-    /// The policy logs this text.
+    /// A line that the policy wrote, with this text.
     Policy(&'a str),
-    /// The endpoint lists or an operator changed a worker.
+    /// An endpoint list or an operator changed this endpoint.
     EndpointChanged(&'a Endpoint),
     /// An operator excluded the worker of this id.
     Excluded(&'a str),
-    /// An operator included the worker of this id again.
+    /// An operator ended the exclusion of the worker of this id.
     Included(&'a str),
-    /// A drain began.
+    /// This process began to drain.
     Draining,
-    /// A drain was ended by an operator.
+    /// An operator ended the drain of this process.
     Activated,
 }
 
--- a/wrenseam/src/core/messages.rs
+++ b/wrenseam/src/core/messages.rs
@@ -1,4 +1,4 @@
-//! Dispatch of the messages in the core's queue.
+//! Dispatches the messages in the core's queue.
 use super::Core;
 use crate::fleet::FleetStatus;
 use crate::queue::Message;
@@ -6,7 +6,7 @@
 use std::sync::PoisonError;
 
 impl Core {
-    /// Handles one message and the actions that the policy decides on because of it.
+    /// Handles one message and carries out the actions that the policy returns for it.
     pub(super) fn handle_message(&mut self, message: Message) {
         match message {
             Message::Request {
@@ -28,7 +28,7 @@
             } => self.end_load_order(order, outcome, replicas),
             Message::HealthCheckEnded { check, result } => self.end_health_check(check, result),
             Message::WorkerConnectionEnded { address, refused } => {
-                self.note_connection_ended(address, refused);
+                self.handle_worker_connection_end(address, refused);
             }
             Message::EndpointUpdate {
                 source,
@@ -56,7 +56,7 @@
         self.apply_changes(changes);
     }
 
-    /// Updates the fleet's status and publishes this front end's load summary for gossip to send.
+    /// Takes the fleet's status from gossip and publishes this front end's load summary for gossip to send.
     fn update_fleet(&mut self, status: FleetStatus) {
         let now = self.clock.now();
         let Some(fleet_admission) = self.fleet_admission.as_mut() else {
--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -1,9 +1,9 @@
 //! The core: one thread that owns the policy and all records of requests, attempts, load orders and workers.
 //!
-//! Fronts, transports and discovery reach it only through its queue. A message or a timer becomes an event of the
-//! policy, and the actions that the policy decides on are carried out; nothing here blocks on a socket, and no wire
-//! protocol is known here. [`Core::run`] is the event loop, `messages` and `timer_events` dispatch what comes in, and
-//! `actions` carries out what the policy decides.
+//! Fronts, transports and discovery reach it only through its queue. The core turns each message and each timer into an
+//! event for the policy and carries out the actions that the policy returns. It never blocks on a socket and knows no
+//! wire protocol. [`Core::run`] is the event loop, `messages` and `timer_events` dispatch its input, and `actions`
+//! carries out the policy's actions.
 mod actions;
 mod admin;
 mod attempts;
@@ -42,26 +42,27 @@
 use wrenseam_policy::readiness_lease::ReadinessLeases;
 use wrenseam_policy::{Controller, Event, Micros, Settings, ZoneNames};
 
-/// How often connections are checked for their idle timeout.
+/// How often idle connections to workers are closed and the records of workers that are gone are removed.
 const IDLE_SWEEP_PERIOD: Micros = 1_000_000;
 
-/// Timers that fire later than this are logged: with a short timeout, an answer may then be too late for its client.
+/// A timer that fires later than this is logged: a client with a short timeout may then get its answer too late.
 const REPORTED_DELAY: Micros = 20_000;
 
-/// Messages handled after the first before timers are looked at.
+/// The most messages that are handled after the first one before due timers run.
 const MESSAGE_BATCH: usize = 256;
 
-/// The state of the core's thread.
+/// The state of the core's thread. See [`Core::run`].
 pub struct Core {
     controller: Controller,
     settings: Settings,
     limits: Arc<Limits>,
     clock: Clock,
     inbox: Receiver<Message>,
-    /// The core's own queue, for transports to report to.
+    /// The sending half of `inbox`, through which transports report to the core.
     reports: CoreHandle,
     process_state: Arc<ProcessState>,
-    /// The last number of a request or a load order. The ids that clients send are not unique over time.
+    /// The last number given to a request, load order or health check. The ids that clients send cannot serve as
+    /// numbers, as they are not unique over time.
     last_number: u64,
     last_liveness_check: Micros,
     requests: RequestTable,
@@ -73,20 +74,21 @@
     health_checks: HealthChecks,
     leases_reviewed_at: Micros,
     timers: Timers,
-    /// Events that the policy has not handled yet.
+    /// Events that the policy is still to handle, oldest first.
     events: VecDeque<Event>,
     request_counters: RequestCounters,
     tenant_counters: TenantCounters,
-    /// The fleet's limits, where the fleet is on.
+    /// The fleet's retry budget and load shedding; `None` where no fleet is configured.
     fleet_admission: Option<FleetAdmission>,
-    /// The system calls on connections to workers.
+    /// The system calls that are made on connections to workers.
     system_calls: Arc<dyn SystemCalls>,
-    /// The zones that the settings and the endpoint lists have named.
+    /// The zone names that the settings and the endpoint lists have used, each with its position for the policy.
     zones: ZoneNames,
 }
 
 impl Core {
-    /// A core without workers or requests.
+    /// A core without workers or requests. `seed` seeds the policy and the readiness leases; `reports` is the sending
+    /// half of `inbox`.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -123,29 +125,29 @@
         }
     }
 
-    /// Applies the fleet's limits from now on.
+    /// Applies the fleet's retry budget and load shedding from now on.
     #[must_use]
     pub fn with_fleet_admission(mut self, fleet_admission: FleetAdmission) -> Self {
         self.fleet_admission = Some(fleet_admission);
         self
     }
 
-    /// Follows a discovery service: what it has stated of workers may be acted on for a while only. Whether this process
-    /// takes over from another.
+    /// Applies readiness leases: a worker that a discovery service reported as ready counts as ready only until its
+    /// lease ends. `takes_over` says that this process may replace another one, which shortens the first lease.
     #[must_use]
     pub fn with_discovery(mut self, takes_over: bool) -> Self {
         self.leases.follow(self.clock.now(), takes_over);
         self
     }
 
-    /// Makes these system calls on connections to workers in place of the machine's.
+    /// Replaces the operating system's calls on connections to workers. Tests use this to inject faults.
     #[must_use]
     pub fn with_system_calls(mut self, system_calls: Arc<dyn SystemCalls>) -> Self {
         self.system_calls = system_calls;
         self
     }
 
-    /// The event loop. Runs until every sender of the queue is gone.
+    /// Runs the event loop until every sender of the queue has been dropped.
     pub fn run(mut self) {
         self.start_periodic_timers();
         loop {
@@ -170,8 +172,8 @@
             .set(now + LEASE_REVIEW_PERIOD, TimerEvent::LeaseReview);
     }
 
-    /// Handles a message and those that have queued up behind it, before any timer: an answer that is here already
-    /// wins over its timeout.
+    /// Handles a message and up to [`MESSAGE_BATCH`] more that are already queued. No timer runs in between, so an
+    /// answer that has already arrived takes precedence over its timeout.
     fn handle_batch(&mut self, first: Message) {
         self.review_overdue_leases();
         self.handle_message(first);
@@ -183,8 +185,8 @@
         }
     }
 
-    /// Logs that timers are late. It distinguishes a machine without free processor time from a fault of the program when
-    /// answers came late.
+    /// Logs that timers are late. When answers came late, this line tells a machine without free processor time from a
+    /// fault of the program.
     fn report_overdue_timers(&self) {
         let overdue = self.timers.overdue(self.clock.now());
         if overdue > REPORTED_DELAY {
@@ -206,7 +208,7 @@
         }
     }
 
-    /// A number that no other request or load order of this process has.
+    /// A number that no other request, load order or health check of this process has.
     fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
--- a/wrenseam/src/core/readiness.rs
+++ b/wrenseam/src/core/readiness.rs
@@ -1,4 +1,5 @@
-//! Readiness leases as the core applies them: health checks to workers, and what their ends and other answers change.
+//! Applies readiness leases: sends health checks, feeds the leases with the results of checks and of other work, and
+//! suspends and resumes workers.
 use super::log_lines::LogLine;
 use super::timers::TimerEvent;
 use super::Core;
@@ -9,35 +10,38 @@
 use wrenseam_policy::readiness_lease::{HealthCheckResult, LeaseAction};
 use wrenseam_policy::{Micros, Outcome, WorkerId};
 
-/// How often leases are looked at.
+/// How often leases are reviewed.
 pub(super) const LEASE_REVIEW_PERIOD: Micros = 100_000;
 
-/// A health check that is not answered within this gets no answer. A worker may have it wait like a request.
+/// A health check that is unanswered for this long is abandoned. A worker may queue a check like a request.
 const HEALTH_CHECK_TIMEOUT: Micros = 3_000_000;
 
-/// A health check that has not ended.
+/// A health check that is still unanswered.
 #[derive(Clone, Debug)]
 struct HealthCheck {
     worker: WorkerId,
     sent_at: Micros,
 }
 
-/// The health checks that have not ended, by the core's number, and how many were sent.
+/// The unanswered health checks, by the core's number, and the number of checks sent.
 #[derive(Debug, Default)]
 pub(super) struct HealthChecks {
+    /// Numbers increase, so the first entry is the oldest check.
     open: BTreeMap<u64, HealthCheck>,
+    /// Checks sent since the start of this process.
     pub(super) sent: u64,
 }
 
 impl Core {
-    /// Reviews the leases from time to time.
+    /// Reviews the leases and sets the timer of the next review.
     pub(super) fn review_leases_periodically(&mut self) {
         self.review_leases();
         let next = self.clock.now() + LEASE_REVIEW_PERIOD;
         self.timers.set(next, TimerEvent::LeaseReview);
     }
 
-    /// Reviews the leases before anything else if that is overdue: this process may have stood still.
+    /// Reviews the leases first if the last review is long overdue, as this process may have been stopped meanwhile and
+    /// leases may have ended.
     pub(super) fn review_overdue_leases(&mut self) {
         if self.clock.now() > self.leases_reviewed_at + 2 * LEASE_REVIEW_PERIOD {
             self.review_leases();
@@ -45,7 +49,7 @@
         }
     }
 
-    /// Suspends workers whose leases have ended and sends the health checks that are due.
+    /// Suspends workers whose leases have ended, and sends the health checks that are due.
     fn review_leases(&mut self) {
         let now = self.clock.now();
         self.leases_reviewed_at = now;
@@ -54,7 +58,8 @@
         self.apply_lease_actions(actions);
     }
 
-    /// When new work must have been started at a worker at the latest. One whose lease has ended is suspended.
+    /// The latest time at which new work may be started at a worker; `None` if no lease applies to it. A worker whose
+    /// lease has already ended is suspended by this call.
     pub(super) fn lease_end(&mut self, worker: &str) -> Option<Instant> {
         let ends_at = self.leases.ends_at(worker)?;
         if ends_at <= self.clock.now() {
@@ -73,7 +78,7 @@
         }
     }
 
-    /// Carries out what the leases ask for.
+    /// Carries out the actions that a change of the leases requires.
     pub(super) fn apply_lease_actions(&mut self, actions: impl IntoIterator<Item = LeaseAction>) {
         let mut changes = Vec::new();
         for action in actions {
@@ -119,7 +124,7 @@
         self.health_checks.open.insert(number, check);
     }
 
-    /// A health check ended; a second end is ignored.
+    /// Passes the result of a health check to the leases. A check that has already ended or was abandoned is ignored.
     pub(super) fn end_health_check(&mut self, number: u64, result: HealthCheckResult) {
         let Some(check) = self.health_checks.open.remove(&number) else {
             return;
@@ -130,8 +135,8 @@
         self.apply_lease_actions(action);
     }
 
-    /// Takes what the end of new work, sent at `sent_at`, tells of its worker.
-    pub(super) fn note_work_ended(&mut self, worker: &str, sent_at: Micros, outcome: Outcome) {
+    /// Updates a worker's lease from the outcome of new work that was sent to it at `sent_at`.
+    pub(super) fn update_lease(&mut self, worker: &str, sent_at: Micros, outcome: Outcome) {
         let now = self.clock.now();
         match outcome {
             Outcome::Ok => {
@@ -145,8 +150,9 @@
         }
     }
 
-    /// A connection to the workers at this address ended, or was refused.
-    pub(super) fn note_connection_ended(&mut self, address: SocketAddr, refused: bool) {
+    /// Updates the leases of the workers at this address after a connection to it ended or was refused. An end is
+    /// ignored while discovery still reports, which renews the leases.
+    pub(super) fn handle_worker_connection_end(&mut self, address: SocketAddr, refused: bool) {
         let now = self.clock.now();
         if !refused && !self.leases.is_out_of_contact(now) {
             return;
@@ -163,8 +169,8 @@
         }
     }
 
-    /// Takes over which workers the discovery service lists as ready. Those of other sources are listed by files, which
-    /// do not change.
+    /// Updates the leases after changes of the discovery service's list. Workers of another source get no leases, as
+    /// they are listed by a file that does not change.
     pub(super) fn sync_leases(&mut self, source: TransportProtocol, changed: &BTreeSet<WorkerId>) {
         if source != TransportProtocol::Frames {
             return;
@@ -176,7 +182,7 @@
     }
 }
 
-/// The ids of these endpoints.
+/// The ids of these endpoints, each once.
 pub(super) fn ids<'a>(endpoints: impl IntoIterator<Item = &'a Endpoint>) -> BTreeSet<WorkerId> {
     let id = |endpoint: &Endpoint| endpoint.id.clone();
     endpoints.into_iter().map(id).collect()
--- a/wrenseam/src/core/requests.rs
+++ b/wrenseam/src/core/requests.rs
@@ -1,4 +1,4 @@
-//! Requests from their arrival to their one final answer.
+//! Requests, from their arrival to their final answer.
 use super::log_lines::{InvalidRequest, LogLine};
 use super::tables::OpenRequest;
 use super::timers::TimerEvent;
@@ -9,7 +9,7 @@
 use wrenseam_policy::{Event, Idempotency, Micros, NewRequest};
 
 impl Core {
-    /// Accepts a request, or answers at once one that is invalid or shed.
+    /// Accepts a request. One that is invalid is answered as failed at once, one that the fleet sheds as rejected.
     pub(super) fn handle_request(&mut self, request: Request, client: Arc<dyn Client>, tag: u64) {
         let class = self.settings.class(&request.class);
         let tenant = self.settings.tenant(&request.tenant);
@@ -48,18 +48,18 @@
         if tenant.is_none() && !self.settings.tenants.is_empty() {
             return Err(InvalidRequest::UnknownTenant);
         }
-        // Without its key no worker could drop a repeated attempt.
+        // Without the key a worker could not recognise a retry as a duplicate, and would execute it again.
         if class.idempotency == Idempotency::Keyed && request.idempotency_key.is_none() {
             return Err(InvalidRequest::MissingIdempotencyKey);
         }
-        // Workers identify requests by this id: two open requests must not share it.
+        // Workers identify requests by this id, so two open requests must not share it.
         if self.requests.has_wire_id(request.wire_id) {
             return Err(InvalidRequest::DuplicateId);
         }
         Ok(())
     }
 
-    /// Whether the fleet sheds a request of this class now; if so, the Retry-After to answer.
+    /// The Retry-After of the rejection if a request of this class is shed now; `None` if it is not.
     fn shed(&mut self, class: usize) -> Option<Micros> {
         let fleet_admission = self.fleet_admission.as_mut()?;
         fleet_admission.shed(self.clock.now(), class)
@@ -85,36 +85,36 @@
         self.process_state
             .open_requests
             .fetch_add(1, Ordering::AcqRel);
-        // The policy ends each request in time; this timer guarantees the answer should it not.
+        // The policy is expected to end each request in time. This timer answers the request if the policy does not.
         self.timers.set(
             now.saturating_add(time_left),
             TimerEvent::RequestDeadline(id),
         );
     }
 
-    /// What is left of the client's timeout, less a margin for delivering the answer, which still reaches its client if
-    /// the machine is paused for some tens of milliseconds.
+    /// What is left of the client's timeout, less a margin for delivering the answer. With the margin, an answer still
+    /// reaches its client in time if the machine is paused for some tens of milliseconds.
     pub(super) fn time_left(&self, now: Micros, request: &Request) -> Micros {
         let elapsed = now.saturating_sub(self.clock.at(request.received_at));
         let margin = self.limits.margin(request.timeout);
         request.timeout.saturating_sub(elapsed + margin)
     }
 
-    /// The client cancelled one request.
+    /// Ends the request that this connection sent under this tag, as its client cancelled it.
     pub(super) fn cancel_request(&mut self, connection: u64, tag: u64) {
         if let Some(id) = self.requests.find(connection, tag) {
             self.end_cancelled(id);
         }
     }
 
-    /// A client's connection ended: all its requests are cancelled.
+    /// Ends all requests of a client connection that has closed.
     pub(super) fn cancel_requests_of(&mut self, connection: u64) {
         for id in self.requests.of_connection(connection) {
             self.end_cancelled(id);
         }
     }
 
-    /// Ends a request without an answer; the policy cancels its attempts.
+    /// Ends a request without an answer. The policy then cancels its attempts.
     fn end_cancelled(&mut self, id: u64) {
         if self.requests.close(id).is_some() {
             self.events.push_back(Event::RequestCancelled { id });
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Sends the final answer, unless the request is answered or cancelled.
+    /// Sends the final answer, unless the request has already been answered or cancelled.
     pub(super) fn answer(&mut self, id: u64, answer: Answer) {
         let Some(closed) = self.requests.close(id) else {
             return;
@@ -151,13 +151,13 @@
         log_limited!("{line}");
     }
 
-    /// Sends the final answer and removes the request's record if no attempt is open.
+    /// Sends the final answer, and removes the request's record if no attempt is open.
     pub(super) fn finish_request(&mut self, id: u64, answer: Answer) {
         self.answer(id, answer);
         self.remove_if_finished(id);
     }
 
-    /// Removes the record of a request that is answered and has no open attempt.
+    /// Removes the request's record if it is answered or cancelled and has no open attempt.
     pub(super) fn remove_if_finished(&mut self, id: u64) {
         if self.requests.remove_finished(id) {
             self.process_state
--- a/wrenseam/src/core/state_report.rs
+++ b/wrenseam/src/core/state_report.rs
@@ -1,4 +1,4 @@
-//! The JSON of `/v1/state`. Its keys are part of the administration API and stay as they are.
+//! The JSON of `/v1/state`. Its keys are part of the administration API and must not change.
 use super::counters::TenantCounts;
 use super::Core;
 use crate::model::{Endpoint, TransportProtocol};
@@ -6,7 +6,7 @@
 use wrenseam_policy::{TenantSettings, WorkerState};
 
 impl Core {
-    /// Tenants with their quotas and counts, endpoints and the number of open requests.
+    /// The JSON text: tenants with their quotas and counts, endpoints, and the number of open requests.
     pub(super) fn state_report(&self) -> String {
         let settings = self.settings.tenants.iter().map(Some);
         let tenants: Array = self
@@ -24,6 +24,7 @@
     }
 }
 
+/// The record of one tenant; `tenant` is `None` for the counts of all tenants that the settings do not name.
 fn tenant_report(tenant: Option<&TenantSettings>, counts: &TenantCounts) -> Value {
     let name = tenant.map_or("(unknown)", |tenant| &tenant.name);
     let quota_per_s = tenant.map_or(0.0, |tenant| tenant.quota_per_s);
--- a/wrenseam/src/core/tables/load_orders.rs
+++ b/wrenseam/src/core/tables/load_orders.rs
@@ -2,20 +2,21 @@
 use std::collections::HashMap;
 use wrenseam_policy::{FunctionId, Micros, WorkerId};
 
-/// One order to a worker to hold replicas of a function.
+/// One order to a worker to hold a number of replicas of a function.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LoadOrder {
     /// The worker that was ordered.
     pub worker: WorkerId,
     /// The function to load.
     pub function: FunctionId,
-    /// How many replicas it is to hold; 0: it was only asked.
+    /// How many replicas it is to hold; 0 for a poll, which only asks how many it holds.
     pub replicas: u32,
-    /// When the worker was ordered.
+    /// When the order was sent, as Unix time in microseconds.
     pub ordered_at: Micros,
 }
 
-/// Unanswered load orders, by the core's number. Each is removed once: by its answer or by its timeout.
+/// Unanswered load orders, by the core's number. Each is removed by its answer or by its timeout, whichever comes
+/// first.
 #[derive(Debug, Default)]
 pub struct LoadOrders(HashMap<u64, LoadOrder>);
 
@@ -30,7 +31,7 @@
         self.0.get(&number)
     }
 
-    /// Removes the order; `None` if it has been answered or has timed out.
+    /// Removes the order; `None` if it has already been answered or timed out.
     pub fn remove(&mut self, number: u64) -> Option<LoadOrder> {
         self.0.remove(&number)
     }
--- a/wrenseam/src/core/tables/mod.rs
+++ b/wrenseam/src/core/tables/mod.rs
@@ -1,4 +1,4 @@
-//! The records that the core keeps, each table the only owner of its fields. No I/O, no clock and no policy here.
+//! The records that the core keeps. Each table is the only code that changes its records. No I/O, clock or policy here.
 pub mod attempts;
 pub mod load_orders;
 pub mod requests;
--- a/wrenseam/src/core/tables/requests.rs
+++ b/wrenseam/src/core/tables/requests.rs
@@ -1,4 +1,4 @@
-//! The table of open requests, found by the core's number or by the client's connection and tag.
+//! The table of open requests, indexed by the core's number and by the client's connection and tag.
 use super::attempts::{Attempt, Attempts};
 use crate::model::{AttemptKey, Client, Request};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -6,29 +6,29 @@
 use std::sync::Arc;
 use wrenseam_policy::Micros;
 
-/// An accepted request, with its class and tenant looked up.
+/// An accepted request, with the positions of its class and tenant in the settings.
 pub struct OpenRequest {
     /// The request.
     pub request: Arc<Request>,
-    /// Where its answer goes.
+    /// The client connection that gets the answer.
     pub client: Arc<dyn Client>,
-    /// The client's tag for it.
+    /// The client's tag for it, unique among the connection's open requests.
     pub tag: u64,
     /// Position of its class in the settings.
     pub class: usize,
-    /// Position of its tenant in the settings, if it names one of them.
+    /// Position of its tenant in the settings; `None` if the settings do not name it.
     pub tenant: Option<usize>,
 }
 
-/// Where the answer to a request that was just closed goes, and how it is counted.
+/// A request that has just been closed: where its answer goes, and under which class and tenant it is counted.
 pub struct ClosedRequest {
-    /// Where the answer goes.
+    /// The client connection that gets the answer.
     pub client: Arc<dyn Client>,
-    /// The client's tag for it.
+    /// The client's tag for the request.
     pub tag: u64,
     /// Position of its class in the settings.
     pub class: usize,
-    /// Position of its tenant in the settings, if it names one of them.
+    /// Position of its tenant in the settings; `None` if the settings do not name it.
     pub tenant: Option<usize>,
 }
 
@@ -41,13 +41,13 @@
 /// What identifies a request to its client: the connection's number and the client's tag.
 type ClientKey = (u64, u64);
 
-/// The open requests. A request is in the two indexes exactly while it is unanswered; its entry stays until it is
-/// answered and its last attempt has ended.
+/// The open requests. A request is in `by_client` and `wire_ids` exactly while it is unanswered. Its entry stays until
+/// it is answered or cancelled and its last attempt has ended.
 #[derive(Default)]
 pub struct RequestTable {
     entries: HashMap<u64, Entry>,
     by_client: BTreeMap<ClientKey, u64>,
-    /// The ids that clients sent with their unanswered requests, over all connections.
+    /// The ids that clients gave their unanswered requests, over all connections.
     wire_ids: HashSet<u64>,
 }
 
@@ -83,7 +83,7 @@
             .count()
     }
 
-    /// Whether a request that its client sent with this id is unanswered.
+    /// Whether there is an unanswered request to which its client gave this id.
     pub fn has_wire_id(&self, wire_id: u64) -> bool {
         self.wire_ids.contains(&wire_id)
     }
@@ -111,8 +111,8 @@
         self.entries.get(&id).is_none_or(|entry| entry.answered)
     }
 
-    /// Closes an unanswered request: `Some` exactly once, so that at most one answer is sent. Attempts of which nothing
-    /// has been written are not written any more.
+    /// Closes an unanswered request, because it is answered or cancelled. Returns `Some` only once for each request, so
+    /// that at most one answer is sent. Attempts of which nothing has been written yet are no longer written.
     pub fn close(&mut self, id: u64) -> Option<ClosedRequest> {
         let entry = self.entries.get_mut(&id).filter(|entry| !entry.answered)?;
         entry.answered = true;
@@ -128,7 +128,7 @@
         })
     }
 
-    /// Removes the request if it is answered and has no open attempt; whether it was removed.
+    /// Removes the request if it is answered or cancelled and has no open attempt. Returns whether it was removed.
     pub fn remove_finished(&mut self, id: u64) -> bool {
         let finished = self
             .entries
@@ -140,14 +140,14 @@
         finished
     }
 
-    /// Whether an attempt was started for the request.
+    /// Whether any attempt was started for the request.
     pub fn was_attempted(&self, id: u64) -> bool {
         self.entries
             .get(&id)
             .is_some_and(|entry| !entry.attempts.is_empty())
     }
 
-    /// How many attempts were started for the request.
+    /// The number of attempts started for the request.
     pub fn attempts_made(&self, id: u64) -> usize {
         self.entries
             .get(&id)
@@ -168,7 +168,7 @@
         self.entries.get(&key.request)?.attempts.open(key.attempt)
     }
 
-    /// Notes that a transport accepted the attempt.
+    /// Records that the attempt was handed to a transport.
     pub fn mark_handed_over(&mut self, key: AttemptKey) {
         if let Some(entry) = self.entries.get_mut(&key.request) {
             entry.attempts.mark_handed_over(key.attempt);
--- a/wrenseam/src/core/tables/workers.rs
+++ b/wrenseam/src/core/tables/workers.rs
@@ -1,4 +1,4 @@
-//! The listed workers with the transports that lead to them, and the bound on connections over all of them.
+//! The listed workers with their transports, and the limit on the number of connections to all of them.
 use crate::discovery::membership::ConnectionAction;
 use crate::model::{AttemptKey, Endpoint};
 use crate::worker::pool::{longest_idle, ConnectionCounts, IdleConnection, Pool};
@@ -9,8 +9,8 @@
 struct Worker {
     endpoint: Endpoint,
     transport: Box<dyn Transport>,
-    /// Transports to its earlier addresses. They get no new attempts and stay until what is open there has ended, so
-    /// that cancellations still reach it.
+    /// Transports to its earlier addresses. They get no new attempts. Each stays until it has no connection left, so
+    /// that attempts that are open there can still be cancelled.
     former_transports: Vec<Box<dyn Transport>>,
 }
 
@@ -48,7 +48,7 @@
         self.endpoint = endpoint;
     }
 
-    /// Cancels an attempt at whichever transport holds it.
+    /// Cancels an attempt on whichever transport it was sent.
     fn cancel(&mut self, key: AttemptKey) -> CancelOutcome {
         let mut result = CancelOutcome::Unknown;
         for transport in self.transports_mut() {
@@ -73,7 +73,7 @@
     }
 }
 
-/// The workers by id. A worker that is gone stays until its last connection has closed.
+/// The workers, by id. A worker that is gone stays in the table until its last connection has closed.
 #[derive(Default)]
 pub struct WorkerTable(BTreeMap<String, Worker>);
 
@@ -83,7 +83,7 @@
         self.0.values().map(|worker| &worker.endpoint)
     }
 
-    /// Adds or changes a worker; `connect` makes its transport where `action` asks for a new one.
+    /// Adds or changes a worker. `connect` creates its transport if the worker is new or `action` requires a new one.
     pub fn update(
         &mut self,
         endpoint: Endpoint,
@@ -117,7 +117,7 @@
             .map_or(CancelOutcome::Unknown, |worker| worker.cancel(key))
     }
 
-    /// Stops waiting for the answer to a load order, at whichever transport it went to.
+    /// Stops waiting for the answer to a load order, on whichever transport it was sent.
     pub fn abandon_load_order(&mut self, worker: &str, order: u64) {
         if let Some(worker) = self.0.get_mut(worker) {
             for transport in worker.transports_mut() {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Stops waiting for the answer to a health check, at whichever transport it went to.
+    /// Stops waiting for the answer to a health check, on whichever transport it was sent.
     pub fn abandon_health_check(&mut self, worker: &str, check: u64) {
         if let Some(worker) = self.0.get_mut(worker) {
             for transport in worker.transports_mut() {
@@ -135,14 +135,14 @@
         }
     }
 
-    /// Has a worker unload the idle replicas of a function.
+    /// Orders a worker to unload its idle replicas of a function.
     pub fn unload(&mut self, worker: &str, function: FunctionId) {
         if let Some(transport) = self.transport(worker) {
             transport.unload(function);
         }
     }
 
-    /// Looks whether the connections on which answers are awaited still respond.
+    /// Probes the connections on which answers are overdue, and closes those that do not respond.
     pub fn check_liveness(&mut self) {
         for worker in self.0.values_mut() {
             for transport in worker.transports_mut() {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Removes the workers that are gone and have no connection left; their ids.
+    /// Removes the workers that are gone and have no connection left, and returns their ids.
     pub fn remove_gone(&mut self) -> Vec<String> {
         let mut removed = Vec::new();
         self.0.retain(|id, worker| {
@@ -171,8 +171,9 @@
         removed
     }
 
-    /// Whether an attempt at this worker finds a connection or may open one, beside so many client connections. Where
-    /// descriptors run short, the connections idle longest are closed for it, whichever worker they lead to.
+    /// Whether an attempt at this worker has a connection to use or may open one, with `clients` client connections
+    /// open. If descriptors are short, the connections that have been idle longest are closed to allow it, whichever
+    /// workers they lead to.
     pub fn ensure_connection_available(
         &mut self,
         worker: &str,
@@ -186,7 +187,8 @@
         !needs_connection || self.trim_idle_connections(1, pool, clients)
     }
 
-    /// Closes the connections idle longest until `more` may be opened; false if too many are in use.
+    /// Closes the connections that have been idle longest until `more` may be opened, with `clients` client connections
+    /// open. Returns false if too few are idle for that.
     pub fn trim_idle_connections(&mut self, more: usize, pool: Pool, clients: usize) -> bool {
         let excess = pool.excess(ConnectionCounts {
             open: self.connections(),
--- a/wrenseam/src/core/timer_events.rs
+++ b/wrenseam/src/core/timer_events.rs
@@ -1,4 +1,4 @@
-//! What happens when a timer fires.
+//! Handles the core's timers when they fire.
 use super::timers::TimerEvent;
 use super::{Core, IDLE_SWEEP_PERIOD};
 use crate::model::{Answer, AttemptKey, AttemptReport};
@@ -7,7 +7,8 @@
 use wrenseam_policy::{Event, Outcome};
 
 impl Core {
-    /// Handles one timer. Timers are never removed, so what each is for may be over already.
+    /// Handles one timer. Timers are never cancelled, so the attempt, order or request of this one may have ended
+    /// already.
     pub(super) fn handle_timer(&mut self, event: TimerEvent) {
         match event {
             TimerEvent::Policy(token) => self.events.push_back(Event::Timer { token }),
@@ -20,23 +21,24 @@
         }
     }
 
-    /// Ends an attempt whose worker sent no answer in time, so that a worker that vanishes silently holds up nothing.
+    /// Ends an attempt whose worker sent no answer in time, so that a request does not wait for a worker that failed
+    /// without closing its connection.
     fn time_out_attempt(&mut self, key: AttemptKey) {
         let Some(attempt) = self.requests.open_attempt(key) else {
             return;
         };
         let outcome = match self.workers.cancel(attempt.worker(), key) {
-            // It provably never ran, so its class may allow another attempt.
+            // The attempt provably never ran, so it may be retried even in classes that must not run twice.
             CancelOutcome::NeverStarted => Outcome::ConnectFailed,
             CancelOutcome::PendingConfirmation | CancelOutcome::Unknown => Outcome::Timeout,
         };
         self.handle_attempt_end(key, AttemptReport::without_payload(outcome));
     }
 
-    /// Checks the connections to workers, and frees descriptors for clients.
+    /// Probes the connections to workers, and closes idle ones where clients need the descriptors.
     ///
-    /// The check is skipped if this thread itself was delayed: what workers sent meanwhile has not been read yet, and
-    /// responsive connections would be closed.
+    /// Both are skipped if this thread itself was delayed: data that workers sent in the meantime has not been read
+    /// yet, so the probe would close connections that do respond.
     fn check_liveness(&mut self) {
         let now = self.clock.now();
         let period = self.limits.link_check;
@@ -53,8 +55,8 @@
         self.timers.set(now + period, TimerEvent::LivenessCheck);
     }
 
-    /// Closes idle connections and forgets workers that are gone: workers are replaced all day, and their records would
-    /// add up.
+    /// Closes idle connections and removes the records of workers that are gone. Workers are replaced all the time, so
+    /// their records would otherwise accumulate.
     fn sweep_idle(&mut self) {
         self.workers.close_idle_connections();
         for id in self.workers.remove_gone() {
--- a/wrenseam/src/core/timers.rs
+++ b/wrenseam/src/core/timers.rs
@@ -1,11 +1,11 @@
-//! One heap of timers. A timer cannot be removed: whoever handles it ignores what is no longer needed.
+//! The core's timers, in one heap. A timer cannot be cancelled; its handler ignores it if it is no longer needed.
 use crate::model::AttemptKey;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
 use wrenseam_policy::Micros;
 
-/// The longest wait without a timer.
+/// The longest that the event loop waits, even if no timer is due sooner.
 const MAX_WAIT: Duration = Duration::from_millis(500);
 
 /// What a timer is for.
@@ -13,13 +13,13 @@
 pub enum TimerEvent {
     /// The policy's timer with this token.
     Policy(u64),
-    /// An attempt has used up its time.
+    /// The attempt has reached its timeout.
     AttemptTimeout(AttemptKey),
-    /// A load order of this number has used up its time.
+    /// The load order of this number has reached its timeout.
     LoadOrderTimeout(u64),
-    /// The client of the request of this number stops waiting.
+    /// The last moment at which the request of this number can be answered in time for its client.
     RequestDeadline(u64),
-    /// Connections to workers are to be checked for a response.
+    /// Connections to workers are to be probed.
     LivenessCheck,
     /// Readiness leases are to be reviewed.
     LeaseReview,
@@ -27,7 +27,7 @@
     IdleSweep,
 }
 
-/// Ordered by time, then by the order in which the timers were set.
+/// One timer. Timers are ordered by time, then by the order in which they were set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Timer {
     at: Micros,
@@ -35,7 +35,7 @@
     event: TimerEvent,
 }
 
-/// The heap of timers; equal times fire in the order in which they were set.
+/// The heap of timers. Timers of the same time fire in the order in which they were set.
 #[derive(Debug, Default)]
 pub struct Timers {
     heap: BinaryHeap<Reverse<Timer>>,
@@ -43,7 +43,7 @@
 }
 
 impl Timers {
-    /// Sets a timer.
+    /// Sets a timer that fires at this time.
     pub fn set(&mut self, at: Micros, event: TimerEvent) {
         self.sequence += 1;
         self.heap.push(Reverse(Timer {
@@ -61,12 +61,12 @@
         self.heap.pop().map(|Reverse(timer)| timer.event)
     }
 
-    /// By how much the next timer is overdue.
+    /// By how much the next timer is overdue, in microseconds; 0 if none is.
     pub fn overdue(&self, now: Micros) -> Micros {
         self.next_at().map_or(0, |at| now.saturating_sub(at))
     }
 
-    /// How long to wait for the next timer, at most half a second.
+    /// How long to wait for the next timer, at most 500 ms.
     pub fn wait(&self, now: Micros) -> Duration {
         self.next_at().map_or(MAX_WAIT, |at| {
             Duration::from_micros(at.saturating_sub(now)).min(MAX_WAIT)
--- a/wrenseam/tests/core_log_lines.rs
+++ b/wrenseam/tests/core_log_lines.rs
@@ -1,4 +1,4 @@
-//! The texts of the core's log lines, which docs/oncall.md lists.
+//! The texts of the core's log lines. docs/oncall.md lists them, so operators rely on them.
 use rstest::rstest;
 use wrenseam::core::log_lines::{InvalidRequest, LogLine};
 use wrenseam::model::{Endpoint, RequestEnd, TransportProtocol};
@@ -46,7 +46,7 @@
     LogLine::DiscoveryLost { cause: Interruption::Silent, age: Some(2_500_000) },
     "discovery: contact lost (Silent), the list was confirmed 2500 ms ago"
 )]
-#[case::contact_never_made(
+#[case::contact_never_established(
     LogLine::DiscoveryLost { cause: Interruption::Unreachable, age: None },
     "discovery: contact lost (Unreachable), the list was never confirmed"
 )]
@@ -85,7 +85,7 @@
     "no idempotency key, which its class needs"
 )]
 #[case::id(InvalidRequest::DuplicateId, "a request with this id is open")]
-fn invalid_requests_are_named_with_the_reason(
+fn an_invalid_request_is_logged_with_the_reason(
     #[case] reason: InvalidRequest,
     #[case] expected: &str,
 ) {
@@ -101,7 +101,10 @@
 #[case(WorkerState::Ready, "endpoint w1: Ready at 127.0.0.1:8443")]
 #[case(WorkerState::Draining, "endpoint w1: Draining at 127.0.0.1:8443")]
 #[case(WorkerState::Gone, "endpoint w1: Gone at 127.0.0.1:8443")]
-fn endpoint_changes_name_state_and_address(#[case] state: WorkerState, #[case] text: &str) {
+fn an_endpoint_change_is_logged_with_state_and_address(
+    #[case] state: WorkerState,
+    #[case] text: &str,
+) {
     let endpoint = Endpoint {
         id: "w1".to_owned(),
         address: "127.0.0.1:8443".parse().expect("an address"),
--- a/wrenseam/tests/core_tables.rs
+++ b/wrenseam/tests/core_tables.rs
@@ -1,4 +1,4 @@
-//! The core's tables and timers, without sockets and threads.
+//! The core's tables of requests, attempts and load orders, and its timers, without sockets and threads.
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,12 +6,12 @@
 use wrenseam::core::timers::{TimerEvent, Timers};
 use wrenseam::model::{Answer, AttemptKey, Client, Payload, Request};
 
-/// A client connection of this number that is never answered.
+/// A client connection with this number. Panics if it gets an answer.
 struct Connection(u64);
 
 impl Client for Connection {
     fn answer(&self, _tag: u64, _answer: Answer) {
-        unreachable!("tables do not answer");
+        unreachable!("tables send no answers");
     }
 
     fn connection(&self) -> u64 {
@@ -39,7 +39,7 @@
     })
 }
 
-/// A table with one request, number 1, which connection 5 sent under this tag and wire id 100.
+/// A table with request number 1, which connection 5 sent under this tag and with the id 100.
 fn table_with(tag: u64) -> RequestTable {
     let mut table = RequestTable::default();
     add(&mut table, 1, 5, tag, 100);
@@ -61,11 +61,11 @@
 fn a_request_is_closed_once() {
     let mut table = table_with(9);
     assert!(!table.is_answered(1));
-    let closed = table.close(1).expect("owed");
+    let closed = table.close(1).expect("unanswered");
     assert_eq!((closed.tag, closed.class, closed.tenant), (9, 2, Some(3)));
     assert!(table.is_answered(1));
-    assert!(table.close(1).is_none(), "the right to answer is used up");
-    let request = table.request(1).expect("until it is removed");
+    assert!(table.close(1).is_none(), "it is closed already");
+    let request = table.request(1).expect("it is not removed yet");
     assert!(request.client_gone.load(Ordering::Acquire));
 }
 
@@ -74,7 +74,7 @@
     let mut table = table_with(9);
     assert!(table.has_wire_id(100));
     assert_eq!(table.find(5, 9), Some(1));
-    table.close(1).expect("owed");
+    table.close(1).expect("unanswered");
     assert!(!table.has_wire_id(100));
     assert_eq!(table.find(5, 9), None);
     assert_eq!((table.len(), table.unanswered()), (1, 0));
@@ -95,13 +95,13 @@
     let mut table = table_with(9);
     let attempt = table
         .start_attempt(1, "w1".to_owned(), 50)
-        .expect("the request is there");
-    assert!(!table.remove_finished(1), "not answered");
-    table.close(1).expect("owed");
+        .expect("the request is in the table");
+    assert!(!table.remove_finished(1), "it is unanswered");
+    table.close(1).expect("unanswered");
     assert!(!table.remove_finished(1), "an attempt is open");
     table.close_attempt(attempt).expect("open");
     assert!(table.remove_finished(1));
-    assert!(!table.remove_finished(1), "removed once");
+    assert!(!table.remove_finished(1), "it is removed already");
     assert!(table.is_empty() && table.is_answered(1));
 }
 
@@ -109,15 +109,18 @@
 fn attempts_are_numbered_and_closed_once() {
     let mut table = table_with(9);
     assert!(!table.was_attempted(1));
-    let first = table.start_attempt(1, "w1".to_owned(), 50).expect("there");
-    let second = table.start_attempt(1, "w2".to_owned(), 60).expect("there");
+    let first = table.start_attempt(1, "w1".to_owned(), 50).expect("known");
+    let second = table.start_attempt(1, "w2".to_owned(), 60).expect("known");
     assert_eq!((first.attempt, second.attempt), (0, 1));
     assert!(table.was_attempted(1));
     table.mark_handed_over(second);
     let closed = table.close_attempt(second).expect("open");
     assert_eq!((closed.worker(), closed.started_at()), ("w2", 60));
     assert!(closed.handed_over());
-    assert!(table.close_attempt(second).is_none(), "closed once");
+    assert!(
+        table.close_attempt(second).is_none(),
+        "it is closed already"
+    );
     assert!(table.open_attempt(second).is_none());
     assert!(!table.open_attempt(first).expect("open").handed_over());
 }
@@ -152,7 +155,7 @@
 }
 
 #[test]
-fn timers_fire_by_time_and_then_in_the_order_they_were_set() {
+fn timers_fire_by_time_and_then_in_the_order_in_which_they_were_set() {
     let mut timers = Timers::default();
     timers.set(200, TimerEvent::IdleSweep);
     timers.set(100, TimerEvent::Policy(2));
@@ -165,9 +168,13 @@
 }
 
 #[test]
-fn timers_tell_how_long_to_wait_and_how_late_they_are() {
+fn timers_report_the_time_to_wait_and_the_delay() {
     let mut timers = Timers::default();
-    assert_eq!(timers.wait(0), Duration::from_millis(500), "none is set");
+    assert_eq!(
+        timers.wait(0),
+        Duration::from_millis(500),
+        "no timer is set"
+    );
     timers.set(2_000_000, TimerEvent::LivenessCheck);
     assert_eq!(timers.wait(0), Duration::from_millis(500));
     assert_eq!(timers.wait(1_990_000), Duration::from_millis(10));
--- a/wrenseam/tests/telemetry.rs
+++ b/wrenseam/tests/telemetry.rs
@@ -1,15 +1,15 @@
-//! The core's counters: requests by class for `telemetry`, and by tenant for `/v1/state`.
+//! The core's counters: request ends by class for `telemetry`, and requests by tenant for `/v1/state`.
 use wrenseam::core::{DiscoveryMetrics, Gauges, RequestCounters, TenantCounters, TenantCounts};
 use wrenseam::model::RequestEnd;
 
 #[test]
-fn counts_each_class_and_writes_them_in_lines() {
+fn request_ends_are_counted_by_class_and_written_one_a_line() {
     let mut counters = RequestCounters::new(2);
     counters.record_end(0, RequestEnd::Completed);
     counters.record_end(0, RequestEnd::Completed);
     counters.record_end(1, RequestEnd::Rejected);
     counters.record_end(1, RequestEnd::Failed);
-    counters.record_end(7, RequestEnd::Failed); // unknown: not counted
+    counters.record_end(7, RequestEnd::Failed); // not a class of the settings: not counted
     counters.record_attempt_sent();
     counters.record_attempt_sent();
     counters.record_attempt_not_sent();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn tenants_are_counted_apart_and_unknown_ones_together() {
+fn tenants_are_counted_separately_and_unknown_ones_together() {
     let mut counters = TenantCounters::new(1);
     counters.record_received(Some(0));
     counters.record_end(Some(0), RequestEnd::Completed);
@@ -63,15 +63,15 @@
 }
 
 #[test]
-fn figures_of_discovery_stand_before_the_end() {
+fn discovery_metrics_are_written_before_the_end_line() {
     let counters = RequestCounters::new(0);
-    let figures = DiscoveryMetrics {
+    let metrics = DiscoveryMetrics {
         confirmed_ms_ago: Some(1234),
         interruptions: 2,
         suspended: 3,
         health_checks: 45,
     };
-    let text = counters.telemetry(&[], Gauges::default(), Some(figures), None);
+    let text = counters.telemetry(&[], Gauges::default(), Some(metrics), None);
     let end = "app.discovery.confirmed_ms_ago:1234|g\napp.discovery.interruptions:2|c\n\
                app.members_suspended:3|g\napp.health_checks:45|c\nEND\n";
     assert!(text.ends_with(end), "{text}");
--- a/wrenseam/tests/worker_table.rs
+++ b/wrenseam/tests/worker_table.rs
@@ -1,4 +1,5 @@
-//! The core's table of workers: which transport gets what as endpoints change, and which connections are closed.
+//! The core's table of workers: which of a worker's transports is used as its endpoint changes, and which idle
+//! connections are closed when there are too many.
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use wrenseam::core::tables::WorkerTable;
@@ -13,22 +14,22 @@
     attempt: 0,
 };
 
-/// The calls that transports got, each as "TRANSPORT CALL".
+/// The calls that the transports received, each as the text "TRANSPORT CALL".
 #[derive(Clone, Default)]
 struct Calls(Arc<Mutex<Vec<String>>>);
 
 impl Calls {
     fn add(&self, transport: &str, call: &str) {
-        let mut calls = self.0.lock().expect("sound");
+        let mut calls = self.0.lock().expect("not poisoned");
         calls.push(format!("{transport} {call}"));
     }
 
     fn take(&self) -> Vec<String> {
-        std::mem::take(&mut *self.0.lock().expect("sound"))
+        std::mem::take(&mut *self.0.lock().expect("not poisoned"))
     }
 }
 
-/// A transport that notes its calls and has fixed answers.
+/// A transport that records its calls and returns fixed results.
 struct FakeTransport {
     name: &'static str,
     calls: Calls,
@@ -38,7 +39,7 @@
 }
 
 impl FakeTransport {
-    /// A transport without connections, which knows no attempt.
+    /// A transport without connections and open attempts.
     fn new(name: &'static str, calls: &Calls) -> Self {
         FakeTransport {
             name,
@@ -49,14 +50,14 @@
         }
     }
 
-    fn note(&self, call: &str) {
+    fn record(&self, call: &str) {
         self.calls.add(self.name, call);
     }
 }
 
 impl Transport for FakeTransport {
-    fn send(&mut self, _key: AttemptKey, _request: &Arc<Request>, _terms: AttemptLimits) {
-        self.note("send");
+    fn send(&mut self, _key: AttemptKey, _request: &Arc<Request>, _limits: AttemptLimits) {
+        self.record("send");
     }
 
     fn cancel(&mut self, _key: AttemptKey) -> CancelOutcome {
@@ -64,7 +65,7 @@
     }
 
     fn abandon_order(&mut self, order: u64) {
-        self.note(&format!("abandons order {order}"));
+        self.record(&format!("abandons order {order}"));
     }
 
     fn is_idle(&self) -> bool {
@@ -75,34 +76,34 @@
         &mut self,
         _order: u64,
         _function: FunctionId,
-        _copies: u32,
+        _replicas: u32,
         _start_deadline: Option<Instant>,
     ) {
-        self.note("order");
+        self.record("order");
     }
 
     fn check_health(&mut self, check: u64) {
-        self.note(&format!("check {check}"));
+        self.record(&format!("check {check}"));
     }
 
     fn abandon_health_check(&mut self, check: u64) {
-        self.note(&format!("abandons check {check}"));
+        self.record(&format!("abandons check {check}"));
     }
 
     fn unload(&mut self, _function: FunctionId) {
-        self.note("unload");
+        self.record("unload");
     }
 
     fn drain(&mut self) {
-        self.note("drains");
+        self.record("drains");
     }
 
     fn check_keepalive(&mut self) {
-        self.note("liveness");
+        self.record("liveness");
     }
 
     fn sweep(&mut self) {
-        self.note("sweep");
+        self.record("sweep");
     }
 
     fn connections(&self) -> ConnectionUsage {
@@ -117,7 +118,7 @@
     }
 
     fn close_idle(&mut self) {
-        self.note("closes the connection idle longest");
+        self.record("closes the connection idle longest");
         self.connections -= 1;
         self.idle_since = None;
     }
@@ -142,15 +143,15 @@
     table.update(endpoint, ConnectionAction::Connect, || Box::new(transport));
 }
 
-/// Changes a worker that keeps its address.
+/// Changes a worker that keeps its address, and so its transport.
 fn change(table: &mut WorkerTable, id: &str, state: WorkerState, action: ConnectionAction) {
     table.update(endpoint(id, state), action, || {
-        panic!("the transport stays")
+        panic!("the transport is kept")
     });
 }
 
 #[test]
-fn a_new_address_gets_a_transport_and_the_former_one_drains() {
+fn a_new_address_gets_a_new_transport_and_the_former_one_drains() {
     let calls = Calls::default();
     let mut table = WorkerTable::default();
     connect(&mut table, "w1", FakeTransport::new("first", &calls));
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn a_restarted_process_drains_what_it_had_and_a_kept_one_does_not() {
+fn a_transport_drains_only_if_the_change_requires_it() {
     let calls = Calls::default();
     let mut table = WorkerTable::default();
     connect(&mut table, "w1", FakeTransport::new("first", &calls));
@@ -191,7 +192,7 @@
     assert_eq!(
         table.cancel("w2", KEY),
         CancelOutcome::Unknown,
-        "no such worker"
+        "the worker is unknown"
     );
 }
 
@@ -221,7 +222,7 @@
         ConnectionAction::Drain,
     );
     assert!(table.ready_transport("w1").is_none());
-    assert!(table.transport("w1").is_some(), "it may still be asked");
+    assert!(table.transport("w1").is_some(), "it may still be polled");
 }
 
 #[test]
@@ -255,12 +256,12 @@
         };
         connect(&mut table, id, transport);
     }
-    let pool = Pool::new(64, 64); // no descriptor beside the least of four connections
+    let pool = Pool::new(64, 64); // all descriptors are reserved, so only the minimum of four connections is left
     assert!(table.trim_idle_connections(2, pool, 0) && calls.take().is_empty());
     assert!(table.trim_idle_connections(3, pool, 0));
     assert_eq!(calls.take(), ["early closes the connection idle longest"]);
     assert!(
         !table.trim_idle_connections(5, pool, 0),
-        "four may stand at the most"
+        "at most four may be open"
     );
 }
