--- a/wrenseam/src/model/admin.rs
+++ b/wrenseam/src/model/admin.rs
@@ -1,39 +1,39 @@
-//! Commands of operators, and the replies to them.
+//! Operators' commands to the admin endpoint, and the replies to them.
 
 /// A command that an operator sends to the admin endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// Whether this process accepts clients.
+    /// Report whether this process accepts clients.
     Readyz,
-    /// Counters and gauges, one a line, then `END`.
+    /// Report the counters and gauges.
     Telemetry,
-    /// Send the worker of this id nothing new until it is included again.
+    /// Send no new work to the worker of this id until it is included again.
     Exclude(String),
-    /// Use the worker of this id again, as a process that has just started.
+    /// Send new work to the worker of this id again, as to a process that has just started.
     Include(String),
-    /// Drain: not ready, and client connections close once no answer is owed on them.
+    /// Drain: report not ready, and close each client connection once no request is open on it.
     Evacuate,
-    /// End a drain.
+    /// End the drain.
     Activate,
 }
 
 /// The core's reply to a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AdminReply {
-    /// This process takes clients.
+    /// This process accepts clients.
     Ready,
-    /// It takes no clients, as it drains.
+    /// This process accepts no clients because it drains.
     NotReadyDraining,
-    /// It takes no clients, as it knows no workers yet.
+    /// This process accepts no clients because it has no endpoint list yet.
     NotReadyStarting,
-    /// It drains from now on.
+    /// This process drains from now on.
     DrainStarted,
-    /// The worker of this id is left out.
+    /// The worker of this id is excluded.
     Excluded(String),
-    /// The worker of this id is back.
+    /// The worker of this id is no longer excluded.
     Included(String),
-    /// No worker has this id.
+    /// No endpoint list has named a worker of this id.
     UnknownWorker(String),
-    /// The metrics, one a line, then `END`.
+    /// The counters and gauges, one per line, then a line `END`.
     Telemetry(String),
 }
--- a/wrenseam/src/model/attempt.rs
+++ b/wrenseam/src/model/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: how they are identified, and how they end.
+//! The key that identifies an attempt, and the report of its end.
 use super::request::Payload;
 use wrenseam_policy::Outcome;
 
@@ -7,25 +7,25 @@
 pub struct AttemptKey {
     /// The core's number of the request.
     pub request: u64,
-    /// The attempt, counted from 0.
+    /// The number of the attempt within the request, counted from 0.
     pub attempt: usize,
 }
 
-/// How an attempt ended, as its transport saw it.
+/// How an attempt ended, as its transport reports it.
 #[derive(Debug, PartialEq)]
 pub struct AttemptReport {
     /// The outcome.
     pub outcome: Outcome,
-    /// Whether a replica was loaded when the attempt arrived, where the worker reports it.
+    /// Whether a replica was loaded when the attempt arrived; `None` if the worker did not report it.
     pub replica_loaded: Option<bool>,
-    /// Requests for the same function in the worker's queue, where the worker reports it.
+    /// Requests for the same function in the worker's queue; `None` if the worker did not report it.
     pub queue_depth: Option<u32>,
-    /// The body of the answer, with `Ok`.
+    /// The body of the worker's answer, if the outcome is `Ok`.
     pub payload: Option<Payload>,
 }
 
 impl AttemptReport {
-    /// The report of an attempt that ended without a body.
+    /// The report of an attempt that ended without a body and without figures of its worker.
     pub fn without_payload(outcome: Outcome) -> Self {
         AttemptReport {
             outcome,
--- a/wrenseam/src/model/discovery_contact.rs
+++ b/wrenseam/src/model/discovery_contact.rs
@@ -1,21 +1,21 @@
-//! What the discovery client reports of its contact with the discovery service.
+//! The discovery client's reports about its contact with the discovery service.
 use std::time::Instant;
 use wrenseam_policy::readiness_lease::Interruption;
 
 /// A change of the contact with the discovery service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryContact {
-    /// The service has answered a request and has nothing more to report: all that had happened when the request was
-    /// made has been received.
+    /// The service answered a request and has nothing more to report, so every change up to the time of that request
+    /// has been received.
     Confirmed {
         /// When the request was made.
         requested_at: Instant,
     },
-    /// Nothing is received any more.
+    /// Contact was lost: changes of the endpoint list may no longer be received.
     Interrupted {
-        /// Since when.
+        /// When contact was lost.
         at: Instant,
-        /// Why.
+        /// How contact was lost.
         cause: Interruption,
     },
 }
--- a/wrenseam/src/model/endpoint.rs
+++ b/wrenseam/src/model/endpoint.rs
@@ -1,4 +1,4 @@
-//! Workers as the endpoint lists name them.
+//! Workers as the endpoint lists describe them.
 use std::net::SocketAddr;
 use wrenseam_policy::{Micros, WorkerState};
 
@@ -14,19 +14,19 @@
 /// One worker in an endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its id.
+    /// The worker's id, unique over all endpoint lists.
     pub id: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Its state.
+    /// Whether it is ready, draining or gone.
     pub state: WorkerState,
-    /// Unix time of its start, in microseconds; 0: long ago, or not listed.
+    /// Unix time of its start, in microseconds; 0 if that is long ago or not listed.
     pub started_at: Micros,
-    /// Its zone's name.
+    /// The name of its zone.
     pub zone: String,
-    /// Its machine kind's name.
+    /// The name of its machine kind.
     pub kind: String,
-    /// Its cell, where the list names it.
+    /// The number of its cell; `None` if the list does not name one.
     pub cell: Option<u64>,
     /// The protocol that it speaks.
     pub protocol: TransportProtocol,
--- a/wrenseam/src/model/mod.rs
+++ b/wrenseam/src/model/mod.rs
@@ -1,5 +1,4 @@
-//! The types shared by fronts, core, transports and discovery. They know no wire protocol and depend on none of those
-//! parts.
+//! The types shared by fronts, core, transports and discovery. They depend on none of these and on no wire protocol.
 pub mod admin;
 pub mod attempt;
 pub mod discovery_contact;
--- a/wrenseam/src/model/request.rs
+++ b/wrenseam/src/model/request.rs
@@ -1,21 +1,22 @@
-//! A client's request, the client that is owed its answer, and that one final answer.
+//! A client's request, the client connection that it came from, and its final answer.
 use crate::memory_budget::MemoryReservation;
 use std::sync::atomic::AtomicBool;
 use std::sync::Arc;
 use std::time::Instant;
 use wrenseam_policy::{FunctionId, Micros};
 
-/// A body, opaque to the core. A transport of its own protocol carries it unchanged; another one wraps it.
+/// The body of a request or an answer, opaque to the core. The variant names the protocol that it came from, by which
+/// the KServe v2 front and transport decide whether to wrap it in JSON.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Payload {
-    /// Bytes of the platform's protocol.
+    /// Raw bytes, from FastCGI or from the platform's binary frames.
     Bytes(Vec<u8>),
     /// A JSON body of KServe v2.
     Json(Vec<u8>),
 }
 
 impl Payload {
-    /// The bytes, unwrapped.
+    /// The bytes of the body, whatever its protocol.
     pub fn bytes(&self) -> &[u8] {
         match self {
             Payload::Bytes(bytes) | Payload::Json(bytes) => bytes,
@@ -23,7 +24,7 @@
     }
 }
 
-/// A client's request, read whole.
+/// A client's request, completely read.
 #[derive(Debug)]
 pub struct Request {
     /// The id that the client gave; workers see it too.
@@ -32,65 +33,66 @@
     pub class: String,
     /// The name of its tenant.
     pub tenant: String,
-    /// The function it calls.
+    /// The function that it calls.
     pub function: FunctionId,
-    /// How long the client waits, counted from `received_at`.
+    /// How long the client waits for the answer, counted from `received_at`.
     pub timeout: Micros,
     /// When its last byte was read.
     pub received_at: Instant,
-    /// The idempotency key, which classes with keys need.
+    /// The idempotency key; `None` if the client sent none. Some classes require it.
     pub idempotency_key: Option<String>,
-    /// Whether the client marks it as a retry.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
-    /// Memory of one replica in MB; 0: not stated.
+    /// Memory of one replica in MB; 0 if the client did not state it.
     pub memory_mb: f64,
-    /// Requests that one replica runs at a time; 0: not stated.
+    /// Requests that one replica runs at a time; 0 if the client did not state it.
     pub concurrency: u32,
-    /// Usual time of a load; 0: not stated.
+    /// Usual time of a load of a replica; 0 if the client did not state it.
     pub load_time: Micros,
     /// The body.
     pub payload: Payload,
-    /// The body's part of the memory budget, returned when the request is dropped.
+    /// The body's part of the memory budget, which is released when the request is dropped.
     pub reserved_bytes: Option<MemoryReservation>,
-    /// Set by the front once its client has gone: an attempt that has not begun by then is not sent.
+    /// Set once the client has disconnected or cancelled, or the request is closed: an attempt that has not started by
+    /// then is not sent.
     pub client_gone: Arc<AtomicBool>,
-    /// Its client's connection, for a last look at its state before an attempt is written.
+    /// The client's connection, whose state is checked right before an attempt is written.
     pub client_probe: Option<Arc<dyn ClientProbe>>,
 }
 
-/// The state of a client connection, as the socket shows it though its reader may not have run yet.
+/// The state of a client connection, taken from the socket, as the connection's reader may not have run yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientState {
     /// Connected, and everything that the client sent has been read.
     Connected,
-    /// Connected, with unread input: it may be a cancellation.
+    /// Connected, with unread input, which may be a cancellation.
     UnreadInput,
     /// The client has closed the connection.
     Disconnected,
 }
 
-/// A client connection whose state can be looked at.
+/// A client connection whose current state can be checked.
 pub trait ClientProbe: Send + Sync + std::fmt::Debug {
-    /// The state of the connection now; never blocks.
+    /// The current state of the connection. Never blocks.
     fn state(&self) -> ClientState;
 }
 
-/// The one final answer.
+/// The final answer to a request.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
-    /// A worker's body.
+    /// A worker served the request, with this body.
     Served(Payload),
-    /// Rejected: a retry is harmless.
+    /// The request is rejected. A retry is safe.
     Rejected {
-        /// The advised wait before a retry; 0: none.
+        /// How long the client should wait before a retry; 0 if that is not stated.
         retry_after: Micros,
     },
-    /// Failed: it may or may not have run.
+    /// The request failed. It may have run.
     Failed,
 }
 
 impl Answer {
-    /// How a request with this answer is counted.
+    /// The end that a request with this answer is counted under.
     pub fn request_end(&self) -> RequestEnd {
         match self {
             Answer::Served(_) => RequestEnd::Completed,
@@ -100,21 +102,21 @@
     }
 }
 
-/// Where an answer goes: a client connection of some front.
+/// A client connection of any front, to which answers are sent.
 pub trait Client: Send + Sync {
-    /// Hands over the final answer to the request that was sent under this tag.
+    /// Queues the final answer to the request that the client sent under this tag.
     fn answer(&self, tag: u64, answer: Answer);
-    /// The number of the connection, unique in the process.
+    /// The number of the connection, unique within the process.
     fn connection(&self) -> u64;
 }
 
-/// How a request ended, as it is counted.
+/// How a request ended. Log lines print the name of the variant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// Served.
+    /// A worker served it.
     Completed,
-    /// Rejected: a retry is harmless.
+    /// It was rejected. A retry is safe.
     Rejected,
-    /// Failed.
+    /// It failed and may have run.
     Failed,
 }
--- a/wrenseam/src/queue.rs
+++ b/wrenseam/src/queue.rs
@@ -1,4 +1,4 @@
-//! The core's queue: the messages that the other parts of the process send, and the handle through which they do.
+//! The core's queue: the messages that other parts of the process send to the core, and the handle to send them.
 use crate::fleet::FleetStatus;
 use crate::model::{
     AdminCommand, AdminReply, AttemptKey, AttemptReport, Client, DiscoveryContact, Endpoint,
@@ -13,37 +13,37 @@
 
 /// A message to the core.
 pub enum Message {
-    /// A request, the client that it is owed to and the client's tag for it.
+    /// A client sent a request.
     Request {
         /// The request.
         request: Request,
-        /// Where its answer goes.
+        /// The client connection that gets the answer.
         client: Arc<dyn Client>,
-        /// The client's tag for it: unique among its open requests on this connection.
+        /// The client's tag for the request, unique among the open requests of the connection.
         tag: u64,
     },
-    /// The client cancelled this request; no answer is owed.
+    /// A client cancelled a request, which then gets no answer.
     RequestCancelled {
-        /// The client's connection.
+        /// The number of the client's connection.
         connection: u64,
         /// The client's tag for the request.
         tag: u64,
     },
-    /// A client connection ended; nothing is owed there.
+    /// A client connection closed. Its requests get no answer.
     ClientDisconnected {
-        /// Which connection.
+        /// The number of the connection.
         connection: u64,
     },
-    /// A front answered a request itself, without the core.
+    /// A front answered a request without passing it to the core, which only counts it.
     AnsweredAtFront {
-        /// Name of the request's class.
+        /// The name of the request's class.
         class: String,
         /// How it ended.
         end: RequestEnd,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// Which attempt.
+        /// The attempt.
         key: AttemptKey,
         /// How it ended.
         report: AttemptReport,
@@ -54,7 +54,7 @@
         order: u64,
         /// How it ended.
         outcome: Outcome,
-        /// Replicas that the worker holds.
+        /// The number of replicas that the worker holds, by its answer.
         replicas: u32,
     },
     /// A health check ended.
@@ -64,56 +64,57 @@
         /// How it ended.
         result: HealthCheckResult,
     },
-    /// A connection to a worker ended.
+    /// A connection to a worker ended, or was refused.
     WorkerConnectionEnded {
         /// The worker's address.
         address: SocketAddr,
-        /// Whether it never stood, as the address refused it.
+        /// Whether the connection was never established because the address refused it.
         refused: bool,
     },
-    /// A change of the endpoint list of one source.
+    /// One source's endpoint list changed.
     EndpointUpdate {
-        /// Which source.
+        /// The source, identified by the protocol of its workers.
         source: TransportProtocol,
-        /// Whether this is the complete list, which replaces what the source listed before.
+        /// Whether this is the source's complete list, which replaces its previous one.
         complete: bool,
-        /// The endpoints.
+        /// The endpoints of the complete list, or those that changed.
         endpoints: Vec<Endpoint>,
     },
-    /// The contact with the discovery service changed.
+    /// The discovery service confirmed the endpoint list, or contact with it was lost.
     DiscoveryContact(DiscoveryContact),
-    /// The JSON of `/v1/state` is wanted: tenants, endpoints and counts.
+    /// A request for the JSON of `/v1/state`: tenants, endpoints and counts.
     StateReport {
-        /// Where it goes.
+        /// Where the JSON text is sent.
         reply: may::sync::mpsc::Sender<String>,
     },
     /// A command of the admin endpoint.
     Admin {
         /// The command.
         command: AdminCommand,
-        /// Where the reply goes.
+        /// Where the reply is sent.
         reply: may::sync::mpsc::Sender<AdminReply>,
     },
-    /// The complete set of excluded ids, as the processes of this front end share it in a file.
+    /// The complete set of excluded worker ids, from the file that the processes of this front end share.
     Exclusions(BTreeSet<String>),
-    /// Whether this process is on standby: another process of this front end sends to workers in slow start in its place.
+    /// Whether this process is on standby: another process of this front end is the one that sends to workers in slow
+    /// start.
     Standby(bool),
-    /// The current state of the fleet, from gossip.
+    /// The current status of the fleet, from gossip.
     Fleet(FleetStatus),
 }
 
-/// The core has ended, and the process with it.
+/// The core has ended, which it does only when the process ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the core has ended")]
 pub struct CoreEnded;
 
-/// The sending half of the core's queue. The core ends only with the process, so all methods but [`CoreHandle::send`]
-/// drop their message without an error once it has ended.
+/// The sending half of the core's queue. All methods but [`CoreHandle::send`] silently drop the message if the core has
+/// ended, as the process then ends too.
 #[derive(Clone)]
 pub struct CoreHandle(Sender<Message>);
 
 impl CoreHandle {
-    /// A handle to the core that reads the other half of this channel.
+    /// A handle to the core that receives from this channel.
     pub fn new(sender: Sender<Message>) -> Self {
         CoreHandle(sender)
     }
@@ -127,7 +128,7 @@
         self.0.send(message).map_err(|_| CoreEnded)
     }
 
-    /// A client sent a request.
+    /// Reports that a client sent a request. `tag` is unique among the open requests of the client's connection.
     pub fn request(&self, request: Request, client: Arc<dyn Client>, tag: u64) {
         self.post(Message::Request {
             request,
@@ -136,27 +137,27 @@
         });
     }
 
-    /// A client cancelled a request.
+    /// Reports that a client cancelled a request, identified by the connection's number and the client's tag.
     pub fn request_cancelled(&self, connection: u64, tag: u64) {
         self.post(Message::RequestCancelled { connection, tag });
     }
 
-    /// A client's connection ended.
+    /// Reports that the client connection of this number closed.
     pub fn client_disconnected(&self, connection: u64) {
         self.post(Message::ClientDisconnected { connection });
     }
 
-    /// A front answered a request of this class itself.
+    /// Reports that a front answered a request of this class without passing it to the core.
     pub fn answered_at_front(&self, class: String, end: RequestEnd) {
         self.post(Message::AnsweredAtFront { class, end });
     }
 
-    /// An attempt ended.
+    /// Reports that an attempt ended.
     pub fn attempt_ended(&self, key: AttemptKey, report: AttemptReport) {
         self.post(Message::AttemptEnded { key, report });
     }
 
-    /// A load order ended.
+    /// Reports that the load order of this number ended, and how many replicas the worker holds.
     pub fn load_order_ended(&self, order: u64, outcome: Outcome, replicas: u32) {
         self.post(Message::LoadOrderEnded {
             order,
@@ -165,12 +166,12 @@
         });
     }
 
-    /// A health check ended.
+    /// Reports that the health check of this number ended.
     pub fn health_check_ended(&self, check: u64, result: HealthCheckResult) {
         self.post(Message::HealthCheckEnded { check, result });
     }
 
-    /// A connection to a worker ended.
+    /// Reports that a connection to the worker at this address ended.
     pub fn worker_connection_ended(&self, address: SocketAddr) {
         self.post(Message::WorkerConnectionEnded {
             address,
@@ -178,7 +179,7 @@
         });
     }
 
-    /// A worker's address refused a connection.
+    /// Reports that a worker's address refused a connection.
     pub fn worker_connection_refused(&self, address: SocketAddr) {
         self.post(Message::WorkerConnectionEnded {
             address,
@@ -186,7 +187,7 @@
         });
     }
 
-    /// A source's endpoint list changed.
+    /// Reports a change of one source's endpoint list; `complete` if `endpoints` is the whole list.
     pub fn endpoint_update(
         &self,
         source: TransportProtocol,
@@ -200,12 +201,12 @@
         });
     }
 
-    /// The contact with the discovery service changed.
+    /// Reports that the discovery service confirmed the endpoint list, or that contact with it was lost.
     pub fn discovery_contact(&self, contact: DiscoveryContact) {
         self.post(Message::DiscoveryContact(contact));
     }
 
     fn post(&self, message: Message) {
-        let _ = self.0.send(message); // fails only once the core has ended, with the process
+        let _ = self.0.send(message); // fails only if the core has ended, and then the process ends
     }
 }
