--- a/wrenseam/src/cli.rs
+++ b/wrenseam/src/cli.rs
@@ -1,55 +1,55 @@
-//! The command line: `serve`, also what is done without arguments, and `check` of configuration files.
+//! The command line: `serve`, which is the default, and `check`, which validates configuration files.
 use crate::config::{Config, ConfigError, Fleet};
 use clap::{Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Front end of a tile service: FastCGI and KServe v2 before, workers behind.
+/// Front end of a tile service: forwards FastCGI and KServe v2 requests to workers.
 #[derive(Debug, Parser)]
 #[command(name = "wrenseam", version)]
 pub struct Cli {
-    /// What to do; serve, if nothing is named.
+    /// The command to run; `serve` if none is given.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// What the program does.
+/// A command of the program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Run one front end from NODE_CONFIG, NODE_NAME, NODE_LISTEN and WRENSEAM_KSERVE.
+    /// Run one front end, configured by NODE_CONFIG, NODE_NAME, NODE_LISTEN and WRENSEAM_KSERVE.
     Serve,
-    /// Read configuration files as `serve` would, and say what is wrong with them.
+    /// Read configuration files as `serve` would, and report errors in them.
     Check {
-        /// The platform's configuration file, as NODE_CONFIG would name it.
+        /// The platform's configuration file, which NODE_CONFIG names for `serve`.
         config: PathBuf,
-        /// The KServe v2 front's file, as WRENSEAM_KSERVE would name it.
+        /// The configuration file of the KServe v2 front, which WRENSEAM_KSERVE names for `serve`.
         #[arg(long)]
         kserve: Option<PathBuf>,
-        /// The fleet's file, as WRENSEAM_FLEET would name it.
+        /// The configuration file of the fleet, which WRENSEAM_FLEET names for `serve`.
         #[arg(long)]
         fleet: Option<PathBuf>,
     },
 }
 
-/// Why configuration files cannot be used together.
+/// Why configuration files cannot be used.
 #[derive(Debug, Error)]
 pub enum CheckError {
-    /// One of them cannot be used.
+    /// One of the files is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The fleet's file sheds a class that the settings do not have.
-    #[error("the fleet's shed_order names {class}, which is no class of the settings")]
+    /// The shed order in the fleet's file names a class that the settings do not have.
+    #[error("the fleet's shed_order names {class}, which is not a class of the settings")]
     UnknownClass {
-        /// The class's name.
+        /// The name in the shed order.
         class: String,
     },
 }
 
-/// Reads the files and describes what they come to.
+/// Reads the files and describes the configuration that they result in.
 ///
 /// # Errors
 ///
-/// A [`CheckError`] for the first file that cannot be used, or if they contradict each other.
+/// A [`CheckError`] if a file is invalid, or if the fleet's file names a class that the settings do not have.
 pub fn check(
     config: &Path,
     kserve: Option<&Path>,
@@ -77,10 +77,10 @@
     Ok(())
 }
 
-/// One line, and one more for each setting that cannot be used.
+/// Describes the configuration in one line, and each setting that is ignored as invalid in one more.
 fn describe(config: &Config, fleet: Option<&Fleet>) -> String {
     let admin = match config.admin {
-        Some(address) => format!(", the operators' door at {address}"),
+        Some(address) => format!(", the admin endpoint at {address}"),
         None => String::new(),
     };
     let gossip = match fleet {
--- a/wrenseam/src/main.rs
+++ b/wrenseam/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts one front end from its environment, or checks its files; everything else is in the library.
+//! The program: runs one front end configured by the environment, or checks configuration files.
 #![forbid(unsafe_code)]
 
 use clap::Parser;
@@ -9,7 +9,7 @@
 use wrenseam::config::Config;
 
 fn main() -> ExitCode {
-    // Registered first: a signal that arrives while the configuration is read must not end the program.
+    // Registered first, so that a signal that arrives while the configuration is read does not kill the process.
     let signals = wrenseam::shutdown::signals();
     let (command, result) = match Cli::parse().command {
         None | Some(Command::Serve) => ("start", signals.map_err(Into::into).and_then(serve)),
--- a/wrenseam/src/start_error.rs
+++ b/wrenseam/src/start_error.rs
@@ -3,38 +3,38 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The part that could not be started, and why.
+/// The part of the front end that could not be started, and why.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The gossip socket of the fleet.
+    /// Gossip with the fleet.
     #[error(transparent)]
     Gossip(Box<dyn Error + Send + Sync>),
-    /// The thread of the core.
+    /// The core's thread.
     #[error("core thread: {0}")]
     CoreThread(#[source] io::Error),
-    /// The watch of the endpoint list.
-    #[error("board: {0}")]
+    /// The coroutine that watches the discovery service.
+    #[error("discovery: {0}")]
     Discovery(#[source] io::Error),
-    /// The endpoints in the file of the KServe v2 front.
+    /// The endpoint list in the KServe v2 front's file.
     #[error("endpoints: {0}")]
     Endpoints(#[source] Box<dyn Error + Send + Sync>),
     /// A listener for clients or of the administration API.
     #[error("{address}: {source}")]
     Listener {
-        /// Where it was to listen.
+        /// The configured address.
         address: SocketAddr,
-        /// Why it does not.
+        /// Why the address could not be bound or the accepting coroutine not started.
         source: io::Error,
     },
     /// The admin endpoint.
     #[error("admin {address}: {source}")]
     AdminEndpoint {
-        /// Where it was to listen.
+        /// The configured address.
         address: SocketAddr,
-        /// Why it does not.
+        /// Why the address could not be bound or the accepting coroutine not started.
         source: io::Error,
     },
-    /// The watch of the file with the exclusions.
+    /// The coroutine that watches the files with the exclusions and the active process.
     #[error("exclusions: {0}")]
     Exclusions(#[source] io::Error),
 }
--- a/wrenseam/tests/cli.rs
+++ b/wrenseam/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line as an operator uses it.
+//! `wrenseam check`: its report and its error messages.
 use rstest::rstest;
 use std::process::Command;
 
@@ -11,35 +11,39 @@
 }
 
 #[rstest]
-#[case::sound(format!(r#"{{"name":"n1","listen":"127.0.0.1:0",{CLASS}}}"#), true, "n1 would listen on 127.0.0.1:0")]
-#[case::no_json("{".to_owned(), false, "check: ")]
+#[case::valid(format!(r#"{{"name":"n1","listen":"127.0.0.1:0",{CLASS}}}"#), true, "n1 would listen on 127.0.0.1:0")]
+#[case::not_json("{".to_owned(), false, "check: ")]
 #[case::no_address(format!("{{{CLASS}}}"), false, "no address to listen on")]
-#[case::bad_board(format!(r#"{{"listen":"127.0.0.1:0","board":"nowhere",{CLASS}}}"#), false, "'board' is not HOST:PORT")]
-#[case::door(format!(r#"{{"name":"n1","listen":"127.0.0.1:0","admin":"127.0.0.1:9901",{CLASS}}}"#), true, "the operators' door at 127.0.0.1:9901")]
-#[case::bad_door(format!(r#"{{"listen":"127.0.0.1:0","admin":"9901",{CLASS}}}"#), false, "'admin' is not HOST:PORT")]
-#[case::door_on_the_clients_address(format!(r#"{{"listen":"127.0.0.1:7","admin":"127.0.0.1:7",{CLASS}}}"#), false, "'admin' is the clients' address")]
+#[case::bad_discovery_address(format!(r#"{{"listen":"127.0.0.1:0","board":"nowhere",{CLASS}}}"#), false, "'board' is not HOST:PORT")]
+#[case::admin_endpoint(format!(r#"{{"name":"n1","listen":"127.0.0.1:0","admin":"127.0.0.1:9901",{CLASS}}}"#), true, "the admin endpoint at 127.0.0.1:9901")]
+#[case::bad_admin_address(format!(r#"{{"listen":"127.0.0.1:0","admin":"9901",{CLASS}}}"#), false, "'admin' is not HOST:PORT")]
+#[case::admin_endpoint_on_the_clients_address(format!(r#"{{"listen":"127.0.0.1:7","admin":"127.0.0.1:7",{CLASS}}}"#), false, "'admin' is the clients' address")]
 #[case::no_classes(r#"{"listen":"127.0.0.1:0"}"#.to_owned(), false, "no classes")]
-#[case::a_text_for_a_figure(
+#[case::text_for_a_number(
     settings(r#""limits":{"max-attempts":"six"}"#),
     true,
     "'limits.max-attempts' is no number"
 )]
-#[case::below_nothing(settings(r#""rules":{"fall":-1}"#), true, "'rules.fall' is below 0")]
-#[case::no_object(settings(r#""family-info":7"#), true, "'family-info' is no object")]
-#[case::no_list(settings(r#""tenants":{}"#), true, "'tenants' is no list")]
-#[case::a_class_that_is_none(settings(r#""tenants":[7]"#), true, "'tenants' is no object")]
-#[case::a_mark_in_words(
+#[case::negative(settings(r#""rules":{"fall":-1}"#), true, "'rules.fall' is below 0")]
+#[case::not_an_object(settings(r#""family-info":7"#), true, "'family-info' is no object")]
+#[case::not_a_list(settings(r#""tenants":{}"#), true, "'tenants' is no list")]
+#[case::tenant_that_is_not_an_object(settings(r#""tenants":[7]"#), true, "'tenants' is no object")]
+#[case::text_for_a_boolean(
     settings(r#""limits":{"may-cancel":"yes"}"#),
     true,
     "'limits.may-cancel' is neither"
 )]
-#[case::an_unknown_effect(
+#[case::unknown_effect(
     r#"{"listen":"127.0.0.1:0","settings":{"classes":[{"name":"c","effect":"idempotent"}]}}"#.to_owned(),
     true,
     "effect 'idempotent' is not known: never to run twice"
 )]
-fn check_says_what_is_wrong(#[case] text: String, #[case] sound: bool, #[case] said: &str) {
-    let name = format!("wrenseam-check-{}-{said}.json", std::process::id())
+fn check_reports_what_is_wrong(
+    #[case] text: String,
+    #[case] is_valid: bool,
+    #[case] expected: &str,
+) {
+    let name = format!("wrenseam-check-{}-{expected}.json", std::process::id())
         .replace(['/', ':', '\'', ' '], "-");
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, text).expect("written");
@@ -50,12 +54,15 @@
         .expect("run");
     std::fs::remove_file(&path).expect("removed");
     let all = String::from_utf8_lossy(&[run.stdout, run.stderr].concat()).into_owned();
-    assert!(run.status.success() == sound && all.contains(said), "{all}");
+    assert!(
+        run.status.success() == is_valid && all.contains(expected),
+        "{all}"
+    );
 }
 
-/// The samples that README's start line and docs/fleet.md name are read as they lie in the repository.
+/// The sample files that the README and docs/fleet.md name are valid as they are in the repository.
 #[test]
-fn the_samples_under_deploy_are_sound() {
+fn the_sample_files_under_deploy_are_valid() {
     let deploy = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../deploy");
     let run = Command::new(env!("CARGO_BIN_EXE_wrenseam"))
         .arg("check")
--- a/wrenseam/tests/config_errors.rs
+++ b/wrenseam/tests/config_errors.rs
@@ -129,7 +129,7 @@
 )]
 #[case::unknown_class(
     r#"{"listen":"127.0.0.1:0","shed_order":["tile-render","nothing"]}"#,
-    "check: the fleet's shed_order names nothing, which is no class of the settings\n"
+    "check: the fleet's shed_order names nothing, which is not a class of the settings\n"
 )]
 fn the_fleet_file_that_cannot_be_used(#[case] text: &str, #[case] expected: &str) {
     let folder = Folder::new("fleet");
