--- a/wrenseam/src/clock.rs
+++ b/wrenseam/src/clock.rs
@@ -1,14 +1,14 @@
-//! The clock of policy and gossip: the Unix time at its start, advanced by the monotonic clock.
+//! The clock of policy and gossip: Unix time, read once at the start and then advanced by the monotonic clock.
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use wrenseam_policy::Micros;
 
-/// A clock that never goes back. Its epoch is Unix time, as workers' start times are given in Unix time; later steps of
-/// the wall clock do not show.
+/// A clock that never goes back. It gives Unix time, as workers' start times are Unix times, but it does not follow
+/// steps of the wall clock after its start.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    /// Unix time at the start.
+    /// Unix time at the start of the clock.
     started_at: Micros,
-    /// The same moment on the monotonic clock.
+    /// The start of the clock by the monotonic clock.
     start: Instant,
 }
 
@@ -24,18 +24,18 @@
         }
     }
 
-    /// The time of an instant. Instants before the start count as the start.
+    /// Converts an instant to Unix time in microseconds. Instants before the start count as the start.
     pub fn at(&self, instant: Instant) -> Micros {
         let elapsed = instant.saturating_duration_since(self.start);
         self.started_at + elapsed.as_micros() as Micros
     }
 
-    /// The instant of a time. Times before the start count as the start.
+    /// Converts a time of this clock to an instant. Times before the start count as the start.
     pub fn instant(&self, at: Micros) -> Instant {
         self.start + Duration::from_micros(at.saturating_sub(self.started_at))
     }
 
-    /// The time now.
+    /// The current time, as Unix time in microseconds.
     pub fn now(&self) -> Micros {
         self.at(Instant::now())
     }
--- a/wrenseam/src/handover.rs
+++ b/wrenseam/src/handover.rs
@@ -1,22 +1,26 @@
-//! Which process of a front end sends to workers in slow start, where one process replaces another and both run for a
-//! while. Both have the same place among the front ends, so both would send (docs/cold-workers.md). They share
-//! `$TMPDIR`: each names itself in a file there as it starts, and the one named last is active. Decides only, without
-//! I/O; `front::admin` reads and writes the file.
+//! Decides which process of a front end sends to workers in slow start while one process replaces another and both run.
+//!
+//! Workers in slow start are divided among the front ends (docs/cold-workers.md). Both processes stand for the same
+//! front end, so both would send to the same ones. They share `$TMPDIR`: each process writes its name into a file there
+//! when it starts, and the last one named is active. No I/O here; `front::admin` reads and writes the file.
 
-/// Polls of the file before a process that found another named there becomes active: by then the other has polled and
-/// gone on standby, though its polls may be late by as much again.
+/// The number of polls after which a process that found another one named in the file becomes active. By then the other
+/// process has polled the file and gone on standby, even if its polls are up to one interval late.
 const TAKEOVER_POLLS: u32 = 3;
 
-/// One process's part in the handover.
+/// The handover as one process sees it.
 #[derive(Debug)]
 pub struct Handover {
+    /// The name of this process.
     process: String,
+    /// Polls before this process may become active.
     remaining_polls: u32,
+    /// Whether the last poll found another process named in the file.
     is_replaced: bool,
 }
 
 impl Handover {
-    /// A process of this name starts, where `active` was named till now.
+    /// The handover of a process that starts under this name. `active` is the process named in the file so far, if any.
     pub fn new(process: String, active: Option<&str>) -> Handover {
         let replaces_another = active.is_some_and(|active| active != process);
         Handover {
@@ -26,17 +30,18 @@
         }
     }
 
-    /// Its name.
+    /// The name of this process.
     pub fn process(&self) -> &str {
         &self.process
     }
 
-    /// Whether another process is active now.
+    /// Whether this process is on standby and sends nothing to workers in slow start.
     pub fn is_standby(&self) -> bool {
         self.is_replaced || self.remaining_polls > 0
     }
 
-    /// The file was polled and names `active`, if any process; whether another process is active now.
+    /// Takes the result of a poll, in which the file named the process `active`, if any. Returns whether this process
+    /// is on standby now.
     pub fn observe(&mut self, active: Option<&str>) -> bool {
         self.is_replaced = active.is_some_and(|active| active != self.process);
         self.remaining_polls = self.remaining_polls.saturating_sub(1);
--- a/wrenseam/src/http.rs
+++ b/wrenseam/src/http.rs
@@ -1,33 +1,34 @@
-//! The HTTP/1.1 that is spoken beside the main protocol: heads by httparse, bodies by length or in chunks.
+//! The parts of HTTP/1.1 that the KServe v2 front and transport and the discovery client share: message heads, parsed
+//! by httparse, the chunked transfer coding, and responses.
 
-/// Headers of a head at the most.
-const HEADERS: usize = 64;
-/// Bytes of a chunk's first line at the most: a size and a few extensions.
-const CHUNK_LINE_LENGTH: usize = 64;
+/// The most headers that a message head may have.
+const MAX_HEADERS: usize = 64;
+/// The longest first line of a chunk, in bytes: room for the size and a few extensions.
+const MAX_CHUNK_LINE_BYTES: usize = 64;
 
-/// Why a head cannot be used. v2 clients read these texts.
+/// Why the head of a message is invalid. v2 clients get these texts in error responses, so they must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// It is not HTTP/1.
+    /// The head is not valid HTTP/1.
     #[error(transparent)]
     Syntax(#[from] httparse::Error),
-    /// The length is no number.
+    /// The value of Content-Length is not a number.
     #[error("bad Content-Length")]
     InvalidLength,
-    /// Two lengths differ.
+    /// Two Content-Length headers differ.
     #[error("two lengths")]
     ConflictingLengths,
-    /// It states a length and announces chunks.
+    /// There are both a Content-Length and a chunked transfer coding.
     #[error("a length and chunks")]
     LengthAndChunks,
 }
 
-/// The size of a chunk is no hexadecimal number.
+/// The size of a chunk is not a hexadecimal number, or its first line is too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("bad chunk size")]
 pub struct InvalidChunkSize;
 
-/// The status of a response.
+/// The status of a response that the front end sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     /// 200
@@ -53,7 +54,7 @@
 }
 
 impl Status {
-    /// The code and its reason, as they stand in the first line of a response.
+    /// The status code and reason phrase, as in the status line.
     pub fn as_str(self) -> &'static str {
         match self {
             Status::Ok => "200 OK",
@@ -70,34 +71,34 @@
     }
 }
 
-/// The parts of a head that matter here.
+/// The parts of a message head that the program uses. Fields that a message does not have keep their default.
 #[derive(Debug, Default, PartialEq)]
 pub struct Head {
-    /// Method of a request.
+    /// The method of a request; empty for a response.
     pub method: String,
-    /// Target of a request.
+    /// The target of a request, with its query; empty for a response.
     pub target: String,
-    /// Status of a response.
+    /// The status code of a response; 0 for a request.
     pub status: u16,
-    /// The body's length, where stated.
+    /// The Content-Length; `None` if there is none.
     pub length: Option<usize>,
-    /// Whether the body comes in chunks.
+    /// Whether the body has the chunked transfer coding.
     pub chunked: bool,
-    /// Whether the connection ends with this exchange.
+    /// Whether the connection closes after this exchange.
     pub close: bool,
     /// Whether the client waits for a 100 Continue before it sends the body.
     pub expects_continue: bool,
-    /// Whether a response has a Retry-After.
+    /// Whether there is a Retry-After header that is not empty.
     pub retry_after: bool,
 }
 
 impl Head {
-    /// The head of a request; `head` ends with the empty line.
+    /// Parses the head of a request. `head` ends with the empty line.
     ///
     /// # Errors
-    /// The head is not HTTP/1, or its lengths contradict each other.
+    /// The head is not valid HTTP/1, a Content-Length is not a number, or the stated lengths contradict each other.
     pub fn request(head: &[u8]) -> Result<Head, HeadError> {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
         request.parse(head)?;
         Head {
@@ -109,12 +110,12 @@
         .with_headers(request.headers)
     }
 
-    /// The head of a response.
+    /// Parses the head of a response. `head` ends with the empty line.
     ///
     /// # Errors
-    /// The head is not HTTP/1, or its lengths contradict each other.
+    /// The head is not valid HTTP/1, a Content-Length is not a number, or the stated lengths contradict each other.
     pub fn response(head: &[u8]) -> Result<Head, HeadError> {
-        let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
         response.parse(head)?;
         Head {
@@ -125,12 +126,12 @@
         .with_headers(response.headers)
     }
 
-    /// The path of a request, without its query.
+    /// The path of a request's target, without its query.
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// The segments of a request's path.
+    /// The segments of a request's path. Slashes at its start and end do not count.
     pub fn path_segments(&self) -> Vec<&str> {
         self.path().trim_matches('/').split('/').collect()
     }
@@ -157,7 +158,7 @@
         Ok(self)
     }
 
-    /// Guards against request smuggling: two lengths that differ, or a length that is none.
+    /// Sets the length. Conflicting or invalid lengths are errors, as they would allow request smuggling.
     fn set_length(&mut self, value: &str) -> Result<(), HeadError> {
         let length = value.parse().map_err(|_| HeadError::InvalidLength)?;
         if self.length.is_some_and(|known| known != length) {
@@ -168,41 +169,41 @@
     }
 }
 
-/// What a byte of the chunked coding stands for.
+/// The meaning of one byte of a body in the chunked transfer coding.
 #[derive(Debug, PartialEq)]
 pub enum DecodedByte {
-    /// Content.
+    /// A byte of the content.
     Content(u8),
-    /// Part of the coding.
+    /// A byte of the coding itself: of a chunk's first line, or the line end after its content.
     Framing,
-    /// The last chunk has begun.
+    /// The end of the first line of the last chunk, which has no content.
     LastChunk,
 }
 
-/// Decodes the chunked transfer coding, byte by byte.
+/// Decodes a body in the chunked transfer coding, byte by byte.
 #[derive(Default)]
 pub struct ChunkedDecoder {
-    /// Bytes of the chunk's content that are still to come.
+    /// Bytes of the current chunk's content that are still to come.
     remaining: usize,
-    /// The first line of the next chunk, so far.
+    /// The first line of the next chunk, as far as it has arrived.
     line: Vec<u8>,
 }
 
 impl ChunkedDecoder {
-    /// Takes the next byte.
+    /// Decodes the next byte.
     ///
     /// # Errors
-    /// The first line of a chunk names no size.
+    /// The first line of a chunk does not state a size, or is too long.
     pub fn decode_byte(&mut self, byte: u8) -> Result<DecodedByte, InvalidChunkSize> {
         if self.remaining > 0 {
             self.remaining -= 1;
             return Ok(DecodedByte::Content(byte));
         }
         match byte {
-            b'\n' if self.line.is_empty() => {} // the line end behind a chunk
+            b'\n' if self.line.is_empty() => {} // the line end after a chunk's content
             b'\n' => return self.begin_chunk(),
             b'\r' => {}
-            _ if self.line.len() > CHUNK_LINE_LENGTH => return Err(InvalidChunkSize),
+            _ if self.line.len() > MAX_CHUNK_LINE_BYTES => return Err(InvalidChunkSize),
             _ => self.line.push(byte),
         }
         Ok(DecodedByte::Framing)
@@ -221,7 +222,7 @@
     }
 }
 
-/// A response with a JSON body as bytes; `headers` are complete lines.
+/// The bytes of a response with a JSON body. `headers` are complete lines, each with its line end, or empty.
 pub fn response(status: &str, headers: &str, body: &[u8], close: bool) -> Vec<u8> {
     let connection = if close { "Connection: close\r\n" } else { "" };
     let length = body.len();
--- a/wrenseam/src/lib.rs
+++ b/wrenseam/src/lib.rs
@@ -1,6 +1,6 @@
-//! The front end around the policy: fronts parse client protocols, the core runs the policy, and transports carry
-//! attempts to workers. docs/architecture.md follows a request through all of them.
-#![deny(unsafe_code)] // one exception, with its reason: `front::close`
+//! The front end: fronts parse client protocols, the core runs the policy, and transports send attempts to workers.
+//! docs/architecture.md follows a request through all of them.
+#![deny(unsafe_code)] // `front::close` has the only exception and states the reason
 #![warn(missing_docs)]
 
 #[macro_use]
--- a/wrenseam/src/log.rs
+++ b/wrenseam/src/log.rs
@@ -1,22 +1,23 @@
-//! Lines of the log that others can cause: so many a second of each kind, then a count of what was left out.
+//! Rate limit for log lines that clients, workers or the discovery service can cause: a few lines per second of each
+//! kind, then a count of the lines left out.
 use std::fmt::Arguments;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Lines of one kind that are written a second at the most.
+/// The most lines of one kind that are written in one second.
 const LINES_PER_SECOND: u64 = 5;
 
-/// One kind of line, by the place in the code that writes it.
+/// The rate limit of one kind of line. Each place in the code that writes such lines has its own.
 #[derive(Default)]
 pub struct RateLimitedLine {
-    /// The Unix second in which the last of the kind came.
+    /// The Unix second of the last line of this kind, written or not.
     second: AtomicU64,
-    /// How many came in it.
+    /// Lines of this kind in that second, including those not written.
     count: AtomicU64,
 }
 
 impl RateLimitedLine {
-    /// A kind of which nothing has been written yet.
+    /// A rate limit under which nothing has been written yet.
     pub const fn new() -> Self {
         RateLimitedLine {
             second: AtomicU64::new(0),
@@ -24,8 +25,9 @@
         }
     }
 
-    /// Writes the line, unless there were many of its kind within this second. Guards against clients and
-    /// workers that cause a line at full speed: whoever reads the log slowly would hold the program up.
+    /// Writes the line to standard error, unless the limit of its kind for this second is reached. A client or
+    /// worker may cause lines at a high rate, and the program would block if the log is read more slowly than it is
+    /// written.
     pub fn write(&self, text: Arguments) {
         let second = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -35,7 +37,8 @@
         }
     }
 
-    /// The line as it is to be written in this second, if it is.
+    /// The text to write for this line in the Unix second `second`; `None` if the line is left out. The first line of a
+    /// new second states how many were left out before.
     pub fn admit(&self, second: u64, text: Arguments) -> Option<String> {
         let mut suppressed = 0;
         if self.second.swap(second, Ordering::Relaxed) != second {
@@ -56,7 +59,8 @@
     }
 }
 
-/// Writes a line to the log that a client, a worker or the board can cause; see [`RateLimitedLine`].
+/// Writes a log line that a client, a worker or the discovery service can cause, limited in rate for each place of use;
+/// see [`RateLimitedLine`](crate::log::RateLimitedLine). Takes the arguments of `format!`.
 #[macro_export]
 macro_rules! log_limited {
     ($($text:tt)*) => {{
--- a/wrenseam/src/memory_budget.rs
+++ b/wrenseam/src/memory_budget.rs
@@ -1,8 +1,8 @@
-//! The memory that bodies and unsent answers of all requests may take together.
+//! The limit on the memory that the bodies and unsent answers of all requests take together.
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// A bound on bytes reserved at a time; clones share it.
+/// A limit on the bytes that are reserved at a time. Clones share one budget.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
     reserved: Arc<AtomicUsize>,
@@ -18,10 +18,10 @@
         }
     }
 
-    /// Reserves bytes; `None`, and nothing reserved, where fewer are free.
+    /// Reserves this many bytes; `None`, with nothing reserved, if fewer are free.
     pub fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let before = self.reserved.fetch_add(bytes, Ordering::Relaxed);
-        // Made before the check: dropping it gives back what does not fit.
+        // Created before the check, so that dropping it releases the bytes if they do not fit.
         let reservation = MemoryReservation {
             budget: self.clone(),
             bytes,
@@ -32,13 +32,13 @@
         Some(reservation)
     }
 
-    /// Bytes reserved now.
+    /// The number of bytes that are reserved now.
     pub fn reserved(&self) -> usize {
         self.reserved.load(Ordering::Relaxed)
     }
 }
 
-/// Bytes reserved from a [`MemoryBudget`], which are free again once this is dropped.
+/// Bytes reserved from a [`MemoryBudget`]. They are released when this is dropped.
 #[derive(Debug)]
 pub struct MemoryReservation {
     budget: MemoryBudget,
@@ -46,7 +46,7 @@
 }
 
 impl MemoryReservation {
-    /// Reserves more bytes; false, and nothing more reserved, where fewer are free.
+    /// Reserves this many more bytes; false, with nothing more reserved, if fewer are free.
     pub fn grow(&mut self, bytes: usize) -> bool {
         let Some(mut more) = self.budget.reserve(bytes) else {
             return false;
--- a/wrenseam/src/process_state.rs
+++ b/wrenseam/src/process_state.rs
@@ -1,33 +1,33 @@
-//! State of the process that its parts share without messages: flags, counts and the load summary.
+//! State that the parts of the process share in memory, without messages: flags, counts and the load summary.
 use crate::fleet::{Lifecycle, Summary};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// The shared state.
+/// The shared state of the process. All flags are false and all counts 0 when it starts.
 #[derive(Default)]
 pub struct ProcessState {
-    /// Requests that the core accepted and still has a record of.
+    /// Requests in the core's table, including answered ones with open attempts.
     pub open_requests: AtomicUsize,
-    /// Whether the core runs and has an endpoint list.
+    /// Whether the core has applied an endpoint list. Never reset.
     pub ready: AtomicBool,
-    /// Whether the front end drains: it reports itself as not ready, and client connections close once idle.
+    /// Whether the process drains: it reports that it is not ready, and client connections close once idle.
     pub draining: Arc<AtomicBool>,
-    /// Whether the process is about to end: new requests on open connections are rejected at once.
+    /// Whether new requests on open connections are rejected at once, because the process is about to exit.
     pub stopping: AtomicBool,
-    /// Open client connections.
+    /// The number of open client connections.
     pub client_connections: Arc<AtomicUsize>,
-    /// A digest of the configuration in force.
+    /// A digest of the configuration in force. A reload changes it.
     pub config_digest: AtomicU64,
-    /// Whether the process is about to end and gossip is to notify the fleet.
+    /// Set when the process is about to exit, so that gossip notifies the fleet.
     pub leaving: AtomicBool,
-    /// Whether the fleet has been notified.
+    /// Set by gossip once it has notified the fleet that this front end leaves.
     pub left: AtomicBool,
-    /// This front end's load summary for the fleet, as the core last wrote it.
+    /// This front end's load summary for the fleet. The core updates it whenever gossip reports the fleet's status.
     pub summary: Mutex<Summary>,
 }
 
 impl ProcessState {
-    /// The lifecycle that this front end gossips of itself.
+    /// This front end's lifecycle, as gossip reports it to the fleet.
     pub fn lifecycle(&self) -> Lifecycle {
         if self.leaving.load(Ordering::Acquire) {
             Lifecycle::Leaving
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Whether the front end accepts clients: it has an endpoint list and does not drain. What `/healthz` reports.
+    /// Whether the front end accepts clients: it has an endpoint list and does not drain. `/healthz` reports this.
     pub fn accepts_clients(&self) -> bool {
         self.ready.load(Ordering::Acquire) && !self.draining.load(Ordering::Acquire)
     }
--- a/wrenseam/src/ring.rs
+++ b/wrenseam/src/ring.rs
@@ -1,24 +1,26 @@
-//! A bounded ring of bytes: each connection has one a direction. It starts small, grows to its limit as it fills
-//! and gives back what it grew by once it is empty, so hundreds of quiet connections cost little.
+//! A bounded ring buffer of bytes. Each connection has one for each direction. It starts small, grows up to its limit
+//! as it fills, and shrinks to its initial capacity once it is empty, so that hundreds of idle connections take little
+//! memory.
 use std::io::{self, Read};
 
-/// A ring buffer; what does not fit stays with the caller.
+/// A ring buffer of bytes. Bytes that do not fit stay with the caller.
 pub struct Ring {
     bytes: Vec<u8>,
-    /// How far it may grow.
+    /// The most bytes that it may hold.
     limit: usize,
-    /// Where the oldest byte lies.
+    /// Index of the oldest byte.
     head: usize,
+    /// The number of bytes held.
     len: usize,
 }
 
 impl Ring {
-    /// Bytes that a ring holds before it grows: a usual request or answer.
+    /// Bytes that a ring can hold before it grows: enough for a typical request or answer.
     pub const INITIAL_CAPACITY: usize = 2 * 1024;
 
-    /// An empty ring that holds this many bytes at the most.
-    pub fn new(capacity: usize) -> Self {
-        let limit = capacity.max(1);
+    /// An empty ring that may hold up to `limit` bytes, but at least 1.
+    pub fn new(limit: usize) -> Self {
+        let limit = limit.max(1);
         Ring {
             bytes: vec![0; limit.min(Self::INITIAL_CAPACITY)],
             limit,
@@ -27,7 +29,7 @@
         }
     }
 
-    /// Grows to hold so many bytes in all, within the limit.
+    /// Grows so that it can hold `wanted` bytes in total, or as many as the limit allows.
     fn grow(&mut self, wanted: usize) {
         let capacity = wanted.next_power_of_two().min(self.limit);
         if capacity <= self.bytes.len() {
@@ -41,27 +43,27 @@
         self.head = 0;
     }
 
-    /// Bytes that the ring takes in memory now.
+    /// The number of bytes that the ring can hold without growing, which is the memory allocated for it.
     pub fn capacity(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Bytes held.
+    /// The number of bytes held.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing is held.
+    /// Whether no byte is held.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Bytes that still fit.
+    /// The number of bytes that still fit, up to the limit.
     pub fn free(&self) -> usize {
         self.limit - self.len
     }
 
-    /// Copies in what fits and returns how much that was.
+    /// Copies in as many bytes as fit and returns their number.
     pub fn push(&mut self, data: &[u8]) -> usize {
         let count = data.len().min(self.free());
         self.grow(self.len + count);
@@ -73,17 +75,17 @@
         count
     }
 
-    /// Where the next byte goes.
+    /// Index at which the next byte is stored.
     fn tail(&self) -> usize {
         (self.head + self.len) % self.bytes.len()
     }
 
-    /// The oldest bytes, as far as they lie in one piece.
+    /// The oldest bytes, as far as they are contiguous in memory.
     pub fn front(&self) -> &[u8] {
         &self.bytes[self.head..(self.head + self.len).min(self.bytes.len())]
     }
 
-    /// Drops the oldest bytes.
+    /// Drops the oldest `count` bytes, or all if fewer are held.
     pub fn consume(&mut self, count: usize) {
         let count = count.min(self.len);
         self.head = (self.head + count) % self.bytes.len();
@@ -96,12 +98,12 @@
         }
     }
 
-    /// Keeps the oldest `len` bytes only.
+    /// Keeps only the oldest `len` bytes.
     pub fn truncate(&mut self, len: usize) {
         self.len = self.len.min(len);
     }
 
-    /// Drops `len` bytes that begin `at` bytes behind the oldest.
+    /// Drops `len` bytes, starting `at` bytes after the oldest one.
     pub fn remove_range(&mut self, at: usize, len: usize) {
         let mut all = Vec::with_capacity(self.len);
         self.take(usize::MAX, &mut all);
@@ -110,10 +112,11 @@
         self.push(&all);
     }
 
-    /// One read into the free space; 0 is the end of the stream. Call only while something is free.
+    /// Reads once into the free space and returns the number of bytes read; 0 at the end of the stream. Call only while
+    /// [`Ring::free`] is above 0.
     ///
     /// # Errors
-    /// Those of the read; nothing was read then.
+    /// The error of the read, if nothing was read.
     pub fn fill(&mut self, from: &mut impl Read) -> io::Result<usize> {
         if self.len == self.bytes.len() {
             self.grow(2 * self.len);
@@ -129,7 +132,7 @@
         Ok(count)
     }
 
-    /// Moves up to `limit` bytes to the end of `to`; returns how many.
+    /// Moves up to `limit` of the oldest bytes to the end of `to`, and returns their number.
     pub fn take(&mut self, limit: usize, to: &mut Vec<u8>) -> usize {
         let mut moved = 0;
         while moved < limit && !self.is_empty() {
--- a/wrenseam/src/server.rs
+++ b/wrenseam/src/server.rs
@@ -1,6 +1,6 @@
-//! One front end process from its start to its end.
+//! Starts and runs one front end process.
 //!
-//! The core starts first, then what notifies it of endpoints and exclusions, and the listeners last: no client is
+//! The core starts first, then the sources of endpoints and exclusions, and the listeners last, so that no client is
 //! accepted before the parts that serve it run.
 use crate::config::{Config, Kserve};
 use crate::core::{Core, FleetAdmission};
@@ -25,20 +25,20 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
 
-/// Idle coroutines kept for reuse.
+/// How many idle coroutines the scheduler keeps for reuse.
 const COROUTINE_POOL: usize = 64;
 
-/// Stack of the coroutine that accepts connections, in bytes.
+/// The stack size of a coroutine that accepts connections, in bytes.
 const ACCEPT_STACK: usize = 64 * 1024;
 
-/// Runs one front end until a signal ends it and nothing is open.
+/// Runs one front end until a signal ends it and its connections have closed or the shutdown's time limit has passed.
 ///
 /// # Errors
 ///
-/// [`StartError`] names the part that could not be started. What was started before it goes on until the process
+/// [`StartError`] names the part that could not be started. Parts that were started before it run until the process
 /// exits.
 pub fn run(config: Config, signals: Signals) -> Result<(), StartError> {
-    report_faults(&config);
+    log_config_faults(&config);
     configure_coroutines(&config.limits);
     let (core_handle, inbox) = core_queue();
     let mut server = Server::new(config, core_handle);
@@ -51,13 +51,14 @@
     Ok(())
 }
 
-fn report_faults(config: &Config) {
-    for why in &config.faults {
-        eprintln!("settings: {why}; taken as not stated");
+fn log_config_faults(config: &Config) {
+    for fault in &config.faults {
+        eprintln!("settings: {fault}; taken as not stated");
     }
 }
 
-/// Sets up the coroutine scheduler. A front end has one core: further scheduler threads would only take turns on it.
+/// Configures the coroutine scheduler. A front end runs on one processor core, on which more scheduler threads would
+/// only take turns.
 fn configure_coroutines(limits: &Limits) {
     may::config()
         .set_workers(1)
@@ -71,7 +72,7 @@
     (CoreHandle::new(sender), inbox)
 }
 
-/// The parts of the process that others are started with.
+/// The state that the parts of the process are started with.
 struct Server {
     config: Config,
     core: CoreHandle,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Starts the core's thread, and gossip where the fleet is on.
+    /// Starts the core's thread, and gossip if a fleet is configured.
     fn start_core(&self, inbox: Receiver<Message>) -> Result<(), StartError> {
         let settings = &self.config.settings;
         let seed = self.config.seed;
@@ -140,9 +141,9 @@
         Ok(())
     }
 
-    /// Hands the endpoints of the start configuration to the core and starts the watch of the endpoint list.
+    /// Sends the endpoints of the start configuration to the core, and starts the watch of the discovery service.
     fn start_discovery(&mut self) -> Result<Arc<DiscoveryAddress>, StartError> {
-        // The known events may be long: they are dropped as soon as they are read.
+        // The known events may take much memory, so they are dropped as soon as they are read.
         let known = std::mem::take(&mut self.config.known_events);
         let watch = WatchState::from_known_events(&known);
         drop(known);
@@ -162,13 +163,14 @@
         Ok(address)
     }
 
-    /// Reads what another process of this front end left in `$TMPDIR`, where there is an admin endpoint. Done
-    /// before clients are accepted, so that exclusions hold from the first request on.
+    /// Reads the exclusions that another process of this front end left in `$TMPDIR`, and names this process as the
+    /// active one there; `None` if no admin endpoint is configured. Called before clients are accepted, so that the
+    /// exclusions apply from the first request on.
     fn read_predecessor_state(&self) -> Option<ActiveProcess> {
         self.config.admin?;
         match admin::read_exclusions(&admin::exclusions_path()) {
             Ok(excluded) => {
-                let _ = self.core.send(Message::Exclusions(excluded)); // the core ends only with the process
+                let _ = self.core.send(Message::Exclusions(excluded)); // fails only if the core has ended
             }
             Err(error) => log_limited!(
                 "{}",
@@ -182,10 +184,10 @@
         Some(active_process)
     }
 
-    /// Starts the listeners of the fronts and of the administration API.
+    /// Starts the listeners of the fronts and of the administration API. Each address is logged.
     fn start_listeners(&mut self) -> Result<Vec<Listener>, StartError> {
         let fastcgi = self.listen(self.config.listen, "fastcgi", front::fastcgi::serve)?;
-        announce(&self.config.name, &fastcgi.socket);
+        log_listening(&self.config.name, &fastcgi.socket);
         let mut listeners = vec![fastcgi];
         if let Some(kserve) = self.config.kserve.take() {
             self.start_kserve(kserve, &mut listeners)?;
@@ -205,11 +207,11 @@
                 .endpoint_update(TransportProtocol::Kserve, true, endpoints);
         }
         let clients = self.listen(kserve.listen, "kserve", front::kserve::serve)?;
-        announce("KServe v2", &clients.socket);
+        log_listening("KServe v2", &clients.socket);
         listeners.push(clients);
         if let Some(address) = kserve.admin {
             let administration = self.listen(address, "admin", front::kserve::serve_admin)?;
-            announce("administration", &administration.socket);
+            log_listening("administration", &administration.socket);
             listeners.push(administration);
         }
         Ok(())
@@ -235,7 +237,7 @@
         })
     }
 
-    /// Starts the admin endpoint and the watch of the exclusions that other processes of this front end write.
+    /// Starts the admin endpoint, and the watch of the files that the processes of this front end share.
     fn start_admin_endpoint(
         &self,
         active_process: Option<ActiveProcess>,
@@ -245,16 +247,16 @@
         };
         let failed = |source| StartError::AdminEndpoint { address, source };
         let listener = TcpListener::bind(address).map_err(failed)?;
-        announce("the operators' door", &listener);
+        log_listening("the operators' door", &listener);
         let context = self.listener_context.clone();
         let accept = move || admin::accept(&listener, &context);
         spawn(self.limits.stack, accept).map_err(failed)?;
         let context = self.listener_context.clone();
-        let follow = move || admin::watch(&context, active_process);
-        spawn(self.limits.stack, follow).map_err(StartError::Exclusions)
+        let watch = move || admin::watch(&context, active_process);
+        spawn(self.limits.stack, watch).map_err(StartError::Exclusions)
     }
 
-    /// Serves until a signal ends the process, then closes in order. The fleet is notified last.
+    /// Serves until a signal ends the process, and then shuts down. The fleet is notified last.
     fn wait(&self, signals: Signals, listeners: &[Listener], discovery: &DiscoveryAddress) {
         let settings_digest = self.config.settings_digest;
         shutdown::wait(
@@ -270,14 +272,14 @@
     }
 }
 
-/// Runs the core. After a panic its records would be half changed, so the process ends with it.
+/// Runs the core. Aborts the process if the core panics, as its records may then be inconsistent.
 fn run_or_abort(core: Core) {
     if std::panic::catch_unwind(AssertUnwindSafe(|| core.run())).is_err() {
         std::process::abort();
     }
 }
 
-fn announce(name: &str, listener: &TcpListener) {
+fn log_listening(name: &str, listener: &TcpListener) {
     let address = listener
         .local_addr()
         .map_or("?".to_owned(), |address| address.to_string());
--- a/wrenseam/src/shutdown.rs
+++ b/wrenseam/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGHUP has the configuration read again, SIGTERM and SIGINT begin the graceful shutdown.
+//! Signals: SIGHUP reloads the configuration, SIGTERM and SIGINT start the graceful shutdown.
 pub mod messages;
 
 use crate::config::Config;
@@ -13,23 +13,23 @@
 use std::time::{Duration, Instant};
 use wrenseam_policy::readiness_lease::Interruption;
 
-/// How often a shutdown looks whether all connections have closed.
+/// How often a shutdown checks whether all connections have closed.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The signals could not be registered.
+/// The signal handlers could not be registered.
 #[derive(Debug, thiserror::Error)]
 #[error("signals: {0}")]
 pub struct SignalError(#[from] io::Error);
 
-/// Registers the signals; called before anything else runs, so that none is missed or ends the program.
+/// Registers the signal handlers. Called before anything else runs, so that no signal is missed or kills the process.
 ///
 /// # Errors
-/// The system does not register them.
+/// The operating system did not register a handler.
 pub fn signals() -> Result<Signals, SignalError> {
     Ok(Signals::new([SIGHUP, SIGTERM, SIGINT])?)
 }
 
-/// Serves SIGHUP until SIGTERM or SIGINT comes, then shuts down gracefully. Returns when the program may exit.
+/// Handles SIGHUP until SIGTERM or SIGINT arrives, then shuts down gracefully. Returns when the process may exit.
 pub fn wait(
     signals: Signals,
     settings_digest: u64,
@@ -47,7 +47,7 @@
     eprintln!("{}", messages::shutdown_complete(open_requests));
 }
 
-/// Serves SIGHUP until another signal comes.
+/// Handles SIGHUP until another signal arrives.
 fn reload_until_stopped(
     mut signals: Signals,
     settings_digest: u64,
@@ -58,7 +58,7 @@
         if signal != SIGHUP {
             return;
         }
-        // Guards against a file that is missing or half written: the configuration before goes on to hold.
+        // If the file is missing or half written, the previous configuration stays in force.
         match Config::discovery_service_now() {
             Ok(address) => reload(address, settings_digest, context, discovery),
             Err(error) => eprintln!("{}", messages::configuration_unchanged(&error)),
@@ -66,7 +66,7 @@
     }
 }
 
-/// Follows the discovery service to another address.
+/// Applies a reloaded configuration, of which only the address of the discovery service is used.
 fn reload(
     address: SocketAddr,
     settings_digest: u64,
@@ -87,14 +87,14 @@
     }
 }
 
-/// Readiness says no at once: a process that replaces this one takes the new clients.
+/// Reports not ready at once, so that new clients go to the process that replaces this one.
 fn start_draining(context: &ListenerContext) {
-    let _ = admin::ask(context, AdminCommand::Evacuate); // the shutdown goes on without the core's reply
+    let _ = admin::ask(context, AdminCommand::Evacuate); // the shutdown continues without the core's reply
     let message = messages::shutdown_started(context.limits.stop_listening);
     eprintln!("{message}");
 }
 
-/// The gateway goes on sending for a while: what comes in that time is answered like any other.
+/// Serves as usual for the grace period, in which the gateway may still open connections and send requests.
 fn serve_for_grace_period(context: &ListenerContext) {
     std::thread::sleep(context.limits.stop_listening);
 }
@@ -111,9 +111,10 @@
     }
 }
 
-/// From here on each connection decides for itself, in order: what is unread is read, what is half read is completed
-/// or ended, what is pending is answered, what is queued is written, and then it closes and frees its slot. With no
-/// slot in use and no accept loop nothing is left; no count passes from one to another meanwhile.
+/// Waits until all connections have closed, or until the shutdown's time limit. Each connection closes itself: it reads
+/// unread input, completes or ends a half-read request, answers pending requests, writes queued responses, closes, and
+/// then frees its slot. When no slot is in use and no accept loop runs, nothing is left. No connection is missed
+/// between the two counts, as an accept loop takes a connection's slot before it ends.
 fn close_connections(context: &ListenerContext) {
     context.shutting_down.store(true, Ordering::Release);
     let started_at = Instant::now();
@@ -122,8 +123,9 @@
     }
 }
 
-/// Connections, and accept loops that may still have one. A loop that was not woken by its listener's close holds no
-/// connection: it waits for one, and is no longer counted after a linger.
+/// The number of connections, and of accept loops that may still hold one. An accept loop that its listener's close did
+/// not wake up holds no connection, so accept loops are counted only for the linger time after the shutdown began to
+/// close connections.
 fn remaining(context: &ListenerContext, started_at: Instant) -> usize {
     let accept_loops = context.accept_loops.load(Ordering::Acquire);
     let connections = context
--- a/wrenseam/tests/memory_budget.rs
+++ b/wrenseam/tests/memory_budget.rs
@@ -1,8 +1,8 @@
-//! The bytes that all requests may reserve together.
+//! The limit on the bytes that all requests reserve together.
 use wrenseam::memory_budget::MemoryBudget;
 
 #[test]
-fn a_budget_rejects_what_does_not_fit_and_gets_dropped_reservations_back() {
+fn a_budget_denies_what_does_not_fit_and_regains_dropped_reservations() {
     let budget = MemoryBudget::new(10);
     let mut reservation = budget.reserve(8).expect("fits");
     assert!(budget.reserve(3).is_none());
--- a/wrenseam/tests/ring.rs
+++ b/wrenseam/tests/ring.rs
@@ -1,8 +1,8 @@
-//! The ring buffer of connections: order, growth and return to its first size.
+//! The ring buffer of connections: the order of its bytes, its growth, and its return to the initial capacity.
 use wrenseam::ring::Ring;
 
 #[test]
-fn bytes_come_out_in_order_across_the_edge() {
+fn bytes_stay_in_order_across_the_wraparound() {
     let (mut ring, mut out, mut next) = (Ring::new(7), Vec::new(), 0u8);
     for step in 0..40 {
         let data: Vec<u8> = (next..next + 5).collect();
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_ring_grows_to_its_limit_and_gives_back_what_it_grew_by() {
+fn a_ring_grows_to_its_limit_and_shrinks_once_it_is_empty() {
     let mut ring = Ring::new(64 * 1024);
     let all: Vec<u8> = (0..100_000u32).map(|n| n as u8).collect();
     assert_eq!(
@@ -33,7 +33,7 @@
     let (mut from, mut out) = (&all[..], Vec::new());
     ring.push(&from[..1_500]);
     from = &from[1_500..];
-    ring.take(1_000, &mut out); // so that it grows while its bytes lie across the edge
+    ring.take(1_000, &mut out); // so that it grows while its bytes wrap around
     while ring.free() > 0 {
         ring.fill(&mut from).unwrap();
     }
--- a/wrenseam/tests/start_deadline.rs
+++ b/wrenseam/tests/start_deadline.rs
@@ -1,4 +1,5 @@
-//! New work that waits for its connection until its worker may drain is not written.
+//! The start deadline of new work: an attempt or load order that has waited for its connection beyond the deadline is
+//! not written, as its worker may drain by then.
 mod link;
 
 use link::{late_worker, outcome, request, transport_of, Protocol, FIRST};
@@ -9,10 +10,10 @@
 use wrenseam::worker::AttemptLimits;
 use wrenseam_policy::Outcome;
 
-/// How long a connect may take: longer than the test lasts.
+/// The connect timeout, and a start deadline that does not pass: longer than the test runs.
 const CONNECT: Duration = Duration::from_secs(20);
 const ANSWER_TIMEOUT_MICROS: u64 = 20_000_000;
-/// A deadline that passes while the connection is held back.
+/// A start deadline that passes before the connection is established.
 const SOON: Duration = Duration::from_millis(60);
 
 #[derive(Clone, Copy, Debug)]
@@ -47,9 +48,11 @@
         std::thread::yield_now();
     }
     let mut accepted: Vec<TcpStream> = (0..=fillers.len())
-        .map(|_| listener.accept().expect("one").0)
+        .map(|_| listener.accept().expect("accepted").0)
         .collect();
-    let late = accepted.last_mut().expect("the late one");
+    let late = accepted
+        .last_mut()
+        .expect("the last connection is the one to the worker");
     if within == CONNECT {
         late.read_exact(&mut [0; 1]).expect("written");
         return;
