--- a/wrenseam/src/ring.rs
+++ b/wrenseam/src/ring.rs
@@ -116,7 +116,7 @@
     /// [`Ring::free`] is above 0.
     ///
     /// # Errors
-    /// The error of the read, if nothing was read.
+    /// The read failed, and no byte was read.
     pub fn fill(&mut self, from: &mut impl Read) -> io::Result<usize> {
         if self.len == self.bytes.len() {
             self.grow(2 * self.len);
