--- a/wrenseam/examples/large_fleet.rs
+++ b/wrenseam/examples/large_fleet.rs
@@ -183,7 +183,8 @@
     let mut held = Vec::new(); // dropped at the end: the peers' cores, which only take their news
     for n in 1..peers {
         let (core, news) = mpsc::channel();
-        let mut file = wrenseam::config::Fleet::read(&fleet.display().to_string()).expect("read");
+        let mut file =
+            wrenseam::config::FleetConfig::read(&fleet.display().to_string()).expect("read");
         file.seeds = vec![gossip];
         wrenseam::gossip::start(
             &file,
--- a/wrenseam/src/cli.rs
+++ b/wrenseam/src/cli.rs
@@ -1,5 +1,5 @@
 //! The command line: `serve`, also what is done without arguments, and `check` of configuration files.
-use crate::config::{Config, ConfigError, Fleet};
+use crate::config::{Config, ConfigError, FleetConfig};
 use clap::{Parser, Subcommand};
 use std::path::{Path, PathBuf};
 use thiserror::Error;
@@ -57,7 +57,7 @@
 ) -> Result<String, CheckError> {
     let config = Config::from_files(config, kserve)?;
     let fleet = match fleet {
-        Some(path) => Some(Fleet::read(&path.to_string_lossy())?),
+        Some(path) => Some(FleetConfig::read(&path.to_string_lossy())?),
         None => None,
     };
     if let Some(fleet) = &fleet {
@@ -66,7 +66,7 @@
     Ok(describe(&config, fleet.as_ref()))
 }
 
-fn check_shed_order(config: &Config, fleet: &Fleet) -> Result<(), CheckError> {
+fn check_shed_order(config: &Config, fleet: &FleetConfig) -> Result<(), CheckError> {
     for class in &fleet.shed_order {
         if config.settings.class(class) >= config.settings.classes.len() {
             return Err(CheckError::UnknownClass {
@@ -78,7 +78,7 @@
 }
 
 /// One line, and one more for each setting that cannot be used.
-fn describe(config: &Config, fleet: Option<&Fleet>) -> String {
+fn describe(config: &Config, fleet: Option<&FleetConfig>) -> String {
     let admin = match config.admin {
         Some(address) => format!(", the operators' door at {address}"),
         None => String::new(),
--- a/wrenseam/src/config/fleet.rs
+++ b/wrenseam/src/config/fleet.rs
@@ -9,7 +9,7 @@
 
 /// The fleet's file (`deploy/fleet.json`): gossip between front ends, the shared retry budget and shedding.
 #[derive(Clone, Debug)]
-pub struct Fleet {
+pub struct FleetConfig {
     /// Where the gossip socket (UDP) is bound.
     pub listen: SocketAddr,
     /// The address that peers send to, as Consul's and memberlist's `advertise`: a relay or proxy in front of `listen`.
@@ -43,15 +43,15 @@
     pub summaries: bool,
 }
 
-impl Fleet {
+impl FleetConfig {
     /// Reads the fleet's file.
     ///
     /// # Errors
     ///
     /// A [`ConfigError`] if the file cannot be read, has no `listen`, or holds a value that cannot be used.
-    pub fn read(path: &str) -> Result<Fleet, ConfigError> {
+    pub fn read(path: &str) -> Result<FleetConfig, ConfigError> {
         let file = JsonFile::read(path)?;
-        Ok(Fleet {
+        Ok(FleetConfig {
             listen: file.required_address("listen")?,
             seeds: seeds(&file)?,
             shed_order: shed_order(&file)?,
--- a/wrenseam/src/config/kserve.rs
+++ b/wrenseam/src/config/kserve.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 
 /// The KServe v2 front's file.
-pub struct Kserve {
+pub struct KserveConfig {
     /// Where v2 clients connect.
     pub listen: SocketAddr,
     /// Where the read-only administration API listens, if it is wanted.
@@ -15,10 +15,10 @@
     pub endpoints: Option<Object>,
 }
 
-impl Kserve {
-    pub(super) fn read(path: &str) -> Result<Kserve, ConfigError> {
+impl KserveConfig {
+    pub(super) fn read(path: &str) -> Result<KserveConfig, ConfigError> {
         let file = JsonFile::read(path)?;
-        Ok(Kserve {
+        Ok(KserveConfig {
             endpoints: endpoints(&file, path)?,
             listen: file.required_address("listen")?,
             admin: file.address("admin")?,
--- a/wrenseam/src/config/mod.rs
+++ b/wrenseam/src/config/mod.rs
@@ -15,8 +15,8 @@
 use wrenseam_policy::{Settings, SettingsFault};
 
 pub use error::ConfigError;
-pub use fleet::Fleet;
-pub use kserve::Kserve;
+pub use fleet::FleetConfig;
+pub use kserve::KserveConfig;
 
 /// Names the platform's file.
 const CONFIG_VARIABLE: &str = "NODE_CONFIG";
@@ -60,11 +60,11 @@
     /// configuration.
     pub settings_digest: u64,
     /// The KServe v2 front, where it is on.
-    pub kserve: Option<Kserve>,
+    pub kserve: Option<KserveConfig>,
     /// Where the admin endpoint listens (`admin`, or `NODE_ADMIN`), if it is wanted.
     pub admin: Option<SocketAddr>,
     /// Membership and budgets of the fleet, where `WRENSEAM_FLEET` names their file.
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<FleetConfig>,
 }
 
 impl Config {
@@ -89,10 +89,10 @@
             config.admin = Some(admin);
         }
         if let Some(path) = variable(KSERVE_VARIABLE) {
-            config.kserve = Some(Kserve::read(&path)?);
+            config.kserve = Some(KserveConfig::read(&path)?);
         }
         if let Some(path) = variable(FLEET_VARIABLE) {
-            config.fleet = Some(Fleet::read(&path)?);
+            config.fleet = Some(FleetConfig::read(&path)?);
         }
         Ok(config)
     }
@@ -106,7 +106,7 @@
         let file = JsonFile::read(&config.to_string_lossy())?;
         let mut config = Config::parse(&file, None)?;
         if let Some(path) = kserve {
-            config.kserve = Some(Kserve::read(&path.to_string_lossy())?);
+            config.kserve = Some(KserveConfig::read(&path.to_string_lossy())?);
         }
         Ok(config)
     }
@@ -126,7 +126,10 @@
     }
 
     /// The digest of this configuration with the discovery service at another address.
-    pub fn digest_with(settings_digest: u64, discovery_service: Option<SocketAddr>) -> u64 {
+    pub fn configuration_digest(
+        settings_digest: u64,
+        discovery_service: Option<SocketAddr>,
+    ) -> u64 {
         mix(settings_digest ^ discovery_service.map_or(0, address_hash))
     }
 
--- a/wrenseam/src/core/admin.rs
+++ b/wrenseam/src/core/admin.rs
@@ -1,7 +1,7 @@
 //! The core's answers to the commands of the admin endpoint.
 use super::log_lines::LogLine;
 use super::{Core, Gauges};
-use crate::discovery::membership::Unknown;
+use crate::discovery::membership::UnknownEndpoint;
 use crate::model::{AdminCommand, AdminReply};
 use std::sync::atomic::Ordering;
 use wrenseam_policy::WorkerState;
@@ -70,7 +70,7 @@
                 self.apply_changes(changes);
                 AdminReply::Excluded(id)
             }
-            Err(Unknown) => AdminReply::UnknownWorker(id),
+            Err(UnknownEndpoint) => AdminReply::UnknownWorker(id),
         }
     }
 
@@ -82,7 +82,7 @@
                 self.apply_changes(changes);
                 AdminReply::Included(id)
             }
-            Err(Unknown) => AdminReply::UnknownWorker(id),
+            Err(UnknownEndpoint) => AdminReply::UnknownWorker(id),
         }
     }
 
--- a/wrenseam/src/core/fleet_admission.rs
+++ b/wrenseam/src/core/fleet_admission.rs
@@ -1,6 +1,6 @@
 //! The fleet's limits as one core applies them: shedding at arrival, and the retry budget at each further attempt.
 //! `crate::fleet` has the algorithms; this holds their state for the core and the totals for `telemetry`.
-use crate::config::Fleet;
+use crate::config::FleetConfig;
 use crate::fleet::traffic::TrafficKind;
 use crate::fleet::{FleetSize, FleetStatus, Lifecycle, RetryBudget, Shedder, Summary};
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
@@ -37,7 +37,7 @@
 
 impl FleetAdmission {
     /// Admission control as the fleet's file configures it. Classes to shed that the settings do not name are ignored.
-    pub fn new(fleet: &Fleet, settings: &Settings, seed: u64) -> FleetAdmission {
+    pub fn new(fleet: &FleetConfig, settings: &Settings, seed: u64) -> FleetAdmission {
         let window = fleet.window_ms * 1000;
         let shed_order: Vec<usize> = fleet
             .shed_order
--- a/wrenseam/src/core/load_orders.rs
+++ b/wrenseam/src/core/load_orders.rs
@@ -42,7 +42,7 @@
         };
         self.load_orders.insert(number, order);
         self.timers.set(
-            now + self.limits.order,
+            now + self.limits.load_order_timeout,
             TimerEvent::LoadOrderTimeout(number),
         );
     }
--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -164,8 +164,10 @@
         let now = self.clock.now();
         self.timers
             .set(now + IDLE_SWEEP_PERIOD, TimerEvent::IdleSweep);
-        self.timers
-            .set(now + self.limits.link_check, TimerEvent::LivenessCheck);
+        self.timers.set(
+            now + self.limits.keepalive_check_interval,
+            TimerEvent::LivenessCheck,
+        );
         self.timers
             .set(now + LEASE_REVIEW_PERIOD, TimerEvent::LeaseReview);
     }
--- a/wrenseam/src/core/requests.rs
+++ b/wrenseam/src/core/requests.rs
@@ -94,7 +94,7 @@
     /// the machine is paused for some tens of milliseconds.
     pub(super) fn time_left(&self, now: Micros, request: &Request) -> Micros {
         let elapsed = now.saturating_sub(self.clock.at(request.received_at));
-        let margin = self.limits.margin(request.timeout);
+        let margin = self.limits.response_margin(request.timeout);
         request.timeout.saturating_sub(elapsed + margin)
     }
 
--- a/wrenseam/src/core/timer_events.rs
+++ b/wrenseam/src/core/timer_events.rs
@@ -39,7 +39,7 @@
     /// responsive connections would be closed.
     fn check_liveness(&mut self) {
         let now = self.clock.now();
-        let period = self.limits.link_check;
+        let period = self.limits.keepalive_check_interval;
         if now < self.last_liveness_check + 2 * period {
             self.workers.check_liveness();
             let clients = self.process_state.clients.load(Ordering::Acquire);
--- a/wrenseam/src/discovery/backoff.rs
+++ b/wrenseam/src/discovery/backoff.rs
@@ -28,7 +28,7 @@
     /// The pause after a request that brought something, or once the source's address has changed.
     pub fn after_success(&mut self) -> Duration {
         self.failures = 0;
-        self.random_part(self.limits.reconnect_spread)
+        self.random_part(self.limits.reconnect_jitter)
     }
 
     /// The pause after a request that brought nothing: twice as long each time up to the longest. Where the requests of
@@ -41,7 +41,7 @@
             .saturating_mul(1 << doublings)
             .min(self.limits.retry_max);
         self.failures += 1;
-        if self.limits.reconnect_spread.is_zero() {
+        if self.limits.reconnect_jitter.is_zero() {
             return pause;
         }
         pause / 2 + self.random_part(pause / 2)
--- a/wrenseam/src/discovery/client.rs
+++ b/wrenseam/src/discovery/client.rs
@@ -202,7 +202,7 @@
         Ok(Connection {
             address,
             stream,
-            buffer: Ring::new(self.limits.read_buffer),
+            buffer: Ring::new(self.limits.read_buffer_bytes),
             bytes: Vec::new(),
             response: EventStreamResponse::new(self.limits),
             requested_at,
--- a/wrenseam/src/discovery/event_stream.rs
+++ b/wrenseam/src/discovery/event_stream.rs
@@ -142,8 +142,8 @@
         EventStreamResponse {
             part: ResponsePart::Head(Vec::new()),
             events: EventStreamParser::default(),
-            max_head_bytes: limits.response_head,
-            max_event_bytes: limits.event_bytes,
+            max_head_bytes: limits.max_head_bytes,
+            max_event_bytes: limits.max_event_bytes,
         }
     }
 
--- a/wrenseam/src/discovery/membership.rs
+++ b/wrenseam/src/discovery/membership.rs
@@ -29,7 +29,7 @@
 /// An id that no list has named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("no list has named this id")]
-pub struct Unknown;
+pub struct UnknownEndpoint;
 
 /// The endpoints of all sources, and the ids that operators excluded.
 #[derive(Default)]
@@ -139,9 +139,9 @@
     ///
     /// # Errors
     ///
-    /// [`Unknown`] if no list has named it.
-    pub fn exclude(&mut self, id: &str) -> Result<Vec<Change>, Unknown> {
-        let endpoint = self.listed.get(id).cloned().ok_or(Unknown)?;
+    /// [`UnknownEndpoint`] if no list has named it.
+    pub fn exclude(&mut self, id: &str) -> Result<Vec<Change>, UnknownEndpoint> {
+        let endpoint = self.listed.get(id).cloned().ok_or(UnknownEndpoint)?;
         self.excluded.insert(id.to_owned());
         Ok(self.publish(endpoint).into_iter().collect())
     }
@@ -151,12 +151,12 @@
     ///
     /// # Errors
     ///
-    /// [`Unknown`] if no list has named it and it was not excluded.
-    pub fn include(&mut self, id: &str, now: Micros) -> Result<Vec<Change>, Unknown> {
+    /// [`UnknownEndpoint`] if no list has named it and it was not excluded.
+    pub fn include(&mut self, id: &str, now: Micros) -> Result<Vec<Change>, UnknownEndpoint> {
         let was_excluded = self.excluded.remove(id);
         let listed = self.listed.get_mut(id);
         if !was_excluded {
-            return listed.map(|_| vec![]).ok_or(Unknown);
+            return listed.map(|_| vec![]).ok_or(UnknownEndpoint);
         }
         let Some(endpoint) = listed else {
             return Ok(vec![]);
@@ -213,7 +213,7 @@
             }
             match self.exclude(&id) {
                 Ok(more) => changes.extend(more),
-                Err(Unknown) => {
+                Err(UnknownEndpoint) => {
                     self.excluded.insert(id); // in effect once a list names it
                 }
             }
--- a/wrenseam/src/front/admin/mod.rs
+++ b/wrenseam/src/front/admin/mod.rs
@@ -59,7 +59,7 @@
         connections.fetch_sub(1, Ordering::AcqRel);
         return note!("{}", messages::admin_connection_rejected(peer));
     }
-    let stack = context.limits.stack;
+    let stack = context.limits.coroutine_stack_bytes;
     let context = context.clone();
     let connections = connections.clone();
     let run = move || {
--- a/wrenseam/src/front/connection.rs
+++ b/wrenseam/src/front/connection.rs
@@ -123,12 +123,12 @@
         channel: &'a ResponseChannel,
         stream: &'a mut TcpStream,
     ) -> io::Result<Self> {
-        stream.set_read_timeout(Some(context.limits.client_check))?;
+        stream.set_read_timeout(Some(context.limits.client_check_interval))?;
         Ok(ConnectionReader {
             context,
             channel,
             stream,
-            ring: Ring::new(context.limits.client_ring),
+            ring: Ring::new(context.limits.client_ring_bytes),
             fairness: ReadFairness::default(),
             filled_ring: false,
         })
@@ -190,7 +190,7 @@
 
     /// Has the connection linger if a response may still be on its way.
     fn close_in_order(&self) {
-        let linger = self.context.limits.linger;
+        let linger = self.context.limits.linger_timeout;
         self.channel
             .close_if(self.channel.slot.finished_within(linger));
     }
--- a/wrenseam/src/front/fastcgi/connection.rs
+++ b/wrenseam/src/front/fastcgi/connection.rs
@@ -54,7 +54,7 @@
     }
 
     fn run(&mut self, reader: &mut ConnectionReader) -> Result<(), ConnectionError> {
-        let check_interval = self.context.limits.client_check;
+        let check_interval = self.context.limits.client_check_interval;
         let mut records = RecordDecoder::new();
         let mut checked_at = Instant::now();
         loop {
@@ -83,7 +83,7 @@
     /// Rejects requests that are not complete in time, or ends the connection if no other is pending on it. Guards
     /// against requests that never end: each needs a response or a close, and holds memory.
     fn check_read_timeouts(&mut self, records: &RecordDecoder) -> Result<(), ConnectionError> {
-        let limit = self.context.limits.request_read;
+        let limit = self.context.limits.request_read_timeout;
         if records.is_overdue(limit) && self.client.channel.slot.is_idle() {
             return Err(FastCgiError::RecordTimeout.into());
         }
@@ -133,7 +133,7 @@
     /// Counts what is discarded; too much of it ends the connection.
     fn discard(&mut self, bytes: usize) -> Result<(), ConnectionError> {
         self.discarded += bytes;
-        if self.discarded > self.context.limits.discard {
+        if self.discarded > self.context.limits.max_discarded_bytes {
             return Err(FastCgiError::DiscardLimit.into());
         }
         Ok(())
@@ -160,8 +160,8 @@
     }
 
     fn report_values(&self, content: &[u8]) {
-        let connections = self.context.limits.client_connections;
-        let requests = connections * self.context.limits.requests_per_connection;
+        let connections = self.context.limits.max_client_connections;
+        let requests = connections * self.context.limits.max_requests_per_connection;
         let mut values = Vec::new();
         for (name, _) in pairs(content) {
             let value = match name.as_str() {
@@ -187,7 +187,7 @@
         }
         if !begin.is_responder() {
             self.end_at_once(request_id, EarlyEnd::UnknownRole);
-        } else if open_count >= self.context.limits.requests_per_connection {
+        } else if open_count >= self.context.limits.max_requests_per_connection {
             self.end_at_once(request_id, EarlyEnd::TooManyRequests);
         } else {
             let partial =
--- a/wrenseam/src/front/fastcgi/partial.rs
+++ b/wrenseam/src/front/fastcgi/partial.rs
@@ -90,7 +90,7 @@
         content: &[u8],
         limits: &Limits,
     ) -> Result<(), Rejection> {
-        if self.params.len() + content.len() > limits.head {
+        if self.params.len() + content.len() > limits.max_head_bytes {
             return Err(ParameterError::ParametersTooLong.into());
         }
         self.reserve(content.len())?;
@@ -100,7 +100,7 @@
 
     /// Appends to the body.
     pub(super) fn extend_body(&mut self, content: &[u8], limits: &Limits) -> Result<(), Rejection> {
-        if self.body.len() + content.len() > limits.body {
+        if self.body.len() + content.len() > limits.max_body_bytes {
             return Err(ParameterError::BodyTooLong.into());
         }
         self.reserve(content.len())?;
--- a/wrenseam/src/front/kserve/connection.rs
+++ b/wrenseam/src/front/kserve/connection.rs
@@ -70,7 +70,7 @@
                 return Ok(());
             }
             // Guards against requests that are never complete.
-            if decoder.is_overdue(limits.request_read) {
+            if decoder.is_overdue(limits.request_read_timeout) {
                 self.respond_last(&HttpError::Timeout);
                 return Err(ConnectionError::RequestTimeout);
             }
@@ -124,7 +124,7 @@
 
     fn complete(&mut self, request: HttpRequest) -> Result<(), ConnectionError> {
         self.tag += 1;
-        let limit = self.context.limits.requests_per_connection;
+        let limit = self.context.limits.max_requests_per_connection;
         self.client.open(self.tag, request.head.close, limit)?;
         match (self.routes)(self, request) {
             Reply::Deferred => Ok(()),
--- a/wrenseam/src/front/kserve/decoder.rs
+++ b/wrenseam/src/front/kserve/decoder.rs
@@ -111,7 +111,7 @@
             self.head.clear();
             self.started_at = None;
         }
-        if self.head.len() > limits.head {
+        if self.head.len() > limits.max_head_bytes {
             return Err(HttpError::HeadTooLong);
         }
         if !self.head.ends_with(HEAD_END) {
@@ -123,7 +123,7 @@
         if head.chunked {
             return Err(HttpError::ChunkedBody);
         }
-        if length > limits.body {
+        if length > limits.max_body_bytes {
             return Err(HttpError::BodyTooLong);
         }
         let expects_continue = head.expects && length > 0;
--- a/wrenseam/src/front/kserve/request.rs
+++ b/wrenseam/src/front/kserve/request.rs
@@ -62,7 +62,7 @@
         None => Ok(default),
     };
     Ok(NumericParameters {
-        timeout_ms: get("wait_ms", limits.default_wait as f64 / 1000.0)?,
+        timeout_ms: get("wait_ms", limits.default_request_timeout as f64 / 1000.0)?,
         memory_mb: get("memory_mb", 0.0)?,
         concurrency: get("lanes", 0.0)?,
         load_time_ms: get("load_ms", 0.0)?,
--- a/wrenseam/src/front/listener.rs
+++ b/wrenseam/src/front/listener.rs
@@ -51,9 +51,9 @@
     pub fn new(core: CoreHandle, limits: Arc<Limits>, process_state: Arc<ProcessState>) -> Self {
         ListenerContext {
             core,
-            budget: MemoryBudget::new(limits.held_bytes),
+            budget: MemoryBudget::new(limits.memory_budget_bytes),
             slots: ConnectionSlots::new(
-                limits.client_connections,
+                limits.max_client_connections,
                 process_state.draining.clone(),
                 process_state.clients.clone(),
             ),
@@ -128,7 +128,7 @@
     let connection_context = context.clone();
     let _ = stream.set_nodelay(true); // a connection without it is only slower
     let run = move || serve(stream, &connection_context, guard);
-    if let Err(error) = spawn(context.limits.stack, run) {
+    if let Err(error) = spawn(context.limits.coroutine_stack_bytes, run) {
         note!("{}", messages::connection_not_served(front, peer, &error));
     }
 }
--- a/wrenseam/src/front/parameters.rs
+++ b/wrenseam/src/front/parameters.rs
@@ -69,14 +69,14 @@
     /// # Errors
     /// A value is out of its range.
     pub fn check(&self, limits: &Limits) -> Result<(), ParameterError> {
-        let longest_ms = limits.longest_wait as f64 / 1000.0;
+        let longest_ms = limits.max_request_timeout as f64 / 1000.0;
         let is_within = |value: f64, limit: f64| (0.0..=limit).contains(&value);
         if !is_within(self.timeout_ms, longest_ms) {
             return Err(ParameterError::TimeoutOutOfRange);
         }
-        let all_within = is_within(self.memory_mb, limits.memory_mb)
+        let all_within = is_within(self.memory_mb, limits.max_replica_memory_mb)
             && is_within(self.load_time_ms, longest_ms)
-            && is_within(self.concurrency, limits.lanes);
+            && is_within(self.concurrency, limits.max_replica_concurrency);
         if !all_within {
             return Err(ParameterError::OutOfRange);
         }
--- a/wrenseam/src/gossip.rs
+++ b/wrenseam/src/gossip.rs
@@ -4,7 +4,7 @@
 pub mod log_lines;
 
 use crate::clock::Clock;
-use crate::config::Fleet;
+use crate::config::FleetConfig;
 use crate::fleet::identity::MAX_DATAGRAM;
 use crate::fleet::node::EXTRA_TRANSMISSIONS;
 use crate::fleet::swim::Dropped;
@@ -70,7 +70,7 @@
 /// # Errors
 /// The socket cannot be bound, or the coroutine not started.
 pub fn start(
-    fleet: &Fleet,
+    fleet: &FleetConfig,
     seed: u64,
     core: CoreHandle,
     shared: Arc<ProcessState>,
@@ -100,7 +100,7 @@
 }
 
 /// The node's settings, by the fleet's file.
-fn node_settings(fleet: &Fleet, shared: &ProcessState) -> NodeSettings {
+fn node_settings(fleet: &FleetConfig, shared: &ProcessState) -> NodeSettings {
     let probe = fleet.probe_ms * MICROS_PER_MS;
     NodeSettings {
         swim: SwimSettings {
--- a/wrenseam/src/limits.rs
+++ b/wrenseam/src/limits.rs
@@ -137,88 +137,88 @@
 pub struct Limits {
     // Requests, as the fronts check them.
     /// Most bytes of a request's body.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Most bytes of the parameters or headers of a request, and of the head of a response.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// A request must have come whole within this from its first byte.
-    pub request_read: Duration,
+    pub request_read_timeout: Duration,
     /// Longest wait that a client may name.
-    pub longest_wait: Micros,
+    pub max_request_timeout: Micros,
     /// What a v2 client waits that does not say.
-    pub default_wait: Micros,
+    pub default_request_timeout: Micros,
     /// Part of a client's wait kept for the way of its answer: the policy never hears of it.
-    pub answer_margin: Micros,
+    pub max_response_margin: Micros,
     /// Most MB that a replica may be said to take.
-    pub memory_mb: f64,
+    pub max_replica_memory_mb: f64,
     /// Most requests that a replica may be said to run at a time.
-    pub lanes: f64,
+    pub max_replica_concurrency: f64,
 
     // Client connections.
     /// Client connections open at once, over all fronts.
-    pub client_connections: usize,
+    pub max_client_connections: usize,
     /// Open requests on one client connection.
-    pub requests_per_connection: usize,
+    pub max_requests_per_connection: usize,
     /// Bytes of answers that may wait on one client connection.
-    pub unsent_per_connection: usize,
+    pub max_unsent_bytes: usize,
     /// Size of a client connection's rings.
-    pub client_ring: usize,
+    pub client_ring_bytes: usize,
     /// A client connection that has asked for nothing of use closes after this.
-    pub first_request: Duration,
+    pub first_request_timeout: Duration,
     /// A client connection without a request in flight closes after this.
-    pub client_idle: Duration,
+    pub client_idle_timeout: Duration,
     /// While the front end drains, a client connection without a request in flight closes after this.
-    pub drain_idle: Duration,
+    pub drain_idle_timeout: Duration,
     /// How often a client connection looks at these times.
-    pub client_check: Duration,
+    pub client_check_interval: Duration,
     /// After its half-close a client connection is read for so long, should the client not close.
-    pub linger: Duration,
+    pub linger_timeout: Duration,
     /// Bytes read of what has been answered as malformed before its connection closes.
-    pub discard: usize,
+    pub max_discarded_bytes: usize,
 
     // Connections to workers.
     /// Descriptors of the process, of which clients and workers share what is not reserved.
     pub descriptors: usize,
     /// Connections to one v2 worker: each carries one exchange at a time.
-    pub lanes_per_worker: usize,
+    pub max_v2_connections_per_worker: usize,
     /// Attempts that one worker connection carries together.
-    pub streams: usize,
+    pub max_streams_per_connection: usize,
     /// Size of a worker connection's rings.
-    pub worker_ring: usize,
+    pub worker_ring_bytes: usize,
     /// Most bytes of a worker's answer.
-    pub answer: usize,
+    pub max_response_bytes: usize,
     /// A connection to a worker must stand within this.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Our idle worker connections close after this, before the worker's side does.
-    pub worker_idle: Duration,
+    pub worker_idle_timeout: Duration,
     /// A write that moves nothing for this long gives its connection up.
-    pub write_stall: Duration,
+    pub write_stall_timeout: Duration,
     /// How often a stalled write looks for cancels and drains.
-    pub write_check: Duration,
+    pub write_check_interval: Duration,
     /// An answer of which nothing more comes for this long has stopped short.
-    pub frame_stall: Duration,
+    pub response_stall_timeout: Duration,
     /// Answers to a call may still come so long after its client left.
-    pub late_answer: Duration,
+    pub late_response_grace: Duration,
     /// A load order unanswered for this long has timed out.
-    pub order: Micros,
+    pub load_order_timeout: Micros,
     /// A worker connection with something open that is quiet for this long has a keepalive check sent, ...
-    pub link_quiet: Duration,
+    pub keepalive_idle: Duration,
     /// ... and again after this part of its oldest exchange's age, in hundredths, ...
-    pub link_again: u32,
+    pub keepalive_repeat_percent: u32,
     /// ... and has ended if no answer comes within this.
-    pub link_answer: Duration,
+    pub keepalive_timeout: Duration,
     /// How often worker connections are looked at for that.
-    pub link_check: Micros,
+    pub keepalive_check_interval: Micros,
 
     // The process.
     /// Bytes of bodies and unsent answers that all requests may reserve.
-    pub held_bytes: usize,
+    pub memory_budget_bytes: usize,
     /// Stack of a coroutine, in bytes.
-    pub stack: usize,
+    pub coroutine_stack_bytes: usize,
     /// After SIGTERM the listeners stay open this long.
-    pub stop_listening: Duration,
+    pub listener_close_delay: Duration,
     /// After SIGTERM the program ends at the latest after this: behind the longest wait of any class, so that nothing
     /// that was admitted is left by it. Whatever kills it sooner counts none of that as lost.
-    pub stop_at_last: Duration,
+    pub shutdown_timeout: Duration,
 
     /// The connection to the discovery service.
     pub discovery: DiscoveryLimits,
@@ -229,51 +229,51 @@
     pub fn new(memory_mb: u64, sockets: u64, settings: &Settings) -> Self {
         let process = ProcessSize::new(memory_mb, sockets);
         Limits {
-            body: REQUEST_BODY_BYTES,
-            head: HEAD_BYTES,
-            request_read: REQUEST_READ,
-            longest_wait: CLIENT_WAIT_MAX,
-            default_wait: CLIENT_WAIT_DEFAULT,
-            answer_margin: ANSWER_MARGIN,
-            memory_mb: REPLICA_MEMORY_MB_MAX,
-            lanes: REPLICA_CONCURRENCY_MAX,
-            client_connections: client_connections(process.descriptors),
-            requests_per_connection: REQUESTS_PER_CONNECTION,
-            unsent_per_connection: ANSWER_BYTES,
-            client_ring: SMALL_RING_BYTES,
-            first_request: FIRST_REQUEST,
-            client_idle: CLIENT_IDLE,
-            drain_idle: Duration::ZERO,
-            client_check: CLIENT_CHECK,
-            linger: LINGER,
-            discard: DISCARD_BYTES,
+            max_body_bytes: REQUEST_BODY_BYTES,
+            max_head_bytes: HEAD_BYTES,
+            request_read_timeout: REQUEST_READ,
+            max_request_timeout: CLIENT_WAIT_MAX,
+            default_request_timeout: CLIENT_WAIT_DEFAULT,
+            max_response_margin: ANSWER_MARGIN,
+            max_replica_memory_mb: REPLICA_MEMORY_MB_MAX,
+            max_replica_concurrency: REPLICA_CONCURRENCY_MAX,
+            max_client_connections: client_connections(process.descriptors),
+            max_requests_per_connection: REQUESTS_PER_CONNECTION,
+            max_unsent_bytes: ANSWER_BYTES,
+            client_ring_bytes: SMALL_RING_BYTES,
+            first_request_timeout: FIRST_REQUEST,
+            client_idle_timeout: CLIENT_IDLE,
+            drain_idle_timeout: Duration::ZERO,
+            client_check_interval: CLIENT_CHECK,
+            linger_timeout: LINGER,
+            max_discarded_bytes: DISCARD_BYTES,
             descriptors: process.descriptors,
-            lanes_per_worker: v2_connections(process.descriptors),
-            streams: streams(settings),
-            worker_ring: WORKER_RING_BYTES,
-            answer: ANSWER_BYTES,
-            connect: connect_timeout(settings),
-            worker_idle: worker_idle(settings),
-            write_stall: WRITE_STALL,
-            write_check: WRITE_CHECK,
-            frame_stall: FRAME_STALL,
-            late_answer: LATE_ANSWER,
-            order: load_order(settings),
-            link_quiet: keepalive_quiet(settings),
-            link_again: keepalive_repeat_percent(settings),
-            link_answer: KEEPALIVE_ANSWER,
-            link_check: KEEPALIVE_CHECK,
-            held_bytes: process.memory_bytes / HELD_MEMORY_DIVISOR,
-            stack: STACK_BYTES,
-            stop_listening: STOP_LISTENING,
-            stop_at_last: stop_at_last(settings),
+            max_v2_connections_per_worker: v2_connections(process.descriptors),
+            max_streams_per_connection: streams(settings),
+            worker_ring_bytes: WORKER_RING_BYTES,
+            max_response_bytes: ANSWER_BYTES,
+            connect_timeout: connect_timeout(settings),
+            worker_idle_timeout: worker_idle(settings),
+            write_stall_timeout: WRITE_STALL,
+            write_check_interval: WRITE_CHECK,
+            response_stall_timeout: FRAME_STALL,
+            late_response_grace: LATE_ANSWER,
+            load_order_timeout: load_order(settings),
+            keepalive_idle: keepalive_quiet(settings),
+            keepalive_repeat_percent: keepalive_repeat_percent(settings),
+            keepalive_timeout: KEEPALIVE_ANSWER,
+            keepalive_check_interval: KEEPALIVE_CHECK,
+            memory_budget_bytes: process.memory_bytes / HELD_MEMORY_DIVISOR,
+            coroutine_stack_bytes: STACK_BYTES,
+            listener_close_delay: STOP_LISTENING,
+            shutdown_timeout: stop_at_last(settings),
             discovery: DiscoveryLimits::new(process.memory_bytes, settings),
         }
     }
 
     /// The part of a client's wait that is kept for the way of its answer: of a short wait no more than a quarter.
-    pub fn margin(&self, wait: Micros) -> Micros {
-        self.answer_margin.min(wait / 4)
+    pub fn response_margin(&self, wait: Micros) -> Micros {
+        self.max_response_margin.min(wait / 4)
     }
 }
 
@@ -325,14 +325,14 @@
     /// Longest pause after failed requests.
     pub retry_max: Duration,
     /// After a request that brought something the next one is made within this, at random.
-    pub reconnect_spread: Duration,
+    pub reconnect_jitter: Duration,
     /// Size of the ring that the response is read into.
-    pub read_buffer: usize,
+    pub read_buffer_bytes: usize,
     /// Most bytes of the response's head.
-    pub response_head: usize,
+    pub max_head_bytes: usize,
     /// Most bytes of one event. The list of all workers is one: 150 bytes each. No buffer is larger than twice what
     /// has come.
-    pub event_bytes: usize,
+    pub max_event_bytes: usize,
 }
 
 impl DiscoveryLimits {
@@ -351,14 +351,14 @@
             } else {
                 DISCOVERY_RETRY
             },
-            reconnect_spread: if large_fleet {
+            reconnect_jitter: if large_fleet {
                 DISCOVERY_SPREAD_LARGE_FLEET
             } else {
                 Duration::ZERO
             },
-            read_buffer: SMALL_RING_BYTES,
-            response_head: HEAD_BYTES,
-            event_bytes: (memory_bytes / DISCOVERY_EVENT_MEMORY_DIVISOR)
+            read_buffer_bytes: SMALL_RING_BYTES,
+            max_head_bytes: HEAD_BYTES,
+            max_event_bytes: (memory_bytes / DISCOVERY_EVENT_MEMORY_DIVISOR)
                 .max(DISCOVERY_EVENT_BYTES_MIN),
         }
     }
--- a/wrenseam/src/net/outbox.rs
+++ b/wrenseam/src/net/outbox.rs
@@ -100,14 +100,14 @@
             unsent: UnsentBytes::new(unsent_bytes),
             close_state: Arc::default(),
             budget: budget.clone(),
-            unsent_limit: limits.unsent_per_connection,
+            unsent_limit: limits.max_unsent_bytes,
             client_probe: Arc::new(SocketProbe(Arc::downgrade(&socket))),
             socket: Arc::downgrade(&socket),
         };
         let limits = limits.clone();
         let unsent = outbox.unsent.clone();
         let close_state = outbox.close_state.clone();
-        spawn(limits.stack, move || {
+        spawn(limits.coroutine_stack_bytes, move || {
             ConnectionWriter::new(&socket.0, &*calls, &limits, &unsent).run(&queue);
             drop(socket);
             close_state.is_written.store(true, Ordering::Release);
@@ -184,26 +184,26 @@
         self.close();
         self.discard_input(stream, limits);
         while !self.is_written() {
-            sleep(limits.linger / LINGER_CHECKS); // the writer ends by itself: see `Limits::write_stall`
+            sleep(limits.linger_timeout / LINGER_CHECKS); // the writer ends by itself: see `Limits::write_stall_timeout`
         }
     }
 
     fn discard_input(&self, mut stream: TcpStream, limits: &Limits) {
         let started_at = Instant::now();
         let mut discarded = 0;
-        let mut bytes = vec![0; limits.client_ring];
-        let read_timeout = limits.linger / LINGER_READS;
+        let mut bytes = vec![0; limits.client_ring_bytes];
+        let read_timeout = limits.linger_timeout / LINGER_READS;
         if stream.set_read_timeout(Some(read_timeout)).is_err() {
             return;
         }
-        while discarded <= limits.discard {
+        while discarded <= limits.max_discarded_bytes {
             match stream.read(&mut bytes) {
                 Ok(read) if read > 0 => discarded += read,
                 Err(error) if timed_out(&error) => {}
                 _ => return,
             }
             // An aborted connection's slot may be wanted for others before the linger is over.
-            let is_over = started_at.elapsed() > limits.linger || self.is_aborted();
+            let is_over = started_at.elapsed() > limits.linger_timeout || self.is_aborted();
             if self.is_written() && is_over {
                 return;
             }
--- a/wrenseam/src/net/slots.rs
+++ b/wrenseam/src/net/slots.rs
@@ -153,11 +153,11 @@
     fn idle_timeout(&self, usage: &Usage, limits: &Limits) -> Duration {
         if self.draining.load(Ordering::Acquire) {
             // A draining front end ends once its clients have left: it holds no connection idle for long.
-            limits.drain_idle
+            limits.drain_idle_timeout
         } else if usage.had_valid_request {
-            limits.client_idle
+            limits.client_idle_timeout
         } else {
-            limits.first_request
+            limits.first_request_timeout
         }
     }
 
--- a/wrenseam/src/net/writer.rs
+++ b/wrenseam/src/net/writer.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// First backoff of a write that would block; doubled each time, up to `Limits::write_check`.
+/// First backoff of a write that would block; doubled each time, up to `Limits::write_check_interval`.
 const FIRST_BACKOFF: Duration = Duration::from_millis(1);
 
 /// What a writer is to do.
@@ -92,7 +92,7 @@
             calls,
             limits,
             unsent,
-            ring: Ring::new(limits.client_ring),
+            ring: Ring::new(limits.client_ring_bytes),
             is_broken: false,
         }
     }
@@ -141,11 +141,11 @@
                 }
                 Err(error)
                     if Failure::of(&error) != Failure::Over
-                        && stalled_for < self.limits.write_stall =>
+                        && stalled_for < self.limits.write_stall_timeout =>
                 {
                     sleep(backoff);
                     stalled_for += backoff;
-                    backoff = (2 * backoff).min(self.limits.write_check);
+                    backoff = (2 * backoff).min(self.limits.write_check_interval);
                 }
                 Err(error) => self.give_up(&error),
             }
--- a/wrenseam/src/server.rs
+++ b/wrenseam/src/server.rs
@@ -2,7 +2,7 @@
 //!
 //! The core starts first, then what notifies it of endpoints and exclusions, and the listeners last: no client is
 //! accepted before the parts that serve it run.
-use crate::config::{Config, Kserve};
+use crate::config::{Config, KserveConfig};
 use crate::core::{Core, FleetAdmission};
 use crate::discovery::address::DiscoveryAddress;
 use crate::discovery::watch::WatchState;
@@ -61,7 +61,7 @@
 fn configure_coroutines(limits: &Limits) {
     may::config()
         .set_workers(1)
-        .set_stack_size(limits.stack / size_of::<usize>())
+        .set_stack_size(limits.coroutine_stack_bytes / size_of::<usize>())
         .set_pool_capacity(COROUTINE_POOL);
     may::config().set_worker_pin(false);
 }
@@ -84,7 +84,7 @@
     fn new(config: Config, core: CoreHandle) -> Self {
         let limits = Arc::new(config.limits.clone());
         let process_state = Arc::new(ProcessState::default());
-        let digest = Config::digest_with(config.settings_digest, config.discovery_service);
+        let digest = Config::configuration_digest(config.settings_digest, config.discovery_service);
         process_state.config_digest.store(digest, Ordering::Release);
         let listener_context =
             ListenerContext::new(core.clone(), limits.clone(), process_state.clone());
@@ -133,7 +133,7 @@
             self.config.seed,
             self.core.clone(),
             self.process_state.clone(),
-            self.limits.stack,
+            self.limits.coroutine_stack_bytes,
         )
         .map_err(|error| StartError::Gossip(error.into()))?;
         eprintln!("start: gossip listens on {address}");
@@ -155,7 +155,7 @@
         let seed = self.config.seed;
         let limits = self.limits.clone();
         let core = self.core.clone();
-        spawn(self.limits.stack, move || {
+        spawn(self.limits.coroutine_stack_bytes, move || {
             client::follow(&followed, watch.state, seed, &limits.discovery, &core);
         })
         .map_err(StartError::Discovery)?;
@@ -195,7 +195,7 @@
 
     fn start_kserve(
         &self,
-        kserve: Kserve,
+        kserve: KserveConfig,
         listeners: &mut Vec<Listener>,
     ) -> Result<(), StartError> {
         if let Some(endpoints) = &kserve.endpoints {
@@ -248,10 +248,10 @@
         announce("the operators' door", &listener);
         let context = self.listener_context.clone();
         let accept = move || admin::accept(&listener, &context);
-        spawn(self.limits.stack, accept).map_err(failed)?;
+        spawn(self.limits.coroutine_stack_bytes, accept).map_err(failed)?;
         let context = self.listener_context.clone();
         let follow = move || admin::watch(&context, active_process);
-        spawn(self.limits.stack, follow).map_err(StartError::Exclusions)
+        spawn(self.limits.coroutine_stack_bytes, follow).map_err(StartError::Exclusions)
     }
 
     /// Serves until a signal ends the process, then closes in order. The fleet is notified last.
--- a/wrenseam/src/shutdown.rs
+++ b/wrenseam/src/shutdown.rs
@@ -74,7 +74,7 @@
     discovery: &DiscoveryAddress,
 ) {
     eprintln!("{}", messages::discovery_moved(address));
-    let digest = Config::digest_with(settings_digest, Some(address));
+    let digest = Config::configuration_digest(settings_digest, Some(address));
     let config_digest = &context.process_state.config_digest;
     config_digest.store(digest, Ordering::Release);
     if discovery.set(address) {
@@ -90,13 +90,13 @@
 /// Readiness says no at once: a process that replaces this one takes the new clients.
 fn start_draining(context: &ListenerContext) {
     let _ = admin::ask(context, AdminCommand::Evacuate); // the shutdown goes on without the core's reply
-    let message = messages::shutdown_started(context.limits.stop_listening);
+    let message = messages::shutdown_started(context.limits.listener_close_delay);
     eprintln!("{message}");
 }
 
 /// The gateway goes on sending for a while: what comes in that time is answered like any other.
 fn serve_for_grace_period(context: &ListenerContext) {
-    std::thread::sleep(context.limits.stop_listening);
+    std::thread::sleep(context.limits.listener_close_delay);
 }
 
 fn reject_new_requests(context: &ListenerContext) {
@@ -117,7 +117,9 @@
 fn close_connections(context: &ListenerContext) {
     context.shutting_down.store(true, Ordering::Release);
     let started_at = Instant::now();
-    while remaining(context, started_at) > 0 && started_at.elapsed() < context.limits.stop_at_last {
+    while remaining(context, started_at) > 0
+        && started_at.elapsed() < context.limits.shutdown_timeout
+    {
         std::thread::sleep(CHECK_INTERVAL);
     }
 }
@@ -127,7 +129,7 @@
 fn remaining(context: &ListenerContext, started_at: Instant) -> usize {
     let accept_loops = context.accept_loops.load(Ordering::Acquire);
     let connections = context.process_state.clients.load(Ordering::Acquire);
-    if started_at.elapsed() < context.limits.linger {
+    if started_at.elapsed() < context.limits.linger_timeout {
         accept_loops + connections
     } else {
         connections
--- a/wrenseam/src/worker/frames/handle.rs
+++ b/wrenseam/src/worker/frames/handle.rs
@@ -65,8 +65,8 @@
         let open_exchanges = self.state.open_exchanges();
         !self.state.is_closed()
             && !self.state.is_draining()
-            && open_exchanges < limits.streams
-            && (open_exchanges > 0 || self.quiet_since().elapsed() <= limits.worker_idle)
+            && open_exchanges < limits.max_streams_per_connection
+            && (open_exchanges > 0 || self.quiet_since().elapsed() <= limits.worker_idle_timeout)
     }
 
     /// Whether it carried this id before, and it may be used again by its client.
@@ -132,7 +132,9 @@
         drop(table);
         match self.keepalive.check(&observation, limits) {
             KeepaliveAction::None => {}
-            KeepaliveAction::Probe(function) => self.probe(function, now + limits.write_stall),
+            KeepaliveAction::Probe(function) => {
+                self.probe(function, now + limits.write_stall_timeout)
+            }
             KeepaliveAction::CloseIfSilentSince(asked_at) => {
                 let _ = self.commands.send(Command::CloseIfSilentSince(asked_at));
                 // else it has ended
@@ -166,7 +168,7 @@
         if self.state.open_exchanges() > 0 {
             return true;
         }
-        let is_expired = self.quiet_since().elapsed() > limits.worker_idle;
+        let is_expired = self.quiet_since().elapsed() > limits.worker_idle_timeout;
         !is_expired && !self.state.is_draining()
     }
 }
--- a/wrenseam/src/worker/frames/keepalive.rs
+++ b/wrenseam/src/worker/frames/keepalive.rs
@@ -69,7 +69,7 @@
         if seen.probe_taken {
             self.unanswered += seen.observed;
         }
-        if self.unanswered > limits.link_answer {
+        if self.unanswered > limits.keepalive_timeout {
             return KeepaliveAction::CloseIfSilentSince(sent_at);
         }
         KeepaliveAction::None
@@ -106,7 +106,7 @@
     let backoff = if opened_since_answer {
         Duration::ZERO
     } else {
-        oldest_age * limits.link_again / 100
+        oldest_age * limits.keepalive_repeat_percent / 100
     };
-    quiet > limits.link_quiet.max(backoff)
+    quiet > limits.keepalive_idle.max(backoff)
 }
--- a/wrenseam/src/worker/frames/mod.rs
+++ b/wrenseam/src/worker/frames/mod.rs
@@ -100,10 +100,12 @@
             reports: reports.clone(),
             limits: self.limits.clone(),
             calls: self.calls.clone(),
-            outgoing: Outgoing::new(state.clone(), reports, self.limits.worker_ring),
+            outgoing: Outgoing::new(state.clone(), reports, self.limits.worker_ring_bytes),
             close_requests: Vec::new(),
         };
-        if let Err(error) = spawn(self.limits.stack, move || writer.run(&commands)) {
+        if let Err(error) = spawn(self.limits.coroutine_stack_bytes, move || {
+            writer.run(&commands)
+        }) {
             // The timers of what is handed over end it.
             note!("{}", log_lines::coroutine_not_started(self.address, &error));
         }
@@ -122,7 +124,8 @@
 
     /// The time since the last keepalive check that counts as silence.
     fn observed_since_last_check(&mut self, now: Instant) -> Duration {
-        let counted = Duration::from_micros(MAX_COUNTED_INTERVALS * self.limits.link_check);
+        let counted =
+            Duration::from_micros(MAX_COUNTED_INTERVALS * self.limits.keepalive_check_interval);
         match self.last_keepalive_check.replace(now) {
             Some(last) => (now - last).min(counted),
             None => Duration::ZERO,
@@ -136,8 +139,9 @@
         let frame = codec::call(request, limits);
         let dispatch = Dispatch::for_attempt(request, limits, Instant::now());
         // Its id may come again as long as its client waits, and answers to it a little longer.
-        let reserved_until =
-            request.received_at + Duration::from_micros(request.timeout) + self.limits.late_answer;
+        let reserved_until = request.received_at
+            + Duration::from_micros(request.timeout)
+            + self.limits.late_response_grace;
         let connection = self.connection_for(Some(id));
         connection.reserve_id(id, reserved_until);
         connection.open(NewExchange {
--- a/wrenseam/src/worker/frames/reader.rs
+++ b/wrenseam/src/worker/frames/reader.rs
@@ -53,7 +53,7 @@
     ) -> Self {
         AnswerReader {
             stream,
-            ring: Ring::new(limits.worker_ring),
+            ring: Ring::new(limits.worker_ring_bytes),
             decoder: Decoder::default(),
             state,
             reports,
@@ -72,7 +72,7 @@
 
     fn read_and_shut_down(&mut self) -> Result<(), ReadError> {
         self.stream
-            .set_read_timeout(Some(self.limits.frame_stall))?;
+            .set_read_timeout(Some(self.limits.response_stall_timeout))?;
         let end = self.read_answers();
         let _ = self.stream.shutdown(Shutdown::Both); // the writer sees it, or has gone
         end
@@ -93,7 +93,7 @@
     /// Guards against an answer that stops short: nothing more comes behind it. What came while the process stood still
     /// lies there unread: that is no stop. Nor is a read that failed at once.
     fn check_incomplete_frame(&self, read_started_at: Instant) -> Result<(), ReadError> {
-        let has_waited = read_started_at.elapsed() >= self.limits.frame_stall / 2;
+        let has_waited = read_started_at.elapsed() >= self.limits.response_stall_timeout / 2;
         if has_waited && self.decoder.is_mid_frame() && has_no_unread_input(&self.stream) {
             return Err(ReadError::IncompleteFrame);
         }
@@ -103,7 +103,10 @@
     /// Handles the complete frames that have come. After an invalid one nothing can be trusted: the stream is out of
     /// step.
     fn handle_answers(&mut self) -> Result<(), FrameError> {
-        while let Some(frame) = self.decoder.next(&mut self.ring, self.limits.answer)? {
+        while let Some(frame) = self
+            .decoder
+            .next(&mut self.ring, self.limits.max_response_bytes)?
+        {
             let answer = AnswerCode::parse(frame.code)?;
             // Guards against a damaged code, which the checksum does not cover: what never ran has no body.
             let never_ran = match answer {
--- a/wrenseam/src/worker/frames/writer.rs
+++ b/wrenseam/src/worker/frames/writer.rs
@@ -86,7 +86,9 @@
     }
 
     fn connect(&self) -> io::Result<TcpStream> {
-        let connected = self.calls.connect(&self.address, self.limits.connect);
+        let connected = self
+            .calls
+            .connect(&self.address, self.limits.connect_timeout);
         let stream = connected.inspect_err(|error| {
             if error.kind() == io::ErrorKind::ConnectionRefused {
                 self.state.set_refused();
@@ -105,7 +107,9 @@
             self.reports.clone(),
             self.limits.clone(),
         );
-        spawn(self.limits.stack, move || reader.run(address))
+        spawn(self.limits.coroutine_stack_bytes, move || {
+            reader.run(address)
+        })
     }
 
     fn accept(&mut self, command: Command) {
@@ -178,7 +182,7 @@
         if self.outgoing.is_past_write_deadline(written) {
             return Err(WriteError::WriteDeadlinePassed);
         }
-        if stalled >= self.limits.write_stall {
+        if stalled >= self.limits.write_stall_timeout {
             return Err(WriteError::WriteStalled);
         }
         Ok(stalled)
--- a/wrenseam/src/worker/kserve/answer.rs
+++ b/wrenseam/src/worker/kserve/answer.rs
@@ -69,7 +69,7 @@
     pub(super) fn new(limits: &'a Limits) -> Self {
         AnswerReader {
             limits,
-            ring: Ring::new(limits.client_ring),
+            ring: Ring::new(limits.client_ring_bytes),
             head_bytes: Vec::new(),
             head: None,
             body: Vec::new(),
@@ -128,7 +128,7 @@
             };
             return Ok(Some(Answer { reply, is_reusable }));
         }
-        if self.body.len() > self.limits.answer {
+        if self.body.len() > self.limits.max_response_bytes {
             return Err(AnswerError::TooLong);
         }
         Ok(None)
@@ -141,7 +141,7 @@
                 let head = Head::answer(&self.head_bytes)?;
                 if head
                     .length
-                    .is_some_and(|length| length > self.limits.answer)
+                    .is_some_and(|length| length > self.limits.max_response_bytes)
                 {
                     return Err(AnswerError::TooLong);
                 }
@@ -149,7 +149,7 @@
                 if head.status >= FIRST_FINAL_STATUS {
                     self.head = Some(head);
                 }
-            } else if self.head_bytes.len() > self.limits.head {
+            } else if self.head_bytes.len() > self.limits.max_head_bytes {
                 return Err(AnswerError::HeadTooLong);
             }
         }
@@ -171,7 +171,7 @@
     ) -> Result<(), AnswerError> {
         // Guards against an answer that stops short, as with frames.
         let has_begun = self.head.is_some() || !self.head_bytes.is_empty();
-        if has_begun && last_received_at.elapsed() > self.limits.frame_stall {
+        if has_begun && last_received_at.elapsed() > self.limits.response_stall_timeout {
             return Err(AnswerError::Incomplete);
         }
         // Closing the connection is how an exchange is cancelled.
--- a/wrenseam/src/worker/kserve/connection.rs
+++ b/wrenseam/src/worker/kserve/connection.rs
@@ -26,7 +26,7 @@
 impl IdleStream {
     /// Whether an exchange may go out on it: the worker is not about to close it, and nothing lies in it.
     fn is_usable(&self, limits: &Limits) -> bool {
-        self.since.elapsed() < limits.worker_idle && has_no_unread_input(&self.stream)
+        self.since.elapsed() < limits.worker_idle_timeout && has_no_unread_input(&self.stream)
     }
 }
 
@@ -44,7 +44,7 @@
     /// Carries out exchanges until the transport is dropped.
     pub(super) fn run(mut self, queue: &Receiver<Exchange>) {
         loop {
-            let next = queue.recv_timeout(self.limits.worker_idle);
+            let next = queue.recv_timeout(self.limits.worker_idle_timeout);
             resume_on_scheduler();
             match next {
                 Ok(exchange) => {
@@ -192,9 +192,11 @@
     }
 
     fn connect(&self) -> std::io::Result<TcpStream> {
-        let stream = self.calls.connect(&self.address, self.limits.connect)?;
+        let stream = self
+            .calls
+            .connect(&self.address, self.limits.connect_timeout)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(self.limits.write_check))?;
+        stream.set_read_timeout(Some(self.limits.write_check_interval))?;
         Ok(stream)
     }
 
@@ -210,7 +212,7 @@
                 }
                 Err(error)
                     if Failure::of(&error) != Failure::Over
-                        && stalled < self.limits.write_stall =>
+                        && stalled < self.limits.write_stall_timeout =>
                 {
                     let is_unwritten = remaining.len() == exchange.request.len();
                     stalled += self.wait_stalled(exchange, is_unwritten)?;
--- a/wrenseam/src/worker/kserve/mod.rs
+++ b/wrenseam/src/worker/kserve/mod.rs
@@ -94,7 +94,7 @@
             kind,
             request,
             withheld_on_drain,
-            answer_timeout: self.limits.order,
+            answer_timeout: self.limits.load_order_timeout,
             dispatch: Dispatch::new(Arc::default(), start_deadline),
         });
     }
@@ -124,7 +124,7 @@
             answer_deadline,
         });
         let connections = self.shared.connections();
-        if open_exchanges > connections && connections < self.limits.lanes_per_worker {
+        if open_exchanges > connections && connections < self.limits.max_v2_connections_per_worker {
             self.add_connection();
         }
     }
@@ -140,7 +140,9 @@
             idle: None,
         };
         let queue = self.queue.clone();
-        if let Err(error) = spawn(self.limits.stack, move || connection.run(&queue)) {
+        if let Err(error) = spawn(self.limits.coroutine_stack_bytes, move || {
+            connection.run(&queue)
+        }) {
             self.shared.count_disconnected();
             note!("{}", log_lines::coroutine_not_started(self.address, &error));
         }
@@ -219,10 +221,10 @@
         let request = if replicas > 0 {
             let path = format!("/v2/repository/models/{function:016x}/load");
             let body = messages::hold(replicas);
-            self.post(&path, self.limits.order, body.as_bytes())
+            self.post(&path, self.limits.load_order_timeout, body.as_bytes())
         } else {
             let body = b"{\"ready\":true}";
-            self.post("/v2/repository/index", self.limits.order, body)
+            self.post("/v2/repository/index", self.limits.load_order_timeout, body)
         };
         let start_deadline = order_start_deadline(&self.limits, start_deadline);
         let kind = ExchangeKind::Order(Order {
@@ -240,8 +242,8 @@
 
     fn unload(&mut self, function: FunctionId) {
         let path = format!("/v2/repository/models/{function:016x}/unload");
-        let request = self.post(&path, self.limits.order, b"{}");
-        let start_deadline = Instant::now() + Duration::from_micros(self.limits.order);
+        let request = self.post(&path, self.limits.load_order_timeout, b"{}");
+        let start_deadline = Instant::now() + Duration::from_micros(self.limits.load_order_timeout);
         self.open_order(ExchangeKind::Unload, request, start_deadline, false);
     }
 
--- a/wrenseam/src/worker/mod.rs
+++ b/wrenseam/src/worker/mod.rs
@@ -130,7 +130,7 @@
 /// Until when an order may be started. Guards the worker's ration of loads: it counts an order when it arrives, and
 /// several that a late connection held back would arrive within one period.
 fn order_start_deadline(limits: &Limits, latest: Option<Instant>) -> Instant {
-    let deadline = Instant::now() + limits.connect + limits.write_check;
+    let deadline = Instant::now() + limits.connect_timeout + limits.write_check_interval;
     latest.map_or(deadline, |latest| latest.min(deadline))
 }
 
--- a/wrenseam/src/worker/socket.rs
+++ b/wrenseam/src/worker/socket.rs
@@ -4,12 +4,12 @@
 use may::net::TcpStream;
 use std::time::Duration;
 
-/// How often within `Limits::write_check` a stalled write is tried again.
+/// How often within `Limits::write_check_interval` a stalled write is tried again.
 const STALLED_WRITE_ATTEMPTS: u32 = 10;
 
 /// How long a write that could write nothing waits before it is tried again.
 pub(super) fn stalled_write_pause(limits: &Limits) -> Duration {
-    limits.write_check / STALLED_WRITE_ATTEMPTS
+    limits.write_check_interval / STALLED_WRITE_ATTEMPTS
 }
 
 /// Whether nothing lies unread on the connection, not even its end.
--- a/wrenseam/tests/broken_connections.rs
+++ b/wrenseam/tests/broken_connections.rs
@@ -113,7 +113,7 @@
     let (queue, reports) = channel::<Message>();
     let plain = Limits::new(192, 1024, &Settings::default());
     let limits = Arc::new(Limits {
-        connect: Duration::from_secs(20),
+        connect_timeout: Duration::from_secs(20),
         ..plain
     });
     (
--- a/wrenseam/tests/discovery_event_stream.rs
+++ b/wrenseam/tests/discovery_event_stream.rs
@@ -13,8 +13,8 @@
 /// Limits of a small process, with a head of 64 bytes and an event of 16 at most.
 fn limits() -> DiscoveryLimits {
     DiscoveryLimits {
-        response_head: 64,
-        event_bytes: 16,
+        max_head_bytes: 64,
+        max_event_bytes: 16,
         ..Limits::new(32, 64, &Settings::default()).discovery
     }
 }
--- a/wrenseam/tests/eviction.rs
+++ b/wrenseam/tests/eviction.rs
@@ -131,7 +131,7 @@
     slot.answer_request(true, || {
         assert!(!slot.is_idle(), "idle before its answer is queued");
         let drained = Limits {
-            client_idle: Duration::ZERO,
+            client_idle_timeout: Duration::ZERO,
             ..limits()
         };
         assert!(
--- a/wrenseam/tests/fleet_admission.rs
+++ b/wrenseam/tests/fleet_admission.rs
@@ -1,12 +1,12 @@
 //! Admission control by the fleet: the retry budget under a retry storm.
 use rstest::rstest;
-use wrenseam::config::Fleet;
+use wrenseam::config::FleetConfig;
 use wrenseam::core::FleetAdmission;
 use wrenseam::fleet::FleetStatus;
 use wrenseam_policy::Settings;
 
-fn fleet(ratio: f64, floor: f64, expected: usize) -> Fleet {
-    Fleet {
+fn fleet(ratio: f64, floor: f64, expected: usize) -> FleetConfig {
+    FleetConfig {
         listen: "127.0.0.1:0".parse().expect("an address"),
         advertise: None,
         seeds: Vec::new(),
--- a/wrenseam/tests/fleet_average.rs
+++ b/wrenseam/tests/fleet_average.rs
@@ -3,7 +3,7 @@
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use rstest::rstest;
 use std::net::SocketAddr;
-use wrenseam::config::Fleet;
+use wrenseam::config::FleetConfig;
 use wrenseam::fleet::average::{
     neighbours, AverageDropped, EdgeRole, Exchange, ExchangeKind, MAX_FLOW, RINGS,
 };
@@ -303,7 +303,7 @@
         more.len()
     ));
     std::fs::write(&path, format!(r#"{{"listen":"127.0.0.1:0"{more}}}"#)).expect("written");
-    let read = Fleet::read(&path.to_string_lossy())
+    let read = FleetConfig::read(&path.to_string_lossy())
         .map(|f| f.summaries)
         .map_err(|e| e.to_string());
     std::fs::remove_file(&path).expect("removed");
--- a/wrenseam/tests/golden_admin.rs
+++ b/wrenseam/tests/golden_admin.rs
@@ -75,8 +75,8 @@
     );
 }
 
-fn fleet_file() -> config::Fleet {
-    config::Fleet {
+fn fleet_file() -> config::FleetConfig {
+    config::FleetConfig {
         listen: "127.0.0.1:0".parse().expect("an address"),
         advertise: None,
         seeds: Vec::new(),
--- a/wrenseam/tests/health_checks.rs
+++ b/wrenseam/tests/health_checks.rs
@@ -74,7 +74,7 @@
 fn a_check_that_was_abandoned_leaves_its_connection_idle() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |limits| {
-        limits.worker_idle = Duration::ZERO;
+        limits.worker_idle_timeout = Duration::ZERO;
     });
     transport.check_health(CHECK);
     let (_stream, _) = accept_check(&listener);
--- a/wrenseam/tests/kserve_proofs.rs
+++ b/wrenseam/tests/kserve_proofs.rs
@@ -21,8 +21,8 @@
 /// One exchange at a time: which connection the next one takes does not hang on which coroutine is quicker. Connects
 /// have time on a busy machine: one that fails ends its call before the worker sees it.
 const ONE_CONNECTION: fn(&mut Limits) = |limits| {
-    limits.lanes_per_worker = 1;
-    limits.connect = Duration::from_secs(20);
+    limits.max_v2_connections_per_worker = 1;
+    limits.connect_timeout = Duration::from_secs(20);
 };
 
 /// A rejection that says when to retry.
--- a/wrenseam/tests/leaving.rs
+++ b/wrenseam/tests/leaving.rs
@@ -44,7 +44,7 @@
         } else {
             kserve::serve
         };
-        wrenseam::net::spawn(limits.stack, move || {
+        wrenseam::net::spawn(limits.coroutine_stack_bytes, move || {
             let (stream, _) = listener.accept().expect("a connection");
             let guard = context.slots.acquire().expect("a slot");
             serve(stream, &context, guard);
--- a/wrenseam/tests/limits.rs
+++ b/wrenseam/tests/limits.rs
@@ -16,9 +16,9 @@
             },
         );
         assert!(
-            limits.stop_at_last >= Duration::from_secs(least),
+            limits.shutdown_timeout >= Duration::from_secs(least),
             "{:?}",
-            limits.stop_at_last
+            limits.shutdown_timeout
         );
     }
 }
@@ -26,7 +26,7 @@
 #[test]
 fn of_a_short_wait_a_quarter_is_kept_for_the_answer() {
     let limits = Limits::new(192, 1024, &Settings::default());
-    let margins = [100_000, 280_000, 4_000_000].map(|wait| limits.margin(wait));
+    let margins = [100_000, 280_000, 4_000_000].map(|wait| limits.response_margin(wait));
     assert_eq!(margins, [25_000, 70_000, 80_000]);
 }
 
@@ -34,10 +34,10 @@
 fn clients_leave_descriptors_for_workers_and_discovery() {
     let limits = Limits::new(192, 1024, &Settings::default());
     assert!(
-        limits.client_connections > 1024 / 3,
+        limits.max_client_connections > 1024 / 3,
         "a third of the limit are clients'"
     );
-    assert!(2 * limits.client_connections + 100 < 1024);
+    assert!(2 * limits.max_client_connections + 100 < 1024);
 }
 
 /// Halved limits: clients at their most still leave descriptors for what else the program needs.
@@ -45,8 +45,8 @@
 fn small_limits_keep_room_for_the_program() {
     let limits = Limits::new(24, 192, &Settings::default());
     assert!(
-        2 * limits.client_connections + 60 <= 192,
+        2 * limits.max_client_connections + 60 <= 192,
         "{}",
-        limits.client_connections
+        limits.max_client_connections
     );
 }
--- a/wrenseam/tests/link/mod.rs
+++ b/wrenseam/tests/link/mod.rs
@@ -56,7 +56,7 @@
 fn limits(change: impl FnOnce(&mut Limits)) -> Arc<Limits> {
     may::config().set_workers(1).set_worker_pin(false); // as the program has it
     let mut limits = Limits::new(192, 1024, &Settings::default());
-    limits.connect = CONNECT_TIMEOUT;
+    limits.connect_timeout = CONNECT_TIMEOUT;
     change(&mut limits);
     Arc::new(limits)
 }
--- a/wrenseam/tests/membership.rs
+++ b/wrenseam/tests/membership.rs
@@ -1,7 +1,7 @@
 //! Who the members are, over all sources.
 use rstest::rstest;
 use std::collections::BTreeSet;
-use wrenseam::discovery::membership::{Change, ConnectionAction, Membership, Unknown};
+use wrenseam::discovery::membership::{Change, ConnectionAction, Membership, UnknownEndpoint};
 use wrenseam::model::{Endpoint, TransportProtocol};
 use wrenseam_policy::WorkerState;
 use ConnectionAction::{Connect, Drain, Keep};
@@ -79,7 +79,7 @@
         true,
         vec![endpoint("a", 1, Ready, 0)],
     );
-    assert_eq!(members.exclude("nobody"), Err(Unknown));
+    assert_eq!(members.exclude("nobody"), Err(UnknownEndpoint));
     let state = |c: &[Change]| {
         c.iter()
             .map(|c| (c.endpoint.state, c.action))
@@ -109,7 +109,7 @@
         Ok(vec![]),
         "a second include changes nothing"
     );
-    assert_eq!(members.include("nobody", 100), Err(Unknown));
+    assert_eq!(members.include("nobody", 100), Err(UnknownEndpoint));
 }
 
 /// A replacing process takes the set over, also ids that its list does not name yet.
--- a/wrenseam/tests/retry_window.rs
+++ b/wrenseam/tests/retry_window.rs
@@ -32,7 +32,7 @@
 ) {
     let (listener, address, fillers) = late_worker();
     let (mut transport, reports) = transport_of(protocol, address, |limits| {
-        limits.connect = Duration::from_secs(20);
+        limits.connect_timeout = Duration::from_secs(20);
     });
     let limits = AttemptLimits {
         answer_timeout: LONG,
@@ -68,8 +68,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let (mut transport, reports) = transport(address, |limits| {
-        limits.streams = 1_000;
-        limits.write_stall = Duration::from_secs(60);
+        limits.max_streams_per_connection = 1_000;
+        limits.write_stall_timeout = Duration::from_secs(60);
     });
     let limits = AttemptLimits {
         answer_timeout: 60_000_000,
--- a/wrenseam/tests/start_deadline.rs
+++ b/wrenseam/tests/start_deadline.rs
@@ -29,7 +29,7 @@
 ) {
     let (listener, address, fillers) = late_worker();
     let (mut transport, reports) = transport_of(protocol, address, |limits| {
-        limits.connect = CONNECT;
+        limits.connect_timeout = CONNECT;
     });
     let since = Instant::now();
     let start_deadline = Some(since + within);
--- a/wrenseam/tests/system_calls.rs
+++ b/wrenseam/tests/system_calls.rs
@@ -103,7 +103,7 @@
     let inside = limits;
     wrenseam::net::spawn(64 * 1024, move || {
         let stream = may::net::TcpStream::connect(address).expect("a connection");
-        let budget = MemoryBudget::new(inside.held_bytes);
+        let budget = MemoryBudget::new(inside.memory_budget_bytes);
         let out =
             Outbox::start_with(stream, &inside, &budget, &Arc::default(), calls).expect("started");
         out.send(b"the whole answer".to_vec());
--- a/wrenseam/tests/transport.rs
+++ b/wrenseam/tests/transport.rs
@@ -61,7 +61,7 @@
 ) {
     let (listener, address, fillers) = late_worker();
     let (mut transport, reports) = transport(address, |limits| {
-        limits.connect = Duration::from_secs(20);
+        limits.connect_timeout = Duration::from_secs(20);
     });
     let request = request(9);
     let answer_timeout = match ended_by {
@@ -168,7 +168,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let idle = Duration::from_secs(1);
     let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |l| {
-        l.worker_idle = idle
+        l.worker_idle_timeout = idle
     });
     let call = |n| AttemptKey {
         request: n,
@@ -266,9 +266,9 @@
     let listener = listener_with_backlog(8);
     let address = listener.local_addr().expect("bound");
     let (mut transport, reports) = transport(address, |limits| {
-        limits.streams = 1_000;
-        limits.write_check = Duration::from_secs(1);
-        limits.write_stall = STALL_LIMIT;
+        limits.max_streams_per_connection = 1_000;
+        limits.write_check_interval = Duration::from_secs(1);
+        limits.write_stall_timeout = STALL_LIMIT;
     });
     let client_gone = Arc::new(AtomicBool::new(false));
     for number in 0..STALLED_ATTEMPTS {
--- a/wrenseam/tests/unresponsive.rs
+++ b/wrenseam/tests/unresponsive.rs
@@ -51,7 +51,7 @@
 /// Makes keepalive checks for longer than a worker has time to answer a probe.
 fn check_beyond_timeouts(transport: &mut Frames) {
     let limits = Limits::new(192, 1024, &Settings::default());
-    let span = 2 * (limits.link_quiet + limits.link_answer);
+    let span = 2 * (limits.keepalive_idle + limits.keepalive_timeout);
     let since = Instant::now();
     while since.elapsed() <= span {
         transport.check_keepalive();
