--- a/wrenseam/src/limits.rs
+++ b/wrenseam/src/limits.rs
@@ -1,337 +1,357 @@
-//! All sizes, counts and times of the program, worked out once at the start and handed down.
+//! All sizes, counts and times of the program, computed once at startup and passed to every part.
 use std::time::Duration;
 use wrenseam_policy::{Micros, Settings};
 
-/// Descriptors kept back whatever the limit, besides an eighth of it: standard streams, the scheduler's own,
-/// listeners, the discovery service, the admin endpoint and its callers, the first worker connections. At 192
-/// descriptors an eighth alone (24) left the program one over its limit.
+/// File descriptors reserved at any limit, besides the eighth of it that is left to workers: standard streams, the
+/// coroutine scheduler, listeners, the discovery connection, the admin endpoint and its clients, and the first worker
+/// connections. At a limit of 192 descriptors the eighth alone (24) left the process one over its limit.
 pub const RESERVED_DESCRIPTORS: usize = 40;
 
 const KIB: usize = 1024;
 const MIB: usize = 1024 * KIB;
 
-/// From more front ends than this the workers are shared by so many that keepalive checks cost more than they are worth,
-/// and calls of the discovery service are spread.
+/// A fleet with more front ends than this is large: so many share each worker that frequent keepalive probes cost more
+/// than they are worth, and requests to the discovery service are spread over time.
 const LARGE_FLEET_FRONT_ENDS: u32 = 16;
 
-/// The descriptor limits that can be worked with; a limit outside counts as the nearest.
+/// Smallest supported limit of file descriptors; a lower one counts as this.
 const DESCRIPTORS_MIN: u64 = 64;
+/// Largest supported limit of file descriptors; a higher one counts as this.
 const DESCRIPTORS_MAX: u64 = 1 << 20;
 
-/// The memory limits that can be worked with, in MB; a limit outside counts as the nearest.
+/// Smallest supported memory limit, in MB; a lower one counts as this.
 const MEMORY_MB_MIN: u64 = 32;
+/// Largest supported memory limit, in MB; a higher one counts as this.
 const MEMORY_MB_MAX: u64 = 1 << 20;
 
-/// Descriptors of a client connection: one a direction.
+/// File descriptors of a client connection: one for each direction.
 const DESCRIPTORS_PER_CLIENT: usize = 2;
 
-/// The part of the descriptors that clients leave to workers, as a divisor.
+/// Divisor of the descriptor limit that gives the share that clients leave to worker connections.
 const WORKER_DESCRIPTOR_DIVISOR: usize = 8;
 
-/// Descriptors for each connection to one v2 worker, and the fewest such connections.
+/// Each worker that speaks KServe v2 may have one connection for so many descriptors of the limit.
 const DESCRIPTORS_PER_V2_CONNECTION: usize = 128;
+/// Each worker that speaks KServe v2 may have this many connections at any descriptor limit.
 const V2_CONNECTIONS_MIN: usize = 2;
 
-/// The part of the memory that bodies and unsent answers may take, as a divisor: an attempt's frame is a second
-/// copy, and rings and stacks come on top.
-const HELD_MEMORY_DIVISOR: usize = 4;
+/// Divisor of the process's memory that gives the budget for request bodies and unsent responses. Each attempt's frame
+/// is a second copy of the body, and rings and stacks come on top.
+const MEMORY_BUDGET_DIVISOR: usize = 4;
 
-/// Most bytes of a request's body.
+/// Maximum size of a request's body.
 const REQUEST_BODY_BYTES: usize = 16 * KIB;
 
-/// Most bytes of the head of a request or a response.
+/// Maximum size of the head of a request or a response.
 const HEAD_BYTES: usize = 16 * KIB;
 
-/// Size of a ring that reads small messages.
+/// Maximum size of a ring buffer on connections that carry small messages.
 const SMALL_RING_BYTES: usize = 4 * KIB;
 
-/// Most bytes of answers, both of one from a worker and of those waiting on a client connection.
-const ANSWER_BYTES: usize = MIB;
+/// Maximum size of one worker's response, and of all responses queued on one client connection.
+const RESPONSE_BYTES: usize = MIB;
 
-/// A slow client may take this long to send a request, from its first byte to its last.
-const REQUEST_READ: Duration = Duration::from_millis(2_000);
+/// Time that a slow client has to send a request, from its first byte to its last.
+const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// The longest wait that a client may name (10 minutes), and the one where it names none.
-const CLIENT_WAIT_MAX: Micros = 600_000_000;
-const CLIENT_WAIT_DEFAULT: Micros = 4_000_000;
+/// Longest timeout that a client may request: 10 minutes.
+const REQUEST_TIMEOUT_MAX: Micros = 600_000_000;
+/// Timeout of a request whose client states none: 4 s.
+const REQUEST_TIMEOUT_DEFAULT: Micros = 4_000_000;
 
-/// An answer needs this time on its way to the client.
-const ANSWER_MARGIN: Micros = 80_000;
+/// Time that a response needs to reach its client.
+const RESPONSE_MARGIN_MAX: Micros = 80_000;
 
-/// The largest figures of a replica that a request may state; larger ones are mistakes.
+/// Largest memory of a replica that a request may state, in MB; a larger one is a mistake.
 const REPLICA_MEMORY_MB_MAX: f64 = 1e6;
+/// Largest concurrency of a replica that a request may state; a larger one is a mistake.
 const REPLICA_CONCURRENCY_MAX: f64 = 1024.0;
 
-/// Open requests on one client connection.
+/// Maximum number of open requests on one client connection.
 const REQUESTS_PER_CONNECTION: usize = 32;
 
-/// How often a client connection looks at its times, the shortest of which are 2 s.
-const CLIENT_CHECK: Duration = Duration::from_millis(250);
+/// Interval at which a client connection checks its timeouts, the shortest of which is 2 s.
+const CLIENT_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A client has this long to close after our half-close, within the time that a stopping process has.
-const LINGER: Duration = Duration::from_millis(320);
+/// Time that a client has to close its side after the front end's half-close. It fits into the time that a stopping
+/// process has.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(320);
 
-/// Bytes of a malformed request that are read and dropped, so that its client can read the answer.
-const DISCARD_BYTES: usize = 64 * KIB;
+/// Bytes of a malformed request that are read and discarded, so that its client can read the response.
+const DISCARDED_BYTES_MAX: usize = 64 * KIB;
 
-/// Clients that send nothing of use expect a close within 3 s.
-const FIRST_REQUEST: Duration = Duration::from_millis(2_000);
+/// Time that a client has to send its first valid request. Clients expect a connection without one to be closed within
+/// 3 s.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Usual clients close an idle connection themselves at 4 s.
-const CLIENT_IDLE: Duration = Duration::from_millis(5_000);
+/// Time that a client connection may be idle. Most clients close an idle connection themselves after 4 s.
+const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_millis(5_000);
 
-/// Size of a worker connection's rings, which carry many exchanges.
+/// Maximum size of a worker connection's ring buffers, which are shared by many exchanges.
 const WORKER_RING_BYTES: usize = 64 * KIB;
 
-/// A write that moves nothing for this long gives its connection up, and how often it looks for cancels meanwhile.
-const WRITE_STALL: Duration = Duration::from_secs(5);
-const WRITE_CHECK: Duration = Duration::from_millis(50);
+/// A connection is closed if a write on it makes no progress for this long.
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval at which a stalled write checks for cancellations.
+const WRITE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The rest of an answer that has begun comes within this, or never.
-const FRAME_STALL: Duration = Duration::from_millis(200);
+/// A response that has begun counts as incomplete if none of it arrives for this long.
+const RESPONSE_STALL_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Workers may answer for this long after the client's wait is over.
-const LATE_ANSWER: Duration = Duration::from_secs(1);
+/// Workers may respond for this long after the request's timeout.
+const LATE_RESPONSE_GRACE: Duration = Duration::from_secs(1);
 
-/// Used where the settings name no idle time of worker connections, ms.
+/// Idle timeout of worker connections, in ms, if the settings state none.
 const WORKER_IDLE_DEFAULT_MS: u64 = 15_000;
 
-/// Our side closes an idle worker connection earlier than the worker's by this part, as a divisor.
+/// Divisor of the workers' idle timeout that gives the margin by which the front end closes an idle connection earlier.
 const WORKER_IDLE_MARGIN_DIVISOR: u32 = 5;
 
-/// Used where the settings name no time for a connect, ms.
+/// Connect timeout, in ms, if the settings state none.
 const CONNECT_DEFAULT_MS: u64 = 250;
 
-/// Used where the settings name no number of streams a worker connection.
+/// Streams on each worker connection if the settings state no number.
 const STREAMS_DEFAULT: usize = 100;
 
-/// Used where the settings name no time for a load order.
-const LOAD_ORDER_DEFAULT: Micros = 10_000_000;
+/// Timeout of a load order if the settings state none: 10 s.
+const LOAD_ORDER_TIMEOUT_DEFAULT: Micros = 10_000_000;
 
-/// A keepalive check is answered in a few ms under load too, in a large fleet somewhat later.
-const KEEPALIVE_QUIET: Duration = Duration::from_millis(200);
-const KEEPALIVE_QUIET_LARGE_FLEET: Duration = Duration::from_millis(300);
+/// A connection with open exchanges is probed once it has been quiet for this long. Workers answer a keepalive probe
+/// within a few ms, also under load.
+const KEEPALIVE_IDLE: Duration = Duration::from_millis(200);
+/// In a large fleet a connection with open exchanges is probed once it has been quiet for this long, as workers answer
+/// a keepalive probe somewhat later there.
+const KEEPALIVE_IDLE_LARGE_FLEET: Duration = Duration::from_millis(300);
 
-/// A worker has this long to answer a keepalive check.
-const KEEPALIVE_ANSWER: Duration = Duration::from_millis(200);
+/// Time that a worker has to answer a keepalive probe.
+const KEEPALIVE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How often worker connections are looked at for keepalive checks.
-const KEEPALIVE_CHECK: Micros = 50_000;
+/// Interval at which worker connections are checked for due keepalive probes.
+const KEEPALIVE_CHECK_INTERVAL: Micros = 50_000;
 
-/// The part of an exchange's age after which a keepalive check is repeated, in hundredths.
+/// A quiet connection is probed again after this percentage of its oldest exchange's age.
 const KEEPALIVE_REPEAT_PERCENT: u32 = 50;
+/// In a large fleet a quiet connection is probed again after this percentage of its oldest exchange's age.
 const KEEPALIVE_REPEAT_PERCENT_LARGE_FLEET: u32 = 90;
 
-/// Stack of a coroutine.
+/// Stack size of a coroutine.
 const STACK_BYTES: usize = 64 * KIB;
 
-/// Whoever sends to this front end goes on for a while after SIGTERM.
-const STOP_LISTENING: Duration = Duration::from_millis(700);
+/// Time that the listeners stay open after SIGTERM, as clients go on sending to this front end for a while.
+const LISTENER_CLOSE_DELAY: Duration = Duration::from_millis(700);
 
-/// The process ends this long behind the longest wait of any class, and not before `STOP_MIN`.
-const STOP_MARGIN: Duration = Duration::from_secs(1);
-const STOP_MIN: Duration = Duration::from_secs(10);
+/// Time by which the shutdown timeout exceeds the longest client wait of any class.
+const SHUTDOWN_MARGIN: Duration = Duration::from_secs(1);
+/// Shortest shutdown timeout.
+const SHUTDOWN_TIMEOUT_MIN: Duration = Duration::from_secs(10);
 
-/// Sizes, counts and times. Filled once; tests change single fields.
+/// Sizes, counts and times. Computed once; tests change single fields.
 #[derive(Clone, Debug)]
 pub struct Limits {
     // Requests, as the fronts check them.
-    /// Most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Most bytes of the parameters or headers of a request, and of the head of a response.
+    /// Maximum size of a request's parameters or headers and of a response's head, in bytes.
     pub max_head_bytes: usize,
-    /// A request must have come whole within this from its first byte.
+    /// A request must be received completely within this time from its first byte.
     pub request_read_timeout: Duration,
-    /// Longest wait that a client may name.
+    /// Longest timeout that a client may request.
     pub max_request_timeout: Micros,
-    /// What a v2 client waits that does not say.
+    /// Timeout of a KServe v2 request that states none.
     pub default_request_timeout: Micros,
-    /// Part of a client's wait kept for the way of its answer: the policy never hears of it.
+    /// Most of a request's timeout that is reserved for delivering its response; the policy gets the timeout without
+    /// it.
     pub max_response_margin: Micros,
-    /// Most MB that a replica may be said to take.
+    /// Largest memory of a replica that a request may state, in MB.
     pub max_replica_memory_mb: f64,
-    /// Most requests that a replica may be said to run at a time.
+    /// Largest number of concurrent requests of a replica that a request may state.
     pub max_replica_concurrency: f64,
 
     // Client connections.
-    /// Client connections open at once, over all fronts.
+    /// Maximum number of open client connections, over all fronts.
     pub max_client_connections: usize,
-    /// Open requests on one client connection.
+    /// Maximum number of open requests on one client connection.
     pub max_requests_per_connection: usize,
-    /// Bytes of answers that may wait on one client connection.
+    /// Maximum number of response bytes queued on one client connection.
     pub max_unsent_bytes: usize,
-    /// Size of a client connection's rings.
+    /// Maximum size of a client connection's ring buffers, in bytes.
     pub client_ring_bytes: usize,
-    /// A client connection that has asked for nothing of use closes after this.
+    /// A client connection without a valid request is closed after this time.
     pub first_request_timeout: Duration,
-    /// A client connection without a request in flight closes after this.
+    /// A client connection without open requests is closed after this time.
     pub client_idle_timeout: Duration,
-    /// While the front end drains, a client connection without a request in flight closes after this.
+    /// While the front end drains, a client connection without open requests is closed after this time.
     pub drain_idle_timeout: Duration,
-    /// How often a client connection looks at these times.
+    /// Interval at which a client connection checks these timeouts.
     pub client_check_interval: Duration,
-    /// After its half-close a client connection is read for so long, should the client not close.
+    /// A client connection is read for so long after its half-close, unless the client closes sooner.
     pub linger_timeout: Duration,
-    /// Bytes read of what has been answered as malformed before its connection closes.
+    /// A client connection is closed after so many discarded bytes of malformed requests.
     pub max_discarded_bytes: usize,
 
     // Connections to workers.
-    /// Descriptors of the process, of which clients and workers share what is not reserved.
+    /// Limit of the process's file descriptors; clients and workers share those that are not reserved.
     pub descriptors: usize,
-    /// Connections to one v2 worker: each carries one exchange at a time.
+    /// Maximum number of connections to one KServe v2 worker; each carries one exchange at a time.
     pub max_v2_connections_per_worker: usize,
-    /// Attempts that one worker connection carries together.
+    /// Maximum number of attempts that one worker connection carries at a time.
     pub max_streams_per_connection: usize,
-    /// Size of a worker connection's rings.
+    /// Maximum size of a worker connection's ring buffers, in bytes.
     pub worker_ring_bytes: usize,
-    /// Most bytes of a worker's answer.
+    /// Maximum size of a worker's response, in bytes.
     pub max_response_bytes: usize,
-    /// A connection to a worker must stand within this.
+    /// A connection to a worker must be established within this time.
     pub connect_timeout: Duration,
-    /// Our idle worker connections close after this, before the worker's side does.
+    /// The front end closes an idle worker connection after this time, earlier than the worker would.
     pub worker_idle_timeout: Duration,
-    /// A write that moves nothing for this long gives its connection up.
+    /// A connection is closed if a write on it makes no progress for this long.
     pub write_stall_timeout: Duration,
-    /// How often a stalled write looks for cancels and drains.
+    /// Interval at which a stalled write checks for cancellations and drains.
     pub write_check_interval: Duration,
-    /// An answer of which nothing more comes for this long has stopped short.
+    /// A response that has begun counts as incomplete if none of it arrives for this long.
     pub response_stall_timeout: Duration,
-    /// Answers to a call may still come so long after its client left.
+    /// Responses to a call may arrive for so long after its client's timeout.
     pub late_response_grace: Duration,
-    /// A load order unanswered for this long has timed out.
+    /// A load order times out if it is not answered within this time.
     pub load_order_timeout: Micros,
-    /// A worker connection with something open that is quiet for this long has a keepalive check sent, ...
+    /// A worker connection with open exchanges is sent a keepalive probe once it has been quiet for this long.
     pub keepalive_idle: Duration,
-    /// ... and again after this part of its oldest exchange's age, in hundredths, ...
+    /// A worker connection that stays quiet is probed again after this percentage of its oldest exchange's age.
     pub keepalive_repeat_percent: u32,
-    /// ... and has ended if no answer comes within this.
+    /// A worker connection is closed if a keepalive probe is not answered within this time.
     pub keepalive_timeout: Duration,
-    /// How often worker connections are looked at for that.
+    /// Interval at which worker connections are checked for due and unanswered keepalive probes.
     pub keepalive_check_interval: Micros,
 
     // The process.
-    /// Bytes of bodies and unsent answers that all requests may reserve.
+    /// Bytes that the bodies and unsent responses of all requests may reserve together.
     pub memory_budget_bytes: usize,
-    /// Stack of a coroutine, in bytes.
+    /// Stack size of a coroutine, in bytes.
     pub coroutine_stack_bytes: usize,
-    /// After SIGTERM the listeners stay open this long.
+    /// The listeners stay open for this long after SIGTERM.
     pub listener_close_delay: Duration,
-    /// After SIGTERM the program ends at the latest after this: behind the longest wait of any class, so that nothing
-    /// that was admitted is left by it. Whatever kills it sooner counts none of that as lost.
+    /// Longest time that a stopping process waits for client connections once its listeners are closed. It exceeds the
+    /// longest client wait of any class, so that every admitted request is answered. Requests that are open when
+    /// something kills the process sooner are not counted as lost.
     pub shutdown_timeout: Duration,
 
-    /// The connection to the discovery service.
+    /// Sizes and times of the connection to the discovery service.
     pub discovery: DiscoveryLimits,
 }
 
 impl Limits {
-    /// From the platform's memory and descriptor limits and the settings.
-    pub fn new(memory_mb: u64, sockets: u64, settings: &Settings) -> Self {
-        let process = ProcessSize::new(memory_mb, sockets);
+    /// Computes the limits from the platform's memory limit (in MB) and descriptor limit and from the settings.
+    pub fn new(memory_mb: u64, descriptors: u64, settings: &Settings) -> Self {
+        let process = ProcessSize::new(memory_mb, descriptors);
         Limits {
             max_body_bytes: REQUEST_BODY_BYTES,
             max_head_bytes: HEAD_BYTES,
-            request_read_timeout: REQUEST_READ,
-            max_request_timeout: CLIENT_WAIT_MAX,
-            default_request_timeout: CLIENT_WAIT_DEFAULT,
-            max_response_margin: ANSWER_MARGIN,
+            request_read_timeout: REQUEST_READ_TIMEOUT,
+            max_request_timeout: REQUEST_TIMEOUT_MAX,
+            default_request_timeout: REQUEST_TIMEOUT_DEFAULT,
+            max_response_margin: RESPONSE_MARGIN_MAX,
             max_replica_memory_mb: REPLICA_MEMORY_MB_MAX,
             max_replica_concurrency: REPLICA_CONCURRENCY_MAX,
-            max_client_connections: client_connections(process.descriptors),
+            max_client_connections: max_client_connections(process.descriptors),
             max_requests_per_connection: REQUESTS_PER_CONNECTION,
-            max_unsent_bytes: ANSWER_BYTES,
+            max_unsent_bytes: RESPONSE_BYTES,
             client_ring_bytes: SMALL_RING_BYTES,
-            first_request_timeout: FIRST_REQUEST,
-            client_idle_timeout: CLIENT_IDLE,
+            first_request_timeout: FIRST_REQUEST_TIMEOUT,
+            client_idle_timeout: CLIENT_IDLE_TIMEOUT,
             drain_idle_timeout: Duration::ZERO,
-            client_check_interval: CLIENT_CHECK,
-            linger_timeout: LINGER,
-            max_discarded_bytes: DISCARD_BYTES,
+            client_check_interval: CLIENT_CHECK_INTERVAL,
+            linger_timeout: LINGER_TIMEOUT,
+            max_discarded_bytes: DISCARDED_BYTES_MAX,
             descriptors: process.descriptors,
-            max_v2_connections_per_worker: v2_connections(process.descriptors),
-            max_streams_per_connection: streams(settings),
+            max_v2_connections_per_worker: max_v2_connections(process.descriptors),
+            max_streams_per_connection: max_streams(settings),
             worker_ring_bytes: WORKER_RING_BYTES,
-            max_response_bytes: ANSWER_BYTES,
+            max_response_bytes: RESPONSE_BYTES,
             connect_timeout: connect_timeout(settings),
-            worker_idle_timeout: worker_idle(settings),
-            write_stall_timeout: WRITE_STALL,
-            write_check_interval: WRITE_CHECK,
-            response_stall_timeout: FRAME_STALL,
-            late_response_grace: LATE_ANSWER,
-            load_order_timeout: load_order(settings),
-            keepalive_idle: keepalive_quiet(settings),
+            worker_idle_timeout: worker_idle_timeout(settings),
+            write_stall_timeout: WRITE_STALL_TIMEOUT,
+            write_check_interval: WRITE_CHECK_INTERVAL,
+            response_stall_timeout: RESPONSE_STALL_TIMEOUT,
+            late_response_grace: LATE_RESPONSE_GRACE,
+            load_order_timeout: load_order_timeout(settings),
+            keepalive_idle: keepalive_idle(settings),
             keepalive_repeat_percent: keepalive_repeat_percent(settings),
-            keepalive_timeout: KEEPALIVE_ANSWER,
-            keepalive_check_interval: KEEPALIVE_CHECK,
-            memory_budget_bytes: process.memory_bytes / HELD_MEMORY_DIVISOR,
+            keepalive_timeout: KEEPALIVE_TIMEOUT,
+            keepalive_check_interval: KEEPALIVE_CHECK_INTERVAL,
+            memory_budget_bytes: process.memory_bytes / MEMORY_BUDGET_DIVISOR,
             coroutine_stack_bytes: STACK_BYTES,
-            listener_close_delay: STOP_LISTENING,
-            shutdown_timeout: stop_at_last(settings),
+            listener_close_delay: LISTENER_CLOSE_DELAY,
+            shutdown_timeout: shutdown_timeout(settings),
             discovery: DiscoveryLimits::new(process.memory_bytes, settings),
         }
     }
 
-    /// The part of a client's wait that is kept for the way of its answer: of a short wait no more than a quarter.
-    pub fn response_margin(&self, wait: Micros) -> Micros {
-        self.max_response_margin.min(wait / 4)
+    /// The part of a request's timeout that is reserved for delivering its response: at most a quarter of the timeout.
+    pub fn response_margin(&self, timeout: Micros) -> Micros {
+        self.max_response_margin.min(timeout / 4)
     }
 }
 
-/// The discovery service comments each second; one that is silent longer has ended. What a silent one has to report
-/// counts as reported 4 s on.
-const DISCOVERY_SILENCE: Duration = Duration::from_millis(2_500);
+/// A connection without any bytes for this long has ended: the discovery service sends a comment each second. What
+/// happens before a connection falls silent counts as reported to the front end 4 s after its last byte.
+const DISCOVERY_SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Bounds of the time after which a new request is made. What the service has to report counts as
-/// reported 7 s on, and a request that fails leaves time for another.
+/// Shortest time after which a request to the discovery service is replaced by a new one.
 const DISCOVERY_EVENT_TIMEOUT_MIN: Duration = Duration::from_millis(3_000);
+/// Longest time after which a request to the discovery service is replaced by a new one. Whatever happens counts as
+/// reported to the front end 7 s later; this time leaves room for another request should the new one fail.
 const DISCOVERY_EVENT_TIMEOUT_MAX: Duration = Duration::from_millis(4_500);
 
-/// The service sends the events that it has well before it comments after this time.
-const DISCOVERY_SETTLE: Duration = Duration::from_millis(250);
+/// A comment that arrives so long after the request comes after all pending events, as the service sends those well
+/// before.
+const DISCOVERY_SETTLE_TIME: Duration = Duration::from_millis(250);
 
-/// How often a waiting read looks whether the address has changed.
-const DISCOVERY_ADDRESS_CHECK: Duration = Duration::from_millis(50);
+/// Interval at which a waiting read checks whether the discovery service's address has changed.
+const DISCOVERY_ADDRESS_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// First pause after a failed connection, and the longest one.
-const DISCOVERY_RETRY: Duration = Duration::from_millis(100);
+/// Pause after the first failed request to the discovery service. Outside of a large fleet also the longest pause.
+const DISCOVERY_RETRY_INITIAL: Duration = Duration::from_millis(100);
+/// Longest pause after failed requests to the discovery service in a large fleet.
 const DISCOVERY_RETRY_MAX_LARGE_FLEET: Duration = Duration::from_millis(1_000);
 
-/// The front ends of a large fleet lose the service at one moment; their next requests are spread over this.
-const DISCOVERY_SPREAD_LARGE_FLEET: Duration = Duration::from_millis(300);
+/// The front ends of a large fleet all lose the discovery service at the same moment; their next requests are spread
+/// over this time.
+const DISCOVERY_RECONNECT_JITTER_LARGE_FLEET: Duration = Duration::from_millis(300);
 
-/// The part of the memory that one event may take, as a divisor, and the least bytes. What comes of an event takes
-/// some 20 times its size (`tests/large_list.rs`), which makes a third of the memory.
+/// Divisor of the process's memory that gives the maximum size of one event. Handling an event takes some 20 times its
+/// size (`tests/large_list.rs`), which is a third of the memory for the largest event.
 const DISCOVERY_EVENT_MEMORY_DIVISOR: usize = 64;
+/// The maximum size of one event is not below this, however small the memory is.
 const DISCOVERY_EVENT_BYTES_MIN: usize = MIB;
 
 /// Sizes and times of the connection to the discovery service.
 #[derive(Clone, Debug)]
 pub struct DiscoveryLimits {
-    /// The connection must stand within this.
+    /// The connection must be established within this time.
     pub connect_timeout: Duration,
-    /// A connection on which nothing comes for so long has ended.
+    /// A connection on which nothing is received for this long has ended.
     pub silence_timeout: Duration,
-    /// A request that is so old, or brings no event for so long, drawn from here to `event_timeout_max`, is replaced by a
-    /// new one though comments come.
+    /// Shortest event timeout, which is drawn for each request. A request that is that old once it is confirmed, or
+    /// that brings no event for that long, is replaced by a new one even if comments arrive.
     pub event_timeout_min: Duration,
-    /// The longest such time.
+    /// Longest event timeout that is drawn for a request.
     pub event_timeout_max: Duration,
-    /// A service that comments so long after the request has sent all events that it had.
+    /// A service that sends a comment so long after the request has sent all pending events.
     pub settle_time: Duration,
-    /// How often a waiting read looks whether the service's address has changed.
+    /// Interval at which a waiting read checks whether the service's address has changed.
     pub address_check_interval: Duration,
     /// Pause after the first failed request.
     pub retry_initial: Duration,
     /// Longest pause after failed requests.
     pub retry_max: Duration,
-    /// After a request that brought something the next one is made within this, at random.
+    /// The pause after a request that brought events is drawn between 0 and this.
     pub reconnect_jitter: Duration,
-    /// Size of the ring that the response is read into.
+    /// Maximum size of the ring buffer that the response is read into.
     pub read_buffer_bytes: usize,
-    /// Most bytes of the response's head.
+    /// Maximum size of the response's head.
     pub max_head_bytes: usize,
-    /// Most bytes of one event. The list of all workers is one: 150 bytes each. No buffer is larger than twice what
-    /// has come.
+    /// Maximum size of one event. The list of all workers is one event, with 150 bytes for each worker. No buffer is
+    /// larger than twice what has been received.
     pub max_event_bytes: usize,
 }
 
@@ -340,19 +360,19 @@
         let large_fleet = is_large_fleet(settings);
         DiscoveryLimits {
             connect_timeout: connect_timeout(settings),
-            silence_timeout: DISCOVERY_SILENCE,
+            silence_timeout: DISCOVERY_SILENCE_TIMEOUT,
             event_timeout_min: DISCOVERY_EVENT_TIMEOUT_MIN,
             event_timeout_max: DISCOVERY_EVENT_TIMEOUT_MAX,
-            settle_time: DISCOVERY_SETTLE,
-            address_check_interval: DISCOVERY_ADDRESS_CHECK,
-            retry_initial: DISCOVERY_RETRY,
+            settle_time: DISCOVERY_SETTLE_TIME,
+            address_check_interval: DISCOVERY_ADDRESS_CHECK_INTERVAL,
+            retry_initial: DISCOVERY_RETRY_INITIAL,
             retry_max: if large_fleet {
                 DISCOVERY_RETRY_MAX_LARGE_FLEET
             } else {
-                DISCOVERY_RETRY
+                DISCOVERY_RETRY_INITIAL
             },
             reconnect_jitter: if large_fleet {
-                DISCOVERY_SPREAD_LARGE_FLEET
+                DISCOVERY_RECONNECT_JITTER_LARGE_FLEET
             } else {
                 Duration::ZERO
             },
@@ -364,26 +384,26 @@
     }
 }
 
-/// What the platform gives the process, within what can be worked with.
+/// The platform's limits of the process, clamped to the supported range.
 struct ProcessSize {
     memory_bytes: usize,
     descriptors: usize,
 }
 
 impl ProcessSize {
-    fn new(memory_mb: u64, sockets: u64) -> Self {
+    fn new(memory_mb: u64, descriptors: u64) -> Self {
         ProcessSize {
             memory_bytes: memory_mb.clamp(MEMORY_MB_MIN, MEMORY_MB_MAX) as usize * MIB,
-            descriptors: sockets.clamp(DESCRIPTORS_MIN, DESCRIPTORS_MAX) as usize,
+            descriptors: descriptors.clamp(DESCRIPTORS_MIN, DESCRIPTORS_MAX) as usize,
         }
     }
 }
 
-fn keepalive_quiet(settings: &Settings) -> Duration {
+fn keepalive_idle(settings: &Settings) -> Duration {
     if is_large_fleet(settings) {
-        KEEPALIVE_QUIET_LARGE_FLEET
+        KEEPALIVE_IDLE_LARGE_FLEET
     } else {
-        KEEPALIVE_QUIET
+        KEEPALIVE_IDLE
     }
 }
 
@@ -399,13 +419,13 @@
     settings.front_ends > LARGE_FLEET_FRONT_ENDS
 }
 
-/// What clients may take once the reserved descriptors and the workers' part are kept back.
-fn client_connections(descriptors: usize) -> usize {
+/// Half of the descriptors that are neither reserved nor left to workers, as each client connection takes two.
+fn max_client_connections(descriptors: usize) -> usize {
     let workers = descriptors / WORKER_DESCRIPTOR_DIVISOR;
     (descriptors - workers - RESERVED_DESCRIPTORS) / DESCRIPTORS_PER_CLIENT
 }
 
-fn v2_connections(descriptors: usize) -> usize {
+fn max_v2_connections(descriptors: usize) -> usize {
     (descriptors / DESCRIPTORS_PER_V2_CONNECTION).max(V2_CONNECTIONS_MIN)
 }
 
@@ -413,7 +433,7 @@
     duration_or(settings.connect_timeout, CONNECT_DEFAULT_MS)
 }
 
-fn streams(settings: &Settings) -> usize {
+fn max_streams(settings: &Settings) -> usize {
     if settings.streams_per_connection > 0 {
         settings.streams_per_connection as usize
     } else {
@@ -421,25 +441,25 @@
     }
 }
 
-fn worker_idle(settings: &Settings) -> Duration {
+fn worker_idle_timeout(settings: &Settings) -> Duration {
     let idle = duration_or(settings.connection_idle_timeout, WORKER_IDLE_DEFAULT_MS);
     idle.saturating_sub(idle / WORKER_IDLE_MARGIN_DIVISOR)
 }
 
-fn load_order(settings: &Settings) -> Micros {
+fn load_order_timeout(settings: &Settings) -> Micros {
     if settings.order_timeout > 0 {
         settings.order_timeout
     } else {
-        LOAD_ORDER_DEFAULT
+        LOAD_ORDER_TIMEOUT_DEFAULT
     }
 }
 
-fn stop_at_last(settings: &Settings) -> Duration {
+fn shutdown_timeout(settings: &Settings) -> Duration {
     let longest_wait = Duration::from_micros(settings.longest_wait);
-    STOP_MIN.max(longest_wait + STOP_MARGIN)
+    SHUTDOWN_TIMEOUT_MIN.max(longest_wait + SHUTDOWN_MARGIN)
 }
 
-/// A setting's time, or the default where it is 0, which stands for "not stated".
+/// The time that the settings state, or the default if it is 0, which stands for "not stated".
 fn duration_or(stated: Micros, default_ms: u64) -> Duration {
     if stated > 0 {
         Duration::from_micros(stated)
