--- a/wrenseam/src/discovery/address.rs
+++ b/wrenseam/src/discovery/address.rs
@@ -2,17 +2,18 @@
 use may::sync::Mutex;
 use std::net::SocketAddr;
 
-/// Where the discovery service is, shared by the coroutine that follows it and whoever reads a new configuration.
+/// The discovery service's address, shared by the coroutine that follows the service and the code that reloads the
+/// configuration.
 pub struct DiscoveryAddress(Mutex<Option<SocketAddr>>);
 
 impl DiscoveryAddress {
-    /// A service at this address, or at none yet.
+    /// Starts with this address; `None`: the configuration names no service.
     pub fn new(address: Option<SocketAddr>) -> Self {
         DiscoveryAddress(Mutex::new(address))
     }
 
-    /// Changes the address; the client notices within `DiscoveryLimits::address_check_interval`.
-    /// Returns whether it is another one.
+    /// Sets the address and returns whether it has changed. The client notices a change within
+    /// `DiscoveryLimits::address_check_interval`.
     pub fn set(&self, new: SocketAddr) -> bool {
         let Ok(mut address) = self.0.lock() else {
             return false;
@@ -20,7 +21,7 @@
         address.replace(new) != Some(new)
     }
 
-    /// The address now, if there is one.
+    /// The current address; `None`: the configuration names no service.
     pub fn get(&self) -> Option<SocketAddr> {
         self.0.lock().ok().and_then(|address| *address)
     }
--- a/wrenseam/src/discovery/backoff.rs
+++ b/wrenseam/src/discovery/backoff.rs
@@ -1,14 +1,15 @@
-//! When a new request is made to a source of endpoints. Many front ends that lose their source at one moment must not
-//! all be back in the next. Times only: the caller waits.
+//! Pauses between the requests to a source of endpoints. Jitter keeps the front ends of a large fleet, which lose their
+//! source all at the same moment, from reconnecting all at the same moment. Only computes times: the caller waits.
 use crate::limits::DiscoveryLimits;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::time::Duration;
 
-/// Doublings of the first pause that are computed; the longest pause is reached long before.
+/// Maximum number of doublings of the first pause, so that the shift cannot overflow; the longest pause is reached long
+/// before.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// The pauses of one front end between requests to one source.
+/// Computes the pauses of one front end between its requests to one source.
 pub struct ReconnectBackoff {
     random: Pcg32,
     limits: DiscoveryLimits,
@@ -16,7 +17,7 @@
 }
 
 impl ReconnectBackoff {
-    /// Pauses within these limits; `seed` sets this front end apart from others.
+    /// A backoff within these limits; each front end needs another `seed`, so that their pauses differ.
     pub fn new(seed: u64, limits: &DiscoveryLimits) -> Self {
         ReconnectBackoff {
             random: Pcg32::seed_from_u64(seed),
@@ -25,14 +26,14 @@
         }
     }
 
-    /// The pause after a request that brought something, or once the source's address has changed.
+    /// The pause after a request that brought events, or after the source's address has changed.
     pub fn after_success(&mut self) -> Duration {
         self.failures = 0;
-        self.random_part(self.limits.reconnect_jitter)
+        self.random_up_to(self.limits.reconnect_jitter)
     }
 
-    /// The pause after a request that brought nothing: twice as long each time up to the longest. Where the requests of
-    /// many front ends are spread, half of it is random.
+    /// The pause after a request that brought no events: it doubles with each failure in a row up to the longest pause.
+    /// If the limits have a jitter, up to half of the pause is random.
     pub fn after_failure(&mut self) -> Duration {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         let pause = self
@@ -44,18 +45,18 @@
         if self.limits.reconnect_jitter.is_zero() {
             return pause;
         }
-        pause / 2 + self.random_part(pause / 2)
+        pause / 2 + self.random_up_to(pause / 2)
     }
 
-    /// How long a request may go on without an event before a new one is made: drawn for each request, so that those of
-    /// many front ends are spread.
+    /// How long a request may go on without an event, or once it is confirmed, before it is replaced by a new one.
+    /// Drawn for each request, so that the requests of many front ends are spread over time.
     pub fn event_timeout(&mut self) -> Duration {
         let shortest = self.limits.event_timeout_min;
         let range = self.limits.event_timeout_max.saturating_sub(shortest);
-        shortest + self.random_part(range)
+        shortest + self.random_up_to(range)
     }
 
-    fn random_part(&mut self, whole: Duration) -> Duration {
-        whole.mul_f64(f64::from(self.random.next_u32()) / 2f64.powi(32))
+    fn random_up_to(&mut self, max: Duration) -> Duration {
+        max.mul_f64(f64::from(self.random.next_u32()) / 2f64.powi(32))
     }
 }
--- a/wrenseam/src/discovery/client.rs
+++ b/wrenseam/src/discovery/client.rs
@@ -1,4 +1,5 @@
-//! The connection to the discovery service: connects, reads events, and hands their changes to the core.
+//! The connection to the discovery service: connects, reads events and passes their changes to
+//! the core.
 use crate::discovery::address::DiscoveryAddress;
 use crate::discovery::backoff::ReconnectBackoff;
 use crate::discovery::event_stream::{EventStreamError, EventStreamResponse, StreamItem};
@@ -16,37 +17,38 @@
 use thiserror::Error;
 use wrenseam_policy::readiness_lease::Interruption;
 
-/// Why a request to the discovery service ended. It ends with an error always, as the service sends events for ever.
+/// Why a request to the discovery service ended. There is no end without an error, as the event stream is endless.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
     /// The configuration names no service.
-    #[error("no discovery service is named")]
+    #[error("the configuration names no discovery service")]
     NoAddress,
-    /// The service is at another address now.
-    #[error("the discovery service has moved")]
+    /// The service has another address now.
+    #[error("the discovery service has another address")]
     AddressChanged,
     /// A system call failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// The service closed the connection.
-    #[error("closed")]
+    #[error("the service closed the connection")]
     Closed,
-    /// Nothing came for too long, not even a comment.
-    #[error("silent")]
+    /// Nothing was received within [`DiscoveryLimits::silence_timeout`], not even a comment.
+    #[error("no event and no comment was received in time")]
     Silent,
-    /// The request is so old, or brought no event for so long, that only a new one shows what is missing.
-    #[error("made anew")]
-    MadeAnew,
-    /// The response cannot be read.
+    /// The request is older than its event timeout, or has brought no event for that long: a new one shows whether
+    /// events are missing.
+    #[error("the request is replaced by a new one")]
+    RequestExpired,
+    /// The response is not a valid event stream.
     #[error(transparent)]
     Stream(#[from] EventStreamError),
-    /// Events are to be requested again.
+    /// Events must be requested again.
     #[error(transparent)]
     Watch(#[from] WatchError),
 }
 
-/// Follows the discovery service for ever. Whenever a request ends a new one is made, which names the last event
-/// received.
+/// Follows the discovery service and never returns. Whenever a request ends, a new one asks for the events after the
+/// last one received.
 pub fn follow(
     service: &DiscoveryAddress,
     state: WatchState,
@@ -76,11 +78,11 @@
     backoff: ReconnectBackoff,
     limits: &'a DiscoveryLimits,
     core: &'a CoreHandle,
-    /// Whether an interruption was reported and no contact since.
+    /// Whether an interruption has been reported, and no confirmation since.
     is_out_of_contact: bool,
 }
 
-/// A connection and what has been read on it.
+/// A connection and the state of the request on it.
 struct Connection {
     address: SocketAddr,
     stream: TcpStream,
@@ -88,21 +90,22 @@
     bytes: Vec<u8>,
     response: EventStreamResponse,
     requested_at: Instant,
-    last_read_at: Instant,
+    last_received_at: Instant,
     last_event_at: Instant,
-    has_read: bool,
-    /// Whether it commented so late that it had sent all events before.
+    has_received: bool,
+    /// Whether a comment has arrived so late after the request that all pending events came before it.
     has_settled: bool,
+    /// Whether `DiscoveryContact::Confirmed` has been reported for this request.
     is_confirmed: bool,
 }
 
 impl Client<'_> {
-    /// Makes a request, reads its events to the end, and returns the pause before the next one.
+    /// Makes a request, reads its events until it ends, and returns the pause before the next request.
     fn request(&mut self) -> Duration {
         let address = self.service.get();
         let last_event = self.state.last_event();
         let error = self.read_events(address);
-        if matches!(error, ConnectionError::MadeAnew) {
+        if matches!(error, ConnectionError::RequestExpired) {
             return Duration::ZERO;
         }
         if let Some(address) = address {
@@ -112,7 +115,7 @@
                 log_lines::connection_ended(address, last_event, &error)
             );
         }
-        // A service that is down is not called at once again and again.
+        // Without new events the service may be down: the pause grows with each such request.
         let unsuccessful = self.state.last_event() == last_event && self.service.get() == address;
         if unsuccessful {
             self.backoff.after_failure()
@@ -129,7 +132,7 @@
         let mut connection = match self.connect(address) {
             Ok(connection) => connection,
             Err(error) => {
-                self.report_silent_end(Instant::now(), Interruption::Unreachable);
+                self.report_failed_request(Instant::now(), Interruption::Unreachable);
                 return error;
             }
         };
@@ -142,30 +145,30 @@
         }
     }
 
-    /// Reports the end of a connection. Those that this side ends are followed by another request, whose answer or
+    /// Reports the end of a connection, unless the client itself ended it: then the next request's confirmation or
     /// failure is reported.
     fn report_end(&mut self, connection: &Connection, error: &ConnectionError) {
         let now = Instant::now();
         match error {
-            ConnectionError::Silent if connection.has_read => {
-                self.report_interruption(connection.last_read_at, Interruption::Silent);
+            ConnectionError::Silent if connection.has_received => {
+                self.report_interruption(connection.last_received_at, Interruption::Silent);
             }
             ConnectionError::Silent => {
-                self.report_silent_end(connection.requested_at, Interruption::Silent);
+                self.report_failed_request(connection.requested_at, Interruption::Silent);
             }
             ConnectionError::Io(_) | ConnectionError::Closed | ConnectionError::Stream(_) => {
-                if connection.has_read {
+                if connection.has_received {
                     self.report_interruption(now, Interruption::Broken);
                 } else {
-                    self.report_silent_end(now, Interruption::Unreachable);
+                    self.report_failed_request(now, Interruption::Unreachable);
                 }
             }
             _ => {}
         }
     }
 
-    /// Reports the end of a request to which nothing came: that is news only after contact.
-    fn report_silent_end(&mut self, at: Instant, cause: Interruption) {
+    /// Reports a request that ended without a response, unless an interruption has been reported already.
+    fn report_failed_request(&mut self, at: Instant, cause: Interruption) {
         if !self.is_out_of_contact {
             self.report_interruption(at, cause);
         }
@@ -177,8 +180,8 @@
             .discovery_contact(DiscoveryContact::Interrupted { at, cause });
     }
 
-    /// Reports, once for each request, that all that had happened when it was made has been received, if no event lacks a
-    /// part.
+    /// Reports, once for each request, that everything that had happened when it was made has been received, provided
+    /// that no event is incomplete.
     fn confirm_if_settled(&mut self, connection: &mut Connection) {
         let is_settled = connection.has_settled && self.state.is_complete();
         if is_settled && !std::mem::replace(&mut connection.is_confirmed, true) {
@@ -206,15 +209,15 @@
             bytes: Vec::new(),
             response: EventStreamResponse::new(self.limits),
             requested_at,
-            last_read_at: now,
+            last_received_at: now,
             last_event_at: now,
-            has_read: false,
+            has_received: false,
             has_settled: false,
             is_confirmed: false,
         })
     }
 
-    /// One read, and what came by it.
+    /// Reads once and handles what has been received.
     fn receive(
         &mut self,
         connection: &mut Connection,
@@ -225,10 +228,10 @@
             return Err(ConnectionError::AddressChanged);
         }
         self.handle_bytes(connection)?;
-        // A service that sends comments only may have an event that never comes on this connection. Checked last, so
-        // that what has come is not requested again.
-        if connection.is_to_be_made_anew(event_timeout) {
-            return Err(ConnectionError::MadeAnew);
+        // A service that sends only comments may have an event that never arrives on this connection. Checked last, so
+        // that events already received are not requested again.
+        if connection.needs_new_request(event_timeout) {
+            return Err(ConnectionError::RequestExpired);
         }
         Ok(())
     }
@@ -260,22 +263,23 @@
 }
 
 impl Connection {
-    /// Whether a new request is due, as only its answer confirms anew what has been received.
-    fn is_to_be_made_anew(&self, event_timeout: Duration) -> bool {
+    /// Whether the request is due to be replaced by a new one: it is confirmed and too old, or has brought no event for
+    /// too long. Only the response to a new request confirms the list again.
+    fn needs_new_request(&self, event_timeout: Duration) -> bool {
         let is_old = self.is_confirmed && self.requested_at.elapsed() >= event_timeout;
         is_old || self.last_event_at.elapsed() >= event_timeout
     }
 
-    /// Replaces `bytes` by what has come, which may be nothing.
+    /// Reads once and replaces `bytes` by what has been received, which is nothing if the read timed out.
     fn read(&mut self, silence_timeout: Duration) -> Result<(), ConnectionError> {
         match self.buffer.fill(&mut self.stream) {
             Ok(0) => return Err(ConnectionError::Closed),
             Ok(_) => {
-                self.last_read_at = Instant::now();
-                self.has_read = true;
+                self.last_received_at = Instant::now();
+                self.has_received = true;
             }
             Err(error) if timed_out(&error) => {
-                if self.last_read_at.elapsed() >= silence_timeout {
+                if self.last_received_at.elapsed() >= silence_timeout {
                     return Err(ConnectionError::Silent);
                 }
             }
--- a/wrenseam/src/discovery/etcd.rs
+++ b/wrenseam/src/discovery/etcd.rs
@@ -1,5 +1,6 @@
-//! Endpoints under a key prefix of an etcd v3 registry, read by its JSON gateway: range and watch bodies in, endpoint
-//! updates out. No I/O and no clock: time is handed in. See docs/registry.md.
+//! Follows the endpoints under a key prefix of an etcd v3 registry: takes the bodies of range and watch responses, as
+//! etcd's JSON gateway sends them, and returns endpoint updates. No I/O and no clock: time is an argument. See
+//! docs/registry.md.
 use crate::discovery::event::parse_instance;
 use crate::model::Endpoint;
 use base64::{engine::general_purpose::STANDARD, Engine};
@@ -9,18 +10,18 @@
 use wrenseam_policy::json::{list, object, parse, part, text};
 use wrenseam_policy::{Micros, WorkerState};
 
-/// What a body changes, or requires.
+/// The effect of a response body.
 #[derive(Debug, PartialEq)]
 pub enum EtcdUpdate {
-    /// Endpoints changed.
+    /// These endpoints have changed.
     Endpoints(Vec<Endpoint>),
-    /// Nothing changed: a progress notice, or events received before.
+    /// Nothing has changed: the body is a progress notification, or repeats events received before.
     Unchanged,
-    /// The watch cannot go on: the whole prefix is to be read again.
+    /// The watch cannot go on: the whole prefix must be read again with a range request.
     ResyncRequired(ResyncReason),
 }
 
-/// Why the whole prefix is to be read again.
+/// Why the whole prefix must be read again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ResyncReason {
     /// The registry no longer has the events after the last known revision.
@@ -29,15 +30,15 @@
     /// The registry cancelled the watch.
     #[error("the watch was cancelled")]
     Cancelled,
-    /// The answer is another cluster's.
-    #[error("another cluster answers")]
+    /// The response comes from another cluster than those before.
+    #[error("another cluster responds")]
     OtherCluster,
     /// The registry's revision is lower than the last known one, as after a restore.
-    #[error("the registry's revision went back")]
+    #[error("the registry's revision is lower than the last known one")]
     RevisionWentBack,
 }
 
-/// Why a body cannot be read at all.
+/// Why a body is invalid as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum EtcdError {
     /// It is not JSON.
@@ -48,7 +49,7 @@
     NotAnObject,
 }
 
-/// What is known of one key.
+/// The last known state of one key.
 struct KeyState {
     create_revision: i64,
     endpoint: Endpoint,
@@ -60,7 +61,7 @@
     endpoint: Endpoint,
 }
 
-/// Follows one prefix: its last known revision, its cluster and each key's last endpoint.
+/// Follows one prefix: holds its last known revision, its cluster and the last valid endpoint of each key.
 pub struct EtcdFollower {
     prefix: String,
     revision: i64,
@@ -70,7 +71,7 @@
 }
 
 impl EtcdFollower {
-    /// A follower of the keys under `prefix`, holding nothing yet.
+    /// A follower of the keys under `prefix` that has received nothing yet.
     pub fn new(prefix: &str) -> Self {
         EtcdFollower {
             prefix: prefix.to_owned(),
@@ -81,17 +82,17 @@
         }
     }
 
-    /// The last known revision: a watch goes on from the next one.
+    /// The last known revision: a watch must start at the next one. 0: none known yet.
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// How many values could not be read; the last valid endpoint of their key stays.
+    /// Number of invalid values received so far; the last valid endpoint of their key stays.
     pub fn unreadable_values(&self) -> u64 {
         self.unreadable_values
     }
 
-    /// Applies the body of `/v3/kv/range` over the prefix: the complete list at its revision.
+    /// Applies the response body of `/v3/kv/range` over the prefix: the complete list at its revision.
     ///
     /// # Errors
     ///
@@ -106,9 +107,9 @@
         let mut endpoints = Vec::new();
         let mut keys_listed = HashSet::new();
         for key_value in list(&body, "kvs").iter().filter_map(object) {
-            if let Some(read) = self.read_key_value(key_value, now) {
-                keys_listed.insert(read.key);
-                endpoints.push(read.endpoint);
+            if let Some(updated) = self.update_key(key_value, now) {
+                keys_listed.insert(updated.key);
+                endpoints.push(updated.endpoint);
             }
         }
         for key in keys_before {
@@ -120,7 +121,7 @@
         Ok(EtcdUpdate::Endpoints(endpoints))
     }
 
-    /// Applies one message of `/v3/watch`.
+    /// Applies one message of the response of `/v3/watch`.
     ///
     /// # Errors
     ///
@@ -160,15 +161,16 @@
             if text(event, "type") == Some("DELETE") {
                 let key = base64_text(key_value, "key").unwrap_or_default();
                 endpoints.extend(self.remove_key(&key));
-            } else if let Some(read) = self.read_key_value(key_value, now) {
-                endpoints.push(read.endpoint);
+            } else if let Some(updated) = self.update_key(key_value, now) {
+                endpoints.push(updated.endpoint);
             }
         }
         self.revision = newest;
         endpoints
     }
 
-    /// The revision that a body's header states, if the body continues what is known.
+    /// The revision that a body's header states, or the last known one if there is no header. An error if the body does
+    /// not continue the known state.
     fn check_header(&mut self, body: &Object) -> Result<i64, ResyncReason> {
         let header = part(body, "header")
             .or_else(|| part(body, "result").and_then(|result| part(result, "header")));
@@ -189,7 +191,7 @@
         Ok(revision)
     }
 
-    /// A range after a restore: what the registry states now counts, whatever was known before.
+    /// Takes over the header of a range that does not continue the known state, as after a restore of the registry.
     fn adopt_header(&mut self, body: &Object) -> i64 {
         let header = part(body, "header");
         self.cluster = header
@@ -198,8 +200,8 @@
         header.map_or(0, |header| int(header, "revision"))
     }
 
-    /// The endpoint of a key's value; the last valid one where the value cannot be read.
-    fn read_key_value(&mut self, key_value: &Object, now: Micros) -> Option<KeyEndpoint> {
+    /// Stores the endpoint of a key's value and returns it; if the value is invalid, returns the last valid endpoint.
+    fn update_key(&mut self, key_value: &Object, now: Micros) -> Option<KeyEndpoint> {
         let key = base64_text(key_value, "key")?;
         let id = key.strip_prefix(&self.prefix)?.trim_start_matches('/');
         let create_revision = int(key_value, "create_revision");
@@ -211,7 +213,8 @@
             let endpoint = self.keys.get(&key)?.endpoint.clone();
             return Some(KeyEndpoint { key, endpoint });
         };
-        // A key that was deleted and created again is another process: it starts now, unless its value says when.
+        // A key that was deleted and created again stands for a new process: its start time is now, unless the value
+        // states one.
         let created_again = self
             .keys
             .get(&key)
@@ -227,7 +230,7 @@
         Some(KeyEndpoint { key, endpoint })
     }
 
-    /// Forgets a key that is deleted, or that vanished between two ranges. Its endpoint drains.
+    /// Removes a key that was deleted, or that is missing from a new range, and returns its endpoint as draining.
     fn remove_key(&mut self, key: &str) -> Option<Endpoint> {
         let known = self.keys.remove(key)?;
         Some(Endpoint {
@@ -245,7 +248,8 @@
     }
 }
 
-/// A 64-bit number as the gateway writes it: a string, sometimes a bare number; 0 where absent.
+/// A 64-bit integer, which the JSON gateway writes as a string or, sometimes, as a number. 0 if it is absent or
+/// invalid.
 fn int(fields: &Object, key: &str) -> i64 {
     match fields.get(key) {
         Some(Value::String(digits)) => digits.parse().unwrap_or(0),
--- a/wrenseam/src/discovery/event.rs
+++ b/wrenseam/src/discovery/event.rs
@@ -6,21 +6,21 @@
 use wrenseam_policy::json::{flag, object, part, span, text, whole};
 use wrenseam_policy::WorkerState;
 
-/// What can be read of an event.
+/// The valid part of an event.
 #[derive(Debug, Default)]
 pub struct EndpointEvent {
-    /// Whether it is the complete list, which replaces all before.
+    /// Whether it is the complete list, which replaces everything received before.
     pub complete: bool,
     /// The endpoints of its valid instances.
     pub endpoints: Vec<Endpoint>,
-    /// What is wrong with the rest of it.
+    /// Why the rest of it is invalid.
     pub faults: Vec<EventError>,
 }
 
-/// Why an event, or a part of it, cannot be used.
+/// Why an event, or a part of it, is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EventError {
-    /// The event's data is something else than a JSON object.
+    /// The event's data is not a JSON object.
     #[error("not a JSON object")]
     NotAnObject,
     /// The event has no pool.
@@ -29,77 +29,77 @@
     /// The pool has no list of instances.
     #[error("no list of 'instances'")]
     NoInstances,
-    /// An instance cannot be read.
+    /// An instance is invalid.
     #[error(transparent)]
     Instance(#[from] InstanceError),
 }
 
-/// Why an instance cannot be read.
+/// Why an instance is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InstanceError {
-    /// It is something else than a JSON object.
+    /// It is not a JSON object.
     #[error("an instance is not an object")]
     NotAnObject,
-    /// A field that it must have is missing, or is no text.
+    /// A required field is missing or not a string.
     #[error("an instance without '{key}'")]
     MissingField {
         /// The field's key.
         key: &'static str,
     },
     /// Its address is not an IP address and a port.
-    #[error("{id}: address {address}")]
+    #[error("instance {id}: invalid address {address}")]
     InvalidAddress {
         /// The instance's id.
         id: String,
-        /// The address as it was given.
+        /// The address as received.
         address: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: AddrParseError,
     },
-    /// Its state is none of the known ones.
-    #[error("{id}: state {state}")]
+    /// Its state is unknown.
+    #[error("instance {id}: unknown state {state}")]
     UnknownState {
         /// The instance's id.
         id: String,
-        /// The state as it was given.
+        /// The state as received.
         state: String,
     },
 }
 
-/// Reads an event. An instance that cannot be read leaves the others usable and is one of the event's faults.
+/// Parses an event. An invalid instance is added to the event's faults; the others stay usable.
 ///
 /// # Errors
 ///
-/// [`EventError::NoPool`] if there is nothing in it that could be read.
+/// [`EventError::NoPool`] if the event has no pool, so that nothing of it can be used.
 pub fn parse_event(event: &Object) -> Result<EndpointEvent, EventError> {
     let pool = part(event, "pool").ok_or(EventError::NoPool)?;
-    let mut read = EndpointEvent {
+    let mut parsed = EndpointEvent {
         complete: flag(pool, "reset"),
         ..EndpointEvent::default()
     };
     let Some(Value::Array(instances)) = pool.get("instances") else {
-        read.faults.push(EventError::NoInstances);
-        return Ok(read);
+        parsed.faults.push(EventError::NoInstances);
+        return Ok(parsed);
     };
     for instance in instances {
-        match parse_item(instance) {
-            Ok(endpoint) => read.endpoints.push(endpoint),
-            Err(error) => read.faults.push(error.into()),
+        match parse_instance_value(instance) {
+            Ok(endpoint) => parsed.endpoints.push(endpoint),
+            Err(error) => parsed.faults.push(error.into()),
         }
     }
-    Ok(read)
+    Ok(parsed)
 }
 
-fn parse_item(instance: &Value) -> Result<Endpoint, InstanceError> {
+fn parse_instance_value(instance: &Value) -> Result<Endpoint, InstanceError> {
     let fields = object(instance).ok_or(InstanceError::NotAnObject)?;
     parse_instance(fields)
 }
 
-/// Reads one instance.
+/// Parses one instance.
 ///
 /// # Errors
 ///
-/// An [`InstanceError`] if a required field is missing or cannot be read.
+/// An [`InstanceError`] if a required field is missing or invalid.
 pub fn parse_instance(fields: &Object) -> Result<Endpoint, InstanceError> {
     let id = required_text(fields, "instanceId")?.to_owned();
     let address = parse_address(&id, required_text(fields, "hostPort")?)?;
--- a/wrenseam/src/discovery/event_stream.rs
+++ b/wrenseam/src/discovery/event_stream.rs
@@ -1,17 +1,17 @@
-//! The discovery service's response: an HTTP/1.1 head, then server-sent events, plain or in chunked coding. Bytes go
-//! in, events come out; no I/O.
+//! Parser of the discovery service's response: an HTTP/1.1 head, then server-sent events, plain or in chunked coding.
+//! It takes bytes and returns events; no I/O.
 use crate::http::{Chunked, Coded, Head, HeadError, InvalidChunkSize};
 use crate::limits::DiscoveryLimits;
 use thiserror::Error;
 
 const STATUS_OK: u16 = 200;
 
-/// What a byte completes.
+/// What a byte of the stream completes.
 #[derive(Debug, PartialEq, Eq)]
 pub enum StreamItem {
-    /// Nothing yet, or what has no meaning here.
+    /// Nothing yet, or a part that is ignored.
     Incomplete,
-    /// A comment, which services send to show that they are there.
+    /// A comment, which the service sends as a keepalive.
     Comment,
     /// An event.
     Event(ServerSentEvent),
@@ -20,9 +20,9 @@
 /// An event of the stream.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ServerSentEvent {
-    /// Its own id, where it has one.
+    /// Its id; `None` if the event itself has none.
     pub id: Option<String>,
-    /// Its data, lines joined by line feeds.
+    /// Its data; several lines are joined by line feeds.
     pub data: String,
 }
 
@@ -37,14 +37,14 @@
 impl EventStreamParser {
     /// Takes the next byte.
     ///
-    /// Unlike the HTML standard's, an id does not carry over to the next event: an event without one would pass for a
-    /// repetition.
+    /// Unlike in the HTML standard, an event without an id does not inherit the one before: it would be taken for a
+    /// repetition of that event.
     pub fn push(&mut self, byte: u8) -> StreamItem {
         if byte != b'\n' {
             self.line.push(byte);
             return StreamItem::Incomplete;
         }
-        // Text is not copied: the list of all workers is one line.
+        // Valid UTF-8 is moved, not copied: the list of all workers is one line.
         let mut line = String::from_utf8(std::mem::take(&mut self.line))
             .unwrap_or_else(|error| String::from_utf8_lossy(error.as_bytes()).into_owned());
         if line.ends_with('\r') {
@@ -60,7 +60,7 @@
         StreamItem::Incomplete
     }
 
-    /// Bytes buffered of the event that is being read.
+    /// Number of bytes buffered for the event that is being read.
     pub fn buffered_bytes(&self) -> usize {
         self.line.len() + self.data.len()
     }
@@ -74,7 +74,7 @@
         StreamItem::Event(ServerSentEvent { id, data })
     }
 
-    /// Fields other than `id` and `data` have no meaning here.
+    /// Stores the value of `id` and `data`; all other fields are ignored.
     fn take_field(&mut self, mut line: String) {
         if let Some(value) = line.strip_prefix("id:") {
             self.id = Some(without_leading_space(value).to_owned());
@@ -99,30 +99,30 @@
     value.strip_prefix(' ').unwrap_or(value)
 }
 
-/// Why a response cannot be read on.
+/// Why a response cannot be parsed further.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EventStreamError {
-    /// The head is not one of HTTP/1.1.
+    /// The head is not a valid HTTP/1.1 response head.
     #[error(transparent)]
     InvalidHead(#[from] HeadError),
-    /// The head is longer than allowed.
+    /// The head is longer than [`DiscoveryLimits::max_head_bytes`].
     #[error("the response head is too long")]
     HeadTooLong,
-    /// The service answered with another status than 200.
-    #[error("status {0}")]
+    /// The service responded with another status than 200.
+    #[error("the service responded with status {0}")]
     Status(u16),
     /// The chunked coding is malformed.
     #[error(transparent)]
     InvalidChunk(#[from] InvalidChunkSize),
-    /// The service ended the stream.
-    #[error("the stream ended")]
+    /// The service ended the stream with its last chunk.
+    #[error("the service ended the stream")]
     Ended,
-    /// An event is longer than allowed.
+    /// An event is longer than [`DiscoveryLimits::max_event_bytes`].
     #[error("an event is too long")]
     EventTooLong,
 }
 
-/// Parses a whole response byte by byte.
+/// Parses a complete response byte by byte.
 pub struct EventStreamResponse {
     part: ResponsePart,
     events: EventStreamParser,
@@ -137,7 +137,7 @@
 }
 
 impl EventStreamResponse {
-    /// A response of which nothing has come.
+    /// A response of which nothing has been received.
     pub fn new(limits: &DiscoveryLimits) -> Self {
         EventStreamResponse {
             part: ResponsePart::Head(Vec::new()),
@@ -151,7 +151,7 @@
     ///
     /// # Errors
     ///
-    /// An [`EventStreamError`] if nothing after this byte can be used.
+    /// An [`EventStreamError`] if the response cannot be parsed further.
     pub fn push(&mut self, byte: u8) -> Result<StreamItem, EventStreamError> {
         match &mut self.part {
             ResponsePart::Head(head) => {
--- a/wrenseam/src/discovery/log_lines.rs
+++ b/wrenseam/src/discovery/log_lines.rs
@@ -3,12 +3,12 @@
 use std::fmt::Display;
 use std::net::SocketAddr;
 
-/// An instance of an event of the start configuration cannot be read.
+/// A known event of the start configuration has an invalid part; the rest of it is used.
 pub fn known_event_fault(number: u64, fault: &EventError) -> String {
     format!("start: in known event {number}: {fault}")
 }
 
-/// An event of the start configuration cannot be read at all.
+/// A known event of the start configuration is invalid as a whole.
 pub fn known_event_skipped(number: u64, error: &EventError) -> String {
     format!("start: known event {number} skipped: {error}")
 }
@@ -18,12 +18,12 @@
     format!("discovery: connection to {address} ended after event {last_event}: {error}")
 }
 
-/// An event was received twice with a fault in it, and is used as far as it can be read.
+/// An event was received again with a fault in it; its valid part is used.
 pub fn event_fault(number: u64, fault: &EventError) -> String {
     format!("discovery: event {number}: {fault}; its valid instances are used, the rest is requested again")
 }
 
-/// An event with a fault is not requested again.
+/// An event with a fault has been requested often enough and is not requested again.
 pub fn event_fault_ignored(number: u64) -> String {
     format!("discovery: event {number}: its invalid instances are not requested again")
 }
--- a/wrenseam/src/discovery/membership.rs
+++ b/wrenseam/src/discovery/membership.rs
@@ -1,5 +1,5 @@
-//! The endpoints of all sources: decides when a worker is new, draining, gone or back with a new process. Complete
-//! lists and single changes come in, each change goes out once. No sockets and no clock.
+//! The endpoints of all sources: decides when a worker is new, draining, gone, or restarted as a new process. Takes
+//! complete lists and incremental updates, and returns each change once. No sockets and no clock.
 use crate::model::{Endpoint, TransportProtocol};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::net::SocketAddr;
@@ -9,24 +9,26 @@
 /// What a change requires of the connections to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionAction {
-    /// It is new, at another address, or speaks another protocol: new connections; those to the former address drain.
+    /// The endpoint is new, has another address or speaks another protocol: open new connections; those to the former
+    /// address drain.
     Connect,
-    /// The process that is connected takes nothing new: it drains, is gone, or was restarted.
+    /// The process at the other end of the connections takes no new work, as it drains, is gone or was restarted: the
+    /// connections drain.
     Drain,
     /// The connections stay in use.
     Keep,
 }
 
-/// One change of the list.
+/// One change of an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// The endpoint as it is now.
+    /// The endpoint after the change.
     pub endpoint: Endpoint,
-    /// What to do about its connections.
+    /// What the change requires of its connections.
     pub action: ConnectionAction,
 }
 
-/// An id that no list has named.
+/// The error for an id that no list has named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("no list has named this id")]
 pub struct UnknownEndpoint;
@@ -36,23 +38,24 @@
 pub struct Membership {
     /// Each endpoint as its source lists it, by id.
     listed: BTreeMap<String, Endpoint>,
-    /// Each endpoint as the last change gave it: as listed, or draining while it is excluded or suspended.
+    /// Each endpoint as returned in its last change, by id: as listed, or draining while it is excluded or suspended.
     published: BTreeMap<String, Endpoint>,
     excluded: BTreeSet<String>,
-    /// Endpoints listed as ready that get nothing new, as discovery was not heard for too long.
+    /// Endpoints listed as ready that get no new work, as discovery has not confirmed their readiness in time; see
+    /// [`wrenseam_policy::readiness_lease`].
     suspended: BTreeSet<String>,
 }
 
 impl Membership {
-    /// Applies an update of one source. A complete list replaces what the source listed before, so whoever is not in it
-    /// is gone. What is listed already changes nothing: sources may repeat themselves.
+    /// Applies an update of one source. A complete list replaces what the source listed before: endpoints that are not
+    /// in it are gone. An endpoint that is listed as before causes no change, as sources may repeat themselves.
     pub fn apply(
         &mut self,
         source: TransportProtocol,
         complete: bool,
         endpoints: Vec<Endpoint>,
     ) -> Vec<Change> {
-        let mut updates = self.replaced_at_their_address(source, &endpoints);
+        let mut updates = self.displaced_by_new_workers(source, &endpoints);
         if complete {
             updates.extend(self.missing_from(source, &endpoints));
         }
@@ -63,9 +66,9 @@
             .collect()
     }
 
-    /// Endpoints at whose address a new worker is, as gone. The list may report their end later than the new worker,
-    /// which would be taken for theirs.
-    fn replaced_at_their_address(
+    /// Endpoints whose address a new worker has taken over, as gone. The list may report their end only after the new
+    /// worker, and that end would then be taken for the new worker's.
+    fn displaced_by_new_workers(
         &self,
         source: TransportProtocol,
         endpoints: &[Endpoint],
@@ -81,7 +84,7 @@
             .collect()
     }
 
-    /// Endpoints that a complete list names no more, as gone.
+    /// Endpoints of a source that are missing from its new complete list, as gone.
     fn missing_from(&self, source: TransportProtocol, endpoints: &[Endpoint]) -> Vec<Endpoint> {
         let named: HashSet<&str> = endpoints
             .iter()
@@ -102,11 +105,11 @@
     fn update(&mut self, mut endpoint: Endpoint) -> Option<Change> {
         let listed = self.listed.get(&endpoint.id);
         if listed.is_none() && endpoint.state == WorkerState::Gone {
-            return None; // the end of what was never here
+            return None; // the endpoint was never listed
         }
         if let Some(listed) = listed {
             if endpoint.started_at == 0 {
-                endpoint.started_at = listed.started_at; // not stated again
+                endpoint.started_at = listed.started_at; // the update does not state it
             }
         }
         if listed == Some(&endpoint) {
@@ -119,7 +122,8 @@
         self.publish(endpoint)
     }
 
-    /// The change that an endpoint's listing comes to: it is published as draining while it is excluded or suspended.
+    /// The change that results from an endpoint's listing, if any: it is published as draining while it is excluded or
+    /// suspended.
     fn publish(&mut self, mut endpoint: Endpoint) -> Option<Change> {
         let is_withheld =
             self.excluded.contains(&endpoint.id) || self.suspended.contains(&endpoint.id);
@@ -135,7 +139,8 @@
         Some(Change { endpoint, action })
     }
 
-    /// Excludes an endpoint, whatever the lists say, until it is included again. Excluding it twice changes nothing.
+    /// Excludes an endpoint, whatever state the lists give it, until it is included again. Excluding it twice changes
+    /// nothing.
     ///
     /// # Errors
     ///
@@ -146,8 +151,8 @@
         Ok(self.publish(endpoint).into_iter().collect())
     }
 
-    /// Includes an endpoint again as a new process started at `now` (Unix time): operators restarted it while it was
-    /// excluded, so it has nothing loaded. One that was not excluded stays as it is.
+    /// Includes an endpoint again, as a new process started at `now` (Unix time): operators restart a worker while it
+    /// is excluded, so it has no function loaded. An endpoint that was not excluded does not change.
     ///
     /// # Errors
     ///
@@ -173,7 +178,7 @@
             .is_some_and(|endpoint| endpoint.state == WorkerState::Ready)
     }
 
-    /// Suspends an endpoint that is listed as ready.
+    /// Suspends an endpoint, unless it is not listed as ready. `None`: nothing changes.
     pub fn suspend(&mut self, id: &str) -> Option<Change> {
         let endpoint = self.listed.get(id)?.clone();
         if endpoint.state != WorkerState::Ready {
@@ -183,7 +188,8 @@
         self.publish(endpoint)
     }
 
-    /// Ends the suspension of an endpoint, as a new process if it may have started at `restarted_at`.
+    /// Ends the suspension of an endpoint. If it may have restarted, at `restarted_at`, it counts as a new process.
+    /// `None` is returned if it was not suspended.
     pub fn resume(&mut self, id: &str, restarted_at: Option<Micros>) -> Option<Change> {
         if !self.suspended.remove(id) {
             return None;
@@ -194,13 +200,13 @@
         self.publish(endpoint)
     }
 
-    /// The excluded ids.
+    /// The ids that operators excluded, listed or not.
     pub fn excluded(&self) -> &BTreeSet<String> {
         &self.excluded
     }
 
-    /// Takes the complete set of exclusions, as another process of this front end left it: what is new in it is
-    /// excluded, named by a list or not yet; what is missing is included.
+    /// Replaces the set of exclusions by the one that another process of this front end left. Ids that are new in it
+    /// are excluded, even if no list names them yet; ids that are missing from it are included again.
     pub fn replace_exclusions(&mut self, excluded: BTreeSet<String>, now: Micros) -> Vec<Change> {
         let mut changes = Vec::new();
         let included: Vec<String> = self.excluded.difference(&excluded).cloned().collect();
@@ -212,7 +218,7 @@
                 continue;
             }
             match self.exclude(&id) {
-                Ok(more) => changes.extend(more),
+                Ok(further) => changes.extend(further),
                 Err(UnknownEndpoint) => {
                     self.excluded.insert(id); // in effect once a list names it
                 }
@@ -221,7 +227,7 @@
         changes
     }
 
-    /// Forgets an endpoint that is gone and to which nothing is open any more.
+    /// Removes an endpoint that is gone. Called once nothing is open on it any more.
     pub fn forget(&mut self, id: &str) {
         let is_gone = self
             .listed
@@ -234,7 +240,7 @@
     }
 }
 
-/// What becomes of the connections to an endpoint that was published so before.
+/// What a change requires of an endpoint's connections. `published`: the endpoint before the change, if it was known.
 fn connection_action(published: Option<&Endpoint>, endpoint: &Endpoint) -> ConnectionAction {
     let Some(published) = published else {
         return ConnectionAction::Connect;
--- a/wrenseam/src/discovery/watch.rs
+++ b/wrenseam/src/discovery/watch.rs
@@ -1,8 +1,9 @@
-//! What the discovery service's events change, and from which event on the next request asks. No sockets and no clock.
+//! Applies the discovery service's events in the order of their numbers, and decides after which event the next request
+//! asks the service to continue. No sockets and no clock.
 //!
-//! Events are numbered, and an event that comes late must not undo what a later one changed. While an event is
-//! incomplete (a part of it could not be read) the latest endpoint of each instance listed since is kept, so that the
-//! event can be applied in its place when it is received again.
+//! An event that arrives late must not undo what an event with a higher number has changed. While an event is
+//! incomplete (a part of it was invalid), the latest endpoint of each instance listed since is kept, so that the event
+//! can be applied in its place when it is received again.
 use crate::discovery::event::{parse_event, EndpointEvent, EventError};
 use crate::discovery::log_lines;
 use crate::model::Endpoint;
@@ -11,25 +12,27 @@
 use thiserror::Error;
 use wrenseam_policy::json::{list, object, parse, whole};
 
-/// How often an incomplete event is requested again, besides the first time, before its faults are ignored.
+/// How often an incomplete event is requested again before its faults are ignored. The request made as soon as a fault
+/// is received does not count.
 const MAX_REPEATED_REQUESTS: u32 = 3;
 
-/// Comments without an event between them (one comes each second) after which a service has sent all events it has.
+/// Number of comments without an event between them after which the service has sent all pending events. It sends one
+/// comment each second.
 const COMMENTS_AFTER_ALL_EVENTS: u32 = 2;
 
-/// Makes the service send its complete list: no event has this number.
+/// Requesting the events after this number makes the service send its complete list: no event has this number.
 const BEFORE_ALL_EVENTS: u64 = 0;
 
 /// A change of the endpoint list.
 #[derive(Debug, Default, PartialEq)]
 pub struct EndpointListUpdate {
-    /// Whether this is the complete list, which replaces all before.
+    /// Whether this is the complete list, which replaces everything received before.
     pub complete: bool,
-    /// The endpoints listed.
+    /// The endpoints that are listed; without `complete` only those that have changed.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Why a new request is to be made.
+/// Why a new request must be made.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WatchError {
     /// The service has restarted its event numbers, and its complete list is needed.
@@ -46,41 +49,41 @@
         /// The last event received before.
         last: u64,
     },
-    /// An event, or a part of it, cannot be read.
+    /// An event, or a part of it, is invalid.
     #[error("event {number}: {source}")]
     Fault {
         /// The event's number.
         number: u64,
-        /// The first thing wrong with it.
+        /// The first of its faults.
         source: EventError,
     },
-    /// An event has no number that can be read.
+    /// An event has no valid number.
     #[error("an event without a number: {id}")]
     Unnumbered {
-        /// The id that was sent in place of a number.
+        /// The id that was received instead of a number, or "none".
         id: String,
     },
 }
 
-/// The state at the start, from the events that the configuration holds.
+/// The state at startup, after the known events of the configuration.
 pub struct InitialWatch {
     /// The state after these events.
     pub state: WatchState,
-    /// What they change.
+    /// The changes of the endpoint list by these events.
     pub updates: Vec<EndpointListUpdate>,
 }
 
-/// What has been received, over all requests.
+/// What has been received over all requests.
 #[derive(Default)]
 pub struct WatchState {
     last_event: u64,
-    /// Events with faults, and how often each was requested again.
+    /// Events with faults, and how often each has been requested again.
     incomplete: BTreeMap<u64, u32>,
     /// While events are incomplete: the latest endpoint of each instance listed since, by id.
     latest: BTreeMap<String, LatestEndpoint>,
-    /// What was requested once more; when it comes so again it is used as it is.
+    /// The event that the last request asked for again; if it is received the same way again it is used as it is.
     repeated: Option<RepeatedRequest>,
-    /// Whether the complete list is to be requested.
+    /// Whether the next request must ask for the complete list.
     needs_complete_list: bool,
     request: RequestProgress,
 }
@@ -90,23 +93,23 @@
     endpoint: Endpoint,
 }
 
-/// Why an event was requested once more.
+/// An event that is requested once more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RepeatedRequest {
-    /// There was a gap before this event, or a fault in it.
+    /// The event of this number: there was a gap before it, or a fault in it.
     Numbered(u64),
-    /// The event had no number.
+    /// An event without a number.
     Unnumbered,
 }
 
-/// What one request has brought.
+/// What has been received on the current request.
 #[derive(Default)]
 struct RequestProgress {
-    /// Whether an event as high as the last one has come.
+    /// Whether the last event of all requests, a newer one or an incomplete one has arrived.
     reached_last_event: bool,
-    /// Whether events with lower numbers have come.
+    /// Whether events with lower numbers have arrived before that.
     has_older_events: bool,
-    /// The list of a service that has restarted its event numbers, should it be one.
+    /// The list made up by these events, in case the service has restarted its event numbers.
     restarted_list: Option<RestartedList>,
     comments_since_event: u32,
 }
@@ -116,14 +119,14 @@
     endpoints: BTreeMap<String, Endpoint>,
 }
 
-/// An event's text, as far as it can be read.
+/// An event's number and its content, as far as they are valid.
 struct ParsedEvent {
     number: Option<u64>,
     event: Result<EndpointEvent, EventError>,
 }
 
 impl ParsedEvent {
-    /// The stream's id is the number; without one the event's own number counts.
+    /// The number is the id in the stream, or else the number in the event's data.
     fn parse(id: Option<&str>, data: &str) -> ParsedEvent {
         let id_number = id.and_then(|id| id.parse().ok());
         let Ok(Value::Object(fields)) = parse(data) else {
@@ -140,7 +143,7 @@
 }
 
 impl WatchState {
-    /// Begins with what the configuration holds: the events so far, and the number of the last.
+    /// Starts from the known events of the configuration and the number of the last of them.
     pub fn from_known_events(known: &Object) -> InitialWatch {
         let mut state = WatchState::default();
         let mut updates = Vec::new();
@@ -148,7 +151,7 @@
             updates.extend(state.apply_known_event(event));
         }
         state.last_event = whole(known, "rev").unwrap_or(state.last_event);
-        state.forget_latest_if_complete();
+        state.clear_latest_if_complete();
         InitialWatch { state, updates }
     }
 
@@ -170,24 +173,25 @@
         }
     }
 
-    /// Number of the last event received.
+    /// Number of the last event received; 0: none.
     pub fn last_event(&self) -> u64 {
         self.last_event
     }
 
-    /// Whether nothing of the events received is missing.
+    /// Whether everything that the events have changed is known: none is incomplete, and the complete list is not
+    /// needed.
     pub fn is_complete(&self) -> bool {
         self.incomplete.is_empty() && !self.needs_complete_list
     }
 
-    /// Begins a request. Returns the event after which the service is to go on: the last one, or the one before an
-    /// incomplete one.
+    /// Begins a request. Returns the number of the event after which the service is to continue: the last one, or the
+    /// one before the first incomplete one.
     pub fn begin_request(&mut self) -> u64 {
         self.request = RequestProgress::default();
         if std::mem::take(&mut self.needs_complete_list) {
             return BEFORE_ALL_EVENTS;
         }
-        self.ignore_lasting_faults();
+        self.drop_persistent_faults();
         let Some((&number, repeated_requests)) = self.incomplete.iter_mut().next() else {
             return self.last_event;
         };
@@ -195,7 +199,7 @@
         number.saturating_sub(1)
     }
 
-    fn ignore_lasting_faults(&mut self) {
+    fn drop_persistent_faults(&mut self) {
         self.incomplete.retain(|&number, repeated_requests| {
             let request_again = *repeated_requests < MAX_REPEATED_REQUESTS;
             if !request_again {
@@ -203,14 +207,14 @@
             }
             request_again
         });
-        self.forget_latest_if_complete();
+        self.clear_latest_if_complete();
     }
 
-    /// Takes an event. `Ok(None)`: it changes nothing.
+    /// Handles an event and returns what it changes; `Ok(None)`: nothing.
     ///
     /// # Errors
     ///
-    /// A [`WatchError`] if a new request is to be made.
+    /// A [`WatchError`] if a new request must be made.
     pub fn event(
         &mut self,
         id: Option<&str>,
@@ -228,7 +232,7 @@
         self.newer_or_repeated_event(number, parsed.event)
     }
 
-    /// An event without a number has no place in the order: it counts as the newest once it comes so again.
+    /// An event without a number has no place in the order: it is requested once more, then it counts as the newest.
     fn unnumbered_event(
         &mut self,
         id: Option<&str>,
@@ -267,11 +271,12 @@
                 None
             }
         };
-        self.forget_latest_if_complete();
+        self.clear_latest_if_complete();
         Ok(update)
     }
 
-    /// What lies between may have been lost on its way; if the gap is there again, nothing lies between.
+    /// Fails at a gap before an event, as events may have been lost. If the gap is still there after the new request,
+    /// the numbers in it were never used.
     fn check_gap(&mut self, number: u64) -> Result<(), WatchError> {
         let last = self.last_event;
         if last == 0 || number <= last + 1 {
@@ -283,7 +288,7 @@
         )
     }
 
-    /// An event with a fault is requested once more, then used as far as it can be read.
+    /// Fails at the first fault of an event, so that it is requested once more; then its valid part is used.
     fn check_fault(&mut self, number: u64, fault: &EventError) -> Result<(), WatchError> {
         if !self.incomplete.contains_key(&number) {
             let error = WatchError::Fault {
@@ -296,11 +301,12 @@
         Ok(())
     }
 
-    /// Takes a comment. `Ok(None)`: it changes nothing.
+    /// Handles a comment and returns what it changes; `Ok(None)`: nothing. Once the service has sent all pending
+    /// events, a comment decides whether it has restarted its event numbers.
     ///
     /// # Errors
     ///
-    /// [`WatchError::NumbersRestarted`] if the service's complete list is to be requested.
+    /// [`WatchError::NumbersRestarted`] if it has and did not send its complete list, which must then be requested.
     pub fn comment(&mut self) -> Result<Option<EndpointListUpdate>, WatchError> {
         self.request.comments_since_event += 1;
         if self.request.comments_since_event < COMMENTS_AFTER_ALL_EVENTS
@@ -316,11 +322,11 @@
                 last: self.last_event,
             });
         };
-        Ok(Some(self.adopt(restarted)))
+        Ok(Some(self.adopt_restarted_list(restarted)))
     }
 
-    /// The list of a service that has restarted its event numbers replaces what was received before.
-    fn adopt(&mut self, restarted: RestartedList) -> EndpointListUpdate {
+    /// Replaces everything received before by the list of a service that has restarted its event numbers.
+    fn adopt_restarted_list(&mut self, restarted: RestartedList) -> EndpointListUpdate {
         note!(
             "{}",
             log_lines::numbers_restarted(restarted.last_event, self.last_event)
@@ -328,14 +334,14 @@
         self.last_event = restarted.last_event;
         self.repeated = None;
         self.incomplete.clear();
-        self.forget_latest_if_complete();
+        self.clear_latest_if_complete();
         EndpointListUpdate {
             complete: true,
             endpoints: restarted.endpoints.into_values().collect(),
         }
     }
 
-    /// Fails with this error, but not twice in a row for the same event.
+    /// Fails with this error, but not twice in a row for the same event: it is requested only once more.
     fn request_once_more(
         &mut self,
         event: RepeatedRequest,
@@ -348,7 +354,7 @@
         Err(error)
     }
 
-    /// An event with a number received before: written twice, sent again on request, or from a service that has
+    /// Handles an event with a number received before: the service sent it twice, sent it again on request, or has
     /// restarted its event numbers.
     fn older_event(&mut self, number: u64, event: Result<EndpointEvent, EventError>) {
         if number == self.last_event {
@@ -377,7 +383,7 @@
         }
     }
 
-    /// What an event changes, as far as no later one has changed it otherwise.
+    /// Applies an event, except for endpoints that later events list, and returns what it changes.
     fn apply(&mut self, number: u64, event: EndpointEvent) -> Option<EndpointListUpdate> {
         let has_faults = !event.faults.is_empty();
         if has_faults {
@@ -385,7 +391,7 @@
         } else {
             self.incomplete.remove(&number);
         }
-        // While a part of a list cannot be read, no endpoint is gone because the rest does not list it.
+        // An endpoint that is missing from a list with an invalid part is not gone: it may be in that part.
         let complete = event.complete && !has_faults;
         let mut endpoints = self.without_outdated(number, complete, event.endpoints);
         if complete {
@@ -403,8 +409,8 @@
         })
     }
 
-    /// The endpoints of this event without those that a later event lists. A complete list has the later ones in their
-    /// place, as whoever is not in it is gone.
+    /// The endpoints of this event without those that a later event lists. A complete list gets the later state of
+    /// these instead, as endpoints that are not in it are gone.
     fn without_outdated(
         &self,
         number: u64,
@@ -425,7 +431,7 @@
         current
     }
 
-    /// Adds to a complete list what only later events list.
+    /// Adds to a complete list the endpoints that only later events list.
     fn add_listed_later(&self, number: u64, endpoints: &mut Vec<Endpoint>) {
         let listed: HashSet<String> = endpoints
             .iter()
@@ -453,15 +459,15 @@
         }
     }
 
-    /// With no incomplete event nothing received so far can be applied late.
-    fn forget_latest_if_complete(&mut self) {
+    /// Without an incomplete event, none of the events received so far will be applied late.
+    fn clear_latest_if_complete(&mut self) {
         if self.incomplete.is_empty() {
             self.latest.clear();
         }
     }
 }
 
-/// What is wrong with an event, if anything is.
+/// The first fault of an event; `None` if it is valid.
 fn first_fault(event: &Result<EndpointEvent, EventError>) -> Option<&EventError> {
     match event {
         Ok(event) => event.faults.first(),
--- a/wrenseam/src/discovery/xds.rs
+++ b/wrenseam/src/discovery/xds.rs
@@ -11,7 +11,7 @@
 /// Key of this project's own fields in an endpoint's filter metadata.
 const METADATA_KEY: &str = "wrenseam";
 
-/// Why a list of endpoints cannot be read.
+/// Why a list of endpoints is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum XdsError {
     /// An endpoint has no socket address.
@@ -26,31 +26,31 @@
     /// A socket address is not an IP address and a port.
     #[error("not an address: {address}")]
     InvalidAddress {
-        /// The host and port as they were given.
+        /// The host and port as received, joined by a colon.
         address: String,
-        /// What is wrong with them.
+        /// The parse error.
         source: AddrParseError,
     },
 }
 
-/// Reads the endpoints of a discovery response, or of a single `ClusterLoadAssignment`.
+/// Parses the endpoints of a discovery response, or of a single `ClusterLoadAssignment`.
 ///
 /// # Errors
 ///
-/// An [`XdsError`] for the first endpoint whose address cannot be read.
+/// An [`XdsError`] for the first endpoint whose address is missing or invalid.
 pub fn parse_endpoints(response: &Object) -> Result<Vec<Endpoint>, XdsError> {
     let mut endpoints = Vec::new();
     if !response.contains_key("resources") {
-        read_assignment(response, &mut endpoints)?;
+        parse_assignment(response, &mut endpoints)?;
         return Ok(endpoints);
     }
     for assignment in objects(response, "resources") {
-        read_assignment(assignment, &mut endpoints)?;
+        parse_assignment(assignment, &mut endpoints)?;
     }
     Ok(endpoints)
 }
 
-fn read_assignment(assignment: &Object, endpoints: &mut Vec<Endpoint>) -> Result<(), XdsError> {
+fn parse_assignment(assignment: &Object, endpoints: &mut Vec<Endpoint>) -> Result<(), XdsError> {
     for locality in objects(assignment, "endpoints") {
         let zone = part(locality, "locality")
             .and_then(|fields| text(fields, "zone"))
@@ -96,7 +96,7 @@
         })
 }
 
-/// As Envoy reads it: an endpoint without a status counts as healthy.
+/// Maps a health status as Envoy does: an endpoint without one counts as healthy.
 fn parse_health(status: Option<&str>) -> WorkerState {
     match status {
         None | Some("UNKNOWN" | "HEALTHY" | "DEGRADED") => WorkerState::Ready,
--- a/wrenseam/tests/discovery_event_stream.rs
+++ b/wrenseam/tests/discovery_event_stream.rs
@@ -1,4 +1,4 @@
-//! The discovery service's response as it comes, byte by byte, and the faults of events and endpoints by their kind.
+//! The discovery service's response, parsed byte by byte, and the errors for invalid events and endpoints.
 use rstest::rstest;
 use wrenseam::discovery::event::{parse_event, EventError, InstanceError};
 use wrenseam::discovery::event_stream::{EventStreamError, EventStreamResponse, StreamItem};
@@ -10,7 +10,7 @@
 const PLAIN: &str = "HTTP/1.1 200 OK\r\n\r\n";
 const CHUNKED: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Limits of a small process, with a head of 64 bytes and an event of 16 at most.
+/// Limits of a small process, with heads of at most 64 bytes and events of at most 16.
 fn limits() -> DiscoveryLimits {
     DiscoveryLimits {
         max_head_bytes: 64,
@@ -19,8 +19,8 @@
     }
 }
 
-/// The data of the events that come, up to the end of the bytes or the first error.
-fn read(bytes: &str) -> (Vec<String>, Option<EventStreamError>) {
+/// The data of the events in `bytes`, up to the first error.
+fn parse_response(bytes: &str) -> (Vec<String>, Option<EventStreamError>) {
     let mut response = EventStreamResponse::new(&limits());
     let mut events = Vec::new();
     for byte in bytes.bytes() {
@@ -45,28 +45,34 @@
     format!("{PLAIN}data: a\n\ndata: b\n\ndata: 0123456789abcdef"),
     Some(EventStreamError::EventTooLong)
 )]
-fn events_come_up_to_an_error(#[case] bytes: String, #[case] error: Option<EventStreamError>) {
-    assert_eq!(read(&bytes), (vec!["a".to_owned(), "b".to_owned()], error));
+fn events_before_an_error_are_returned(
+    #[case] bytes: String,
+    #[case] error: Option<EventStreamError>,
+) {
+    assert_eq!(
+        parse_response(&bytes),
+        (vec!["a".to_owned(), "b".to_owned()], error)
+    );
 }
 
 #[rstest]
 #[case::status("HTTP/1.1 503 Busy\r\n\r\n".to_owned(), EventStreamError::Status(503))]
 #[case::long_head(format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(64)), EventStreamError::HeadTooLong)]
-fn a_head_that_cannot_be_used(#[case] bytes: String, #[case] error: EventStreamError) {
-    assert_eq!(read(&bytes), (vec![], Some(error)));
+fn unusable_heads(#[case] bytes: String, #[case] error: EventStreamError) {
+    assert_eq!(parse_response(&bytes), (vec![], Some(error)));
 }
 
 #[test]
-fn malformed_heads_and_chunks_have_their_kinds() {
-    let head = read("HTTP/1.1 ok\r\n\r\n").1;
+fn malformed_heads_and_chunks() {
+    let head = parse_response("HTTP/1.1 ok\r\n\r\n").1;
     assert!(matches!(head, Some(EventStreamError::InvalidHead { .. })));
-    let chunk = read(&format!("{CHUNKED}zz\r\n")).1;
+    let chunk = parse_response(&format!("{CHUNKED}zz\r\n")).1;
     assert!(matches!(chunk, Some(EventStreamError::InvalidChunk { .. })));
 }
 
-/// An event's valid instances are used, and each fault is one of its kind.
+/// An event's valid instances are used, and each invalid one is a fault of its own kind.
 #[test]
-fn faults_of_an_event_have_their_kinds() {
+fn faults_of_an_event() {
     let text = r#"{"pool":{"instances":[7,{},{"instanceId":"a"},
         {"instanceId":"b","hostPort":"x","lifecycle":"ready"},
         {"instanceId":"c","hostPort":"127.0.0.1:1","lifecycle":"asleep"},
@@ -75,13 +81,13 @@
     let event = parse_event(object(&json).expect("an object")).expect("a pool");
     let ids: Vec<&str> = event.endpoints.iter().map(|e| e.id.as_str()).collect();
     assert_eq!(ids, ["d"]);
-    let key = |key| EventError::Instance(InstanceError::MissingField { key });
+    let missing = |key| EventError::Instance(InstanceError::MissingField { key });
     assert_eq!(
         event.faults[..3],
         [
             EventError::Instance(InstanceError::NotAnObject),
-            key("instanceId"),
-            key("hostPort")
+            missing("instanceId"),
+            missing("hostPort")
         ]
     );
     assert!(matches!(
--- a/wrenseam/tests/discovery_log_lines.rs
+++ b/wrenseam/tests/discovery_log_lines.rs
@@ -1,4 +1,4 @@
-//! The text of each log line of discovery, and of each reason in them, as docs/oncall.md lists them.
+//! The text of each log line of discovery, and of each reason in these lines, as docs/oncall.md lists them.
 use rstest::rstest;
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 fn the_end_of_a_connection() {
     assert_eq!(
         log_lines::connection_ended(address(), 7, ConnectionError::Silent),
-        "discovery: connection to 127.0.0.1:9000 ended after event 7: silent"
+        "discovery: connection to 127.0.0.1:9000 ended after event 7: no event and no comment was received in time"
     );
 }
 
@@ -68,13 +68,28 @@
 }
 
 #[rstest]
-#[case::no_address(ConnectionError::NoAddress, "no discovery service is named")]
-#[case::moved(ConnectionError::AddressChanged, "the discovery service has moved")]
-#[case::closed(ConnectionError::Closed, "closed")]
-#[case::silent(ConnectionError::Silent, "silent")]
-#[case::made_anew(ConnectionError::MadeAnew, "made anew")]
+#[case::no_address(
+    ConnectionError::NoAddress,
+    "the configuration names no discovery service"
+)]
+#[case::address_changed(
+    ConnectionError::AddressChanged,
+    "the discovery service has another address"
+)]
+#[case::closed(ConnectionError::Closed, "the service closed the connection")]
+#[case::silent(
+    ConnectionError::Silent,
+    "no event and no comment was received in time"
+)]
+#[case::request_expired(
+    ConnectionError::RequestExpired,
+    "the request is replaced by a new one"
+)]
 #[case::io(ConnectionError::Io(std::io::Error::other("refused")), "refused")]
-#[case::stream(ConnectionError::Stream(EventStreamError::Ended), "the stream ended")]
+#[case::stream(
+    ConnectionError::Stream(EventStreamError::Ended),
+    "the service ended the stream"
+)]
 #[case::watch(
     ConnectionError::Watch(WatchError::Gap { number: 9, last: 7 }),
     "event 9 came after 7"
@@ -84,7 +99,7 @@
     "invalid header name"
 )]
 #[case::long_head(EventStreamError::HeadTooLong, "the response head is too long")]
-#[case::status(EventStreamError::Status(503), "status 503")]
+#[case::status(EventStreamError::Status(503), "the service responded with status 503")]
 #[case::chunk(EventStreamError::InvalidChunk(InvalidChunkSize), "bad chunk size")]
 #[case::long_event(EventStreamError::EventTooLong, "an event is too long")]
 #[case::numbers_restarted(
@@ -114,11 +129,11 @@
         address: "nowhere".to_owned(),
         source: parse_error(),
     },
-    "w1: address nowhere"
+    "instance w1: invalid address nowhere"
 )]
 #[case::instance_state(
     InstanceError::UnknownState { id: "w1".to_owned(), state: "asleep".to_owned() },
-    "w1: state asleep"
+    "instance w1: unknown state asleep"
 )]
 #[case::xds_socket(
     XdsError::NoSocketAddress,
@@ -132,8 +147,11 @@
 )]
 #[case::compacted(ResyncReason::Compacted, "the last known revision was compacted")]
 #[case::cancelled(ResyncReason::Cancelled, "the watch was cancelled")]
-#[case::other_cluster(ResyncReason::OtherCluster, "another cluster answers")]
-#[case::went_back(ResyncReason::RevisionWentBack, "the registry's revision went back")]
+#[case::other_cluster(ResyncReason::OtherCluster, "another cluster responds")]
+#[case::went_back(
+    ResyncReason::RevisionWentBack,
+    "the registry's revision is lower than the last known one"
+)]
 #[case::etcd_not_json(EtcdError::NotJson, "not JSON")]
 #[case::etcd_not_an_object(EtcdError::NotAnObject, "not a JSON object")]
 fn each_reason(#[case] reason: impl Display, #[case] text: &str) {
--- a/wrenseam/tests/discovery_outage.rs
+++ b/wrenseam/tests/discovery_outage.rs
@@ -1,4 +1,4 @@
-//! Front end processes while discovery is out of reach.
+//! Front end processes while the discovery service is unreachable: their workers drain and restart without a report.
 mod platform;
 
 use platform::{
@@ -10,20 +10,20 @@
 
 const WORKERS: usize = 8;
 const CLIENTS_PER_FRONT_END: usize = 6;
-/// Front end processes that run.
-const RUNNING: usize = 3;
-/// A call's work at a worker.
-const WORK: Duration = Duration::from_millis(15);
-/// From the begin of an outage until workers drain.
+/// Number of front end processes that run, of those that the settings state.
+const RUNNING_FRONT_ENDS: usize = 3;
+/// Processing time of a call at a worker.
+const CALL_TIME: Duration = Duration::from_millis(15);
+/// Time from the start of an outage until workers drain.
 const OUTAGE_BEFORE_DRAIN: Duration = Duration::from_millis(400);
-/// What discovery has to tell counts as notified so long after it happened, ms.
+/// A change counts as notified to the front ends so long after it happened, in ms, even if they did not receive it.
 const NOTIFIED_AFTER_MS: u64 = 7_000;
 /// How long workers drain before they stop.
 const DRAIN: Duration = Duration::from_secs(14);
-/// The end of a drain, in which service is measured.
-const LAST_PART: Duration = Duration::from_secs(2);
+/// Length of the periods in which served requests are counted, before the outage and at the end of the drain.
+const MEASURED_PERIOD: Duration = Duration::from_secs(2);
 
-/// Front ends between stand-ins, all running and called.
+/// Front end processes with simulated clients, workers and discovery service, all running.
 struct Platform {
     start: Instant,
     deployment: Deployment,
@@ -36,11 +36,11 @@
 
 impl Platform {
     fn start(deployment: Deployment) -> Platform {
-        let (workers, log) = start_workers(WORKERS, WORK);
+        let (workers, log) = start_workers(WORKERS, CALL_TIME);
         let discovery = DiscoveryService::start(&log);
         let mut clients = Clients::new(1);
         let mut front_ends = Vec::new();
-        for index in 0..RUNNING {
+        for index in 0..RUNNING_FRONT_ENDS {
             let settings = FrontEndSettings {
                 deployment: deployment.clone(),
                 index,
@@ -69,7 +69,7 @@
         platform
     }
 
-    /// Waits until the front ends serve and have confirmed their lists.
+    /// Waits until the front ends serve requests and have confirmed endpoint lists.
     fn wait_until_warm(&self) {
         wait_until("clients are served", Duration::from_secs(10), || {
             self.clients.served_between(self.start, Instant::now()) > 300
@@ -81,7 +81,7 @@
         });
     }
 
-    /// The workers to which most has come.
+    /// The `count` workers that have received most requests and load orders.
     fn busiest(&self, count: usize) -> Vec<StandInWorker> {
         let mut workers = self.workers.clone();
         workers.sort_by_key(|worker| std::cmp::Reverse(worker.arrivals().len()));
@@ -106,7 +106,7 @@
 #[case::silent(Outage::Silent)]
 #[case::stalled(Outage::Stalled)]
 #[case::cut_short(Outage::CutShort)]
-fn drains_that_discovery_cannot_report_get_no_work_once_they_count_as_notified(
+fn draining_workers_get_no_work_once_their_unreported_drains_count_as_notified(
     #[case] outage: Outage,
     #[values(3, 48)] front_ends: usize,
 ) {
@@ -115,22 +115,22 @@
         ..Deployment::default()
     });
     let since = Instant::now();
-    std::thread::sleep(LAST_PART);
-    let usual = platform.clients.served_between(since, Instant::now());
+    std::thread::sleep(MEASURED_PERIOD);
+    let served_before = platform.clients.served_between(since, Instant::now());
     platform.discovery.interrupt(outage);
     std::thread::sleep(OUTAGE_BEFORE_DRAIN);
     platform.drain(&platform.busiest(3));
-    std::thread::sleep(DRAIN - LAST_PART);
+    std::thread::sleep(DRAIN - MEASURED_PERIOD);
     let since = Instant::now();
-    std::thread::sleep(LAST_PART);
+    std::thread::sleep(MEASURED_PERIOD);
     let served = platform.clients.served_between(since, Instant::now());
     platform.clients.stop();
     let notified = Notified::unheard(platform.deployment.drain_grace_ms);
     let late = late_arrivals(&platform.workers, |_| notified, platform.start);
     assert!(late.is_empty(), "{} late: {late:#?}", late.len());
     assert!(
-        served * 2 >= usual,
-        "served {served}, {usual} before the outage"
+        served * 2 >= served_before,
+        "served {served}, {served_before} before the outage"
     );
 }
 
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn front_ends_that_stood_still_send_nothing_to_workers_whose_drains_count_as_notified_meanwhile() {
+fn paused_front_ends_send_nothing_to_workers_whose_drains_count_as_notified_meanwhile() {
     let mut platform = Platform::start(Deployment::default());
     platform.discovery.interrupt(Outage::Refused);
     platform.drain(&platform.busiest(4));
@@ -162,7 +162,7 @@
     for front_end in &platform.front_ends {
         front_end.signal("-CONT");
     }
-    std::thread::sleep(LAST_PART);
+    std::thread::sleep(MEASURED_PERIOD);
     platform.clients.stop();
     let notified = Notified::unheard(platform.deployment.drain_grace_ms);
     let late = late_arrivals(&platform.workers, |_| notified, platform.start);
@@ -172,9 +172,7 @@
 #[rstest]
 #[case::refused(Outage::Refused)]
 #[case::stalled(Outage::Stalled)]
-fn a_worker_whose_restart_discovery_cannot_report_is_not_overloaded_while_it_is_cold(
-    #[case] outage: Outage,
-) {
+fn a_worker_with_an_unreported_restart_is_not_overloaded_while_it_is_cold(#[case] outage: Outage) {
     const QUOTA_PER_S: u64 = 80;
     let mut platform = Platform::start(Deployment {
         quota_per_s: QUOTA_PER_S,
--- a/wrenseam/tests/endpoint_discovery.rs
+++ b/wrenseam/tests/endpoint_discovery.rs
@@ -1,11 +1,11 @@
-//! The endpoint list that the program keeps while its discovery service fails, moves and repeats itself.
+//! The program's endpoint list while its discovery service fails, changes its address or repeats events.
 mod common;
 
 use common::{Harness, Protocol};
 use rstest::rstest;
 
 #[rstest]
-// Guards against the end of the program at SIGHUP, and against a list that is not updated after it.
+// Guards against a program that exits at SIGHUP or no longer updates its list after it.
 #[case::service_moves(
     "
     discovery expect 1
@@ -37,7 +37,7 @@
     endpoint expect w1 draining
     endpoint expect w0 ready"
 )]
-// A new worker has the address of another whose end was never notified.
+// A new worker has the address of another whose end was never reported.
 #[case::address_taken_over(
     "
     discovery expect 1
@@ -47,7 +47,7 @@
     endpoint expect new ready
     endpoint expect old absent"
 )]
-// All workers begin to drain while a call is in flight: its answer still comes.
+// All workers begin to drain while a call is in flight: its response is still delivered.
 #[case::draining_during_a_call(
     "
     client send tile-render - x 5000
@@ -61,7 +61,7 @@
     worker send ok DONE
     client expect served DONE"
 )]
-// The event is watched for again once, then passed over.
+// An event whose only instance is invalid is requested once more; then later events are applied.
 #[case::unreadable_event(
     "
     discovery expect 1
@@ -71,7 +71,7 @@
     discovery send 3 w1 draining
     endpoint expect w1 draining"
 )]
-// The readable events are used though one stays corrupt, and that one is watched for again.
+// Later events are applied while an event stays invalid, and that event is requested again and then applied.
 #[case::corrupt_event_twice(
     "
     discovery expect 1
@@ -86,7 +86,7 @@
     endpoint expect w0 draining
     endpoint expect w1 draining"
 )]
-// A stream that carries comments and no event is replaced.
+// A stream with comments but no event is replaced by a new request.
 #[case::comments_only(
     "
     discovery expect 1
@@ -95,7 +95,7 @@
     discovery send 2 w0 draining
     endpoint expect w0 draining"
 )]
-// A stream that carries nothing, with its connection open, is replaced.
+// A connection that stays open but on which nothing is received is replaced by a new one.
 #[case::silent_service(
     "
     discovery expect 1
