--- a/wrenseam/src/config/error.rs
+++ b/wrenseam/src/config/error.rs
@@ -1,33 +1,33 @@
-//! Why a configuration cannot be used. The texts are what operators read at the start, at a reload and from `check`.
+//! Errors in the configuration. Operators read their texts at startup, at a reload and from `check`.
 use std::net::{AddrParseError, SocketAddr};
 use std::num::ParseIntError;
 use thiserror::Error;
 
-/// Why a configuration cannot be used: the file or variable, the key in it, and what is wrong.
+/// An error in the configuration: the file or variable, the key in it, and what is wrong.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// A variable that must name a file is empty or not set.
+    /// A variable that must hold a file's path is empty or not set.
     #[error("{variable} names no file")]
     NoFileNamed {
         /// The variable.
         variable: &'static str,
     },
-    /// A variable is not set, or is no text.
+    /// A variable is not set or not valid Unicode.
     #[error("{variable}: {source}")]
     UnreadableVariable {
         /// The variable.
         variable: &'static str,
-        /// What is wrong with it.
+        /// Why it cannot be read.
         source: std::env::VarError,
     },
-    /// A variable holds no address.
+    /// A variable does not hold an address.
     #[error("{variable} is not HOST:PORT: {value}")]
     InvalidVariableAddress {
         /// The variable.
         variable: &'static str,
         /// Its value.
         value: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: AddrParseError,
     },
     /// A file cannot be read.
@@ -35,7 +35,7 @@
     UnreadableFile {
         /// The file.
         file: String,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// A file is not JSON.
@@ -50,7 +50,7 @@
         /// The file.
         file: String,
     },
-    /// A key that must be there is missing.
+    /// A required key is missing.
     #[error("{file}: no '{key}'")]
     MissingKey {
         /// The file.
@@ -58,7 +58,7 @@
         /// The key.
         key: &'static str,
     },
-    /// A key holds no address.
+    /// A key does not hold an address.
     #[error("'{key}' is not HOST:PORT: {value}")]
     InvalidAddress {
         /// The file.
@@ -67,30 +67,30 @@
         key: &'static str,
         /// Its value.
         value: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: AddrParseError,
     },
-    /// One of the peers asked to join is no address.
+    /// A peer in the list of seeds is not an address.
     #[error("{file}: seed is not HOST:PORT: {value}")]
     InvalidPeer {
         /// The file.
         file: String,
-        /// The peer as it was given.
+        /// The peer as it is in the file.
         value: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: AddrParseError,
     },
-    /// A list holds an element of another type.
-    #[error("{file}: '{key}' holds {expected}")]
+    /// An element of a list is not a string.
+    #[error("{file}: '{key}' must be a list of {expected}")]
     WrongElement {
         /// The file.
         file: String,
         /// The list's key.
         key: &'static str,
-        /// What it must hold.
+        /// What the list must hold.
         expected: &'static str,
     },
-    /// A key holds neither true nor false.
+    /// A key does not hold a boolean.
     #[error("{file}: '{key}' is neither true nor false")]
     NotABoolean {
         /// The file.
@@ -98,7 +98,7 @@
         /// The key.
         key: &'static str,
     },
-    /// A number is too small or too large.
+    /// A number is out of its range.
     #[error("{file}: '{key}' is {value}, not within {min} to {max}")]
     OutOfRange {
         /// The file.
@@ -107,24 +107,24 @@
         key: &'static str,
         /// The number.
         value: f64,
-        /// The smallest allowed.
+        /// The smallest allowed value.
         min: f64,
-        /// The largest allowed.
+        /// The largest allowed value.
         max: f64,
     },
-    /// A text is too long.
+    /// A string is too long.
     #[error("{file}: '{key}' has {bytes} bytes, {max_bytes} allowed")]
     TooLong {
         /// The file.
         file: String,
-        /// The text's key.
+        /// The string's key.
         key: &'static str,
-        /// Its length.
+        /// Its length in bytes.
         bytes: usize,
-        /// The largest length allowed.
+        /// The largest allowed length in bytes.
         max_bytes: usize,
     },
-    /// A key holds no hexadecimal number.
+    /// A key does not hold a hexadecimal number.
     #[error("'{key}' is not hex: {value}")]
     NotHexadecimal {
         /// The file.
@@ -133,20 +133,20 @@
         key: &'static str,
         /// Its value.
         value: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: ParseIntError,
     },
-    /// The settings name no classes.
+    /// The settings have no classes.
     #[error("the settings name no classes: every request would fail")]
     NoClasses,
-    /// Neither file nor environment name an address for clients.
+    /// Neither the file nor the environment has an address for clients.
     #[error("no address to listen on")]
     NoListenAddress,
-    /// The admin endpoint has the clients' address. Both would listen by `SO_REUSEPORT`, and connections would be
-    /// shared between them.
-    #[error("{setting} is the clients' address {address}: the door needs one of its own")]
+    /// The admin endpoint has the clients' address. Both sockets would bind to it, as they use `SO_REUSEPORT`, and the
+    /// kernel would distribute connections between them.
+    #[error("{setting} is the clients' address {address}: the admin endpoint needs an address of its own")]
     AdminOnClientAddress {
-        /// The key or variable that names it, as it is written for operators.
+        /// The key, in quotes, or the variable that holds the address.
         setting: &'static str,
         /// The address.
         address: SocketAddr,
--- a/wrenseam/src/config/fleet.rs
+++ b/wrenseam/src/config/fleet.rs
@@ -1,45 +1,46 @@
-//! The fleet's file, which `WRENSEAM_FLEET` names.
+//! The fleet's file, whose path is in `WRENSEAM_FLEET`.
 use super::json_file::JsonFile;
 use super::ConfigError;
 use crate::fleet::record::MAX_NAME_BYTES;
 use std::net::SocketAddr;
 
-/// Used where the file names no cluster.
+/// The cluster's name if the file states none.
 const DEFAULT_CLUSTER: &str = "wrenseam";
 
-/// The fleet's file (`deploy/fleet.json`): gossip between front ends, the shared retry budget and shedding.
+/// The content of the fleet's file (for example `deploy/fleet.json`): gossip between front ends, the shared retry
+/// budget and shedding.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
     /// Where the gossip socket (UDP) is bound.
     pub listen: SocketAddr,
-    /// The address that peers send to, as Consul's and memberlist's `advertise`: a relay or proxy in front of `listen`.
-    /// None: the address the socket is bound to.
+    /// The address that peers send to, as `advertise` of Consul and memberlist: that of a relay or proxy in front of
+    /// `listen`. `None`: the address that the socket is bound to.
     pub advertise: Option<SocketAddr>,
-    /// Peers asked to let this front end join.
+    /// Peers that this front end contacts to join the fleet.
     pub seeds: Vec<SocketAddr>,
-    /// The cluster's name: datagrams of another are dropped.
+    /// The cluster's name; datagrams of other clusters are dropped.
     pub cluster: String,
-    /// The zone of this front end, as the others learn it; empty: none.
+    /// The zone of this front end, as it is gossiped to the others; empty: none.
     pub zone: String,
-    /// The fleet's expected size; quotas of the floors are never larger than 1/expected.
+    /// The fleet's expected size. No front end's share of a floor is larger than 1/`expected`.
     pub expected: usize,
-    /// Extra attempts at most this fraction of first attempts (0 to 1).
+    /// Maximum ratio of extra attempts to first attempts, 0 to 1.
     pub retry_ratio: f64,
-    /// Extra attempts a second that the whole fleet may make besides the ratio.
+    /// Extra attempts per second that the whole fleet may make on top of the ratio.
     pub retry_floor_per_s: f64,
-    /// The budget's sliding window, ms.
+    /// Sliding window of the retry budget, in ms.
     pub window_ms: u64,
-    /// How often a random peer is probed, ms; the view's exchanges and summaries have the same period.
+    /// Interval in ms at which a random peer is probed; views and summaries are exchanged at the same interval.
     pub probe_ms: u64,
-    /// After how long a suspect is declared down, ms.
+    /// Time in ms after which a suspected peer is declared down.
     pub suspect_ms: u64,
-    /// Requests in flight at which this front end counts as full, for the pressure.
+    /// Number of open requests at which this front end counts as full when its load pressure is computed.
     pub capacity: u32,
-    /// Classes shed first under overload, first named first.
+    /// Classes that are shed under overload, the first one first.
     pub shed_order: Vec<String>,
-    /// The Retry-After of requests that are shed, ms.
+    /// The Retry-After of shed requests, in ms.
     pub shed_wait_ms: u64,
-    /// Whether summaries are gossiped while a front end of a version without the view is a member.
+    /// Whether summaries are gossiped while a member runs a version that does not exchange views.
     pub summaries: bool,
 }
 
@@ -48,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// A [`ConfigError`] if the file cannot be read, has no `listen`, or holds a value that cannot be used.
+    /// A [`ConfigError`] if the file cannot be read, has no `listen`, or holds an invalid value.
     pub fn read(path: &str) -> Result<FleetConfig, ConfigError> {
         let file = JsonFile::read(path)?;
         Ok(FleetConfig {
@@ -73,7 +74,7 @@
 
 fn seeds(file: &JsonFile) -> Result<Vec<SocketAddr>, ConfigError> {
     let mut seeds = Vec::new();
-    for value in file.texts("seeds", "HOST:PORT texts")? {
+    for value in file.texts("seeds", "HOST:PORT strings")? {
         let seed = value.parse().map_err(|source| ConfigError::InvalidPeer {
             file: file.path(),
             value: value.to_owned(),
--- a/wrenseam/src/config/json_file.rs
+++ b/wrenseam/src/config/json_file.rs
@@ -5,7 +5,7 @@
 use std::ops::RangeInclusive;
 use wrenseam_policy::json::{as_text, list, number, parse, part, text};
 
-/// The file's path, for errors, and its fields.
+/// The file's path, which errors name, and its fields.
 pub(super) struct JsonFile {
     path: String,
     fields: Object,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The path, owned, as errors hold it.
+    /// A copy of the path for an error.
     pub(super) fn path(&self) -> String {
         self.path.clone()
     }
@@ -47,25 +47,25 @@
         text(&self.fields, key)
     }
 
-    /// The texts of a list, which may be absent. `expected` tells operators what the list holds.
+    /// The strings of a list, which may be absent. `expected` tells operators what the list must hold.
     pub(super) fn texts(
         &self,
         key: &'static str,
         expected: &'static str,
     ) -> Result<Vec<&str>, ConfigError> {
-        let mut texts = Vec::new();
+        let mut strings = Vec::new();
         for value in list(&self.fields, key) {
-            let text = as_text(value).ok_or_else(|| ConfigError::WrongElement {
+            let string = as_text(value).ok_or_else(|| ConfigError::WrongElement {
                 file: self.path(),
                 key,
                 expected,
             })?;
-            texts.push(text);
+            strings.push(string);
         }
-        Ok(texts)
+        Ok(strings)
     }
 
-    /// An address, which may be absent; a value that is no text counts as absent.
+    /// An address, which may be absent; a value that is not a string counts as absent.
     pub(super) fn address(&self, key: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
         let Some(value) = self.text(key) else {
             return Ok(None);
@@ -88,7 +88,7 @@
         })
     }
 
-    /// A number within a range; a value that is no number counts as absent.
+    /// A number, which must be within a range; an absent value, or one that is not a number, counts as `default`.
     pub(super) fn number_within(
         &self,
         key: &'static str,
@@ -108,7 +108,7 @@
         })
     }
 
-    /// A mark; absent counts as `default`.
+    /// A boolean; an absent one counts as `default`.
     pub(super) fn boolean(&self, key: &'static str, default: bool) -> Result<bool, ConfigError> {
         match self.value(key) {
             None => Ok(default),
--- a/wrenseam/src/config/kserve.rs
+++ b/wrenseam/src/config/kserve.rs
@@ -1,17 +1,17 @@
-//! The file of the KServe v2 front, which `WRENSEAM_KSERVE` names.
+//! The file of the KServe v2 front, whose path is in `WRENSEAM_KSERVE`.
 use super::json_file::JsonFile;
 use super::ConfigError;
 use miniserde::json::Object;
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// The KServe v2 front's file.
+/// The content of the KServe v2 front's file.
 pub struct KserveConfig {
     /// Where v2 clients connect.
     pub listen: SocketAddr,
-    /// Where the read-only administration API listens, if it is wanted.
+    /// Where the read-only administration API listens; `None`: there is none.
     pub admin: Option<SocketAddr>,
-    /// v2 workers, as an xDS discovery response of endpoints (ClusterLoadAssignment resources).
+    /// The v2 workers, as an xDS discovery response of `ClusterLoadAssignment` resources; `None`: the file names none.
     pub endpoints: Option<Object>,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// The file of endpoints lies beside this one, unless its path is absolute.
+/// Reads the file of endpoints, whose path is relative to the folder of this file unless it is absolute.
 fn endpoints(file: &JsonFile, path: &str) -> Result<Option<Object>, ConfigError> {
     let Some(name) = file.text("endpoints") else {
         return Ok(None);
--- a/wrenseam/src/config/mod.rs
+++ b/wrenseam/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! The start configuration: environment, the platform's file (`NODE_CONFIG`) and the files of the KServe v2 front and of
-//! the fleet.
+//! The start configuration, from environment variables, the platform's file (`NODE_CONFIG`), and the files of the
+//! KServe v2 front (`WRENSEAM_KSERVE`) and of the fleet (`WRENSEAM_FLEET`).
 mod error;
 mod fleet;
 mod json_file;
@@ -18,25 +18,26 @@
 pub use fleet::FleetConfig;
 pub use kserve::KserveConfig;
 
-/// Names the platform's file.
+/// Variable with the path of the platform's file.
 const CONFIG_VARIABLE: &str = "NODE_CONFIG";
-/// Replaces the file's `name`.
+/// Variable that overrides `name` in the platform's file.
 const NAME_VARIABLE: &str = "NODE_NAME";
-/// Replaces the file's `listen`.
+/// Variable that overrides `listen` in the platform's file.
 const LISTEN_VARIABLE: &str = "NODE_LISTEN";
-/// Replaces the file's `admin`.
+/// Variable that overrides `admin` in the platform's file.
 const ADMIN_VARIABLE: &str = "NODE_ADMIN";
-/// Names the KServe v2 front's file; off on the platform, which does not set it.
+/// Variable with the path of the KServe v2 front's file. Without it the front is off, as on the platform.
 const KSERVE_VARIABLE: &str = "WRENSEAM_KSERVE";
-/// Names the fleet's file; off on the platform too.
+/// Variable with the path of the fleet's file. Without it front ends do not gossip, as on the platform.
 const FLEET_VARIABLE: &str = "WRENSEAM_FLEET";
 
-/// The key of the discovery service's address in the platform's file.
+/// Key of the discovery service's address in the platform's file.
 const DISCOVERY_SERVICE_KEY: &str = "board";
 
-/// Memory in MB and descriptors of the process, where the platform's file has no limits.
+/// Memory limit of the process, in MB, if the platform's file states none.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
-const DEFAULT_SOCKETS: f64 = 1024.0;
+/// Limit of the process's file descriptors if the platform's file states none.
+const DEFAULT_DESCRIPTORS: f64 = 1024.0;
 
 /// The start configuration.
 pub struct Config {
@@ -44,42 +45,42 @@
     pub name: String,
     /// Where FastCGI clients connect.
     pub listen: SocketAddr,
-    /// Address of the discovery service, if there is one.
+    /// Address of the discovery service; `None`: the platform's file states none.
     pub discovery_service: Option<SocketAddr>,
-    /// The discovery service's events up to now.
+    /// The discovery service's events up to the start, as the platform's file holds them.
     pub known_events: Object,
-    /// Seed of the random numbers.
+    /// Seed of all random numbers; 0 if the platform's file states none.
     pub seed: u64,
     /// The settings of the deployment.
     pub settings: Settings,
-    /// What in them cannot be used and counts as not stated.
+    /// Invalid settings, which count as not stated.
     pub faults: Vec<SettingsFault>,
-    /// All limits.
+    /// Sizes, counts and times of the process.
     pub limits: Limits,
-    /// A digest of the settings; with the discovery service's address it shows front ends that run by another
-    /// configuration.
+    /// A digest of the settings. Together with the discovery service's address it detects front ends that run with
+    /// another configuration; see [`Config::configuration_digest`].
     pub settings_digest: u64,
-    /// The KServe v2 front, where it is on.
+    /// The configuration of the KServe v2 front; `None`: it is off.
     pub kserve: Option<KserveConfig>,
-    /// Where the admin endpoint listens (`admin`, or `NODE_ADMIN`), if it is wanted.
+    /// Where the admin endpoint listens (`admin`, or `NODE_ADMIN`); `None`: there is none.
     pub admin: Option<SocketAddr>,
-    /// Membership and budgets of the fleet, where `WRENSEAM_FLEET` names their file.
+    /// The configuration of the fleet's gossip and budgets; `None`: `WRENSEAM_FLEET` is not set.
     pub fleet: Option<FleetConfig>,
 }
 
 impl Config {
-    /// Reads the environment and the files that it names.
+    /// Reads the environment variables and the files that they name.
     ///
     /// # Errors
     ///
-    /// A [`ConfigError`] for the first variable or file that cannot be used.
+    /// A [`ConfigError`] for the first invalid variable or file.
     pub fn from_environment() -> Result<Config, ConfigError> {
         let path = variable(CONFIG_VARIABLE).ok_or(ConfigError::NoFileNamed {
             variable: CONFIG_VARIABLE,
         })?;
         let file = JsonFile::read(&path)?;
         let mut config = Config::parse(&file, variable_address(LISTEN_VARIABLE))?;
-        // Its known events may take much of the memory.
+        // Freed early: its known events may take much of the memory.
         drop(file);
         if let Some(name) = variable(NAME_VARIABLE) {
             config.name = name;
@@ -97,11 +98,11 @@
         Ok(config)
     }
 
-    /// Reads these files, whatever the environment says.
+    /// Reads these files and ignores the environment.
     ///
     /// # Errors
     ///
-    /// A [`ConfigError`] for the first file that cannot be used.
+    /// A [`ConfigError`] for the first invalid file.
     pub fn from_files(config: &Path, kserve: Option<&Path>) -> Result<Config, ConfigError> {
         let file = JsonFile::read(&config.to_string_lossy())?;
         let mut config = Config::parse(&file, None)?;
@@ -111,11 +112,12 @@
         Ok(config)
     }
 
-    /// The discovery service's address as the platform's file has it now; all else in the file holds from start to end.
+    /// Reads the discovery service's address from the platform's file again, for a reload. Everything else in the file
+    /// applies until the process ends.
     ///
     /// # Errors
     ///
-    /// A [`ConfigError`] if the file cannot be read or names no address.
+    /// A [`ConfigError`] if the file cannot be read or has no valid address.
     pub fn discovery_service_now() -> Result<SocketAddr, ConfigError> {
         let path =
             std::env::var(CONFIG_VARIABLE).map_err(|source| ConfigError::UnreadableVariable {
@@ -125,7 +127,7 @@
         JsonFile::read(&path)?.required_address(DISCOVERY_SERVICE_KEY)
     }
 
-    /// The digest of this configuration with the discovery service at another address.
+    /// The digest of a configuration: of its settings and the discovery service's current address.
     pub fn configuration_digest(
         settings_digest: u64,
         discovery_service: Option<SocketAddr>,
@@ -133,7 +135,7 @@
         mix(settings_digest ^ discovery_service.map_or(0, address_hash))
     }
 
-    /// Reads the platform's file; `listen` replaces its address for clients.
+    /// Parses the platform's file; `listen` overrides its address for clients.
     fn parse(
         file: &JsonFile,
         listen: Option<Result<SocketAddr, ConfigError>>,
@@ -141,8 +143,8 @@
         let empty = Object::new();
         let settings_fields = file.object("settings").unwrap_or(&empty);
         let settings = parse_settings(settings_fields)?;
-        // Before the known events are copied: what is allocated behind them keeps the heap from shrinking once they are
-        // freed (`tests/large_list.rs`: at most 64 MB instead of 86 MB with 20,000 workers).
+        // Computed before the known events are copied: allocations made after them keep the heap from shrinking once
+        // they are freed (`tests/large_list.rs`: at most 64 MB instead of 86 MB with 20,000 workers).
         let faults = Settings::faults(settings_fields);
         let listen = match listen {
             Some(address) => Some(address?),
@@ -183,8 +185,8 @@
 
 fn parse_limits(fields: &Object, settings: &Settings) -> Limits {
     let memory_mb = number(fields, "memory_mb").unwrap_or(DEFAULT_MEMORY_MB);
-    let sockets = number(fields, "sockets").unwrap_or(DEFAULT_SOCKETS);
-    Limits::new(memory_mb as u64, sockets as u64, settings)
+    let descriptors = number(fields, "sockets").unwrap_or(DEFAULT_DESCRIPTORS);
+    Limits::new(memory_mb as u64, descriptors as u64, settings)
 }
 
 fn parse_seed(file: &JsonFile) -> Result<u64, ConfigError> {
@@ -197,7 +199,8 @@
     })
 }
 
-/// Port 0 is never the clients' port: each socket gets one of its own.
+/// Checks that the admin endpoint does not have the clients' address. Port 0 is no conflict: each socket gets a port of
+/// its own.
 fn check_admin_address(
     setting: &'static str,
     admin: SocketAddr,
@@ -212,7 +215,7 @@
     Ok(())
 }
 
-/// A variable's text; an empty one counts as not set.
+/// A variable's value; an empty one counts as not set.
 fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
--- a/wrenseam/tests/config_errors.rs
+++ b/wrenseam/tests/config_errors.rs
@@ -1,11 +1,11 @@
-//! The exact text that an operator reads for each configuration that cannot be used.
+//! The exact text that an operator reads for each invalid configuration.
 use rstest::rstest;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
 const CLASS: &str = r#""settings":{"classes":[{"name":"tile-render"}]}"#;
 
-/// A folder for the files of one test case, removed with it.
+/// A folder for the files of one test case; dropping it removes the folder.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -32,8 +32,8 @@
     }
 }
 
-/// Runs the program, which must fail, and returns what it wrote to standard error.
-fn failure(command: &mut Command) -> String {
+/// Runs the program, which must fail, and returns its standard error.
+fn stderr_of_failure(command: &mut Command) -> String {
     let output = command.output().expect("the program runs");
     assert_eq!(output.status.code(), Some(1));
     assert!(output.stdout.is_empty());
@@ -74,7 +74,7 @@
 )]
 #[case::admin_on_the_client_address(
     r#"{"listen":"127.0.0.1:7","admin":"127.0.0.1:7",CLASS}"#,
-    "check: 'admin' is the clients' address 127.0.0.1:7: the door needs one of its own\n"
+    "check: 'admin' is the clients' address 127.0.0.1:7: the admin endpoint needs an address of its own\n"
 )]
 #[case::no_classes(
     r#"{"listen":"127.0.0.1:0"}"#,
@@ -84,11 +84,14 @@
     r#"{"listen":"127.0.0.1:0","seed":"xyz",CLASS}"#,
     "check: 'seed' is not hex: xyz\n"
 )]
-fn the_platform_file_that_cannot_be_used(#[case] text: &str, #[case] expected: &str) {
+fn errors_in_the_platform_file(#[case] text: &str, #[case] expected: &str) {
     let folder = Folder::new("platform");
     let path = folder.write("config.json", &text.replace("CLASS", CLASS));
     let expected = expected.replace("FILE", &path.to_string_lossy());
-    assert_eq!(failure(program().arg("check").arg(&path)), expected);
+    assert_eq!(
+        stderr_of_failure(program().arg("check").arg(&path)),
+        expected
+    );
 }
 
 /// `FILE` in the expected text stands for the path of the fleet's file.
@@ -97,7 +100,7 @@
 #[case::bad_listen(r#"{"listen":"7946"}"#, "check: 'listen' is not HOST:PORT: 7946\n")]
 #[case::seeds_of_numbers(
     r#"{"listen":"127.0.0.1:0","seeds":[7]}"#,
-    "check: FILE: 'seeds' holds HOST:PORT texts\n"
+    "check: FILE: 'seeds' must be a list of HOST:PORT strings\n"
 )]
 #[case::bad_seed(
     r#"{"listen":"127.0.0.1:0","seeds":["peer"]}"#,
@@ -105,7 +108,7 @@
 )]
 #[case::shed_order_of_numbers(
     r#"{"listen":"127.0.0.1:0","shed_order":[7]}"#,
-    "check: FILE: 'shed_order' holds class names\n"
+    "check: FILE: 'shed_order' must be a list of class names\n"
 )]
 #[case::summaries_in_words(
     r#"{"listen":"127.0.0.1:0","summaries":"yes"}"#,
@@ -131,7 +134,7 @@
     r#"{"listen":"127.0.0.1:0","shed_order":["tile-render","nothing"]}"#,
     "check: the fleet's shed_order names nothing, which is no class of the settings\n"
 )]
-fn the_fleet_file_that_cannot_be_used(#[case] text: &str, #[case] expected: &str) {
+fn errors_in_the_fleet_file(#[case] text: &str, #[case] expected: &str) {
     let folder = Folder::new("fleet");
     let config = folder.write(
         "config.json",
@@ -139,14 +142,14 @@
     );
     let fleet = folder.write("fleet.json", &text.replace("ZONE", &"z".repeat(300)));
     let expected = expected.replace("FILE", &fleet.to_string_lossy());
-    let written = failure(
+    let stderr = stderr_of_failure(
         program()
             .arg("check")
             .arg(&config)
             .arg("--fleet")
             .arg(&fleet),
     );
-    assert_eq!(written, expected);
+    assert_eq!(stderr, expected);
 }
 
 /// `FILE` in the expected text stands for the path of the KServe front's file, `FOLDER` for its folder.
@@ -160,7 +163,7 @@
     r#"{"listen":"127.0.0.1:0","endpoints":"none.json"}"#,
     "check: FOLDER/none.json: No such file or directory (os error 2)\n"
 )]
-fn the_kserve_file_that_cannot_be_used(#[case] text: &str, #[case] expected: &str) {
+fn errors_in_the_kserve_file(#[case] text: &str, #[case] expected: &str) {
     let folder = Folder::new("kserve");
     let config = folder.write(
         "config.json",
@@ -170,24 +173,24 @@
     let expected = expected
         .replace("FILE", &kserve.to_string_lossy())
         .replace("FOLDER", &folder.0.to_string_lossy());
-    let written = failure(
+    let stderr = stderr_of_failure(
         program()
             .arg("check")
             .arg(&config)
             .arg("--kserve")
             .arg(&kserve),
     );
-    assert_eq!(written, expected);
+    assert_eq!(stderr, expected);
 }
 
-/// Variables of the environment that `serve` cannot use, beside a sound file.
+/// Invalid environment variables, with a valid file.
 #[rstest]
 #[case::listen("NODE_LISTEN", "here", "start: NODE_LISTEN is not HOST:PORT: here\n")]
 #[case::admin("NODE_ADMIN", "there", "start: NODE_ADMIN is not HOST:PORT: there\n")]
 #[case::admin_on_the_client_address(
     "NODE_ADMIN",
     "127.0.0.1:7",
-    "start: NODE_ADMIN is the clients' address 127.0.0.1:7: the door needs one of its own\n"
+    "start: NODE_ADMIN is the clients' address 127.0.0.1:7: the admin endpoint needs an address of its own\n"
 )]
 #[case::no_config("NODE_CONFIG", "", "start: NODE_CONFIG names no file\n")]
 #[case::no_such_config(
@@ -205,11 +208,7 @@
     "none.json",
     "start: none.json: No such file or directory (os error 2)\n"
 )]
-fn an_environment_that_cannot_be_used(
-    #[case] variable: &str,
-    #[case] value: &str,
-    #[case] expected: &str,
-) {
+fn errors_in_the_environment(#[case] variable: &str, #[case] value: &str, #[case] expected: &str) {
     let folder = Folder::new("environment");
     let config = folder.write(
         "config.json",
@@ -220,17 +219,17 @@
         .current_dir(&folder.0)
         .env("NODE_CONFIG", &config)
         .env(variable, value);
-    assert_eq!(failure(&mut command), expected);
+    assert_eq!(stderr_of_failure(&mut command), expected);
 }
 
-/// What a reload logs behind `reload: nothing changed: `.
+/// The texts that a reload logs after `reload: configuration unchanged: `.
 #[test]
-fn a_reload_that_cannot_be_used() {
+fn errors_at_a_reload() {
     let folder = Folder::new("reload");
     let text = |path: &Path| {
         std::env::set_var("NODE_CONFIG", path);
         wrenseam::config::Config::discovery_service_now()
-            .expect_err("unusable")
+            .expect_err("an invalid configuration")
             .to_string()
     };
     let no_board = folder.write("no-board.json", "{}");
@@ -251,7 +250,7 @@
     std::env::remove_var("NODE_CONFIG");
     assert_eq!(
         wrenseam::config::Config::discovery_service_now()
-            .expect_err("unusable")
+            .expect_err("an invalid configuration")
             .to_string(),
         "NODE_CONFIG: environment variable not found"
     );
