--- a/wrenseam/src/core/fleet_admission.rs
+++ b/wrenseam/src/core/fleet_admission.rs
@@ -1,6 +1,6 @@
 //! Admission control by the fleet's limits: load shedding when a request arrives, and the retry budget for each attempt
 //! after the first. `crate::fleet` has the algorithms; this module holds their state and the totals for `telemetry`.
-use crate::config::Fleet;
+use crate::config::FleetConfig;
 use crate::fleet::traffic::TrafficKind;
 use crate::fleet::{FleetSize, FleetStatus, Lifecycle, RetryBudget, Shedder, Summary};
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
@@ -39,7 +39,7 @@
 impl FleetAdmission {
     /// Admission control as the fleet's file configures it. Names in the shed order that are not classes of the
     /// settings are ignored.
-    pub fn new(fleet: &Fleet, settings: &Settings, seed: u64) -> FleetAdmission {
+    pub fn new(fleet: &FleetConfig, settings: &Settings, seed: u64) -> FleetAdmission {
         let window = fleet.window_ms * 1000;
         let shed_order: Vec<usize> = fleet
             .shed_order
--- a/wrenseam/src/core/timer_events.rs
+++ b/wrenseam/src/core/timer_events.rs
@@ -41,7 +41,7 @@
     /// yet, so the probe would close connections that do respond.
     fn check_liveness(&mut self) {
         let now = self.clock.now();
-        let period = self.limits.link_check;
+        let period = self.limits.keepalive_check_interval;
         if now < self.last_liveness_check + 2 * period {
             self.workers.check_liveness();
             let clients = self
--- a/wrenseam/src/shutdown.rs
+++ b/wrenseam/src/shutdown.rs
@@ -74,7 +74,7 @@
     discovery: &DiscoveryAddress,
 ) {
     eprintln!("{}", messages::discovery_moved(address));
-    let digest = Config::digest_with(settings_digest, Some(address));
+    let digest = Config::configuration_digest(settings_digest, Some(address));
     let config_digest = &context.process_state.config_digest;
     config_digest.store(digest, Ordering::Release);
     if discovery.set(address) {
@@ -90,13 +90,13 @@
 /// Reports not ready at once, so that new clients go to the process that replaces this one.
 fn start_draining(context: &ListenerContext) {
     let _ = admin::ask(context, AdminCommand::Evacuate); // the shutdown continues without the core's reply
-    let message = messages::shutdown_started(context.limits.stop_listening);
+    let message = messages::shutdown_started(context.limits.listener_close_delay);
     eprintln!("{message}");
 }
 
 /// Serves as usual for the grace period, in which the gateway may still open connections and send requests.
 fn serve_for_grace_period(context: &ListenerContext) {
-    std::thread::sleep(context.limits.stop_listening);
+    std::thread::sleep(context.limits.listener_close_delay);
 }
 
 fn reject_new_requests(context: &ListenerContext) {
@@ -118,7 +118,9 @@
 fn close_connections(context: &ListenerContext) {
     context.shutting_down.store(true, Ordering::Release);
     let started_at = Instant::now();
-    while remaining(context, started_at) > 0 && started_at.elapsed() < context.limits.stop_at_last {
+    while remaining(context, started_at) > 0
+        && started_at.elapsed() < context.limits.shutdown_timeout
+    {
         std::thread::sleep(CHECK_INTERVAL);
     }
 }
@@ -132,7 +134,7 @@
         .process_state
         .client_connections
         .load(Ordering::Acquire);
-    if started_at.elapsed() < context.limits.linger {
+    if started_at.elapsed() < context.limits.linger_timeout {
         accept_loops + connections
     } else {
         connections
