--- a/scalelab/src/worker_connections/mod.rs
+++ b/scalelab/src/worker_connections/mod.rs
@@ -13,7 +13,7 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 use wrenseam::limits::RESERVED_DESCRIPTORS;
-use wrenseam::worker::pool::Pool;
+use wrenseam::worker::pool::PoolLimit;
 
 /// The experiments of this file.
 pub const EXPERIMENTS: &[Experiment] = &[
@@ -65,7 +65,7 @@
 
 /// Connections that the pool keeps open beside the experiment's clients.
 pub fn most(max_descriptors: usize) -> f64 {
-    Pool::new(max_descriptors, RESERVED_DESCRIPTORS).max_connections(CLIENTS as usize) as f64
+    PoolLimit::new(max_descriptors, RESERVED_DESCRIPTORS).max_connections(CLIENTS as usize) as f64
 }
 
 /// The functions' parts of all requests, by rank.
--- a/wrenseam/src/core/endpoints.rs
+++ b/wrenseam/src/core/endpoints.rs
@@ -6,7 +6,7 @@
 use crate::discovery::membership::Change;
 use crate::limits::RESERVED_DESCRIPTORS;
 use crate::model::{Endpoint, TransportProtocol};
-use crate::worker::pool::Pool;
+use crate::worker::pool::PoolLimit;
 use crate::worker::transport;
 use std::sync::atomic::Ordering;
 use wrenseam_policy::json::position;
@@ -86,7 +86,7 @@
     }
 
     /// How many connections to workers there may be.
-    pub(super) fn connection_pool(&self) -> Pool {
-        Pool::new(self.limits.descriptors, RESERVED_DESCRIPTORS)
+    pub(super) fn connection_pool(&self) -> PoolLimit {
+        PoolLimit::new(self.limits.descriptors, RESERVED_DESCRIPTORS)
     }
 }
--- a/wrenseam/src/core/tables/workers.rs
+++ b/wrenseam/src/core/tables/workers.rs
@@ -1,7 +1,7 @@
 //! The listed workers with the transports that lead to them, and the bound on connections over all of them.
 use crate::discovery::membership::ConnectionAction;
 use crate::model::{AttemptKey, Endpoint};
-use crate::worker::pool::{longest_idle, ConnectionCounts, IdleConnection, Pool};
+use crate::worker::pool::{longest_idle, ConnectionCounts, IdleConnection, PoolLimit};
 use crate::worker::{CancelOutcome, Transport};
 use std::collections::btree_map::{BTreeMap, Entry};
 use wrenseam_policy::{FunctionId, WorkerState};
@@ -173,7 +173,7 @@
 
     /// Whether an attempt at this worker finds a connection or may open one, beside so many client connections. Where
     /// descriptors run short, the connections idle longest are closed for it, whichever worker they lead to.
-    pub fn make_room(&mut self, worker: &str, pool: Pool, clients: usize) -> bool {
+    pub fn make_room(&mut self, worker: &str, pool: PoolLimit, clients: usize) -> bool {
         let needs_connection = self
             .0
             .get(worker)
@@ -182,7 +182,7 @@
     }
 
     /// Closes the connections idle longest until `more` may be opened; false if too many are in use.
-    pub fn trim(&mut self, more: usize, pool: Pool, clients: usize) -> bool {
+    pub fn trim(&mut self, more: usize, pool: PoolLimit, clients: usize) -> bool {
         let excess = pool.excess(ConnectionCounts {
             open: self.connections(),
             additional: more,
--- a/wrenseam/src/discovery/client.rs
+++ b/wrenseam/src/discovery/client.rs
@@ -6,7 +6,7 @@
 use crate::discovery::watch::{WatchError, WatchState};
 use crate::limits::DiscoveryLimits;
 use crate::model::{DiscoveryContact, TransportProtocol};
-use crate::net::timed_out;
+use crate::net::would_block;
 use crate::queue::CoreHandle;
 use crate::ring::Ring;
 use may::net::TcpStream;
@@ -274,7 +274,7 @@
                 self.last_read_at = Instant::now();
                 self.has_read = true;
             }
-            Err(error) if timed_out(&error) => {
+            Err(error) if would_block(&error) => {
                 if self.last_read_at.elapsed() >= silence_timeout {
                     return Err(ConnectionError::Silent);
                 }
--- a/wrenseam/src/front/admin/line.rs
+++ b/wrenseam/src/front/admin/line.rs
@@ -1,5 +1,5 @@
 //! Reads the one line of a connection.
-use crate::net::timed_out;
+use crate::net::would_block;
 use may::net::TcpStream;
 use std::io::{self, Read};
 use std::string::FromUtf8Error;
@@ -55,7 +55,7 @@
             // A caller may close its side behind the line, instead of a newline.
             Ok(0) => return Ok(String::from_utf8(line)?),
             Ok(read) => line.extend_from_slice(&chunk[..read]),
-            Err(error) if timed_out(&error) => {}
+            Err(error) if would_block(&error) => {}
             Err(error) => return Err(error.into()),
         }
     }
--- a/wrenseam/src/net/failure.rs
+++ b/wrenseam/src/net/failure.rs
@@ -35,7 +35,7 @@
 }
 
 /// Whether an error of a blocking call only means that its time was up.
-pub fn timed_out(error: &io::Error) -> bool {
+pub fn would_block(error: &io::Error) -> bool {
     Failure::of(error) == Failure::Again
 }
 
--- a/wrenseam/src/net/mod.rs
+++ b/wrenseam/src/net/mod.rs
@@ -10,7 +10,7 @@
 mod writer;
 
 pub use calls::{write_now, DirectCalls, SystemCalls};
-pub use failure::{receive, timed_out, Failure, ReadOutcome};
+pub use failure::{receive, would_block, Failure, ReadOutcome};
 pub use fairness::ReadFairness;
 pub use outbox::Outbox;
 pub use slots::{ConnectionSlot, ConnectionSlots, SlotGuard};
--- a/wrenseam/src/net/outbox.rs
+++ b/wrenseam/src/net/outbox.rs
@@ -1,6 +1,6 @@
 //! The sending side of a client connection: answers are queued from any thread, and a coroutine writes them.
 use super::writer::{ConnectionWriter, UnsentBytes, WriteCommand};
-use super::{messages, sleep, spawn, timed_out, DirectCalls, SystemCalls};
+use super::{messages, sleep, spawn, would_block, DirectCalls, SystemCalls};
 use crate::limits::Limits;
 use crate::memory_budget::MemoryBudget;
 use crate::model::{ClientProbe, ClientState};
@@ -38,7 +38,7 @@
         };
         match socket.0.inner().peek(&mut [0]) {
             Ok(unread) if unread > 0 => ClientState::UnreadInput,
-            Err(error) if timed_out(&error) => ClientState::Connected,
+            Err(error) if would_block(&error) => ClientState::Connected,
             _ => ClientState::Disconnected,
         }
     }
@@ -199,7 +199,7 @@
         while discarded <= limits.discard {
             match stream.read(&mut bytes) {
                 Ok(read) if read > 0 => discarded += read,
-                Err(error) if timed_out(&error) => {}
+                Err(error) if would_block(&error) => {}
                 _ => return,
             }
             // An aborted connection's slot may be wanted for others before the linger is over.
--- a/wrenseam/src/worker/pool.rs
+++ b/wrenseam/src/worker/pool.rs
@@ -17,7 +17,7 @@
 
 /// The bound on worker connections.
 #[derive(Clone, Copy, Debug)]
-pub struct Pool {
+pub struct PoolLimit {
     /// Connections of clients and workers together.
     total: usize,
     /// Worker connections that may be open whatever the clients take.
@@ -46,12 +46,12 @@
     pub idle_since: T,
 }
 
-impl Pool {
+impl PoolLimit {
     /// The bound under a limit of descriptors, of which `reserved_descriptors` are kept for other use.
-    pub fn new(descriptors: usize, reserved_descriptors: usize) -> Pool {
+    pub fn new(descriptors: usize, reserved_descriptors: usize) -> PoolLimit {
         let shared = descriptors.saturating_sub(reserved_descriptors);
         let reserved = descriptors / RESERVED_PART / DESCRIPTORS_PER_CONNECTION;
-        Pool {
+        PoolLimit {
             total: shared / DESCRIPTORS_PER_CONNECTION,
             reserved: reserved.max(1),
             spare: descriptors / SPARE_PART / DESCRIPTORS_PER_CONNECTION,
--- a/wrenseam/src/worker/socket.rs
+++ b/wrenseam/src/worker/socket.rs
@@ -1,6 +1,6 @@
 //! What the connections of both protocols do alike with their sockets.
 use crate::limits::Limits;
-use crate::net::timed_out;
+use crate::net::would_block;
 use may::net::TcpStream;
 use std::time::Duration;
 
@@ -14,5 +14,5 @@
 
 /// Whether nothing lies unread on the connection, not even its end.
 pub(super) fn has_no_unread_input(stream: &TcpStream) -> bool {
-    matches!(stream.inner().peek(&mut [0]), Err(error) if timed_out(&error))
+    matches!(stream.inner().peek(&mut [0]), Err(error) if would_block(&error))
 }
--- a/wrenseam/tests/pool.rs
+++ b/wrenseam/tests/pool.rs
@@ -1,7 +1,7 @@
 //! How many connections to workers may be open, and which ones are closed first.
 use rstest::rstest;
 use wrenseam::worker::pool::{
-    longest_idle, ConnectionCounts, IdleConnection, Pool, DESCRIPTORS_PER_CONNECTION,
+    longest_idle, ConnectionCounts, IdleConnection, PoolLimit, DESCRIPTORS_PER_CONNECTION,
 };
 
 /// Descriptors of the pool under test, and how many of them are kept for other use.
@@ -18,7 +18,7 @@
     #[case] clients: usize,
     #[case] excess: usize,
 ) {
-    let pool = Pool::new(DESCRIPTORS, RESERVED);
+    let pool = PoolLimit::new(DESCRIPTORS, RESERVED);
     let counts = ConnectionCounts {
         open,
         additional: 0,
@@ -34,7 +34,7 @@
 
 #[test]
 fn an_additional_connection_counts_as_open() {
-    let pool = Pool::new(DESCRIPTORS, RESERVED);
+    let pool = PoolLimit::new(DESCRIPTORS, RESERVED);
     let counts = ConnectionCounts {
         open: pool.max_connections(341),
         additional: 1,
@@ -51,5 +51,5 @@
         ["a", "b"]
     );
     assert!(longest_idle(vec![idle("a", 3)], 0).is_empty());
-    assert!(Pool::new(0, RESERVED).max_connections(1_000) > 0);
+    assert!(PoolLimit::new(0, RESERVED).max_connections(1_000) > 0);
 }
--- a/wrenseam/tests/worker_table.rs
+++ b/wrenseam/tests/worker_table.rs
@@ -4,7 +4,7 @@
 use wrenseam::core::tables::WorkerTable;
 use wrenseam::discovery::membership::ConnectionAction;
 use wrenseam::model::{AttemptKey, Endpoint, Request, TransportProtocol};
-use wrenseam::worker::pool::Pool;
+use wrenseam::worker::pool::PoolLimit;
 use wrenseam::worker::{AttemptLimits, CancelOutcome, ConnectionUsage, Transport};
 use wrenseam_policy::{FunctionId, WorkerState};
 
@@ -255,7 +255,7 @@
         };
         connect(&mut table, id, transport);
     }
-    let pool = Pool::new(64, 64); // no descriptor beside the least of four connections
+    let pool = PoolLimit::new(64, 64); // no descriptor beside the least of four connections
     assert!(table.trim(2, pool, 0) && calls.take().is_empty());
     assert!(table.trim(3, pool, 0));
     assert_eq!(calls.take(), ["early closes the connection idle longest"]);
