--- a/wrenseam/src/net/calls.rs
+++ b/wrenseam/src/net/calls.rs
@@ -1,42 +1,42 @@
-//! System calls on connections; tests replace them by short and failing ones.
+//! The system calls that connect and write. Tests replace them with calls that fail or that write only a part.
 use may::net::TcpStream;
 use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The calls that connect and write.
+/// System calls on connections, as a trait so that tests can replace them.
 pub trait SystemCalls: Send + Sync {
-    /// Connects within a span of time.
+    /// Establishes a connection within `timeout`.
     ///
     /// # Errors
-    /// No connection stands: nothing was written.
-    fn connect(&self, address: &SocketAddr, within: Duration) -> io::Result<TcpStream>;
+    /// The connection could not be established, so nothing was written.
+    fn connect(&self, address: &SocketAddr, timeout: Duration) -> io::Result<TcpStream>;
 
-    /// Writes what goes out at once, and never waits.
+    /// Writes as many bytes as the system accepts now, without waiting. Returns how many.
     ///
     /// # Errors
-    /// Nothing was written.
+    /// Nothing was written; `WouldBlock` if the system accepts no bytes now.
     fn write(&self, stream: &TcpStream, bytes: &[u8]) -> io::Result<usize>;
 }
 
-/// The machine's own calls.
+/// The calls of the operating system.
 pub struct DirectCalls;
 
 impl SystemCalls for DirectCalls {
-    fn connect(&self, address: &SocketAddr, within: Duration) -> io::Result<TcpStream> {
-        TcpStream::connect_timeout(address, within)
+    fn connect(&self, address: &SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
+        TcpStream::connect_timeout(address, timeout)
     }
 
     fn write(&self, stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
-        write_now(stream, bytes)
+        try_write(stream, bytes)
     }
 }
 
-/// Writes what goes out at once, and never waits.
+/// Writes as many bytes as the system accepts now, without waiting. Returns how many.
 ///
 /// # Errors
-/// Nothing was written; `WouldBlock` if the system takes nothing now.
-pub fn write_now(stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
+/// Nothing was written; `WouldBlock` if the system accepts no bytes now.
+pub fn try_write(stream: &TcpStream, bytes: &[u8]) -> io::Result<usize> {
     let mut inner = stream.inner();
     inner.write(bytes)
 }
--- a/wrenseam/src/net/failure.rs
+++ b/wrenseam/src/net/failure.rs
@@ -1,71 +1,73 @@
-//! What a failed system call on a connection asks for, in one place for all of them.
+//! Decides what to do after a read or write on a connection failed: retry, retry after a pause, or close the
+//! connection.
 use super::sleep;
 use crate::ring::Ring;
 use std::io::{self, ErrorKind, Read};
 use std::time::Duration;
 
-/// How long a call that failed waits for memory or buffers of the system.
-const SHORTAGE: Duration = Duration::from_millis(1);
+/// Pause after a read that failed because the system is short of memory or buffers.
+const SHORTAGE_PAUSE: Duration = Duration::from_millis(1);
 
-/// `ENOBUFS` of Linux: no buffer for now. (`ErrorKind` has no name for it.)
-const NO_BUFFERS: i32 = 105;
+/// Linux's `ENOBUFS`, which `ErrorKind` has no name for: the system has no free buffer at the moment.
+const ENOBUFS: i32 = 105;
 
-/// What is to be done after a failed call.
+/// What to do after a failed read or write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
-    /// Make it again: its time was up, a signal came, or nothing was there to be read or room to write.
-    Again,
-    /// Make it again a little later: the system is short of memory or buffers. The connection stands.
-    Later,
-    /// The connection is over.
-    Over,
+pub enum ErrorAction {
+    /// Retry: the call timed out, was interrupted by a signal, or found nothing to read or no room to write.
+    Retry,
+    /// Retry after a pause: the system is short of memory or buffers. The connection is still usable.
+    RetryLater,
+    /// Close the connection: it is broken.
+    Close,
 }
 
-impl Failure {
-    /// Of an error that a read or write returned.
-    pub fn of(error: &io::Error) -> Self {
+impl ErrorAction {
+    /// The action for an error that a read or write returned.
+    pub fn for_error(error: &io::Error) -> Self {
         match (error.kind(), error.raw_os_error()) {
-            (_, Some(NO_BUFFERS)) | (ErrorKind::OutOfMemory, _) => Failure::Later,
-            (ErrorKind::WouldBlock | ErrorKind::Interrupted, _) => Failure::Again,
-            // The scheduler's own time-out has no number; the system's `ETIMEDOUT` ends a connection.
-            (ErrorKind::TimedOut, None) => Failure::Again,
-            _ => Failure::Over,
+            (_, Some(ENOBUFS)) | (ErrorKind::OutOfMemory, _) => ErrorAction::RetryLater,
+            (ErrorKind::WouldBlock | ErrorKind::Interrupted, _) => ErrorAction::Retry,
+            // A timeout of the coroutine scheduler carries no OS error number. The system's own `ETIMEDOUT` means that
+            // the connection is broken.
+            (ErrorKind::TimedOut, None) => ErrorAction::Retry,
+            _ => ErrorAction::Close,
         }
     }
 }
 
-/// Whether an error of a blocking call only means that its time was up.
+/// Whether a call failed only because it would have had to wait, or waited until its timeout, or was interrupted.
 pub fn would_block(error: &io::Error) -> bool {
-    Failure::of(error) == Failure::Again
+    ErrorAction::for_error(error) == ErrorAction::Retry
 }
 
-/// What a read brought.
+/// The result of a read that did not fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// The other side has closed.
+    /// The peer has closed the connection.
     Closed,
-    /// Bytes, which are in the ring.
+    /// Bytes came and are in the ring.
     Data,
-    /// Nothing so far.
+    /// Nothing came yet; the connection is still usable.
     NotReady,
 }
 
-/// One read into a ring with free space. A read that failed for want of memory brought nothing: the connection and
-/// its pending requests stay.
+/// Makes one read into `ring`, which must have free space. A read that fails for lack of memory counts as `NotReady`,
+/// so that the connection and its pending requests are kept.
 ///
 /// # Errors
-/// The connection is over.
+/// The connection is broken.
 pub fn receive(ring: &mut Ring, from: &mut impl Read) -> io::Result<ReadOutcome> {
     match ring.fill(from) {
         Ok(0) => Ok(ReadOutcome::Closed),
         Ok(_) => Ok(ReadOutcome::Data),
-        Err(error) => match Failure::of(&error) {
-            Failure::Again => Ok(ReadOutcome::NotReady),
-            Failure::Later => {
-                sleep(SHORTAGE);
+        Err(error) => match ErrorAction::for_error(&error) {
+            ErrorAction::Retry => Ok(ReadOutcome::NotReady),
+            ErrorAction::RetryLater => {
+                sleep(SHORTAGE_PAUSE);
                 Ok(ReadOutcome::NotReady)
             }
-            Failure::Over => Err(error),
+            ErrorAction::Close => Err(error),
         },
     }
 }
--- a/wrenseam/src/net/messages.rs
+++ b/wrenseam/src/net/messages.rs
@@ -1,7 +1,9 @@
-//! The texts of the log lines about client connections, one function each. docs/oncall.md says what to do.
+//! The texts of the log lines about client connections, one function each. docs/oncall.md tells operators what to do
+//! about them.
 use std::fmt::{self, Display};
 
-/// A connection is closed, as its client does not read, or the memory for unsent responses is used up.
+/// A connection is closed because its client does not read its responses, or because the memory for unsent responses is
+/// used up. `bytes` is how much is unsent on it.
 pub fn responses_unread(bytes: usize) -> impl Display {
     fmt::from_fn(move |f| {
         write!(
@@ -11,7 +13,7 @@
     })
 }
 
-/// A connection is closed, as its client left or stalled.
+/// A connection is closed because a write to it failed: its client disconnected, or did not read for too long.
 pub fn response_write_failed(reason: &dyn Display) -> impl Display + '_ {
     fmt::from_fn(move |f| {
         write!(
--- a/wrenseam/src/net/mod.rs
+++ b/wrenseam/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! What all connections share: coroutines, system calls and their failures, the sending side of client connections,
-//! and the limit of their number.
+//! Networking that all connections share: coroutines, system calls and the handling of their errors, the sending side
+//! of client connections, and the limit on the number of client connections.
 mod calls;
 mod failure;
 mod fairness;
@@ -9,8 +9,8 @@
 mod slots;
 mod writer;
 
-pub use calls::{write_now, DirectCalls, SystemCalls};
-pub use failure::{receive, would_block, Failure, ReadOutcome};
+pub use calls::{try_write, DirectCalls, SystemCalls};
+pub use failure::{receive, would_block, ErrorAction, ReadOutcome};
 pub use fairness::ReadFairness;
 pub use outbox::Outbox;
 pub use slots::{ConnectionSlot, ConnectionSlots, SlotGuard};
@@ -19,33 +19,34 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// The number of the next connection.
-static CONNECTIONS: AtomicU64 = AtomicU64::new(1);
+/// The number that the next connection gets.
+static NEXT_CONNECTION_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// A number that no other connection of the program has.
-pub fn connection_number() -> u64 {
-    CONNECTIONS.fetch_add(1, Ordering::Relaxed)
+/// Returns a number that is unique among the connections of this process.
+pub fn next_connection_number() -> u64 {
+    NEXT_CONNECTION_NUMBER.fetch_add(1, Ordering::Relaxed)
 }
 
-/// Runs a coroutine of this stack size. May's own default would be smaller and unstated.
+/// Starts a coroutine with a stack of `stack` bytes. The size is always stated, as the default of `may` is smaller.
 ///
 /// # Errors
-/// The system has no memory for the stack.
+/// There is no memory for the stack.
 pub fn spawn(stack: usize, run: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    // No shared state is left half-done by a panic: each connection's state belongs to its coroutines.
+    // A panic leaves no shared state half updated: the state of each connection belongs to its own coroutines.
     let builder = may::coroutine::Builder::new().stack_size(stack / size_of::<usize>());
     may::go!(builder, run).map(|_| ())
 }
 
-/// Has a coroutine sleep, and go on with the scheduler's other coroutines.
-pub fn sleep(span: Duration) {
-    may::coroutine::sleep(span);
+/// Suspends the calling coroutine for `duration`; the scheduler runs other coroutines meanwhile.
+pub fn sleep(duration: Duration) {
+    may::coroutine::sleep(duration);
     resume_on_scheduler();
 }
 
-/// Takes a coroutine back to the scheduler's thread after a wait that timed out: `may` resumes it in its timer thread.
-/// A socket that is waited for there can be ready, used and gone in the scheduler's thread before the wait has been
-/// registered: the timer thread then panicked, and no wait of the process ever ended again.
+/// Moves the calling coroutine back to the scheduler's thread after a wait that timed out, which `may` resumes on its
+/// timer thread. If the coroutine waited for a socket from there, the socket could become ready, be used and be dropped
+/// on the scheduler's thread before that wait was registered. The timer thread then panicked, and no wait of the
+/// process ended any more.
 pub fn resume_on_scheduler() {
     may::coroutine::yield_now();
 }
--- a/wrenseam/src/net/outbox.rs
+++ b/wrenseam/src/net/outbox.rs
@@ -1,4 +1,4 @@
-//! The sending side of a client connection: answers are queued from any thread, and a coroutine writes them.
+//! The sending side of a client connection: any thread queues responses, and a coroutine writes them.
 use super::writer::{ConnectionWriter, UnsentBytes, WriteCommand};
 use super::{messages, sleep, spawn, would_block, DirectCalls, SystemCalls};
 use crate::limits::Limits;
@@ -13,12 +13,13 @@
 use std::sync::{Arc, Weak};
 use std::time::Instant;
 
-/// Reads of a lingering connection time out so many times within the linger, so that its end is seen early.
-const LINGER_READS: u32 = 32;
-/// A lingering connection looks for the end of its writer so many times within the linger.
-const LINGER_CHECKS: u32 = 64;
+/// A lingering connection's reads time out after `Limits::linger` divided by this, so that the end of the linger is
+/// noticed soon.
+const LINGER_READ_DIVISOR: u32 = 32;
+/// A lingering connection checks whether its writer has ended each time `Limits::linger` divided by this has passed.
+const LINGER_CHECK_DIVISOR: u32 = 64;
 
-/// The writing half of a client connection.
+/// The stream of a client connection as its writer uses it.
 struct ClientSocket(TcpStream);
 
 impl fmt::Debug for ClientSocket {
@@ -27,7 +28,7 @@
     }
 }
 
-/// A client's connection as its writer holds it; once the writer drops it the client is disconnected.
+/// Checks the state of a client connection. Once the writer has dropped the stream the client counts as disconnected.
 #[derive(Debug)]
 struct SocketProbe(Weak<ClientSocket>);
 
@@ -44,15 +45,15 @@
     }
 }
 
-/// How far the end of a connection's sending side has come.
+/// How far the closing of a connection's sending side has come.
 #[derive(Default)]
 struct CloseState {
-    /// It is half-closed once all is written.
+    /// Whether the connection is half-closed once everything queued is written.
     is_closing: AtomicBool,
-    /// It is closed without a linger once all is written.
+    /// Whether the connection is closed, without a linger, once everything queued is written.
     is_aborted: AtomicBool,
-    /// Its writer has ended.
-    is_written: AtomicBool,
+    /// Whether the writer has ended.
+    has_writer_ended: AtomicBool,
 }
 
 /// The sending side of a client connection.
@@ -62,17 +63,17 @@
     unsent: UnsentBytes,
     close_state: Arc<CloseState>,
     budget: MemoryBudget,
-    /// Bytes of answers that may wait on the connection.
+    /// Most bytes of responses that may wait on the connection.
     unsent_limit: usize,
     client_probe: Arc<SocketProbe>,
     socket: Weak<ClientSocket>,
 }
 
 impl Outbox {
-    /// Starts the writer of a connection. `unsent_bytes` counts bytes over all connections.
+    /// Starts the writer of a connection. `unsent_bytes` counts the unsent bytes of all client connections.
     ///
     /// # Errors
-    /// No coroutine could be started.
+    /// The coroutine could not be started.
     pub fn start(
         stream: TcpStream,
         limits: &Arc<Limits>,
@@ -82,10 +83,10 @@
         Outbox::start_with(stream, limits, budget, unsent_bytes, Arc::new(DirectCalls))
     }
 
-    /// The same, with these system calls in place of the machine's.
+    /// Like [`Outbox::start`], with `calls` in place of the operating system's.
     ///
     /// # Errors
-    /// No coroutine could be started.
+    /// The coroutine could not be started.
     pub fn start_with(
         stream: TcpStream,
         limits: &Arc<Limits>,
@@ -110,17 +111,18 @@
         spawn(limits.stack, move || {
             ConnectionWriter::new(&socket.0, &*calls, &limits, &unsent).run(&queue);
             drop(socket);
-            close_state.is_written.store(true, Ordering::Release);
+            close_state.has_writer_ended.store(true, Ordering::Release);
         })?;
         Ok(outbox)
     }
 
-    /// The connection, for whoever wants to know whether its client is still there.
+    /// A probe that tells whether the client is still connected.
     pub fn client_probe(&self) -> Arc<dyn ClientProbe> {
         self.client_probe.clone()
     }
 
-    /// Queues bytes. A client that does not read its responses loses its connection, not others theirs.
+    /// Queues bytes for writing. If too many are unsent on this connection, or the memory budget is used up, the
+    /// connection is aborted instead: a client that does not read its responses must not take memory from others.
     pub fn send(&self, bytes: Vec<u8>) {
         let length = bytes.len();
         let reserved = self.budget.reserve(length);
@@ -136,22 +138,23 @@
         }
     }
 
-    /// Half-closes the connection once what is queued has been written; its reader goes on for a while (`linger`).
+    /// Half-closes the connection once everything queued is written. Its reader goes on for a while, see
+    /// [`Outbox::linger`].
     pub fn close(&self) {
         self.close_state.is_closing.store(true, Ordering::Release);
-        let _ = self.commands.send(WriteCommand::HalfClose); // a writer that has ended has closed it already
+        let _ = self.commands.send(WriteCommand::HalfClose); // fails if the writer has ended: closed already
     }
 
-    /// Closes the connection, without reading on, once what is queued has been written: no request is pending on it,
-    /// its client has left, or does not read its responses.
+    /// Closes the connection once everything queued is written, without reading on. For connections without a pending
+    /// request, or whose client has left or does not read its responses.
     pub fn abort(&self) {
         self.close_state.is_aborted.store(true, Ordering::Release);
-        let _ = self.commands.send(WriteCommand::Close); // as above
+        let _ = self.commands.send(WriteCommand::Close); // fails if the writer has ended: closed already
     }
 
-    /// Closes the connection at once, unless something of its client is unread or an answer waits to be written.
-    /// Whether it has been closed: nothing that the client sends from then on is read.
-    pub(super) fn close_if_quiet(&self) -> bool {
+    /// Closes the connection at once, unless it has unread input or unsent responses. Returns whether it is closed;
+    /// nothing that the client sends after that is read.
+    pub(super) fn close_if_idle(&self) -> bool {
         let Some(socket) = self.socket.upgrade() else {
             return true;
         };
@@ -159,32 +162,32 @@
         {
             return false;
         }
-        let _ = socket.0.shutdown(Shutdown::Both); // it may have ended by itself
+        let _ = socket.0.shutdown(Shutdown::Both); // fails if the connection has ended by itself
         self.abort();
         true
     }
 
-    /// Whether the connection is to be half-closed, and then lingers.
+    /// Whether a half-close has been requested; the connection lingers after it.
     pub fn is_closing(&self) -> bool {
         self.close_state.is_closing.load(Ordering::Acquire)
     }
 
-    fn is_written(&self) -> bool {
-        self.close_state.is_written.load(Ordering::Acquire)
+    fn has_writer_ended(&self) -> bool {
+        self.close_state.has_writer_ended.load(Ordering::Acquire)
     }
 
     fn is_aborted(&self) -> bool {
         self.close_state.is_aborted.load(Ordering::Acquire)
     }
 
-    /// Reads on after the half-close, until the client has closed too or for a bounded time and number of bytes, and
-    /// until all that was queued is written. Guards answers on their way: a close while input is unread, or with
-    /// input to come, sends a reset, which destroys them.
+    /// Half-closes the connection, then reads and discards input until the client has closed too or the limits on time
+    /// and bytes are reached, and waits until everything queued is written. Closing a connection while input is unread
+    /// or still arriving would send a reset, which destroys responses in flight.
     pub fn linger(&self, stream: TcpStream, limits: &Limits) {
         self.close();
         self.discard_input(stream, limits);
-        while !self.is_written() {
-            sleep(limits.linger / LINGER_CHECKS); // the writer ends by itself: see `Limits::write_stall`
+        while !self.has_writer_ended() {
+            sleep(limits.linger / LINGER_CHECK_DIVISOR); // `Limits::write_stall` bounds how long the writer takes
         }
     }
 
@@ -192,7 +195,7 @@
         let started_at = Instant::now();
         let mut discarded = 0;
         let mut bytes = vec![0; limits.client_ring];
-        let read_timeout = limits.linger / LINGER_READS;
+        let read_timeout = limits.linger / LINGER_READ_DIVISOR;
         if stream.set_read_timeout(Some(read_timeout)).is_err() {
             return;
         }
@@ -202,9 +205,9 @@
                 Err(error) if would_block(&error) => {}
                 _ => return,
             }
-            // An aborted connection's slot may be wanted for others before the linger is over.
+            // An aborted connection does not linger: its slot may be needed for another client.
             let is_over = started_at.elapsed() > limits.linger || self.is_aborted();
-            if self.is_written() && is_over {
+            if self.has_writer_ended() && is_over {
                 return;
             }
         }
--- a/wrenseam/src/net/slots.rs
+++ b/wrenseam/src/net/slots.rs
@@ -1,6 +1,6 @@
-//! The limit of client connections over all fronts: which slots are in use, what each connection is at, and which idle
-//! connections are evicted to make room for new ones.
-use super::{connection_number, Outbox};
+//! The limit on client connections over all fronts: which slots are in use, the state of each connection, and which
+//! idle connections are evicted to make room for new ones.
+use super::{next_connection_number, Outbox};
 use crate::limits::Limits;
 use may::sync::Mutex;
 use std::collections::BTreeMap;
@@ -8,41 +8,43 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// An eviction ends this part of the connections at the most, so that not each newcomer has to look through all.
-const EVICTED_FRACTION: usize = 16;
+/// One eviction closes at most the connection limit divided by this. It closes several at a time, so that not every new
+/// connection has to search all slots.
+const EVICTION_DIVISOR: usize = 16;
 
-/// The client connections over all fronts, against their limit.
+/// The slots for client connections, shared by all fronts.
 #[derive(Clone)]
 pub struct ConnectionSlots {
     used: Arc<Mutex<BTreeMap<u64, Arc<ConnectionSlot>>>>,
     limit: usize,
     draining: Arc<AtomicBool>,
-    /// How many are in use, for whoever shares the descriptors.
+    /// The number of slots in use, shared with the core, which divides the file descriptors between clients and
+    /// workers.
     count: Arc<AtomicUsize>,
 }
 
-/// What a client connection is at.
+/// The activity of a client connection.
 #[derive(Clone, Copy)]
 struct Usage {
-    /// Requests that wait for their answer.
+    /// Requests that have not been answered or cancelled.
     open_requests: usize,
-    /// When the last of them ended; else when the client connected.
+    /// When the last request ended; when the client connected, if there was none.
     idle_since: Instant,
-    /// Whether a request of it has been served or rejected: others may never send a valid one.
+    /// Whether a valid request has been answered on the connection; some clients never send one.
     had_valid_request: bool,
-    /// Whether it was evicted: no request is taken on it any more.
+    /// Whether the connection was evicted: no further request is accepted on it.
     is_evicted: bool,
 }
 
 struct SlotState {
     usage: Usage,
-    /// The sending side, once the connection is read.
+    /// The sending side; `None` until the connection's reader has started.
     outbox: Option<Outbox>,
 }
 
-/// One client connection, as the limit knows it.
+/// The slot of one client connection.
 pub struct ConnectionSlot {
-    /// The connection's number, unique in the program.
+    /// The connection's number, unique in the process.
     pub number: u64,
     state: Mutex<SlotState>,
     draining: Arc<AtomicBool>,
@@ -57,7 +59,7 @@
             is_evicted: false,
         };
         ConnectionSlot {
-            number: connection_number(),
+            number: next_connection_number(),
             state: Mutex::new(SlotState {
                 usage,
                 outbox: None,
@@ -72,15 +74,15 @@
         }
     }
 
-    /// Names the sending side, by which the connection can be closed.
+    /// Sets the sending side, through which the connection can be closed.
     pub fn attach_outbox(&self, outbox: &Outbox) {
         if let Ok(mut state) = self.state.lock() {
             state.outbox = Some(outbox.clone());
         }
     }
 
-    /// A request has been read and goes to the core. False if the connection was evicted: a request forwarded from it
-    /// could not be answered, and its client would send it once more.
+    /// Counts a request that has been read and is about to go to the core. Returns false if the connection was evicted:
+    /// a request forwarded from it could not be answered, and its client would send it again.
     #[must_use]
     pub fn begin_request(&self) -> bool {
         let Ok(mut state) = self.state.lock() else {
@@ -93,15 +95,15 @@
         true
     }
 
-    /// Answers a request: `write` queues the answer, and only then the request is no longer open. In the other
-    /// order a reader that closes idle connections closes this one ahead of the answer. `was_valid`
-    /// if the request was one that workers could take.
+    /// Answers a request: `write` queues the response, and only after that the request counts as ended. In the other
+    /// order the reader could close the connection as idle before the response is queued. `was_valid` tells whether the
+    /// request was one that workers could take.
     pub fn answer_request(&self, was_valid: bool, write: impl FnOnce()) {
         write();
         self.finish_request(was_valid);
     }
 
-    /// A request is no longer open: its client cancelled it, or it has been answered.
+    /// Counts a request as ended: it has been answered, or its client cancelled it.
     pub fn finish_request(&self, was_valid: bool) {
         self.update(|usage| {
             usage.open_requests = usage.open_requests.saturating_sub(1);
@@ -110,20 +112,21 @@
         });
     }
 
-    /// Evicts the connection, unless a request is open, or something unread or unwritten on it. That is decided under
-    /// the lock that `begin_request` takes: no request is taken on a connection that is evicted.
+    /// Evicts the connection, unless it has an open request, unread input or unsent responses. The check holds the lock
+    /// that `begin_request` takes, so no request is accepted on a connection that is being evicted. Returns whether the
+    /// connection is evicted.
     fn evict(&self) -> bool {
         let Ok(mut state) = self.state.lock() else {
             return false;
         };
         let SlotState { usage, outbox } = &mut *state;
         if !usage.is_evicted && usage.open_requests == 0 {
-            usage.is_evicted = outbox.as_ref().is_some_and(Outbox::close_if_quiet);
+            usage.is_evicted = outbox.as_ref().is_some_and(Outbox::close_if_idle);
         }
         usage.is_evicted
     }
 
-    /// Something was answered without the core: the connection counts as idle from now on.
+    /// Restarts the idle time, after a response that did not involve the core.
     pub fn touch(&self) {
         self.update(|usage| usage.idle_since = Instant::now());
     }
@@ -134,14 +137,14 @@
         state.is_ok_and(|state| state.usage.open_requests == 0)
     }
 
-    /// Whether an answer may still be on its way: one was given so recently.
-    pub fn finished_within(&self, span: Duration) -> bool {
+    /// Whether the last request ended within `duration`, so that its response may still be on its way.
+    pub fn finished_within(&self, duration: Duration) -> bool {
         let state = self.state.lock();
-        state.is_ok_and(|state| state.usage.idle_since.elapsed() <= span)
+        state.is_ok_and(|state| state.usage.idle_since.elapsed() <= duration)
     }
 
-    /// Whether no request has been open for so long that the connection should end. Guards descriptors and
-    /// memory against connections that send nothing, or one request and stay. Usual clients close sooner.
+    /// Whether the connection has been idle for long enough to be closed. Guards descriptors and memory against clients
+    /// that send nothing, or send one request and stay connected. Usual clients close sooner.
     pub fn has_idle_timed_out(&self, limits: &Limits) -> bool {
         let Ok(state) = self.state.lock() else {
             return true;
@@ -152,7 +155,7 @@
 
     fn idle_timeout(&self, usage: &Usage, limits: &Limits) -> Duration {
         if self.draining.load(Ordering::Acquire) {
-            // A draining front end ends once its clients have left: it holds no connection idle for long.
+            // A draining front end exits once its clients have left, so it does not keep idle connections open.
             limits.drain_idle
         } else if usage.had_valid_request {
             limits.client_idle
@@ -161,14 +164,14 @@
         }
     }
 
-    /// Whether its reader has not been started yet, so that it may still have something to send.
+    /// Whether the connection's reader has not started yet: its client may still send something.
     fn is_new(&self) -> bool {
         let state = self.state.lock();
         state.is_ok_and(|state| state.outbox.is_none())
     }
 
-    /// Its place in the order of evictions, if it is idle: connections that never had a valid request come first, then
-    /// those that have been idle longest.
+    /// The connection's place in the order of evictions; `None` if it cannot be evicted. Connections that never had a
+    /// valid request come first, then those that have been idle longest.
     fn eviction_rank(&self) -> Option<(bool, Instant)> {
         let state = self.state.lock().ok()?;
         let is_evictable = state.outbox.is_some() && state.usage.open_requests == 0;
@@ -177,7 +180,8 @@
 }
 
 impl ConnectionSlots {
-    /// So many connections; while `draining` is set, idle connections close soon.
+    /// Creates `limit` free slots. `count` is kept at the number of slots in use; while `draining` is set, idle
+    /// connections close without delay.
     pub fn new(limit: usize, draining: Arc<AtomicBool>, count: Arc<AtomicUsize>) -> Self {
         ConnectionSlots {
             used: Arc::default(),
@@ -187,7 +191,7 @@
         }
     }
 
-    /// A slot, unless all are in use.
+    /// Takes a slot; `None` if all are in use.
     pub fn acquire(&self) -> Option<SlotGuard> {
         let mut used = self.used.lock().ok()?;
         if used.len() >= self.limit {
@@ -202,8 +206,8 @@
         })
     }
 
-    /// Evicts some of the idle connections. Guards usual clients against hundreds that connect and
-    /// send nothing. Whether any slot is or may soon be free.
+    /// Evicts some of the idle connections, so that hundreds of clients that connect and send nothing cannot lock out
+    /// others. Returns whether any slot is free now or may soon be.
     pub fn evict_idle(&self) -> bool {
         let Ok(used) = self.used.lock() else {
             return false;
@@ -213,7 +217,7 @@
         let mut idle: Vec<_> = used.values().filter_map(ranked).collect();
         drop(used);
         idle.sort_by_key(|(rank, _)| *rank);
-        let mut remaining = self.limit.div_ceil(EVICTED_FRACTION);
+        let mut remaining = self.limit.div_ceil(EVICTION_DIVISOR);
         for (_, slot) in &idle {
             if remaining == 0 {
                 break;
@@ -224,10 +228,10 @@
     }
 }
 
-/// Holds the slot of one client connection; dropping it frees the slot.
+/// Holds the slot of one client connection and frees it when dropped.
 pub struct SlotGuard {
     slots: ConnectionSlots,
-    /// The slot.
+    /// The slot that is held.
     pub slot: Arc<ConnectionSlot>,
 }
 
--- a/wrenseam/src/net/writer.rs
+++ b/wrenseam/src/net/writer.rs
@@ -1,5 +1,5 @@
-//! The coroutine that writes the answers of one client connection.
-use super::{messages, sleep, Failure, SystemCalls};
+//! The coroutine that writes the responses of one client connection.
+use super::{messages, sleep, ErrorAction, SystemCalls};
 use crate::limits::Limits;
 use crate::memory_budget::MemoryReservation;
 use crate::ring::Ring;
@@ -10,25 +10,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// First backoff of a write that would block; doubled each time, up to `Limits::write_check`.
+/// First pause after a write that would block. It doubles with each further one, up to `Limits::write_check`.
 const FIRST_BACKOFF: Duration = Duration::from_millis(1);
 
-/// What a writer is to do.
+/// A command to the writer of a connection.
 pub(super) enum WriteCommand {
     /// Write these bytes.
     Write {
-        /// The bytes.
+        /// The bytes to write.
         bytes: Vec<u8>,
-        /// Their share of the memory budget.
+        /// Their reservation in the memory budget, released once they are written.
         reserved: Option<MemoryReservation>,
     },
     /// Half-close the connection; its input is still read for a while.
     HalfClose,
-    /// Close the connection.
+    /// Close the connection in both directions.
     Close,
 }
 
-/// Bytes that are queued and not yet written.
+/// The numbers of bytes that are queued and not yet written, of one connection and of all.
 #[derive(Clone)]
 pub(super) struct UnsentBytes {
     connection: Arc<AtomicUsize>,
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Those of this connection.
+    /// Unsent bytes of this connection.
     pub(super) fn on_connection(&self) -> usize {
         self.connection.load(Ordering::Relaxed)
     }
 
-    /// Whether this connection has any; what its writer has done is seen too.
+    /// Whether this connection has unsent bytes. `Acquire`, as the caller acts on what the writer has done.
     pub(super) fn any_on_connection(&self) -> bool {
         self.connection.load(Ordering::Acquire) > 0
     }
@@ -63,20 +63,20 @@
         self.process.fetch_sub(bytes, Ordering::AcqRel);
     }
 
-    /// Counts bytes that will not be written, as the connection's writer has ended.
+    /// Removes bytes from the count of all connections that are never written, as the connection's writer has ended.
     pub(super) fn discard(&self, bytes: usize) {
         self.process.fetch_sub(bytes, Ordering::AcqRel);
     }
 }
 
-/// Writes what is queued for one connection, until it closes.
+/// Writes what is queued for one connection until it is closed.
 pub(super) struct ConnectionWriter<'a> {
     stream: &'a TcpStream,
     calls: &'a dyn SystemCalls,
     limits: &'a Limits,
     unsent: &'a UnsentBytes,
     ring: Ring,
-    /// Whether a write failed: nothing more is written.
+    /// Whether a write has failed; nothing more is written then.
     is_broken: bool,
 }
 
@@ -97,11 +97,12 @@
         }
     }
 
-    /// Writes until the connection is to be closed, and closes it.
+    /// Writes until a command closes the connection, and closes it.
     pub(super) fn run(mut self, queue: &Receiver<WriteCommand>) {
-        // At a half-close the client sees the end behind its answers; else the reader sees it too and leaves.
+        // After a half-close the client sees the end of the stream behind its responses. A full close also ends the
+        // connection's reader.
         let direction = self.write_queued(queue);
-        let _ = self.stream.shutdown(direction); // it may have ended by itself
+        let _ = self.stream.shutdown(direction); // fails if the connection has ended by itself
         while let Ok(command) = queue.try_recv() {
             if let WriteCommand::Write { bytes, .. } = command {
                 self.unsent.discard(bytes.len());
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Writes what is queued; which directions are to be closed then.
+    /// Writes what is queued until a command closes the connection. Returns which directions to shut down.
     fn write_queued(&mut self, queue: &Receiver<WriteCommand>) -> Shutdown {
         while let Ok(command) = queue.recv() {
             match command {
@@ -133,28 +134,28 @@
             let queued = self.ring.push(remaining);
             remaining = &remaining[queued..];
             match self.calls.write(self.stream, self.ring.front()) {
-                Ok(0) => self.give_up(&"closed"),
+                Ok(0) => self.fail(&"write returned 0 bytes"),
                 Ok(written) => {
                     self.ring.consume(written);
                     stalled_for = Duration::ZERO;
                     backoff = FIRST_BACKOFF;
                 }
                 Err(error)
-                    if Failure::of(&error) != Failure::Over
+                    if ErrorAction::for_error(&error) != ErrorAction::Close
                         && stalled_for < self.limits.write_stall =>
                 {
                     sleep(backoff);
                     stalled_for += backoff;
                     backoff = (2 * backoff).min(self.limits.write_check);
                 }
-                Err(error) => self.give_up(&error),
+                Err(error) => self.fail(&error),
             }
         }
     }
 
-    fn give_up(&mut self, reason: &dyn std::fmt::Display) {
+    fn fail(&mut self, reason: &dyn std::fmt::Display) {
         note!("{}", messages::response_write_failed(reason));
         self.is_broken = true;
-        let _ = self.stream.shutdown(Shutdown::Both); // it may have ended by itself
+        let _ = self.stream.shutdown(Shutdown::Both); // fails if the connection has ended by itself
     }
 }
--- a/wrenseam/src/worker/dispatch.rs
+++ b/wrenseam/src/worker/dispatch.rs
@@ -1,20 +1,20 @@
-//! Decides whether a queued attempt or order is still written. No sockets and no clock of its own here.
+//! Decides whether a queued attempt or load order is still written. No sockets and no clock of its own here.
 //!
-//! A frame may wait in the queue of a connection that is not up yet, or behind a write that stalls. Meanwhile the core
+//! A frame or request may wait for its connection to be established, or behind a write that stalls. Meanwhile the core
 //! may cancel the attempt, its client may disconnect, its time may run out, its connection may end, or the writer may
-//! start it. All of them go through one atomic [`DispatchState`]: whoever changes it first has decided, and the others
-//! learn so from the result of their own transition.
+//! start it. All of these are transitions of one atomic [`DispatchState`]: the first one decides, and the others learn
+//! from the result of their own transition that they came too late.
 use super::AttemptLimits;
 use crate::model::{ClientProbe, ClientState, Request};
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU8, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How often an attempt waits for the reader of its client's connection at the most, as the client may send without
-/// end.
+/// How often the start of an attempt waits for the reader of its client's connection. Bounded, as the client may send
+/// without end.
 const MAX_CLIENT_INPUT_WAITS: u32 = 8;
 
-/// How long the writer waits each time, so that the reader has its turn.
+/// How long the writer waits each time, so that the reader of the client's connection can run.
 pub const CLIENT_INPUT_WAIT: Duration = Duration::from_millis(1);
 
 /// The state of a dispatch.
@@ -32,15 +32,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum DispatchState {
-    /// No byte is written, and none may be before it is started.
+    /// No byte is written, and none may be written before the dispatch is started.
     Waiting,
-    /// A byte may have been written; it may run.
+    /// A byte may have been written, so the attempt may run.
     Started,
-    /// The core took it back before it was started.
+    /// The core took the dispatch back before it was started.
     Reclaimed,
-    /// It was no longer wanted when its turn came.
+    /// The writer dropped it at its turn, as its client had left or its time was up.
     Discarded,
-    /// Its connection's side ended it.
+    /// The connection's side ended it: it was answered, withheld, or the connection ended.
     Ended,
 }
 
@@ -73,14 +73,14 @@
         DispatchState::from_u8(self.0.load(Ordering::Acquire))
     }
 
-    /// Changes `from` to `to`; false, and nothing changed, if it was in another state.
+    /// Changes `from` to `to`. Returns false, with nothing changed, if the state was another.
     fn transition(&self, from: DispatchState, to: DispatchState) -> bool {
         self.0
             .compare_exchange(from as u8, to as u8, Ordering::AcqRel, Ordering::Acquire)
             .is_ok()
     }
 
-    /// Changes to `Ended` unless the state was final; whether it did.
+    /// Changes any state that is not final to `Ended`. Returns whether it did.
     fn end(&self) -> bool {
         let ended = |value| {
             let is_final = DispatchState::from_u8(value).is_final();
@@ -92,37 +92,38 @@
     }
 }
 
-/// What came of [`Dispatch::try_start`].
+/// The result of [`Dispatch::try_start`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartResult {
-    /// It is started: write it now. Nobody can reclaim it any more.
+    /// The dispatch is started: write it now. It can no longer be reclaimed.
     Started,
-    /// It is discarded by this call: the caller reports it as not sent.
+    /// This call discarded the dispatch: the caller reports it as not sent.
     Discarded,
-    /// Whoever brought it to a final state before has accounted for it: nothing is written or reported.
+    /// The dispatch was in a final state before, and whoever made that transition accounts for it: write and report
+    /// nothing.
     AlreadyFinal,
-    /// Not decided yet: unread input of its client may be a cancellation. Ask again after [`CLIENT_INPUT_WAIT`].
+    /// Undecided: the client has unread input, which may be a cancellation. Try again after [`CLIENT_INPUT_WAIT`].
     ClientInputUnread,
 }
 
-/// One attempt or order on its way to a worker.
+/// One attempt or load order on its way to a worker.
 #[derive(Debug)]
 pub struct Dispatch {
     state: AtomicDispatchState,
-    /// Set once the client that it is for has gone.
+    /// Set once the client has left.
     client_gone: Arc<AtomicBool>,
-    /// Shows the state of the client's connection before its reader has run.
+    /// Tells the state of the client's connection even before its reader has run. `None` if there is no client.
     client_probe: Option<Arc<dyn ClientProbe>>,
-    /// How often it waited for the reader of its client's connection.
+    /// How often the start has waited for the reader of the client's connection.
     client_input_waits: AtomicU32,
-    /// It is not started later than this.
+    /// The dispatch is not started after this.
     start_deadline: Instant,
-    /// It must be written completely by then; see [`AttemptLimits::write_deadline`].
+    /// It must be completely written by then; see [`AttemptLimits::write_deadline`].
     write_deadline: Option<Instant>,
 }
 
 impl Dispatch {
-    /// A dispatch for a client that sets `client_gone` when it leaves.
+    /// A dispatch whose client sets `client_gone` when it leaves.
     pub fn new(client_gone: Arc<AtomicBool>, start_deadline: Instant) -> Arc<Dispatch> {
         Arc::new(Dispatch {
             state: AtomicDispatchState::new(DispatchState::Waiting),
@@ -134,7 +135,7 @@
         })
     }
 
-    /// The dispatch of an attempt at this request, sent at `now`.
+    /// The dispatch of an attempt of this request, sent at `now`.
     pub fn for_attempt(request: &Request, limits: AttemptLimits, now: Instant) -> Arc<Dispatch> {
         let answer_deadline = now + Duration::from_micros(limits.answer_timeout);
         let start_deadline = [limits.write_deadline, limits.start_deadline]
@@ -151,17 +152,17 @@
         })
     }
 
-    /// Its current state.
+    /// The current state.
     pub fn state(&self) -> DispatchState {
         self.state.load()
     }
 
-    /// Whether what has not been written completely by now must not be any more.
+    /// Whether the write deadline has passed: what is not completely written by now must never be.
     pub fn is_past_write_deadline(&self, now: Instant) -> bool {
         self.write_deadline.is_some_and(|deadline| now > deadline)
     }
 
-    /// The writer is about to write the first byte.
+    /// Decides, right before the writer writes the first byte, whether it may.
     pub fn try_start(&self, now: Instant) -> StartResult {
         if self.must_wait_for_client_reader() {
             return StartResult::ClientInputUnread;
@@ -172,7 +173,7 @@
         self.settle(DispatchState::Started, StartResult::Started)
     }
 
-    /// Leaves `Waiting` for `state`, or tells that it has been decided before.
+    /// Changes `Waiting` to `state`. Returns `AlreadyFinal` if another transition came first.
     fn settle(&self, state: DispatchState, result: StartResult) -> StartResult {
         if self.state.transition(DispatchState::Waiting, state) {
             result
@@ -185,8 +186,9 @@
         self.client_gone.load(Ordering::Acquire)
     }
 
-    /// Looks at the client's own connection, as its reader may not have run: the process was stopped, or input of other
-    /// clients came at full speed. Marks a client that has disconnected as gone.
+    /// Checks the client's connection itself, as its reader may not have run: the process may have been stopped, or
+    /// input of other clients may keep the scheduler busy. Marks a disconnected client as gone. Returns whether the
+    /// start must wait for the reader.
     fn must_wait_for_client_reader(&self) -> bool {
         if self.state.load() != DispatchState::Waiting || self.is_client_gone() {
             return false;
@@ -207,20 +209,21 @@
         }
     }
 
-    /// The writer could not write a byte of what it started: it waits again.
+    /// Puts a started dispatch back to `Waiting`, as no byte of it could be written.
     pub fn revert_start(&self) {
         self.state
             .transition(DispatchState::Started, DispatchState::Waiting);
     }
 
-    /// The core takes it back. True proves that no byte of it was or will be written, and the caller accounts for its
-    /// end; false if it was started or ended before.
+    /// The core takes the dispatch back. True proves that no byte of it was or will be written, and the caller accounts
+    /// for its end. False if it was started or had ended before.
     pub fn reclaim(&self) -> bool {
         self.state
             .transition(DispatchState::Waiting, DispatchState::Reclaimed)
     }
 
-    /// The connection's side ends it. True if the caller accounts for its end; false if it had ended before.
+    /// Ends the dispatch on behalf of its connection. True if the caller must account for its end, false if it had
+    /// ended before.
     pub fn end(&self) -> bool {
         self.state.end()
     }
--- a/wrenseam/src/worker/frames/codec.rs
+++ b/wrenseam/src/worker/frames/codec.rs
@@ -1,4 +1,4 @@
-//! The frames of the platform's protocol as bytes, and answers decoded from a stream. No sockets.
+//! Encodes frames of the platform's protocol, and decodes answers from a stream of bytes. No sockets.
 //!
 //! A frame is a header of 16 bytes (magic byte, code, length of the fields, length of the body, id; big endian), the
 //! fields as `name=value,name=value`, the body, and a CRC-32 of fields and body.
@@ -17,9 +17,9 @@
 const CODE_CALL: u8 = 2;
 /// Code of the cancellation of a call.
 const CODE_CANCEL: u8 = 3;
-/// Code of a question whether the worker takes new work.
+/// Code of a health check, which asks whether the worker accepts new work.
 const CODE_HEALTH_CHECK: u8 = 4;
-/// Code of an order to hold replicas.
+/// Code of a load order, which tells the worker to hold a number of replicas.
 const CODE_HOLD: u8 = 6;
 /// Code of an order to unload idle replicas.
 const CODE_UNLOAD: u8 = 8;
@@ -31,33 +31,33 @@
 /// Bytes of a frame without fields and body.
 pub(super) const EMPTY_FRAME_BYTES: usize = HEADER_BYTES + CHECKSUM_BYTES;
 
-/// Why a stream of answers cannot be read any further. Nothing that follows can be trusted.
+/// Why a stream of answers cannot be decoded any further. Nothing that follows on it can be trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// A frame does not begin as a worker's.
-    #[error("magic byte {0}")]
+    /// A frame begins with this byte instead of a worker's magic byte.
+    #[error("unexpected magic byte {0}")]
     Magic(u8),
-    /// The stated length of a body is beyond the bound.
-    #[error("body length {0}")]
+    /// The stated length of a body exceeds the limit.
+    #[error("body length {0} exceeds the limit")]
     BodyLength(usize),
-    /// Fields or body were changed on their way.
+    /// The fields or the body were corrupted.
     #[error("checksum mismatch")]
     Checksum,
-    /// The code stands for no answer, or for none to what was asked.
+    /// The code is not one of an answer, or not one of an answer to this kind of exchange.
     #[error("unknown code {0}")]
     UnknownCode(u8),
-    /// The code says that nothing ran, and a body came with it.
+    /// The code says that nothing ran, but the answer has a body.
     #[error("unexpected body with code {0}")]
     UnexpectedBody(u8),
-    /// It answers a frame that has not been written completely.
+    /// The answer belongs to a frame that has not been written completely.
     #[error("answer to an incomplete call")]
     IncompleteCall,
-    /// A panic left the table of open exchanges in doubt.
+    /// A panic poisoned the lock of the exchange table.
     #[error("exchange table poisoned")]
     Poisoned,
 }
 
-/// Encodes one frame.
+/// Encodes a frame from the front end.
 pub fn encode(code: u8, id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
     let mut frame = Vec::with_capacity(EMPTY_FRAME_BYTES + fields.len() + body.len());
     frame.extend([MAGIC_FROM_FRONT_END, code]);
@@ -71,21 +71,21 @@
     frame
 }
 
-/// A complete answer.
+/// A complete answer from a worker.
 #[derive(Debug, PartialEq)]
 pub struct Frame {
-    /// Its code.
+    /// The code, which states the outcome or the worker's health.
     pub code: u8,
     /// The id of the exchange that it answers.
     pub id: u64,
-    /// Its fields, `name=value,name=value`.
+    /// The fields, `name=value,name=value`.
     pub fields: String,
     /// The body.
     pub body: Vec<u8>,
 }
 
 impl Frame {
-    /// The value of a field.
+    /// The value of a field; `None` if the answer has no such field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields
             .split(',')
@@ -94,7 +94,7 @@
             .map(|(_, value)| value)
     }
 
-    /// The value of a field that is a number.
+    /// The value of a field; `None` if the answer has no such field or it is not a number.
     pub(super) fn number(&self, name: &str) -> Option<u32> {
         self.field(name)?.parse().ok()
     }
@@ -109,7 +109,7 @@
 }
 
 impl Header {
-    /// Reads a header; `None` while it is not complete.
+    /// Parses a header; `None` while it is incomplete.
     fn parse(bytes: &[u8], max_body: usize) -> Result<Option<Header>, FrameError> {
         let [magic, code, f0, f1, b0, b1, b2, b3, rest @ ..] = bytes else {
             return Ok(None);
@@ -132,7 +132,7 @@
         }))
     }
 
-    /// Bytes of the whole frame.
+    /// Length of the whole frame in bytes.
     fn frame_len(&self) -> usize {
         EMPTY_FRAME_BYTES + self.fields_len + self.body_len
     }
@@ -141,21 +141,21 @@
 /// Decodes frames from the bytes that a ring holds.
 #[derive(Default)]
 pub struct Decoder {
-    /// The bytes of the frame that is not complete yet.
+    /// The bytes of a frame that is still incomplete.
     partial: Vec<u8>,
 }
 
 impl Decoder {
-    /// Whether a frame has begun and is not complete.
+    /// Whether a frame has begun and is still incomplete.
     pub fn is_mid_frame(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// The next complete frame, if it has come.
+    /// Takes the next frame from the ring; `None` while it is incomplete.
     ///
     /// # Errors
     ///
-    /// The stream is no stream of frames, or a frame in it is damaged or too long.
+    /// The bytes are not frames from a worker, or a frame is corrupted or too long.
     pub fn next(&mut self, ring: &mut Ring, max_body: usize) -> Result<Option<Frame>, FrameError> {
         if self.partial.len() < HEADER_BYTES {
             ring.take(HEADER_BYTES - self.partial.len(), &mut self.partial);
@@ -173,7 +173,7 @@
     }
 }
 
-/// Decodes a complete frame of this header.
+/// Decodes a complete frame with this header.
 fn decode(header: &Header, frame: &[u8]) -> Result<Frame, FrameError> {
     let (content, checksum) = frame[HEADER_BYTES..].split_at(header.fields_len + header.body_len);
     if crc32fast::hash(content).to_be_bytes() != *checksum {
@@ -188,12 +188,12 @@
     })
 }
 
-/// What an answer's code stands for.
+/// The meaning of an answer's code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AnswerCode {
-    /// How a call or an order ended.
+    /// How a call or a load order ended.
     Outcome(Outcome),
-    /// Whether the worker takes new work.
+    /// Whether the worker accepts new work.
     Health(HealthCheckResult),
 }
 
@@ -212,7 +212,7 @@
     }
 }
 
-/// Encodes a call, whose answer is waited for as the limits say.
+/// Encodes a call. The worker is told how long its answer is awaited.
 pub(super) fn call(request: &Request, limits: AttemptLimits) -> Vec<u8> {
     let class = &request.class;
     let function = request.function;
@@ -225,18 +225,18 @@
     encode(CODE_CALL, request.wire_id, &fields, request.payload.bytes())
 }
 
-/// Encodes an order to hold replicas; 0 only asks how many there are.
+/// Encodes a load order; 0 replicas only asks how many the worker holds.
 pub(super) fn hold(id: u64, function: FunctionId, replicas: u32) -> Vec<u8> {
     let fields = format!("path={function:016x},slots_up={replicas}");
     encode(CODE_HOLD, id, &fields, &[])
 }
 
-/// Encodes a question whether the worker takes new work.
+/// Encodes a health check, which asks whether the worker accepts new work.
 pub(super) fn health_check(id: u64) -> Vec<u8> {
     encode(CODE_HEALTH_CHECK, id, "", &[])
 }
 
-/// Encodes an order to unload idle replicas, which gets no answer.
+/// Encodes an order to unload idle replicas, which the worker does not answer.
 pub(super) fn unload(function: FunctionId) -> Vec<u8> {
     encode(CODE_UNLOAD, function, "", &[])
 }
--- a/wrenseam/src/worker/frames/connection.rs
+++ b/wrenseam/src/worker/frames/connection.rs
@@ -1,6 +1,7 @@
-//! What the core's side, the writer and the reader of one connection share, and how everything open on it ends.
+//! The state that the core's side, the writer and the reader of one connection share, and how everything open on it
+//! ends.
 use super::exchange::{ExchangeKind, ExchangeTable};
-use super::progress::Progress;
+use super::progress::WriteProgress;
 use crate::model::AttemptReport;
 use crate::queue::CoreHandle;
 use may::sync::Mutex;
@@ -12,30 +13,30 @@
 /// The shared state of one connection.
 #[derive(Default)]
 pub(super) struct ConnectionState {
-    /// Exchanges handed to this connection and not ended.
+    /// Exchanges that were handed to this connection and have not ended.
     open_exchanges: AtomicUsize,
     closed: AtomicBool,
     draining: AtomicBool,
     refused: AtomicBool,
-    /// Whether the writer has taken over the last keepalive probe.
-    probe_taken: AtomicBool,
-    /// The bytes written.
-    pub(super) progress: Progress,
+    /// Whether the writer has received the last keepalive probe.
+    writer_has_probe: AtomicBool,
+    /// Counts the bytes written.
+    pub(super) progress: WriteProgress,
     pub(super) table: Mutex<ExchangeTable>,
 }
 
 impl ConnectionState {
-    /// Exchanges handed to this connection and not ended.
+    /// Exchanges that were handed to this connection and have not ended.
     pub(super) fn open_exchanges(&self) -> usize {
         self.open_exchanges.load(Ordering::Acquire)
     }
 
-    /// Counts an exchange that is handed to this connection.
+    /// Counts an exchange as handed to this connection.
     pub(super) fn count_opened(&self) {
         self.open_exchanges.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// Counts an exchange that has ended.
+    /// Counts an exchange as ended.
     pub(super) fn count_ended(&self) {
         self.open_exchanges.fetch_sub(1, Ordering::AcqRel);
     }
@@ -45,12 +46,12 @@
         self.closed.load(Ordering::Acquire)
     }
 
-    /// Whether the worker drains or is gone.
+    /// Whether the worker is draining or gone.
     pub(super) fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
 
-    /// The worker drains or is gone.
+    /// Notes that the worker is draining or gone.
     pub(super) fn start_draining(&self) {
         self.draining.store(true, Ordering::Release);
     }
@@ -60,27 +61,27 @@
         self.refused.load(Ordering::Acquire)
     }
 
-    /// The worker's address refused the connection.
+    /// Notes that the worker's address refused the connection.
     pub(super) fn set_refused(&self) {
         self.refused.store(true, Ordering::Release);
     }
 
-    /// Whether the writer has taken over the last keepalive probe.
-    pub(super) fn is_probe_taken(&self) -> bool {
-        self.probe_taken.load(Ordering::Acquire)
+    /// Whether the writer has received the last keepalive probe.
+    pub(super) fn writer_has_probe(&self) -> bool {
+        self.writer_has_probe.load(Ordering::Acquire)
     }
 
-    /// Marks whether the writer has taken over the last keepalive probe.
-    pub(super) fn set_probe_taken(&self, taken: bool) {
-        self.probe_taken.store(taken, Ordering::Release);
+    /// Sets whether the writer has received the last keepalive probe.
+    pub(super) fn set_writer_has_probe(&self, has_probe: bool) {
+        self.writer_has_probe.store(has_probe, Ordering::Release);
     }
 
-    /// When an answer was last read.
+    /// When an answer was last read; `None` if none was.
     pub(super) fn last_answer_at(&self) -> Option<Instant> {
         self.table.lock().ok()?.last_answer_at
     }
 
-    /// Reports the end without an answer of an exchange that was counted here.
+    /// Reports that an exchange of this connection ended without an answer.
     pub(super) fn report_end(&self, reports: &CoreHandle, kind: ExchangeKind, outcome: Outcome) {
         self.count_ended();
         match kind {
@@ -100,8 +101,8 @@
         }
     }
 
-    /// Ends everything open on the connection. A frame that is not completely written never runs: nothing is written
-    /// any more.
+    /// Ends everything open on the connection. Nothing more is written to it, so a frame that is not completely written
+    /// by now never runs.
     pub(super) fn close(&self, reports: &CoreHandle) {
         self.closed.store(true, Ordering::Release);
         let open = {
--- a/wrenseam/src/worker/frames/exchange.rs
+++ b/wrenseam/src/worker/frames/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges: a frame that goes out and the answer that is awaited to it.
+//! Exchanges: a frame that is sent and the answer that is awaited to it.
 use super::super::dispatch::Dispatch;
 use super::codec::EMPTY_FRAME_BYTES;
 use super::keepalive::OldestExchange;
@@ -8,21 +8,21 @@
 use std::time::Instant;
 use wrenseam_policy::FunctionId;
 
-/// What an exchange is for.
+/// The purpose of an exchange.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum ExchangeKind {
     /// An attempt of a request.
     Attempt(AttemptKey),
-    /// An order of this number to hold replicas.
+    /// The load order with this number.
     Order(u64),
-    /// A health check of this number.
+    /// The health check with this number.
     HealthCheck(u64),
-    /// A keepalive probe, of which the core does not know.
+    /// A keepalive probe, which the core does not know about.
     Probe,
 }
 
 impl ExchangeKind {
-    /// Whether it asks about the worker and not for any work.
+    /// Whether it only asks about the worker and requests no work.
     pub(super) fn is_check(self) -> bool {
         matches!(self, ExchangeKind::Probe | ExchangeKind::HealthCheck(_))
     }
@@ -35,23 +35,23 @@
     pub(super) id: u64,
     pub(super) function: FunctionId,
     pub(super) frame: Vec<u8>,
-    /// Whether it is withheld once the worker drains.
+    /// Whether it is not written once the worker drains.
     pub(super) withheld_on_drain: bool,
     pub(super) dispatch: Arc<Dispatch>,
 }
 
-/// What is to be written, in the order in which it was handed over.
+/// Something for the writer to write. The order of hand-over is kept.
 pub(super) enum Outbound {
     /// The frame that opens an exchange.
     Open(NewExchange),
-    /// The cancellation of an exchange, if it has been written.
+    /// The cancellation of an exchange, sent only if the exchange has been written.
     Cancel(ExchangeKind),
     /// A frame that gets no answer.
     OneWay(Vec<u8>),
 }
 
 impl Outbound {
-    /// Bytes that it takes in the ring at the most.
+    /// The most bytes that it takes in the ring.
     pub(super) fn len(&self) -> usize {
         match self {
             Outbound::Open(exchange) => exchange.frame.len(),
@@ -61,18 +61,18 @@
     }
 }
 
-/// What the core's side asks of the writer.
+/// A command to the writer.
 pub(super) enum Command {
-    /// Write this.
+    /// Write something.
     Write(Outbound),
-    /// Close the connection, unless something has come on it since this time.
+    /// Close the connection, unless something has been received on it since this time.
     CloseIfSilentSince(Instant),
 }
 
-/// An exchange in the ring, or one whose answer is awaited.
+/// An exchange whose frame is in the ring or whose answer is awaited.
 pub(super) struct Exchange {
     pub(super) kind: ExchangeKind,
-    /// Position in the stream behind its frame.
+    /// Position in the stream right after its frame.
     pub(super) frame_end: u64,
     pub(super) opened_at: Instant,
     pub(super) function: FunctionId,
@@ -83,14 +83,14 @@
 #[derive(Default)]
 pub(super) struct ExchangeTable {
     pub(super) open: BTreeMap<u64, Exchange>,
-    /// The connection has ended: no exchange is opened any more.
+    /// Whether the connection has ended: no further exchange is opened.
     pub(super) closed: bool,
-    /// When an answer was last read.
+    /// When an answer was last read; `None` if none was.
     pub(super) last_answer_at: Option<Instant>,
 }
 
 impl ExchangeTable {
-    /// The oldest open exchange, checks aside.
+    /// The oldest open exchange other than a check.
     pub(super) fn oldest(&self) -> Option<OldestExchange> {
         self.without_checks()
             .min_by_key(|exchange| exchange.opened_at)
@@ -108,7 +108,7 @@
         })
     }
 
-    /// The id of the open exchange that is for this.
+    /// The id of the open exchange with this purpose.
     pub(super) fn id_of(&self, kind: ExchangeKind) -> Option<u64> {
         self.open
             .iter()
--- a/wrenseam/src/worker/frames/handle.rs
+++ b/wrenseam/src/worker/frames/handle.rs
@@ -1,4 +1,4 @@
-//! The core's side of one connection: what was handed to it, and whether it is still in use.
+//! The core's side of one connection: the exchanges that were handed to it, and whether it can take more.
 use super::super::dispatch::Dispatch;
 use super::super::CancelOutcome;
 use super::codec;
@@ -6,26 +6,26 @@
 use super::exchange::{Command, ExchangeKind, NewExchange, Outbound};
 use super::keepalive::{Keepalive, KeepaliveAction, Observation};
 use crate::limits::Limits;
-use crate::net::connection_number;
+use crate::net::next_connection_number;
 use may::sync::mpsc::Sender;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use wrenseam_policy::FunctionId;
 
-/// Ids of keepalive probes count down from here. Those of orders count down from the end of the range, and clients draw
-/// theirs at random.
+/// Ids of keepalive probes count down from here. The ids of load orders and health checks count down from the end of
+/// the range, and clients draw the ids of calls at random.
 const FIRST_PROBE_ID: u64 = u64::MAX / 2;
 
-/// One connection as the core sees it. Dropping it lets the writer close the connection.
+/// One connection as the core sees it. Once it is dropped the writer closes the connection.
 pub(super) struct ConnectionHandle {
     commands: Sender<Command>,
     state: Arc<ConnectionState>,
     last_used_at: Instant,
     keepalive: Keepalive,
-    /// The open exchanges that may still be reclaimed.
+    /// The dispatches of exchanges, by which they can be reclaimed before they are started.
     dispatches: HashMap<ExchangeKind, Arc<Dispatch>>,
-    /// The ids of calls that it carried, and until when one of them may be used again by its client.
+    /// The ids of calls that the connection has carried, and until when their clients may reuse them.
     reserved_ids: HashMap<u64, Instant>,
 }
 
@@ -46,12 +46,13 @@
         self.state.is_closed()
     }
 
-    /// Whether it is established and carries nothing.
+    /// Whether it is open, or being established, and has no open exchange.
     pub(super) fn is_idle(&self) -> bool {
         !self.state.is_closed() && self.state.open_exchanges() == 0
     }
 
-    /// Since when no byte went or came here that we know of.
+    /// Since when the connection has been quiet: when it was last chosen, or when an answer was last read if that was
+    /// later.
     pub(super) fn quiet_since(&self) -> Instant {
         match self.state.last_answer_at() {
             Some(answer_at) => answer_at.max(self.last_used_at),
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Whether it takes one more exchange. A connection that has been idle for long is not taken even where the sweep
-    /// has not closed it yet: the worker may be closing it just now.
+    /// Whether it can take another exchange. A connection that has been idle for too long cannot, even if no sweep has
+    /// closed it yet: the worker may be closing it at this moment.
     pub(super) fn is_usable(&self, limits: &Limits) -> bool {
         let open_exchanges = self.state.open_exchanges();
         !self.state.is_closed()
@@ -69,12 +70,12 @@
             && (open_exchanges > 0 || self.quiet_since().elapsed() <= limits.worker_idle)
     }
 
-    /// Whether it carried this id before, and it may be used again by its client.
+    /// Whether it has carried a call with this id that the client may still reuse.
     pub(super) fn has_reserved(&self, id: u64) -> bool {
         self.reserved_ids.contains_key(&id)
     }
 
-    /// Keeps an id from being used again on this connection until then.
+    /// Keeps further calls with this id off this connection until `until`.
     pub(super) fn reserve_id(&mut self, id: u64, until: Instant) {
         self.reserved_ids.insert(id, until);
     }
@@ -84,7 +85,7 @@
         self.last_used_at = Instant::now();
     }
 
-    /// Hands an exchange over.
+    /// Hands an exchange to the writer.
     pub(super) fn open(&mut self, exchange: NewExchange) {
         self.state.count_opened();
         self.dispatches
@@ -92,13 +93,13 @@
         self.write(Outbound::Open(exchange));
     }
 
-    /// Hands over what gets no answer, or needs none.
+    /// Hands something to the writer.
     pub(super) fn write(&self, outbound: Outbound) {
-        // A writer that has ended has ended what is open; the core's timers end the rest.
+        // Fails if the writer has ended. The writer ends what was open by then, and the core's timers end the rest.
         let _ = self.commands.send(Command::Write(outbound));
     }
 
-    /// Cancels an exchange.
+    /// Cancels an exchange. If it has been started, the writer does what is left to do.
     pub(super) fn cancel(&mut self, kind: ExchangeKind) -> CancelOutcome {
         let Some(dispatch) = self.dispatches.remove(&kind) else {
             return CancelOutcome::Unknown;
@@ -111,12 +112,13 @@
         CancelOutcome::PendingConfirmation
     }
 
-    /// The worker drains or is gone.
+    /// Notes that the worker is draining or gone.
     pub(super) fn start_draining(&self) {
         self.state.start_draining();
     }
 
-    /// Makes one keepalive check. `observed` is the time since the last one in which an answer could be noticed.
+    /// Makes one keepalive check. `observed` is how much of the time since the last one counts as silence of the
+    /// worker.
     pub(super) fn check_keepalive(&mut self, now: Instant, observed: Duration, limits: &Limits) {
         let Ok(table) = self.state.table.lock() else {
             return;
@@ -127,7 +129,7 @@
             last_answer_at: table.last_answer_at,
             oldest: table.oldest(),
             opened_since_answer: table.opened_since_answer(),
-            probe_taken: self.state.is_probe_taken(),
+            writer_has_probe: self.state.writer_has_probe(),
         };
         drop(table);
         match self.keepalive.check(&observation, limits) {
@@ -135,16 +137,17 @@
             KeepaliveAction::Probe(function) => self.probe(function, now + limits.write_stall),
             KeepaliveAction::CloseIfSilentSince(asked_at) => {
                 let _ = self.commands.send(Command::CloseIfSilentSince(asked_at));
-                // else it has ended
+                // Fails if the writer has ended.
             }
         }
     }
 
-    /// Asks how many replicas of a function there are, which has no effect and is answered at once.
+    /// Sends a keepalive probe: it asks how many replicas of a function there are, which has no effect and is answered
+    /// at once.
     fn probe(&self, function: FunctionId, start_deadline: Instant) {
-        let id = FIRST_PROBE_ID - connection_number();
+        let id = FIRST_PROBE_ID - next_connection_number();
         self.state.count_opened();
-        self.state.set_probe_taken(false);
+        self.state.set_writer_has_probe(false);
         self.write(Outbound::Open(NewExchange {
             kind: ExchangeKind::Probe,
             id,
@@ -155,7 +158,7 @@
         }));
     }
 
-    /// Forgets what has ended or expired. Returns whether the connection is still of use.
+    /// Drops exchanges that have ended and ids whose reservation has expired. Returns whether the connection is kept.
     pub(super) fn sweep(&mut self, now: Instant, limits: &Limits) -> bool {
         self.dispatches
             .retain(|_, dispatch| Arc::strong_count(dispatch) > 1);
--- a/wrenseam/src/worker/frames/keepalive.rs
+++ b/wrenseam/src/worker/frames/keepalive.rs
@@ -1,54 +1,54 @@
-//! When a quiet connection on which answers are awaited is probed, and when it counts as unresponsive.
+//! Keepalive: when a quiet connection with open exchanges is probed, and when it counts as unresponsive.
 use crate::limits::Limits;
 use std::time::{Duration, Instant};
 use wrenseam_policy::FunctionId;
 
-/// The oldest exchange that waits for its answer.
+/// The oldest exchange whose answer is awaited.
 #[derive(Clone, Copy)]
 pub(super) struct OldestExchange {
     pub(super) opened_at: Instant,
     pub(super) function: FunctionId,
 }
 
-/// What a check sees of a connection.
+/// What a keepalive check knows of a connection.
 pub(super) struct Observation {
     /// The time of the check.
     pub(super) now: Instant,
-    /// The time since the check before in which an answer could have been noticed.
+    /// How much of the time since the previous check counts as silence of the worker.
     pub(super) observed: Duration,
-    /// When an answer was last read.
+    /// When an answer was last read; `None` if none was.
     pub(super) last_answer_at: Option<Instant>,
-    /// The oldest open exchange, probes aside.
+    /// The oldest open exchange, probes and health checks aside.
     pub(super) oldest: Option<OldestExchange>,
-    /// Whether an exchange was opened since the last answer.
+    /// Whether an exchange, other than a probe or health check, was opened since the last answer.
     pub(super) opened_since_answer: bool,
-    /// Whether the writer has taken over the last probe.
-    pub(super) probe_taken: bool,
+    /// Whether the writer has received the last probe.
+    pub(super) writer_has_probe: bool,
 }
 
-/// What a check asks for.
+/// What a check decides to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum KeepaliveAction {
     /// Nothing.
     None,
-    /// Send a probe that asks about this function.
+    /// Send a probe about this function.
     Probe(FunctionId),
-    /// Close the connection, unless an answer came since this time.
+    /// Close the connection, unless something has been received since this time.
     CloseIfSilentSince(Instant),
 }
 
-/// The keepalive checks of one connection.
+/// The keepalive state of one connection.
 #[derive(Default)]
 pub(super) struct Keepalive {
-    /// When the probe was sent that has not been answered.
+    /// When the unanswered probe was sent; `None` if none is unanswered.
     probe_sent_at: Option<Instant>,
-    /// How long it has been unanswered. Only the time counts in which we looked and the writer had the probe, as a busy
-    /// machine may hold either up.
+    /// How long the probe has been unanswered. Only time counts in which checks were made and the writer had the probe,
+    /// as a busy machine may delay either.
     unanswered: Duration,
 }
 
 impl Keepalive {
-    /// Decides what a check asks for. A probe is taken as sent.
+    /// Decides what to do. A probe that it asks for counts as sent.
     pub(super) fn check(&mut self, seen: &Observation, limits: &Limits) -> KeepaliveAction {
         match self.probe_sent_at {
             Some(sent_at) => self.check_probe(sent_at, seen, limits),
@@ -66,7 +66,7 @@
             self.probe_sent_at = None;
             return KeepaliveAction::None;
         }
-        if seen.probe_taken {
+        if seen.writer_has_probe {
             self.unanswered += seen.observed;
         }
         if self.unanswered > limits.link_answer {
@@ -94,9 +94,9 @@
     }
 }
 
-/// Whether a connection is probed that has been `quiet` for so long. `oldest_age` is the age of its oldest open
-/// exchange, `opened_since_answer` whether one was opened since the last answer. A connection that only waits for a
-/// load is probed ever more seldom.
+/// Whether a connection that has been quiet for `quiet` is probed. `oldest_age` is the age of its oldest open exchange,
+/// and `opened_since_answer` tells whether an exchange was opened since the last answer. If none was, as while a
+/// replica loads, probes become less frequent with that age.
 pub fn probe_due(
     opened_since_answer: bool,
     quiet: Duration,
--- a/wrenseam/src/worker/frames/mod.rs
+++ b/wrenseam/src/worker/frames/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's binary frames: attempts, orders and cancellations over shared connections to one worker.
+//! The transport over the platform's binary frames: attempts, load orders and cancellations share connections to one
+//! worker.
 mod codec;
 mod connection;
 mod exchange;
@@ -32,17 +33,18 @@
 use wrenseam_policy::FunctionId;
 use writer::Writer;
 
-/// The function of exchanges that are about none.
+/// The function of exchanges that concern no function.
 const NO_FUNCTION: FunctionId = 0;
 
-/// Ids of orders and health checks count down from here, away from those that clients draw at random.
+/// Ids of load orders and health checks count down from here, apart from the ids of calls, which clients draw at
+/// random.
 const FIRST_ORDER_ID: u64 = u64::MAX;
 
-/// Of the time between two keepalive checks no more than this many intervals counts as silence: a longer one means that
-/// the core was held up.
+/// At most this many check intervals of the time between two keepalive checks count as silence of the worker. A longer
+/// gap means that the core itself was delayed.
 const MAX_COUNTED_INTERVALS: u64 = 2;
 
-/// The transport to one worker.
+/// The transport to one worker address.
 pub struct Frames {
     address: SocketAddr,
     limits: Arc<Limits>,
@@ -53,7 +55,7 @@
 }
 
 impl Frames {
-    /// No connection is opened before it is needed.
+    /// Creates a transport without connections; they are opened when they are needed.
     pub fn new(address: SocketAddr, limits: Arc<Limits>, reports: CoreHandle) -> Self {
         Frames {
             address,
@@ -65,14 +67,15 @@
         }
     }
 
-    /// Makes these system calls in place of the machine's.
+    /// Replaces the operating system's calls with these.
     #[must_use]
     pub fn with_calls(self, calls: Arc<dyn SystemCalls>) -> Self {
         Frames { calls, ..self }
     }
 
-    /// A connection with capacity, a new one if need be. None that carried this id before: an answer to the first
-    /// exchange under it that comes late, or twice, would be taken for the second's.
+    /// Returns a connection with capacity for another exchange, a new one if there is none. A connection on which `id`
+    /// is still reserved is not chosen: a late or duplicate answer to the earlier exchange with this id would be taken
+    /// for the answer to the new one.
     fn connection_for(&mut self, id: Option<u64>) -> &mut ConnectionHandle {
         let limits = &self.limits;
         let found = self.connections.iter().position(|connection| {
@@ -104,7 +107,7 @@
             close_requests: Vec::new(),
         };
         if let Err(error) = spawn(self.limits.stack, move || writer.run(&commands)) {
-            // The timers of what is handed over end it.
+            // The core's timers end the exchanges that are handed to this connection.
             note!("{}", log_lines::coroutine_not_started(self.address, &error));
         }
         ConnectionHandle::new(sender, state)
@@ -120,7 +123,7 @@
         CancelOutcome::Unknown
     }
 
-    /// The time since the last keepalive check that counts as silence.
+    /// How much of the time since the last keepalive check counts as silence of the worker.
     fn observed_since_last_check(&mut self, now: Instant) -> Duration {
         let counted = Duration::from_micros(MAX_COUNTED_INTERVALS * self.limits.link_check);
         match self.last_keepalive_check.replace(now) {
@@ -135,7 +138,7 @@
         let id = request.wire_id;
         let frame = codec::call(request, limits);
         let dispatch = Dispatch::for_attempt(request, limits, Instant::now());
-        // Its id may come again as long as its client waits, and answers to it a little longer.
+        // The client may reuse the id while it waits, and answers to the id may come a little later still.
         let reserved_until =
             request.received_at + Duration::from_micros(request.timeout) + self.limits.late_answer;
         let connection = self.connection_for(Some(id));
@@ -210,11 +213,11 @@
         }
     }
 
-    /// Guards attempts from a connection that stays open and carries nothing any more: what is open there would
-    /// wait for its full time, and new attempts would join it.
+    /// Guards attempts against a connection that stays open but no longer carries any data: the exchanges open on it
+    /// would wait for their full timeout, and further attempts would be sent on it.
     fn check_keepalive(&mut self) {
         if self.connections.is_empty() {
-            self.last_keepalive_check = None; // most of ten thousand workers: the clock is not read for each
+            self.last_keepalive_check = None; // saves reading the clock for most of up to 10,000 workers
             return;
         }
         let now = Instant::now();
@@ -226,7 +229,7 @@
         }
     }
 
-    /// Guards against an exchange that crosses the worker's own close of an idle connection.
+    /// Guards against an exchange that is sent while the worker closes the connection as idle.
     fn sweep(&mut self) {
         let now = Instant::now();
         let limits = &self.limits;
--- a/wrenseam/src/worker/frames/outgoing.rs
+++ b/wrenseam/src/worker/frames/outgoing.rs
@@ -1,5 +1,5 @@
-//! What is to be written to one connection: what waits, what lies in its ring, and what is taken out again before a
-//! byte of it is written. No sockets.
+//! The outgoing side of one connection: what waits, what is in the ring, and what is removed before a byte of it is
+//! written. No sockets.
 use super::codec;
 use super::connection::ConnectionState;
 use super::exchange::{Exchange, ExchangeKind, NewExchange, Outbound};
@@ -13,9 +13,9 @@
 use std::time::Instant;
 use wrenseam_policy::Outcome;
 
-/// How far a cancelled exchange had come.
+/// How far the frame of a cancelled exchange had come.
 enum Withdrawn {
-    /// A byte of it is written: its worker is to be notified, by this id.
+    /// A byte of it is written: the worker must be notified, with this id.
     Written(u64),
     /// No byte of it was or will be written.
     Cut,
@@ -25,7 +25,7 @@
 pub(super) struct Outgoing {
     state: Arc<ConnectionState>,
     reports: CoreHandle,
-    /// What does not lie in the ring yet.
+    /// What is not in the ring yet.
     waiting: VecDeque<Outbound>,
     /// The frames in the ring.
     queue: SendQueue,
@@ -43,18 +43,18 @@
         }
     }
 
-    /// Appends what is to be written.
+    /// Appends something to be written.
     pub(super) fn push(&mut self, outbound: Outbound) {
         if let Outbound::Open(exchange) = &outbound {
             if exchange.kind == ExchangeKind::Probe {
-                self.state.set_probe_taken(true);
+                self.state.set_writer_has_probe(true);
             }
         }
         self.waiting.push_back(outbound);
     }
 
     /// Whether nothing waits to be moved into the ring.
-    pub(super) fn is_nothing_waiting(&self) -> bool {
+    pub(super) fn has_nothing_waiting(&self) -> bool {
         self.waiting.is_empty()
     }
 
@@ -89,21 +89,22 @@
         Ok(())
     }
 
-    /// Starts what may be written next and takes out what is no longer wanted. Returns how many bytes of the ring may
-    /// be written.
+    /// Claims the frames that may be written next, and removes those that must not be written. Returns how many bytes
+    /// of the ring may be written.
     pub(super) fn claim(&mut self, written: u64, scope: ClaimScope) -> usize {
         let claim = self.queue.claim(written, Instant::now(), scope);
-        self.take_out(claim.cuts, Outcome::NotSent);
+        self.remove_cuts(claim.cuts, Outcome::NotSent);
         claim.writable
     }
 
-    /// The next bytes to be written, at most `writable` ones.
+    /// The next bytes to write, at most `writable` of them.
     pub(super) fn next_bytes(&self, writable: usize) -> &[u8] {
         let front = self.ring.front();
         &front[..writable.min(front.len())]
     }
 
-    /// `count` more bytes have been written, `written` in all. Reports the attempts whose cancellation is among them.
+    /// Notes that `count` more bytes have been written, `written` in total. Reports the attempts whose cancellation is
+    /// now complete.
     pub(super) fn advance(&mut self, count: usize, written: u64) {
         self.ring.consume(count);
         for key in self.queue.advance(written) {
@@ -111,17 +112,17 @@
         }
     }
 
-    /// No byte could be written: what was claimed waits again.
+    /// Notes that no byte could be written, and reverts the claims.
     pub(super) fn revert_claims(&mut self, written: u64) {
         self.queue.advance(written);
     }
 
-    /// Whether a retry has been written in part and must not come completely any more.
+    /// Whether a retry has been written in part and must not be completed, as its write deadline has passed.
     pub(super) fn is_past_write_deadline(&self, written: u64) -> bool {
         self.queue.is_past_write_deadline(written, Instant::now())
     }
 
-    /// The worker drains: withholds what waits and what lies unwritten in the ring.
+    /// The worker drains: ends the exchanges that are withheld then, if they wait or no byte of them is written.
     pub(super) fn withhold_for_drain(&mut self) {
         for outbound in std::mem::take(&mut self.waiting) {
             match outbound {
@@ -135,21 +136,22 @@
         let cuts = self
             .queue
             .cut_where(written, |frame| frame.withheld_on_drain);
-        self.take_out(cuts, Outcome::NotSent);
+        self.remove_cuts(cuts, Outcome::NotSent);
     }
 
-    /// The connection has ended, which cancels what was open on it; what waits was never written.
+    /// The connection has ended. That cancels the attempts whose cancellation was in the ring; what waits was never
+    /// written.
     pub(super) fn end_all(&mut self) {
-        for key in self.queue.take_confirmations() {
+        for key in self.queue.take_cancellations() {
             self.report_cancelled(key);
         }
         for outbound in std::mem::take(&mut self.waiting) {
-            self.end_refused(outbound);
+            self.end_after_close(outbound);
         }
     }
 
-    /// Ends what came after the connection had ended.
-    pub(super) fn end_refused(&self, outbound: Outbound) {
+    /// Ends an exchange that is handed over after the connection has ended.
+    pub(super) fn end_after_close(&self, outbound: Outbound) {
         if let Outbound::Open(exchange) = outbound {
             self.end_unwritten(&exchange, Outcome::ConnectFailed);
         }
@@ -161,13 +163,13 @@
         }
     }
 
-    /// Puts the frame that opens an exchange into the ring.
+    /// Adds an exchange to the table and its frame to the ring.
     fn open(&mut self, exchange: NewExchange) -> Result<(), WriteError> {
         let Ok(mut table) = self.state.table.lock() else {
             return Err(WriteError::Poisoned);
         };
         if table.closed || table.open.contains_key(&exchange.id) {
-            // Two exchanges under one id could not be distinguished: the later one is not sent.
+            // Answers to two exchanges with one id could not be told apart, so the later exchange is not sent.
             drop(table);
             self.end_unwritten(&exchange, Outcome::ConnectFailed);
             return Ok(());
@@ -177,7 +179,7 @@
             id: Some(exchange.id),
             withheld_on_drain: exchange.withheld_on_drain,
             dispatch: Some(exchange.dispatch.clone()),
-            confirms: None,
+            cancels: None,
         });
         let opened = Exchange {
             kind: exchange.kind,
@@ -191,17 +193,18 @@
         Ok(())
     }
 
-    /// Puts a frame that gets no answer into the ring. Once it is written, the attempt that it `confirms` is cancelled.
-    fn push_one_way(&mut self, frame: &[u8], confirms: Option<AttemptKey>) {
+    /// Adds a frame that gets no answer to the ring. The attempt that it `cancels` has ended once the frame is written.
+    fn push_one_way(&mut self, frame: &[u8], cancels: Option<AttemptKey>) {
         self.queue.push(QueuedFrame {
             len: frame.len(),
-            confirms,
+            cancels,
             ..QueuedFrame::default()
         });
         self.ring.push(frame);
     }
 
-    /// Cancels an exchange. An order stands, whether its answer is awaited or not: its worker is not notified.
+    /// Cancels an exchange. Only for an attempt is the worker notified: a load order is carried out whether or not its
+    /// answer is awaited.
     fn cancel(&mut self, kind: ExchangeKind) {
         let withdrawn = self.withdraw(kind);
         let ExchangeKind::Attempt(key) = kind else {
@@ -217,8 +220,8 @@
         }
     }
 
-    /// Takes an open exchange out of the table, and its frame out of the ring if no byte of it is written; `None` if it
-    /// has ended already.
+    /// Removes an open exchange from the table, and its frame from the ring if no byte of it is written. `None` if the
+    /// exchange has already ended.
     fn withdraw(&mut self, kind: ExchangeKind) -> Option<Withdrawn> {
         let id = self.state.table.lock().ok()?.id_of(kind)?;
         let written = self.state.progress.bytes();
@@ -229,14 +232,14 @@
             return Some(Withdrawn::Written(id));
         }
         for cut in &mut cuts {
-            cut.ends = false; // the caller accounts for its end
+            cut.ends_exchange = false; // the caller accounts for its end
         }
-        self.take_out(cuts, Outcome::NotSent);
+        self.remove_cuts(cuts, Outcome::NotSent);
         Some(Withdrawn::Cut)
     }
 
-    /// Takes frames out of the ring of which no byte is written, and reports the exchanges that end by that.
-    fn take_out(&mut self, cuts: Vec<Cut>, outcome: Outcome) {
+    /// Cuts frames out of the ring of which no byte is written, and reports the exchanges that end with them.
+    fn remove_cuts(&mut self, cuts: Vec<Cut>, outcome: Outcome) {
         if cuts.is_empty() {
             return;
         }
@@ -247,12 +250,12 @@
         for cut in cuts {
             self.ring.cut(cut.at, cut.len);
             let exchange = cut.id.and_then(|id| table.open.remove(&id));
-            if let Some(exchange) = exchange.filter(|_| cut.ends) {
+            if let Some(exchange) = exchange.filter(|_| cut.ends_exchange) {
                 ended.push(exchange.kind);
             }
         }
         for (&id, exchange) in &mut table.open {
-            // Those behind have moved up.
+            // The frames behind the cuts have moved up.
             if let Some(frame_end) = self.queue.end_of(id) {
                 exchange.frame_end = frame_end;
             }
--- a/wrenseam/src/worker/frames/progress.rs
+++ b/wrenseam/src/worker/frames/progress.rs
@@ -1,7 +1,7 @@
-//! How much of a connection's stream has been written, for whoever has to say of a frame that it was not.
+//! Counts the bytes written to a connection, so that it is certain whether a frame was completely written.
 //!
-//! A write and the count of what it wrote are one step here. Were they two, a reader that ends the connection between
-//! them would take a frame that is completely written for one that was never sent, and what it calls would run twice.
+//! A write and the update of the count are one atomic step. Were they two, a reader that ends the connection between
+//! them would take a completely written frame for one that was never sent, and the call in it would run twice.
 use may::sync::{Mutex, MutexGuard};
 use std::io;
 use std::sync::PoisonError;
@@ -9,26 +9,26 @@
 #[derive(Default)]
 struct Written {
     bytes: u64,
-    /// Nothing more is written from now on.
+    /// Whether the connection has ended: nothing more is written.
     ended: bool,
 }
 
-/// The bytes written to one connection.
+/// The bytes written to one connection, and whether more may follow.
 #[derive(Default)]
-pub struct Progress(Mutex<Written>);
+pub struct WriteProgress(Mutex<Written>);
 
-impl Progress {
+impl WriteProgress {
     fn written(&self) -> MutexGuard<'_, Written> {
-        // A count and a flag are consistent whatever panicked.
+        // A panic elsewhere cannot leave the count and the flag inconsistent.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Makes one write, which must not wait, and counts what it wrote; an error wrote nothing. Once the connection
-    /// has ended it is not made.
+    /// Makes one write, which must not block, and counts the bytes that it wrote; a failed write wrote none. Once the
+    /// connection has ended, `write` is not called.
     ///
     /// # Errors
     ///
-    /// That of the write, or `BrokenPipe` if the connection has ended.
+    /// The error of `write`, or `BrokenPipe` if the connection has ended.
     pub fn write(&self, write: impl FnOnce() -> io::Result<usize>) -> io::Result<usize> {
         let mut written = self.written();
         if written.ended {
@@ -39,12 +39,12 @@
         Ok(count)
     }
 
-    /// Bytes written so far.
+    /// The number of bytes written so far.
     pub fn bytes(&self) -> u64 {
         self.written().bytes
     }
 
-    /// Ends the connection's writing. Returns the bytes that were written in all.
+    /// Ends writing to the connection. Returns the number of bytes written in total.
     pub fn end(&self) -> u64 {
         let mut written = self.written();
         written.ended = true;
--- a/wrenseam/src/worker/frames/reader.rs
+++ b/wrenseam/src/worker/frames/reader.rs
@@ -1,4 +1,4 @@
-//! The reading side of one connection to a worker: answers, each to the exchange that it belongs to.
+//! The reading side of one connection to a worker: reads answers and matches them to exchanges.
 use super::super::socket::has_no_unread_input;
 use super::super::{log_lines, replica_loaded};
 use super::codec::{AnswerCode, Decoder, Frame, FrameError};
@@ -17,13 +17,13 @@
 use wrenseam_policy::readiness_lease::HealthCheckResult;
 use wrenseam_policy::Outcome;
 
-/// Why a connection is not read any further.
+/// Why reading from a connection ended.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// Nothing more of a frame came for too long.
+    /// A frame has begun, and no more of it came within `Limits::frame_stall`.
     #[error("incomplete frame")]
     IncompleteFrame,
-    /// What came cannot be trusted.
+    /// A frame was invalid; nothing after it can be trusted.
     #[error("invalid frame: {0}")]
     InvalidFrame(#[from] FrameError),
     /// The socket could not be set up.
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Reads answers until the connection ends, and ends everything open on it.
+    /// Reads answers until the connection ends, then ends everything that is open on it.
     pub(super) fn run(mut self, address: SocketAddr) {
         if let Err(reason) = self.read_and_shut_down() {
             note!("{}", log_lines::connection_closed(address, &reason));
@@ -74,7 +74,7 @@
         self.stream
             .set_read_timeout(Some(self.limits.frame_stall))?;
         let end = self.read_answers();
-        let _ = self.stream.shutdown(Shutdown::Both); // the writer sees it, or has gone
+        let _ = self.stream.shutdown(Shutdown::Both); // makes the writer's next write fail
         end
     }
 
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Guards against an answer that stops short: nothing more comes behind it. What came while the process stood still
-    /// lies there unread: that is no stop. Nor is a read that failed at once.
+    /// Guards against an answer whose rest never comes. Only a read that waited counts, and only if no input is unread
+    /// now: input that came while the process was stopped is still unread.
     fn check_incomplete_frame(&self, read_started_at: Instant) -> Result<(), ReadError> {
         let has_waited = read_started_at.elapsed() >= self.limits.frame_stall / 2;
         if has_waited && self.decoder.is_mid_frame() && has_no_unread_input(&self.stream) {
@@ -100,12 +100,13 @@
         Ok(())
     }
 
-    /// Handles the complete frames that have come. After an invalid one nothing can be trusted: the stream is out of
-    /// step.
+    /// Handles the frames that are complete. After an invalid frame the reader cannot tell where the next one begins,
+    /// so nothing more is read.
     fn handle_answers(&mut self) -> Result<(), FrameError> {
         while let Some(frame) = self.decoder.next(&mut self.ring, self.limits.answer)? {
             let answer = AnswerCode::parse(frame.code)?;
-            // Guards against a damaged code, which the checksum does not cover: what never ran has no body.
+            // Guards against a corrupted code, which the checksum does not cover: an answer that proves that nothing
+            // ran has no body.
             let never_ran = match answer {
                 AnswerCode::Outcome(outcome) => outcome.proves_not_executed(),
                 AnswerCode::Health(_) => true,
@@ -113,7 +114,7 @@
             if never_ran && !frame.body.is_empty() {
                 return Err(FrameError::UnexpectedBody(frame.code));
             }
-            // An answer to an exchange that has ended already comes late and is dropped.
+            // A late answer to an exchange that has already ended is dropped.
             if let Some(exchange) = self.take_exchange(&frame, answer)? {
                 exchange.dispatch.end();
                 self.state.count_ended();
@@ -123,7 +124,7 @@
         Ok(())
     }
 
-    /// Takes the exchange that this frame answers out of the table.
+    /// Removes the exchange that this frame answers from the table; `None` if it has already ended.
     fn take_exchange(
         &self,
         frame: &Frame,
@@ -131,8 +132,8 @@
     ) -> Result<Option<Exchange>, FrameError> {
         let mut table = self.state.table.lock().map_err(|_| FrameError::Poisoned)?;
         table.last_answer_at = Some(Instant::now());
-        // Guards against an answer to a frame that is not completely written: the rest of it would follow, and might
-        // run.
+        // Guards against an answer to a frame that is not completely written: the rest would still be sent, and the
+        // call might run.
         if let Some(exchange) = table.open.get(&frame.id) {
             if exchange.frame_end > self.state.progress.bytes() {
                 return Err(FrameError::IncompleteCall);
@@ -163,13 +164,13 @@
                 self.reports
                     .attempt_ended(key, attempt_report(outcome, frame));
             }
-            // Not taken out of the table.
+            // Cannot occur: `take_exchange` rejects such an answer.
             (ExchangeKind::Order(_) | ExchangeKind::Attempt(_), AnswerCode::Health(_)) => {}
         }
     }
 }
 
-/// What an answer says of an attempt.
+/// The report on an attempt that an answer makes.
 fn attempt_report(outcome: Outcome, frame: Frame) -> AttemptReport {
     let replica_loaded = replica_loaded(frame.field("detail"));
     let queue_depth = match outcome {
--- a/wrenseam/src/worker/frames/send_queue.rs
+++ b/wrenseam/src/worker/frames/send_queue.rs
@@ -1,5 +1,5 @@
 //! The frames that wait to be written to one connection, in the order of its stream: which may be started, and which
-//! are cut out again. No sockets, and time is an argument.
+//! are cut out again. No sockets; the time is an argument.
 use super::super::dispatch::{Dispatch, StartResult};
 use crate::model::AttemptKey;
 use std::collections::VecDeque;
@@ -9,66 +9,66 @@
 /// A frame that is to be written.
 #[derive(Debug, Default)]
 pub struct QueuedFrame {
-    /// Its bytes.
+    /// Length in bytes.
     pub len: usize,
-    /// The id of the exchange that it opens; none for a frame that gets no answer.
+    /// The id of the exchange that it opens; `None` for a frame that gets no answer.
     pub id: Option<u64>,
-    /// Whether it is withheld once its worker drains.
+    /// Whether it is not written once its worker drains.
     pub withheld_on_drain: bool,
-    /// Decides whether it is still written.
+    /// Decides whether it may still be written; `None` if it always may.
     pub dispatch: Option<Arc<Dispatch>>,
-    /// The attempt whose cancellation it carries.
-    pub confirms: Option<AttemptKey>,
+    /// The attempt that it cancels, if it is a cancellation.
+    pub cancels: Option<AttemptKey>,
 }
 
 /// A frame in the ring of a connection.
 #[derive(Debug)]
 struct PlacedFrame {
-    /// Position in the stream of its first byte.
+    /// Position of its first byte in the stream.
     start: u64,
-    /// Position in the stream behind its last byte.
+    /// Position in the stream right after its last byte.
     end: u64,
     frame: QueuedFrame,
-    /// Whether it has been started, and no byte of it is known to be written.
+    /// Whether it has been claimed for writing. The claim is reverted if no byte of it could be written.
     claimed: bool,
 }
 
 impl PlacedFrame {
-    /// Whether no byte of it is among the `written` ones.
+    /// Whether no byte of it is among the first `written` bytes of the stream.
     fn is_unwritten(&self, written: u64) -> bool {
         self.start >= written
     }
 }
 
-/// Bytes to be cut out of the ring, and the exchange they would have opened.
+/// The bytes of one frame, to be cut out of the ring.
 #[derive(Debug, PartialEq)]
 pub struct Cut {
-    /// Position in the ring of the first one.
+    /// Position in the ring of the first byte.
     pub at: usize,
-    /// How many.
+    /// Number of bytes.
     pub len: usize,
-    /// The exchange.
+    /// The exchange that the frame would have opened; `None` for a frame that gets no answer.
     pub id: Option<u64>,
-    /// Whether it ends by this cut; else whoever reclaimed it has accounted for its end.
-    pub ends: bool,
+    /// Whether this cut ends the exchange. If not, whoever reclaimed it accounts for its end.
+    pub ends_exchange: bool,
 }
 
 /// Which frames a claim may start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimScope {
-    /// All that wait.
+    /// All frames that wait.
     AllFrames,
-    /// The next one alone, as writes stall: those behind it can still be reclaimed.
+    /// Only the next frame, as writes stall: the frames behind it can still be reclaimed.
     NextFrame,
 }
 
-/// What may be written next.
+/// The result of a claim: what may be written next.
 #[derive(Debug, PartialEq)]
 pub struct Claim {
-    /// Bytes of the ring that may be written once the cuts are made. 0, though there are some, while the first frame
-    /// waits for the reader of its client's connection.
+    /// How many bytes of the ring may be written once the cuts are made. It is 0 while the first frame waits for the
+    /// reader of its client's connection, even though the ring is not empty.
     pub writable: usize,
-    /// What is no longer wanted, to be cut in this order.
+    /// Frames that must not be written, to be cut out in this order.
     pub cuts: Vec<Cut>,
 }
 
@@ -76,12 +76,12 @@
 #[derive(Debug, Default)]
 pub struct SendQueue {
     frames: VecDeque<PlacedFrame>,
-    /// Position in the stream behind the last frame.
+    /// Position in the stream right after the last frame.
     end: u64,
 }
 
 impl SendQueue {
-    /// Appends a frame. Returns the position in the stream behind its last byte.
+    /// Appends a frame. Returns the position in the stream right after its last byte.
     pub fn push(&mut self, frame: QueuedFrame) -> u64 {
         let start = self.end;
         self.end += frame.len as u64;
@@ -94,7 +94,7 @@
         self.end
     }
 
-    /// Position in the stream behind the frame that opens an exchange.
+    /// Position in the stream right after the frame that opens this exchange; `None` if it is not in the ring.
     pub fn end_of(&self, id: u64) -> Option<u64> {
         self.frames
             .iter()
@@ -102,12 +102,13 @@
             .map(|placed| placed.end)
     }
 
-    /// Takes note of the bytes written in all: complete frames leave, and what was claimed but not written waits again.
-    /// Returns the attempts whose cancellation has been written by that.
+    /// Updates the queue: `written` bytes of the stream have been written in total. Removes the frames that are
+    /// complete, and reverts the claims on frames of which no byte is written. Returns the attempts whose cancellation
+    /// is now complete.
     pub fn advance(&mut self, written: u64) -> Vec<AttemptKey> {
-        let mut confirmed = Vec::new();
+        let mut cancelled = Vec::new();
         while let Some(complete) = self.frames.pop_front_if(|placed| placed.end <= written) {
-            confirmed.extend(complete.frame.confirms);
+            cancelled.extend(complete.frame.cancels);
         }
         for placed in &mut self.frames {
             if !placed.claimed || !placed.is_unwritten(written) {
@@ -118,17 +119,17 @@
                 dispatch.revert_start();
             }
         }
-        confirmed
+        cancelled
     }
 
-    /// Empties the queue. Returns the attempts whose cancellation was still in it.
-    pub fn take_confirmations(&mut self) -> impl Iterator<Item = AttemptKey> + use<> {
+    /// Empties the queue. Returns the attempts whose cancellation was in it.
+    pub fn take_cancellations(&mut self) -> impl Iterator<Item = AttemptKey> + use<> {
         std::mem::take(&mut self.frames)
             .into_iter()
-            .filter_map(|placed| placed.frame.confirms)
+            .filter_map(|placed| placed.frame.cancels)
     }
 
-    /// Whether a frame has been written in part and is past its write deadline.
+    /// Whether a frame has been written in part and its write deadline has passed.
     pub fn is_past_write_deadline(&self, written: u64, now: Instant) -> bool {
         self.frames
             .front()
@@ -137,7 +138,7 @@
             .is_some_and(|dispatch| dispatch.is_past_write_deadline(now))
     }
 
-    /// Starts what may be written next.
+    /// Claims the frames that may be written next, and cuts those that must not be written.
     pub fn claim(&mut self, written: u64, now: Instant, scope: ClaimScope) -> Claim {
         let mut cuts = Vec::new();
         let mut index = 0;
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Ends and cuts the frames that match and of which no byte is written: those behind them move up.
+    /// Ends and cuts the frames that match and of which no byte is written. The frames behind them move up.
     pub fn cut_where(&mut self, written: u64, matches: impl Fn(&QueuedFrame) -> bool) -> Vec<Cut> {
         let mut cuts = Vec::new();
         let mut index = 0;
@@ -177,16 +178,16 @@
                 index += 1;
                 continue;
             }
-            let ends = match &placed.frame.dispatch {
+            let ends_exchange = match &placed.frame.dispatch {
                 Some(dispatch) => dispatch.end(),
                 None => true,
             };
-            cuts.extend(self.cut(index, written, ends));
+            cuts.extend(self.cut(index, written, ends_exchange));
         }
         cuts
     }
 
-    fn cut(&mut self, index: usize, written: u64, ends: bool) -> Option<Cut> {
+    fn cut(&mut self, index: usize, written: u64, ends_exchange: bool) -> Option<Cut> {
         let removed = self.frames.remove(index)?;
         let len = removed.end - removed.start;
         for behind in self.frames.iter_mut().skip(index) {
@@ -198,7 +199,7 @@
             at: (removed.start - written) as usize,
             len: len as usize,
             id: removed.frame.id,
-            ends,
+            ends_exchange,
         })
     }
 }
--- a/wrenseam/src/worker/frames/writer.rs
+++ b/wrenseam/src/worker/frames/writer.rs
@@ -1,4 +1,4 @@
-//! The writing side of one connection to a worker: establishes it and writes what is to go out.
+//! The writing side of one connection to a worker: establishes it and writes frames to it.
 use super::super::dispatch::CLIENT_INPUT_WAIT;
 use super::super::log_lines;
 use super::super::socket::{has_no_unread_input, stalled_write_pause};
@@ -8,7 +8,7 @@
 use super::reader::AnswerReader;
 use super::send_queue::ClaimScope;
 use crate::limits::Limits;
-use crate::net::{sleep, spawn, Failure, SystemCalls};
+use crate::net::{sleep, spawn, ErrorAction, SystemCalls};
 use crate::queue::CoreHandle;
 use may::net::TcpStream;
 use may::sync::mpsc::Receiver;
@@ -17,25 +17,25 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Why nothing more is written to a connection.
+/// Why writing to a connection ended.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
     /// A keepalive probe was not answered.
     #[error("keepalive timed out")]
     KeepaliveTimedOut,
-    /// A write took nothing.
+    /// A write took no byte.
     #[error("write returned 0 bytes")]
     WriteZero,
-    /// A retry was half written when its deadline passed.
+    /// A retry was written in part when its write deadline passed.
     #[error("write deadline of a retry passed")]
     WriteDeadlinePassed,
-    /// Writes made no progress for too long.
+    /// Writes made no progress for `Limits::write_stall`.
     #[error("write stalled")]
     WriteStalled,
-    /// A frame does not fit into the empty ring.
+    /// A frame of this many bytes does not fit into the empty ring.
     #[error("frame of {0} bytes exceeds the send buffer")]
     FrameTooLarge(usize),
-    /// A panic left the table of open exchanges in doubt.
+    /// A panic poisoned the lock of the exchange table.
     #[error("exchange table poisoned")]
     Poisoned,
     /// The connection could not be established, or a write failed.
@@ -51,37 +51,39 @@
     pub(super) limits: Arc<Limits>,
     pub(super) calls: Arc<dyn SystemCalls>,
     pub(super) outgoing: Outgoing,
-    /// Requests of the keepalive check that have not been looked at.
+    /// Close requests of the keepalive check that the writer has not handled yet: the connection must have been silent
+    /// since.
     pub(super) close_requests: Vec<Instant>,
 }
 
 impl Writer {
-    /// Writes until the connection ends, and ends everything that is or comes still in the queue.
+    /// Writes until the connection ends, then ends everything that is queued or still handed over.
     pub(super) fn run(mut self, commands: &Receiver<Command>) {
-        if let Err(reason) = self.serve(commands) {
+        if let Err(reason) = self.connect_and_write(commands) {
             note!("{}", log_lines::connection_ended(self.address, &reason));
         }
         self.state.close(&self.reports);
         self.outgoing.end_all();
-        // The core drops its end of the queue at its sweep.
+        // Ends once the core has dropped its handle of the closed connection, at its next sweep.
         while let Ok(command) = commands.recv() {
             if let Command::Write(outbound) = command {
-                self.outgoing.end_refused(outbound);
+                self.outgoing.end_after_close(outbound);
             }
         }
     }
 
-    fn serve(&mut self, commands: &Receiver<Command>) -> Result<(), WriteError> {
+    fn connect_and_write(&mut self, commands: &Receiver<Command>) -> Result<(), WriteError> {
         let stream = self.connect()?;
         self.start_reader(&stream)?;
         let mut end = Ok(());
         while end.is_ok() {
-            // Nothing is left to write here: wait for more. The core drops idle connections.
+            // Everything is written: wait for the next command. An error means that the core has dropped the idle
+            // connection.
             let Ok(command) = commands.recv() else { break };
-            self.accept(command);
+            self.handle_command(command);
             end = self.write_pending(&stream, commands);
         }
-        let _ = stream.shutdown(Shutdown::Both); // the reader sees the end and leaves
+        let _ = stream.shutdown(Shutdown::Both); // ends the reader
         end
     }
 
@@ -108,24 +110,24 @@
         spawn(self.limits.stack, move || reader.run(address))
     }
 
-    fn accept(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
             Command::Write(outbound) => self.outgoing.push(outbound),
             Command::CloseIfSilentSince(asked_at) => self.close_requests.push(asked_at),
         }
     }
 
-    /// Writes until nothing waits. Nothing waits inside a write: what is claimed goes out now or is not claimed, so
-    /// that a claim is never older than the look at its client.
+    /// Writes until nothing waits. No write blocks: claimed frames are written at once or the claim is reverted, so
+    /// that a claim is never older than the check of its client's connection.
     fn write_pending(
         &mut self,
         stream: &TcpStream,
         commands: &Receiver<Command>,
     ) -> Result<(), WriteError> {
-        let mut stalled = Duration::ZERO;
+        let mut stalled_for = Duration::ZERO;
         loop {
             while let Ok(command) = commands.try_recv() {
-                self.accept(command);
+                self.handle_command(command);
             }
             self.check_close_requests(stream)?;
             if self.state.is_draining() {
@@ -133,28 +135,28 @@
             }
             self.outgoing.fill_ring()?;
             let written = self.state.progress.bytes();
-            let writable = self.outgoing.claim(written, claim_scope(stalled));
+            let writable = self.outgoing.claim(written, claim_scope(stalled_for));
             if self.outgoing.is_ring_empty() {
-                if self.outgoing.is_nothing_waiting() {
+                if self.outgoing.has_nothing_waiting() {
                     return Ok(());
                 }
-                continue; // all that was in it has been cut: what did not fit comes next
+                continue; // everything in the ring has been cut, so there is room for what waits
             }
             if writable == 0 {
                 sleep(CLIENT_INPUT_WAIT);
                 continue;
             }
-            stalled = self.write_once(stream, written, writable, stalled)?;
+            stalled_for = self.write_once(stream, written, writable, stalled_for)?;
         }
     }
 
-    /// Makes one write. Returns for how long writes have been stalled after it.
+    /// Makes one write. Returns for how long writes have been stalled.
     fn write_once(
         &mut self,
         stream: &TcpStream,
         written: u64,
         writable: usize,
-        stalled: Duration,
+        stalled_for: Duration,
     ) -> Result<Duration, WriteError> {
         let bytes = self.outgoing.next_bytes(writable);
         let write = || self.calls.write(stream, bytes);
@@ -164,24 +166,28 @@
                 self.outgoing.advance(count, written + count as u64);
                 Ok(Duration::ZERO)
             }
-            Err(error) if Failure::of(&error) == Failure::Over => Err(error.into()),
-            Err(_) => self.wait_stalled(written, stalled),
+            Err(error) if ErrorAction::for_error(&error) == ErrorAction::Close => Err(error.into()),
+            Err(_) => self.wait_stalled(written, stalled_for),
         }
     }
 
-    /// Waits before a write is tried again. Returns for how long writes have been stalled then.
-    fn wait_stalled(&mut self, written: u64, stalled: Duration) -> Result<Duration, WriteError> {
+    /// Waits before a stalled write is retried. Returns for how long writes have been stalled.
+    fn wait_stalled(
+        &mut self,
+        written: u64,
+        stalled_for: Duration,
+    ) -> Result<Duration, WriteError> {
         self.outgoing.revert_claims(written);
-        let span = stalled_write_pause(&self.limits);
-        sleep(span);
-        let stalled = stalled + span;
+        let pause = stalled_write_pause(&self.limits);
+        sleep(pause);
+        let stalled_for = stalled_for + pause;
         if self.outgoing.is_past_write_deadline(written) {
             return Err(WriteError::WriteDeadlinePassed);
         }
-        if stalled >= self.limits.write_stall {
+        if stalled_for >= self.limits.write_stall {
             return Err(WriteError::WriteStalled);
         }
-        Ok(stalled)
+        Ok(stalled_for)
     }
 
     /// Ends the connection if a keepalive probe has not been answered.
@@ -195,16 +201,17 @@
         Ok(())
     }
 
-    /// Whether nothing has come since then, read or unread: what came while the process stood still lies there.
+    /// Whether nothing has been received since `asked_at`. Unread input counts as received: it may have come while the
+    /// process was stopped.
     fn is_silent_since(&self, asked_at: Instant, stream: &TcpStream) -> bool {
         let last_answer_at = self.state.last_answer_at();
         last_answer_at.is_none_or(|at| at < asked_at) && has_no_unread_input(stream)
     }
 }
 
-/// While writes stall only the next frame is started: what is behind it can be reclaimed.
-fn claim_scope(stalled: Duration) -> ClaimScope {
-    if stalled.is_zero() {
+/// Which frames to claim: only the next one while writes stall, so that the frames behind it can be reclaimed.
+fn claim_scope(stalled_for: Duration) -> ClaimScope {
+    if stalled_for.is_zero() {
         ClaimScope::AllFrames
     } else {
         ClaimScope::NextFrame
--- a/wrenseam/src/worker/kserve/answer.rs
+++ b/wrenseam/src/worker/kserve/answer.rs
@@ -9,37 +9,37 @@
 use std::io;
 use std::time::Instant;
 
-/// What ends the head of an HTTP message.
+/// The bytes that end the head of an HTTP message.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Statuses below this announce an answer that is still to come, such as 100 Continue.
+/// Answers with a lower status are interim, such as 100 Continue: the actual answer follows.
 const FIRST_FINAL_STATUS: u16 = 200;
 
-/// Why a complete answer did not come.
+/// Why no complete answer was read.
 #[derive(Debug, thiserror::Error)]
 pub enum AnswerError {
-    /// The worker closed the connection.
+    /// The worker closed the connection before the answer was complete.
     #[error("connection closed early")]
     ClosedEarly,
-    /// Neither a length nor chunks say where it ends.
+    /// The head states neither a length nor chunked coding, so the end of the body cannot be found.
     #[error("answer without length")]
     NoLength,
-    /// Its body is beyond the bound.
+    /// The body exceeds the limit.
     #[error("answer too long")]
     TooLong,
-    /// Its head is beyond the bound.
+    /// The head exceeds the limit.
     #[error("head too long")]
     HeadTooLong,
-    /// Nothing more of it came for too long.
+    /// The answer has begun, and no more of it came within `Limits::frame_stall`.
     #[error("incomplete answer")]
     Incomplete,
-    /// It was cancelled, or its time is up.
+    /// The exchange was cancelled, or its answer deadline passed.
     #[error("timed out")]
     TimedOut,
-    /// Its head is not HTTP.
+    /// The head is not valid HTTP.
     #[error(transparent)]
     InvalidHead(#[from] HeadError),
-    /// Its body is not in the chunked coding that its head names.
+    /// The body is not in the chunked coding that the head states.
     #[error(transparent)]
     InvalidChunk(#[from] InvalidChunkSize),
     /// A read failed.
@@ -58,7 +58,7 @@
 pub(super) struct AnswerReader<'a> {
     limits: &'a Limits,
     ring: Ring,
-    /// The bytes of the head that is not complete yet.
+    /// The bytes of a head that is still incomplete.
     head_bytes: Vec<u8>,
     head: Option<Head>,
     body: Vec<u8>,
@@ -81,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// Why it did not come. The connection is of no more use.
+    /// No complete answer was read. The connection must not be used again.
     pub(super) fn read(
         mut self,
         stream: &mut TcpStream,
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The answer, if its head is known and its body complete.
+    /// The answer; `None` while the head or the body is incomplete.
     fn take_complete(&mut self) -> Result<Option<Answer>, AnswerError> {
         let Some(head) = &self.head else {
             return Ok(None);
@@ -134,7 +134,7 @@
         Ok(None)
     }
 
-    /// Takes the head from the ring as far as it has come. Answers that only announce another are skipped.
+    /// Parses the head as far as it has come. Interim answers are skipped.
     fn parse_head(&mut self) -> Result<(), AnswerError> {
         while self.head.is_none() && self.ring.take(1, &mut self.head_bytes) > 0 {
             if self.head_bytes.ends_with(HEAD_END) {
@@ -156,25 +156,25 @@
         Ok(())
     }
 
-    /// Whether the body can be decoded further without another read.
+    /// Whether more of the body can be decoded without another read.
     fn can_decode_more(&self) -> bool {
         self.head
             .as_ref()
             .is_some_and(|head| !self.ring.is_empty() || head.length == Some(0))
     }
 
-    /// Nothing came for now: whether to wait on.
+    /// Nothing came for now: fails if there is no point in waiting on.
     fn check_waiting(
         &self,
         last_received_at: Instant,
         exchange: &Exchange,
     ) -> Result<(), AnswerError> {
-        // Guards against an answer that stops short, as with frames.
+        // Guards against an answer whose rest never comes, as with frames.
         let has_begun = self.head.is_some() || !self.head_bytes.is_empty();
         if has_begun && last_received_at.elapsed() > self.limits.frame_stall {
             return Err(AnswerError::Incomplete);
         }
-        // Closing the connection is how an exchange is cancelled.
+        // The connection closes on this error, which is how a worker learns of a cancellation.
         if exchange.is_cancelled() || Instant::now() > exchange.answer_deadline {
             return Err(AnswerError::TimedOut);
         }
@@ -182,7 +182,7 @@
     }
 }
 
-/// Decodes the chunks that have come. Returns whether the last one has begun.
+/// Decodes the chunks that have come. Returns whether the last chunk has begun.
 fn decode_chunks(
     chunks: &mut Chunked,
     ring: &mut Ring,
--- a/wrenseam/src/worker/kserve/connection.rs
+++ b/wrenseam/src/worker/kserve/connection.rs
@@ -1,4 +1,5 @@
-//! One connection to a v2 worker: an exchange at a time, and what is known of each when the connection ends.
+//! One connection to a v2 worker: carries one exchange at a time, and determines what is known of it when the
+//! connection ends.
 use super::super::dispatch::{StartResult, CLIENT_INPUT_WAIT};
 use super::super::log_lines;
 use super::super::socket::{has_no_unread_input, stalled_write_pause};
@@ -7,7 +8,7 @@
 use super::messages::{answer_owner, attempt_report, load_report, AnswerOwner, LoadReport, Reply};
 use crate::limits::Limits;
 use crate::model::AttemptReport;
-use crate::net::{resume_on_scheduler, sleep, Failure, SystemCalls};
+use crate::net::{resume_on_scheduler, sleep, ErrorAction, SystemCalls};
 use crate::queue::CoreHandle;
 use may::net::TcpStream;
 use may::sync::mpmc::Receiver;
@@ -17,20 +18,20 @@
 use std::time::{Duration, Instant};
 use wrenseam_policy::Outcome;
 
-/// A connection that is idle, and since when.
+/// An idle connection.
 pub(super) struct IdleStream {
     stream: TcpStream,
     since: Instant,
 }
 
 impl IdleStream {
-    /// Whether an exchange may go out on it: the worker is not about to close it, and nothing lies in it.
+    /// Whether an exchange may be sent on it: the worker is not about to close it as idle, and it has no unread input.
     fn is_usable(&self, limits: &Limits) -> bool {
         self.since.elapsed() < limits.worker_idle && has_no_unread_input(&self.stream)
     }
 }
 
-/// The coroutine of one connection.
+/// A coroutine that carries out exchanges one after the other, on one connection at a time.
 pub(super) struct Connection {
     pub(super) address: SocketAddr,
     pub(super) limits: Arc<Limits>,
@@ -41,17 +42,17 @@
 }
 
 impl Connection {
-    /// Carries out exchanges until the transport is dropped.
+    /// Carries out exchanges from the queue until the transport is dropped.
     pub(super) fn run(mut self, queue: &Receiver<Exchange>) {
         loop {
             let next = queue.recv_timeout(self.limits.worker_idle);
             resume_on_scheduler();
             match next {
                 Ok(exchange) => {
-                    self.carry_out(&exchange);
+                    self.run_exchange(&exchange);
                     self.shared.count_ended();
                 }
-                // Guards against an exchange that crosses the worker's own close of an idle connection.
+                // Guards against an exchange that is sent while the worker closes the connection as idle.
                 Err(RecvTimeoutError::Timeout) => self.idle = None,
                 Err(RecvTimeoutError::Disconnected) => return,
             }
@@ -59,9 +60,9 @@
     }
 
     /// Carries out an exchange and reports its end.
-    fn carry_out(&mut self, exchange: &Exchange) {
-        let end = match self.exchange(exchange) {
-            // The connection has ended, by which the worker is notified.
+    fn run_exchange(&mut self, exchange: &Exchange) {
+        let end = match self.send_and_receive(exchange) {
+            // The end of the connection notifies the worker of the cancellation.
             Err(Outcome::Reset) if exchange.is_cancelled() => Err(Outcome::Cancelled),
             end => end,
         };
@@ -92,15 +93,16 @@
             .load_order_ended(order.number, report.outcome, report.replicas);
     }
 
-    /// Sends the request and reads the complete answer, or tells how far it came.
-    fn exchange(&mut self, exchange: &Exchange) -> Result<Reply, Outcome> {
+    /// Sends the request and reads the complete answer. On failure, returns the outcome that follows from how far the
+    /// exchange came.
+    fn send_and_receive(&mut self, exchange: &Exchange) -> Result<Reply, Outcome> {
         if self.is_withheld(exchange) {
             return Err(Outcome::NotSent);
         }
         let mut stream = match &exchange.kind {
             ExchangeKind::Call(_) => self.started_stream(exchange)?,
-            // Their answers name no call: one that came twice would put every later answer on its connection off by
-            // one.
+            // Answers to these carry no id. After a duplicate answer, each later one on the connection would be taken
+            // for the answer to the wrong exchange.
             ExchangeKind::Order(_) | ExchangeKind::Unload => self.new_started_stream(exchange)?,
         };
         self.write(&stream, exchange)?;
@@ -110,7 +112,7 @@
                 if !exchange.is_cancelled() {
                     note!("{}", log_lines::answer_lost(self.address, &reason));
                 }
-                // Completely written and no complete answer: it may have run.
+                // The request was completely written and no complete answer came: it may have run.
                 Outcome::Reset
             })?;
         let owner = match &exchange.kind {
@@ -119,7 +121,7 @@
         };
         if owner == AnswerOwner::OtherCall {
             note!("{}", log_lines::answer_mismatched(self.address));
-            return Err(Outcome::Reset); // nothing is known of this one
+            return Err(Outcome::Reset); // whether this call has run is unknown
         }
         if owner == AnswerOwner::ThisCall {
             self.keep_reusable(stream, &answer);
@@ -127,9 +129,9 @@
         Ok(answer.reply)
     }
 
-    /// Keeps the connection for the next call, if it can carry another. Only an answer that names its call allows that.
-    /// Were a second one to come late, the next call would else take it for its own, and its own would reach the call
-    /// after it: a rejection among them proves of the wrong call that it never ran.
+    /// Keeps the connection for the next call, if it can carry another. The caller makes sure that the answer names its
+    /// call: otherwise a late duplicate would be taken for the answer to the next call, whose own answer would go to
+    /// the call after it, and a rejection among them would prove of the wrong call that it never ran.
     fn keep_reusable(&mut self, stream: TcpStream, answer: &Answer) {
         if answer.is_reusable && answer.reply.status == 200 {
             self.idle = Some(IdleStream {
@@ -139,13 +141,14 @@
         }
     }
 
-    /// Whether an exchange may no longer be started.
+    /// Whether an exchange must not be started any more: it is cancelled, or its worker has begun to drain.
     fn is_withheld(&self, exchange: &Exchange) -> bool {
         let has_drained = exchange.drain_epoch != self.shared.drain_epoch();
         exchange.is_cancelled() || has_drained && exchange.withheld_on_drain
     }
 
-    /// Starts an exchange. Returns whether its first byte may be written now.
+    /// Starts an exchange. Returns whether its first byte may be written now; waits for the reader of its client if
+    /// needed.
     fn try_start(&self, exchange: &Exchange) -> bool {
         loop {
             let start = exchange.dispatch.try_start(Instant::now());
@@ -160,7 +163,7 @@
         }
     }
 
-    /// A connection on which the exchange has been started: its first byte is to be written now.
+    /// Returns a connection on which the exchange has been started: the caller writes its first byte next.
     fn started_stream(&mut self, exchange: &Exchange) -> Result<TcpStream, Outcome> {
         if let Some(idle) = self.idle.take() {
             if idle.is_usable(&self.limits) {
@@ -168,7 +171,7 @@
                     self.idle = Some(idle);
                     return Err(Outcome::NotSent);
                 }
-                // What came while the exchange waited to be started is no answer to it.
+                // Input that came while the exchange waited to be started is no answer to it.
                 if idle.is_usable(&self.limits) {
                     return Ok(idle.stream);
                 }
@@ -178,7 +181,7 @@
         self.new_started_stream(exchange)
     }
 
-    /// A new connection on which the exchange has been started.
+    /// Returns a new connection on which the exchange has been started.
     fn new_started_stream(&self, exchange: &Exchange) -> Result<TcpStream, Outcome> {
         let stream = self.connect().map_err(|reason| {
             note!("{}", log_lines::not_connected(self.address, &reason));
@@ -198,7 +201,7 @@
         Ok(stream)
     }
 
-    /// Writes the request. On an error it is not completely written, and nothing can have run.
+    /// Writes the request. After an error it is not completely written, so it never runs.
     fn write(&self, stream: &TcpStream, exchange: &Exchange) -> Result<(), Outcome> {
         let mut remaining = &exchange.request[..];
         let mut stalled = Duration::ZERO;
@@ -209,7 +212,7 @@
                     remaining = &remaining[count..];
                 }
                 Err(error)
-                    if Failure::of(&error) != Failure::Over
+                    if ErrorAction::for_error(&error) != ErrorAction::Close
                         && stalled < self.limits.write_stall =>
                 {
                     let is_unwritten = remaining.len() == exchange.request.len();
@@ -221,20 +224,20 @@
         Ok(())
     }
 
-    /// Waits before a write is tried again, and returns for how long. As with frames, nothing is claimed while it
-    /// waits: an exchange of which no byte is written has to be started anew.
+    /// Waits before a stalled write is retried. Returns for how long. As with frames, no claim is held during the wait:
+    /// an exchange of which no byte is written must be started again.
     fn wait_stalled(&self, exchange: &Exchange, is_unwritten: bool) -> Result<Duration, Outcome> {
         if is_unwritten {
             exchange.dispatch.revert_start();
         }
-        let span = stalled_write_pause(&self.limits);
-        sleep(span);
+        let pause = stalled_write_pause(&self.limits);
+        sleep(pause);
         if is_unwritten && !self.try_start(exchange) {
             return Err(Outcome::NotSent);
         }
         if exchange.dispatch.is_past_write_deadline(Instant::now()) {
-            return Err(Outcome::ConnectFailed); // it never comes completely: the connection ends here
+            return Err(Outcome::ConnectFailed); // the connection closes, so the request is never completed
         }
-        Ok(span)
+        Ok(pause)
     }
 }
--- a/wrenseam/src/worker/kserve/exchange.rs
+++ b/wrenseam/src/worker/kserve/exchange.rs
@@ -6,16 +6,16 @@
 use std::time::Instant;
 use wrenseam_policy::FunctionId;
 
-/// An attempt on its way.
+/// An attempt on its way to the worker.
 pub(super) struct Call {
     pub(super) key: AttemptKey,
     /// The id that the worker sees.
     pub(super) wire_id: u64,
-    /// Whether its body is one of the platform's protocol, so that the answer must be unwrapped.
+    /// Whether it carries a body of the platform's protocol, so that the answer must be unwrapped.
     pub(super) is_wrapped: bool,
 }
 
-/// An order on its way.
+/// A load order on its way to the worker.
 pub(super) struct Order {
     pub(super) number: u64,
     pub(super) function: FunctionId,
@@ -23,28 +23,28 @@
     pub(super) replicas: u32,
 }
 
-/// What an exchange is for.
+/// The purpose of an exchange.
 pub(super) enum ExchangeKind {
     Call(Call),
     Order(Order),
-    /// An order to unload idle replicas, whose answer says nothing.
+    /// An order to unload idle replicas, whose answer is ignored.
     Unload,
 }
 
-/// One exchange, and how it is cancelled.
+/// An exchange that has been handed to the connections.
 pub(super) struct Exchange {
     pub(super) kind: ExchangeKind,
-    /// The request as bytes.
+    /// The bytes of the HTTP request.
     pub(super) request: Vec<u8>,
-    /// Decides whether it is started.
+    /// Decides whether it may be started.
     pub(super) dispatch: Arc<Dispatch>,
     /// Set once it is cancelled.
     pub(super) cancelled: Arc<AtomicBool>,
-    /// The worker's drain epoch when it was handed over.
+    /// The worker's drain epoch when the exchange was handed over.
     pub(super) drain_epoch: u64,
-    /// Whether it is withheld once the worker drains.
+    /// Whether it is not started once the worker drains.
     pub(super) withheld_on_drain: bool,
-    /// A worker silent beyond this has its connection closed, so that none is lost to it.
+    /// If no answer has come by then, the connection closes, so that a silent worker does not keep it.
     pub(super) answer_deadline: Instant,
 }
 
@@ -55,14 +55,14 @@
     }
 }
 
-/// What the core's side and the connections to one worker share.
+/// The state that the core's side and the connections to one worker share.
 #[derive(Default)]
 pub(super) struct WorkerConnections {
-    /// Counts the drains of the worker: what was handed over before one is not written after it.
+    /// Counts the drains of the worker. What was handed over before a drain is not written after it.
     drain_epoch: AtomicU64,
-    /// Exchanges handed over and not ended.
+    /// Exchanges that were handed over and have not ended.
     open_exchanges: AtomicUsize,
-    /// Connection coroutines.
+    /// Running connection coroutines.
     connections: AtomicUsize,
 }
 
@@ -71,7 +71,7 @@
         self.drain_epoch.load(Ordering::Acquire)
     }
 
-    /// The worker drains or is gone.
+    /// Notes that the worker is draining or gone.
     pub(super) fn start_draining(&self) {
         self.drain_epoch.fetch_add(1, Ordering::AcqRel);
     }
@@ -80,7 +80,7 @@
         self.open_exchanges.load(Ordering::Acquire)
     }
 
-    /// Counts an exchange that is handed over. Returns how many are open with it.
+    /// Counts an exchange as handed over. Returns how many are open, including this one.
     pub(super) fn count_opened(&self) -> usize {
         self.open_exchanges.fetch_add(1, Ordering::AcqRel) + 1
     }
--- a/wrenseam/src/worker/kserve/messages.rs
+++ b/wrenseam/src/worker/kserve/messages.rs
@@ -1,4 +1,4 @@
-//! The messages of KServe v2 as JSON, and what answers say of calls and orders. No sockets.
+//! KServe v2 messages as JSON, and what answers say about calls and load orders. No sockets.
 use super::super::{replica_loaded, MICROS_PER_MILLI};
 use super::exchange::Order;
 use crate::model::{AttemptReport, Payload, Request};
@@ -7,10 +7,10 @@
 use wrenseam_policy::json::{as_text, list, object, parse, part, text, whole};
 use wrenseam_policy::{FunctionId, Micros, Outcome};
 
-/// Numbers that an answer states count no higher than this.
+/// Larger numbers in an answer count as this.
 const MAX_STATED_NUMBER: u64 = 1 << 16;
 
-/// Digits of an id that a front end gave.
+/// Number of hexadecimal digits in an id that a front end chose.
 const ID_DIGITS: usize = 16;
 
 fn json_object(fields: Vec<(&str, Value)>) -> Value {
@@ -32,7 +32,7 @@
     Value::Array(values.into_iter().collect::<Array>())
 }
 
-/// Bytes as one BYTES tensor; base64 carries those that are no text, and the tensor says so.
+/// Bytes as a tensor of type BYTES. They are encoded in base64, as they need not be text, and the tensor says so.
 fn tensor(bytes: &[u8]) -> Value {
     json_object(vec![
         ("name", json_string("body")),
@@ -49,7 +49,7 @@
     ])
 }
 
-/// The body of a v2 answer that carries these bytes.
+/// The body of a v2 answer whose output tensor carries these bytes.
 pub fn wrap_answer(bytes: &[u8]) -> Vec<u8> {
     json::to_string(&json_object(vec![(
         "outputs",
@@ -58,7 +58,7 @@
     .into_bytes()
 }
 
-/// The body of a v2 call that carries a body of the platform's protocol.
+/// The body of a v2 call whose input tensor carries a body of the platform's protocol.
 pub(super) fn wrap_call(request: &Request, bytes: &[u8], budget: Micros) -> Vec<u8> {
     let mut parameters = vec![
         ("class", json_string(&request.class)),
@@ -77,7 +77,7 @@
     json::to_string(&call).into_bytes()
 }
 
-/// The bytes of the first output tensor of a v2 answer.
+/// The bytes of the first output tensor of a v2 answer; `None` if there is none or its base64 is invalid.
 pub fn unwrap_answer(answer: &Object) -> Option<Vec<u8>> {
     let output = list(answer, "outputs").first().and_then(object)?;
     let data = list(output, "data").first().and_then(as_text)?;
@@ -90,17 +90,17 @@
     }
 }
 
-/// The body of an order to hold replicas.
+/// The body of a load order.
 pub(super) fn hold(replicas: u32) -> String {
     let parameters = json_object(vec![("slots_up", json_number(replicas.into()))]);
     json::to_string(&json_object(vec![("parameters", parameters)]))
 }
 
-/// A complete answer.
+/// A complete answer: the parts that the outcome depends on.
 pub(super) struct Reply {
     pub(super) status: u16,
     pub(super) body: Vec<u8>,
-    /// Whether it says when to retry.
+    /// Whether it has a Retry-After header.
     pub(super) has_retry_after: bool,
 }
 
@@ -109,9 +109,9 @@
     parse(text).ok()
 }
 
-/// What an answer proves. A worker that lacks the model says 404, one that has too many calls 429, one that takes none
-/// for a while 503 with Retry-After: none of them has run anything. A 503 without it may come from a
-/// proxy before the worker, which lost the answer to a call that it had passed on.
+/// The outcome that an answer proves. 404 (the worker lacks the model), 429 (it has too many calls) and 503 with
+/// Retry-After (it accepts no calls for a while) prove that nothing has run. A 503 without Retry-After may come from a
+/// proxy that had passed the call on and lost the answer.
 fn outcome(reply: &Reply) -> Outcome {
     match reply.status {
         200 => Outcome::Ok,
@@ -122,18 +122,18 @@
     }
 }
 
-/// Which call an answer says that it belongs to.
+/// Which call an answer names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AnswerOwner {
     /// The call that was sent last.
     ThisCall,
-    /// Another one, that was before it on its connection.
+    /// Another call, which the connection carried earlier.
     OtherCall,
-    /// It does not say.
+    /// None: the answer carries no valid id.
     Unstated,
 }
 
-/// Which call an answer names, as seen from the call with this id.
+/// Which call an answer names, relative to the call with this id.
 pub(super) fn answer_owner(reply: &Reply, wire_id: u64) -> AnswerOwner {
     let body = parse_body(&reply.body);
     let id = body
@@ -148,7 +148,7 @@
     }
 }
 
-/// An id as a front end writes it; any other says nothing here.
+/// Parses an id in the form that front ends write; `None` for any other text.
 fn parse_id(text: &str) -> Option<u64> {
     let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
     if text.len() != ID_DIGITS || !is_hex {
@@ -157,13 +157,14 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-/// A number that an answer states.
+/// A number that an answer states, reduced to at most `MAX_STATED_NUMBER`.
 fn stated_number(answer: &Object, name: &str) -> Option<u32> {
     let number = whole(answer, name)?;
     Some(number.min(MAX_STATED_NUMBER) as u32)
 }
 
-/// What an answer says of an attempt. `is_wrapped` tells that it carries a body of the platform's protocol.
+/// The report on an attempt that an answer makes. `is_wrapped` tells that the answer carries a body of the platform's
+/// protocol.
 pub(super) fn attempt_report(reply: Reply, is_wrapped: bool) -> AttemptReport {
     let body = parse_body(&reply.body);
     let answer = body.as_ref().and_then(object);
@@ -177,7 +178,7 @@
         _ => None,
     };
     if outcome == Outcome::Ok && payload.is_none() {
-        outcome = Outcome::Error; // it ran, but what it said cannot be forwarded
+        outcome = Outcome::Error; // the call ran, but its answer cannot be forwarded
     }
     AttemptReport {
         outcome,
@@ -187,7 +188,7 @@
     }
 }
 
-/// What an answer says of an order.
+/// What the answer to a load order says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LoadReport {
     /// How the order ended.
@@ -196,7 +197,7 @@
     pub(super) replicas: u32,
 }
 
-/// What an answer says of an order to hold replicas, or to tell how many there are.
+/// Evaluates the answer to a load order, or to the query how many replicas are loaded.
 pub(super) fn load_report(reply: &Reply, order: &Order) -> LoadReport {
     let body = parse_body(&reply.body);
     let outcome = outcome(reply);
@@ -207,8 +208,8 @@
     }
 }
 
-/// The answer to an order to hold replicas. One that was carried out without saying how many there are holds what was
-/// ordered.
+/// Evaluates the answer to an order to hold replicas. If it succeeded without stating how many there are, the ordered
+/// number counts.
 fn hold_report(outcome: Outcome, body: Option<&Value>, ordered: u32) -> LoadReport {
     let stated = body
         .and_then(object)
@@ -227,7 +228,8 @@
     }
 }
 
-/// The answer to the question which models are ready. A model that does not say how many replicas it has counts as one.
+/// Evaluates the answer to the query which models are ready. A model that does not state its number of replicas
+/// counts as one.
 fn index_report(outcome: Outcome, body: Option<&Value>, function: FunctionId) -> LoadReport {
     let Some(Value::Array(models)) = body else {
         return LoadReport {
--- a/wrenseam/src/worker/kserve/mod.rs
+++ b/wrenseam/src/worker/kserve/mod.rs
@@ -1,5 +1,5 @@
-//! KServe v2 over HTTP/1.1 to one worker: each connection carries one exchange at a time. Orders to load, questions and
-//! orders to unload use the model repository extension.
+//! The transport over KServe v2 (HTTP/1.1): each connection carries one exchange at a time. Load orders, queries for
+//! loaded models and orders to unload use the model repository extension.
 mod answer;
 mod connection;
 mod exchange;
@@ -25,7 +25,7 @@
 use std::time::{Duration, Instant};
 use wrenseam_policy::{FunctionId, Micros};
 
-/// An attempt that was handed over, as a cancellation finds it.
+/// An attempt that was handed over, kept so that it can be cancelled.
 struct OpenAttempt {
     key: AttemptKey,
     dispatch: Arc<Dispatch>,
@@ -33,13 +33,13 @@
 }
 
 impl OpenAttempt {
-    /// Whether it has ended: its exchange is dropped then.
+    /// Whether the attempt has ended: the exchange, which holds the other reference, has been dropped.
     fn has_ended(&self) -> bool {
         Arc::strong_count(&self.cancelled) == 1
     }
 }
 
-/// The request of an exchange that is to be opened.
+/// An exchange that is to be opened.
 struct NewExchange {
     kind: ExchangeKind,
     request: Vec<u8>,
@@ -61,7 +61,7 @@
 }
 
 impl Kserve {
-    /// No connection is opened before it is needed.
+    /// Creates a transport without connections; they are opened when they are needed.
     pub fn new(address: SocketAddr, limits: Arc<Limits>, reports: CoreHandle) -> Self {
         let (exchanges, queue) = channel();
         Kserve {
@@ -76,13 +76,13 @@
         }
     }
 
-    /// Makes these system calls in place of the machine's.
+    /// Replaces the operating system's calls with these.
     #[must_use]
     pub fn with_calls(self, calls: Arc<dyn SystemCalls>) -> Self {
         Kserve { calls, ..self }
     }
 
-    /// Hands over an order, a question or an order to unload.
+    /// Hands over an exchange that is not an attempt: a load order, a query for loaded models or an order to unload.
     fn open_order(
         &mut self,
         kind: ExchangeKind,
@@ -99,7 +99,7 @@
         });
     }
 
-    /// Hands over an exchange, and adds a connection if all are in use.
+    /// Hands over an exchange. Adds a connection if all are in use and the limit allows one.
     fn open(&mut self, exchange: NewExchange) {
         let cancelled = Arc::new(AtomicBool::new(false));
         if let ExchangeKind::Call(call) = &exchange.kind {
@@ -113,7 +113,7 @@
         let drain_epoch = self.shared.drain_epoch();
         let answer_deadline = Instant::now() + Duration::from_micros(exchange.answer_timeout);
         let open_exchanges = self.shared.count_opened();
-        // The core's timer ends it should no connection take it.
+        // If no connection takes it, the core's timer ends it.
         let _ = self.exchanges.send(Exchange {
             kind: exchange.kind,
             request: exchange.request,
@@ -150,7 +150,7 @@
         self.open_attempts.retain(|attempt| !attempt.has_ended());
     }
 
-    /// A POST request as bytes.
+    /// The bytes of a POST request.
     fn post(&self, path: &str, budget: Micros, body: &[u8]) -> Vec<u8> {
         let host = self.address;
         let length = body.len();
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Each exchange ends its connection by itself, see `Exchange::answer_deadline`.
+    /// Does nothing: each exchange closes its connection at its own deadline, see `Exchange::answer_deadline`.
     fn abandon_order(&mut self, _order: u64) {}
 
     fn is_idle(&self) -> bool {
@@ -233,7 +233,7 @@
         self.open_order(kind, request, start_deadline, replicas > 0);
     }
 
-    /// Its workers are listed by a file, which no discovery service could be out of reach for.
+    /// Does nothing: v2 workers are listed in a file, so no discovery service can be out of reach.
     fn check_health(&mut self, _check: u64) {}
 
     fn abandon_health_check(&mut self, _check: u64) {}
@@ -249,10 +249,10 @@
         self.shared.start_draining();
     }
 
-    /// A connection carries one exchange: its silence is the exchange's.
+    /// Does nothing: a connection carries one exchange, whose deadline bounds the silence of the worker.
     fn check_keepalive(&mut self) {}
 
-    /// Idle connections close by themselves.
+    /// Forgets attempts that have ended. Idle connections close by themselves.
     fn sweep(&mut self) {
         self.forget_ended_attempts();
     }
--- a/wrenseam/src/worker/log_lines.rs
+++ b/wrenseam/src/worker/log_lines.rs
@@ -1,5 +1,5 @@
-//! The lines of the log about connections to workers, one function each. They are written by [`note!`](crate::note),
-//! which bounds how often.
+//! The texts of the log lines about connections to workers, one function each. They are written with
+//! [`note!`](crate::note), which limits their rate.
 use std::fmt::{self, Display};
 use std::net::SocketAddr;
 
@@ -13,19 +13,19 @@
     })
 }
 
-/// A connection could not be established, or writing to it failed.
+/// A connection could not be established, or its writing side ended with an error.
 pub fn connection_ended(address: SocketAddr, reason: &dyn Display) -> impl Display + '_ {
     fmt::from_fn(move |formatter| write!(formatter, "worker {address}: connection ended: {reason}"))
 }
 
-/// What came on a connection could not be read.
+/// What came on a connection was invalid or incomplete, or reading it failed.
 pub fn connection_closed(address: SocketAddr, reason: &dyn Display) -> impl Display + '_ {
     fmt::from_fn(move |formatter| {
         write!(formatter, "worker {address}: connection closed: {reason}")
     })
 }
 
-/// A worker did not answer a keepalive probe.
+/// A worker did not answer a keepalive probe, so its connection is closed.
 pub fn keepalive_timed_out(address: SocketAddr) -> impl Display {
     fmt::from_fn(move |formatter| {
         write!(
@@ -40,12 +40,12 @@
     fmt::from_fn(move |formatter| write!(formatter, "worker {address}: not connected: {reason}"))
 }
 
-/// A v2 worker's answer did not come completely, or is not valid.
+/// The answer of a v2 worker is invalid or did not arrive completely.
 pub fn answer_lost(address: SocketAddr, reason: &dyn Display) -> impl Display + '_ {
     fmt::from_fn(move |formatter| write!(formatter, "worker {address}: answer lost: {reason}"))
 }
 
-/// A v2 worker's answer names another call.
+/// The answer of a v2 worker carries the id of another call.
 pub fn answer_mismatched(address: SocketAddr) -> impl Display {
     fmt::from_fn(move |formatter| {
         write!(
--- a/wrenseam/src/worker/mod.rs
+++ b/wrenseam/src/worker/mod.rs
@@ -1,4 +1,5 @@
-//! Transports: each carries attempts, orders and cancellations to one worker and reports how they end.
+//! Transports, one for each worker address: a transport carries attempts, load orders and cancellations to its worker
+//! and reports how they end.
 pub mod dispatch;
 pub mod frames;
 pub mod kserve;
@@ -15,34 +16,35 @@
 use std::time::Instant;
 use wrenseam_policy::{FunctionId, Micros};
 
-/// Both protocols state times in milliseconds.
+/// Both worker protocols state times in milliseconds.
 const MICROS_PER_MILLI: Micros = 1000;
 
-/// What is known of an attempt that was cancelled.
+/// What a transport knows about an attempt that it was told to cancel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// No byte of it was or will be written: it never ran, and no report follows.
+    /// No byte of the attempt was or will be written, so it never runs. No report follows.
     NeverStarted,
-    /// It may run. A report follows once its worker has been notified, or its connection has ended.
+    /// The attempt may run. A report follows once the worker has been notified, or the connection has ended.
     PendingConfirmation,
     /// This transport has no such attempt open.
     Unknown,
 }
 
-/// How long an attempt may wait for its answer, and may take to be written.
+/// The time limits of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptLimits {
-    /// How long its answer is waited for.
+    /// How long to wait for the answer.
     pub answer_timeout: Micros,
-    /// For a retry of an attempt that may have run: it must have been written completely by then, as its worker does
-    /// not recognise a duplicate that comes later.
+    /// Set for a retry of an attempt that may have run: it must be completely written by then, as the worker recognises
+    /// duplicates only for a limited time. `None` for all others.
     pub write_deadline: Option<Instant>,
-    /// It is not started later than this, as its worker may drain by then.
+    /// The attempt is not started after this, as its worker may be draining by then. `None` if nothing but the timeout
+    /// bounds the start.
     pub start_deadline: Option<Instant>,
 }
 
 impl AttemptLimits {
-    /// Limits of a first attempt, or of one that nothing but its timeout bounds.
+    /// Limits of an attempt that only its timeout bounds.
     pub fn with_timeout(answer_timeout: Micros) -> Self {
         AttemptLimits {
             answer_timeout,
@@ -52,27 +54,27 @@
     }
 }
 
-/// The connections that a transport has.
+/// The use of a transport's connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionUsage {
     /// Connections that are established or being established.
     pub open: usize,
-    /// Whether an attempt sent now would open one more.
+    /// Whether an attempt sent now would open another connection.
     pub next_attempt_opens: bool,
 }
 
-/// The connections to one worker. No call blocks; everything is carried out by coroutines.
+/// The connections to one worker address. No call blocks: coroutines do the work.
 pub trait Transport: Send {
-    /// Sends an attempt; exactly one report follows, unless it is cancelled before it was started.
+    /// Sends an attempt. Exactly one report follows, unless the attempt is cancelled before it is started.
     fn send(&mut self, key: AttemptKey, request: &Arc<Request>, limits: AttemptLimits);
-    /// Cancels an attempt; what is not started is not written.
+    /// Cancels an attempt. If it has not been started, nothing of it is written.
     fn cancel(&mut self, key: AttemptKey) -> CancelOutcome;
-    /// Stops waiting for the answer to an order. The order itself stands.
+    /// Stops waiting for the answer to a load order. The worker is not notified and carries out the order.
     fn abandon_order(&mut self, order: u64);
-    /// Whether no connection is left.
+    /// Whether no connection is left, or nothing is open on those that close by themselves.
     fn is_idle(&self) -> bool;
-    /// Orders the worker to hold this many replicas; 0 only asks how many it holds. It is not started later than
-    /// `start_deadline`.
+    /// Sends a load order: the worker is to hold this many replicas; 0 only asks how many it holds. The order is not
+    /// started after `start_deadline`.
     fn order(
         &mut self,
         order: u64,
@@ -80,25 +82,25 @@
         replicas: u32,
         start_deadline: Option<Instant>,
     );
-    /// Asks the worker whether it takes new work; its state is no matter.
+    /// Asks the worker whether it accepts new work. Sent whatever state the worker is in.
     fn check_health(&mut self, check: u64);
     /// Stops waiting for the answer to a health check.
     fn abandon_health_check(&mut self, check: u64);
-    /// Has idle replicas unloaded.
+    /// Tells the worker to unload idle replicas of a function.
     fn unload(&mut self, function: FunctionId);
-    /// The worker drains or is gone: attempts and orders of which no byte is written yet are not written.
+    /// The worker is draining or gone: attempts and load orders of which no byte is written yet are not written.
     fn drain(&mut self);
-    /// Sends a keepalive probe where answers are overdue, and closes connections that do not answer theirs. Called
-    /// often.
+    /// Probes connections on which answers are overdue, and closes those that do not answer a probe. Called every
+    /// `Limits::link_check`.
     fn check_keepalive(&mut self);
-    /// Closes connections that have been idle for long.
+    /// Closes connections whose idle timeout has passed.
     fn sweep(&mut self);
-    /// How many connections there are. Transports whose connections are bounded for each worker and close by
-    /// themselves count none.
+    /// The use of connections. Transports that bound the number of their connections and close idle ones by themselves
+    /// report none.
     fn connections(&self) -> ConnectionUsage {
         ConnectionUsage::default()
     }
-    /// Since when the connection that has been idle longest is so.
+    /// When the connection that has been idle longest became idle; `None` if no connection is idle.
     fn idle_since(&self) -> Option<Instant> {
         None
     }
@@ -106,7 +108,7 @@
     fn close_idle(&mut self) {}
 }
 
-/// The transport for a worker's protocol.
+/// Creates the transport for a worker's protocol.
 pub fn transport(
     protocol: TransportProtocol,
     address: SocketAddr,
@@ -127,14 +129,15 @@
     }
 }
 
-/// Until when an order may be started. Guards the worker's ration of loads: it counts an order when it arrives, and
-/// several that a late connection held back would arrive within one period.
+/// The latest time at which a load order may be started. The worker counts each order against its rate limit for loads
+/// when the order arrives; several orders held back by a slow connect would all arrive within one period.
 fn order_start_deadline(limits: &Limits, latest: Option<Instant>) -> Instant {
     let deadline = Instant::now() + limits.connect + limits.write_check;
     latest.map_or(deadline, |latest| latest.min(deadline))
 }
 
-/// Whether the replica was loaded before the attempt came, as a worker's answer says in its `detail`.
+/// Whether the replica was loaded before the attempt arrived, from the `detail` of the worker's answer. `None` if the
+/// answer does not say.
 fn replica_loaded(detail: Option<&str>) -> Option<bool> {
     match detail {
         Some("resident") => Some(true),
--- a/wrenseam/src/worker/pool.rs
+++ b/wrenseam/src/worker/pool.rs
@@ -1,53 +1,53 @@
-//! How many connections to workers may be open, and which ones are closed when there are too many: no sockets and no
-//! clock here.
+//! The limit on connections to workers, and which ones are closed when there are too many. No sockets and no clock
+//! here.
 //!
-//! Clients and workers share the file descriptors of one process. There may be hundreds of workers, and a front end has
-//! seldom an attempt for each; so a connection is kept while descriptors are plenty, and the one that has been idle
-//! longest is closed when they run short.
+//! Clients and workers share the file descriptors of one process. There may be hundreds of workers, and a front end
+//! seldom has attempts for all of them at once. So idle connections are kept while descriptors are plentiful, and those
+//! that have been idle longest are closed when descriptors run short.
 
-/// Descriptors that a connection to a client or a worker takes: one a direction.
+/// Descriptors of a connection to a client or a worker: one for each direction.
 pub const DESCRIPTORS_PER_CONNECTION: usize = 2;
 
-/// The part of all descriptors that workers may use whatever the clients take.
+/// Workers may always use all descriptors divided by this, however many connections clients have.
 const RESERVED_PART: usize = 8;
 
-/// The part of all descriptors that is left free for clients that connect meanwhile, and for connections that are being
+/// All descriptors divided by this stay free for clients that connect meanwhile and for connections that are being
 /// closed.
 const SPARE_PART: usize = 16;
 
-/// The bound on worker connections.
+/// The limit on worker connections.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimit {
-    /// Connections of clients and workers together.
+    /// Most connections of clients and workers together.
     total: usize,
-    /// Worker connections that may be open whatever the clients take.
+    /// Worker connections that may be open however many connections clients have.
     reserved: usize,
-    /// Connections left free.
+    /// Connections that are left free.
     spare: usize,
 }
 
 /// The connections that a process has and wants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// Worker connections that are open.
+    /// Open worker connections.
     pub open: usize,
-    /// Worker connections that are to be opened.
+    /// Worker connections that are about to be opened.
     pub additional: usize,
-    /// Client connections.
+    /// Open client connections.
     pub clients: usize,
 }
 
-/// An idle connection.
+/// An idle connection to a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdleConnection<W, T> {
-    /// Its worker.
+    /// The worker that the connection leads to.
     pub worker: W,
-    /// Since when it is idle.
+    /// When the connection became idle.
     pub idle_since: T,
 }
 
 impl PoolLimit {
-    /// The bound under a limit of descriptors, of which `reserved_descriptors` are kept for other use.
+    /// The limit for a process with this many descriptors, of which `reserved_descriptors` are kept for other use.
     pub fn new(descriptors: usize, reserved_descriptors: usize) -> PoolLimit {
         let shared = descriptors.saturating_sub(reserved_descriptors);
         let reserved = descriptors / RESERVED_PART / DESCRIPTORS_PER_CONNECTION;
@@ -58,20 +58,20 @@
         }
     }
 
-    /// Worker connections that may be open beside so many clients.
+    /// How many worker connections may be open beside this many client connections.
     pub fn max_connections(&self, clients: usize) -> usize {
         let free = self.total.saturating_sub(clients + self.spare);
         free.max(self.reserved)
     }
 
-    /// How many of the open worker connections are to be closed so that the additional ones may be opened.
+    /// How many of the open worker connections must be closed before the additional ones may be opened.
     pub fn excess(&self, counts: ConnectionCounts) -> usize {
         let wanted = counts.open + counts.additional;
         wanted.saturating_sub(self.max_connections(counts.clients))
     }
 }
 
-/// The workers whose connections are closed: those of the `count` connections that have been idle longest.
+/// The workers of the `count` connections that have been idle longest.
 pub fn longest_idle<W, T: Ord>(mut idle: Vec<IdleConnection<W, T>>, count: usize) -> Vec<W> {
     idle.sort_by(|first, second| first.idle_since.cmp(&second.idle_since));
     idle.truncate(count);
--- a/wrenseam/src/worker/socket.rs
+++ b/wrenseam/src/worker/socket.rs
@@ -1,18 +1,18 @@
-//! What the connections of both protocols do alike with their sockets.
+//! Socket helpers that the transports of both protocols share.
 use crate::limits::Limits;
 use crate::net::would_block;
 use may::net::TcpStream;
 use std::time::Duration;
 
-/// How often within `Limits::write_check` a stalled write is tried again.
+/// A stalled write is retried after `Limits::write_check` divided by this.
 const STALLED_WRITE_ATTEMPTS: u32 = 10;
 
-/// How long a write that could write nothing waits before it is tried again.
+/// How long to wait before a write that would have blocked is retried.
 pub(super) fn stalled_write_pause(limits: &Limits) -> Duration {
     limits.write_check / STALLED_WRITE_ATTEMPTS
 }
 
-/// Whether nothing lies unread on the connection, not even its end.
+/// Whether the connection is open and has no unread input. The end of the stream counts as input.
 pub(super) fn has_no_unread_input(stream: &TcpStream) -> bool {
     matches!(stream.inner().peek(&mut [0]), Err(error) if would_block(&error))
 }
--- a/wrenseam/tests/broken_connections.rs
+++ b/wrenseam/tests/broken_connections.rs
@@ -1,5 +1,5 @@
-//! A connection that breaks beside a write: a frame that is wholly out may have run, whoever ends the connection, and
-//! nothing is written once it has ended.
+//! Connections that break during a write: a completely written frame may have run, whichever side ends the connection,
+//! and nothing is written after the end.
 mod link;
 
 use link::{frame, outcome, request, say, transport, FIRST};
@@ -14,50 +14,50 @@
 use wrenseam::limits::Limits;
 use wrenseam::net::{DirectCalls, SystemCalls};
 use wrenseam::queue::{CoreHandle, Message};
-use wrenseam::worker::frames::progress::Progress;
+use wrenseam::worker::frames::progress::WriteProgress;
 use wrenseam::worker::frames::Frames;
 use wrenseam::worker::{AttemptLimits, CancelOutcome, Transport};
 use wrenseam_policy::{Outcome, Settings};
 
-/// Codes of frames.
+/// Codes of the frames that the tests receive or send.
 const CODE_CALL: u8 = 2;
 const CODE_CANCEL: u8 = 3;
 const CODE_REJECTED: u8 = 203;
 
-/// How long an answer is awaited, in microseconds: longer than the tests last.
-const LONG: u64 = 20_000_000;
+/// How long an answer is awaited, in microseconds: longer than the tests take.
+const LONG_TIMEOUT: u64 = 20_000_000;
 
-/// How long a write is held for whoever should not get on before it returns.
-const HELD: Duration = Duration::from_millis(500);
+/// How long the tests watch for something that must not happen while a write is held.
+const HOLD_TIME: Duration = Duration::from_millis(500);
 
-/// The machine's calls, but a write tells that its bytes are out and then waits until it is let go. Only the writer's
-/// coroutine waits: the reader's runs on.
+/// The operating system's calls, except that a write reports its count to the test and returns only once the test
+/// allows it. Only the writer's coroutine waits; the reader's runs on.
 struct HeldWrites {
     written: Mutex<Sender<usize>>,
-    go_on: may::sync::mpmc::Receiver<()>,
+    is_let_go: may::sync::mpmc::Receiver<()>,
 }
 
 impl SystemCalls for HeldWrites {
-    fn connect(&self, address: &SocketAddr, within: Duration) -> io::Result<MayStream> {
-        DirectCalls.connect(address, within)
+    fn connect(&self, address: &SocketAddr, timeout: Duration) -> io::Result<MayStream> {
+        DirectCalls.connect(address, timeout)
     }
 
     fn write(&self, stream: &MayStream, bytes: &[u8]) -> io::Result<usize> {
         let count = DirectCalls.write(stream, bytes)?;
         let _ = self.written.lock().expect("sound").send(count);
-        let _ = self.go_on.recv();
+        let _ = self.is_let_go.recv();
         Ok(count)
     }
 }
 
-/// The machine's calls, but no more bytes are written than are allowed.
+/// The operating system's calls, except that no more bytes are written than are allowed.
 struct ShortWrites {
     allowed: Arc<AtomicUsize>,
 }
 
 impl SystemCalls for ShortWrites {
-    fn connect(&self, address: &SocketAddr, within: Duration) -> io::Result<MayStream> {
-        DirectCalls.connect(address, within)
+    fn connect(&self, address: &SocketAddr, timeout: Duration) -> io::Result<MayStream> {
+        DirectCalls.connect(address, timeout)
     }
 
     fn write(&self, stream: &MayStream, bytes: &[u8]) -> io::Result<usize> {
@@ -78,7 +78,7 @@
     drop(stream); // sends a reset
 }
 
-/// A call of which the write is held, and the worker's side of it.
+/// A call whose write is held, and the worker's side of its connection.
 struct Held {
     transport: Frames,
     reports: Receiver<Message>,
@@ -89,12 +89,16 @@
 
 fn held_call() -> Held {
     let (written, is_written) = channel();
-    let (let_go, go_on) = may::sync::mpmc::channel();
+    let (let_go, is_let_go) = may::sync::mpmc::channel();
     let (mut transport, reports, listener) = transport_with(Arc::new(HeldWrites {
         written: Mutex::new(written),
-        go_on,
+        is_let_go,
     }));
-    transport.send(FIRST, &request(9), AttemptLimits::with_timeout(LONG));
+    transport.send(
+        FIRST,
+        &request(9),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
+    );
     let stream = listener.accept().expect("a connection").0;
     Held {
         transport,
@@ -105,7 +109,7 @@
     }
 }
 
-/// A transport that makes these calls, what it reports, and where its worker listens.
+/// A transport that uses these calls, its reports, and the listener of its worker.
 fn transport_with(calls: Arc<dyn SystemCalls>) -> (Frames, Receiver<Message>, TcpListener) {
     may::config().set_workers(1).set_worker_pin(false); // as the program has it
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -123,8 +127,8 @@
     )
 }
 
-/// The worker has read the complete frame and ends its connection while the write that carried it has not returned: the
-/// call may have run, and is not reported as one that never did.
+/// The worker reads the complete frame and ends the connection before the write that carried the frame has returned:
+/// the call may have run, and must not be reported as never run.
 #[rstest]
 fn a_frame_whose_write_has_not_returned_may_have_run(#[values("close", "reset")] end: &str) {
     let Held {
@@ -142,7 +146,7 @@
         "reset" => abort(stream),
         _ => drop(stream),
     }
-    if let Ok(Message::AttemptEnded { key: _, report }) = reports.recv_timeout(HELD) {
+    if let Ok(Message::AttemptEnded { key: _, report }) = reports.recv_timeout(HOLD_TIME) {
         panic!(
             "{:?} was reported while the write had not returned",
             report.outcome
@@ -152,21 +156,21 @@
     assert_eq!(outcome(&reports), (0, Outcome::Reset));
 }
 
-/// Whoever ends a connection's writing waits for the write that is being made, and none follows.
+/// The end of a connection's writing waits for a write that is in progress, and no write follows it.
 #[test]
 fn an_end_counts_the_write_that_is_being_made() {
-    let progress = Arc::new(Progress::default());
+    let progress = Arc::new(WriteProgress::default());
     let (sender, total) = channel();
     let (ending, begins) = channel();
     let ended = progress.clone();
     let other = std::thread::spawn(move || {
         begins.recv().expect("a write is being made");
-        sender.send(ended.end()).expect("heard");
+        sender.send(ended.end()).expect("the test waits");
     });
     let during = progress.write(|| {
         ending.send(()).expect("the other waits");
         assert!(
-            total.recv_timeout(HELD).is_err(),
+            total.recv_timeout(HOLD_TIME).is_err(),
             "it ended in the middle of a write"
         );
         Ok(10)
@@ -177,8 +181,8 @@
     assert!(progress.write(|| panic!("written after the end")).is_err());
 }
 
-/// A cancelled attempt has ended once its worker has been told so, and not before: another attempt of its
-/// request may follow at once, and where two must not be out together the first is over by then.
+/// A cancelled attempt is reported as ended only after its worker has been notified. Another attempt of the request may
+/// follow the report at once, and where two must not be open together the first must have ended by then.
 #[test]
 fn an_attempt_is_cancelled_once_its_worker_has_been_notified() {
     let Held {
@@ -193,7 +197,7 @@
     assert_eq!(transport.cancel(FIRST), CancelOutcome::PendingConfirmation);
     assert!(
         reports.try_recv().is_err(),
-        "the writer has not even got to it"
+        "reported before the writer handled the cancellation"
     );
     let_go.send(()).expect("the write waits");
     is_written.recv().expect("the cancellation is written");
@@ -211,15 +215,19 @@
     );
 }
 
-/// A worker rejects a call of which it has half. The connection ends: the other half does not follow what was reported
-/// as never run.
+/// A worker rejects a call of which it has received only a part. The connection ends, as the rest must not follow once
+/// the call is reported as never run.
 #[test]
 fn a_call_rejected_midway_never_comes_completely() {
     let allowed = Arc::new(AtomicUsize::new(30));
     let (mut transport, reports, listener) = transport_with(Arc::new(ShortWrites {
         allowed: allowed.clone(),
     }));
-    transport.send(FIRST, &request(9), AttemptLimits::with_timeout(LONG));
+    transport.send(
+        FIRST,
+        &request(9),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
+    );
     let mut stream = listener.accept().expect("a connection").0;
     stream.read_exact(&mut [0; 30]).expect("the beginning");
     say(&mut stream, CODE_REJECTED, 9, "", b"");
@@ -235,13 +243,17 @@
     );
 }
 
-/// A code that was damaged on its way reads as one that proves that nothing ran: the checksum covers fields and body alone.
-/// But a body came with it, as only with an answer to what ran.
+/// A corrupted code may read as one that proves that nothing ran, since the checksum covers only fields and body. An
+/// answer with such a code and a body is not believed, as only the answer to a call that ran has a body.
 #[rstest]
 fn a_damaged_code_proves_nothing(#[values(202, 203, 205)] code: u8) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |_| {});
-    transport.send(FIRST, &request(9), AttemptLimits::with_timeout(LONG));
+    transport.send(
+        FIRST,
+        &request(9),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
+    );
     let mut stream = listener.accept().expect("a connection").0;
     assert_eq!(frame(&mut stream), (9, CODE_CALL));
     say(&mut stream, code, 9, "detail=resident", b"DONE");
--- a/wrenseam/tests/send_queue.rs
+++ b/wrenseam/tests/send_queue.rs
@@ -1,4 +1,4 @@
-//! What is claimed from a connection's queue, and what is cut out of it.
+//! What is claimed from the send queue of a connection, and what is cut out of it.
 use rstest::rstest;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,15 +14,15 @@
     Claim { writable, cuts }
 }
 
-/// Bytes of each queued frame.
+/// Length of each queued frame.
 const FRAME_BYTES: usize = 10;
 
-/// What is taken out of the queue.
+/// What a test case cuts out of the queue.
 #[derive(Clone, Copy, Debug)]
-enum TakenOut {
+enum CutOut {
     /// The frame of one exchange.
     Exchange(u64),
-    /// All that is withheld on a drain.
+    /// All frames that are withheld on a drain.
     Withheld,
 }
 
@@ -33,7 +33,7 @@
         id: Some(id),
         withheld_on_drain: true,
         dispatch: Some(dispatch),
-        confirms: None,
+        cancels: None,
     }
 }
 
@@ -45,17 +45,18 @@
     }
 }
 
-/// Frames 1, 2 (an unload, which gets no answer) and 3, of which so many bytes are written; then one is taken out, or
-/// all that are withheld on a drain. What is cut, and where the last one ends now.
+/// The queue holds frames 1, 2 (an unload, which gets no answer) and 3, of which `written` bytes are written. Then the
+/// frame of one exchange is cut out, or all that are withheld on a drain. Checks what is cut, and where the last frame
+/// ends then.
 #[rstest]
-#[case::none_started(0, TakenOut::Exchange(1), vec![(0, Some(1))], 20)]
-#[case::started_in_part(1, TakenOut::Exchange(1), vec![], 30)]
-#[case::behind_a_started_one(4, TakenOut::Exchange(3), vec![(16, Some(3))], 20)]
-#[case::a_drain(4, TakenOut::Withheld, vec![(16, Some(3))], 20)]
-#[case::a_drain_before_any(0, TakenOut::Withheld, vec![(0, Some(1)), (10, Some(3))], 10)]
+#[case::none_started(0, CutOut::Exchange(1), vec![(0, Some(1))], 20)]
+#[case::started_in_part(1, CutOut::Exchange(1), vec![], 30)]
+#[case::behind_a_started_one(4, CutOut::Exchange(3), vec![(16, Some(3))], 20)]
+#[case::a_drain(4, CutOut::Withheld, vec![(16, Some(3))], 20)]
+#[case::a_drain_before_any(0, CutOut::Withheld, vec![(0, Some(1)), (10, Some(3))], 10)]
 fn what_is_not_started_is_cut_and_the_rest_moves_up(
     #[case] written: u64,
-    #[case] taken_out: TakenOut,
+    #[case] cut_out: CutOut,
     #[case] expected: Vec<(usize, Option<u64>)>,
     #[case] end: u64,
 ) {
@@ -64,21 +65,23 @@
     queue.push(one_way(FRAME_BYTES));
     queue.push(opening(3, waiting()));
     queue.advance(written);
-    let cuts = queue.cut_where(written, |frame| match taken_out {
-        TakenOut::Exchange(id) => frame.id == Some(id),
-        TakenOut::Withheld => frame.withheld_on_drain,
+    let cuts = queue.cut_where(written, |frame| match cut_out {
+        CutOut::Exchange(id) => frame.id == Some(id),
+        CutOut::Withheld => frame.withheld_on_drain,
     });
     let places: Vec<_> = cuts.iter().map(|cut| (cut.at, cut.id)).collect();
     assert_eq!(places, expected);
-    assert!(cuts.iter().all(|cut| cut.ends && cut.len == FRAME_BYTES));
+    assert!(cuts
+        .iter()
+        .all(|cut| cut.ends_exchange && cut.len == FRAME_BYTES));
     assert_eq!(
         queue.push(one_way(5)),
         end + 5,
-        "where the last one ends now"
+        "position right after the last frame"
     );
 }
 
-/// While a write stalls only the next frame is claimed: those behind can still be reclaimed.
+/// While a write stalls only the next frame is claimed, so that those behind it can still be reclaimed.
 #[test]
 fn a_stalled_write_claims_one_frame_at_the_most() {
     let now = Instant::now();
@@ -102,7 +105,7 @@
         at: 0,
         len: FRAME_BYTES,
         id: Some(1),
-        ends: false,
+        ends_exchange: false,
     };
     assert_eq!(
         queue.claim(10, now, ClaimScope::NextFrame),
@@ -110,8 +113,8 @@
     );
 }
 
-/// An attempt counts as cancelled once the frame that says so is completely written, also where frames before it are
-/// cut.
+/// An attempt counts as cancelled once its cancellation is completely written, also if a frame before the cancellation
+/// is cut out.
 #[test]
 fn a_cancellation_is_confirmed_by_its_last_byte() {
     let now = Instant::now();
@@ -123,12 +126,16 @@
     };
     queue.push(opening(1, reclaimed.clone()));
     queue.push(QueuedFrame {
-        confirms: Some(key),
+        cancels: Some(key),
         ..one_way(20)
     });
     assert!(reclaimed.reclaim());
     assert_eq!(queue.claim(0, now, ClaimScope::AllFrames).writable, 20);
     assert_eq!(queue.advance(19), []);
     assert_eq!(queue.advance(20), [key]);
-    assert_eq!(queue.take_confirmations().count(), 0, "it is told once");
+    assert_eq!(
+        queue.take_cancellations().count(),
+        0,
+        "a cancellation must be reported only once"
+    );
 }
--- a/wrenseam/tests/worker_log_lines.rs
+++ b/wrenseam/tests/worker_log_lines.rs
@@ -1,4 +1,4 @@
-//! The text of each log line about connections to workers. docs/oncall.md lists them for whoever reads the log.
+//! The text of each log line about connections to workers, which docs/oncall.md lists for operators.
 use rstest::rstest;
 use std::io;
 use std::net::SocketAddr;
@@ -55,8 +55,8 @@
 #[case(ReadError::IncompleteFrame, "incomplete frame")]
 #[case(ReadError::Receive(io::Error::other("reset")), "reset")]
 #[case(ReadError::Socket(std::io::ErrorKind::TimedOut.into()), "timed out")]
-#[case(FrameError::Magic(126).into(), "invalid frame: magic byte 126")]
-#[case(FrameError::BodyLength(9).into(), "invalid frame: body length 9")]
+#[case(FrameError::Magic(126).into(), "invalid frame: unexpected magic byte 126")]
+#[case(FrameError::BodyLength(9).into(), "invalid frame: body length 9 exceeds the limit")]
 #[case(FrameError::Checksum.into(), "invalid frame: checksum mismatch")]
 #[case(FrameError::UnknownCode(9).into(), "invalid frame: unknown code 9")]
 #[case(FrameError::UnexpectedBody(203).into(), "invalid frame: unexpected body with code 203")]
