--- a/wrenseam/tests/closing.rs
+++ b/wrenseam/tests/closing.rs
@@ -1,4 +1,4 @@
-//! Listeners and connections as they close, with what crosses the close.
+//! Listeners and connections that close while connections or input are still arriving.
 mod common;
 
 use common::{connect, fastcgi, fastcgi_answer, Harness, Protocol, FUNCTION};
@@ -11,15 +11,15 @@
 use wrenseam::net::SlotGuard;
 use wrenseam::queue::CoreHandle;
 
-fn greet(mut stream: may::net::TcpStream, _: &ListenerContext, _: SlotGuard) {
-    let mut got = [0; 4];
-    let _ = stream.read_exact(&mut got);
-    let _ = stream.write_all(&got);
+fn echo(mut stream: may::net::TcpStream, _: &ListenerContext, _: SlotGuard) {
+    let mut received = [0; 4];
+    let _ = stream.read_exact(&mut received);
+    let _ = stream.write_all(&received);
 }
 
-/// Connections that the system has accepted and the program has not when the listener closes are served.
+/// Connections that the system has queued, and the program has not accepted, when the listener closes are still served.
 #[test]
-fn what_stands_in_the_listeners_queue_at_its_close_is_served() {
+fn connections_queued_when_the_listener_closes_are_served() {
     may::config().set_workers(1).set_worker_pin(false); // as the program has it
     let limits = Arc::new(Limits::new(
         192,
@@ -31,7 +31,7 @@
     context.listeners_closing.store(true, Ordering::Release);
     let socket = Arc::new(may::net::TcpListener::bind("127.0.0.1:0").expect("a port"));
     let address = socket.local_addr().expect("bound");
-    // Nobody accepts here: the close comes first, every time.
+    // Nothing accepts these connections before the listener closes.
     let mut clients: Vec<TcpStream> = (0..20).map(|_| connect(address)).collect();
     clients
         .iter_mut()
@@ -40,24 +40,24 @@
         &Listener {
             socket,
             front: "test",
-            serve: greet,
+            serve: echo,
         },
         &context,
     );
     for client in &mut clients {
-        let mut got = [0; 4];
-        client.read_exact(&mut got).expect("an answer");
-        assert_eq!(&got, b"here");
+        let mut received = [0; 4];
+        client.read_exact(&mut received).expect("an answer");
+        assert_eq!(&received, b"here");
     }
     assert!(TcpStream::connect(address).is_err(), "closed");
 }
 
-/// What a client still sends behind a close from this side is read for a while: a reset would destroy answers on their
-/// way.
+/// Input that comes after our half-close is read for a while: closing the socket at once would send a reset, which
+/// destroys responses in flight.
 #[test]
-fn input_behind_the_close_brings_no_reset() {
-    let stage = Harness::new(Protocol::Platform);
-    let mut stream = connect(stage.front);
+fn input_after_the_close_causes_no_reset() {
+    let harness = Harness::new(Protocol::Platform);
+    let mut stream = connect(harness.front);
     let mut bytes = fastcgi(
         1,
         &[("SCRIPT_NAME", "/healthz"), ("HTTP_REQ_KEY", FUNCTION)],
@@ -75,15 +75,15 @@
     assert!(stream.take_error().expect("asked").is_none(), "no reset");
 }
 
-/// A client that keeps its connection does not keep a process that ends, and loses nothing on it.
+/// A client that keeps its connection open does not delay a process that shuts down, and loses no response.
 #[test]
-fn a_planned_end_closes_kept_connections_in_order() {
-    let mut stage = Harness::new(Protocol::Platform);
-    let mut kept = connect(stage.front);
+fn a_planned_shutdown_closes_kept_connections_in_order() {
+    let mut harness = Harness::new(Protocol::Platform);
+    let mut kept = connect(harness.front);
     kept.write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""))
         .expect("written");
     fastcgi_answer(&mut kept).expect("an answer");
-    let mut open = connect(stage.front);
+    let mut open = connect(harness.front);
     let params = [
         ("SCRIPT_NAME", "/v1/tile-render"),
         ("HTTP_REQ_ID", "00000000000000aa"),
@@ -92,7 +92,7 @@
         ("HTTP_REQ_KEY", FUNCTION),
     ];
     open.write_all(&fastcgi(1, &params, b"x")).expect("written");
-    assert!(stage.terminate());
+    assert!(harness.terminate());
     assert_eq!(kept.read(&mut [0; 8]).expect("closed in order"), 0);
     let head = fastcgi_answer(&mut open)
         .expect("an answer before the end")
--- a/wrenseam/tests/codecs.rs
+++ b/wrenseam/tests/codecs.rs
@@ -1,4 +1,4 @@
-//! Readers of the wires, fed by hand.
+//! Decoders of the protocols, on handwritten input.
 use rstest::rstest;
 use wrenseam::discovery::event::parse_event;
 use wrenseam::discovery::event_stream::{EventStreamParser, ServerSentEvent, StreamItem};
@@ -9,7 +9,7 @@
 use wrenseam_policy::WorkerState;
 
 #[test]
-fn events_of_the_board_are_read() {
+fn server_sent_events_are_parsed() {
     let mut events = EventStreamParser::default();
     let text =
         ": comment\nid: 7\r\ndata: {\"a\":\r\ndata: 1}\r\n\r\n: more\n\nid:8\ndata:x\n\ndata:y\n\n";
@@ -41,7 +41,7 @@
     );
 }
 
-/// What others can cause at full speed is written a few times a second, then counted.
+/// A log line that others can cause at any rate is written a few times a second and counted beyond that.
 #[test]
 fn repeated_lines_are_counted() {
     let line = wrenseam::log::Line::new();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn chunks_are_undone() {
+fn chunked_bodies_are_decoded() {
     let mut chunked = Chunked::default();
     let coded: Vec<Coded> = b"3\r\nabc\r\n1;x=y\r\nd\r\n0\r\n"
         .iter()
@@ -84,44 +84,50 @@
 #[case::smuggled("POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n")]
 #[case::negative("POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n")]
 #[case::garbage("\0\r\n\r\n")]
-fn bad_heads_are_refused(#[case] head: &str) {
+fn invalid_heads_are_rejected(#[case] head: &str) {
     assert!(Head::request(head.as_bytes()).is_err());
 }
 
 #[test]
-fn a_notice_becomes_members() {
+fn a_discovery_event_gives_endpoints() {
     let text = r#"{"rev":41,"pool":{"generation":7,"reset":true,"instances":[{"instanceId":"s-1","hostPort":
         "127.0.0.1:9","zone":"east","machineType":"std","cell":2,"lifecycle":"draining","startedAtMs":5}]}}"#;
     let json = parse(text).expect("JSON");
-    let told = parse_event(object(&json).expect("an object")).expect("sound");
-    let m = &told.endpoints[0];
+    let event = parse_event(object(&json).expect("an object")).expect("sound");
+    let endpoint = &event.endpoints[0];
     assert!(
-        told.complete
-            && told.faults.is_empty()
-            && m.state == WorkerState::Draining
-            && m.started_at == 5_000
-            && m.cell == Some(2),
-        "{m:?}"
+        event.complete
+            && event.faults.is_empty()
+            && endpoint.state == WorkerState::Draining
+            && endpoint.started_at == 5_000
+            && endpoint.cell == Some(2),
+        "{endpoint:?}"
     );
 }
 
-/// Envoy's rules: an endpoint of unknown health takes work, one that drains takes nothing new.
+/// Envoy's rules: an endpoint of unknown health gets work, a draining one gets no new work.
 #[rstest]
-#[case::not_told("", WorkerState::Ready)]
+#[case::unstated("", WorkerState::Ready)]
 #[case::healthy(r#""health_status":"HEALTHY","#, WorkerState::Ready)]
 #[case::draining(r#""health_status":"DRAINING","#, WorkerState::Draining)]
 #[case::unhealthy(r#""health_status":"UNHEALTHY","#, WorkerState::Gone)]
-fn endpoints_become_members(#[case] health: &str, #[case] state: WorkerState) {
+fn xds_endpoints_are_parsed(#[case] health: &str, #[case] state: WorkerState) {
     let text = format!(
         r#"{{"resources":[{{"cluster_name":"tiles","endpoints":[{{"locality":{{"zone":"east"}},"lb_endpoints":[
         {{{health}"endpoint":{{"address":{{"socket_address":{{"address":"127.0.0.1","port_value":9}}}}}},
         "metadata":{{"filter_metadata":{{"wrenseam":{{"id":"w1","cell":3}}}}}}}}]}}]}}]}}"#
     );
     let json = parse(&text).expect("JSON");
-    let members = parse_endpoints(object(&json).expect("an object")).expect("sound");
-    let m = &members[0];
+    let endpoints = parse_endpoints(object(&json).expect("an object")).expect("sound");
+    let endpoint = &endpoints[0];
     assert_eq!(
-        (m.state, m.protocol, &m.id[..], &m.zone[..], m.cell),
+        (
+            endpoint.state,
+            endpoint.protocol,
+            &endpoint.id[..],
+            &endpoint.zone[..],
+            endpoint.cell
+        ),
         (state, TransportProtocol::Kserve, "w1", "east", Some(3))
     );
 }
--- a/wrenseam/tests/dispatch.rs
+++ b/wrenseam/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Who decides whether a waiting attempt is started, reclaimed, discarded or ended.
+//! Transitions of a dispatch: whether a waiting attempt is started, reclaimed, discarded or ended.
 use rstest::rstest;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
     Dispatch::new(Arc::default(), Instant::now() + Duration::from_secs(60))
 }
 
-/// Of two that cross, the first decides and the other is notified.
+/// When two transitions race, the first decides and the other learns that it came too late.
 #[test]
 fn an_attempt_is_started_or_reclaimed_never_both() {
     let now = Instant::now();
@@ -22,7 +22,7 @@
     assert!(third.reclaim());
 }
 
-/// A client that has left, or a time that is up, discards what has not started.
+/// An attempt that has not been started is discarded once its client has left or its time is up.
 #[test]
 fn nothing_is_started_for_a_client_that_left_or_after_its_time() {
     let (gone, now) = (Arc::new(AtomicBool::new(false)), Instant::now());
@@ -39,12 +39,12 @@
     );
 }
 
-/// A final state stays, whatever is tried on it, and nobody else is told to account for the end.
+/// No call changes a final state, and none tells its caller to account for the end again.
 #[rstest]
 #[case::reclaimed(DispatchState::Reclaimed)]
 #[case::discarded(DispatchState::Discarded)]
 #[case::ended(DispatchState::Ended)]
-fn a_final_state_is_left_by_nothing(#[case] state: DispatchState) {
+fn nothing_changes_a_final_state(#[case] state: DispatchState) {
     let (gone, now) = (Arc::new(AtomicBool::new(false)), Instant::now());
     let dispatch = Dispatch::new(gone.clone(), now + Duration::from_secs(60));
     match state {
--- a/wrenseam/tests/frame_codec.rs
+++ b/wrenseam/tests/frame_codec.rs
@@ -1,4 +1,4 @@
-//! Answers of workers, decoded from a stream of bytes.
+//! Decoding of workers' answers from a stream of bytes.
 use rstest::rstest;
 use wrenseam::ring::Ring;
 use wrenseam::worker::frames::{Decoder, FrameError};
@@ -6,10 +6,10 @@
 /// The id that all answers here carry.
 const ID: u64 = 9;
 
-/// Bytes that the ring of a test holds.
+/// Size of a test's ring.
 const RING_BYTES: usize = 64;
 
-/// The longest body that the tests allow.
+/// The largest body that the tests accept, in bytes.
 const MAX_BODY: usize = 100;
 
 /// An answer without fields.
@@ -22,7 +22,7 @@
     frame
 }
 
-/// Frames come out complete however they are cut, also across the ring's edge.
+/// Frames are decoded completely whatever the sizes of the pieces in which they come, also across the edge of the ring.
 #[rstest]
 fn frames_are_decoded_from_pieces(#[values(1, 3, 7, 50)] piece_len: usize) {
     let mut ring = Ring::new(RING_BYTES);
@@ -39,7 +39,7 @@
     assert_eq!(bodies, [&b"one"[..], b"", b"three"]);
 }
 
-/// A stream out of step is told from one that is merely not complete yet.
+/// Invalid bytes give an error, unlike a frame that is merely incomplete.
 #[rstest]
 #[case::magic_byte(0, 126, FrameError::Magic(126))]
 #[case::body_length(4, 255, FrameError::BodyLength(0xff00_0004))]
--- a/wrenseam/tests/keepalive.rs
+++ b/wrenseam/tests/keepalive.rs
@@ -1,4 +1,4 @@
-//! How often a quiet connection to a worker is probed.
+//! How often a quiet connection to a worker gets a keepalive probe.
 use std::time::Duration;
 use wrenseam::limits::Limits;
 use wrenseam::worker::frames::keepalive::probe_due;
@@ -7,7 +7,7 @@
 /// Milliseconds between two keepalive checks.
 const CHECK_INTERVAL_MS: u64 = 50;
 
-/// When a connection is probed during one call of `call_ms`, each probe being answered at once.
+/// The times at which a connection is probed during one call of `call_ms`, if each probe is answered at once.
 fn probe_times_ms(front_ends: u32, call_ms: u64) -> Vec<u64> {
     let settings = Settings {
         front_ends,
@@ -27,7 +27,8 @@
     probes
 }
 
-/// Guards against probes that are nothing at one front end and, at a hundred, one for every third call.
+/// Guards against too many probes in a large fleet: with a probe interval that costs nothing with one front end, a
+/// hundred front ends would send a probe for every third call.
 #[test]
 fn a_large_fleet_probes_a_slow_connection_seldom_and_still_in_time() {
     let few = probe_times_ms(3, 2_000);
@@ -38,10 +39,10 @@
     );
     assert!(
         many[0] <= 350,
-        "silence is seen well before the latency objective is far gone: {many:?}"
+        "the first probe comes too late to notice a silent worker: {many:?}"
     );
     assert!(
         probe_times_ms(100, 300).is_empty(),
-        "a call within its latency objective costs no probe"
+        "a call that ends within its latency objective must cost no probe"
     );
 }
--- a/wrenseam/tests/kserve_proofs.rs
+++ b/wrenseam/tests/kserve_proofs.rs
@@ -1,5 +1,5 @@
-//! What a v2 worker's answer proves of a call: one that says that nothing ran is believed only where it must be the
-//! answer to this call.
+//! What the answer of a v2 worker proves about a call: an answer that says that nothing ran is believed only if it must
+//! be the answer to this call.
 mod link;
 
 use link::{outcome, request, transport_of, Protocol};
@@ -16,20 +16,20 @@
 use wrenseam::worker::{AttemptLimits, Transport};
 use wrenseam_policy::Outcome;
 
-const LONG: u64 = 20_000_000;
+const LONG_TIMEOUT: u64 = 20_000_000;
 
-/// One exchange at a time: which connection the next one takes does not hang on which coroutine is quicker. Connects
-/// have time on a busy machine: one that fails ends its call before the worker sees it.
+/// One exchange at a time, so that it does not depend on scheduling which connection the next one uses. The long
+/// connect timeout is for busy machines: a connect that fails would end its call before the worker sees it.
 const ONE_CONNECTION: fn(&mut Limits) = |limits| {
     limits.lanes_per_worker = 1;
     limits.connect = Duration::from_secs(20);
 };
 
-/// A rejection that says when to retry.
+/// A rejection with a Retry-After header.
 const REJECTED: &str =
     "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nContent-Length: 2\r\n\r\n{}";
 
-/// An answer that carries a body and, if any, the call's id.
+/// An answer that carries a body and, if given, the call's id.
 fn served(id: Option<u64>) -> String {
     let id = id.map_or(String::new(), |id| format!(r#""id":"{id:016x}","#));
     let body = format!(
@@ -41,11 +41,11 @@
     )
 }
 
-/// A call that has come completely.
+/// A call that has been received completely.
 struct ReceivedCall {
-    /// On which connection it came, counted from the first.
+    /// The number of the connection that it came on, from 0.
     connection: usize,
-    /// Where its answer goes.
+    /// The stream to answer on.
     stream: TcpStream,
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// A worker that tells of each call and leaves the answer to the test.
+/// A worker that passes each call to the test, which answers it.
 fn worker() -> (SocketAddr, Receiver<ReceivedCall>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -77,7 +77,7 @@
     (address, calls)
 }
 
-/// Reads a call completely. Returns where its answer goes.
+/// Reads a complete call. Returns the stream to answer on; `None` if the connection ended.
 fn read_call(mut stream: &TcpStream) -> Option<TcpStream> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -117,7 +117,7 @@
 )]
 #[case::rejected(REJECTED, Outcome::Rejected)]
 #[case::rejected_behind_an_interim_answer(&format!("HTTP/1.1 103 Early Hints\r\n\r\n{REJECTED}"), Outcome::Rejected)]
-// A proxy says so too when it has lost the answer to a call that it passed on.
+// A proxy answers so too when it has lost the answer to a call that it passed on.
 #[case::unavailable(
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
     Outcome::Error
@@ -146,14 +146,18 @@
 fn an_answer_proves(#[case] answer: &str, #[case] proves: Outcome) {
     let (address, calls) = worker();
     let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_CONNECTION);
-    transport.send(attempt(1), &request(9), AttemptLimits::with_timeout(LONG));
+    transport.send(
+        attempt(1),
+        &request(9),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
+    );
     let mut call = next_call(&calls);
     call.answer(answer);
     call.stream.shutdown(Shutdown::Both).expect("open");
     assert_eq!(outcome(&reports), (1, proves));
 }
 
-/// A worker that has served its first call, by its id, on a connection that is kept.
+/// A worker that has answered its first call with the call's id, so that the connection is kept.
 struct Served {
     transport: Box<dyn Transport>,
     reports: Receiver<Message>,
@@ -164,7 +168,11 @@
 fn served_call() -> Served {
     let (address, calls) = worker();
     let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_CONNECTION);
-    transport.send(attempt(1), &request(1), AttemptLimits::with_timeout(LONG));
+    transport.send(
+        attempt(1),
+        &request(1),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
+    );
     let mut first = next_call(&calls);
     first.answer(&served(Some(1)));
     assert_eq!(outcome(&reports), (1, Outcome::Ok));
@@ -176,17 +184,25 @@
     }
 }
 
-/// A rejection comes twice, the second time behind the next call: it is not taken for that call's answer. Rejections
-/// name no call, so the connection that carried one carries no other call.
+/// A duplicate of a rejection arrives after the next call was sent: it must not be taken for that call's answer.
+/// Rejections carry no id, so a connection that carried one is not used again.
 #[test]
 fn a_second_rejection_is_not_taken_for_that_of_the_next_call() {
     let (address, calls) = worker();
     let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_CONNECTION);
-    transport.send(attempt(1), &request(1), AttemptLimits::with_timeout(LONG));
+    transport.send(
+        attempt(1),
+        &request(1),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
+    );
     let mut first = next_call(&calls);
     first.answer(REJECTED);
     assert_eq!(outcome(&reports), (1, Outcome::Rejected));
-    transport.send(attempt(2), &request(2), AttemptLimits::with_timeout(LONG));
+    transport.send(
+        attempt(2),
+        &request(2),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
+    );
     let mut second = next_call(&calls);
     let _ = first.stream.write_all(REJECTED.as_bytes()); // the connection may be closed
     second.answer(&served(Some(2)));
@@ -197,8 +213,8 @@
     );
 }
 
-/// An answer comes twice, the second time behind the next call on the connection: it names another, so what became of
-/// this one is not known.
+/// A duplicate of an answer arrives after the next call was sent on the connection. It carries the id of the first
+/// call, so whether the second has run is unknown.
 #[test]
 fn a_second_answer_is_not_taken_for_that_of_the_next_call() {
     let Served {
@@ -207,7 +223,11 @@
         calls,
         first,
     } = served_call();
-    transport.send(attempt(2), &request(2), AttemptLimits::with_timeout(LONG));
+    transport.send(
+        attempt(2),
+        &request(2),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
+    );
     let mut second = next_call(&calls);
     assert_eq!(
         first.connection, second.connection,
@@ -217,7 +237,8 @@
     assert_eq!(outcome(&reports), (2, Outcome::Reset));
 }
 
-/// What does not name its call leaves no connection for another: a second one could not be told from the next call's.
+/// Only an answer with the call's id keeps its connection in use: a duplicate of any other answer could not be told
+/// apart from the answer to the next call.
 #[rstest]
 #[case::an_answer_without_an_id(None, false)]
 #[case::an_answer_with_its_id(Some(1), true)]
@@ -227,18 +248,27 @@
 ) {
     let (address, calls) = worker();
     let (mut transport, reports) = transport_of(Protocol::Kserve, address, ONE_CONNECTION);
-    transport.send(attempt(1), &request(1), AttemptLimits::with_timeout(LONG));
+    transport.send(
+        attempt(1),
+        &request(1),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
+    );
     let mut first = next_call(&calls);
     first.answer(&served(id));
     assert_eq!(outcome(&reports), (1, Outcome::Ok));
-    transport.send(attempt(2), &request(2), AttemptLimits::with_timeout(LONG));
+    transport.send(
+        attempt(2),
+        &request(2),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
+    );
     let second = next_call(&calls);
     assert_eq!(second.connection == first.connection, kept);
 }
 
-/// An answer comes twice and an order follows it: the order is not on that connection, where it would take the second
-/// answer for its own, leave its own to the next call and that one's to the call after it. A rejection of the one would
-/// prove of the other that it never ran; a schedule under load found that (`tests/schedules.rs`).
+/// A duplicate answer arrives and a load order follows. The order must not use that connection: it would take the
+/// duplicate for its own answer, leave its own answer to the next call, and that call's answer to the one after it. A
+/// rejection of one call would then prove that another never ran; a schedule under load found this fault
+/// (`tests/schedules.rs`).
 #[test]
 fn an_order_does_not_share_a_connection_with_calls() {
     let Served {
@@ -255,7 +285,11 @@
     );
     ordered.answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
     assert_eq!(outcome(&reports), (usize::MAX, Outcome::Ok));
-    transport.send(attempt(2), &request(2), AttemptLimits::with_timeout(LONG));
+    transport.send(
+        attempt(2),
+        &request(2),
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
+    );
     assert_eq!(
         next_call(&calls).connection,
         first.connection,
@@ -263,18 +297,18 @@
     );
 }
 
-/// The first time that anybody looks at this client, the worker says something unasked on its idle connection.
+/// A client probe whose first use makes the worker send an unsolicited answer on its idle connection.
 #[derive(Debug)]
-struct Meanwhile {
+struct UnsolicitedAnswer {
     worker: Mutex<TcpStream>,
-    said: AtomicBool,
+    sent: AtomicBool,
 }
 
-impl ClientProbe for Meanwhile {
+impl ClientProbe for UnsolicitedAnswer {
     fn state(&self) -> ClientState {
-        if !self.said.swap(true, Ordering::AcqRel) {
+        if !self.sent.swap(true, Ordering::AcqRel) {
             let mut worker = self.worker.lock().expect("sound");
-            worker.write_all(REJECTED.as_bytes()).expect("said");
+            worker.write_all(REJECTED.as_bytes()).expect("sent");
             let since = Instant::now();
             while unacknowledged(&worker) && since.elapsed() < Duration::from_secs(20) {
                 std::thread::yield_now();
@@ -284,7 +318,7 @@
     }
 }
 
-/// Whether bytes that were written have not come to the other side yet.
+/// Whether bytes written to the stream have not reached the other side yet.
 fn unacknowledged(stream: &TcpStream) -> bool {
     let ports = [
         stream.local_addr().expect("bound").port(),
@@ -303,8 +337,8 @@
     })
 }
 
-/// Between the look at an idle connection and the first byte of a call something comes on it: no answer to that call,
-/// which goes out on a connection of its own.
+/// Input arrives on an idle connection after it was checked and before the first byte of a call is written. It is not
+/// an answer to that call, which must be sent on another connection.
 #[test]
 fn what_comes_before_the_first_byte_is_no_answer() {
     let Served {
@@ -313,16 +347,16 @@
         calls,
         first,
     } = served_call();
-    let plain = Arc::into_inner(request(2)).expect("ours alone");
-    let client_probe = Meanwhile {
+    let plain = Arc::into_inner(request(2)).expect("the only reference");
+    let client_probe = UnsolicitedAnswer {
         worker: Mutex::new(first.stream),
-        said: AtomicBool::new(false),
+        sent: AtomicBool::new(false),
     };
     let call = Arc::new(Request {
         client_probe: Some(Arc::new(client_probe)),
         ..plain
     });
-    transport.send(attempt(2), &call, AttemptLimits::with_timeout(LONG));
+    transport.send(attempt(2), &call, AttemptLimits::with_timeout(LONG_TIMEOUT));
     let mut second = next_call(&calls);
     second.answer(&served(Some(2)));
     assert_eq!(outcome(&reports), (2, Outcome::Ok));
--- a/wrenseam/tests/pool.rs
+++ b/wrenseam/tests/pool.rs
@@ -1,10 +1,10 @@
-//! How many connections to workers may be open, and which ones are closed first.
+//! How many connections to workers may be open, and which are closed first when descriptors run short.
 use rstest::rstest;
 use wrenseam::worker::pool::{
     longest_idle, ConnectionCounts, IdleConnection, PoolLimit, DESCRIPTORS_PER_CONNECTION,
 };
 
-/// Descriptors of the pool under test, and how many of them are kept for other use.
+/// Descriptors of the process under test, and how many of them are kept for other use.
 const DESCRIPTORS: usize = 1024;
 const RESERVED: usize = 40;
 
@@ -28,7 +28,7 @@
     let connections = pool.max_connections(341) + 341;
     assert!(
         DESCRIPTORS_PER_CONNECTION * connections + RESERVED <= DESCRIPTORS,
-        "a third of the limit are clients'"
+        "with 341 client connections the pool exceeds the descriptor limit"
     );
 }
 
--- a/wrenseam/tests/retry_window.rs
+++ b/wrenseam/tests/retry_window.rs
@@ -1,5 +1,5 @@
-//! A retry, with its idempotency key, of an attempt that may have run: workers recognise a duplicate only for a while,
-//! so it is not written later, whatever held it up.
+//! The write deadline of a retry (with an idempotency key) of an attempt that may have run. Workers recognise
+//! duplicates only for a limited time, so the retry must not be written later, whatever delayed it.
 mod link;
 
 use link::{late_worker, outcome, request, transport, transport_of, Protocol, FIRST};
@@ -12,30 +12,30 @@
 use wrenseam::worker::{AttemptLimits, Transport};
 use wrenseam_policy::Outcome;
 
-/// Longer than the tests last, in microseconds.
-const LONG: u64 = 20_000_000;
+/// Longer than the tests take, in microseconds.
+const LONG_TIMEOUT: u64 = 20_000_000;
 
-/// A window that is over at once, in microseconds.
+/// A window that ends almost at once, in microseconds.
 const SHORT_WINDOW: u64 = 1_000;
 
-/// Bytes of a frame's header, body and checksum, which do not include its fields.
+/// Length of a frame's header, body and checksum; the length of its fields varies.
 const HEADER_BYTES: usize = 16;
 const BODY_BYTES: usize = 16_000;
 const CHECKSUM_BYTES: usize = 4;
 
-/// The connection comes up once the window has passed: the retry is not written, and reported as never run. One whose
-/// window is still open is written.
+/// The connection is established after the window has ended: the retry is not written, and is reported as never run.
+/// With a window that is still open the retry is written.
 #[rstest]
 fn a_retry_that_waits_for_its_connection_past_the_window_is_not_written(
     #[values(Protocol::Frames, Protocol::Kserve)] protocol: Protocol,
-    #[values(SHORT_WINDOW, LONG)] window: u64,
+    #[values(SHORT_WINDOW, LONG_TIMEOUT)] window: u64,
 ) {
     let (listener, address, fillers) = late_worker();
     let (mut transport, reports) = transport_of(protocol, address, |limits| {
         limits.connect = Duration::from_secs(20);
     });
     let limits = AttemptLimits {
-        answer_timeout: LONG,
+        answer_timeout: LONG_TIMEOUT,
         write_deadline: Some(Instant::now() + Duration::from_micros(window)),
         start_deadline: None,
     };
@@ -48,7 +48,7 @@
         .map(|_| listener.accept().expect("one").0)
         .collect();
     let late = accepted.last_mut().expect("the late one");
-    if window == LONG {
+    if window == LONG_TIMEOUT {
         late.read_exact(&mut [0; HEADER_BYTES]).expect("written");
         return;
     }
@@ -60,8 +60,8 @@
     assert!(!matches!(read, Ok(count) if count > 0), "it was written");
 }
 
-/// Retries lie behind a write that stalls until the window has passed. The one that is written in part ends its
-/// connection and never comes completely; what the worker has read completely is what was reported as possibly run.
+/// Retries are queued behind a stalled write until the window ends. The one that is partly written ends its connection
+/// and is never completed. No more retries reach the worker completely than are reported as possibly run.
 #[test]
 fn a_retry_that_is_half_written_at_the_windows_end_never_comes_completely() {
     const RETRIES: u64 = 900;
@@ -84,7 +84,7 @@
         transport.send(key, &large_request(number), limits);
     }
     let mut stream = listener.accept().expect("a connection").0;
-    // Nothing is read until all have ended: only the window ends them so soon.
+    // Nothing is read until all retries have ended, so that only the window can end them this soon.
     let outcomes: Vec<Outcome> = (0..RETRIES).map(|_| outcome(&reports).1).collect();
     let may_have_run = outcomes
         .iter()
@@ -101,14 +101,14 @@
 
 /// A request with a body of `BODY_BYTES`.
 fn large_request(number: u64) -> Arc<Request> {
-    let plain = Arc::into_inner(request(number)).expect("ours alone");
+    let plain = Arc::into_inner(request(number)).expect("the only reference");
     Arc::new(Request {
         payload: Payload::Bytes(vec![number as u8; BODY_BYTES]),
         ..plain
     })
 }
 
-/// How many frames came completely before the connection ended.
+/// How many complete frames came before the connection ended.
 fn count_complete_frames(stream: &mut TcpStream) -> usize {
     let mut complete = 0;
     while stream.peek(&mut [0; 1]).is_ok_and(|count| count > 0) {
--- a/wrenseam/tests/transport.rs
+++ b/wrenseam/tests/transport.rs
@@ -1,4 +1,4 @@
-//! The transport of frames against sockets: what it writes, and when it lets connections go.
+//! The transport of frames on real sockets: what it writes, and when its connections close.
 mod link;
 
 use link::{frame, late_worker, outcome, request, say, transport, FIRST};
@@ -15,7 +15,7 @@
 use wrenseam::worker::{AttemptLimits, CancelOutcome, ConnectionUsage, Transport};
 use wrenseam_policy::Outcome;
 
-/// The codes of frames that the tests see or send.
+/// Codes of the frames that the tests receive or send.
 const CODE_CALL: u8 = 2;
 const CODE_CANCEL: u8 = 3;
 const CODE_OK: u8 = 200;
@@ -26,14 +26,14 @@
     attempt: 1,
 };
 
-/// What waits for its connection.
+/// What waits for the connection.
 #[derive(Clone, Copy, Debug)]
 enum Waiting {
     Order,
     Attempt,
 }
 
-/// What ends it meanwhile.
+/// What ends it while it waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EndedBy {
     Drain,
@@ -42,20 +42,20 @@
     Cancel,
 }
 
-/// How long an attempt's answer is awaited, in microseconds: longer than the test lasts.
+/// How long an attempt's answer is awaited, in microseconds: longer than the tests take.
 const LONG_TIMEOUT: u64 = 20_000_000;
 
-/// What ends while it waits for a connection that comes up late: it is never written, and it is known that it never
-/// ran. The connection is held back until the other event has happened.
+/// An attempt or load order that ends while its connection is being established is never written, and is reported as
+/// never run. The connection is delayed until the event that ends it has happened.
 #[rstest]
 #[case::an_order_and_a_drain(Waiting::Order, EndedBy::Drain)]
 #[case::an_attempt_and_a_drain(Waiting::Attempt, EndedBy::Drain)]
-// Guards workers from attempts for nobody.
+// Guards workers from attempts whose client has left.
 #[case::its_client_leaves(Waiting::Attempt, EndedBy::ClientLeft)]
 #[case::its_time_is_up(Waiting::Attempt, EndedBy::Timeout)]
-// Whoever cancels it ends it, and is notified that nothing ran.
+// The cancellation itself tells the caller that nothing ran; no report follows.
 #[case::it_is_cancelled(Waiting::Attempt, EndedBy::Cancel)]
-fn what_ends_while_its_connection_comes_up_is_not_written(
+fn what_ends_while_its_connection_is_established_is_not_written(
     #[case] waiting: Waiting,
     #[case] ended_by: EndedBy,
 ) {
@@ -78,7 +78,7 @@
     match ended_by {
         EndedBy::Drain => transport.drain(),
         EndedBy::ClientLeft => request.client_gone.store(true, Ordering::Release),
-        EndedBy::Timeout => spin_for(Duration::from_micros(answer_timeout)),
+        EndedBy::Timeout => busy_wait(Duration::from_micros(answer_timeout)),
         EndedBy::Cancel => assert_eq!(
             transport.cancel(FIRST),
             CancelOutcome::NeverStarted,
@@ -90,7 +90,7 @@
         .collect();
     let late = accepted.last_mut().expect("the late one");
     if ended_by == EndedBy::Cancel {
-        // The next attempt goes out on that connection, and nothing before it.
+        // The next attempt is sent on that connection, and nothing before it.
         let limits = AttemptLimits::with_timeout(answer_timeout);
         transport.send(SECOND, &self::request(10), limits);
         assert_eq!(frame(late), (10, CODE_CALL));
@@ -107,16 +107,16 @@
     }
 }
 
-/// Waits for more than this span.
-fn spin_for(span: Duration) {
+/// Busy-waits for a little more than this duration.
+fn busy_wait(span: Duration) {
     let since = Instant::now();
     while since.elapsed() <= span {
         std::thread::yield_now();
     }
 }
 
-/// A cancelled attempt is retried at the same worker; then the answer to the first comes after all. It is not taken for
-/// the answer to the second, of which nobody could say then whether it runs.
+/// A cancelled attempt is retried at the same worker, and then the answer to the first attempt arrives. It must not be
+/// taken for the answer to the second: whether the second runs would be unknown.
 #[test]
 fn a_late_answer_is_not_taken_for_that_of_the_next_attempt() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -141,7 +141,7 @@
     assert_eq!(frame(&mut second), (9, CODE_CALL));
     say(&mut first, CODE_REJECTED, 9, "", b"");
     say(&mut first, CODE_REJECTED, 9, "", b"");
-    // Another call on the first connection shows that both have been read.
+    // Another call on the first connection shows that both answers have been read.
     transport.send(
         AttemptKey {
             request: 2,
@@ -155,14 +155,14 @@
     assert_eq!(outcome(&reports), (7, Outcome::Ok));
     say(&mut second, CODE_OK, 9, "", b"DONE");
     assert_eq!(outcome(&reports), (1, Outcome::Ok));
-    // Nothing is counted twice: both connections are idle, and close once they have been for long.
+    // No end was counted twice: both connections are idle, so they close at the sweep after a drain.
     transport.drain();
     transport.sweep();
     assert!(transport.is_idle());
 }
 
-/// A connection idle for as long as the worker keeps it is not chosen, though nothing has closed it yet: the worker
-/// may be closing it just now. Idle is counted from the last byte either way.
+/// A connection that has been idle for as long as the worker keeps it is not used, even if nothing has closed it yet:
+/// the worker may be closing it at this moment. Idle time counts from the last byte in either direction.
 #[test]
 fn a_connection_idle_for_too_long_is_not_chosen() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -204,7 +204,7 @@
     );
 }
 
-/// Bytes that were written to a connection and not read yet: what lies at its receiver, and what its sender still holds.
+/// Bytes that were written to a connection and not read yet, in the buffers of both sides.
 fn unread(receiver: &TcpStream) -> usize {
     let (here, there) = (
         receiver.local_addr().expect("bound"),
@@ -230,26 +230,26 @@
     table.lines().filter_map(queue).sum()
 }
 
-/// Bytes of a frame's header, of the bodies that cause a stall, and of a frame's checksum.
+/// Length of a frame's header, of the bodies that cause a stall, and of a frame's checksum.
 const HEADER_BYTES: usize = 16;
 const LARGE_BODY_BYTES: usize = 16_000;
 const CHECKSUM_BYTES: usize = 4;
 
-/// Attempts of a stalled transport: many more than its worker's buffers hold.
+/// Number of attempts sent to a stalled transport: many more than the buffers of its connection hold.
 const STALLED_ATTEMPTS: u64 = 900;
 
-/// For how long writes may stall before the connection closes: longer than the test takes on a busy machine.
+/// How long writes may stall before the connection closes: longer than the test takes on a busy machine.
 const STALL_LIMIT: Duration = Duration::from_secs(180);
 
-/// A transport whose writes stall, as its worker does not read.
+/// A transport whose writes stall because its worker does not read.
 struct StalledTransport {
     transport: Frames,
     reports: Receiver<Message>,
     /// The worker's side of the connection.
     stream: TcpStream,
-    /// Set once the client of all attempts has left.
+    /// Set by the test when the client of all attempts leaves.
     client_gone: Arc<AtomicBool>,
-    /// Attempts of which a byte is written.
+    /// Number of attempts of which a byte has been written.
     started: u64,
 }
 
@@ -272,7 +272,7 @@
     });
     let client_gone = Arc::new(AtomicBool::new(false));
     for number in 0..STALLED_ATTEMPTS {
-        let plain = Arc::into_inner(request(number)).expect("ours alone");
+        let plain = Arc::into_inner(request(number)).expect("the only reference");
         let large = Arc::new(Request {
             payload: Payload::Bytes(vec![number as u8; LARGE_BODY_BYTES]),
             client_gone: client_gone.clone(),
@@ -300,7 +300,7 @@
     }
 }
 
-/// A listener whose queue holds so many connections.
+/// A listener whose accept queue holds this many connections.
 fn listener_with_backlog(backlog: i32) -> TcpListener {
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
@@ -310,12 +310,12 @@
     TcpListener::from(socket)
 }
 
-/// Waits until nothing more is written to a connection for 0.6 s. Returns the bytes that were.
+/// Waits until nothing more has been written to a connection for 0.6 s. Returns the bytes written.
 fn written_once_stalled(stream: &TcpStream) -> usize {
-    const LOOKS: usize = 60;
+    const UNCHANGED_CHECKS: usize = 60; // 10 ms each
     let mut written = 0;
     let mut unchanged = 0;
-    while unchanged < LOOKS {
+    while unchanged < UNCHANGED_CHECKS {
         std::thread::sleep(Duration::from_millis(10));
         let now = unread(stream);
         if now == written && now > 0 {
@@ -328,8 +328,8 @@
     written
 }
 
-/// Attempts lie behind a write that stalls while their clients leave. Once the worker reads, the half-written one is
-/// finished and no other is started: nothing was claimed over the wait, however long that took.
+/// The client of attempts that are queued behind a stalled write leaves. Once the worker reads again, the partly
+/// written attempt is completed and no other is started: no claim is held during the stall, however long it takes.
 #[test]
 fn nothing_is_started_behind_a_stalled_write_once_its_client_left() {
     let StalledTransport {
@@ -359,11 +359,11 @@
     assert_eq!(not_sent as u64, STALLED_ATTEMPTS - started);
 }
 
-/// What lies behind a stalled write, in the ring of its connection, can be reclaimed: it is known that it never ran.
+/// An attempt that is queued in the ring behind a stalled write can be reclaimed, and is known never to have run.
 #[test]
-fn what_lies_behind_a_stalled_write_is_reclaimed() {
+fn attempts_queued_behind_a_stalled_write_can_be_reclaimed() {
     let mut stalled = stalled_transport();
-    // The next frame may just be tried; the one behind it is not, and lies in the ring too.
+    // The next frame may be claimed at this moment; the one behind it is not, and is in the ring too.
     let key = stalled_key(stalled.started + 1);
     assert_eq!(stalled.transport.cancel(key), CancelOutcome::NeverStarted);
     assert_eq!(
@@ -373,7 +373,7 @@
     );
 }
 
-/// Guards descriptors: an order that gets no answer must not hold its connection for ever.
+/// Guards descriptors: a load order that gets no answer must not keep its connection open for ever.
 #[test]
 fn a_connection_whose_order_was_lost_closes_once_it_is_abandoned() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -404,10 +404,10 @@
     }
 }
 
-/// Guards descriptors before hundreds of workers: what is in use stays, what has been idle longest can be closed
-/// for another's sake, and a later call opens it anew.
+/// Guards descriptors when there are hundreds of workers: a connection in use stays open, the one that has been idle
+/// longest can be closed to make room, and a later call opens a connection again.
 #[test]
-fn the_connection_idle_longest_closes_and_comes_back_when_it_is_wanted() {
+fn the_connection_idle_longest_closes_and_reopens_when_it_is_needed() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let (mut transport, reports) = transport(address, |_| {});
@@ -422,7 +422,7 @@
     assert_eq!(
         (transport.connections(), transport.idle_since()),
         (usage(1, false), None),
-        "an answer is owed on it"
+        "its answer is still awaited"
     );
     transport.close_idle();
     assert_eq!(transport.connections().open, 1);
--- a/wrenseam/tests/unresponsive.rs
+++ b/wrenseam/tests/unresponsive.rs
@@ -1,4 +1,4 @@
-//! When a connection counts as unresponsive, whatever holds the scheduler up meanwhile.
+//! When a connection counts as unresponsive: delays of our own scheduler must not count.
 mod link;
 
 use link::{frame, request, say, FIRST};
@@ -20,32 +20,34 @@
 /// The id of the call under test.
 const CALL: u64 = 9;
 
-/// How long its answer is awaited, in microseconds: the test ends long before.
+/// How long the call's answer is awaited, in microseconds: longer than the test takes.
 const ANSWER_TIMEOUT: u64 = 60_000_000;
 
-/// How long the test waits for what must come, also on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long the test waits for an expected event; long enough for a busy machine.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// When the scheduler stands still, for longer than a worker has time to answer.
+/// When the scheduler is blocked, for longer than a worker has time to answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stall {
     BeforeProbeIsWritten,
     BeforeAnswerIsRead,
-    /// Never, and the worker does not answer.
+    /// Never; the worker does not answer instead.
     NeverAndNoAnswer,
 }
 
-/// Has the scheduler stand still until the sender is dropped.
+/// Blocks the scheduler until the returned sender is dropped.
 fn stall_scheduler() -> Sender<()> {
-    let (stands, stood) = channel();
-    let (go_on, held) = channel::<()>();
+    let (blocked, is_blocked) = channel();
+    let (resume, is_resumed) = channel::<()>();
     wrenseam::net::spawn(64 * 1024, move || {
-        stands.send(()).expect("the test waits");
-        let _ = held.recv();
+        blocked.send(()).expect("the test waits");
+        let _ = is_resumed.recv();
     })
     .expect("a coroutine");
-    stood.recv_timeout(PATIENCE).expect("it stands still");
-    go_on
+    is_blocked
+        .recv_timeout(EVENT_TIMEOUT)
+        .expect("the scheduler is blocked");
+    resume
 }
 
 /// Makes keepalive checks for longer than a worker has time to answer a probe.
@@ -64,7 +66,7 @@
     worker.set_nonblocking(true).expect("set");
     let since = Instant::now();
     while worker.peek(&mut [0]).is_err() {
-        assert!(since.elapsed() < PATIENCE, "no probe");
+        assert!(since.elapsed() < EVENT_TIMEOUT, "no probe was sent");
         transport.check_keepalive();
     }
     worker.set_nonblocking(false).expect("set");
@@ -73,32 +75,33 @@
     probe
 }
 
-/// The outcome of the call. Keepalive checks go on meanwhile if its worker does not answer.
+/// Waits for the outcome of the call. With `keeps_checking`, keepalive checks are made meanwhile.
 fn outcome_of_call(
     transport: &mut Frames,
     reports: &Receiver<Message>,
-    goes_on_checking: bool,
+    keeps_checking: bool,
 ) -> Outcome {
     let since = Instant::now();
     loop {
         if let Ok(Message::AttemptEnded { key: _, report }) = reports.try_recv() {
             return report.outcome;
         }
-        if goes_on_checking {
+        if keeps_checking {
             transport.check_keepalive();
         } else {
             std::thread::yield_now();
         }
-        assert!(since.elapsed() < PATIENCE, "nothing ended");
+        assert!(since.elapsed() < EVENT_TIMEOUT, "nothing ended");
     }
 }
 
-/// A stall of the scheduler outlasts all the time that a worker has to answer, and is no silence of the worker's.
+/// A scheduler that is blocked for longer than a worker has time to answer must not be taken for a silent worker. A
+/// worker that does not answer has its connection closed.
 #[rstest]
 #[case::before_the_probe_is_written(Stall::BeforeProbeIsWritten, Outcome::Ok)]
 #[case::before_the_answer_is_read(Stall::BeforeAnswerIsRead, Outcome::Ok)]
 #[case::never_and_no_answer_comes(Stall::NeverAndNoAnswer, Outcome::Reset)]
-fn a_connection_ends_if_its_worker_is_unresponsive_and_not_if_we_are_held_up(
+fn a_connection_ends_if_its_worker_is_unresponsive_and_not_if_our_scheduler_is_blocked(
     #[case] stall: Stall,
     #[case] end: Outcome,
 ) {
@@ -111,16 +114,16 @@
     let mut worker = listener.accept().expect("a connection").0;
     assert_eq!(frame(&mut worker), (CALL, CODE_CALL));
     if stall == Stall::BeforeProbeIsWritten {
-        let stalled = stall_scheduler();
+        let resume = stall_scheduler();
         check_beyond_timeouts(&mut transport);
-        drop(stalled);
+        drop(resume);
     }
     let probe = receive_probe(&mut transport, &mut worker);
     if stall == Stall::BeforeAnswerIsRead {
-        let stalled = stall_scheduler();
+        let resume = stall_scheduler();
         say(&mut worker, CODE_OK, probe, "slots_up=1", b"");
         check_beyond_timeouts(&mut transport);
-        drop(stalled);
+        drop(resume);
     }
     if stall == Stall::BeforeProbeIsWritten {
         say(&mut worker, CODE_OK, probe, "slots_up=1", b"");
