--- a/wrenseam/src/net/slots.rs
+++ b/wrenseam/src/net/slots.rs
@@ -25,19 +25,19 @@
 
 /// The activity of a client connection.
 #[derive(Clone, Copy)]
-struct Usage {
+struct Activity {
     /// Requests that have not been answered or cancelled.
     open_requests: usize,
-    /// When the last request ended; when the client connected, if there was none.
+    /// When the last request ended or was answered without the core; until then, when the client connected.
     idle_since: Instant,
-    /// Whether a valid request has been answered on the connection; some clients never send one.
+    /// Whether a valid request has ended on the connection; some clients never send one.
     had_valid_request: bool,
     /// Whether the connection was evicted: no further request is accepted on it.
     is_evicted: bool,
 }
 
 struct SlotState {
-    usage: Usage,
+    activity: Activity,
     /// The sending side; `None` until the connection's reader has started.
     outbox: Option<Outbox>,
 }
@@ -52,7 +52,7 @@
 
 impl ConnectionSlot {
     fn new(draining: Arc<AtomicBool>) -> Self {
-        let usage = Usage {
+        let activity = Activity {
             open_requests: 0,
             idle_since: Instant::now(),
             had_valid_request: false,
@@ -61,16 +61,16 @@
         ConnectionSlot {
             number: next_connection_number(),
             state: Mutex::new(SlotState {
-                usage,
+                activity,
                 outbox: None,
             }),
             draining,
         }
     }
 
-    fn update(&self, update: impl FnOnce(&mut Usage)) {
+    fn update(&self, update: impl FnOnce(&mut Activity)) {
         if let Ok(mut state) = self.state.lock() {
-            update(&mut state.usage);
+            update(&mut state.activity);
         }
     }
 
@@ -88,10 +88,10 @@
         let Ok(mut state) = self.state.lock() else {
             return false;
         };
-        if state.usage.is_evicted {
+        if state.activity.is_evicted {
             return false;
         }
-        state.usage.open_requests += 1;
+        state.activity.open_requests += 1;
         true
     }
 
@@ -105,10 +105,10 @@
 
     /// Counts a request as ended: it has been answered, or its client cancelled it.
     pub fn finish_request(&self, was_valid: bool) {
-        self.update(|usage| {
-            usage.open_requests = usage.open_requests.saturating_sub(1);
-            usage.idle_since = Instant::now();
-            usage.had_valid_request |= was_valid;
+        self.update(|activity| {
+            activity.open_requests = activity.open_requests.saturating_sub(1);
+            activity.idle_since = Instant::now();
+            activity.had_valid_request |= was_valid;
         });
     }
 
@@ -119,28 +119,28 @@
         let Ok(mut state) = self.state.lock() else {
             return false;
         };
-        let SlotState { usage, outbox } = &mut *state;
-        if !usage.is_evicted && usage.open_requests == 0 {
-            usage.is_evicted = outbox.as_ref().is_some_and(Outbox::close_if_idle);
+        let SlotState { activity, outbox } = &mut *state;
+        if !activity.is_evicted && activity.open_requests == 0 {
+            activity.is_evicted = outbox.as_ref().is_some_and(Outbox::close_if_idle);
         }
-        usage.is_evicted
+        activity.is_evicted
     }
 
     /// Restarts the idle time, after a response that did not involve the core.
     pub fn touch(&self) {
-        self.update(|usage| usage.idle_since = Instant::now());
+        self.update(|activity| activity.idle_since = Instant::now());
     }
 
     /// Whether no request is open.
     pub fn is_idle(&self) -> bool {
         let state = self.state.lock();
-        state.is_ok_and(|state| state.usage.open_requests == 0)
+        state.is_ok_and(|state| state.activity.open_requests == 0)
     }
 
     /// Whether the last request ended within `duration`, so that its response may still be on its way.
     pub fn finished_within(&self, duration: Duration) -> bool {
         let state = self.state.lock();
-        state.is_ok_and(|state| state.usage.idle_since.elapsed() <= duration)
+        state.is_ok_and(|state| state.activity.idle_since.elapsed() <= duration)
     }
 
     /// Whether the connection has been idle for long enough to be closed. Guards descriptors and memory against clients
@@ -149,15 +149,16 @@
         let Ok(state) = self.state.lock() else {
             return true;
         };
-        let usage = state.usage;
-        usage.open_requests == 0 && usage.idle_since.elapsed() > self.idle_timeout(&usage, limits)
+        let activity = state.activity;
+        activity.open_requests == 0
+            && activity.idle_since.elapsed() > self.idle_timeout(&activity, limits)
     }
 
-    fn idle_timeout(&self, usage: &Usage, limits: &Limits) -> Duration {
+    fn idle_timeout(&self, activity: &Activity, limits: &Limits) -> Duration {
         if self.draining.load(Ordering::Acquire) {
             // A draining front end exits once its clients have left, so it does not keep idle connections open.
             limits.drain_idle
-        } else if usage.had_valid_request {
+        } else if activity.had_valid_request {
             limits.client_idle
         } else {
             limits.first_request
@@ -174,8 +175,8 @@
     /// valid request come first, then those that have been idle longest.
     fn eviction_rank(&self) -> Option<(bool, Instant)> {
         let state = self.state.lock().ok()?;
-        let is_evictable = state.outbox.is_some() && state.usage.open_requests == 0;
-        is_evictable.then_some((state.usage.had_valid_request, state.usage.idle_since))
+        let is_evictable = state.outbox.is_some() && state.activity.open_requests == 0;
+        is_evictable.then_some((state.activity.had_valid_request, state.activity.idle_since))
     }
 }
 
--- a/wrenseam/src/worker/frames/codec.rs
+++ b/wrenseam/src/worker/frames/codec.rs
@@ -20,7 +20,7 @@
 /// Code of a health check, which asks whether the worker accepts new work.
 const CODE_HEALTH_CHECK: u8 = 4;
 /// Code of a load order, which tells the worker to hold a number of replicas.
-const CODE_HOLD: u8 = 6;
+const CODE_LOAD_ORDER: u8 = 6;
 /// Code of an order to unload idle replicas.
 const CODE_UNLOAD: u8 = 8;
 
@@ -226,9 +226,9 @@
 }
 
 /// Encodes a load order; 0 replicas only asks how many the worker holds.
-pub(super) fn hold(id: u64, function: FunctionId, replicas: u32) -> Vec<u8> {
+pub(super) fn load_order(id: u64, function: FunctionId, replicas: u32) -> Vec<u8> {
     let fields = format!("path={function:016x},slots_up={replicas}");
-    encode(CODE_HOLD, id, &fields, &[])
+    encode(CODE_LOAD_ORDER, id, &fields, &[])
 }
 
 /// Encodes a health check, which asks whether the worker accepts new work.
--- a/wrenseam/src/worker/frames/handle.rs
+++ b/wrenseam/src/worker/frames/handle.rs
@@ -152,7 +152,7 @@
             kind: ExchangeKind::Probe,
             id,
             function,
-            frame: codec::hold(id, function, 0),
+            frame: codec::load_order(id, function, 0),
             withheld_on_drain: false,
             dispatch: Dispatch::new(Arc::default(), start_deadline),
         }));
--- a/wrenseam/src/worker/frames/mod.rs
+++ b/wrenseam/src/worker/frames/mod.rs
@@ -173,7 +173,7 @@
         start_deadline: Option<Instant>,
     ) {
         let id = FIRST_ORDER_ID - order;
-        let frame = codec::hold(id, function, replicas);
+        let frame = codec::load_order(id, function, replicas);
         let start_deadline = order_start_deadline(&self.limits, start_deadline);
         self.connection_for(None).open(NewExchange {
             kind: ExchangeKind::Order(order),
--- a/wrenseam/src/worker/kserve/connection.rs
+++ b/wrenseam/src/worker/kserve/connection.rs
@@ -204,19 +204,19 @@
     /// Writes the request. After an error it is not completely written, so it never runs.
     fn write(&self, stream: &TcpStream, exchange: &Exchange) -> Result<(), Outcome> {
         let mut remaining = &exchange.request[..];
-        let mut stalled = Duration::ZERO;
+        let mut stalled_for = Duration::ZERO;
         while !remaining.is_empty() {
             match self.calls.write(stream, remaining) {
                 Ok(count) if count > 0 => {
-                    stalled = Duration::ZERO;
+                    stalled_for = Duration::ZERO;
                     remaining = &remaining[count..];
                 }
                 Err(error)
                     if ErrorAction::for_error(&error) != ErrorAction::Close
-                        && stalled < self.limits.write_stall =>
+                        && stalled_for < self.limits.write_stall =>
                 {
                     let is_unwritten = remaining.len() == exchange.request.len();
-                    stalled += self.wait_stalled(exchange, is_unwritten)?;
+                    stalled_for += self.wait_stalled(exchange, is_unwritten)?;
                 }
                 _ => return Err(Outcome::ConnectFailed),
             }
--- a/wrenseam/src/worker/kserve/messages.rs
+++ b/wrenseam/src/worker/kserve/messages.rs
@@ -91,7 +91,7 @@
 }
 
 /// The body of a load order.
-pub(super) fn hold(replicas: u32) -> String {
+pub(super) fn load_order(replicas: u32) -> String {
     let parameters = json_object(vec![("slots_up", json_number(replicas.into()))]);
     json::to_string(&json_object(vec![("parameters", parameters)]))
 }
@@ -202,7 +202,7 @@
     let body = parse_body(&reply.body);
     let outcome = outcome(reply);
     if order.replicas > 0 {
-        hold_report(outcome, body.as_ref(), order.replicas)
+        order_report(outcome, body.as_ref(), order.replicas)
     } else {
         index_report(outcome, body.as_ref(), order.function)
     }
@@ -210,7 +210,7 @@
 
 /// Evaluates the answer to an order to hold replicas. If it succeeded without stating how many there are, the ordered
 /// number counts.
-fn hold_report(outcome: Outcome, body: Option<&Value>, ordered: u32) -> LoadReport {
+fn order_report(outcome: Outcome, body: Option<&Value>, ordered: u32) -> LoadReport {
     let stated = body
         .and_then(object)
         .and_then(|answer| part(answer, "parameters"))
--- a/wrenseam/src/worker/kserve/mod.rs
+++ b/wrenseam/src/worker/kserve/mod.rs
@@ -218,7 +218,7 @@
     ) {
         let request = if replicas > 0 {
             let path = format!("/v2/repository/models/{function:016x}/load");
-            let body = messages::hold(replicas);
+            let body = messages::load_order(replicas);
             self.post(&path, self.limits.order, body.as_bytes())
         } else {
             let body = b"{\"ready\":true}";
--- a/wrenseam/tests/broken_connections.rs
+++ b/wrenseam/tests/broken_connections.rs
@@ -44,7 +44,7 @@
 
     fn write(&self, stream: &MayStream, bytes: &[u8]) -> io::Result<usize> {
         let count = DirectCalls.write(stream, bytes)?;
-        let _ = self.written.lock().expect("sound").send(count);
+        let _ = self.written.lock().expect("not poisoned").send(count);
         let _ = self.is_let_go.recv();
         Ok(count)
     }
@@ -229,7 +229,7 @@
         AttemptLimits::with_timeout(LONG_TIMEOUT),
     );
     let mut stream = listener.accept().expect("a connection").0;
-    stream.read_exact(&mut [0; 30]).expect("the beginning");
+    stream.read_exact(&mut [0; 30]).expect("the first bytes");
     say(&mut stream, CODE_REJECTED, 9, "", b"");
     assert_eq!(outcome(&reports), (0, Outcome::ConnectFailed));
     allowed.store(usize::MAX / 2, Ordering::Release);
--- a/wrenseam/tests/closing.rs
+++ b/wrenseam/tests/closing.rs
@@ -67,12 +67,12 @@
     stream.write_all(&bytes).expect("written");
     let head = fastcgi_answer(&mut stream).expect("an answer").head;
     assert!(head.starts_with("Status: 200"), "{head}");
-    assert_eq!(stream.read(&mut [0; 8]).expect("closed in order"), 0);
+    assert_eq!(stream.read(&mut [0; 8]).expect("closed without a reset"), 0);
     for _ in 0..2 {
         stream.write_all(&bytes).expect("no reset");
     }
-    assert_eq!(stream.read(&mut [0; 8]).expect("still in order"), 0);
-    assert!(stream.take_error().expect("asked").is_none(), "no reset");
+    assert_eq!(stream.read(&mut [0; 8]).expect("still no reset"), 0);
+    assert!(stream.take_error().expect("read").is_none(), "no reset");
 }
 
 /// A client that keeps its connection open does not delay a process that shuts down, and loses no response.
@@ -93,10 +93,10 @@
     ];
     open.write_all(&fastcgi(1, &params, b"x")).expect("written");
     assert!(harness.terminate());
-    assert_eq!(kept.read(&mut [0; 8]).expect("closed in order"), 0);
+    assert_eq!(kept.read(&mut [0; 8]).expect("closed without a reset"), 0);
     let head = fastcgi_answer(&mut open)
         .expect("an answer before the end")
         .head;
     assert!(head.starts_with("Status: 5"), "{head}");
-    assert_eq!(open.read(&mut [0; 8]).expect("closed in order"), 0);
+    assert_eq!(open.read(&mut [0; 8]).expect("closed without a reset"), 0);
 }
--- a/wrenseam/tests/codecs.rs
+++ b/wrenseam/tests/codecs.rs
@@ -60,7 +60,7 @@
     let mut chunked = Chunked::default();
     let coded: Vec<Coded> = b"3\r\nabc\r\n1;x=y\r\nd\r\n0\r\n"
         .iter()
-        .map(|&b| chunked.byte(b).expect("sound"))
+        .map(|&b| chunked.byte(b).expect("valid"))
         .collect();
     let content: Vec<u8> = coded
         .iter()
@@ -93,7 +93,7 @@
     let text = r#"{"rev":41,"pool":{"generation":7,"reset":true,"instances":[{"instanceId":"s-1","hostPort":
         "127.0.0.1:9","zone":"east","machineType":"std","cell":2,"lifecycle":"draining","startedAtMs":5}]}}"#;
     let json = parse(text).expect("JSON");
-    let event = parse_event(object(&json).expect("an object")).expect("sound");
+    let event = parse_event(object(&json).expect("an object")).expect("valid");
     let endpoint = &event.endpoints[0];
     assert!(
         event.complete
@@ -118,7 +118,7 @@
         "metadata":{{"filter_metadata":{{"wrenseam":{{"id":"w1","cell":3}}}}}}}}]}}]}}]}}"#
     );
     let json = parse(&text).expect("JSON");
-    let endpoints = parse_endpoints(object(&json).expect("an object")).expect("sound");
+    let endpoints = parse_endpoints(object(&json).expect("an object")).expect("valid");
     let endpoint = &endpoints[0];
     assert_eq!(
         (
--- a/wrenseam/tests/kserve_proofs.rs
+++ b/wrenseam/tests/kserve_proofs.rs
@@ -307,7 +307,7 @@
 impl ClientProbe for UnsolicitedAnswer {
     fn state(&self) -> ClientState {
         if !self.sent.swap(true, Ordering::AcqRel) {
-            let mut worker = self.worker.lock().expect("sound");
+            let mut worker = self.worker.lock().expect("not poisoned");
             worker.write_all(REJECTED.as_bytes()).expect("sent");
             let since = Instant::now();
             while unacknowledged(&worker) && since.elapsed() < Duration::from_secs(20) {
--- a/wrenseam/tests/retry_window.rs
+++ b/wrenseam/tests/retry_window.rs
@@ -45,9 +45,9 @@
         std::thread::yield_now();
     }
     let mut accepted: Vec<TcpStream> = (0..=fillers.len())
-        .map(|_| listener.accept().expect("one").0)
+        .map(|_| listener.accept().expect("a connection").0)
         .collect();
-    let late = accepted.last_mut().expect("the late one");
+    let late = accepted.last_mut().expect("the delayed connection");
     if window == LONG_TIMEOUT {
         late.read_exact(&mut [0; HEADER_BYTES]).expect("written");
         return;
--- a/wrenseam/tests/transport.rs
+++ b/wrenseam/tests/transport.rs
@@ -86,9 +86,9 @@
         ),
     }
     let mut accepted: Vec<TcpStream> = (0..=fillers.len())
-        .map(|_| listener.accept().expect("one").0)
+        .map(|_| listener.accept().expect("a connection").0)
         .collect();
-    let late = accepted.last_mut().expect("the late one");
+    let late = accepted.last_mut().expect("the delayed connection");
     if ended_by == EndedBy::Cancel {
         // The next attempt is sent on that connection, and nothing before it.
         let limits = AttemptLimits::with_timeout(answer_timeout);
--- a/wrenseam/tests/unresponsive.rs
+++ b/wrenseam/tests/unresponsive.rs
@@ -14,7 +14,7 @@
 use wrenseam_policy::{Outcome, Settings};
 
 const CODE_CALL: u8 = 2;
-const CODE_HOLD: u8 = 6;
+const CODE_LOAD_ORDER: u8 = 6;
 const CODE_OK: u8 = 200;
 
 /// The id of the call under test.
@@ -71,7 +71,7 @@
     }
     worker.set_nonblocking(false).expect("set");
     let (probe, code) = frame(worker);
-    assert_eq!(code, CODE_HOLD);
+    assert_eq!(code, CODE_LOAD_ORDER);
     probe
 }
 
@@ -105,8 +105,8 @@
     #[case] stall: Stall,
     #[case] end: Outcome,
 ) {
-    static ONE: Mutex<()> = Mutex::new(()); // there is one scheduler
-    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
+    static SCHEDULER: Mutex<()> = Mutex::new(()); // all tests share one scheduler
+    let _exclusive = SCHEDULER.lock().unwrap_or_else(PoisonError::into_inner);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (mut transport, reports) = link::transport(listener.local_addr().expect("bound"), |_| {});
     let limits = AttemptLimits::with_timeout(ANSWER_TIMEOUT);
