--- a/wrenseam/src/core/tables/workers.rs
+++ b/wrenseam/src/core/tables/workers.rs
@@ -1,7 +1,7 @@
 //! The listed workers with their transports, and the limit on the number of connections to all of them.
 use crate::discovery::membership::ConnectionAction;
 use crate::model::{AttemptKey, Endpoint};
-use crate::worker::pool::{longest_idle, ConnectionCounts, IdleConnection, Pool};
+use crate::worker::pool::{longest_idle, ConnectionCounts, IdleConnection, PoolLimit};
 use crate::worker::{CancelOutcome, Transport};
 use std::collections::btree_map::{BTreeMap, Entry};
 use wrenseam_policy::{FunctionId, WorkerState};
@@ -177,7 +177,7 @@
     pub fn ensure_connection_available(
         &mut self,
         worker: &str,
-        pool: Pool,
+        pool: PoolLimit,
         clients: usize,
     ) -> bool {
         let needs_connection = self
@@ -189,7 +189,7 @@
 
     /// Closes the connections that have been idle longest until `more` may be opened, with `clients` client connections
     /// open. Returns false if too few are idle for that.
-    pub fn trim_idle_connections(&mut self, more: usize, pool: Pool, clients: usize) -> bool {
+    pub fn trim_idle_connections(&mut self, more: usize, pool: PoolLimit, clients: usize) -> bool {
         let excess = pool.excess(ConnectionCounts {
             open: self.connections(),
             additional: more,
--- a/wrenseam/src/discovery/client.rs
+++ b/wrenseam/src/discovery/client.rs
@@ -7,7 +7,7 @@
 use crate::discovery::watch::{WatchError, WatchState};
 use crate::limits::DiscoveryLimits;
 use crate::model::{DiscoveryContact, TransportProtocol};
-use crate::net::timed_out;
+use crate::net::would_block;
 use crate::queue::CoreHandle;
 use crate::ring::Ring;
 use may::net::TcpStream;
@@ -278,7 +278,7 @@
                 self.last_received_at = Instant::now();
                 self.has_received = true;
             }
-            Err(error) if timed_out(&error) => {
+            Err(error) if would_block(&error) => {
                 if self.last_received_at.elapsed() >= silence_timeout {
                     return Err(ConnectionError::Silent);
                 }
--- a/wrenseam/tests/pool.rs
+++ b/wrenseam/tests/pool.rs
@@ -1,10 +1,10 @@
-//! How many connections to workers may be open, and which ones are closed first.
+//! How many connections to workers may be open, and which are closed first when descriptors run short.
 use rstest::rstest;
 use wrenseam::worker::pool::{
-    longest_idle, ConnectionCounts, IdleConnection, Pool, DESCRIPTORS_PER_CONNECTION,
+    longest_idle, ConnectionCounts, IdleConnection, PoolLimit, DESCRIPTORS_PER_CONNECTION,
 };
 
-/// Descriptors of the pool under test, and how many of them are kept for other use.
+/// Descriptors of the process under test, and how many of them are kept for other use.
 const DESCRIPTORS: usize = 1024;
 const RESERVED: usize = 40;
 
@@ -18,7 +18,7 @@
     #[case] clients: usize,
     #[case] excess: usize,
 ) {
-    let pool = Pool::new(DESCRIPTORS, RESERVED);
+    let pool = PoolLimit::new(DESCRIPTORS, RESERVED);
     let counts = ConnectionCounts {
         open,
         additional: 0,
@@ -28,13 +28,13 @@
     let connections = pool.max_connections(341) + 341;
     assert!(
         DESCRIPTORS_PER_CONNECTION * connections + RESERVED <= DESCRIPTORS,
-        "a third of the limit are clients'"
+        "with 341 client connections the pool exceeds the descriptor limit"
     );
 }
 
 #[test]
 fn an_additional_connection_counts_as_open() {
-    let pool = Pool::new(DESCRIPTORS, RESERVED);
+    let pool = PoolLimit::new(DESCRIPTORS, RESERVED);
     let counts = ConnectionCounts {
         open: pool.max_connections(341),
         additional: 1,
@@ -51,5 +51,5 @@
         ["a", "b"]
     );
     assert!(longest_idle(vec![idle("a", 3)], 0).is_empty());
-    assert!(Pool::new(0, RESERVED).max_connections(1_000) > 0);
+    assert!(PoolLimit::new(0, RESERVED).max_connections(1_000) > 0);
 }
--- a/wrenseam/tests/worker_table.rs
+++ b/wrenseam/tests/worker_table.rs
@@ -5,7 +5,7 @@
 use wrenseam::core::tables::WorkerTable;
 use wrenseam::discovery::membership::ConnectionAction;
 use wrenseam::model::{AttemptKey, Endpoint, Request, TransportProtocol};
-use wrenseam::worker::pool::Pool;
+use wrenseam::worker::pool::PoolLimit;
 use wrenseam::worker::{AttemptLimits, CancelOutcome, ConnectionUsage, Transport};
 use wrenseam_policy::{FunctionId, WorkerState};
 
@@ -256,7 +256,7 @@
         };
         connect(&mut table, id, transport);
     }
-    let pool = Pool::new(64, 64); // all descriptors are reserved, so only the minimum of four connections is left
+    let pool = PoolLimit::new(64, 64); // all descriptors are reserved, so only the minimum of four connections is left
     assert!(table.trim_idle_connections(2, pool, 0) && calls.take().is_empty());
     assert!(table.trim_idle_connections(3, pool, 0));
     assert_eq!(calls.take(), ["early closes the connection idle longest"]);
