--- a/policy/src/answer_times.rs
+++ b/policy/src/answer_times.rs
@@ -9,7 +9,7 @@
 /// Answers that make a mean: they are spread so widely that of few the mean is often wrong by half.
 const LEAST_ANSWERS: u32 = 5;
 /// Answers that the mean counts at most.
-pub(crate) const MOST_ANSWERS: u32 = 20;
+pub(crate) const MAX_ANSWERS: u32 = 20;
 /// An older mean says nothing: whatever made answers slow may be over.
 const LIFETIME: Micros = 8 * SECOND;
 
@@ -30,7 +30,7 @@
     pub(crate) fn record(&mut self, now: Micros, elapsed: f64) {
         let outdated = now > self.last_answer + LIFETIME;
         let counted = if outdated { 0 } else { self.answers };
-        self.answers = (counted + 1).min(MOST_ANSWERS);
+        self.answers = (counted + 1).min(MAX_ANSWERS);
         self.mean += (elapsed - self.mean) / f64::from(self.answers);
         self.last_answer = now;
     }
--- a/policy/src/eligibility.rs
+++ b/policy/src/eligibility.rs
@@ -50,7 +50,7 @@
     }
 
     fn is_zone_lost(&self, worker: WorkerIndex) -> bool {
-        self.zones.is_lost(self.workers[worker].endpoint.zone)
+        self.zones.is_down(self.workers[worker].endpoint.zone)
     }
 
     /// Guards against piling up on a worker that others fill or that is weak: it has more in flight than the mean.
--- a/policy/src/function.rs
+++ b/policy/src/function.rs
@@ -1,5 +1,5 @@
 //! Functions that requests called: what is known of each, and the table of them.
-use crate::answer_times::MOST_ANSWERS;
+use crate::answer_times::MAX_ANSWERS;
 use crate::index::{FunctionIndex, WorkerIndex};
 use crate::periodic_calls::PeriodicCalls;
 use crate::replica::ReplicaState;
@@ -144,7 +144,7 @@
     /// A request ended that was sent though answers of its class take longer than its client waits.
     pub(crate) fn speculation_ended(&mut self, in_time: bool) {
         self.speculative_successes = if in_time {
-            (self.speculative_successes + 1).min(MOST_ANSWERS)
+            (self.speculative_successes + 1).min(MAX_ANSWERS)
         } else {
             self.speculative_successes
                 .saturating_sub(FAILED_SPECULATION_WEIGHT)
--- a/policy/src/keep_alive.rs
+++ b/policy/src/keep_alive.rs
@@ -40,7 +40,7 @@
             let is_due = replica.own_in_flight() == 0
                 && replica.order().is_none()
                 && replica.expires_at() < now + lead;
-            if is_due && !self.load_budget.is_exhausted(now, LoadPurpose::Ahead) {
+            if is_due && !self.load_budget.is_exhausted(now, LoadPurpose::Proactive) {
                 self.order_load(index, worker, 1, now, actions);
             }
         }
@@ -101,7 +101,7 @@
         }
         let purpose = match self.functions[index].periodic.confidence() {
             Confidence::Confirmed => LoadPurpose::Needed,
-            Confidence::Guessed | Confidence::None => LoadPurpose::Ahead,
+            Confidence::Guessed | Confidence::None => LoadPurpose::Proactive,
         };
         if !self.load_limiter.admits() || self.load_budget.is_exhausted(now, purpose) {
             return;
--- a/policy/src/load_budget.rs
+++ b/policy/src/load_budget.rs
@@ -14,7 +14,7 @@
     /// A request waits for it.
     Needed,
     /// It is ordered ahead of need, from the spare part of the budget.
-    Ahead,
+    Proactive,
 }
 
 /// The orders and requests of the window.
@@ -94,7 +94,7 @@
         let allowed = self.base + self.per_request * requests as f64;
         let usable = match purpose {
             LoadPurpose::Needed => allowed,
-            LoadPurpose::Ahead => allowed * SPARE_PART,
+            LoadPurpose::Proactive => allowed * SPARE_PART,
         };
         (self.orders.len() + 1) as f64 > usable
     }
--- a/policy/src/load_limiter.rs
+++ b/policy/src/load_limiter.rs
@@ -1,7 +1,7 @@
 //! The concurrency limit on loads: it guards the store that all workers load from. Loads that are slow everywhere, or
 //! that fail one after another, lower it; good ones raise it slowly.
 use crate::types::Micros;
-use crate::worker::LOAD_PACE_LIFETIME;
+use crate::worker::LAST_LOAD_LIFETIME;
 
 /// The limit never falls below this.
 const LEAST_LIMIT: f64 = 1.0;
@@ -53,7 +53,7 @@
     }
 
     /// Whether one more load may be started ahead of need: half of the limit is kept for requests that wait.
-    pub(crate) fn admits_ahead(&self) -> bool {
+    pub(crate) fn admits_proactive(&self) -> bool {
         f64::from(self.in_flight) + 1.0 <= self.limit / 2.0
     }
 
@@ -76,7 +76,7 @@
 
     /// A load failed. One in a hundred fails by chance: only a second one soon after tells of the store.
     pub(crate) fn load_failed(&mut self, now: Micros) {
-        if now < self.last_failure + LOAD_PACE_LIFETIME {
+        if now < self.last_failure + LAST_LOAD_LIFETIME {
             self.limit *= FACTOR_AFTER_FAILURES;
         }
         self.last_failure = now;
--- a/policy/src/load_orders.rs
+++ b/policy/src/load_orders.rs
@@ -7,7 +7,7 @@
 use crate::replica::PendingOrder;
 use crate::state::State;
 use crate::types::{Micros, MILLISECOND};
-use crate::worker::{LoadPace, SLOW_LOAD};
+use crate::worker::{LastLoad, SLOW_LOAD_MULTIPLE};
 
 /// A load that took no longer, in microseconds, found its replicas loaded.
 const LEAST_LOAD_TIME: f64 = 20.0 * MILLISECOND as f64;
@@ -116,7 +116,7 @@
         let was_emptied = was_loaded
             && result.replicas == 0
             && result.outcome == Outcome::Ok
-            && self.workers[worker].health.is_in_doubt();
+            && self.workers[worker].health.is_unconfirmed();
         if is_of_present_process {
             self.confirm_replicas(now, worker, function, order, result, lifetime);
         }
@@ -125,7 +125,7 @@
             Outcome::Reset => self.connection_reset(worker, now),
             _ => {}
         }
-        self.record_order_zone_sign(
+        self.record_order_zone_outcome(
             worker,
             result.outcome,
             now,
@@ -212,8 +212,8 @@
     ) {
         let known = self.functions[function].load_time;
         let usual = if known > 0.0 { known } else { load_time };
-        let is_slow = load_time > SLOW_LOAD * usual;
-        self.workers[worker].load_pace = LoadPace::new(now, load_time / usual);
+        let is_slow = load_time > SLOW_LOAD_MULTIPLE * usual;
+        self.workers[worker].last_load = LastLoad::new(now, load_time / usual);
         if !is_slow {
             self.load_limiter.good_load();
         } else if self.are_loads_slow_everywhere(now) {
@@ -232,12 +232,12 @@
         let recent = self
             .workers
             .iter()
-            .filter(|worker| worker.is_ready() && worker.load_pace.is_recent(now));
+            .filter(|worker| worker.is_ready() && worker.last_load.is_recent(now));
         let mut all = 0;
         let mut slow = 0;
         for worker in recent {
             all += 1;
-            if worker.load_pace.is_slow() {
+            if worker.last_load.is_slow() {
                 slow += 1;
             }
         }
--- a/policy/src/outlier_detection.rs
+++ b/policy/src/outlier_detection.rs
@@ -54,7 +54,7 @@
         attempt: &Attempt,
         sample: &AttemptSample,
     ) {
-        self.record_zone_sign(attempt.worker, sample.outcome, now, sample.elapsed);
+        self.record_zone_outcome(attempt.worker, sample.outcome, now, sample.elapsed);
         let score = self.health_sample(now, function, attempt, sample);
         // Guards against blaming workers for this front end's own stand-still.
         let stood_still = now < self.resumed_at + TICK;
@@ -65,7 +65,7 @@
     }
 
     /// Notes what an outcome tells of the worker's zone.
-    fn record_zone_sign(
+    fn record_zone_outcome(
         &mut self,
         worker: WorkerIndex,
         outcome: Outcome,
@@ -82,7 +82,7 @@
 
     /// What an order's outcome tells of the worker's zone; an answer of the process before the present one tells
     /// nothing.
-    pub(crate) fn record_order_zone_sign(
+    pub(crate) fn record_order_zone_outcome(
         &mut self,
         worker: WorkerIndex,
         outcome: Outcome,
@@ -93,7 +93,7 @@
         let failed = matches!(outcome, Outcome::ConnectFailed | Outcome::Reset);
         let answered = matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::Error);
         if failed || answered && is_of_present_process {
-            self.record_zone_sign(worker, outcome, now, elapsed);
+            self.record_zone_outcome(worker, outcome, now, elapsed);
         }
     }
 
@@ -256,11 +256,11 @@
         }
         for worker in self.workers.ready().iter().copied() {
             let health = &self.workers[worker].health;
-            if !health.is_in_doubt() || !health.is_trial_due(now) {
+            if !health.is_unconfirmed() || !health.is_trial_due(now) {
                 continue;
             }
             let zone = self.workers[worker].endpoint.zone;
-            if self.zones.is_lost(zone) && !self.zones.may_poll(zone, now, TRIAL_INTERVAL) {
+            if self.zones.is_down(zone) && !self.zones.may_poll(zone, now, TRIAL_INTERVAL) {
                 continue;
             }
             let interval = self.poll_interval(worker);
--- a/policy/src/polling.rs
+++ b/policy/src/polling.rs
@@ -18,7 +18,7 @@
 
 /// What a request whose function is known to be loaded nowhere does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Discovery {
+pub(crate) enum LookupStep {
     /// It goes to this worker, whose answer tells.
     TryAt(WorkerIndex),
     /// Another request of the function is in flight and will tell.
@@ -31,18 +31,18 @@
 
 impl State {
     /// How a lost request finds out where its function is loaded.
-    pub(crate) fn discover(&mut self, id: RequestId, now: Micros) -> Discovery {
+    pub(crate) fn next_lookup_step(&mut self, id: RequestId, now: Micros) -> LookupStep {
         // Where workers load what is missing no request is sent to find out; nor where nobody else prefers the same
         // workers, or so many do that each sees too little to know which of them have it.
         if self.settings.load_on_demand || !self.is_small_shared_fleet() {
-            return Discovery::Poll;
+            return LookupStep::Poll;
         }
         let Some(function) = self.requests.get(id).map(|request| request.function) else {
-            return Discovery::AwaitOther;
+            return LookupStep::AwaitOther;
         };
         let preferred = self.preferred_workers(function);
         let Some(request) = self.requests.get(id) else {
-            return Discovery::AwaitOther;
+            return LookupStep::AwaitOther;
         };
         let class = self.functions[function].class;
         let workers: Vec<WorkerIndex> = preferred
@@ -55,31 +55,31 @@
             .take(TRIED_WORKERS)
             .collect();
         for worker in workers {
-            if let Some(step) = self.discover_at(function, worker, now) {
+            if let Some(step) = self.lookup_step_at(function, worker, now) {
                 return step;
             }
         }
-        Discovery::Load
+        LookupStep::Load
     }
 
     /// What to do about one worker; `None` if nothing more can be learnt there now.
-    fn discover_at(
+    fn lookup_step_at(
         &mut self,
         function: FunctionIndex,
         worker: WorkerIndex,
         now: Micros,
-    ) -> Option<Discovery> {
+    ) -> Option<LookupStep> {
         let replica = self.replica_mut(function, worker);
         let is_tried = replica.own_in_flight() > 0;
         match replica.last_poll() {
             // It is in flight for longer than an answer takes: a replica is being loaded there, or it queues.
-            Some(last) if is_tried && now >= last + ANSWER_WAIT => Some(Discovery::TryAt(worker)),
-            Some(_) if is_tried => Some(Discovery::AwaitOther),
+            Some(last) if is_tried && now >= last + ANSWER_WAIT => Some(LookupStep::TryAt(worker)),
+            Some(_) if is_tried => Some(LookupStep::AwaitOther),
             Some(last) if now < last + POLL_INTERVAL => None,
             _ if replica.is_load_ordered() => None,
             _ => {
                 replica.polled(now);
-                Some(Discovery::TryAt(worker))
+                Some(LookupStep::TryAt(worker))
             }
         }
     }
--- a/policy/src/readiness_lease.rs
+++ b/policy/src/readiness_lease.rs
@@ -218,7 +218,7 @@
 
     /// A discovery service is followed from now on, and the start configuration states what it has reported. Whether
     /// this process takes over from another.
-    pub fn follow(&mut self, now: Micros, takes_over: bool) {
+    pub fn watch_started(&mut self, now: Micros, takes_over: bool) {
         self.is_followed = true;
         self.list = Lease::new(now);
         if takes_over {
@@ -242,7 +242,7 @@
     }
 
     /// How many workers are suspended.
-    pub fn suspended(&self) -> usize {
+    pub fn suspended_count(&self) -> usize {
         let is_suspended = |record: &&WorkerRecord| record.suspended.is_some();
         self.workers.values().filter(is_suspended).count()
     }
@@ -322,7 +322,7 @@
     }
 
     /// A worker turned work away, or a connection to it failed or broke: it drains, is full, or is gone.
-    pub fn doubted(&mut self, worker: &str, now: Micros) {
+    pub fn suspected(&mut self, worker: &str, now: Micros) {
         if !self.is_out_of_contact(now) {
             return;
         }
--- a/policy/src/replication.rs
+++ b/policy/src/replication.rs
@@ -80,7 +80,7 @@
     ) -> bool {
         let is_ahead = lost.is_none();
         let is_admitted = if is_ahead {
-            self.load_limiter.admits_ahead()
+            self.load_limiter.admits_proactive()
         } else {
             self.load_limiter.admits()
         };
@@ -98,7 +98,7 @@
             return false;
         }
         let purpose = if is_ahead {
-            LoadPurpose::Ahead
+            LoadPurpose::Proactive
         } else {
             LoadPurpose::Needed
         };
@@ -175,7 +175,7 @@
             .replica(index, worker)
             .is_some_and(|replica| replica.is_load_ordered());
         let known = &self.workers[worker];
-        let loads_slowly = known.load_pace.is_recent(now) && known.load_pace.is_slow();
+        let loads_slowly = known.last_load.is_recent(now) && known.last_load.is_slow();
         let most_loads = if loads_slowly {
             LOADS_PER_SLOW_WORKER
         } else {
--- a/policy/src/routing.rs
+++ b/policy/src/routing.rs
@@ -3,7 +3,7 @@
 //! or waits for a replica. Everything else here is a guard, and says what it guards against.
 use crate::action::Action;
 use crate::index::{FunctionIndex, WorkerIndex};
-use crate::polling::{Discovery, POLLED_WORKERS, POLL_INTERVAL};
+use crate::polling::{LookupStep, POLLED_WORKERS, POLL_INTERVAL};
 use crate::request::Request;
 use crate::settings::Idempotency;
 use crate::state::State;
@@ -201,15 +201,15 @@
             return self.finish(id, actions);
         }
         self.functions.wait(function, id);
-        match self.discover(id, now) {
-            Discovery::TryAt(worker) => return self.send(now, id, worker, actions),
-            Discovery::AwaitOther => return,
-            Discovery::Poll => {
+        match self.next_lookup_step(id, now) {
+            LookupStep::TryAt(worker) => return self.send(now, id, worker, actions),
+            LookupStep::AwaitOther => return,
+            LookupStep::Poll => {
                 if self.poll_workers(function, now, actions) {
                     return;
                 }
             }
-            Discovery::Load => {}
+            LookupStep::Load => {}
         }
         self.load_for_waiting(now, id, function, actions);
     }
--- a/policy/src/worker.rs
+++ b/policy/src/worker.rs
@@ -10,9 +10,9 @@
 use std::sync::Arc;
 
 /// A load that takes this multiple of its usual time is slow.
-pub(crate) const SLOW_LOAD: f64 = 2.0;
+pub(crate) const SLOW_LOAD_MULTIPLE: f64 = 2.0;
 /// How long a worker's last load tells how it loads.
-pub(crate) const LOAD_PACE_LIFETIME: Micros = 2 * SECOND;
+pub(crate) const LAST_LOAD_LIFETIME: Micros = 2 * SECOND;
 
 /// An attempt that has not ended, in the order of age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -33,23 +33,23 @@
 
 /// How a worker's last load went.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LoadPace {
+pub(crate) struct LastLoad {
     ended_at: Micros,
     /// The multiple of the usual time that it took.
     multiple: f64,
 }
 
-impl LoadPace {
+impl LastLoad {
     pub(crate) fn new(ended_at: Micros, multiple: f64) -> Self {
-        LoadPace { ended_at, multiple }
+        LastLoad { ended_at, multiple }
     }
 
     pub(crate) fn is_recent(&self, now: Micros) -> bool {
-        now < self.ended_at + LOAD_PACE_LIFETIME
+        now < self.ended_at + LAST_LOAD_LIFETIME
     }
 
     pub(crate) fn is_slow(&self) -> bool {
-        self.multiple > SLOW_LOAD
+        self.multiple > SLOW_LOAD_MULTIPLE
     }
 }
 
@@ -60,7 +60,7 @@
     pub(crate) rejections: Rejections,
     pub(crate) slow_start: Account,
     pub(crate) load_report: Option<LoadReport>,
-    pub(crate) load_pace: LoadPace,
+    pub(crate) last_load: LastLoad,
     /// Orders to load that it has not answered.
     pub(crate) pending_loads: u32,
     /// It had no memory for a load, and is not asked for another until then.
@@ -79,7 +79,7 @@
             rejections: Rejections::default(),
             slow_start: Account::default(),
             load_report: None,
-            load_pace: LoadPace::new(0, 1.0),
+            last_load: LastLoad::new(0, 1.0),
             pending_loads: 0,
             no_memory_until: 0,
             open_attempts: BTreeSet::new(),
--- a/policy/src/worker_health.rs
+++ b/policy/src/worker_health.rs
@@ -80,7 +80,7 @@
     }
 
     /// Whether a lost or broken connection leaves open what the worker has loaded.
-    pub(crate) fn is_in_doubt(&self) -> bool {
+    pub(crate) fn is_unconfirmed(&self) -> bool {
         self.unreachable || self.connection_broke
     }
 
@@ -124,7 +124,7 @@
     /// back.
     pub(crate) fn answered_order(&mut self) {
         self.unsuccessful_polls = 0;
-        if self.is_in_doubt() {
+        if self.is_unconfirmed() {
             self.unreachable = false;
             self.connection_broke = false;
             self.score = self.score.min(OUTLIER_MULTIPLE);
--- a/policy/src/zone_health.rs
+++ b/policy/src/zone_health.rs
@@ -77,7 +77,7 @@
     }
 
     /// Whether the zone is taken for lost.
-    pub fn is_lost(&self, zone: Option<usize>) -> bool {
+    pub fn is_down(&self, zone: Option<usize>) -> bool {
         self.zones.get(&zone).is_some_and(|zone| zone.lost)
     }
 
--- a/policy/tests/readiness_lease.rs
+++ b/policy/tests/readiness_lease.rs
@@ -28,7 +28,7 @@
 /// Leases of these workers, confirmed by discovery at `START`.
 fn leases(health_checks: bool, workers: &[&str]) -> ReadinessLeases {
     let mut leases = ReadinessLeases::new(&settings(health_checks), 7);
-    leases.follow(START, false);
+    leases.watch_started(START, false);
     for worker in workers {
         leases.listed(worker, true);
     }
@@ -92,13 +92,13 @@
     let suspended_at = first(&mut leases, START + 20 * SECOND, is_suspension).expect("suspended");
     let notified_at = START + notified_at_s * SECOND;
     assert!((notified_at..notified_at + GRACE).contains(&suspended_at));
-    assert_eq!(leases.suspended(), 1);
+    assert_eq!(leases.suspended_count(), 1);
 }
 
 #[test]
 fn a_process_that_takes_over_is_notified_sooner() {
     let mut leases = ReadinessLeases::new(&settings(false), 7);
-    leases.follow(START, true);
+    leases.watch_started(START, true);
     leases.listed("a", true);
     let suspended_at = first(&mut leases, START + 20 * SECOND, is_suspension).expect("suspended");
     let notified_at = START + 2 * SECOND;
@@ -122,7 +122,7 @@
         let actions = leases.review(now);
         assert!(!actions.contains(&suspend("a", SuspendReason::LeaseEnded)));
     }
-    assert_eq!(leases.suspended(), 1);
+    assert_eq!(leases.suspended_count(), 1);
 }
 
 #[rstest]
@@ -215,14 +215,14 @@
         leases.accepted("a", now - MILLISECOND, now + MILLISECOND),
         None
     );
-    assert_eq!(leases.suspended(), 1);
+    assert_eq!(leases.suspended_count(), 1);
     leases.interrupted(now, Interruption::Broken);
     assert_eq!(
         leases.accepted("b", now - MILLISECOND, now + MILLISECOND),
         None
     );
     leases.review(now + 2 * SECOND + GRACE);
-    assert_eq!(leases.suspended(), 2);
+    assert_eq!(leases.suspended_count(), 2);
 }
 
 #[test]
@@ -233,7 +233,7 @@
     let _ = leases.check_ended("a", now, HealthCheckResult::Accepting, now);
     now += SECOND;
     assert_eq!(leases.review(now), []);
-    leases.doubted("a", now);
+    leases.suspected("a", now);
     assert_eq!(leases.review(now), [LeaseAction::Check("a".to_owned())]);
 }
 
@@ -242,11 +242,11 @@
     let mut leases = leases(false, &["a", "b", "c"]);
     let now = START + 10 * SECOND;
     leases.review(now);
-    assert_eq!(leases.suspended(), 3);
+    assert_eq!(leases.suspended_count(), 3);
     leases.listed("b", false);
     let resumed = leases.list_confirmed(now);
     assert_eq!(resumed, [resume("a", false), resume("c", false)]);
-    assert_eq!(leases.suspended(), 0);
+    assert_eq!(leases.suspended_count(), 0);
     assert_eq!(leases.review(now + SECOND), []);
 }
 
@@ -257,7 +257,7 @@
     leases.interrupted(now, Interruption::Moved);
     assert_eq!(leases.list_confirmed(now - MILLISECOND), []);
     leases.review(now + 4 * SECOND + GRACE);
-    assert_eq!(leases.suspended(), 1);
+    assert_eq!(leases.suspended_count(), 1);
 }
 
 /// Workers that are used are checked, others only up to a number, and never many at a time.
@@ -289,7 +289,7 @@
     }
     assert!(names[..40].iter().all(|name| checked.contains(name)));
     assert!(checked.len() <= 64, "{}", checked.len());
-    assert_eq!(leases.suspended(), names.len() - checked.len());
+    assert_eq!(leases.suspended_count(), names.len() - checked.len());
 }
 
 /// What happens in one step of a random run.
--- a/policy/tests/zone_health.rs
+++ b/policy/tests/zone_health.rs
@@ -16,16 +16,16 @@
 fn two_unresponsive_workers_lose_their_zone_and_an_answer_recovers_it() {
     let mut zones = two_zones_that_answered();
     zones.connection_failed(Some(0), 1, 10 * SECOND + 300_000, 250_000);
-    assert!(!zones.is_lost(Some(0)), "one may have stopped alone");
+    assert!(!zones.is_down(Some(0)), "one may have stopped alone");
     zones.answered(Some(1), 10 * SECOND + 400_000);
     zones.connection_failed(Some(0), 2, 10 * SECOND + 500_000, 250_000);
-    assert!(zones.is_lost(Some(0)) && !zones.is_lost(Some(1)));
+    assert!(zones.is_down(Some(0)) && !zones.is_down(Some(1)));
     assert!(
         zones.may_poll(Some(0), 11 * SECOND, SECOND)
             && !zones.may_poll(Some(0), 11 * SECOND + 1, SECOND)
     );
     zones.answered(Some(0), 12 * SECOND);
-    assert!(!zones.is_lost(Some(0)));
+    assert!(!zones.is_down(Some(0)));
 }
 
 #[test]
@@ -34,18 +34,18 @@
     for worker in 0..5 {
         zones.connection_failed(Some(0), worker, 10 * SECOND, 2_000); // processes that ended refuse at once
     }
-    assert!(!zones.is_lost(Some(0)));
+    assert!(!zones.is_down(Some(0)));
     zones.connection_failed(Some(0), 1, 10 * SECOND, 250_000);
     zones.answered(Some(1), 20 * SECOND);
     zones.connection_failed(Some(0), 2, 20 * SECOND, 250_000);
-    assert!(!zones.is_lost(Some(0)), "ten seconds apart");
+    assert!(!zones.is_down(Some(0)), "ten seconds apart");
     let mut zones = two_zones_that_answered();
     for (step, worker) in (0..8).enumerate() {
         let now = (20 + step as Micros) * SECOND;
         zones.connection_failed(Some(worker % 2), worker, now, 250_000);
     }
     assert!(
-        !zones.is_lost(Some(0)) && !zones.is_lost(Some(1)),
+        !zones.is_down(Some(0)) && !zones.is_down(Some(1)),
         "nothing answers: it may be this front end"
     );
 }
--- a/wrenseam/src/core/discovery_contact.rs
+++ b/wrenseam/src/core/discovery_contact.rs
@@ -82,7 +82,7 @@
                 .confirmed_at
                 .map(|confirmed_at| now.saturating_sub(confirmed_at) / MICROS_PER_MILLI),
             interruptions: contact.interruptions,
-            suspended: self.leases.suspended(),
+            suspended: self.leases.suspended_count(),
             health_checks: self.health_checks.sent,
         })
     }
--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -134,7 +134,7 @@
     /// takes over from another.
     #[must_use]
     pub fn with_discovery(mut self, takes_over: bool) -> Self {
-        self.leases.follow(self.clock.now(), takes_over);
+        self.leases.watch_started(self.clock.now(), takes_over);
         self
     }
 
--- a/wrenseam/src/core/readiness.rs
+++ b/wrenseam/src/core/readiness.rs
@@ -139,7 +139,7 @@
                 self.apply_lease_actions(action);
             }
             Outcome::Rejected | Outcome::ConnectFailed | Outcome::Reset => {
-                self.leases.doubted(worker, now);
+                self.leases.suspected(worker, now);
             }
             _ => {}
         }
@@ -158,7 +158,7 @@
             if refused {
                 self.leases.refused(&endpoint.id, now);
             } else {
-                self.leases.doubted(&endpoint.id, now);
+                self.leases.suspected(&endpoint.id, now);
             }
         }
     }
