--- a/policy/src/readiness_lease.rs
+++ b/policy/src/readiness_lease.rs
@@ -1,13 +1,15 @@
-//! Readiness leases: how long what is known of a worker's readiness may be acted on.
+//! Readiness leases: how long a confirmation that a worker is ready may be relied on.
 //!
-//! The endpoint list states what discovery knew when it last responded. A drain that it could not report counts as
-//! reported after a fixed span all the same, so each statement is a lease that ends before that. Discovery renews the
-//! leases of all workers whenever it responds. While it is not, a worker renews its own by taking new work or by
-//! answering a health check, and one whose lease has ended is suspended: it gets nothing new until it answers.
+//! The endpoint list is only as recent as the last response of the discovery service. By the protocol, a drain counts
+//! as reported to this front end a fixed time after it began, even if the event could not be delivered, and new work
+//! may be sent to the worker only for the drain grace after that. Each confirmation is therefore a lease that ends
+//! within that grace. Each response of the discovery service renews the leases of all workers. While it does not
+//! respond, a worker's own lease is renewed when it accepts new work or a health check, and a worker whose lease has
+//! ended is suspended: it gets no new work until it answers.
 //!
-//! Health checks go to the workers in use when contact is lost, and to some more. What discovery cannot report of a
-//! restart is inferred: a worker that refused connections, turned checks away or was out of sight may be a new process
-//! when it answers again, and is taken for one.
+//! Health checks go to the workers that are in use when contact is lost, and to others up to a minimum number.
+//! Discovery cannot report restarts meanwhile, so they are inferred: a worker that refused a connection, rejected
+//! several health checks in a row or was unconfirmed for too long is treated as a new process when it answers again.
 //!
 //! No I/O: time is an argument.
 use crate::rendezvous;
@@ -16,55 +18,56 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// What happens counts as reported so long after it, received or not.
+/// By the protocol, an event counts as reported to this front end this long after it happened, received or not.
 const REPORTED_AFTER: Micros = 7 * SECOND;
-/// What happened before a connection broke counts as reported so long after the break, ...
+/// Events from before a discovery connection broke count as reported this long after the break.
 const REPORTED_AFTER_BREAK: Micros = 2 * SECOND;
-/// ... before it fell silent, so long after the last response, ...
+/// Events from before a discovery connection went silent count as reported this long after the last response.
 const REPORTED_AFTER_SILENCE: Micros = 4 * SECOND;
-/// ... and before discovery moved, so long after the signal.
+/// Events from before the discovery service moved count as reported this long after this front end was told to move.
 const REPORTED_AFTER_MOVE: Micros = 4 * SECOND;
-/// To a process that takes over from another, what happens counts as reported so long after its start.
+/// For a process that takes over from another, events from before its start count as reported this long after it.
 const REPORTED_AFTER_TAKE_OVER: Micros = 2 * SECOND;
-/// The part of the drain grace by which leases are longer, as a divisor: the rest is for what is under way.
+/// Leases are extended by the drain grace divided by this; the rest of the grace is for requests already being sent.
 const GRACE_DIVISOR: Micros = 2;
-/// The longest grace that is used.
-const LONGEST_GRACE: Micros = SECOND;
-/// A worker is checked so long before its lease ends, ...
+/// A longer drain grace in the settings counts as this one.
+const MAX_GRACE: Micros = SECOND;
+/// A worker is sent a health check at the latest this long before its lease ends.
 const CHECK_LEAD: Micros = 300 * MILLISECOND;
-/// ... and up to so much sooner, so that a fleet does not check a worker all at once.
+/// Health checks are sent up to this much earlier, so that the front ends of a fleet do not check a worker all at once.
 const CHECK_LEAD_SPREAD: Micros = 600 * MILLISECOND;
-/// An unanswered check is sent again after this.
+/// A health check that was not answered is sent again after this time.
 const CHECK_TIMEOUT: Micros = 400 * MILLISECOND;
-/// A worker that does not take new work is checked again after this.
-const RECHECK: Micros = SECOND;
-/// Health checks sent in one review at the most.
-const CHECKS_PER_REVIEW: usize = 20;
-/// A worker is in use for so long after it was last sent new work.
+/// A worker that does not take new work is checked again after this time.
+const RECHECK_INTERVAL: Micros = SECOND;
+/// Most health checks that one review sends.
+const MAX_CHECKS_PER_REVIEW: usize = 20;
+/// A worker counts as in use for this long after it was last sent new work.
 const IN_USE_FOR: Micros = 10 * SECOND;
-/// Workers that are kept checked at the least, and at the most.
-const LEAST_KEPT: usize = 16;
-const MOST_KEPT: usize = 256;
-/// A worker that was out of sight for so long beyond its lease may have restarted.
-const RESTART_TIME: Micros = SECOND;
-/// So many checks turned away one after another are a drain, fewer may be a full worker.
-const CHECKS_OF_A_DRAIN: u32 = 2;
-
-/// Why nothing is received from discovery any more.
+/// Further workers are monitored while fewer than this many monitored ones are usable.
+const MIN_MONITORED: usize = 16;
+/// Most workers that are monitored by health checks at a time.
+const MAX_MONITORED: usize = 256;
+/// A worker that was unconfirmed for this long beyond the length of a lease may have restarted.
+const MIN_RESTART_TIME: Micros = SECOND;
+/// This many rejected health checks in a row indicate a drain; a worker that is only full may reject fewer.
+const DRAIN_REJECTED_CHECKS: u32 = 2;
+
+/// Why nothing is received from the discovery service any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Interruption {
-    /// A connection on which events came has ended.
+    /// The connection that delivered events has ended.
     Broken,
-    /// A connection stays open and carries nothing more.
+    /// The connection is open but delivers nothing any more.
     Silent,
-    /// Nobody answers.
+    /// The service does not answer.
     Unreachable,
-    /// Discovery is at another address now.
+    /// The service has moved to another address.
     Moved,
 }
 
 impl Interruption {
-    /// How long after the interruption what happened before it counts as reported.
+    /// How long after the interruption events from before it count as reported.
     fn reported_after(self) -> Micros {
         match self {
             Interruption::Broken => REPORTED_AFTER_BREAK,
@@ -80,11 +83,11 @@
 pub enum HealthCheckResult {
     /// The worker takes new work.
     Accepting,
-    /// It takes none: it drains, or is full.
+    /// The worker takes no new work: it is draining or full.
     NotAccepting,
-    /// Its address refused the connection.
+    /// The worker's address refused the connection.
     Refused,
-    /// The connection broke or could not be established.
+    /// The connection broke, or could not be established for a reason other than a refusal.
     Unreachable,
 }
 
@@ -93,39 +96,39 @@
 pub enum SuspendReason {
     /// Its lease has ended.
     LeaseEnded,
-    /// It takes no new work.
+    /// It rejected a health check.
     NotAccepting,
     /// It refused a connection.
     Refused,
 }
 
-/// What is to be done.
+/// What the caller is to do about a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
     /// Send the worker a health check.
     Check(WorkerId),
-    /// Send it nothing new.
+    /// Send the worker no new work.
     Suspend {
         /// The worker.
         worker: WorkerId,
-        /// Why.
+        /// Why the worker is suspended.
         reason: SuspendReason,
     },
-    /// It may be sent new work again.
+    /// Send the worker new work again.
     Resume {
         /// The worker.
         worker: WorkerId,
-        /// Whether it may be a new process that discovery could not report.
+        /// Whether the worker may be a new process whose start discovery could not report.
         may_have_restarted: bool,
     },
 }
 
-/// A statement that a worker takes new work.
+/// A confirmation that a worker takes new work, and how long it may be relied on.
 #[derive(Clone, Copy, Debug, Default)]
 struct Lease {
-    /// When it was true.
+    /// The time at which the worker was known to take new work.
     confirmed_at: Micros,
-    /// What happened after that may count as reported from then on.
+    /// From this time on a drain that began after `confirmed_at` may count as reported. The grace is not included.
     ends_at: Micros,
 }
 
@@ -143,7 +146,7 @@
         }
     }
 
-    /// What happened before `at` counts as reported at `reported_at`.
+    /// Ends a lease that was confirmed before `at` at `reported_at` at the latest.
     fn shorten(&mut self, at: Micros, reported_at: Micros) {
         if self.confirmed_at < at {
             self.ends_at = self.ends_at.min(reported_at);
@@ -151,24 +154,26 @@
     }
 }
 
-/// What is known of a worker that the list names as ready.
+/// The lease state of a worker that the endpoint list names as ready.
 #[derive(Clone, Debug, Default)]
 struct WorkerRecord {
-    /// What the worker itself stated since contact was lost.
-    own: Lease,
+    /// The worker's own confirmation since contact with discovery was lost.
+    own_lease: Lease,
+    /// When the worker was last sent new work; 0 if never.
     last_used_at: Micros,
-    /// Whether it is kept checked until contact is regained.
-    is_kept: bool,
+    /// Whether the worker gets regular health checks until contact with discovery is regained.
+    is_monitored: bool,
     suspended: Option<SuspendReason>,
-    /// Checks that it turned away one after another.
-    checks_turned_away: u32,
-    /// Statements of before this time do not count: it turned new work away then.
+    /// Health checks that the worker rejected in a row.
+    rejected_checks: u32,
+    /// Answers to what was sent up to this time do not renew the lease: the worker took no new work then.
     not_accepting_at: Micros,
     may_have_restarted: bool,
-    /// When it last refused a connection, until that has been taken into account.
+    /// When the worker last refused a connection; `None` once a review has suspended it for that.
     refused_at: Option<Micros>,
-    /// A check is wanted at once.
-    is_in_doubt: bool,
+    /// Whether a health check is due even if the lease is not about to end or the worker is not monitored.
+    needs_check: bool,
+    /// No health check is sent before this time.
     next_check_at: Micros,
 }
 
@@ -177,7 +182,7 @@
         self.last_used_at > 0 && now < self.last_used_at + IN_USE_FOR
     }
 
-    /// Forgets what belongs to a loss of contact: discovery has reported all that had happened at `at`.
+    /// Resets the state of the loss of contact: discovery has reported all events up to `at`.
     fn contact_regained(&mut self, at: Micros) {
         *self = WorkerRecord {
             last_used_at: self.last_used_at,
@@ -187,46 +192,48 @@
     }
 }
 
-/// The leases of one front end's workers.
+/// The readiness leases of one front end's workers.
 #[derive(Clone, Debug)]
 pub struct ReadinessLeases {
-    /// What discovery stated of all workers.
-    list: Lease,
-    /// Whether there is a discovery service that could report drains.
-    is_followed: bool,
+    /// The lease that discovery's last confirmation of the endpoint list gives all workers.
+    list_lease: Lease,
+    /// Whether a discovery service is in use; without one no lease applies.
+    has_discovery: bool,
     last_interruption: Micros,
+    /// The workers that the endpoint list names as ready.
     workers: BTreeMap<WorkerId, WorkerRecord>,
-    may_check: bool,
-    /// By how much leases are longer.
+    health_checks_enabled: bool,
+    /// Added to the end of each lease: part of the drain grace.
     grace: Micros,
+    /// Gives each front end its own order of workers and times of health checks.
     seed: u64,
 }
 
 impl ReadinessLeases {
-    /// No leases yet. They apply from the first contact or interruption on.
+    /// Starts with no workers. Leases apply once a discovery service was contacted, interrupted or is watched.
     pub fn new(settings: &Settings, seed: u64) -> ReadinessLeases {
         ReadinessLeases {
-            list: Lease::default(),
-            is_followed: false,
+            list_lease: Lease::default(),
+            has_discovery: false,
             last_interruption: 0,
             workers: BTreeMap::new(),
-            may_check: settings.health_checks,
-            grace: settings.drain_grace.min(LONGEST_GRACE) / GRACE_DIVISOR,
+            health_checks_enabled: settings.health_checks,
+            grace: settings.drain_grace.min(MAX_GRACE) / GRACE_DIVISOR,
             seed,
         }
     }
 
-    /// A discovery service is followed from now on, and the start configuration states what it has reported. Whether
-    /// this process takes over from another.
+    /// Starts watching a discovery service: the endpoint list of the start configuration counts as confirmed at `now`.
+    /// The lease is shorter where this process takes over from another.
     pub fn watch_started(&mut self, now: Micros, takes_over: bool) {
-        self.is_followed = true;
-        self.list = Lease::new(now);
+        self.has_discovery = true;
+        self.list_lease = Lease::new(now);
         if takes_over {
-            self.list.ends_at = now + REPORTED_AFTER_TAKE_OVER;
+            self.list_lease.ends_at = now + REPORTED_AFTER_TAKE_OVER;
         }
     }
 
-    /// The list names a worker: as ready, or as one that gets nothing new.
+    /// Takes over a worker's entry in the endpoint list; one that is not ready is forgotten and has no lease.
     pub fn listed(&mut self, worker: &str, is_ready: bool) {
         if !is_ready {
             self.workers.remove(worker);
@@ -236,30 +243,33 @@
         }
     }
 
-    /// Whether so much time has passed since discovery last responded that workers are asked themselves.
+    /// Whether discovery has not responded for so long that its lease is about to end and workers are checked directly.
     pub fn is_out_of_contact(&self, now: Micros) -> bool {
-        self.is_followed && now + CHECK_LEAD + CHECK_LEAD_SPREAD >= self.list.ends_at + self.grace
+        self.has_discovery
+            && now + CHECK_LEAD + CHECK_LEAD_SPREAD >= self.list_lease.ends_at + self.grace
     }
 
-    /// How many workers are suspended.
+    /// Number of workers that are suspended now.
     pub fn suspended_count(&self) -> usize {
         let is_suspended = |record: &&WorkerRecord| record.suspended.is_some();
         self.workers.values().filter(is_suspended).count()
     }
 
-    /// Until when a worker may be sent new work by what is known of it; `None` where no lease applies to it.
+    /// When the worker's lease ends, grace included; `None` where no lease applies: no discovery service is in use, or
+    /// the worker is not listed as ready.
     pub fn ends_at(&self, worker: &str) -> Option<Micros> {
-        let record = self.workers.get(worker).filter(|_| self.is_followed)?;
-        Some(record.own.ends_at.max(self.list.ends_at) + self.grace)
+        let record = self.workers.get(worker).filter(|_| self.has_discovery)?;
+        Some(record.own_lease.ends_at.max(self.list_lease.ends_at) + self.grace)
     }
 
-    /// Discovery has reported all that had happened at `at`.
+    /// Discovery has reported all events up to `at`: renews all leases and resumes the suspended workers. Ignored if
+    /// `at` is before the last interruption.
     pub fn list_confirmed(&mut self, at: Micros) -> Vec<LeaseAction> {
-        self.is_followed = true;
+        self.has_discovery = true;
         if at < self.last_interruption {
             return Vec::new();
         }
-        self.list.renew(at);
+        self.list_lease.renew(at);
         let mut actions = Vec::new();
         for (worker, record) in &mut self.workers {
             if record.suspended.is_some() {
@@ -273,65 +283,68 @@
         actions
     }
 
-    /// Nothing is received from discovery since `at`.
+    /// Nothing has been received from discovery since `at`: leases may end sooner, depending on the cause.
     pub fn interrupted(&mut self, at: Micros, cause: Interruption) {
-        self.is_followed = true;
+        self.has_discovery = true;
         self.last_interruption = self.last_interruption.max(at);
         let reported_at = at.saturating_add(cause.reported_after());
-        self.list.shorten(at, reported_at);
+        self.list_lease.shorten(at, reported_at);
         for record in self.workers.values_mut() {
-            record.own.shorten(at, reported_at);
+            record.own_lease.shorten(at, reported_at);
         }
     }
 
-    /// A worker is sent new work.
+    /// The worker is sent new work: it counts as in use.
     pub fn used(&mut self, worker: &str, now: Micros) {
         if let Some(record) = self.workers.get_mut(worker) {
             record.last_used_at = now;
         }
     }
 
-    /// A worker took new work, or stated that it does, in answer to what was sent at `sent_at`.
+    /// The worker accepted work or a health check that was sent at `sent_at`: renews its own lease and, if it was
+    /// suspended, resumes it. Ignored while in contact with discovery.
     pub fn accepted(&mut self, worker: &str, sent_at: Micros, now: Micros) -> Option<LeaseAction> {
         if !self.is_out_of_contact(now) || sent_at < self.last_interruption {
             return None;
         }
-        let list_confirmed_at = self.list.confirmed_at;
-        let longest_sight = REPORTED_AFTER + self.grace + RESTART_TIME;
+        let list_confirmed_at = self.list_lease.confirmed_at;
+        let max_unconfirmed = REPORTED_AFTER + self.grace + MIN_RESTART_TIME;
         let record = self.workers.get_mut(worker)?;
         if sent_at <= record.not_accepting_at {
             return None;
         }
-        let last_seen_at = record.own.confirmed_at.max(list_confirmed_at);
-        let was_out_of_sight = now > last_seen_at.saturating_add(longest_sight);
-        record.own.renew(sent_at);
-        record.checks_turned_away = 0;
-        record.is_in_doubt = false;
+        let last_confirmed_at = record.own_lease.confirmed_at.max(list_confirmed_at);
+        let was_unconfirmed_too_long = now > last_confirmed_at.saturating_add(max_unconfirmed);
+        record.own_lease.renew(sent_at);
+        record.rejected_checks = 0;
+        record.needs_check = false;
         record.suspended.take()?;
         Some(LeaseAction::Resume {
             worker: worker.to_owned(),
-            may_have_restarted: std::mem::take(&mut record.may_have_restarted) || was_out_of_sight,
+            may_have_restarted: std::mem::take(&mut record.may_have_restarted)
+                || was_unconfirmed_too_long,
         })
     }
 
-    /// A worker's address refused a connection: its process has ended, and what answers there next may be another.
+    /// The worker's address refused a connection: its process has ended, and the next to answer there may be a new one.
     pub fn refused(&mut self, worker: &str, now: Micros) {
         if let Some(record) = self.workers.get_mut(worker) {
             record.refused_at = Some(now);
         }
     }
 
-    /// A worker turned work away, or a connection to it failed or broke: it drains, is full, or is gone.
+    /// The worker rejected work, or a connection to it failed or broke: it may be draining, full or gone, so the next
+    /// review checks it. Ignored while in contact with discovery.
     pub fn suspected(&mut self, worker: &str, now: Micros) {
         if !self.is_out_of_contact(now) {
             return;
         }
         if let Some(record) = self.workers.get_mut(worker) {
-            record.is_in_doubt = true;
+            record.needs_check = true;
         }
     }
 
-    /// A health check that was sent at `sent_at` ended.
+    /// A health check that was sent at `sent_at` has ended. Ignored while in contact with discovery.
     pub fn check_ended(
         &mut self,
         worker: &str,
@@ -346,18 +359,18 @@
             HealthCheckResult::Accepting => return self.accepted(worker, sent_at, now),
             HealthCheckResult::NotAccepting => SuspendReason::NotAccepting,
             HealthCheckResult::Refused => SuspendReason::Refused,
-            HealthCheckResult::Unreachable => return None, // it is checked again
+            HealthCheckResult::Unreachable => return None, // the check is sent again after CHECK_TIMEOUT
         };
         let record = self.workers.get_mut(worker)?;
         record.not_accepting_at = record.not_accepting_at.max(sent_at);
 
-        record.is_in_doubt = false;
-        record.next_check_at = now + RECHECK;
+        record.needs_check = false;
+        record.next_check_at = now + RECHECK_INTERVAL;
         if reason == SuspendReason::NotAccepting {
-            record.checks_turned_away += 1;
+            record.rejected_checks += 1;
         }
         record.may_have_restarted |=
-            reason == SuspendReason::Refused || record.checks_turned_away >= CHECKS_OF_A_DRAIN;
+            reason == SuspendReason::Refused || record.rejected_checks >= DRAIN_REJECTED_CHECKS;
         let was_suspended = record.suspended.replace(reason).is_some();
         (!was_suspended).then(|| LeaseAction::Suspend {
             worker: worker.to_owned(),
@@ -365,46 +378,50 @@
         })
     }
 
-    /// Suspends the workers whose leases have ended, and asks those that are in use before theirs do.
+    /// Suspends the workers whose leases have ended or that refused a connection, and returns the health checks that
+    /// are due. Does nothing while in contact with discovery. To be called periodically.
     pub fn review(&mut self, now: Micros) -> Vec<LeaseAction> {
         if !self.is_out_of_contact(now) {
             return Vec::new();
         }
-        self.choose_kept(now);
+        self.choose_monitored(now);
         let mut actions = self.suspend_refused(now);
-        actions.extend(self.suspend_ended(now));
-        if self.may_check {
+        actions.extend(self.suspend_expired(now));
+        if self.health_checks_enabled {
             actions.extend(self.checks_due(now));
         }
         actions
     }
 
-    /// Chooses the workers that are kept checked: those in use, and some more, in an order of this front end's own.
-    fn choose_kept(&mut self, now: Micros) {
-        let kept = self.workers.values().filter(|record| record.is_kept);
-        let room = MOST_KEPT.saturating_sub(kept.clone().count());
-        let usable = kept.filter(|record| record.suspended.is_none()).count();
-        let missing = LEAST_KEPT.saturating_sub(usable);
+    /// Chooses the workers to monitor by health checks: those in use, the most recently used first, then others up to
+    /// the minimum, in an order that differs between front ends.
+    fn choose_monitored(&mut self, now: Micros) {
+        let monitored = self.workers.values().filter(|record| record.is_monitored);
+        let room = MAX_MONITORED.saturating_sub(monitored.clone().count());
+        let usable = monitored
+            .filter(|record| record.suspended.is_none())
+            .count();
+        let missing = MIN_MONITORED.saturating_sub(usable);
         let seed = self.seed;
-        let mut others: Vec<(&WorkerId, &mut WorkerRecord)> = self
+        let mut candidates: Vec<(&WorkerId, &mut WorkerRecord)> = self
             .workers
             .iter_mut()
-            .filter(|(_, record)| !record.is_kept && (missing > 0 || record.is_in_use(now)))
+            .filter(|(_, record)| !record.is_monitored && (missing > 0 || record.is_in_use(now)))
             .collect();
-        let in_use = others
+        let in_use = candidates
             .iter()
             .filter(|(_, record)| record.is_in_use(now))
             .count();
-        others.sort_by_cached_key(|(worker, record)| {
+        candidates.sort_by_cached_key(|(worker, record)| {
             let used_at = record.is_in_use(now).then_some(record.last_used_at);
             (Reverse(used_at), rendezvous::weight(seed, worker))
         });
-        for (_, record) in others.into_iter().take(missing.max(in_use).min(room)) {
-            record.is_kept = true;
+        for (_, record) in candidates.into_iter().take(missing.max(in_use).min(room)) {
+            record.is_monitored = true;
         }
     }
 
-    /// Suspends the workers that refused a connection since discovery last responded, until they answer again.
+    /// Suspends the workers that refused a connection after discovery's last confirmation, until they answer again.
     fn suspend_refused(&mut self, now: Micros) -> Vec<LeaseAction> {
         let mut actions = Vec::new();
         for (worker, record) in &mut self.workers {
@@ -413,7 +430,7 @@
             }
             record.may_have_restarted = true;
             record.not_accepting_at = now;
-            record.is_in_doubt = true;
+            record.needs_check = true;
             let reason = SuspendReason::Refused;
             if record.suspended.replace(reason).is_none() {
                 actions.push(LeaseAction::Suspend {
@@ -425,10 +442,10 @@
         actions
     }
 
-    fn suspend_ended(&mut self, now: Micros) -> Vec<LeaseAction> {
+    fn suspend_expired(&mut self, now: Micros) -> Vec<LeaseAction> {
         let mut actions = Vec::new();
         for (worker, record) in &mut self.workers {
-            let ends_at = record.own.ends_at.max(self.list.ends_at) + self.grace;
+            let ends_at = record.own_lease.ends_at.max(self.list_lease.ends_at) + self.grace;
             if record.suspended.is_none() && now >= ends_at {
                 let reason = SuspendReason::LeaseEnded;
                 record.suspended = Some(reason);
@@ -441,25 +458,26 @@
         actions
     }
 
-    /// The checks that are due, those of workers in doubt first, then by the ends of their leases.
+    /// The health checks that are due: those requested by [`ReadinessLeases::suspected`] or a refusal first, then by
+    /// the end of the worker's lease.
     fn checks_due(&mut self, now: Micros) -> Vec<LeaseAction> {
-        let (list_ends_at, grace, seed) = (self.list.ends_at, self.grace, self.seed);
+        let (list_ends_at, grace, seed) = (self.list_lease.ends_at, self.grace, self.seed);
         let mut due: Vec<(bool, Micros, &WorkerId, &mut WorkerRecord)> = Vec::new();
         for (worker, record) in &mut self.workers {
-            let ends_at = record.own.ends_at.max(list_ends_at) + grace;
+            let ends_at = record.own_lease.ends_at.max(list_ends_at) + grace;
             let lead = CHECK_LEAD + rendezvous::weight(seed, worker) % CHECK_LEAD_SPREAD;
-            let is_due = record.is_in_doubt
-                || record.is_kept && (record.suspended.is_some() || now + lead >= ends_at);
+            let is_due = record.needs_check
+                || record.is_monitored && (record.suspended.is_some() || now + lead >= ends_at);
             if is_due && now >= record.next_check_at {
-                due.push((!record.is_in_doubt, ends_at, worker, record));
+                due.push((!record.needs_check, ends_at, worker, record));
             }
         }
-        due.sort_by_key(|(is_certain, ends_at, ..)| (*is_certain, *ends_at));
-        due.truncate(CHECKS_PER_REVIEW);
+        due.sort_by_key(|(is_routine, ends_at, ..)| (*is_routine, *ends_at));
+        due.truncate(MAX_CHECKS_PER_REVIEW);
         due.into_iter()
             .map(|(_, _, worker, record)| {
                 record.next_check_at = now + CHECK_TIMEOUT;
-                record.is_in_doubt = false;
+                record.needs_check = false;
                 LeaseAction::Check(worker.clone())
             })
             .collect()
