--- a/policy/src/survey.rs
+++ b/policy/src/survey.rs
@@ -1,44 +1,44 @@
-//! The periodic survey: takes a sample of all workers, functions and requests into the estimates, and does what has to
-//! be done from time to time.
+//! The periodic survey: updates the estimates with a sample of all workers, functions and requests, and runs the other
+//! periodic work.
 use crate::action::Action;
 use crate::estimator::{
     is_report_recent, queued_until, FleetSample, LONGEST_RATE_SPAN, SURVEY_INTERVAL,
 };
 use crate::index::WorkerIndex;
-use crate::slow_start::{Account, WorkerStart};
+use crate::slow_start::{SendBucket, WorkerStart};
 use crate::state::State;
 use crate::types::{Micros, SECOND};
 use crate::worker::LoadReport;
 
-/// Idle times after its last request at which a function is forgotten.
+/// A function is forgotten after this many keep-alive times without a request.
 const FORGET_AFTER_KEEP_ALIVES: Micros = 4;
-/// The line about bad workers comes no more often.
+/// Minimum time between two log lines about ejected workers and the load limit.
 const LOG_INTERVAL: Micros = 10 * SECOND;
-/// It comes where more than one in so many workers is ejected, ...
-const LOGGED_PART: usize = 10;
-/// ... or the limit on loads is below this.
+/// The line is logged when more than one in this number of workers is ejected.
+const LOGGED_EJECTED_DIVISOR: usize = 10;
+/// The line is also logged when the concurrency limit on loads is below this.
 const LOGGED_LOAD_LIMIT: f64 = 2.0;
 
-/// When the survey last ran.
+/// When the survey last ran, and when it last logged; 0 if never.
 #[derive(Debug, Default)]
 pub(crate) struct Survey {
-    last: Micros,
-    last_log: Micros,
+    last_run: Micros,
+    last_logged: Micros,
 }
 
 impl Survey {
     /// Runs the survey if it is due.
     pub(crate) fn run_if_due(&mut self, state: &mut State, now: Micros, actions: &mut Vec<Action>) {
-        if now < self.last + SURVEY_INTERVAL {
+        if now < self.last_run + SURVEY_INTERVAL {
             return;
         }
-        let is_first = self.last == 0;
+        let is_first = self.last_run == 0;
         let elapsed = if is_first {
             SURVEY_INTERVAL
         } else {
-            now - self.last
+            now - self.last_run
         };
-        self.last = now;
+        self.last_run = now;
         self.run(state, now, elapsed, actions);
     }
 
@@ -47,7 +47,7 @@
         let sample = state.sample(now, elapsed);
         state.estimator.update(sample, &state.settings);
         state.update_least_z_star(now);
-        state.refresh_slow_start_accounts(now);
+        state.refresh_slow_start_buckets(now);
         let ejected = state.compare_workers(now, elapsed);
         self.log(state, ejected, now, actions);
         state.poll_unreachable_workers(now, actions);
@@ -60,9 +60,9 @@
     fn log(&mut self, state: &State, ejected: usize, now: Micros, actions: &mut Vec<Action>) {
         let workers = state.workers.ready_count();
         let limit = state.load_limiter.limit();
-        let is_worth_a_line = ejected * LOGGED_PART > workers || limit < LOGGED_LOAD_LIMIT;
-        if now >= self.last_log + LOG_INTERVAL && is_worth_a_line {
-            self.last_log = now;
+        let must_log = ejected * LOGGED_EJECTED_DIVISOR > workers || limit < LOGGED_LOAD_LIMIT;
+        if now >= self.last_logged + LOG_INTERVAL && must_log {
+            self.last_logged = now;
             let text = format!("{ejected} of {workers} workers look bad; load cap {limit:.0}");
             actions.push(Action::Log { text });
         }
@@ -70,6 +70,7 @@
 }
 
 impl State {
+    /// The present sample for the estimates; `elapsed` is the time since the last one.
     fn sample(&self, now: Micros, elapsed: Micros) -> FleetSample {
         let ready_workers = self.workers.ready();
         let ready = || ready_workers.iter().map(|&index| &self.workers[index]);
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Works out the smallest z* of all functions for the theta of the last sample.
+    /// Updates the smallest z* of all functions, for the theta of the last sample. Functions with a z* below 1 have no
+    /// virtual losses and are left out.
     fn update_least_z_star(&mut self, now: Micros) {
         let theta = self.estimator.theta();
         let least = self
@@ -111,7 +113,8 @@
         self.estimator.set_least_z_star(least);
     }
 
-    /// Requests that wait for an answer with no load in the way, and have not waited for long.
+    /// Number of requests whose last attempt is in flight and does not wait for a load, except those that arrived too
+    /// long ago.
     fn queued_requests(&self, now: Micros) -> usize {
         self.requests
             .iter()
@@ -128,10 +131,11 @@
             .count()
     }
 
-    /// Brings the accounts with the workers in slow start up to date. All front ends work out the same allowance where
-    /// the tenants' quotas are stated; else one core a worker is granted, so that a fleet that is all in slow start
-    /// gets going, or what a few front ends see it do.
-    fn refresh_slow_start_accounts(&mut self, now: Micros) {
+    /// Updates the token buckets of the workers in slow start. Where the tenants' quotas are stated, all front ends
+    /// compute the same allowance from them. Otherwise a worker counts as having one core, so that a fleet whose
+    /// workers are all in slow start gets requests at all. In a small fleet it counts as having the cores that all
+    /// front ends keep busy at a worker, estimated from this one's work, if they are more than one.
+    fn refresh_slow_start_buckets(&mut self, now: Micros) {
         let service_times = self.estimator.known_class_service_times();
         let classes = service_times.len();
         let mean_service_time = service_times.iter().sum::<f64>() / classes.max(1) as f64;
@@ -144,7 +148,7 @@
         let observed = cores * SECOND as f64 / mean_service_time.max(1.0);
         let capacity = self
             .slow_start
-            .worker_capacity(self.workers.most_listed(), observed);
+            .worker_capacity(self.workers.max_listed(), observed);
         let heaviest_request = (0..classes)
             .map(|class| self.request_weight(class))
             .fold(1.0, f64::max);
@@ -153,7 +157,7 @@
             if !self.slow_start.applies(started_at, now) {
                 continue;
             }
-            let chance = self.random.draw();
+            let random = self.random.draw();
             let worker = &mut self.workers[index];
             let start = WorkerStart {
                 name: &worker.endpoint.worker,
@@ -162,18 +166,18 @@
                 heaviest_request,
             };
             self.slow_start
-                .refresh(&mut worker.slow_start, &start, now, chance);
+                .refresh(&mut worker.slow_start, &start, now, random);
         }
     }
 
-    /// Leaves sending to workers in slow start to another process of this front end, or resumes it: two under one
-    /// number would send twice the part of one. What was saved up is void either way.
+    /// Leaves sending to workers in slow start to another process of this front end, or resumes it: two processes with
+    /// the same front-end index would send twice its share. All buckets are emptied on each change.
     pub(crate) fn set_standby(&mut self, standby: bool) {
         if self.slow_start.set_standby(standby) {
             self.workers
                 .iter_mut()
                 .map(|worker| &mut worker.slow_start)
-                .for_each(Account::reset);
+                .for_each(SendBucket::reset);
         }
     }
 }
--- a/policy/src/worker.rs
+++ b/policy/src/worker.rs
@@ -1,20 +1,20 @@
-//! Listed workers: what is known of each, and the table of them.
+//! The state of each listed worker, and the table of all workers.
 use crate::endpoint::{Endpoint, WorkerState};
 use crate::index::{FunctionIndex, WorkerIndex};
 use crate::rejections::Rejections;
-use crate::slow_start::Account;
+use crate::slow_start::SendBucket;
 use crate::types::{Micros, RequestId, WorkerId, SECOND};
 use crate::worker_health::WorkerHealth;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Index, IndexMut};
 use std::sync::Arc;
 
-/// A load that takes this multiple of its usual time is slow.
+/// A load that takes more than this multiple of its usual time counts as slow.
 pub(crate) const SLOW_LOAD_MULTIPLE: f64 = 2.0;
-/// How long a worker's last load tells how it loads.
+/// How long a worker's last load counts as recent.
 pub(crate) const LAST_LOAD_LIFETIME: Micros = 2 * SECOND;
 
-/// An attempt that has not ended, in the order of age.
+/// An attempt that has not ended; the order is by age, oldest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct OpenAttempt {
     pub(crate) sent_at: Micros,
@@ -22,26 +22,27 @@
     pub(crate) attempt: usize,
 }
 
-/// The requests in flight at a worker by its own report, or by what stands for one.
+/// The requests in flight at a worker, by its own report or estimated from its answers.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadReport {
     pub(crate) received_at: Micros,
+    /// Requests of all front ends.
     pub(crate) in_flight: f64,
-    /// This front end's attempts that were open there then.
+    /// This front end's attempts that were open at the worker when the report came.
     pub(crate) own_attempts: usize,
 }
 
-/// How a worker's last load went.
+/// The last load at a worker whose time was taken.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LastLoad {
     ended_at: Micros,
-    /// The multiple of the usual time that it took.
-    multiple: f64,
+    /// Its time as a multiple of the usual time of such a load.
+    slowdown: f64,
 }
 
 impl LastLoad {
-    pub(crate) fn new(ended_at: Micros, multiple: f64) -> Self {
-        LastLoad { ended_at, multiple }
+    pub(crate) fn new(ended_at: Micros, slowdown: f64) -> Self {
+        LastLoad { ended_at, slowdown }
     }
 
     pub(crate) fn is_recent(&self, now: Micros) -> bool {
@@ -49,7 +50,7 @@
     }
 
     pub(crate) fn is_slow(&self) -> bool {
-        self.multiple > SLOW_LOAD_MULTIPLE
+        self.slowdown > SLOW_LOAD_MULTIPLE
     }
 }
 
@@ -58,16 +59,16 @@
     pub(crate) endpoint: Endpoint,
     pub(crate) health: WorkerHealth,
     pub(crate) rejections: Rejections,
-    pub(crate) slow_start: Account,
+    pub(crate) slow_start: SendBucket,
     pub(crate) load_report: Option<LoadReport>,
     pub(crate) last_load: LastLoad,
-    /// Orders to load that it has not answered.
+    /// Load orders that the worker has not answered.
     pub(crate) pending_loads: u32,
-    /// It had no memory for a load, and is not asked for another until then.
+    /// The worker had no memory for a load and gets no other load order before this time.
     pub(crate) no_memory_until: Micros,
-    /// This front end's attempts there.
+    /// This front end's attempts in flight at the worker.
     pub(crate) open_attempts: BTreeSet<OpenAttempt>,
-    /// Functions of which something is known there.
+    /// Functions that have a replica state at the worker.
     pub(crate) functions: BTreeSet<FunctionIndex>,
 }
 
@@ -77,7 +78,7 @@
             endpoint,
             health: WorkerHealth::new(now),
             rejections: Rejections::default(),
-            slow_start: Account::default(),
+            slow_start: SendBucket::default(),
             load_report: None,
             last_load: LastLoad::new(0, 1.0),
             pending_loads: 0,
@@ -95,14 +96,14 @@
         self.endpoint.state == WorkerState::Gone
     }
 
-    /// The process is new: past health says nothing, and nothing is saved up for it.
+    /// Resets the health, load report and slow start of the worker's previous process: a new one has started.
     pub(crate) fn process_started(&mut self) {
         self.health.process_started();
         self.load_report = None;
         self.slow_start.reset();
     }
 
-    /// The worker reported the requests that it has in flight.
+    /// Records the requests in flight that the worker reported or that were estimated for it.
     pub(crate) fn report_load(&mut self, now: Micros, in_flight: f64) {
         self.load_report = Some(LoadReport {
             received_at: now,
@@ -112,15 +113,15 @@
     }
 }
 
-/// All workers that are listed, and those that are gone until their positions are taken.
+/// All listed workers, and those that are gone whose positions have not been reused.
 #[derive(Default)]
 pub(crate) struct WorkerTable {
     workers: Vec<Worker>,
     by_id: BTreeMap<WorkerId, WorkerIndex>,
-    /// Shared, so that it can be walked while workers change.
+    /// Workers that are ready; shared, so that callers can iterate over it while they change workers.
     ready: Arc<Vec<WorkerIndex>>,
-    /// The most workers listed at a time.
-    most_listed: usize,
+    /// Most workers that were ever listed at a time.
+    max_listed: usize,
 }
 
 impl Index<WorkerIndex> for WorkerTable {
@@ -142,12 +143,12 @@
         self.by_id.get(id).copied()
     }
 
-    /// Workers that can be found by their id.
+    /// Number of workers that can be found by their id.
     pub(crate) fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Positions in the table, including those of workers that are gone.
+    /// Number of positions in the table, including those of workers that are gone.
     pub(crate) fn positions(&self) -> usize {
         self.workers.len()
     }
@@ -164,18 +165,18 @@
         self.workers.iter_mut()
     }
 
-    /// Workers that take new work, as the endpoint list has them now.
+    /// Workers that take new work, by the present endpoint list.
     pub(crate) fn ready(&self) -> Arc<Vec<WorkerIndex>> {
         Arc::clone(&self.ready)
     }
 
-    /// How many workers take new work.
+    /// Number of workers that take new work.
     pub(crate) fn ready_count(&self) -> usize {
         self.ready.len()
     }
 
-    pub(crate) fn most_listed(&self) -> usize {
-        self.most_listed
+    pub(crate) fn max_listed(&self) -> usize {
+        self.max_listed
     }
 
     /// Adds a worker at a new position.
@@ -186,18 +187,18 @@
         index
     }
 
-    /// Gives the position of a worker that is gone to another.
+    /// Reuses the position of a worker that is gone for another.
     pub(crate) fn replace(&mut self, index: WorkerIndex, worker: Worker) {
         self.by_id.remove(&self.workers[index.0].endpoint.worker);
         self.by_id.insert(worker.endpoint.worker.clone(), index);
         self.workers[index.0] = worker;
     }
 
-    /// The endpoint list has been taken over: works out which workers are ready.
+    /// Recomputes the ready workers. To be called after each change of the endpoint list.
     pub(crate) fn list_changed(&mut self) {
         let ready = self.indexes().filter(|&index| self[index].is_ready());
         self.ready = Arc::new(ready.collect());
         let listed = self.iter().filter(|worker| !worker.is_gone()).count();
-        self.most_listed = self.most_listed.max(listed);
+        self.max_listed = self.max_listed.max(listed);
     }
 }
