--- a/policy/src/outlier_detection.rs
+++ b/policy/src/outlier_detection.rs
@@ -1,6 +1,6 @@
-//! Outlier detection: one running score of how each worker does against what was expected. Slow answers, errors,
-//! time-outs, resets and silence raise it, whatever their cause; workers beyond a multiple of the median are ejected
-//! until trial requests or polls find them sound.
+//! Outlier detection: one running score for each worker, of how its attempts did relative to what was expected. Slow
+//! answers, errors, time-outs, resets and silence raise it, whatever their cause. Workers whose score exceeds a
+//! multiple of the median are ejected until trial requests or polls show that they do as expected again.
 use crate::action::Action;
 use crate::dispatch::LEAST_EXPECTED;
 use crate::estimator::SHORTEST_REPORT_FADE;
@@ -13,40 +13,43 @@
 use crate::worker::Worker;
 use crate::worker_health::{MAX_TRIAL_DOUBLINGS, TRIAL_INTERVAL};
 
-/// Weight of a new sample in running means: about the last ten count.
+/// Weight of a new sample in running means: they cover about the last ten samples.
 pub(crate) const SAMPLE_WEIGHT: f64 = 0.1;
-/// Sample of a failed attempt, and the most that one slow answer counts.
+/// Sample of a failed attempt, and outside of a large fleet the largest sample of one slow answer. A sample is a ratio
+/// of the time taken to the time expected.
 const FAILED_SAMPLE: f64 = 5.0;
-/// The most that one slow answer counts in a large fleet, where a front end may get no second one for seconds.
-const LARGEST_SAMPLE_IN_LARGE_FLEET: f64 = 12.0;
-/// Without news a score returns to sound with this time constant, in microseconds.
-const RECOVERY_TIME: f64 = 6.0 * SECOND as f64;
-/// An attempt in flight for this multiple of its expected time, with no answer from its worker, is overdue.
+/// Largest sample of one slow answer in a large fleet, where a front end may get no second answer from the worker for
+/// seconds.
+const MAX_SAMPLE_IN_LARGE_FLEET: f64 = 12.0;
+/// Time constant with which a score returns to the expected one without further samples, in microseconds.
+const RECOVERY_TIME_CONSTANT: f64 = 6.0 * SECOND as f64;
+/// A worker counts as silent when its oldest attempt has taken this multiple of its expected time without any answer
+/// from the worker.
 pub(crate) const SILENT_MULTIPLE: f64 = 9.0;
-/// The least time that silence is measured against, in microseconds.
-const LEAST_SILENCE: f64 = 50.0 * MILLISECOND as f64;
-/// A sign weighs more where this front end's requests come round to a worker seldom, up to this multiple.
-const MOST_SAMPLE_WEIGHT: f64 = 2.5;
+/// Minimum of the expected time that [`SILENT_MULTIPLE`] applies to, in microseconds.
+const MIN_SILENCE_BASE: f64 = 50.0 * MILLISECOND as f64;
+/// A sample weighs more where this front end seldom sends requests to each worker, up to this factor.
+const MAX_WEIGHT_FACTOR: f64 = 2.5;
 
-/// How an attempt ended, as outlier detection takes it.
+/// How an attempt ended, as outlier detection uses it.
 pub(crate) struct AttemptSample {
     pub(crate) outcome: Outcome,
     pub(crate) elapsed: Micros,
-    /// Whether the worker loaded the function for it.
+    /// Whether the worker loaded the function for this attempt.
     pub(crate) loaded: bool,
 }
 
 impl State {
-    /// The largest sample of one slow answer.
-    fn largest_sample(&self) -> f64 {
+    /// Largest sample of one slow answer.
+    fn max_sample(&self) -> f64 {
         if self.is_large_fleet() {
-            LARGEST_SAMPLE_IN_LARGE_FLEET
+            MAX_SAMPLE_IN_LARGE_FLEET
         } else {
             FAILED_SAMPLE
         }
     }
 
-    /// Takes the end of an attempt into the estimates and into its worker's health.
+    /// Updates the estimates and the worker's health with the end of an attempt.
     pub(crate) fn record_attempt_end(
         &mut self,
         now: Micros,
@@ -56,15 +59,15 @@
     ) {
         self.record_zone_outcome(attempt.worker, sample.outcome, now, sample.elapsed);
         let score = self.health_sample(now, function, attempt, sample);
-        // Guards against blaming workers for this front end's own stand-still.
-        let stood_still = now < self.resumed_at + TICK;
-        let score = score.filter(|_| !stood_still);
-        let seldom = self.estimator.report_fade() / SHORTEST_REPORT_FADE;
-        let weight = 2.0 * SAMPLE_WEIGHT * seldom.clamp(1.0, MOST_SAMPLE_WEIGHT);
+        // After a stall of this front end's process, late answers say nothing about the workers.
+        let was_stalled = now < self.resumed_at + TICK;
+        let score = score.filter(|_| !was_stalled);
+        let weight_factor = self.estimator.report_fade() / SHORTEST_REPORT_FADE;
+        let weight = 2.0 * SAMPLE_WEIGHT * weight_factor.clamp(1.0, MAX_WEIGHT_FACTOR);
         self.workers[attempt.worker].health.record(score, weight);
     }
 
-    /// Notes what an outcome tells of the worker's zone.
+    /// Updates the health of the worker's zone with an outcome.
     fn record_zone_outcome(
         &mut self,
         worker: WorkerIndex,
@@ -80,24 +83,25 @@
         }
     }
 
-    /// What an order's outcome tells of the worker's zone; an answer of the process before the present one tells
-    /// nothing.
+    /// Updates the health of the worker's zone with the outcome of an order. An answer from an earlier process of the
+    /// worker is ignored.
     pub(crate) fn record_order_zone_outcome(
         &mut self,
         worker: WorkerIndex,
         outcome: Outcome,
         now: Micros,
         elapsed: Micros,
-        is_of_present_process: bool,
+        is_from_current_process: bool,
     ) {
         let failed = matches!(outcome, Outcome::ConnectFailed | Outcome::Reset);
         let answered = matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::Error);
-        if failed || answered && is_of_present_process {
+        if failed || answered && is_from_current_process {
             self.record_zone_outcome(worker, outcome, now, elapsed);
         }
     }
 
-    /// The sample for the worker's score: 1 is as expected, more is worse; `None` where the end tells nothing of it.
+    /// The sample for the worker's score: 1 is as expected, more is worse; `None` where the outcome says nothing about
+    /// the worker.
     fn health_sample(
         &mut self,
         now: Micros,
@@ -108,25 +112,25 @@
         let worker = attempt.worker;
         match sample.outcome {
             Outcome::Ok => self.served_sample(now, function, attempt, sample),
-            // Of a function never served here the error may be the request's: no worker is blamed.
+            // If no worker has served the function yet, the request itself may be the cause of the error.
             Outcome::Error if !self.functions[function].is_known_to_load() => None,
             Outcome::Error if !attempt.is_cancelling() => {
                 self.workers[worker].health.answered_error(now);
                 Some(FAILED_SAMPLE)
             }
             Outcome::Timeout if !attempt.is_cancelling() => Some(FAILED_SAMPLE),
-            // Guards against a worker that loses answers: what was cancelled had taken at least so long.
+            // Guards against a worker that loses answers: the attempt took at least this long before it was cancelled.
             Outcome::Cancelled if !sample.loaded || self.is_large_fleet() => {
                 let elapsed = sample.elapsed as f64;
                 let overdue = elapsed > attempt.expected;
-                overdue.then(|| (elapsed / attempt.expected).min(self.largest_sample()))
+                overdue.then(|| (elapsed / attempt.expected).min(self.max_sample()))
             }
             Outcome::ConnectFailed => {
                 self.connect_failed(worker, now);
                 Some(FAILED_SAMPLE)
             }
-            // Connections end though the process lives: if it does not, the next one is refused. All that was open on
-            // one connection counts once, or a single corrupt answer would cost a sound worker its requests.
+            // A connection may break while the process lives; if it has ended, the next connection is refused. All
+            // attempts on one connection count once: otherwise a single corrupt answer could eject a healthy worker.
             Outcome::Reset if now > self.workers[worker].health.last_reset() + TICK => {
                 self.connection_reset(worker, now);
                 Some(FAILED_SAMPLE)
@@ -135,7 +139,8 @@
         }
     }
 
-    /// A worker served an attempt: updates the service times and returns how it did against what was expected.
+    /// Updates the service times with an attempt that was served. Returns the ratio of its time to the expected time;
+    /// `None` where the worker had to load the function.
     fn served_sample(
         &mut self,
         now: Micros,
@@ -147,7 +152,7 @@
         let class = self.functions[function].class;
         let mut score = None;
         if !sample.loaded {
-            // Where a replica was not known and there was one all the same, no load was in the way.
+            // The attempt was expected to load the function, but a replica was there: compare without a load.
             let expected = if attempt.loads_function {
                 self.functions[function].service_time
             } else {
@@ -155,7 +160,7 @@
             };
             let expected = expected.max(LEAST_EXPECTED);
             let elapsed = sample.elapsed as f64;
-            let ratio = (elapsed / expected).min(self.largest_sample());
+            let ratio = (elapsed / expected).min(self.max_sample());
             score = Some(ratio);
             self.estimate_load_by_answer(attempt.worker, now, ratio);
             self.answer_times[class].record(now, elapsed);
@@ -168,7 +173,7 @@
         score
     }
 
-    /// Where workers report no load, the time that an answer took stands for what they have in flight.
+    /// Where workers report no load, estimates the requests that one has in flight from the time that its answer took.
     fn estimate_load_by_answer(&mut self, worker: WorkerIndex, now: Micros, ratio: f64) {
         if self.estimator.has_load_reports() {
             return;
@@ -178,8 +183,8 @@
         worker.report_load(now, (before + ratio.min(FAILED_SAMPLE)) / 2.0);
     }
 
-    /// A refused or lost connection: the worker leaves the choice until it answers a poll. Its replicas stay believed
-    /// until then, as only the connection may have broken.
+    /// A connection was refused or not established: the worker is ejected until it answers. What is known of its
+    /// replicas is kept, as only the connection may have failed.
     pub(crate) fn connect_failed(&mut self, worker: WorkerIndex, now: Micros) {
         let keep_schedule = self.is_large_fleet();
         self.workers[worker]
@@ -187,14 +192,15 @@
             .connect_failed(now, keep_schedule);
     }
 
-    /// A connection broke. It may be the process, which then has nothing loaded once it is back: it is polled.
+    /// A connection broke. The process may have ended, and would have nothing loaded after its restart: the worker is
+    /// polled.
     pub(crate) fn connection_reset(&mut self, worker: WorkerIndex, now: Micros) {
         self.workers[worker].health.connection_reset(now);
         self.last_reset = now;
     }
 
-    /// Guards against a worker that rejects requests. If it has no more in flight than others, it picks by tenant or
-    /// class: such requests stay away and others are served. Else all stay away.
+    /// Pauses requests to a worker that rejected one. If its load report shows no overload, it is assumed to reject by
+    /// tenant or class, and only requests of the same tenant and class are paused; otherwise all are.
     pub(crate) fn attempt_rejected(
         &mut self,
         worker: WorkerIndex,
@@ -202,8 +208,8 @@
         class: usize,
         now: Micros,
     ) {
-        let picks = self.estimator.has_load_reports() && !self.is_overloaded(worker, now);
-        let scope = if picks {
+        let is_selective = self.estimator.has_load_reports() && !self.is_overloaded(worker, now);
+        let scope = if is_selective {
             RejectedScope::TenantAndClass { tenant, class }
         } else {
             RejectedScope::All
@@ -211,10 +217,12 @@
         self.workers[worker].rejections.rejected(scope, now);
     }
 
-    /// Decides anew which ready workers are outliers, and whether ejection is suspended. Returns how many are ejected.
+    /// Updates the scores of the ready workers for the time `elapsed` since the last call and decides which are
+    /// outliers. Suspends ejection while more than half of them would be ejected. Returns how many are outliers or
+    /// unreachable.
     pub(crate) fn compare_workers(&mut self, now: Micros, elapsed: Micros) -> usize {
-        let recovery_time = RECOVERY_TIME.max(self.estimator.report_fade());
-        let part = (elapsed as f64 / recovery_time).min(1.0);
+        let time_constant = RECOVERY_TIME_CONSTANT.max(self.estimator.report_fade());
+        let part = (elapsed as f64 / time_constant).min(1.0);
         let median = self.estimator.median_health_score();
         let mut ejected = 0;
         for index in self.workers.ready().iter().copied() {
@@ -231,8 +239,8 @@
         ejected
     }
 
-    /// Whether the oldest attempt at a worker is long overdue and nothing was heard from it since. Only answers to
-    /// requests count: a stalled worker may still answer orders.
+    /// Whether a worker's oldest attempt has waited for [`SILENT_MULTIPLE`] times its expected time and the worker has
+    /// served no request meanwhile. Answers to orders do not count: a stalled worker may still give them.
     fn is_silent(&self, worker: &Worker, now: Micros) -> bool {
         let Some(oldest) = worker.open_attempts.first() else {
             return false;
@@ -245,11 +253,11 @@
             .sent_at
             .max(worker.health.last_answer())
             .max(self.resumed_at);
-        now.saturating_sub(since) as f64 > SILENT_MULTIPLE * expected.max(LEAST_SILENCE)
+        now.saturating_sub(since) as f64 > SILENT_MULTIPLE * expected.max(MIN_SILENCE_BASE)
     }
 
-    /// Polls ejected workers that gave no answer, about a function that was last known there: an answer brings them
-    /// back.
+    /// Polls the workers whose connection failed or broke, about a function last known to be loaded there. An answer
+    /// ends their ejection. In a zone that is down only one worker is polled per interval.
     pub(crate) fn poll_unreachable_workers(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if !self.settings.load_orders {
             return;
@@ -271,18 +279,19 @@
         }
     }
 
-    /// How long until a worker is polled again. Guards a worker that is gone, or just back, from polls of a hundred
-    /// front ends in step: in a large fleet polls back off, with jitter.
+    /// Time until a worker is polled again. In a large fleet polls back off exponentially with jitter, so that a
+    /// hundred front ends do not all poll a worker at the same time that is gone or has just come back.
     fn poll_interval(&mut self, worker: WorkerIndex) -> Micros {
         if !self.is_large_fleet() {
             return TRIAL_INTERVAL;
         }
-        let unsuccessful = self.workers[worker].health.poll_sent();
-        let interval = TRIAL_INTERVAL << unsuccessful.min(MAX_TRIAL_DOUBLINGS);
+        let unanswered = self.workers[worker].health.poll_sent();
+        let interval = TRIAL_INTERVAL << unanswered.min(MAX_TRIAL_DOUBLINGS);
         interval / 2 + self.random.below(interval)
     }
 
-    /// The function with no order pending that is best known at the worker, or that was called last anywhere.
+    /// The function to poll a worker about: with no order pending there, preferably one believed to be loaded there,
+    /// then the one called last. The candidates are the functions known at the worker and the one called last anywhere.
     fn function_to_poll_about(&self, worker: WorkerIndex, now: Micros) -> Option<FunctionIndex> {
         let has_no_order = |function: &FunctionIndex| {
             self.functions
--- a/policy/src/worker_health.rs
+++ b/policy/src/worker_health.rs
@@ -1,38 +1,44 @@
-//! How one worker has done of late: the state that outlier detection keeps for it.
+//! The health of one worker, as outlier detection tracks it.
 use crate::types::{Micros, SECOND};
 
-/// Weight of an answer in a worker's share of errors.
+/// Weight of an answer in a worker's running error rate.
 const ERROR_WEIGHT: f64 = 0.3;
-/// Share of errors beyond which a worker counts as failing: two in a row exceed it, one does not.
+/// Error rate beyond which a worker counts as failing: two errors in a row exceed it, one does not.
 const FAILING_ERROR_RATE: f64 = 0.45;
-/// Trial requests and polls of an ejected worker keep this distance.
+/// Minimum time between trials (trial requests and polls) of an ejected worker.
 pub(crate) const TRIAL_INTERVAL: Micros = SECOND;
-/// The distance doubles with each that was unsuccessful, so many times at most.
+/// The trial interval doubles with each unsuccessful trial in a row, at most this many times.
 pub(crate) const MAX_TRIAL_DOUBLINGS: u32 = 3;
-/// A worker whose connection broke is polled after this time.
+/// A worker whose connection failed or broke is first polled after this time.
 const POLL_AFTER_BREAK: Micros = TRIAL_INTERVAL / 4;
-/// A worker is an outlier at this multiple of the median score: beyond differences of machine kinds, and beyond a few
-/// lost answers.
+/// A worker is an outlier beyond this multiple of the median score: more than machine kinds differ, and more than a few
+/// lost answers add.
 pub(crate) const OUTLIER_MULTIPLE: f64 = 3.5;
-/// The score of a worker that does as expected.
-const SOUND: f64 = 1.0;
+/// Score of a worker whose attempts take as long as expected.
+const EXPECTED_SCORE: f64 = 1.0;
 
-/// A worker's health, as its answers and connections show it.
+/// A worker's health by its answers and connections.
 #[derive(Debug)]
 pub(crate) struct WorkerHealth {
+    /// When the worker last served a request; at first the time at which it was listed.
     last_answer: Micros,
-    /// Running mean of how its attempts did against what was expected; 1 is sound, more is worse.
+    /// Running mean of the attempts' results relative to what was expected; 1 is as expected, more is worse.
     score: f64,
-    /// No connection was possible, or the last was lost with nothing heard since.
+    /// Whether a connection was refused or not established, and the worker has neither served a request nor answered an
+    /// order since.
     unreachable: bool,
-    /// The score or the errors are beyond what is tolerated.
+    /// Whether the score or the error rate exceeds its limit, as of the last comparison.
     outlier: bool,
+    /// Running mean over answers to requests: 1 for an error, 0 for a served request.
     error_rate: f64,
     consecutive_errors: u32,
+    /// No trial is sent before this time.
     next_trial: Micros,
-    unsuccessful_polls: u32,
+    /// Polls in a row that the worker has not answered.
+    unanswered_polls: u32,
+    /// When a connection last broke; 0 if never.
     last_reset: Micros,
-    /// A connection broke; whether its process still has what it had is not known.
+    /// Whether a connection broke and no answer to an order has confirmed since what the worker has loaded.
     connection_broke: bool,
 }
 
@@ -40,26 +46,26 @@
     pub(crate) fn new(now: Micros) -> Self {
         WorkerHealth {
             last_answer: now,
-            score: SOUND,
+            score: EXPECTED_SCORE,
             unreachable: false,
             outlier: false,
             error_rate: 0.0,
             consecutive_errors: 0,
             next_trial: 0,
-            unsuccessful_polls: 0,
+            unanswered_polls: 0,
             last_reset: 0,
             connection_broke: false,
         }
     }
 
-    /// The process is new: what was known of the one before says nothing.
+    /// Resets what the worker's previous process did: a new one has started.
     pub(crate) fn process_started(&mut self) {
         self.unreachable = false;
         self.outlier = false;
-        self.score = SOUND;
+        self.score = EXPECTED_SCORE;
         self.error_rate = 0.0;
         self.consecutive_errors = 0;
-        self.unsuccessful_polls = 0;
+        self.unanswered_polls = 0;
     }
 
     pub(crate) fn score(&self) -> f64 {
@@ -74,12 +80,12 @@
         self.unreachable
     }
 
-    /// Whether it is ejected from the choice, for what it did itself.
+    /// Whether the worker gets no ordinary requests because of its own results; its zone is not considered.
     pub(crate) fn is_ejected(&self) -> bool {
         self.unreachable || self.outlier
     }
 
-    /// Whether a lost or broken connection leaves open what the worker has loaded.
+    /// Whether a connection failed or broke and the worker must be polled to find out what it has loaded.
     pub(crate) fn is_unconfirmed(&self) -> bool {
         self.unreachable || self.connection_broke
     }
@@ -88,20 +94,20 @@
         now >= self.next_trial
     }
 
-    /// The next trial comes no sooner than this.
+    /// Allows no trial before `at`.
     pub(crate) fn schedule_trial(&mut self, at: Micros) {
         self.next_trial = at;
     }
 
-    /// The worker is polled; returns how many polls were unsuccessful before, one after another.
+    /// Counts a poll. Returns the number of unanswered polls in a row before it.
     pub(crate) fn poll_sent(&mut self) -> u32 {
-        let before = self.unsuccessful_polls;
-        self.unsuccessful_polls += 1;
+        let before = self.unanswered_polls;
+        self.unanswered_polls += 1;
         before
     }
 
-    /// A connection was refused or not accepted. Where `keep_schedule` is set and the worker was unreachable already,
-    /// that does not bring the next trial nearer.
+    /// A connection was refused or not established. With `keep_schedule`, the time of the next trial stays as it is if
+    /// the worker was unreachable already.
     pub(crate) fn connect_failed(&mut self, now: Micros, keep_schedule: bool) {
         if !(keep_schedule && self.unreachable) {
             self.next_trial = now + POLL_AFTER_BREAK;
@@ -109,7 +115,8 @@
         self.unreachable = true;
     }
 
-    /// A connection broke. The process may have stopped, and has nothing loaded once it is back: it is polled.
+    /// A connection broke. The process may have ended and would have nothing loaded after its restart, so the worker is
+    /// to be polled.
     pub(crate) fn connection_reset(&mut self, now: Micros) {
         self.last_reset = now;
         self.connection_broke = true;
@@ -120,10 +127,10 @@
         self.last_reset
     }
 
-    /// The worker answered an order: it is reachable, and what the lost connection alone added to its score is taken
-    /// back.
+    /// The worker answered an order: it is reachable. If a connection had failed or broken, the score is lowered to
+    /// [`OUTLIER_MULTIPLE`], so that what the connection alone added to it does not keep the worker ejected.
     pub(crate) fn answered_order(&mut self) {
-        self.unsuccessful_polls = 0;
+        self.unanswered_polls = 0;
         if self.is_unconfirmed() {
             self.unreachable = false;
             self.connection_broke = false;
@@ -140,7 +147,8 @@
         self.consecutive_errors = 0;
     }
 
-    /// The worker answered with an error. Errors in a row put its next trial off ever longer: it looks idle.
+    /// The worker answered a request with an error. Each error in a row delays its next trial further: a worker that
+    /// fails fast looks idle and would attract requests.
     pub(crate) fn answered_error(&mut self, now: Micros) {
         self.error_rate += ERROR_WEIGHT * (1.0 - self.error_rate);
         let doublings = self.consecutive_errors.min(MAX_TRIAL_DOUBLINGS);
@@ -148,22 +156,22 @@
         self.next_trial = self.next_trial.max(now + (TRIAL_INTERVAL << doublings));
     }
 
-    /// Takes a sample into the score; none leaves it as it is.
+    /// Adds a sample to the score's running mean; `None` leaves the score as it is.
     pub(crate) fn record(&mut self, sample: Option<f64>, weight: f64) {
         self.score += weight * (sample.unwrap_or(self.score) - self.score);
     }
 
-    /// Without samples the score returns to sound by this part.
+    /// Moves the score towards the expected one by this fraction of the difference.
     pub(crate) fn recover(&mut self, part: f64) {
-        self.score += part * (SOUND - self.score);
+        self.score += part * (EXPECTED_SCORE - self.score);
     }
 
-    /// The score is at least this.
+    /// Raises the score to at least `score`.
     pub(crate) fn raise_score(&mut self, score: f64) {
         self.score = self.score.max(score);
     }
 
-    /// Decides whether the worker is an outlier against the median score of all.
+    /// Decides whether the worker is an outlier: its score relative to the median of all workers, or its error rate.
     pub(crate) fn compare(&mut self, median_score: f64) {
         let is_failing = self.error_rate > FAILING_ERROR_RATE;
         self.outlier = self.score > OUTLIER_MULTIPLE * median_score || is_failing;
--- a/policy/src/zone_health.rs
+++ b/policy/src/zone_health.rs
@@ -1,40 +1,43 @@
-//! Which zones are taken for lost.
+//! Detects zones that are down.
 //!
-//! Without this a zone's loss would be learnt worker by worker, at the price of a request for each: where requests are
-//! few, a front end would pay for most of its own requests to a third of the fleet.
+//! Otherwise the outage of a zone would be detected worker by worker, at the cost of one failed attempt for each: a
+//! front end with little traffic would lose most of its own requests to a third of the fleet that way.
 //!
-//! A zone is lost once two of its workers were unresponsive since the last answer from any of it, while other zones
-//! answered; any answer, or a process started there, ends that. No clock and no sockets: time is an argument.
+//! A zone is considered down once two of its workers were unresponsive since the last answer from any worker of the
+//! zone, while other zones answered. Any answer from the zone, or a process that starts there, ends that. No I/O: time
+//! is an argument.
 use crate::types::{Micros, MILLISECOND, SECOND};
 use std::collections::BTreeMap;
 
-/// A failure that took less time is a refusal by a machine that is there; a connection that is not accepted, or that is
-/// cut off as unresponsive, takes longer.
+/// A connection failure that took less time than this is a refusal by a running machine; it takes longer until a
+/// connection attempt or a connection is given up as unresponsive.
 const UNRESPONSIVE_AFTER: Micros = 120 * MILLISECOND;
 /// How long an unresponsive worker counts against its zone.
-const SIGN_LIFETIME: Micros = 4 * SECOND;
-/// Other zones answer within this where this front end is not cut off itself.
+const UNRESPONSIVE_LIFETIME: Micros = 4 * SECOND;
+/// With no answer from any other zone for this long, this front end may be cut off itself.
 const OTHER_ZONES_ANSWER_WITHIN: Micros = SECOND;
-/// Unresponsive workers that make a lost zone: one may have stopped alone.
-const SIGNS_OF_LOSS: usize = 2;
+/// Unresponsive workers for which a zone counts as down; a single one may have stopped alone.
+const MIN_UNRESPONSIVE_WORKERS: usize = 2;
 
 #[derive(Debug, Default)]
 struct Zone {
     last_answer: Micros,
-    /// Workers that were unresponsive since then, and when last.
+    /// Workers that were unresponsive since the last answer from the zone, with the time of their last failure.
     unresponsive: BTreeMap<usize, Micros>,
-    lost: bool,
+    down: bool,
+    /// No worker of the zone is polled before this time while the zone is down.
     next_poll: Micros,
 }
 
-/// What is known of every zone, by its position in the settings; `None` stands for all workers without a known zone.
+/// The health of all zones by their position in the settings; `None` stands for all workers without a known zone.
 #[derive(Debug, Default)]
 pub struct ZoneHealth {
     zones: BTreeMap<Option<usize>, Zone>,
 }
 
 impl ZoneHealth {
-    /// A worker of the zone did not accept a connection, or its connection was cut off, after this time.
+    /// A connection to a worker of the zone was not established or broke, `elapsed` after a request or an order was
+    /// sent.
     pub fn connection_failed(
         &mut self,
         zone: Option<usize>,
@@ -53,35 +56,36 @@
             .max();
         let zone = self.zones.entry(zone).or_default();
         zone.unresponsive
-            .retain(|_, &mut since| since + SIGN_LIFETIME > now);
+            .retain(|_, &mut since| since + UNRESPONSIVE_LIFETIME > now);
         zone.unresponsive.insert(worker, now);
-        // With no answer from any other zone in the meantime the fault may be this front end's own.
+        // With no answer from any other zone meanwhile, this front end itself may be cut off.
         let recently = elapsed.max(OTHER_ZONES_ANSWER_WITHIN);
-        let others_answer = last_answer_elsewhere.is_some_and(|last| last + recently > now);
-        zone.lost |= zone.unresponsive.len() >= SIGNS_OF_LOSS && others_answer;
+        let other_zones_answer = last_answer_elsewhere.is_some_and(|last| last + recently > now);
+        zone.down |= zone.unresponsive.len() >= MIN_UNRESPONSIVE_WORKERS && other_zones_answer;
     }
 
-    /// A worker of the zone answered something.
+    /// A worker of the zone answered, with whatever outcome.
     pub fn answered(&mut self, zone: Option<usize>, now: Micros) {
         self.zones.entry(zone).or_default().last_answer = now;
         self.recovered(zone);
     }
 
-    /// The zone's loss is over, or was none.
+    /// The zone is not down, or not any more: its unresponsive workers are forgotten.
     pub fn recovered(&mut self, zone: Option<usize>) {
         if let Some(zone) = self.zones.get_mut(&zone) {
-            zone.lost = false;
+            zone.down = false;
             zone.next_poll = 0;
             zone.unresponsive.clear();
         }
     }
 
-    /// Whether the zone is taken for lost.
+    /// Whether the zone is considered down.
     pub fn is_down(&self, zone: Option<usize>) -> bool {
-        self.zones.get(&zone).is_some_and(|zone| zone.lost)
+        self.zones.get(&zone).is_some_and(|zone| zone.down)
     }
 
-    /// Whether a worker of a lost zone may be polled now: one in each `interval` for all of it. Notes the poll.
+    /// Whether a worker of a zone that is down may be polled now: one per `interval` in the whole zone. If so, the poll
+    /// counts as sent.
     pub fn may_poll(&mut self, zone: Option<usize>, now: Micros, interval: Micros) -> bool {
         match self.zones.get_mut(&zone) {
             Some(zone) if now >= zone.next_poll => {
--- a/policy/src/zone_names.rs
+++ b/policy/src/zone_names.rs
@@ -1,24 +1,25 @@
-//! Positions for zone names: the endpoint list may name zones that the settings do not, and two of those are not one.
+//! Positions of zone names. The endpoint list may name zones that the settings do not; each of them gets a position of
+//! its own.
 
-/// Zones beyond this many count as not known: names come from outside.
+/// Zones beyond this number count as unknown: the names come from outside, so the memory for them must be bounded.
 const MAX_ZONES: usize = 1024;
 
-/// Gives each zone's name a position of its own.
+/// Maps each zone's name to a position.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneNames {
     known: Vec<String>,
 }
 
 impl ZoneNames {
-    /// The zones that the settings name have their positions there.
-    pub fn new(settings: &[String]) -> Self {
+    /// The zones that the settings name, in their order: they keep their positions.
+    pub fn new(known_zones: &[String]) -> Self {
         ZoneNames {
-            known: settings.to_vec(),
+            known: known_zones.to_vec(),
         }
     }
 
-    /// The position of a zone; a new name gets the next one. `None` for a name that is empty or one too many: workers
-    /// without a known zone share none.
+    /// The position of a zone; a new name gets the next free one. `None` for an empty name, and for a new one beyond
+    /// the limit of 1,024 zones: the zone is then unknown. Workers of unknown zones do not count as sharing a zone.
     pub fn position(&mut self, name: &str) -> Option<usize> {
         if name.is_empty() {
             return None;
