--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -1,26 +1,32 @@
-//! Admission: which requests are rejected at their arrival, with Retry-After, rather than queued to death.
+//! Admission: which requests are rejected with Retry-After at their arrival, because they would only wait in a queue
+//! until their clients give up.
 use crate::estimator::MODERATE_LOAD;
 use crate::index::FunctionIndex;
 use crate::state::State;
 use crate::types::{Micros, RequestId, SECOND};
 
-/// Multiples of the mean latency objective beyond which the time from send to answer sheds load: traffic beyond a
-/// quota, the class of least weight a unit of time, and the class of most.
+/// Requests beyond a tenant's quota are shed when the estimated wait for an answer exceeds this multiple of the mean
+/// latency objective.
 const SHED_OVER_QUOTA: f64 = 0.6;
-const SHED_LEAST_WEIGHT: f64 = 0.8;
-const SHED_MOST_WEIGHT: f64 = 1.3;
-/// The most that the time of those to come is taken for, as a multiple of the time that answers take.
-const MOST_WAIT: f64 = 2.0;
-/// Weights that differ by less than this factor count as alike.
-const LIKE_WEIGHT: f64 = 1.2;
-/// Ticks after the start before which the pace is not known.
+/// Threshold of the class with the lowest priority weight per service time, as a multiple of the mean latency
+/// objective.
+const SHED_LOWEST_PRIORITY: f64 = 0.8;
+/// Threshold of the class with the highest priority weight per service time, as a multiple of the mean latency
+/// objective.
+const SHED_HIGHEST_PRIORITY: f64 = 1.3;
+/// Maximum of the estimated wait of new requests, as a multiple of the time that answers take now.
+const MAX_WAIT_MULTIPLE: f64 = 2.0;
+/// Priority weights per service time that differ by less than this factor count as equal.
+const EQUAL_WEIGHT_FACTOR: f64 = 1.2;
+/// Ticks after the start before the rate of answers is known well enough to shed load.
 const WARM_UP_TICKS: u32 = 100;
-/// The least rate of answers, a second: it divides.
-const LEAST_SERVED_RATE: f64 = 0.1;
+/// Minimum of the rate of answers, per second: it is a divisor.
+const MIN_SERVED_RATE: f64 = 0.1;
 
-/// What admission looks at.
+/// The properties of a new request that admission depends on.
 pub(crate) struct Arrival {
     pub(crate) class: usize,
+    /// `None` where the client names none, or one that the settings do not have.
     pub(crate) tenant: Option<usize>,
     pub(crate) function: FunctionIndex,
     /// Time until the client gives up.
@@ -28,25 +34,27 @@
 }
 
 impl State {
-    /// Guards against queueing to death: what is in flight now takes longer than the latency objectives at the pace of
-    /// late. What weighs least is shed first: traffic beyond a tenant's quota, then the class of least weight a unit of
-    /// time. Not acted on while little is in flight or the pace is not known yet.
+    /// Whether a new request is shed because the requests in flight take too long relative to the latency objectives,
+    /// at the recent rate of answers. Lower priorities are shed first: requests beyond a tenant's quota, then the
+    /// classes by priority weight per service time. Nothing is shed while few requests are in flight or the rate is not
+    /// known yet.
     pub(crate) fn is_shed(&self, arrival: &Arrival) -> bool {
         if self.load_per_worker() < MODERATE_LOAD || self.ticks < WARM_UP_TICKS {
             return false;
         }
-        // What waits for loads is in flight too, but is no queue: answers of requests that found a replica tell.
-        let pace = self.estimator.served_rate().max(LEAST_SERVED_RATE);
-        let wait = (self.estimator.backlog() / pace * SECOND as f64)
-            .min(MOST_WAIT * self.estimator.answer_time());
-        // Its client leaves first: work for nothing.
-        let is_too_late =
+        // Requests that wait for loads are in flight too but form no queue, so only requests that found a replica
+        // count.
+        let served_rate = self.estimator.served_rate().max(MIN_SERVED_RATE);
+        let wait = (self.estimator.backlog() / served_rate * SECOND as f64)
+            .min(MAX_WAIT_MULTIPLE * self.estimator.answer_time());
+        // The client would give up before the answer, and the work would be wasted.
+        let would_be_late =
             (arrival.time_left as f64) < self.functions[arrival.function].service_time;
-        is_too_late || wait > self.shedding_bound(arrival) * self.mean_latency_objective()
+        would_be_late || wait > self.shedding_threshold(arrival) * self.mean_latency_objective()
     }
 
-    /// Requests in flight at a worker: by the workers' reports, which tell of all front ends; else all front ends are
-    /// taken to have as many as this one.
+    /// Mean requests of all front ends in flight at a worker: by the workers' load reports if there are any, else as if
+    /// each front end had as many as this one.
     fn load_per_worker(&self) -> f64 {
         if self.estimator.has_load_reports() {
             return self.estimator.mean_in_flight();
@@ -56,8 +64,8 @@
         self.estimator.backlog() * front_ends / workers
     }
 
-    /// The multiple of the mean latency objective beyond which the request is shed.
-    fn shedding_bound(&self, arrival: &Arrival) -> f64 {
+    /// The multiple of the mean latency objective that the wait must exceed for the request to be shed.
+    fn shedding_threshold(&self, arrival: &Arrival) -> f64 {
         let is_over_quota = arrival
             .tenant
             .is_some_and(|tenant| self.estimator.is_over_quota(&self.settings, tenant));
@@ -70,16 +78,16 @@
         let own_weight = weight_of(arrival.class);
         let classes = self.known_classes().len();
         let lighter = (0..classes)
-            .filter(|&class| weight_of(class) < own_weight / LIKE_WEIGHT)
+            .filter(|&class| weight_of(class) < own_weight / EQUAL_WEIGHT_FACTOR)
             .count();
         let rank = lighter as f64 / (classes as f64 - 1.0).max(1.0);
-        SHED_LEAST_WEIGHT + (SHED_MOST_WEIGHT - SHED_LEAST_WEIGHT) * rank
+        SHED_LOWEST_PRIORITY + (SHED_HIGHEST_PRIORITY - SHED_LOWEST_PRIORITY) * rank
     }
 
-    /// Whether a request's client leaves before an answer is likely, in a large fleet: less is left than answers of its
-    /// class take. A function whose requests were in time all the same has its requests sent for as long as they are.
-    /// In a small fleet a front end sees for itself whether workers are overloaded; where they are not, an attempt costs
-    /// nobody.
+    /// Whether, in a large fleet, the client is likely to give up before an answer: it waits for less than the mean
+    /// time that answers of its class take. Requests of a function that were in time all the same are still sent while
+    /// they are, and a few others are sent as trials. In a small fleet each front end sees for itself whether workers
+    /// are overloaded; where they are not, an attempt that is too late costs nobody anything.
     pub(crate) fn is_deadline_unreachable(
         &mut self,
         id: RequestId,
--- a/policy/src/answer_times.rs
+++ b/policy/src/answer_times.rs
@@ -1,48 +1,52 @@
-//! How long answers of a class take of late: which requests can still be answered while their clients wait. No I/O:
-//! time is an argument.
+//! How long answers of a class have taken recently, to tell which requests can be answered before their clients give
+//! up. No I/O: time is an argument.
 //!
-//! A client that waits less than answers take leaves before its answer, and retries: what was sent for it is work for
-//! nobody, at workers that reject others' requests for it.
+//! A client that waits for less time than answers take gives up before its answer and retries. What was sent for it is
+//! wasted work, for which the workers reject requests of others.
 use crate::types::{Micros, SECOND};
 use crate::worker_health::{MAX_TRIAL_DOUBLINGS, TRIAL_INTERVAL};
 
-/// Answers that make a mean: they are spread so widely that of few the mean is often wrong by half.
-const LEAST_ANSWERS: u32 = 5;
-/// Answers that the mean counts at most.
+/// Answers from which on the mean is used: the times vary so widely that a mean of fewer is often wrong by half.
+const MIN_ANSWERS: u32 = 5;
+/// Answers that the running mean covers at most.
 pub(crate) const MAX_ANSWERS: u32 = 20;
-/// An older mean says nothing: whatever made answers slow may be over.
+/// The mean is not used when the last answer is older than this: whatever made answers slow may be over.
 const LIFETIME: Micros = 8 * SECOND;
 
-/// The mean time of the last answers of a class for which no load was in the way, and trials against it.
+/// The mean time of the last answers of a class for which no function had to be loaded, and the trial requests that are
+/// sent although their clients wait for less than the mean.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AnswerTimes {
+    /// Running mean, in microseconds.
     mean: f64,
+    /// Answers that the mean covers.
     answers: u32,
     last_answer: Micros,
-    /// When the next request may be sent against the mean.
+    /// No trial is sent before this time.
     next_trial: Micros,
-    /// Trials that were not answered in time, one after another.
+    /// Trials in a row that have not been answered in time.
     unsuccessful_trials: u32,
 }
 
 impl AnswerTimes {
-    /// An answer took this long.
+    /// Adds an answer that took `elapsed` microseconds. An outdated mean is replaced by it.
     pub(crate) fn record(&mut self, now: Micros, elapsed: f64) {
-        let outdated = now > self.last_answer + LIFETIME;
-        let counted = if outdated { 0 } else { self.answers };
+        let is_outdated = now > self.last_answer + LIFETIME;
+        let counted = if is_outdated { 0 } else { self.answers };
         self.answers = (counted + 1).min(MAX_ANSWERS);
         self.mean += (elapsed - self.mean) / f64::from(self.answers);
         self.last_answer = now;
     }
 
-    /// Whether an answer is not likely to come within this time.
+    /// Whether answers take longer than `time_left` on average; false where too little is known.
     pub(crate) fn exceed(&self, time_left: Micros, now: Micros) -> bool {
-        let is_known = self.answers >= LEAST_ANSWERS && now <= self.last_answer + LIFETIME;
+        let is_known = self.answers >= MIN_ANSWERS && now <= self.last_answer + LIFETIME;
         is_known && (time_left as f64) < self.mean
     }
 
-    /// Whether a request may be sent against the mean now, as a trial. Guards against never learning that its function
-    /// is faster than its class, or that answers are fast again; each unsuccessful one puts the next off.
+    /// Whether a request whose client waits for less than the mean may be sent now, as a trial; if so, the trial counts
+    /// as sent. Trials detect that a function is faster than its class or that answers are fast again. Each
+    /// unsuccessful one in a row delays the next further.
     pub(crate) fn try_trial(&mut self, now: Micros) -> bool {
         if now < self.next_trial {
             return false;
--- a/policy/src/eligibility.rs
+++ b/policy/src/eligibility.rs
@@ -1,4 +1,5 @@
-//! Which workers may be sent a request: rules 3 and 4, ejected workers, and what a request has met there before.
+//! Which workers may be sent a request: by rules 2, 3 and 4, by ejection, and by what happened to the request and
+//! others like it at the worker before.
 use crate::index::{FunctionIndex, WorkerIndex};
 use crate::placement::Placement;
 use crate::request::Request;
@@ -7,27 +8,28 @@
 use crate::state::State;
 use crate::types::Micros;
 
-/// A worker is overloaded beyond this multiple of the mean in flight, and so many requests more.
+/// A worker is overloaded when its load exceeds the mean of all workers' requests in flight, times `mean_multiple`, by
+/// more than `extra_requests`.
 struct OverloadBound {
-    multiple: f64,
-    requests: f64,
+    mean_multiple: f64,
+    extra_requests: f64,
 }
 
 const OVERLOADED: OverloadBound = OverloadBound {
-    multiple: 1.25,
-    requests: 0.75,
+    mean_multiple: 1.25,
+    extra_requests: 0.75,
 };
-/// A few front ends see most of what a worker has in flight themselves: there a worker with more than the mean is
-/// passed over, as requests in line come late.
+/// In a small fleet each front end knows a worker's load well enough to skip those above the mean, where requests would
+/// queue and be late.
 const OVERLOADED_IN_SMALL_FLEET: OverloadBound = OverloadBound {
-    multiple: 1.0,
-    requests: 0.25,
+    mean_multiple: 1.0,
+    extra_requests: 0.25,
 };
 
 impl State {
-    /// Whether a worker may be sent a request of this class now. Rule 3: drains are kept from the moment of the
-    /// notification. Rule 4: a worker in slow start gets only what its budget allows. Ejected workers only get trial
-    /// requests.
+    /// Whether a worker may be sent a request of this class now. Rule 3: a draining worker gets no new work from the
+    /// moment of the notification. Rule 4: a worker in slow start gets only what its token bucket allows. An ejected
+    /// worker gets only trial requests: idempotent ones, one at a time.
     pub(crate) fn is_usable(&self, index: WorkerIndex, class: usize, now: Micros) -> bool {
         let worker = &self.workers[index];
         let in_slow_start = self.capacity_share(index, now).is_some();
@@ -35,25 +37,26 @@
             return false;
         }
         let is_idempotent = self.class(class).idempotency == Idempotency::Idempotent;
-        let takes_trial = is_idempotent
+        let may_get_trial = is_idempotent
             && !worker.health.is_unreachable()
-            && !self.is_zone_lost(index)
+            && !self.is_zone_down(index)
             && worker.open_attempts.is_empty()
             && worker.health.is_trial_due(now);
-        worker.is_ready() && (!self.is_ejected(index) || takes_trial)
+        worker.is_ready() && (!self.is_ejected(index) || may_get_trial)
     }
 
-    /// Whether a worker is left out of the choice, for what it did or for its zone's loss.
+    /// Whether a worker is ejected, because of its own health or because its zone is down.
     pub(crate) fn is_ejected(&self, worker: WorkerIndex) -> bool {
         !self.ejection_suspended
-            && (self.workers[worker].health.is_ejected() || self.is_zone_lost(worker))
+            && (self.workers[worker].health.is_ejected() || self.is_zone_down(worker))
     }
 
-    fn is_zone_lost(&self, worker: WorkerIndex) -> bool {
+    fn is_zone_down(&self, worker: WorkerIndex) -> bool {
         self.zones.is_down(self.workers[worker].endpoint.zone)
     }
 
-    /// Guards against piling up on a worker that others fill or that is weak: it has more in flight than the mean.
+    /// Whether a worker has clearly more requests in flight than the mean, weighted with its health score. Guards
+    /// against piling up requests on a worker that other front ends fill or that is slow.
     pub(crate) fn is_overloaded(&self, index: WorkerIndex, now: Micros) -> bool {
         let bound = if self.is_small_shared_fleet() {
             OVERLOADED_IN_SMALL_FLEET
@@ -62,11 +65,11 @@
         };
         let worker = &self.workers[index];
         let load = self.estimator.in_flight_at(worker, now) * worker.health.score();
-        load > self.estimator.mean_in_flight() * bound.multiple + bound.requests
+        load > self.estimator.mean_in_flight() * bound.mean_multiple + bound.extra_requests
     }
 
-    /// Whether a request may go to a worker, by what it and others like it have met there. Rule 2 is kept by
-    /// [`may_retry_at`]. Nothing goes back to where it failed.
+    /// Whether a request may go to a worker, by what happened to it and others like it there. Rule 2 is enforced by
+    /// [`may_retry_at`]. A request is not sent to a worker again where it is in flight or may have been executed.
     pub(crate) fn may_go_to(&self, request: &Request, index: WorkerIndex, now: Micros) -> bool {
         let worker = &self.workers[index];
         let rejects = worker
@@ -79,7 +82,7 @@
         may_retry_at(request, self.class(request.class), placement, now)
     }
 
-    /// The workers with a replica of the function that can run a request at once.
+    /// The usable workers that have a replica of the function with a free slot and are not overloaded.
     pub(crate) fn free_workers(&self, index: FunctionIndex, now: Micros) -> Vec<WorkerIndex> {
         let function = &self.functions[index];
         let is_free = |worker: WorkerIndex| {
--- a/policy/src/endpoint.rs
+++ b/policy/src/endpoint.rs
@@ -1,14 +1,14 @@
 //! Workers as the endpoint list describes them.
 use crate::types::{Micros, WorkerId};
 
-/// State of a listed worker.
+/// State of a worker by the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerState {
     /// Takes new work.
     Ready,
-    /// Finishes what it has; nothing new may be sent.
+    /// Finishes the requests that it has; no new work may be sent.
     Draining,
-    /// Removed.
+    /// Removed from the list.
     Gone,
 }
 
@@ -17,14 +17,15 @@
 pub struct Endpoint {
     /// The worker's name.
     pub worker: WorkerId,
-    /// Its state.
+    /// Whether the worker takes new work.
     pub state: WorkerState,
-    /// When its process started; 0: long ago.
+    /// When its process started; 0 if long ago or not stated.
     pub started_at: Micros,
-    /// Its zone: a position in the settings, or beyond them for a zone that they do not name. `None`: not known.
+    /// Position of its zone in the settings, or a position beyond them for a zone that they do not name; `None` if the
+    /// zone is not known.
     pub zone: Option<usize>,
     /// Position of its machine kind in the settings.
     pub kind: usize,
-    /// Its cell, where known.
+    /// Identifier of its cell; `None` if not known.
     pub cell: Option<u64>,
 }
--- a/policy/src/endpoint_list.rs
+++ b/policy/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Taking over changes of the endpoint list.
+//! Applies changes of the endpoint list.
 use crate::endpoint::{Endpoint, WorkerState};
 use crate::index::WorkerIndex;
 use crate::replica::ReplicaState;
@@ -7,21 +7,22 @@
 use crate::worker::Worker;
 use std::collections::BTreeSet;
 
-/// What a change of the list means for workers.
+/// The workers that a change of the list affects.
 #[derive(Debug, Default)]
 struct ListChanges {
-    /// Workers named in the change.
+    /// Workers that the change names.
     named: BTreeSet<WorkerIndex>,
-    /// Workers whose process is new.
+    /// Workers with a new process.
     started: Vec<WorkerIndex>,
-    /// Workers that have nothing loaded now.
-    emptied: Vec<WorkerIndex>,
-    /// Positions below this are taken: ten thousand new workers do not each look at all.
+    /// Workers that have nothing loaded any more: restarted, or gone.
+    unloaded: Vec<WorkerIndex>,
+    /// Positions below this are taken. Adding ten thousand workers would be quadratic if each searched all positions.
     first_free: usize,
 }
 
 impl State {
-    /// Takes over a change of the endpoint list; a `complete` one replaces what was known.
+    /// Applies a change of the endpoint list. A `complete` one replaces the list: workers that it does not name are
+    /// gone.
     pub(crate) fn update_endpoints(
         &mut self,
         now: Micros,
@@ -46,7 +47,7 @@
             self.workers[worker].process_started();
             self.zones.recovered(self.workers[worker].endpoint.zone);
         }
-        for worker in changes.emptied {
+        for worker in changes.unloaded {
             self.invalidate_replicas(worker);
         }
     }
@@ -70,8 +71,8 @@
         changes.started.push(index);
     }
 
-    /// Whether the position of a worker that is gone may be given to another: nothing refers to it, so that nothing
-    /// grows with the workers there ever were.
+    /// Whether a position may be reused: its worker is gone and nothing refers to it. Reuse keeps the tables from
+    /// growing with the number of workers that ever existed.
     fn is_position_free(&self, index: WorkerIndex) -> bool {
         let worker = &self.workers[index];
         let is_in_use = worker.functions.iter().any(|&function| {
@@ -84,7 +85,7 @@
             && !self.requests.refer_to(index)
     }
 
-    /// A start that is not stated leaves the known one.
+    /// Applies a listed worker's new entry. A start time of 0 (not stated) leaves the known one.
     fn update_worker(&mut self, index: WorkerIndex, endpoint: Endpoint, changes: &mut ListChanges) {
         changes.named.insert(index);
         let known = &mut self.workers[index].endpoint;
@@ -103,7 +104,7 @@
             changes.started.push(index);
         }
         if has_restarted || is_gone {
-            changes.emptied.push(index);
+            changes.unloaded.push(index);
         }
     }
 
@@ -111,7 +112,7 @@
         for index in self.workers.indexes() {
             if !changes.named.contains(&index) {
                 self.workers[index].endpoint.state = WorkerState::Gone;
-                changes.emptied.push(index);
+                changes.unloaded.push(index);
             }
         }
     }
--- a/policy/src/keep_alive.rs
+++ b/policy/src/keep_alive.rs
@@ -1,33 +1,35 @@
-//! Keeping replicas alive between requests: the last replica of a function in use is renewed before it is unloaded, and
-//! a function that is called on a timer has a replica prefetched.
+//! Keeping replicas loaded between requests: the last replica of a function in use is renewed before the worker unloads
+//! it, and for a function that is called by a timer a replica is prefetched before the next call.
 use crate::action::Action;
 use crate::index::{FunctionIndex, WorkerIndex};
 use crate::load_budget::LoadPurpose;
-use crate::periodic_calls::{Confidence, FIRING};
+use crate::periodic_calls::{Confidence, FIRING_SPAN};
 use crate::replica::ReplicaState;
 use crate::state::State;
 use crate::types::{Micros, MILLISECOND};
 
-/// Part of its idle time after which a replica is renewed, to arrive in time.
-const RENEW_AFTER: f64 = 0.75;
-/// Idle times after a request for which the last replica is renewed: timers call so often.
-const RENEW_FOR: f64 = 2.0;
-/// A replica is prefetched this multiple of a load's time before the next call of a timer, ...
-const PREFETCH_LOADS: f64 = 1.5;
-/// ... and this much earlier.
+/// A replica is renewed after this fraction of its keep-alive time, so that the order arrives before it is unloaded.
+const RENEW_AFTER_FRACTION: f64 = 0.75;
+/// The last replica of a function is renewed for this many keep-alive times after its last request: many timers call
+/// within that time.
+const RENEW_FOR_KEEP_ALIVES: f64 = 2.0;
+/// A replica is prefetched this multiple of the function's load time before the next call by a timer.
+const PREFETCH_LOAD_TIMES: f64 = 1.5;
+/// A replica is prefetched this much earlier in addition.
 const PREFETCH_MARGIN: Micros = 250 * MILLISECOND;
-/// So long after a call, a function on a timer has no more of them until it fires again.
-const FIRING_ENDS_AFTER: Micros = 300 * MILLISECOND;
+/// When the last call is this long ago, a timer's firing is over: no more calls come until the next one.
+const FIRING_QUIET_TIME: Micros = 300 * MILLISECOND;
 
 impl State {
-    /// Renews the last replica of each function in use, so that its next request finds it.
+    /// Renews the longest-lived replica of each function in use, so that the next request finds it loaded. Functions
+    /// that are called by a timer are left to [`State::prefetch_for_timers`].
     pub(crate) fn renew_replicas(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if !self.settings.load_orders {
             return;
         }
         let keep_alive = self.keep_alive();
-        let lead = (keep_alive as f64 * (1.0 - RENEW_AFTER)) as Micros;
-        let in_use_for = (keep_alive as f64 * RENEW_FOR) as Micros;
+        let lead = (keep_alive as f64 * (1.0 - RENEW_AFTER_FRACTION)) as Micros;
+        let in_use_for = (keep_alive as f64 * RENEW_FOR_KEEP_ALIVES) as Micros;
         for index in self.functions.indexes() {
             let function = &self.functions[index];
             let is_unused = now > function.last_call() + in_use_for;
@@ -62,40 +64,42 @@
             .max_by_key(|(_, replica)| replica.expires_at())
     }
 
-    /// Answers the loss that the next call on a timer would be ahead of it: such calls come about when idle replicas
-    /// are unloaded, or their memory is taken sooner, and a load takes longer than their latency objective.
+    /// Prefetches replicas for the next calls by timers, which would otherwise find none: such calls come at about the
+    /// time at which idle replicas are unloaded or their memory is reused, and a load takes longer than their latency
+    /// objective.
     pub(crate) fn prefetch_for_timers(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if !self.settings.load_orders {
             return;
         }
         for index in self.functions.indexes() {
-            if self.functions[index].periodic.is_expected() && self.is_resting(index) {
+            if self.functions[index].periodic.is_expected() && self.is_inactive(index) {
                 self.prefetch_for_timer(index, now, actions);
             }
         }
     }
 
-    /// Whether nothing of the function is in flight and nothing of it is being loaded.
-    fn is_resting(&self, index: FunctionIndex) -> bool {
+    /// Whether no request of the function is in flight or waiting at this front end, and no first replica is on its
+    /// way.
+    fn is_inactive(&self, index: FunctionIndex) -> bool {
         let function = &self.functions[index];
-        let is_at_rest =
+        let is_inactive =
             |replica: &ReplicaState| replica.own_in_flight() == 0 && !replica.is_loading();
-        function.waiting.is_empty() && function.replicas.values().all(is_at_rest)
+        function.waiting.is_empty() && function.replicas.values().all(is_inactive)
     }
 
     fn prefetch_for_timer(&mut self, index: FunctionIndex, now: Micros, actions: &mut Vec<Action>) {
         let function = &self.functions[index];
         let due = function.periodic.next_due();
-        let lead = (PREFETCH_LOADS * function.load_time) as Micros + PREFETCH_MARGIN;
-        // Nothing calls it before: its memory is worth more to others, which would lose theirs.
+        let lead = (PREFETCH_LOAD_TIMES * function.load_time) as Micros + PREFETCH_MARGIN;
+        // Nothing calls the function until then, and other functions' replicas would be unloaded for its idle ones.
         if function.periodic.confidence() == Confidence::Confirmed
-            && now > function.last_call() + FIRING_ENDS_AFTER
+            && now > function.last_call() + FIRING_QUIET_TIME
             && now + 2 * lead < due
             && !self.is_large_fleet()
         {
             self.unload_idle_replicas(index, now, actions);
         }
-        let is_soon = now + lead >= due && now < due + FIRING;
+        let is_soon = now + lead >= due && now < due + FIRING_SPAN;
         if !is_soon || self.functions[index].periodic.is_prefetched() {
             return;
         }
@@ -113,7 +117,8 @@
         self.order_load(index, worker, 1, now, actions);
     }
 
-    /// A usable worker that has the function loaded; else one for a new replica, with memory made free there.
+    /// A usable worker that has the function loaded; else one for a new replica, after freeing memory there. `None` if
+    /// no worker can take one.
     fn worker_to_prefetch_at(
         &mut self,
         index: FunctionIndex,
--- a/policy/src/load_budget.rs
+++ b/policy/src/load_budget.rs
@@ -1,30 +1,35 @@
-//! The settings' budget of orders to load (rule 5): so many in a window, and further ones for each request in it.
+//! The load budget of the settings (rule 5): a number of load orders per window, plus some for each request in it.
 use crate::settings::Settings;
 use crate::types::{Micros, MILLISECOND};
 use std::collections::VecDeque;
 
-/// The platform's clock may be so far from this one: an order counts for this much longer, a request for less.
+/// The platform checks the budget by its own clock, which may differ by this much: a load order counts for this much
+/// longer than the window, a request for this much less.
 const CLOCK_MARGIN: Micros = 8 * MILLISECOND;
-/// Part of the budget that loads ahead of need may use; the rest is kept for requests that wait.
-const SPARE_PART: f64 = 0.5;
+/// Fraction of the budget that proactive loads may use; the rest is kept for requests that wait.
+const PROACTIVE_FRACTION: f64 = 0.5;
 
-/// What a load is ordered for.
+/// Why a load is ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LoadPurpose {
-    /// A request waits for it.
+    /// A request waits for the load, or is sure to come soon.
     Needed,
-    /// It is ordered ahead of need, from the spare part of the budget.
+    /// No request needs the load yet; only [`PROACTIVE_FRACTION`] of the budget may be used.
     Proactive,
 }
 
-/// The orders and requests of the window.
+/// The load orders and requests within the window.
 #[derive(Debug, Default)]
 pub(crate) struct LoadBudget {
-    /// 0: there is no budget.
+    /// Length of the window; 0 if there is no budget.
     window: Micros,
+    /// Load orders allowed in a window whatever the traffic.
     base: f64,
+    /// Further load orders allowed for each request in the window.
     per_request: f64,
+    /// Arrival times of the requests that count, in ascending order.
     requests: VecDeque<Micros>,
+    /// Times of the load orders, in ascending order.
     orders: VecDeque<Micros>,
 }
 
@@ -38,12 +43,12 @@
         }
     }
 
-    /// A request came for a function that is known to load.
+    /// Counts a request for a function that a worker has served before.
     pub(crate) fn count_request(&mut self, now: Micros) {
         self.requests.push_back(now);
     }
 
-    /// Requests came at these times for a function that is known to load only now.
+    /// Counts earlier requests, by their arrival times, for a function that a worker has now served for the first time.
     pub(crate) fn count_earlier_requests(&mut self, times: impl IntoIterator<Item = Micros>) {
         for time in times {
             let position = self.requests.partition_point(|&other| other <= time);
@@ -51,14 +56,15 @@
         }
     }
 
-    /// A client took back a request that came at this time: some clients do that to hundreds at once.
+    /// Removes a request that arrived at this time and was cancelled by its client: it does not count for the budget,
+    /// and some clients cancel hundreds of requests at once.
     pub(crate) fn uncount_request(&mut self, arrived_at: Micros) {
         if let Some(position) = self.requests.iter().rposition(|&time| time == arrived_at) {
             self.requests.remove(position);
         }
     }
 
-    /// Requests of the last `span`.
+    /// Number of counted requests that arrived within the last `span`.
     pub(crate) fn requests_within(&self, span: Micros, now: Micros) -> usize {
         self.requests
             .iter()
@@ -67,7 +73,7 @@
             .count()
     }
 
-    /// Forgets requests that are older than the window and than `span`.
+    /// Forgets requests older than both the window and `span`.
     pub(crate) fn forget_requests(&mut self, span: Micros, now: Micros) {
         let kept = self.window.max(span);
         while self.requests.front().is_some_and(|&time| time + kept < now) {
@@ -79,7 +85,7 @@
         self.orders.push_back(now);
     }
 
-    /// Whether the budget allows no further order now.
+    /// Whether the budget allows no further load order now.
     pub(crate) fn is_exhausted(&mut self, now: Micros, purpose: LoadPurpose) -> bool {
         if self.window == 0 {
             return false;
@@ -94,7 +100,7 @@
         let allowed = self.base + self.per_request * requests as f64;
         let usable = match purpose {
             LoadPurpose::Needed => allowed,
-            LoadPurpose::Proactive => allowed * SPARE_PART,
+            LoadPurpose::Proactive => allowed * PROACTIVE_FRACTION,
         };
         (self.orders.len() + 1) as f64 > usable
     }
--- a/policy/src/load_limiter.rs
+++ b/policy/src/load_limiter.rs
@@ -1,36 +1,42 @@
-//! The concurrency limit on loads: it guards the store that all workers load from. Loads that are slow everywhere, or
-//! that fail one after another, lower it; good ones raise it slowly.
+//! The concurrency limit on loads, which guards the store that all workers load from. Loads that are slow at nearly all
+//! workers, or several that fail within a short time, lower the limit; loads that take their usual time raise it
+//! slowly.
 use crate::types::Micros;
 use crate::worker::LAST_LOAD_LIFETIME;
 
 /// The limit never falls below this.
-const LEAST_LIMIT: f64 = 1.0;
-/// Bounds of the highest limit of one front end.
-const LEAST_MAXIMUM: f64 = 8.0;
-const MOST_MAXIMUM: f64 = 16.0;
-/// Loads of all front ends together that their highest limits add up to, within these bounds.
-const FLEET_LOADS: f64 = 40.0;
-const RAISE_AFTER_GOOD_LOAD: f64 = 0.25;
+const MIN_LIMIT: f64 = 1.0;
+/// Smallest value of the maximum that a front end's limit can rise to.
+const SMALLEST_MAX_LIMIT: f64 = 8.0;
+/// Largest value of the maximum that a front end's limit can rise to.
+const LARGEST_MAX_LIMIT: f64 = 16.0;
+/// Sum of the maximum limits of all front ends, as far as the bounds of each allow.
+const FLEET_MAX_LIMIT: f64 = 40.0;
+/// Added to the limit after a load that took about its usual time.
+const INCREASE_AFTER_GOOD_LOAD: f64 = 0.25;
+/// The limit is multiplied by this after a load that was slow as loads are at nearly all workers.
 const FACTOR_AFTER_SLOW_LOAD: f64 = 0.7;
+/// The limit is multiplied by this after a load that failed soon after another.
 const FACTOR_AFTER_FAILURES: f64 = 0.5;
 
-/// Loads in flight and how many may be.
+/// The number of loads in flight and the present limit.
 #[derive(Debug)]
 pub(crate) struct LoadLimiter {
     in_flight: u32,
     limit: f64,
-    maximum: f64,
+    /// The limit never rises above this.
+    max_limit: f64,
     last_failure: Micros,
 }
 
 impl LoadLimiter {
     pub(crate) fn new(front_ends: u32) -> Self {
-        let maximum =
-            (FLEET_LOADS / f64::from(front_ends.max(1))).clamp(LEAST_MAXIMUM, MOST_MAXIMUM);
+        let max_limit = (FLEET_MAX_LIMIT / f64::from(front_ends.max(1)))
+            .clamp(SMALLEST_MAX_LIMIT, LARGEST_MAX_LIMIT);
         LoadLimiter {
             in_flight: 0,
-            limit: maximum / 2.0,
-            maximum,
+            limit: max_limit / 2.0,
+            max_limit,
             last_failure: 0,
         }
     }
@@ -52,29 +58,30 @@
         f64::from(self.in_flight) + 1.0 <= self.limit
     }
 
-    /// Whether one more load may be started ahead of need: half of the limit is kept for requests that wait.
+    /// Whether one more proactive load may be started: half of the limit is kept for requests that wait.
     pub(crate) fn admits_proactive(&self) -> bool {
         f64::from(self.in_flight) + 1.0 <= self.limit / 2.0
     }
 
-    /// Whether the limit is not reached by the loads in flight.
+    /// Whether the number of loads in flight is below the limit, if only by a fraction.
     pub(crate) fn is_below_limit(&self) -> bool {
         f64::from(self.in_flight) < self.limit
     }
 
     /// A load took about its usual time.
     pub(crate) fn good_load(&mut self) {
-        self.limit += RAISE_AFTER_GOOD_LOAD;
+        self.limit += INCREASE_AFTER_GOOD_LOAD;
         self.clamp();
     }
 
-    /// A load was slow, as loads are at nearly all workers.
+    /// A load was slow while loads are slow at nearly all workers.
     pub(crate) fn slow_load(&mut self) {
         self.limit *= FACTOR_AFTER_SLOW_LOAD;
         self.clamp();
     }
 
-    /// A load failed. One in a hundred fails by chance: only a second one soon after tells of the store.
+    /// A load failed. About one in a hundred fails by chance, so only a second failure soon after another points to the
+    /// store.
     pub(crate) fn load_failed(&mut self, now: Micros) {
         if now < self.last_failure + LAST_LOAD_LIFETIME {
             self.limit *= FACTOR_AFTER_FAILURES;
@@ -84,6 +91,6 @@
     }
 
     fn clamp(&mut self) {
-        self.limit = self.limit.clamp(LEAST_LIMIT, self.maximum);
+        self.limit = self.limit.clamp(MIN_LIMIT, self.max_limit);
     }
 }
--- a/policy/src/periodic_calls.rs
+++ b/policy/src/periodic_calls.rs
@@ -1,55 +1,56 @@
-//! Functions that are called on a timer: the last calls' distance, and when the next is expected.
+//! Detects functions that are called periodically (by a timer), and predicts the next call.
 use crate::types::{Micros, SECOND};
 
-/// Calls closer than this belong to one firing of the timer.
-pub(crate) const FIRING: Micros = SECOND;
-/// Two distances are alike where they differ by less than this part.
-const LIKENESS: Micros = 16;
+/// Calls that follow each other within this time belong to one firing of the timer.
+pub(crate) const FIRING_SPAN: Micros = SECOND;
+/// Two intervals count as equal if they differ by less than the last one divided by this.
+const EQUAL_DIVISOR: Micros = 16;
 
-/// How sure the next call is.
+/// How certain the next call is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Confidence {
     /// No call is expected.
     #[default]
     None,
-    /// One distance was seen.
+    /// Only one interval is known.
     Guessed,
-    /// Two distances alike were seen.
+    /// The last two intervals are equal.
     Confirmed,
 }
 
-/// The timer of one function, as its calls show it.
+/// The timer that calls a function, as inferred from its calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PeriodicCalls {
+    /// When the first call of the last firing came; 0 if there was none.
     last_firing: Micros,
-    /// Distance of the last firing from the one before; 0: not known.
+    /// Interval between the last two firings; 0 if not known.
     period: Micros,
     confidence: Confidence,
-    /// The firing after which a replica was ordered for the next.
+    /// The firing after which a replica was ordered for the next one; 0 if none was.
     prefetched_after: Micros,
 }
 
 impl PeriodicCalls {
-    /// A call came that is no retry; `last_call` is when the one before came.
+    /// Records a call that is not a retry; `last_call` is the time of the call before it.
     pub(crate) fn called(&mut self, now: Micros, last_call: Micros) {
-        if now > last_call + FIRING {
+        if now > last_call + FIRING_SPAN {
             self.fired(now);
         }
     }
 
-    /// One distance alone makes a guess; after a guess that failed, two alike are needed.
+    /// Records a firing. A first interval gives a guess; after a guess that failed, two equal intervals are needed.
     fn fired(&mut self, now: Micros) {
         if self.last_firing > 0 {
-            let distance = now - self.last_firing;
+            let interval = now - self.last_firing;
             let is_first = self.period == 0;
-            self.confidence = if distance.abs_diff(self.period) < distance / LIKENESS {
+            self.confidence = if interval.abs_diff(self.period) < interval / EQUAL_DIVISOR {
                 Confidence::Confirmed
             } else if is_first {
                 Confidence::Guessed
             } else {
                 Confidence::None
             };
-            self.period = distance;
+            self.period = interval;
         }
         self.last_firing = now;
     }
@@ -58,17 +59,17 @@
         self.confidence
     }
 
-    /// Whether a further call is expected.
+    /// Whether another call is expected.
     pub(crate) fn is_expected(&self) -> bool {
         self.confidence != Confidence::None
     }
 
-    /// When the next call is expected.
+    /// The time of the next call, if one is expected.
     pub(crate) fn next_due(&self) -> Micros {
         self.last_firing + self.period
     }
 
-    /// Whether a replica was ordered for the next call.
+    /// Whether a replica has been ordered for the next call.
     pub(crate) fn is_prefetched(&self) -> bool {
         self.prefetched_after == self.last_firing
     }
@@ -77,7 +78,7 @@
         self.prefetched_after = self.last_firing;
     }
 
-    /// The order did not bring a replica: it is to be repeated in time.
+    /// The load order for the next call failed: another one may be sent.
     pub(crate) fn prefetch_failed(&mut self) {
         self.prefetched_after = 0;
     }
--- a/policy/src/polling.rs
+++ b/policy/src/polling.rs
@@ -1,39 +1,40 @@
-//! Learning where a function is loaded before one more replica is ordered: by polls, or, where a worker that lacks it
-//! answers so at no price, by the request itself.
+//! Finding out where a function is loaded before another replica is ordered: by polls, or, where a worker that lacks
+//! the function only answers that it is not loaded, by sending the request itself. A request that finds no free replica
+//! is called lost.
 use crate::action::Action;
 use crate::index::{FunctionIndex, WorkerIndex};
 use crate::replica::PendingOrder;
 use crate::state::State;
 use crate::types::{Micros, RequestId, MILLISECOND, SECOND};
 
-/// Workers in the rendezvous order that are polled: other front ends look there too.
+/// Number of workers that are polled: the first of the function's rendezvous order, where other front ends load it too.
 pub(crate) const POLLED_WORKERS: usize = 6;
-/// A lost request waits so long for the first answers.
+/// Time that a lost request waits for the answers to polls.
 const ANSWER_WAIT: Micros = 60 * MILLISECOND;
-/// No second poll sooner: others' loads take much of it.
+/// Minimum time between two polls of a worker about a function: a load ordered by another front end takes most of it.
 pub(crate) const POLL_INTERVAL: Micros = 4 * SECOND;
-/// First workers of the rendezvous order that a request tries before a load is ordered: others order theirs there. Two
-/// of six attempts at the most, so that enough are left for when the load has ended.
-const TRIED_WORKERS: usize = 2;
+/// Workers, from the first of the rendezvous order, that a request tries before a load is ordered: other front ends
+/// order their loads there. Two of at most six attempts, so that enough are left for when the load has ended.
+const MAX_TRIED_WORKERS: usize = 2;
 
-/// What a request whose function is known to be loaded nowhere does next.
+/// The next step for a request whose function is known to be loaded nowhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LookupStep {
-    /// It goes to this worker, whose answer tells.
+    /// Send the request to this worker: its answer shows whether the function is loaded there.
     TryAt(WorkerIndex),
-    /// Another request of the function is in flight and will tell.
+    /// Wait: the answer to another request in flight will show where the function is loaded.
     AwaitOther,
-    /// Requests cannot find out here; polls can.
+    /// Poll: requests are not used to find out in these settings.
     Poll,
-    /// The function is loaded at none of the workers where others would have it: a load is due.
+    /// Order a load: the function is loaded at none of the workers where other front ends would load it.
     Load,
 }
 
 impl State {
-    /// How a lost request finds out where its function is loaded.
+    /// The next step to find out where the function of a lost request is loaded.
     pub(crate) fn next_lookup_step(&mut self, id: RequestId, now: Micros) -> LookupStep {
-        // Where workers load what is missing no request is sent to find out; nor where nobody else prefers the same
-        // workers, or so many do that each sees too little to know which of them have it.
+        // No request is sent to find out where workers load missing functions on demand, where this front end is the
+        // only one, and in a large fleet, where each front end sees too few answers to know which workers have it.
         if self.settings.load_on_demand || !self.is_small_shared_fleet() {
             return LookupStep::Poll;
         }
@@ -52,7 +53,7 @@
                     && !self.is_ejected(worker)
                     && self.may_go_to(request, worker, now)
             })
-            .take(TRIED_WORKERS)
+            .take(MAX_TRIED_WORKERS)
             .collect();
         for worker in workers {
             if let Some(step) = self.lookup_step_at(function, worker, now) {
@@ -62,7 +63,7 @@
         LookupStep::Load
     }
 
-    /// What to do about one worker; `None` if nothing more can be learnt there now.
+    /// The next step at one worker; `None` if nothing more can be found out there now.
     fn lookup_step_at(
         &mut self,
         function: FunctionIndex,
@@ -70,11 +71,13 @@
         now: Micros,
     ) -> Option<LookupStep> {
         let replica = self.replica_mut(function, worker);
-        let is_tried = replica.own_in_flight() > 0;
+        let has_own_request = replica.own_in_flight() > 0;
         match replica.last_poll() {
-            // It is in flight for longer than an answer takes: a replica is being loaded there, or it queues.
-            Some(last) if is_tried && now >= last + ANSWER_WAIT => Some(LookupStep::TryAt(worker)),
-            Some(_) if is_tried => Some(LookupStep::AwaitOther),
+            // The request there has been in flight for longer than an answer takes: it waits for a load, or in a queue.
+            Some(last) if has_own_request && now >= last + ANSWER_WAIT => {
+                Some(LookupStep::TryAt(worker))
+            }
+            Some(_) if has_own_request => Some(LookupStep::AwaitOther),
             Some(last) if now < last + POLL_INTERVAL => None,
             _ if replica.is_load_ordered() => None,
             _ => {
@@ -84,8 +87,8 @@
         }
     }
 
-    /// Polls workers whether the function is loaded there. True while answers are awaited. Guards against a
-    /// (re)started front end loading what others have had loaded already.
+    /// Polls workers whether the function is loaded there. Returns true while answers are awaited. Guards against a
+    /// (re)started front end ordering loads of functions that others have had loaded already.
     pub(crate) fn poll_workers(
         &mut self,
         function: FunctionIndex,
@@ -95,7 +98,7 @@
         if !self.settings.load_orders {
             return false;
         }
-        let most = if self.is_shared() {
+        let max_workers = if self.is_shared() {
             POLLED_WORKERS
         } else {
             usize::MAX
@@ -104,16 +107,16 @@
         let workers: Vec<WorkerIndex> = preferred
             .into_iter()
             .filter(|&worker| self.workers[worker].is_ready() && !self.is_ejected(worker))
-            .take(most)
+            .take(max_workers)
             .collect();
-        let mut is_awaited = false;
+        let mut awaits_answer = false;
         for worker in workers {
-            is_awaited |= self.poll_worker(function, worker, now, actions);
+            awaits_answer |= self.poll_worker(function, worker, now, actions);
         }
-        is_awaited
+        awaits_answer
     }
 
-    /// Polls one worker if that is due. True while its answer is awaited.
+    /// Polls one worker if that is due. Returns true while its answer is awaited.
     fn poll_worker(
         &mut self,
         function: FunctionIndex,
--- a/policy/src/token_bucket.rs
+++ b/policy/src/token_bucket.rs
@@ -1,10 +1,11 @@
-//! A budget that requests earn: bounds what the policy does of itself by the traffic there is.
+//! A token bucket that requests refill: it bounds further attempts and polls in proportion to the traffic.
 
-/// Tokens that each request adds to and some action takes from.
+/// A token bucket: each request adds to it, each action that it bounds takes one token.
 #[derive(Debug)]
 pub(crate) struct TokenBucket {
     tokens: f64,
     earned_per_request: f64,
+    /// Most tokens that the bucket holds.
     capacity: f64,
 }
 
@@ -17,7 +18,7 @@
         }
     }
 
-    /// A request came.
+    /// Adds the tokens that one request earns.
     pub(crate) fn earn(&mut self) {
         self.tokens = (self.tokens + self.earned_per_request).min(self.capacity);
     }
--- a/policy/src/virtual_loss.rs
+++ b/policy/src/virtual_loss.rs
@@ -1,25 +1,29 @@
-//! The design's formula of virtual losses, alone: what each figure means is in docs/design.md. No I/O and no state.
+//! The formula for the probability of a virtual loss. docs/design.md explains it and its variables. No I/O and no
+//! state.
 
-/// The busy share of the workers counts as at least this.
-const LEAST_BUSY: f64 = 0.05;
-/// The busy share of the workers counts as at most this.
-const MOST_BUSY: f64 = 0.95;
+/// A smaller share of busy workers counts as this.
+const MIN_BUSY: f64 = 0.05;
+/// A larger share of busy workers counts as this.
+const MAX_BUSY: f64 = 0.95;
 
-/// The paper's effective theta for a busy share and the `instances` that a worker holds: rho/(1 - rho) (d - 1)/d.
+/// The paper's effective theta, rho/(1 - rho) (d - 1)/d, where rho is the share of busy workers (`busy`, between 0 and
+/// 1) and d the number of replicas that fit into a worker's memory (`instances`).
 pub fn theta(busy: f64, instances: f64) -> f64 {
-    let rho = busy.clamp(LEAST_BUSY, MOST_BUSY);
+    let rho = busy.clamp(MIN_BUSY, MAX_BUSY);
     rho / (1.0 - rho) * (instances - 1.0).max(0.0) / instances.max(1.0)
 }
 
-/// Whether the design has virtual losses there: only while theta and z* are at least 1 and the function is loaded
-/// somewhere. To be asked first: what the chance needs besides takes a look at all workers of the function.
+/// Whether the function can have virtual losses at all: only while theta and z* are at least 1 and the function is
+/// `loaded` at some worker. To be checked first, as the number of free replicas that [`virtual_loss_chance`] needs
+/// takes a pass over all workers of the function.
 pub fn has_virtual_losses(loaded: usize, theta: f64, z_star: f64) -> bool {
     theta >= 1.0 && loaded > 0 && z_star >= 1.0
 }
 
-/// The chance of a virtual loss for a function that is `loaded` at so many workers, of which `free` have a replica that
-/// can run a request at once, with `in_flight` requests; `least_z_star` is the smallest z* of all functions. `None`
-/// where the design has none and no chance is drawn: theta or z* under 1, or loaded nowhere.
+/// The probability of a virtual loss, between 0 and 1, for a function that is `loaded` at this number of workers, of
+/// which `free` have a replica that can run a request at once, and has `in_flight` requests. `least_z_star` is the
+/// smallest z* of all functions. `None` where the function cannot have virtual losses ([`has_virtual_losses`]); no
+/// random number is drawn then.
 pub fn virtual_loss_chance(
     loaded: usize,
     free: usize,
