--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -87,7 +87,7 @@
     /// Whether, in a large fleet, the client is likely to give up before an answer: it waits for less than the mean
     /// time that answers of its class take. Requests of a function that were in time all the same are still sent while
     /// they are, and a few others are sent as trials. In a small fleet each front end sees for itself whether workers
-    /// are overloaded; where they are not, an attempt that is too late costs nobody anything.
+    /// are overloaded; where they are not, an attempt that is too late does no harm to other requests.
     pub(crate) fn is_deadline_unreachable(
         &mut self,
         id: RequestId,
--- a/policy/src/answer_times.rs
+++ b/policy/src/answer_times.rs
@@ -2,7 +2,7 @@
 //! up. No I/O: time is an argument.
 //!
 //! A client that waits for less time than answers take gives up before its answer and retries. What was sent for it is
-//! wasted work, for which the workers reject requests of others.
+//! wasted work, and makes the workers reject other requests.
 use crate::types::{Micros, SECOND};
 use crate::worker_health::{MAX_TRIAL_DOUBLINGS, TRIAL_INTERVAL};
 
--- a/policy/src/eligibility.rs
+++ b/policy/src/eligibility.rs
@@ -15,12 +15,13 @@
     extra_requests: f64,
 }
 
+/// The bound for a single front end and in a large fleet.
 const OVERLOADED: OverloadBound = OverloadBound {
     mean_multiple: 1.25,
     extra_requests: 0.75,
 };
-/// In a small fleet each front end knows a worker's load well enough to skip those above the mean, where requests would
-/// queue and be late.
+/// The bound in a small fleet. Each front end sees most of a worker's requests itself there, so it can skip workers
+/// above the mean, where requests would queue and be late.
 const OVERLOADED_IN_SMALL_FLEET: OverloadBound = OverloadBound {
     mean_multiple: 1.0,
     extra_requests: 0.25,
--- a/policy/src/load_limiter.rs
+++ b/policy/src/load_limiter.rs
@@ -14,7 +14,7 @@
 const FLEET_MAX_LIMIT: f64 = 40.0;
 /// Added to the limit after a load that took about its usual time.
 const INCREASE_AFTER_GOOD_LOAD: f64 = 0.25;
-/// The limit is multiplied by this after a load that was slow as loads are at nearly all workers.
+/// The limit is multiplied by this after a load that was slow while loads were slow at nearly all workers.
 const FACTOR_AFTER_SLOW_LOAD: f64 = 0.7;
 /// The limit is multiplied by this after a load that failed soon after another.
 const FACTOR_AFTER_FAILURES: f64 = 0.5;
@@ -74,7 +74,7 @@
         self.clamp();
     }
 
-    /// A load was slow while loads are slow at nearly all workers.
+    /// A load was slow while loads were slow at nearly all workers.
     pub(crate) fn slow_load(&mut self) {
         self.limit *= FACTOR_AFTER_SLOW_LOAD;
         self.clamp();
--- a/policy/src/polling.rs
+++ b/policy/src/polling.rs
@@ -73,7 +73,8 @@
         let replica = self.replica_mut(function, worker);
         let has_own_request = replica.own_in_flight() > 0;
         match replica.last_poll() {
-            // The request there has been in flight for longer than an answer takes: it waits for a load, or in a queue.
+            // The request there has waited for longer than a "not loaded" answer takes: the worker is loading the
+            // function for it or has it in a queue.
             Some(last) if has_own_request && now >= last + ANSWER_WAIT => {
                 Some(LookupStep::TryAt(worker))
             }
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Polls workers whether the function is loaded there. Returns true while answers are awaited. Guards against a
-    /// (re)started front end ordering loads of functions that others have had loaded already.
+    /// Polls workers to find out whether the function is loaded there. Returns true while answers are awaited. Guards
+    /// against a (re)started front end ordering loads of functions that others have had loaded already.
     pub(crate) fn poll_workers(
         &mut self,
         function: FunctionIndex,
@@ -116,7 +117,7 @@
         awaits_answer
     }
 
-    /// Polls one worker if that is due. Returns true while its answer is awaited.
+    /// Polls one worker if a poll is due. Returns true while its answer is awaited.
     fn poll_worker(
         &mut self,
         function: FunctionIndex,
--- a/policy/src/worker.rs
+++ b/policy/src/worker.rs
@@ -32,7 +32,7 @@
     pub(crate) own_attempts: usize,
 }
 
-/// The last load at a worker whose time was taken.
+/// The last load that a worker completed, with its time relative to the usual one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LastLoad {
     ended_at: Micros,
--- a/policy/src/zone_health.rs
+++ b/policy/src/zone_health.rs
@@ -1,7 +1,7 @@
-//! Detects zones that are down.
+//! Detects zones that are down, so that their workers are not tried one by one.
 //!
-//! Otherwise the outage of a zone would be detected worker by worker, at the cost of one failed attempt for each: a
-//! front end with little traffic would lose most of its own requests to a third of the fleet that way.
+//! If each worker of such a zone were detected by itself, it would cost a failed attempt for each of them: a front end
+//! with little traffic would lose most of its requests to a zone that has a third of the fleet.
 //!
 //! A zone is considered down once two of its workers were unresponsive since the last answer from any worker of the
 //! zone, while other zones answered. Any answer from the zone, or a process that starts there, ends that. No I/O: time
@@ -9,8 +9,8 @@
 use crate::types::{Micros, MILLISECOND, SECOND};
 use std::collections::BTreeMap;
 
-/// A connection failure that took less time than this is a refusal by a running machine; it takes longer until a
-/// connection attempt or a connection is given up as unresponsive.
+/// A connection failure that took less time than this is a refusal by a running machine. It takes longer to give up a
+/// connection attempt that is not accepted, or a connection that is unresponsive.
 const UNRESPONSIVE_AFTER: Micros = 120 * MILLISECOND;
 /// How long an unresponsive worker counts against its zone.
 const UNRESPONSIVE_LIFETIME: Micros = 4 * SECOND;
