--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -136,7 +136,7 @@
     /// lease ends. `takes_over` says that this process may replace another one, which shortens the first lease.
     #[must_use]
     pub fn with_discovery(mut self, takes_over: bool) -> Self {
-        self.leases.follow(self.clock.now(), takes_over);
+        self.leases.watch_started(self.clock.now(), takes_over);
         self
     }
 
