--- a/wrenseam/src/worker/frames/mod.rs
+++ b/wrenseam/src/worker/frames/mod.rs
@@ -106,7 +106,9 @@
             outgoing: Outgoing::new(state.clone(), reports, self.limits.worker_ring_bytes),
             close_requests: Vec::new(),
         };
-        if let Err(error) = spawn(self.limits.coroutine_stack_bytes, move || writer.run(&commands)) {
+        if let Err(error) = spawn(self.limits.coroutine_stack_bytes, move || {
+            writer.run(&commands)
+        }) {
             // The core's timers end the exchanges that are handed to this connection.
             log_limited!("{}", log_lines::coroutine_not_started(self.address, &error));
         }
@@ -140,8 +142,9 @@
         let frame = codec::call(request, limits);
         let dispatch = Dispatch::for_attempt(request, limits, Instant::now());
         // The client may reuse the id while it waits, and answers to the id may come a little later still.
-        let reserved_until =
-            request.received_at + Duration::from_micros(request.timeout) + self.limits.late_response_grace;
+        let reserved_until = request.received_at
+            + Duration::from_micros(request.timeout)
+            + self.limits.late_response_grace;
         let connection = self.connection_for(Some(id));
         connection.reserve_id(id, reserved_until);
         connection.open(NewExchange {
