--- a/wrenseam/tests/health_checks.rs
+++ b/wrenseam/tests/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of workers over binary frames: what is asked, and what each end tells.
+//! Health checks of workers over binary frames: what is sent, and the result that each end of a check stands for.
 mod link;
 
 use link::{frame, outcome, request, say, transport, FIRST};
@@ -12,19 +12,21 @@
 use wrenseam_policy::Outcome;
 
 const CODE_HEALTH_CHECK: u8 = 4;
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a test waits for a report or a close.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+/// The number of the health check that the tests send.
 const CHECK: u64 = 5;
 
-/// How the check of this number ended; ends of connections are passed over.
-fn check_end(reports: &Receiver<Message>) -> HealthCheckResult {
+/// The result of the check. Reports of ended connections are skipped.
+fn check_result(reports: &Receiver<Message>) -> HealthCheckResult {
     loop {
-        match reports.recv_timeout(PATIENCE).expect("a report") {
+        match reports.recv_timeout(WAIT_TIMEOUT).expect("a report") {
             Message::HealthCheckEnded { check, result } => {
                 assert_eq!(check, CHECK);
                 return result;
             }
             Message::WorkerConnectionEnded { .. } => {}
-            _ => panic!("another report"),
+            _ => panic!("an unexpected report"),
         }
     }
 }
@@ -41,7 +43,7 @@
 #[case::not_accepting(207, HealthCheckResult::NotAccepting)]
 #[case::full(203, HealthCheckResult::NotAccepting)]
 #[case::error(204, HealthCheckResult::NotAccepting)]
-fn an_answer_tells_whether_the_worker_takes_new_work(
+fn the_response_states_whether_the_worker_takes_new_work(
     #[case] code: u8,
     #[case] expected: HealthCheckResult,
     #[values(false, true)] is_draining: bool,
@@ -54,7 +56,7 @@
     transport.check_health(CHECK);
     let (mut stream, id) = accept_check(&listener);
     say(&mut stream, code, id, "", b"");
-    assert_eq!(check_end(&reports), expected);
+    assert_eq!(check_result(&reports), expected);
 }
 
 #[test]
@@ -64,14 +66,14 @@
     let (mut transport, reports) = transport(address, |_| {});
     transport.check_health(CHECK);
     drop(accept_check(&listener));
-    assert_eq!(check_end(&reports), HealthCheckResult::Unreachable);
+    assert_eq!(check_result(&reports), HealthCheckResult::Unreachable);
     drop(listener);
     transport.check_health(CHECK);
-    assert_eq!(check_end(&reports), HealthCheckResult::Refused);
+    assert_eq!(check_result(&reports), HealthCheckResult::Refused);
 }
 
 #[test]
-fn a_check_that_was_abandoned_leaves_its_connection_idle() {
+fn an_abandoned_check_leaves_its_connection_idle() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |limits| {
         limits.worker_idle_timeout = Duration::ZERO;
@@ -79,19 +81,19 @@
     transport.check_health(CHECK);
     let (_stream, _) = accept_check(&listener);
     transport.sweep();
-    assert!(!transport.is_idle(), "its answer is awaited");
+    assert!(!transport.is_idle(), "the check's response is pending");
     transport.abandon_health_check(CHECK);
     let since = std::time::Instant::now();
     while !transport.is_idle() {
-        assert!(since.elapsed() < PATIENCE, "it never closed");
+        assert!(since.elapsed() < WAIT_TIMEOUT, "the connection stays open");
         transport.sweep();
     }
     drop(reports);
 }
 
-/// A health answer to a call shows that the stream is out of step.
+/// A health check's response to a call shows that the responses on the connection no longer match its requests.
 #[test]
-fn a_health_answer_to_a_call_ends_the_connection() {
+fn a_health_response_to_a_call_ends_the_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |_| {});
     let limits = AttemptLimits::with_timeout(20_000_000);
--- a/wrenseam/tests/waits.rs
+++ b/wrenseam/tests/waits.rs
@@ -1,29 +1,32 @@
-//! Where coroutines go on after a wait: never in the thread of timers.
+//! The thread in which a coroutine continues after a wait: the scheduler's, never the timer thread.
 use rstest::rstest;
 use std::sync::mpsc::channel;
 use std::thread::{current, ThreadId};
 use std::time::Duration;
 use wrenseam::net::{resume_on_scheduler, sleep, spawn};
 
-const SPAN: Duration = Duration::from_millis(1);
+const WAIT: Duration = Duration::from_millis(1);
 
-fn unheard() {
+fn receive_nothing() {
     let (_sender, queue) = may::sync::mpsc::channel::<()>();
-    assert!(queue.recv_timeout(SPAN).is_err());
+    assert!(queue.recv_timeout(WAIT).is_err());
     resume_on_scheduler();
 }
 
-/// Guards the thread of timers: with a socket that is waited for there it ended in a panic, and no wait ever ended again.
+/// Guards against a coroutine that continues in the timer thread. When one waited for a socket there, the timer thread
+/// panicked, and no wait in the process ever ended again.
 #[rstest]
-#[case::a_pause(|| sleep(SPAN))]
-#[case::an_answer_that_does_not_come(unheard)]
-fn a_wait_that_ends_leaves_the_coroutine_in_the_schedulers_thread(#[case] wait: fn()) {
+#[case::sleep(|| sleep(WAIT))]
+#[case::receive_timeout(receive_nothing)]
+fn a_coroutine_continues_in_the_schedulers_thread_after_a_wait(#[case] wait: fn()) {
     may::config().set_workers(1).set_worker_pin(false); // as the program has it
-    let (seen, threads) = channel::<(ThreadId, ThreadId)>();
+    let (sender, threads) = channel::<(ThreadId, ThreadId)>();
     spawn(64 * 1024, move || {
         let before = current().id();
         wait();
-        seen.send((before, current().id())).expect("the test waits");
+        sender
+            .send((before, current().id()))
+            .expect("the test receives");
     })
     .expect("a coroutine");
     let (before, after) = threads
