--- a/wrenseam/src/discovery/etcd.rs
+++ b/wrenseam/src/discovery/etcd.rs
@@ -67,7 +67,7 @@
     revision: i64,
     cluster: Option<String>,
     keys: BTreeMap<String, KeyState>,
-    unreadable_values: u64,
+    invalid_values: u64,
 }
 
 impl EtcdFollower {
@@ -78,7 +78,7 @@
             revision: 0,
             cluster: None,
             keys: BTreeMap::new(),
-            unreadable_values: 0,
+            invalid_values: 0,
         }
     }
 
@@ -88,15 +88,15 @@
     }
 
     /// Number of invalid values received so far; the last valid endpoint of their key stays.
-    pub fn unreadable_values(&self) -> u64 {
-        self.unreadable_values
+    pub fn invalid_values(&self) -> u64 {
+        self.invalid_values
     }
 
     /// Applies the response body of `/v3/kv/range` over the prefix: the complete list at its revision.
     ///
     /// # Errors
     ///
-    /// An [`EtcdError`] if the body cannot be read.
+    /// An [`EtcdError`] if the body is not a JSON object.
     pub fn apply_range(&mut self, body: &str, now: Micros) -> Result<EtcdUpdate, EtcdError> {
         let body = parse_body(body)?;
         let revision = match self.check_header(&body) {
@@ -125,7 +125,7 @@
     ///
     /// # Errors
     ///
-    /// An [`EtcdError`] if the body cannot be read.
+    /// An [`EtcdError`] if the body is not a JSON object.
     pub fn apply_watch(&mut self, body: &str, now: Micros) -> Result<EtcdUpdate, EtcdError> {
         let body = parse_body(body)?;
         let empty = Object::new();
@@ -209,7 +209,7 @@
         let mut fields = value.as_ref().and_then(object).cloned().unwrap_or_default();
         fields.insert("instanceId".to_owned(), Value::String(id.to_owned()));
         let Ok(mut endpoint) = parse_instance(&fields) else {
-            self.unreadable_values += 1;
+            self.invalid_values += 1;
             let endpoint = self.keys.get(&key)?.endpoint.clone();
             return Some(KeyEndpoint { key, endpoint });
         };
--- a/wrenseam/src/discovery/membership.rs
+++ b/wrenseam/src/discovery/membership.rs
@@ -178,7 +178,7 @@
             .is_some_and(|endpoint| endpoint.state == WorkerState::Ready)
     }
 
-    /// Suspends an endpoint, unless it is not listed as ready. `None`: nothing changes.
+    /// Suspends an endpoint that is listed as ready. Returns `None` if nothing changes.
     pub fn suspend(&mut self, id: &str) -> Option<Change> {
         let endpoint = self.listed.get(id)?.clone();
         if endpoint.state != WorkerState::Ready {
@@ -188,8 +188,8 @@
         self.publish(endpoint)
     }
 
-    /// Ends the suspension of an endpoint. If it may have restarted, at `restarted_at`, it counts as a new process.
-    /// `None` is returned if it was not suspended.
+    /// Ends the suspension of an endpoint. With `restarted_at` it counts as a new process that started then, as it may
+    /// have restarted. Returns `None` if nothing changes.
     pub fn resume(&mut self, id: &str, restarted_at: Option<Micros>) -> Option<Change> {
         if !self.suspended.remove(id) {
             return None;
--- a/wrenseam/src/limits.rs
+++ b/wrenseam/src/limits.rs
@@ -129,9 +129,11 @@
 /// Interval at which worker connections are checked for due keepalive probes.
 const KEEPALIVE_CHECK_INTERVAL: Micros = 50_000;
 
-/// A quiet connection is probed again after this percentage of its oldest exchange's age.
+/// A connection on which no exchange was opened since the last response is probed again once it has been quiet for this
+/// percentage of its oldest exchange's age.
 const KEEPALIVE_REPEAT_PERCENT: u32 = 50;
-/// In a large fleet a quiet connection is probed again after this percentage of its oldest exchange's age.
+/// In a large fleet a connection on which no exchange was opened since the last response is probed again once it has
+/// been quiet for this percentage of its oldest exchange's age.
 const KEEPALIVE_REPEAT_PERCENT_LARGE_FLEET: u32 = 90;
 
 /// Stack size of a coroutine.
@@ -174,7 +176,7 @@
     pub max_requests_per_connection: usize,
     /// Maximum number of response bytes queued on one client connection.
     pub max_unsent_bytes: usize,
-    /// Maximum size of a client connection's ring buffers, in bytes.
+    /// Maximum size of the ring buffers of client connections and of connections to KServe v2 workers, in bytes.
     pub client_ring_bytes: usize,
     /// A client connection without a valid request is closed after this time.
     pub first_request_timeout: Duration,
@@ -216,7 +218,8 @@
     pub load_order_timeout: Micros,
     /// A worker connection with open exchanges is sent a keepalive probe once it has been quiet for this long.
     pub keepalive_idle: Duration,
-    /// A worker connection that stays quiet is probed again after this percentage of its oldest exchange's age.
+    /// A worker connection on which no exchange was opened since the last response is probed again once it has been
+    /// quiet for this percentage of its oldest exchange's age.
     pub keepalive_repeat_percent: u32,
     /// A worker connection is closed if a keepalive probe is not answered within this time.
     pub keepalive_timeout: Duration,
--- a/wrenseam/tests/discovery_etcd.rs
+++ b/wrenseam/tests/discovery_etcd.rs
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn an_unreadable_value_keeps_the_last_valid_endpoint_and_is_counted() {
+fn an_invalid_value_keeps_the_last_valid_endpoint_and_is_counted() {
     let mut follower = EtcdFollower::new("/workers");
     follower
         .apply_range(
@@ -132,5 +132,5 @@
         states(&update),
         vec![("a".to_owned(), WorkerState::Ready, 0)]
     );
-    assert_eq!(follower.unreadable_values(), 1);
+    assert_eq!(follower.invalid_values(), 1);
 }
--- a/wrenseam/tests/discovery_watch.rs
+++ b/wrenseam/tests/discovery_watch.rs
@@ -8,7 +8,7 @@
 
 /// An event's data. Instances are given as `id:state`; `id:?` has an invalid state. The number `-` stands for none.
 fn event(number: &str, complete: bool, instances: &str) -> String {
-    let one = |instance: &str| {
+    let to_json = |instance: &str| {
         let (id, state) = instance.split_once(':').expect("id:state");
         let state = match state {
             "d" => "draining",
@@ -18,7 +18,7 @@
         };
         format!(r#"{{"instanceId":"{id}","hostPort":"127.0.0.1:9","lifecycle":"{state}"}}"#)
     };
-    let all: Vec<String> = instances.split_whitespace().map(one).collect();
+    let instances: Vec<String> = instances.split_whitespace().map(to_json).collect();
     let rev = if number == "-" {
         String::new()
     } else {
@@ -26,7 +26,7 @@
     };
     format!(
         r#"{{{rev}"pool":{{"reset":{complete},"instances":[{}]}}}}"#,
-        all.join(",")
+        instances.join(",")
     )
 }
 
--- a/wrenseam/tests/large_list.rs
+++ b/wrenseam/tests/large_list.rs
@@ -45,7 +45,8 @@
             let n = stream.read(&mut head).unwrap_or(0);
             let _ = received.send(String::from_utf8_lossy(&head[..n]).into_owned());
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
-            let _ = stream.write_all(&bodies.next().unwrap_or_default()); // the program may close it first
+            // The program may close the connection before it has read everything.
+            let _ = stream.write_all(&bodies.next().unwrap_or_default());
             open_streams.push(stream);
         }
     });
