--- a/policy/src/dispatch.rs
+++ b/policy/src/dispatch.rs
@@ -12,7 +12,7 @@
 /// The shortest time that an attempt gets.
 const LEAST_TIMEOUT: Micros = MILLISECOND;
 /// The least time that an answer is expected to take, in microseconds.
-pub(crate) const LEAST_EXPECTED: f64 = 10.0 * MILLISECOND as f64;
+pub(crate) const MIN_EXPECTED_TIME: f64 = 10.0 * MILLISECOND as f64;
 /// Part of the longest Retry-After that clients are advised of.
 const RETRY_AFTER_DIVISOR: Micros = 2;
 
@@ -66,7 +66,7 @@
         } else {
             called.load_time.max(DEFAULT_SPAN as f64)
         };
-        let expected = called.service_time.max(LEAST_EXPECTED) + load_time;
+        let expected = called.service_time.max(MIN_EXPECTED_TIME) + load_time;
         let own_in_flight = self
             .replica_mut(function, worker)
             .attempt_sent(loads_function);
--- a/policy/src/endpoint_list.rs
+++ b/policy/src/endpoint_list.rs
@@ -81,7 +81,7 @@
         worker.is_gone()
             && worker.open_attempts.is_empty()
             && !is_in_use
-            && !self.requests.refer_to(index)
+            && !self.requests.has_attempts_at(index)
     }
 
     /// A start that is not stated leaves the known one.
--- a/policy/src/estimator.rs
+++ b/policy/src/estimator.rs
@@ -7,16 +7,16 @@
 /// Period of the survey, which walks all workers and functions.
 pub(crate) const SURVEY_INTERVAL: Micros = 100 * MILLISECOND;
 /// Bounds of the span that rates are taken over.
-const SHORTEST_RATE_SPAN: Micros = 2 * SECOND;
-pub(crate) const LONGEST_RATE_SPAN: Micros = 8 * SECOND;
+const MIN_RATE_WINDOW: Micros = 2 * SECOND;
+pub(crate) const MAX_RATE_WINDOW: Micros = 8 * SECOND;
 /// The shortest span for the rate of answers, in microseconds.
 const SHORTEST_ANSWER_SPAN: f64 = 0.5 * SECOND as f64;
 /// Rates are taken over so many requests, within these bounds: fewer are noise.
 const REQUESTS_PER_RATE: f64 = 30.0;
 /// Bounds of the time constant with which a load report fades to the mean: this front end's requests come round to
 /// each worker about once in it.
-pub(crate) const SHORTEST_REPORT_FADE: f64 = 2.0 * SECOND as f64;
-const LONGEST_REPORT_FADE: f64 = 15.0 * SECOND as f64;
+pub(crate) const MIN_REPORT_DECAY_TIME: f64 = 2.0 * SECOND as f64;
+const MAX_REPORT_DECAY_TIME: f64 = 15.0 * SECOND as f64;
 /// The mean in flight takes in last reports for so long: few requests, many workers.
 const REPORT_LIFETIME: Micros = 20 * SECOND;
 /// Weight of an answer in the time that answers take of late.
@@ -38,7 +38,7 @@
     pub(crate) ready_workers: usize,
     /// Ready workers with an attempt of this front end.
     pub(crate) busy_workers: usize,
-    /// Requests that counted for the load budget within [`LONGEST_RATE_SPAN`].
+    /// Requests that counted for the load budget within [`MAX_RATE_WINDOW`].
     pub(crate) recent_requests: usize,
     /// The requests in flight at each ready worker that has reported them recently.
     pub(crate) reported_in_flight: Vec<f64>,
@@ -76,7 +76,7 @@
     /// Requests in flight at a worker, mean of all.
     mean_in_flight: f64,
     /// Time constant with which a load report fades to the mean.
-    report_fade: f64,
+    report_decay_time: f64,
     median_health_score: f64,
     /// Share of the ready workers that have an attempt of this front end.
     busy_share: f64,
@@ -130,8 +130,8 @@
         self.mean_in_flight
     }
 
-    pub(crate) fn report_fade(&self) -> f64 {
-        self.report_fade
+    pub(crate) fn report_decay_time(&self) -> f64 {
+        self.report_decay_time
     }
 
     pub(crate) fn median_health_score(&self) -> f64 {
@@ -202,7 +202,7 @@
         let own = worker.open_attempts.len() as f64;
         let reported = |report: &LoadReport| {
             let age = now.saturating_sub(report.received_at) as f64;
-            let weight = (-age / self.report_fade.max(SHORTEST_REPORT_FADE)).exp();
+            let weight = (-age / self.report_decay_time.max(MIN_REPORT_DECAY_TIME)).exp();
             let faded = self.mean_in_flight + (report.in_flight - self.mean_in_flight) * weight;
             faded + own - report.own_attempts as f64
         };
@@ -231,8 +231,8 @@
     /// Takes the survey's sample into all estimates.
     pub(crate) fn update(&mut self, sample: FleetSample, settings: &Settings) {
         let requests = (sample.recent_requests as f64).max(1.0);
-        let rate_span = (REQUESTS_PER_RATE / requests * LONGEST_RATE_SPAN as f64)
-            .clamp(SHORTEST_RATE_SPAN as f64, LONGEST_RATE_SPAN as f64);
+        let rate_span = (REQUESTS_PER_RATE / requests * MAX_RATE_WINDOW as f64)
+            .clamp(MIN_RATE_WINDOW as f64, MAX_RATE_WINDOW as f64);
         let elapsed = sample.elapsed as f64;
         let part = (elapsed / rate_span).min(1.0);
         self.update_load(&sample, requests, part);
@@ -245,8 +245,8 @@
     fn update_load(&mut self, sample: &FleetSample, requests: f64, part: f64) {
         let workers = sample.ready_workers.max(1) as f64;
         let busy_share = sample.busy_workers as f64 / workers;
-        self.report_fade = (workers / requests * LONGEST_RATE_SPAN as f64)
-            .clamp(SHORTEST_REPORT_FADE, LONGEST_REPORT_FADE);
+        self.report_decay_time = (workers / requests * MAX_RATE_WINDOW as f64)
+            .clamp(MIN_REPORT_DECAY_TIME, MAX_REPORT_DECAY_TIME);
         self.busy_share += (4.0 * part).min(1.0) * (busy_share - self.busy_share);
         // Each worker counts once, by its last report: a mean of reports would follow where most requests go.
         let reported = &sample.reported_in_flight;
@@ -263,9 +263,9 @@
         self.work_rate += part * (work_rate - self.work_rate);
         // Guards against taking a rise in traffic, or the start, for a queue: a rate that lags is too low.
         self.surveys += 1.0;
-        let observed = (self.surveys * SURVEY_INTERVAL as f64).min(LONGEST_RATE_SPAN as f64);
+        let observed = (self.surveys * SURVEY_INTERVAL as f64).min(MAX_RATE_WINDOW as f64);
         let answer_span = (REQUESTS_PER_RATE / requests * observed)
-            .clamp(SHORTEST_ANSWER_SPAN, LONGEST_RATE_SPAN as f64);
+            .clamp(SHORTEST_ANSWER_SPAN, MAX_RATE_WINDOW as f64);
         let answer_part = (elapsed / answer_span).min(1.0).max(1.0 / self.surveys);
         let served_rate = self.served_since_survey * SECOND as f64 / elapsed;
         self.served_rate += answer_part * (served_rate - self.served_rate);
@@ -284,8 +284,8 @@
 
     /// What is in flight is a count where requests are many; where they are few it is a mean over time.
     fn update_backlog(&mut self, sample: &FleetSample, rate_span: f64) {
-        let range = (LONGEST_RATE_SPAN - SHORTEST_RATE_SPAN) as f64;
-        let fewness = (rate_span - SHORTEST_RATE_SPAN as f64) / range;
+        let range = (MAX_RATE_WINDOW - MIN_RATE_WINDOW) as f64;
+        let fewness = (rate_span - MIN_RATE_WINDOW as f64) / range;
         let part = (sample.elapsed as f64 / (rate_span * fewness).max(1.0)).min(1.0);
         self.backlog += part * (sample.queued_requests as f64 - self.backlog);
     }
--- a/policy/src/json.rs
+++ b/policy/src/json.rs
@@ -34,7 +34,7 @@
 }
 
 /// The object under a key.
-pub fn part<'a>(fields: &'a Object, key: &str) -> Option<&'a Object> {
+pub fn nested_object<'a>(fields: &'a Object, key: &str) -> Option<&'a Object> {
     fields.get(key).and_then(object)
 }
 
@@ -75,7 +75,7 @@
 }
 
 /// The unsigned integer under a key.
-pub fn whole(fields: &Object, key: &str) -> Option<u64> {
+pub fn unsigned(fields: &Object, key: &str) -> Option<u64> {
     match fields.get(key) {
         Some(Value::Number(Number::U64(n))) => Some(*n),
         _ => None,
@@ -88,7 +88,7 @@
 }
 
 /// Milliseconds under a key, in microseconds; what is negative or not a number counts as 0 (`as` saturates).
-pub fn span(fields: &Object, key: &str) -> Micros {
+pub fn duration(fields: &Object, key: &str) -> Micros {
     (number(fields, key).unwrap_or(0.0) * 1000.0).round() as Micros
 }
 
--- a/policy/src/outlier_detection.rs
+++ b/policy/src/outlier_detection.rs
@@ -2,8 +2,8 @@
 //! time-outs, resets and silence raise it, whatever their cause; workers beyond a multiple of the median are ejected
 //! until trial requests or polls find them sound.
 use crate::action::Action;
-use crate::dispatch::LEAST_EXPECTED;
-use crate::estimator::SHORTEST_REPORT_FADE;
+use crate::dispatch::MIN_EXPECTED_TIME;
+use crate::estimator::MIN_REPORT_DECAY_TIME;
 use crate::event::Outcome;
 use crate::index::{FunctionIndex, WorkerIndex};
 use crate::rejections::RejectedScope;
@@ -59,7 +59,7 @@
         // Guards against blaming workers for this front end's own stand-still.
         let stood_still = now < self.resumed_at + TICK;
         let score = score.filter(|_| !stood_still);
-        let seldom = self.estimator.report_fade() / SHORTEST_REPORT_FADE;
+        let seldom = self.estimator.report_decay_time() / MIN_REPORT_DECAY_TIME;
         let weight = 2.0 * SAMPLE_WEIGHT * seldom.clamp(1.0, MOST_SAMPLE_WEIGHT);
         self.workers[attempt.worker].health.record(score, weight);
     }
@@ -153,7 +153,7 @@
             } else {
                 attempt.expected
             };
-            let expected = expected.max(LEAST_EXPECTED);
+            let expected = expected.max(MIN_EXPECTED_TIME);
             let elapsed = sample.elapsed as f64;
             let ratio = (elapsed / expected).min(self.largest_sample());
             score = Some(ratio);
@@ -213,7 +213,7 @@
 
     /// Decides anew which ready workers are outliers, and whether ejection is suspended. Returns how many are ejected.
     pub(crate) fn compare_workers(&mut self, now: Micros, elapsed: Micros) -> usize {
-        let recovery_time = RECOVERY_TIME.max(self.estimator.report_fade());
+        let recovery_time = RECOVERY_TIME.max(self.estimator.report_decay_time());
         let part = (elapsed as f64 / recovery_time).min(1.0);
         let median = self.estimator.median_health_score();
         let mut ejected = 0;
--- a/policy/src/request.rs
+++ b/policy/src/request.rs
@@ -169,7 +169,7 @@
     }
 
     /// Whether any request has an attempt at this worker.
-    pub(crate) fn refer_to(&self, worker: WorkerIndex) -> bool {
+    pub(crate) fn has_attempts_at(&self, worker: WorkerIndex) -> bool {
         self.requests.values().any(|request| {
             request
                 .attempts
--- a/policy/src/settings.rs
+++ b/policy/src/settings.rs
@@ -101,7 +101,7 @@
     /// Concurrent attempts on one connection to a worker; 0: not stated.
     pub streams_per_connection: u32,
     /// Share of its capacity with which a worker starts at the least (slow start).
-    pub slow_start_from: f64,
+    pub slow_start_initial_share: f64,
     /// Time after which a started worker has its full capacity at the latest.
     pub slow_start_duration: Micros,
     /// A worker in slow start fails when it is sent more than this multiple of its capacity ...
--- a/policy/src/settings_json.rs
+++ b/policy/src/settings_json.rs
@@ -1,7 +1,9 @@
 //! The one reader of the settings' JSON, used by the simulator adapter and by the front end.
 //!
 //! The keys are the platform's; each is mapped to its field here, once.
-use crate::json::{as_number, as_text, count, flag, list, number, object, part, span, text};
+use crate::json::{
+    as_number, as_text, count, duration, flag, list, nested_object, number, object, text,
+};
 use crate::settings::{ClassSettings, Idempotency, KeyScope, Settings, TenantSettings};
 use crate::types::{Micros, SECOND};
 use miniserde::json::{Object, Value};
@@ -19,13 +21,13 @@
     /// absent counts as not stated.
     pub fn from_json(conf: &Object) -> Settings {
         let empty = Object::new();
-        let section = |key: &str| part(conf, key).unwrap_or(&empty);
+        let section = |key: &str| nested_object(conf, key).unwrap_or(&empty);
         let limits = section("limits");
         let rules = section("rules");
         let family = section("family-info");
         let objects = |key: &str| list(conf, key).iter().filter_map(object);
         let longest_wait = objects("classes")
-            .map(|class| span(class, "give-up"))
+            .map(|class| duration(class, "give-up"))
             .max()
             .unwrap_or(0);
         Settings {
@@ -38,25 +40,25 @@
             kinds: names(list(conf, "flavors")),
             over_quota_weight: number(conf, "over-share-worth").unwrap_or(0.0),
             kind_memory_mb: numbers(list(family, "machine-mb")),
-            keep_alive: span(family, "keep"),
+            keep_alive: duration(family, "keep"),
             load_on_demand: text(family, "when-absent") == Some("load"),
             load_orders: flag(family, "orders"),
-            order_timeout: span(family, "load-wait"),
-            load_budget_window: span(family, "load-span"),
+            order_timeout: duration(family, "load-wait"),
+            load_budget_window: duration(family, "load-span"),
             load_budget_base: number(family, "free-loads").unwrap_or(0.0),
             load_budget_per_request: number(family, "loads-per-request").unwrap_or(0.0),
             max_attempts: count(limits, "max-attempts"),
             cancellation: flag(limits, "may-cancel"),
             hedging: flag(limits, "second-copies"),
             max_retry_after: max_retry_after(limits),
-            connect_timeout: span(limits, "connect-timeout"),
-            connection_idle_timeout: span(limits, "conn-idle"),
+            connect_timeout: duration(limits, "connect-timeout"),
+            connection_idle_timeout: duration(limits, "conn-idle"),
             streams_per_connection: count(limits, "streams-per-conn"),
-            slow_start_from: number(rules, "cold-from").unwrap_or(0.0),
-            slow_start_duration: span(rules, "warm-within"),
+            slow_start_initial_share: number(rules, "cold-from").unwrap_or(0.0),
+            slow_start_duration: duration(rules, "warm-within"),
             overload_multiple: number(rules, "fall-multiple").unwrap_or(0.0),
-            overload_window: span(rules, "fall"),
-            drain_grace: span(rules, "drain-grace"),
+            overload_window: duration(rules, "fall"),
+            drain_grace: duration(rules, "drain-grace"),
             health_checks: flag(limits, "probes"),
             watch_endpoints: text(conf, "registry-mode") == Some("ask"),
         }
@@ -111,8 +113,8 @@
             Some("zone") => KeyScope::Zone,
             _ => KeyScope::Cell,
         },
-        key_memory: span(fields, "memory-span"),
-        latency_objective: span(fields, "goal-time"),
+        key_memory: duration(fields, "memory-span"),
+        latency_objective: duration(fields, "goal-time"),
         priority_weight: number(fields, "worth").unwrap_or(0.0),
     }
 }
@@ -131,7 +133,7 @@
 
 fn max_retry_after(limits: &Object) -> Micros {
     if flag(limits, "retry-after") {
-        span(limits, "max-retry-after")
+        duration(limits, "max-retry-after")
     } else {
         0
     }
--- a/policy/src/slow_start.rs
+++ b/policy/src/slow_start.rs
@@ -75,7 +75,7 @@
         let front_ends = settings.front_ends.max(1);
         let stated_index = settings.front_end_index.filter(|&index| index < front_ends);
         SlowStart {
-            initial_share: sane(settings.slow_start_from).min(1.0),
+            initial_share: sane(settings.slow_start_initial_share).min(1.0),
             duration: settings.slow_start_duration,
             overload_multiple: sane(settings.overload_multiple),
             overload_window: settings.overload_window,
--- a/policy/src/survey.rs
+++ b/policy/src/survey.rs
@@ -2,7 +2,7 @@
 //! be done from time to time.
 use crate::action::Action;
 use crate::estimator::{
-    is_report_recent, queued_until, FleetSample, LONGEST_RATE_SPAN, SURVEY_INTERVAL,
+    is_report_recent, queued_until, FleetSample, MAX_RATE_WINDOW, SURVEY_INTERVAL,
 };
 use crate::index::WorkerIndex;
 use crate::slow_start::{Account, WorkerStart};
@@ -43,7 +43,7 @@
     }
 
     fn run(&mut self, state: &mut State, now: Micros, elapsed: Micros, actions: &mut Vec<Action>) {
-        state.load_budget.forget_requests(LONGEST_RATE_SPAN, now);
+        state.load_budget.forget_requests(MAX_RATE_WINDOW, now);
         let sample = state.sample(now, elapsed);
         state.estimator.update(sample, &state.settings);
         state.update_least_z_star(now);
@@ -87,7 +87,7 @@
             busy_workers: ready()
                 .filter(|worker| !worker.open_attempts.is_empty())
                 .count(),
-            recent_requests: self.load_budget.requests_within(LONGEST_RATE_SPAN, now),
+            recent_requests: self.load_budget.requests_within(MAX_RATE_WINDOW, now),
             reported_in_flight: ready()
                 .filter_map(|worker| worker.load_report.filter(recent_report))
                 .map(|report| report.in_flight)
--- a/policy/tests/characterization.rs
+++ b/policy/tests/characterization.rs
@@ -141,7 +141,7 @@
         cancellation: scenario.hedging || scenario.load_on_demand,
         hedging: scenario.hedging,
         max_retry_after: SEC,
-        slow_start_from: 0.25,
+        slow_start_initial_share: 0.25,
         slow_start_duration: 10 * SEC,
         overload_multiple: 2.0,
         overload_window: SEC,
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -42,7 +42,7 @@
         cancellation: true,
         hedging: false,
         max_retry_after: SEC,
-        slow_start_from: 0.2,
+        slow_start_initial_share: 0.2,
         slow_start_duration: 10 * SEC,
         overload_multiple: 2.0,
         overload_window: SEC,
--- a/policy/tests/properties.rs
+++ b/policy/tests/properties.rs
@@ -157,8 +157,8 @@
                 {
                     self.to_cold.push((worker.clone(), now, t));
                     // One of the front ends alone may not go beyond what all may send.
-                    let share = set.slow_start_from
-                        + (1.0 - set.slow_start_from) * (now - t) as f64
+                    let share = set.slow_start_initial_share
+                        + (1.0 - set.slow_start_initial_share) * (now - t) as f64
                             / set.slow_start_duration as f64;
                     let quotas: f64 = set.tenants.iter().map(|t| t.quota_per_s).sum();
                     let most = set.overload_multiple * share * quotas / 6.0
@@ -451,7 +451,7 @@
         set.load_budget_per_request,
     ) = (5 * SEC, draw(3, 4) as f64, draw(15, 20) as f64 / 100.0);
     (set.max_attempts, set.keep_alive) = (draw(3, 6) as u32, draw(8, 16) * SEC);
-    (set.slow_start_from, set.slow_start_duration) =
+    (set.slow_start_initial_share, set.slow_start_duration) =
         (draw(15, 45) as f64 / 100.0, draw(6, 17) * SEC);
     (set.overload_multiple, set.overload_window) = (draw(2, 3) as f64, draw(500, 1_500) * MS);
     set.classes.iter_mut().for_each(|c| {
--- a/policy/tests/slow_start.rs
+++ b/policy/tests/slow_start.rs
@@ -197,8 +197,8 @@
             while self.sent[first].0 + set.overload_window <= now {
                 first += 1;
             }
-            let share = set.slow_start_from
-                + (1.0 - set.slow_start_from) * (now - START) as f64
+            let share = set.slow_start_initial_share
+                + (1.0 - set.slow_start_initial_share) * (now - START) as f64
                     / set.slow_start_duration as f64;
             let n = set.overload_multiple * share.min(1.0) * ALLOWED_RATE * WORKER_CAPACITY;
             let span = &self.sent[first..=at];
@@ -261,8 +261,8 @@
                 held -= self.sent[first].1;
                 first += 1;
             }
-            let share = set.slow_start_from
-                + (1.0 - set.slow_start_from) * (at - START) as f64
+            let share = set.slow_start_initial_share
+                + (1.0 - set.slow_start_initial_share) * (at - START) as f64
                     / set.slow_start_duration as f64;
             worst =
                 worst.max(held / (set.overload_multiple * share * ALLOWED_RATE * WORKER_CAPACITY));
@@ -323,8 +323,8 @@
         set
     };
     for set in [
-        odd(|s| s.slow_start_from = 0.0),
-        odd(|s| s.slow_start_from = f64::NAN),
+        odd(|s| s.slow_start_initial_share = 0.0),
+        odd(|s| s.slow_start_initial_share = f64::NAN),
         odd(|s| s.overload_window = 0),
         odd(|s| s.tenants[0].quota_per_s = f64::INFINITY),
     ] {
--- a/scalelab/src/simulated_front_end/scenario.rs
+++ b/scalelab/src/simulated_front_end/scenario.rs
@@ -103,7 +103,7 @@
             connect_timeout: CONNECT_TIMEOUT,
             connection_idle_timeout: 15 * SEC,
             streams_per_connection: 100,
-            slow_start_from: 0.3,
+            slow_start_initial_share: 0.3,
             slow_start_duration: 12 * SEC,
             overload_multiple: 2.0,
             overload_window: SEC,
--- a/scalelab/src/slow_start_senders.rs
+++ b/scalelab/src/slow_start_senders.rs
@@ -136,7 +136,8 @@
             span_begin += 1;
         }
         let progress = time as f64 / settings.slow_start_duration as f64;
-        let share = settings.slow_start_from + (1.0 - settings.slow_start_from) * progress;
+        let share = settings.slow_start_initial_share
+            + (1.0 - settings.slow_start_initial_share) * progress;
         let allowed = settings.overload_multiple * share * CAPACITY * span_s;
         worst = worst.max((position - span_begin + 1) as f64 / allowed);
     }
--- a/simulator-adapter/src/decode.rs
+++ b/simulator-adapter/src/decode.rs
@@ -1,7 +1,7 @@
 //! The simulator's messages as the policy's events. The wire's names are mapped here, once.
 use crate::error::FieldError;
 use miniserde::json::{Object, Value};
-use wrenseam_policy::json::{self, flag, number, object, part, position, span};
+use wrenseam_policy::json::{self, duration, flag, nested_object, number, object, position};
 use wrenseam_policy::{
     AttemptResult, Endpoint, Event, FunctionId, Micros, NewRequest, Outcome, Settings, WorkerState,
     ZoneNames,
@@ -24,13 +24,13 @@
 
 /// The unsigned integer under a key.
 pub(crate) fn whole(fields: &Object, key: &'static str) -> Result<u64, FieldError> {
-    json::whole(fields, key).ok_or(FieldError::NotWholeNumber(key))
+    json::unsigned(fields, key).ok_or(FieldError::NotWholeNumber(key))
 }
 
 /// The milliseconds under a key, in microseconds.
 pub(crate) fn micros(fields: &Object, key: &'static str) -> Result<Micros, FieldError> {
     match number(fields, key) {
-        Some(_) => Ok(span(fields, key)),
+        Some(_) => Ok(duration(fields, key)),
         None => Err(FieldError::NotNumber(key)),
     }
 }
@@ -110,17 +110,19 @@
             Some("off") => WorkerState::Gone,
             _ => return Err(FieldError::UnknownMode),
         },
-        started_at: span(fields, "started-at"),
+        started_at: duration(fields, "started-at"),
         zone: names
             .zones
             .position(json::text(fields, "az").unwrap_or_default()),
         kind: position(&names.settings.kinds, json::text(fields, "kind")),
-        cell: json::whole(fields, "cluster"),
+        cell: json::unsigned(fields, "cluster"),
     })
 }
 
 fn request(fields: &Object, settings: &Settings) -> Result<NewRequest, FieldError> {
-    let concurrency = span(fields, "per-copy").div_euclid(1000).min(MOST_COUNT);
+    let concurrency = duration(fields, "per-copy")
+        .div_euclid(1000)
+        .min(MOST_COUNT);
     Ok(NewRequest {
         id: whole(fields, "id")?,
         class: settings.class(json::text(fields, "qos").unwrap_or_default()),
@@ -129,21 +131,21 @@
         time_left: micros(fields, "left")?,
         memory_mb: number(fields, "ram-mb").unwrap_or(0.0),
         concurrency: concurrency as u32,
-        load_time: span(fields, "bringup-ms"),
+        load_time: duration(fields, "bringup-ms"),
         retry: flag(fields, "resent"),
     })
 }
 
 fn attempt_result(fields: &Object) -> Result<AttemptResult, FieldError> {
     let outcome = outcome(fields)?;
-    let note = json::whole(fields, "note").unwrap_or(0);
+    let note = json::unsigned(fields, "note").unwrap_or(0);
     let queue_depth = note >> QUEUE_DEPTH_SHIFT;
     let has_queue_depth = queue_depth > 0 && matches!(outcome, Outcome::Ok | Outcome::Rejected);
     Ok(AttemptResult {
         id: whole(fields, "id")?,
         attempt: whole(fields, "hop")? as usize,
         outcome,
-        elapsed: span(fields, "elapsed"),
+        elapsed: duration(fields, "elapsed"),
         request_closed: flag(fields, "no-more"),
         replica_loaded: match note & ((1 << QUEUE_DEPTH_SHIFT) - 1) {
             LOADED_NOTE => Some(true),
@@ -151,17 +153,19 @@
             _ => None,
         },
         queue_depth: has_queue_depth.then_some(queue_depth as u32),
-        in_flight: part(fields, "feedback").and_then(|report| number(report, "busy_reqs")),
+        in_flight: nested_object(fields, "feedback").and_then(|report| number(report, "busy_reqs")),
     })
 }
 
 fn load_order_ended(fields: &Object) -> Result<Event, FieldError> {
-    let replicas = json::whole(fields, "copies").unwrap_or(0).min(MOST_COUNT);
+    let replicas = json::unsigned(fields, "copies")
+        .unwrap_or(0)
+        .min(MOST_COUNT);
     Ok(Event::LoadOrderEnded {
         worker: text(fields, "host")?.to_owned(),
         function: function(fields)?,
         replicas: replicas as u32,
         outcome: outcome(fields)?,
-        elapsed: span(fields, "elapsed"),
+        elapsed: duration(fields, "elapsed"),
     })
 }
--- a/simulator-adapter/src/session.rs
+++ b/simulator-adapter/src/session.rs
@@ -4,7 +4,7 @@
 use crate::error::{FieldError, MessageError, RunError};
 use miniserde::json::{Object, Value};
 use std::collections::BTreeMap;
-use wrenseam_policy::json::{parse, part};
+use wrenseam_policy::json::{nested_object, parse};
 use wrenseam_policy::{Action, Controller, Micros, Settings, ZoneNames};
 
 /// The batch that is being read.
@@ -85,7 +85,7 @@
     }
 
     fn spawn(&mut self, front_end: u64, fields: &Object) -> Result<(), FieldError> {
-        let conf = part(fields, "conf").ok_or(FieldError::NotObject("conf"))?;
+        let conf = nested_object(fields, "conf").ok_or(FieldError::NotObject("conf"))?;
         let settings = Settings::from_json(conf);
         let seed = decode::whole(fields, "salt")?;
         let hosted = FrontEnd {
--- a/wrenseam/src/config/json_file.rs
+++ b/wrenseam/src/config/json_file.rs
@@ -3,7 +3,7 @@
 use miniserde::json::{Object, Value};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
-use wrenseam_policy::json::{as_text, list, number, parse, part, text};
+use wrenseam_policy::json::{as_text, list, nested_object, number, parse, text};
 
 /// The file's path, for errors, and its fields.
 pub(super) struct JsonFile {
@@ -40,7 +40,7 @@
     }
 
     pub(super) fn object(&self, key: &str) -> Option<&Object> {
-        part(&self.fields, key)
+        nested_object(&self.fields, key)
     }
 
     pub(super) fn text(&self, key: &str) -> Option<&str> {
--- a/wrenseam/src/discovery/etcd.rs
+++ b/wrenseam/src/discovery/etcd.rs
@@ -6,7 +6,7 @@
 use miniserde::json::{Object, Value};
 use std::collections::{BTreeMap, HashSet};
 use thiserror::Error;
-use wrenseam_policy::json::{list, object, parse, part, text};
+use wrenseam_policy::json::{list, nested_object, object, parse, text};
 use wrenseam_policy::{Micros, WorkerState};
 
 /// What a body changes, or requires.
@@ -128,7 +128,7 @@
     pub fn apply_watch(&mut self, body: &str, now: Micros) -> Result<EtcdUpdate, EtcdError> {
         let body = parse_body(body)?;
         let empty = Object::new();
-        let result = part(&body, "result").unwrap_or(&empty);
+        let result = nested_object(&body, "result").unwrap_or(&empty);
         if int(result, "compact_revision") > 0 {
             return Ok(EtcdUpdate::ResyncRequired(ResyncReason::Compacted));
         }
@@ -149,7 +149,7 @@
         let mut endpoints = Vec::new();
         let mut newest = self.revision;
         for event in list(result, "events").iter().filter_map(object) {
-            let Some(key_value) = part(event, "kv") else {
+            let Some(key_value) = nested_object(event, "kv") else {
                 continue;
             };
             let revision = int(key_value, "mod_revision");
@@ -170,8 +170,9 @@
 
     /// The revision that a body's header states, if the body continues what is known.
     fn check_header(&mut self, body: &Object) -> Result<i64, ResyncReason> {
-        let header = part(body, "header")
-            .or_else(|| part(body, "result").and_then(|result| part(result, "header")));
+        let header = nested_object(body, "header").or_else(|| {
+            nested_object(body, "result").and_then(|result| nested_object(result, "header"))
+        });
         let Some(header) = header else {
             return Ok(self.revision);
         };
@@ -191,7 +192,7 @@
 
     /// A range after a restore: what the registry states now counts, whatever was known before.
     fn adopt_header(&mut self, body: &Object) -> i64 {
-        let header = part(body, "header");
+        let header = nested_object(body, "header");
         self.cluster = header
             .and_then(|header| text(header, "cluster_id"))
             .map(str::to_owned);
--- a/wrenseam/src/discovery/event.rs
+++ b/wrenseam/src/discovery/event.rs
@@ -3,7 +3,7 @@
 use miniserde::json::{Object, Value};
 use std::net::{AddrParseError, SocketAddr};
 use thiserror::Error;
-use wrenseam_policy::json::{flag, object, part, span, text, whole};
+use wrenseam_policy::json::{duration, flag, nested_object, object, text, unsigned};
 use wrenseam_policy::WorkerState;
 
 /// What can be read of an event.
@@ -72,7 +72,7 @@
 ///
 /// [`EventError::NoPool`] if there is nothing in it that could be read.
 pub fn parse_event(event: &Object) -> Result<EndpointEvent, EventError> {
-    let pool = part(event, "pool").ok_or(EventError::NoPool)?;
+    let pool = nested_object(event, "pool").ok_or(EventError::NoPool)?;
     let mut read = EndpointEvent {
         complete: flag(pool, "reset"),
         ..EndpointEvent::default()
@@ -107,10 +107,10 @@
     Ok(Endpoint {
         address,
         state,
-        started_at: span(fields, "startedAtMs"),
+        started_at: duration(fields, "startedAtMs"),
         zone: text(fields, "zone").unwrap_or_default().to_owned(),
         kind: text(fields, "machineType").unwrap_or_default().to_owned(),
-        cell: whole(fields, "cell"),
+        cell: unsigned(fields, "cell"),
         protocol: TransportProtocol::Frames,
         id,
     })
--- a/wrenseam/src/discovery/watch.rs
+++ b/wrenseam/src/discovery/watch.rs
@@ -9,7 +9,7 @@
 use miniserde::json::{Object, Value};
 use std::collections::{BTreeMap, HashSet};
 use thiserror::Error;
-use wrenseam_policy::json::{list, object, parse, whole};
+use wrenseam_policy::json::{list, object, parse, unsigned};
 
 /// How often an incomplete event is requested again, besides the first time, before its faults are ignored.
 const MAX_REPEATED_REQUESTS: u32 = 3;
@@ -133,7 +133,7 @@
             };
         };
         ParsedEvent {
-            number: id_number.or_else(|| whole(&fields, "rev")),
+            number: id_number.or_else(|| unsigned(&fields, "rev")),
             event: parse_event(&fields),
         }
     }
@@ -147,13 +147,13 @@
         for event in list(known, "notices").iter().filter_map(object) {
             updates.extend(state.apply_known_event(event));
         }
-        state.last_event = whole(known, "rev").unwrap_or(state.last_event);
+        state.last_event = unsigned(known, "rev").unwrap_or(state.last_event);
         state.forget_latest_if_complete();
         InitialWatch { state, updates }
     }
 
     fn apply_known_event(&mut self, fields: &Object) -> Option<EndpointListUpdate> {
-        let number = whole(fields, "rev").unwrap_or(self.last_event);
+        let number = unsigned(fields, "rev").unwrap_or(self.last_event);
         self.last_event = self.last_event.max(number);
         match parse_event(fields) {
             Ok(event) => {
--- a/wrenseam/src/discovery/xds.rs
+++ b/wrenseam/src/discovery/xds.rs
@@ -5,7 +5,7 @@
 use miniserde::json::{Object, Value};
 use std::net::{AddrParseError, SocketAddr};
 use thiserror::Error;
-use wrenseam_policy::json::{list, object, part, span, text, whole};
+use wrenseam_policy::json::{duration, list, nested_object, object, text, unsigned};
 use wrenseam_policy::WorkerState;
 
 /// Key of this project's own fields in an endpoint's filter metadata.
@@ -52,7 +52,7 @@
 
 fn read_assignment(assignment: &Object, endpoints: &mut Vec<Endpoint>) -> Result<(), XdsError> {
     for locality in objects(assignment, "endpoints") {
-        let zone = part(locality, "locality")
+        let zone = nested_object(locality, "locality")
             .and_then(|fields| text(fields, "zone"))
             .unwrap_or_default();
         for endpoint in objects(locality, "lb_endpoints") {
@@ -63,26 +63,26 @@
 }
 
 fn parse_endpoint(fields: &Object, zone: &str) -> Result<Endpoint, XdsError> {
-    let socket = part(fields, "endpoint")
-        .and_then(|endpoint| part(endpoint, "address"))
-        .and_then(|address| part(address, "socket_address"))
+    let socket = nested_object(fields, "endpoint")
+        .and_then(|endpoint| nested_object(endpoint, "address"))
+        .and_then(|address| nested_object(address, "socket_address"))
         .ok_or(XdsError::NoSocketAddress)?;
     let host = text(socket, "address").ok_or(XdsError::NoHost)?;
-    let port = whole(socket, "port_value").ok_or(XdsError::NoPort)?;
+    let port = unsigned(socket, "port_value").ok_or(XdsError::NoPort)?;
     let host_port = format!("{host}:{port}");
     let empty = Object::new();
-    let metadata = part(fields, "metadata")
-        .and_then(|metadata| part(metadata, "filter_metadata"))
-        .and_then(|filters| part(filters, METADATA_KEY))
+    let metadata = nested_object(fields, "metadata")
+        .and_then(|metadata| nested_object(metadata, "filter_metadata"))
+        .and_then(|filters| nested_object(filters, METADATA_KEY))
         .unwrap_or(&empty);
     Ok(Endpoint {
         id: text(metadata, "id").unwrap_or(&host_port).to_owned(),
         address: parse_address(&host_port)?,
         state: parse_health(text(fields, "health_status")),
-        started_at: span(metadata, "started_at_ms"),
+        started_at: duration(metadata, "started_at_ms"),
         zone: zone.to_owned(),
         kind: text(metadata, "kind").unwrap_or_default().to_owned(),
-        cell: whole(metadata, "cell"),
+        cell: unsigned(metadata, "cell"),
         protocol: TransportProtocol::Kserve,
     })
 }
--- a/wrenseam/src/front/kserve/request.rs
+++ b/wrenseam/src/front/kserve/request.rs
@@ -6,7 +6,7 @@
 use std::hash::{BuildHasher, RandomState};
 use std::sync::Arc;
 use std::time::Instant;
-use wrenseam_policy::json::{flag, number, object, parse, part, text};
+use wrenseam_policy::json::{flag, nested_object, number, object, parse, text};
 
 /// The id that workers see: 16 hex digits as they are, any other text or none as a number drawn from it.
 fn wire_id(id: Option<&str>) -> u64 {
@@ -28,7 +28,7 @@
         .and_then(object)
         .ok_or(ParameterError::NotAnObject)?;
     let no_parameters = Object::new();
-    let parameters = part(fields, "parameters").unwrap_or(&no_parameters);
+    let parameters = nested_object(fields, "parameters").unwrap_or(&no_parameters);
     let key = text(parameters, "token");
     if key.is_some_and(|key| !is_valid_idempotency_key(key)) {
         return Err(ParameterError::InvalidIdempotencyKey);
--- a/wrenseam/src/worker/kserve/messages.rs
+++ b/wrenseam/src/worker/kserve/messages.rs
@@ -4,7 +4,7 @@
 use crate::model::{AttemptReport, Payload, Request};
 use base64::{engine::general_purpose::STANDARD, Engine};
 use miniserde::json::{self, Array, Number, Object, Value};
-use wrenseam_policy::json::{as_text, list, object, parse, part, text, whole};
+use wrenseam_policy::json::{as_text, list, nested_object, object, parse, text, unsigned};
 use wrenseam_policy::{FunctionId, Micros, Outcome};
 
 /// Numbers that an answer states count no higher than this.
@@ -82,7 +82,7 @@
     let output = list(answer, "outputs").first().and_then(object)?;
     let data = list(output, "data").first().and_then(as_text)?;
     let content_type =
-        part(output, "parameters").and_then(|parameters| text(parameters, "content_type"));
+        nested_object(output, "parameters").and_then(|parameters| text(parameters, "content_type"));
     if content_type == Some("base64") {
         STANDARD.decode(data).ok()
     } else {
@@ -159,7 +159,7 @@
 
 /// A number that an answer states.
 fn stated_number(answer: &Object, name: &str) -> Option<u32> {
-    let number = whole(answer, name)?;
+    let number = unsigned(answer, name)?;
     Some(number.min(MAX_STATED_NUMBER) as u32)
 }
 
@@ -167,7 +167,7 @@
 pub(super) fn attempt_report(reply: Reply, is_wrapped: bool) -> AttemptReport {
     let body = parse_body(&reply.body);
     let answer = body.as_ref().and_then(object);
-    let parameters = answer.and_then(|answer| part(answer, "parameters"));
+    let parameters = answer.and_then(|answer| nested_object(answer, "parameters"));
     let detail = parameters.and_then(|parameters| text(parameters, "detail"));
     let queue_depth = parameters.and_then(|parameters| stated_number(parameters, "company"));
     let mut outcome = outcome(&reply);
@@ -212,7 +212,7 @@
 fn hold_report(outcome: Outcome, body: Option<&Value>, ordered: u32) -> LoadReport {
     let stated = body
         .and_then(object)
-        .and_then(|answer| part(answer, "parameters"))
+        .and_then(|answer| nested_object(answer, "parameters"))
         .and_then(|parameters| stated_number(parameters, "slots_up"));
     let unstated = match outcome {
         Outcome::Ok => ordered,
@@ -247,7 +247,7 @@
         .filter_map(object)
         .filter(is_ready)
         .map(|model| {
-            part(model, "parameters")
+            nested_object(model, "parameters")
                 .and_then(|parameters| stated_number(parameters, "slots_up"))
                 .unwrap_or(1)
         })
--- a/wrenseam/tests/common/clients/v2.rs
+++ b/wrenseam/tests/common/clients/v2.rs
@@ -3,7 +3,7 @@
 use super::ClientRequest;
 use base64::{engine::general_purpose::STANDARD, Engine};
 use miniserde::json::Object;
-use wrenseam_policy::json::{as_text, list, object, parse, part, text};
+use wrenseam_policy::json::{as_text, list, nested_object, object, parse, text};
 
 /// A call as a whole HTTP request.
 pub(crate) fn call(id: u64, request: &ClientRequest) -> Vec<u8> {
@@ -45,7 +45,7 @@
 fn tensor_text(tensor: &Object) -> String {
     let data = list(tensor, "data").first().and_then(as_text);
     let data = data.expect("a tensor's data");
-    let content_type = part(tensor, "parameters").and_then(|p| text(p, "content_type"));
+    let content_type = nested_object(tensor, "parameters").and_then(|p| text(p, "content_type"));
     if content_type == Some("base64") {
         let decoded = STANDARD.decode(data).expect("base64");
         String::from_utf8(decoded).expect("text")
--- a/wrenseam/tests/common/workers/v2.rs
+++ b/wrenseam/tests/common/workers/v2.rs
@@ -7,7 +7,7 @@
 use std::io::{self, Write};
 use std::net::TcpStream;
 use std::sync::Arc;
-use wrenseam_policy::json::{object, parse, part, text};
+use wrenseam_policy::json::{nested_object, object, parse, text};
 
 /// Serves a connection until one side ends it.
 pub(crate) fn serve(mut stream: TcpStream, zone: usize, context: &WorkerContext) -> io::Result<()> {
@@ -44,7 +44,7 @@
 fn call_content(request: &HttpMessage) -> CallContent {
     let json = parse(&String::from_utf8_lossy(&request.body)).expect("JSON");
     let body = object(&json).expect("an object");
-    let parameters = part(body, "parameters").expect("parameters");
+    let parameters = nested_object(body, "parameters").expect("parameters");
     let class = text(parameters, "class").expect("a class");
     CallContent {
         class: class.to_owned(),
--- a/wrenseam/tests/schedules.rs
+++ b/wrenseam/tests/schedules.rs
@@ -162,7 +162,7 @@
         cancellation: true,
         hedging: mix.hedging,
         max_retry_after: 1_000_000,
-        slow_start_from: 0.2,
+        slow_start_initial_share: 0.2,
         ..Settings::default()
     }
 }
