--- a/policy/src/controller.rs
+++ b/policy/src/controller.rs
@@ -1,4 +1,4 @@
-//! The policy's entry: one event in, actions out.
+//! The entry point of the policy: takes one event and returns actions.
 use crate::action::Action;
 use crate::estimator::SURVEY_INTERVAL;
 use crate::event::Event;
@@ -9,12 +9,12 @@
 use crate::survey::Survey;
 use crate::types::{FunctionId, Micros};
 
-/// No event for longer, timers included: this front end stood still.
-const STOOD_STILL: Micros = 2 * SURVEY_INTERVAL;
-/// The latest time that the clock may show.
-const LATEST_TIME: Micros = u64::MAX / 4;
-/// The token of the housekeeping's timer. Requests' timers have odd tokens.
-const HOUSEKEEPING: u64 = 0;
+/// Without any event, timers included, for longer than this, the front end's process was stalled.
+const STALL_THRESHOLD: Micros = 2 * SURVEY_INTERVAL;
+/// Upper bound of the clock: durations can be added to it without overflow.
+const MAX_TIME: Micros = u64::MAX / 4;
+/// Token of the housekeeping timer. The timers of requests have odd tokens.
+const HOUSEKEEPING_TOKEN: u64 = 0;
 
 /// The policy of one front end: it decides which worker runs each request, where replicas are loaded and unloaded, and
 /// what is retried, rejected or failed.
@@ -24,23 +24,24 @@
     last_event: Micros,
 }
 
-/// How much the policy remembers: it is bounded by what is listed and in flight, and by the functions called of late.
+/// Sizes of the policy's tables. They are bounded by the listed workers, the requests in flight and the functions that
+/// were called recently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableSizes {
-    /// Workers that are listed, or were and whose position nobody else has taken.
+    /// Workers that are listed, and former ones whose position has not been reused.
     pub workers: usize,
     /// Positions in the table of workers.
     pub worker_positions: usize,
-    /// Functions called of late.
+    /// Functions that were called recently.
     pub functions: usize,
-    /// Positions in the table of functions, including those that were forgotten.
+    /// Positions in the table of functions, including those of removed functions.
     pub function_positions: usize,
     /// Requests in flight.
     pub requests: usize,
 }
 
 impl Controller {
-    /// A front end that knows nothing yet; `seed` starts its random numbers.
+    /// A controller that knows no workers or functions yet; `seed` initializes its random numbers.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Controller {
             state: State::new(settings, seed),
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Whether requests are kept away from this worker now as it cannot be reached. Workers that are not known are
-    /// not ejected.
+    /// Whether this worker gets no requests at present because it cannot be reached; false for a worker that is not
+    /// known.
     pub fn is_unreachable(&self, worker: &str) -> bool {
         let workers = &self.state.workers;
         workers
@@ -58,12 +59,12 @@
             .is_some_and(|index| workers[index].health.is_unreachable())
     }
 
-    /// Leaves sending to workers in slow start to another process of this front end, or resumes it.
+    /// On standby, this process leaves sending to workers in slow start to another process of the same front end.
     pub fn set_standby(&mut self, standby: bool) {
         self.state.set_standby(standby);
     }
 
-    /// How much is remembered now.
+    /// The current sizes of the tables.
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes {
             workers: self.state.workers.len(),
@@ -74,13 +75,13 @@
         }
     }
 
-    /// Takes one event at clock time `now` and appends what is to be done to `actions`.
+    /// Handles one event at clock time `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         if self.state.ticks == 0 {
             self.start(actions);
         }
-        let now = now.min(LATEST_TIME);
-        if now > self.last_event + STOOD_STILL {
+        let now = now.min(MAX_TIME);
+        if now > self.last_event + STALL_THRESHOLD {
             self.state.resumed_at = now;
         }
         self.last_event = now;
@@ -101,7 +102,7 @@
             Event::AttemptEnded(result) => state.attempt_ended(now, &result, actions),
             Event::RequestCancelled { id } => state.request_cancelled(id, actions),
             Event::Timer {
-                token: HOUSEKEEPING,
+                token: HOUSEKEEPING_TOKEN,
             } => self.tick(now, actions),
             Event::Timer { token } => {
                 state.deadline_passed(now, request_of_deadline_token(token), actions);
@@ -123,7 +124,7 @@
         }
     }
 
-    /// An order ended; what is not known any more is passed over.
+    /// Handles the end of an order; it is ignored if its worker or function is no longer known.
     fn load_order_ended(
         &mut self,
         now: Micros,
@@ -142,19 +143,20 @@
         }
     }
 
-    /// The first event: starts the housekeeping and, where that is needed, the endpoint list.
+    /// Runs at the first event: starts the housekeeping timer and, if the settings require it, subscribes to the
+    /// endpoint list.
     fn start(&mut self, actions: &mut Vec<Action>) {
         self.state.ticks = 1;
         actions.push(Action::Timer {
             delay: TICK,
-            token: HOUSEKEEPING,
+            token: HOUSEKEEPING_TOKEN,
         });
         if self.state.settings.watch_endpoints {
             actions.push(Action::WatchEndpoints);
         }
     }
 
-    /// Housekeeping: the survey, hedged requests and waiting requests.
+    /// Housekeeping: runs the survey, hedges overdue requests and places waiting requests again.
     fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let state = &mut self.state;
         state.ticks = state.ticks.saturating_add(1);
@@ -164,7 +166,7 @@
         let is_idle = state.requests.is_empty();
         actions.push(Action::Timer {
             delay: if is_idle { SURVEY_INTERVAL } else { TICK },
-            token: HOUSEKEEPING,
+            token: HOUSEKEEPING_TOKEN,
         });
     }
 }
--- a/policy/src/json.rs
+++ b/policy/src/json.rs
@@ -1,10 +1,10 @@
-//! Reading of loosely typed JSON, as the simulator's wire, the platform's files and KServe v2 hold it.
-//! What is absent or of another type reads as "not stated": a newer sender may say more, or less.
+//! Lenient access to JSON fields of the simulator's protocol, the platform's files and KServe v2.
+//! A field that is missing or of another type reads as "not stated", since newer senders may add or omit fields.
 use crate::types::Micros;
 use miniserde::json::{self, Number, Object, Value};
 use std::fmt;
 
-/// A text is not JSON.
+/// The text is not valid JSON.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotJson;
 
@@ -16,16 +16,16 @@
 
 impl std::error::Error for NotJson {}
 
-/// A text as one JSON value.
+/// Parses a text as one JSON value.
 ///
 /// # Errors
 ///
-/// [`NotJson`] if it is not one.
+/// [`NotJson`] if the text is not valid JSON.
 pub fn parse(text: &str) -> Result<Value, NotJson> {
     json::from_str(text).map_err(|_| NotJson)
 }
 
-/// The fields of a value that is an object.
+/// The fields of the value, if it is an object.
 pub fn object(value: &Value) -> Option<&Object> {
     match value {
         Value::Object(fields) => Some(fields),
@@ -38,7 +38,7 @@
     fields.get(key).and_then(object)
 }
 
-/// The array under a key; empty where there is none.
+/// The array under a key; empty if there is none.
 pub fn list<'a>(fields: &'a Object, key: &str) -> &'a [Value] {
     match fields.get(key) {
         Some(Value::Array(items)) => items,
@@ -46,7 +46,7 @@
     }
 }
 
-/// The text of a value that is one.
+/// The value as a string, if it is one.
 pub fn as_text(value: &Value) -> Option<&str> {
     match value {
         Value::String(text) => Some(text),
@@ -54,7 +54,7 @@
     }
 }
 
-/// The text under a key.
+/// The string under a key.
 pub fn text<'a>(fields: &'a Object, key: &str) -> Option<&'a str> {
     fields.get(key).and_then(as_text)
 }
@@ -82,22 +82,22 @@
     }
 }
 
-/// The boolean under a key; absent is false.
+/// The boolean under a key; false if there is none.
 pub fn flag(fields: &Object, key: &str) -> bool {
     matches!(fields.get(key), Some(Value::Bool(true)))
 }
 
-/// Milliseconds under a key, in microseconds; what is negative or not a number counts as 0 (`as` saturates).
+/// A duration that is given in milliseconds under a key; 0 if it is negative or not a number (`as` saturates).
 pub fn duration(fields: &Object, key: &str) -> Micros {
     (number(fields, key).unwrap_or(0.0) * 1000.0).round() as Micros
 }
 
-/// A small count under a key.
+/// A count under a key, clamped to 0 to 65,536; 0 if there is no number.
 pub fn count(fields: &Object, key: &str) -> u32 {
     number(fields, key).unwrap_or(0.0).clamp(0.0, 65_536.0) as u32
 }
 
-/// Position of a name in a list; the list's length where it is not found.
+/// Position of a name in a list; the list's length if it is not found.
 pub fn position(names: &[String], name: Option<&str>) -> usize {
     let name = name.unwrap_or_default();
     names.iter().position(|n| n == name).unwrap_or(names.len())
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -62,17 +62,18 @@
 //!
 //! # Layers
 //!
-//! Imports run from the bottom of this list to its top only.
+//! Modules import only from layers above their own in this list.
 //!
-//! - The interface: `types`, `endpoint`, `settings`, `event`, `action`; `settings_json` and [`json`] read it.
-//! - Concepts with a state of their own behind private fields: `replica`, `function`, `periodic_calls`, `request`,
-//!   `retry`, `worker`, `worker_health`, `placement`, `rejections`, `slow_start`, `zone_health`, `estimator`, `answer_times`,
-//!   `load_budget`, `load_limiter`, `token_bucket`; the plain functions `rendezvous` and [`virtual_loss`].
-//! - `state`: all of them for one front end, and what concerns two of them.
-//! - Decisions, each a file: `eligibility`, `dispatch`, `outlier_detection`, `load_orders`, `replication`, `polling`,
-//!   `routing`, `hedging`, `keep_alive`, `admission`, `endpoint_list`, `survey`, `request_lifecycle`.
-//! - `controller`: one event in, actions out.
-//! - [`readiness_lease`]: beside the controller, until when the list's word on a worker may be acted on.
+//! - The interface: `types`, `endpoint`, `settings`, `event`, `action`; `settings_json` and [`json`] parse it.
+//! - Components that keep their own state in private fields: `replica`, `function`, `periodic_calls`, `request`,
+//!   `retry`, `worker`, `worker_health`, `placement`, `rejections`, `slow_start`, `zone_health`, `estimator`,
+//!   `answer_times`, `load_budget`, `load_limiter`, `token_bucket`; the stateless functions of `rendezvous` and
+//!   [`virtual_loss`].
+//! - `state`: owns all components of one front end; operations that involve several of them.
+//! - Decisions, one module each: `eligibility`, `dispatch`, `outlier_detection`, `load_orders`, `replication`,
+//!   `polling`, `routing`, `hedging`, `keep_alive`, `admission`, `endpoint_list`, `survey`, `request_lifecycle`.
+//! - `controller`: takes one event and returns actions.
+//! - [`readiness_lease`]: independent of the controller; how long a worker listed as ready may get new work.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/policy/src/placement.rs
+++ b/policy/src/placement.rs
@@ -1,9 +1,9 @@
-//! Where a worker is listed, as far as idempotency keys go by it.
+//! The zone and cell of a worker, which decide where its idempotency keys are recognized.
 use crate::endpoint::Endpoint;
 use crate::settings::KeyScope;
 
-/// Where a worker was listed when an attempt was sent to it: its key is known there, wherever the list has the worker
-/// later.
+/// Where a worker is listed. Each attempt records the placement that its worker had when it was sent: the attempt's key
+/// stays known there even if the worker is later listed elsewhere.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Placement {
     zone: Option<usize>,
@@ -18,7 +18,8 @@
         }
     }
 
-    /// Whether two workers share their memory of keys. Workers whose zone or cell is not known share none.
+    /// Whether two workers share their memory of idempotency keys. Where the scope is a zone or a cell, a worker whose
+    /// zone or cell is not known shares keys with none.
     pub(crate) fn shares_keys(self, other: Placement, scope: KeyScope) -> bool {
         match scope {
             KeyScope::All => true,
--- a/policy/src/rejections.rs
+++ b/policy/src/rejections.rs
@@ -1,31 +1,33 @@
-//! Workers that reject requests: which requests stay away from a worker, and for how long.
+//! Rejections by workers: which requests are not sent to a worker that rejected one, and for how long.
 use crate::types::{Micros, SECOND};
 use std::collections::BTreeMap;
 
-/// Which requests a worker rejects.
+/// The requests that a worker rejects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum RejectedScope {
-    /// All of them: it is full, or draining before the endpoint list says so.
+    /// All requests: the worker is full, or draining before the endpoint list says so.
     All,
-    /// Those of one tenant and class.
+    /// The requests of one tenant and class.
     TenantAndClass { tenant: Option<usize>, class: usize },
 }
 
 impl RejectedScope {
-    /// First pause and longest pause; each rejection in a row doubles it. What picks by tenant or class is left so long
-    /// that requests come round within it.
+    /// The first and the longest pause; consecutive rejections double it. A worker that rejects by tenant and class is
+    /// avoided for longer: this front end sends it such requests less often, and a short pause would end in between.
     fn pauses(self) -> (Micros, Micros) {
         match self {
-            RejectedScope::All => (FULL_PAUSE, PICKY_PAUSE),
-            RejectedScope::TenantAndClass { .. } => (PICKY_PAUSE, LONGEST_PICKY_PAUSE),
+            RejectedScope::All => (FULL_PAUSE, SELECTIVE_PAUSE),
+            RejectedScope::TenantAndClass { .. } => (SELECTIVE_PAUSE, MAX_SELECTIVE_PAUSE),
         }
     }
 }
 
-/// A worker that is full is left for this long.
+/// First pause of a worker that is full.
 pub(crate) const FULL_PAUSE: Micros = SECOND / 5;
-const PICKY_PAUSE: Micros = 5 * SECOND;
-const LONGEST_PICKY_PAUSE: Micros = 20 * SECOND;
+/// First pause of a tenant and class, and longest pause of a worker that is full.
+const SELECTIVE_PAUSE: Micros = 5 * SECOND;
+/// Longest pause of a tenant and class.
+const MAX_SELECTIVE_PAUSE: Micros = 20 * SECOND;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Pause {
@@ -40,7 +42,7 @@
 }
 
 impl Rejections {
-    /// The worker rejected a request.
+    /// Records that the worker rejected a request of this scope.
     pub(crate) fn rejected(&mut self, scope: RejectedScope, now: Micros) {
         let (shortest, longest) = scope.pauses();
         let pause = self.pauses.entry(scope).or_default();
@@ -48,14 +50,14 @@
         pause.until = now + pause.length;
     }
 
-    /// The worker served a request of this tenant and class.
+    /// Records that the worker served a request of this tenant and class, which ends the pauses that apply to it.
     pub(crate) fn served(&mut self, tenant: Option<usize>, class: usize) {
         self.pauses.remove(&RejectedScope::All);
         self.pauses
             .remove(&RejectedScope::TenantAndClass { tenant, class });
     }
 
-    /// Whether requests of this tenant and class stay away now.
+    /// Whether requests of this tenant and class must not be sent to the worker now.
     pub(crate) fn apply_to(&self, tenant: Option<usize>, class: usize, now: Micros) -> bool {
         [
             RejectedScope::All,
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -1,15 +1,16 @@
-//! Whether a request may be sent once more: what its earlier attempts may have done, which workers recognize its
-//! idempotency key, and for how long they do. No I/O; time is an argument.
+//! Whether a request may be sent again: depends on whether earlier attempts may have been executed, which workers
+//! recognize its idempotency key, and for how long they do. No I/O; time is an argument.
 use crate::placement::Placement;
 use crate::request::{Attempt, Request};
 use crate::settings::{ClassSettings, Idempotency};
 use crate::types::{Micros, MILLISECOND};
 
-/// A retry is begun so long before workers forget its key: the policy's clock may be a tick behind.
+/// A retry must start at least this long before workers forget its idempotency key: the policy's clock may be a tick
+/// behind.
 const KEY_MARGIN: Micros = 20 * MILLISECOND;
 
-/// For how long from `now` a further attempt may be begun; `None` if no time bounds it: nothing may have been executed,
-/// or the class is idempotent.
+/// How long from `now` a further attempt may be started: 0 if none may be. `None` means without limit: no attempt can
+/// have been executed, or the class is idempotent.
 pub(crate) fn retry_window(
     request: &Request,
     class: &ClassSettings,
@@ -26,7 +27,7 @@
     }
 }
 
-/// Whether a further attempt may go to a worker that is listed there.
+/// Whether a further attempt may go to a worker with this placement.
 pub(crate) fn may_retry_at(
     request: &Request,
     class: &ClassSettings,
@@ -41,7 +42,7 @@
     }
 }
 
-/// The first sent comes first.
+/// In the order in which they were sent.
 fn attempts_that_may_have_executed(request: &Request) -> impl Iterator<Item = &Attempt> {
     request
         .attempts
--- a/policy/src/settings_json.rs
+++ b/policy/src/settings_json.rs
@@ -1,6 +1,6 @@
-//! The one reader of the settings' JSON, used by the simulator adapter and by the front end.
+//! Parses the settings' JSON, for the simulator adapter and for the front end.
 //!
-//! The keys are the platform's; each is mapped to its field here, once.
+//! The platform defines the keys; this module is the only place that maps them to fields.
 use crate::json::{
     as_number, as_text, count, duration, flag, list, nested_object, number, object, text,
 };
@@ -9,16 +9,16 @@
 use miniserde::json::{Object, Value};
 use std::fmt;
 
-/// The longest wait that a class may state: absurd figures must not overflow the clock.
-const LONGEST_WAIT: Micros = 3_600 * SECOND;
-/// Front ends are numbered below this.
+/// Upper bound of `longest_wait`, so that an extreme value cannot overflow the clock.
+const MAX_LONGEST_WAIT: Micros = 3_600 * SECOND;
+/// Valid indexes of a front end; any other value counts as not stated.
 const FRONT_END_INDEXES: std::ops::Range<f64> = 0.0..4e9;
-/// The effects that a class may name; others count as never to be executed twice.
+/// The known values of a class's `effect`; a class with any other value is not idempotent.
 const EFFECTS: [&str; 3] = ["retryable", "dedup", "fragile"];
 
 impl Settings {
-    /// Reads the settings' object: the simulator's `conf`, the platform's `settings`. Unknown keys are skipped; what is
-    /// absent counts as not stated.
+    /// Parses the settings' object: the simulator's `conf` or the platform's `settings`. Unknown keys are ignored; a
+    /// missing value counts as not stated.
     pub fn from_json(conf: &Object) -> Settings {
         let empty = Object::new();
         let section = |key: &str| nested_object(conf, key).unwrap_or(&empty);
@@ -34,7 +34,7 @@
             front_ends: count(conf, "balancers"),
             front_end_index: front_end_index(conf),
             classes: objects("classes").map(class).collect(),
-            longest_wait: longest_wait.min(LONGEST_WAIT),
+            longest_wait: longest_wait.min(MAX_LONGEST_WAIT),
             tenants: objects("tenants").map(tenant).collect(),
             zones: names(list(conf, "failure-domains")),
             kinds: names(list(conf, "flavors")),
@@ -64,8 +64,8 @@
         }
     }
 
-    /// What in the settings cannot be used as it stands: such a value counts as not stated, and an effect that is not
-    /// known as one that must never be executed twice.
+    /// The values in the settings that cannot be used as written. [`Settings::from_json`] takes such a value as not
+    /// stated, and a class with an unknown effect as not idempotent.
     pub fn faults(conf: &Object) -> Vec<SettingsFault> {
         let mut faults = Vec::new();
         check_fields("", conf, &TOP_LEVEL, &mut faults);
@@ -139,7 +139,7 @@
     }
 }
 
-/// Names, given as texts or as objects with a `name`.
+/// Names, given as strings or as objects with a `name`.
 fn names(values: &[Value]) -> Vec<String> {
     let name = |value| match object(value) {
         Some(fields) => text(fields, "name"),
@@ -156,17 +156,17 @@
         .collect()
 }
 
-/// A setting that cannot be used as it stands.
+/// A setting that cannot be used as written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsFault {
-    /// A value is not what its key asks for.
+    /// A value does not have the type or range that its key requires.
     Value {
         /// The path of the key.
         key: String,
         /// What is wrong with the value.
         problem: ValueProblem,
     },
-    /// A class names an effect that is not known.
+    /// A class has an unknown `effect`.
     UnknownEffect(String),
 }
 
@@ -177,7 +177,7 @@
             SettingsFault::UnknownEffect(effect) => {
                 write!(
                     formatter,
-                    "effect '{effect}' is not known: never to run twice"
+                    "effect '{effect}' is unknown: the class is treated as not idempotent"
                 )
             }
         }
@@ -191,7 +191,7 @@
     OutOfRange,
     /// It is not a number.
     NotNumber,
-    /// It is not a text.
+    /// It is not a string.
     NotText,
     /// It is neither true nor false.
     NotBoolean,
@@ -204,20 +204,20 @@
 impl fmt::Display for ValueProblem {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            ValueProblem::OutOfRange => "is below 0 or no figure",
-            ValueProblem::NotNumber => "is no number",
-            ValueProblem::NotText => "is no text",
+            ValueProblem::OutOfRange => "is negative or not finite",
+            ValueProblem::NotNumber => "is not a number",
+            ValueProblem::NotText => "is not a string",
             ValueProblem::NotBoolean => "is neither true nor false",
-            ValueProblem::NotList => "is no list",
-            ValueProblem::NotObject => "is no object",
+            ValueProblem::NotList => "is not a list",
+            ValueProblem::NotObject => "is not an object",
         })
     }
 }
 
-/// What a setting has to be.
+/// The type that a setting must have.
 #[derive(Clone, Copy)]
 enum Expected {
-    /// A number, 0 or more.
+    /// A finite number, 0 or more.
     Number,
     Text,
     Boolean,
@@ -245,7 +245,7 @@
     }
 }
 
-/// A key and what its value has to be.
+/// A key and the type that its value must have.
 type KnownKey = (&'static str, Expected);
 
 fn check_fields(
--- a/policy/src/types.rs
+++ b/policy/src/types.rs
@@ -1,15 +1,15 @@
 //! The basic types that settings, events and actions share.
 //!
-//! Times are microseconds on one clock of the front end's choosing that only advances. Classes, tenants, zones and
-//! machine kinds are positions in the lists of the settings, so no name reaches the decisions.
+//! Times are microseconds on one monotonic clock that the front end chooses. Classes, tenants, zones and machine kinds
+//! are identified by their positions in the settings' lists; decisions do not use their names.
 
-/// A point on the front end's clock, or a span of it, in microseconds.
+/// A time on the front end's clock, or a duration, in microseconds.
 pub type Micros = u64;
-/// Identifier of a request, unique for the life of a front end.
+/// Identifier of a request, unique within one front end process.
 pub type RequestId = u64;
 /// Identifier of a function.
 pub type FunctionId = u64;
-/// Name of a worker, as the endpoint list gives it.
+/// Name of a worker in the endpoint list.
 pub type WorkerId = String;
 
 pub(crate) const MILLISECOND: Micros = 1_000;
--- a/wrenseam/tests/cli.rs
+++ b/wrenseam/tests/cli.rs
@@ -22,12 +22,16 @@
 #[case::a_text_for_a_figure(
     settings(r#""limits":{"max-attempts":"six"}"#),
     true,
-    "'limits.max-attempts' is no number"
+    "'limits.max-attempts' is not a number"
 )]
-#[case::below_nothing(settings(r#""rules":{"fall":-1}"#), true, "'rules.fall' is below 0")]
-#[case::no_object(settings(r#""family-info":7"#), true, "'family-info' is no object")]
-#[case::no_list(settings(r#""tenants":{}"#), true, "'tenants' is no list")]
-#[case::a_class_that_is_none(settings(r#""tenants":[7]"#), true, "'tenants' is no object")]
+#[case::below_nothing(
+    settings(r#""rules":{"fall":-1}"#),
+    true,
+    "'rules.fall' is negative or not finite"
+)]
+#[case::no_object(settings(r#""family-info":7"#), true, "'family-info' is not an object")]
+#[case::no_list(settings(r#""tenants":{}"#), true, "'tenants' is not a list")]
+#[case::a_class_that_is_none(settings(r#""tenants":[7]"#), true, "'tenants' is not an object")]
 #[case::a_mark_in_words(
     settings(r#""limits":{"may-cancel":"yes"}"#),
     true,
@@ -36,7 +40,7 @@
 #[case::an_unknown_effect(
     r#"{"listen":"127.0.0.1:0","settings":{"classes":[{"name":"c","effect":"idempotent"}]}}"#.to_owned(),
     true,
-    "effect 'idempotent' is not known: never to run twice"
+    "effect 'idempotent' is unknown: the class is treated as not idempotent"
 )]
 fn check_says_what_is_wrong(#[case] text: String, #[case] sound: bool, #[case] said: &str) {
     let name = format!("wrenseam-check-{}-{said}.json", std::process::id())
