--- a/policy/src/dispatch.rs
+++ b/policy/src/dispatch.rs
@@ -1,19 +1,19 @@
-//! Sending attempts, and the one final answer of each request.
+//! Sends attempts, and gives each request its one final answer.
 use crate::action::Action;
 use crate::index::{FunctionIndex, WorkerIndex};
 use crate::placement::Placement;
 use crate::request::{Attempt, AttemptState};
 use crate::retry::retry_window;
-use crate::state::{State, DEFAULT_SPAN};
+use crate::state::{State, DEFAULT_DURATION};
 use crate::types::{Micros, RequestId, MILLISECOND};
 use crate::worker::OpenAttempt;
 use crate::worker_health::TRIAL_INTERVAL;
 
-/// The shortest time that an attempt gets.
-const LEAST_TIMEOUT: Micros = MILLISECOND;
-/// The least time that an answer is expected to take, in microseconds.
+/// Shortest timeout of an attempt.
+const MIN_TIMEOUT: Micros = MILLISECOND;
+/// Lower bound of the time that an answer is expected to take, in microseconds.
 pub(crate) const MIN_EXPECTED_TIME: f64 = 10.0 * MILLISECOND as f64;
-/// Part of the longest Retry-After that clients are advised of.
+/// Clients are advised to wait for the longest Retry-After divided by this.
 const RETRY_AFTER_DIVISOR: Micros = 2;
 
 impl State {
@@ -28,7 +28,7 @@
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let timeout = request.deadline.saturating_sub(now).max(LEAST_TIMEOUT);
+        let timeout = request.deadline.saturating_sub(now).max(MIN_TIMEOUT);
         let class = request.class;
         let retry_window = retry_window(request, self.class(class), now);
         let function = request.function;
@@ -64,7 +64,7 @@
         let load_time = if is_known {
             0.0
         } else {
-            called.load_time.max(DEFAULT_SPAN as f64)
+            called.load_time.max(DEFAULT_DURATION as f64)
         };
         let expected = called.service_time.max(MIN_EXPECTED_TIME) + load_time;
         let own_in_flight = self
@@ -93,10 +93,10 @@
         });
     }
 
-    /// The one final answer: rejected where nothing can have been executed, failed otherwise. What is still in flight
-    /// is cancelled, so that workers that can stop do.
+    /// Gives the one final answer: rejected if no attempt can have been executed, failed otherwise. Attempts still in
+    /// flight are cancelled, so that workers that support it stop executing them.
     pub(crate) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.owed(id) else {
+        let Some(request) = self.requests.unanswered(id) else {
             return;
         };
         let answer = if request.may_have_executed() {
@@ -111,7 +111,7 @@
         self.close(id, actions);
     }
 
-    /// A client cancelled its request. It does not count for the load budget either.
+    /// A client cancelled its request. The request no longer counts for the load budget.
     pub(crate) fn request_cancelled(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(request) = self.requests.get(id) {
             let arrived_at = request.arrived_at;
@@ -121,7 +121,8 @@
         self.close(id, actions);
     }
 
-    /// Ends a request's record, or leaves it until its attempts have ended; those in flight are cancelled.
+    /// Closes a request: cancels its attempts in flight if the settings allow it, and removes its record once none is
+    /// open.
     pub(crate) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.end_speculation(id, false);
         let Some(request) = self.requests.get_mut(id) else {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// The end of a request that may have been sent although its answer was not likely in time; counts once.
+    /// Records whether a speculative request was answered in time, once per request; has no effect on other requests.
     pub(crate) fn end_speculation(&mut self, id: RequestId, in_time: bool) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
--- a/policy/src/estimator.rs
+++ b/policy/src/estimator.rs
@@ -1,68 +1,70 @@
-//! Running estimates of the workers' load, of service times and of rates. Nothing is decided here.
+//! Running estimates of the workers' load, of service times and of rates. This module makes no decisions.
 use crate::settings::Settings;
 use crate::types::{Micros, MILLISECOND, SECOND};
 use crate::virtual_loss::theta;
 use crate::worker::{LoadReport, Worker};
 
-/// Period of the survey, which walks all workers and functions.
+/// Interval of the survey, which walks all workers and functions.
 pub(crate) const SURVEY_INTERVAL: Micros = 100 * MILLISECOND;
-/// Bounds of the span that rates are taken over.
+/// Shortest time window of rates.
 const MIN_RATE_WINDOW: Micros = 2 * SECOND;
+/// Longest time window of rates.
 pub(crate) const MAX_RATE_WINDOW: Micros = 8 * SECOND;
-/// The shortest span for the rate of answers, in microseconds.
-const SHORTEST_ANSWER_SPAN: f64 = 0.5 * SECOND as f64;
-/// Rates are taken over so many requests, within these bounds: fewer are noise.
+/// Shortest time window of the rate of answers, in microseconds.
+const MIN_ANSWER_WINDOW: f64 = 0.5 * SECOND as f64;
+/// The time window of rates is chosen, within its bounds, to hold this many requests: rates over fewer are noise.
 const REQUESTS_PER_RATE: f64 = 30.0;
-/// Bounds of the time constant with which a load report fades to the mean: this front end's requests come round to
-/// each worker about once in it.
+/// Lower bound, in microseconds, of the time constant with which a load report decays to the mean.
 pub(crate) const MIN_REPORT_DECAY_TIME: f64 = 2.0 * SECOND as f64;
+/// Upper bound, in microseconds, of the time constant with which a load report decays to the mean.
 const MAX_REPORT_DECAY_TIME: f64 = 15.0 * SECOND as f64;
-/// The mean in flight takes in last reports for so long: few requests, many workers.
+/// How long a worker's last load report counts for the mean in flight: long, since with few requests and many workers
+/// reports are rare.
 const REPORT_LIFETIME: Micros = 20 * SECOND;
-/// Weight of an answer in the time that answers take of late.
+/// Weight of a new answer in the running mean of the time that answers take.
 const ANSWER_WEIGHT: f64 = 0.05;
-/// Weight of an answer in the service time of its class.
+/// Weight of a new answer in the running mean of its class's service time.
 const CLASS_SERVICE_WEIGHT: f64 = 0.05;
-/// Requests in flight at each worker, of all front ends, below which nothing is rejected: about one a core. The mean
-/// where nothing is known.
+/// Mean requests in flight per worker, of all front ends, below which nothing is rejected: about one per core. Also the
+/// assumed mean while there is no recent load report.
 pub(crate) const MODERATE_LOAD: f64 = 4.0;
-/// Times the class's latency objective that a request counts as in the queue.
+/// Time after its arrival for which a request counts as queued, in multiples of its class's latency objective.
 const QUEUED_OBJECTIVES: Micros = 2;
-/// Standard deviations by which a tenant's part must exceed its quota: chance alone makes differences.
+/// Standard deviations by which a tenant's traffic must exceed its part of the quotas: chance alone makes it vary.
 const QUOTA_DEVIATIONS: f64 = 2.0;
 
-/// What the survey sees.
+/// What the survey measures.
 pub(crate) struct FleetSample {
-    /// Time since the survey before.
+    /// Time since the previous survey.
     pub(crate) elapsed: Micros,
     pub(crate) ready_workers: usize,
-    /// Ready workers with an attempt of this front end.
+    /// Ready workers with an open attempt of this front end.
     pub(crate) busy_workers: usize,
     /// Requests that counted for the load budget within [`MAX_RATE_WINDOW`].
     pub(crate) recent_requests: usize,
-    /// The requests in flight at each ready worker that has reported them recently.
+    /// Requests in flight at each ready worker that has reported them recently.
     pub(crate) reported_in_flight: Vec<f64>,
-    /// Capacity of all ready workers, in warm workers.
+    /// Capacity of all ready workers, in units of a worker at full capacity.
     pub(crate) capacity: f64,
-    /// Memory of one replica, mean of all known functions, in MB.
+    /// Mean memory of a replica over all known functions, in MB.
     pub(crate) mean_replica_mb: f64,
-    /// Requests that wait for an answer with no load in the way, and have not waited for long.
+    /// Requests that wait for an answer and not for a load, and arrived not long ago.
     pub(crate) queued_requests: usize,
     /// Health scores of all ready workers.
     pub(crate) health_scores: Vec<f64>,
 }
 
-/// How a function is spread and used.
+/// Where a function is loaded, and how much it is used.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FunctionLoad {
     /// Ready workers that have it loaded.
     pub(crate) loaded: usize,
-    /// This front end's requests in flight for it.
+    /// This front end's requests in flight for the function.
     pub(crate) in_flight: f64,
 }
 
 impl FunctionLoad {
-    /// The design's z* of the function.
+    /// The function's z* of the design.
     pub(crate) fn z_star(&self, theta: f64) -> f64 {
         (self.loaded as f64 - self.in_flight) / theta
     }
@@ -73,38 +75,42 @@
 pub(crate) struct Estimator {
     /// Whether workers report what they have in flight.
     has_load_reports: bool,
-    /// Requests in flight at a worker, mean of all.
+    /// Mean requests in flight per worker.
     mean_in_flight: f64,
-    /// Time constant with which a load report fades to the mean.
+    /// Time constant with which a load report decays to the mean, in microseconds: about the time in which this front
+    /// end's requests reach each worker once.
     report_decay_time: f64,
     median_health_score: f64,
-    /// Share of the ready workers that have an attempt of this front end.
+    /// Share of the ready workers that have an open attempt of this front end.
     busy_share: f64,
-    /// Replicas that a worker's memory holds.
+    /// Mean number of replicas that fit into a worker's memory.
     instances_per_worker: f64,
     /// The smallest z* of all functions.
     least_z_star: f64,
-    /// Service time of each class, in microseconds; the last class stands for those not known.
+    /// Service time of each class, in microseconds; the last class stands for unknown classes.
     class_service_times: Vec<f64>,
-    /// Time that answers take of late where no load is in the way.
+    /// Running mean of the time from sending an attempt to its answer where no load was needed, in microseconds.
     answer_time: f64,
-    /// Work done for each microsecond and warm worker, in microseconds.
+    /// Service time of the executed requests per microsecond and worker at full capacity, in microseconds.
     work_rate: f64,
+    /// Service time of the requests executed since the last survey, in microseconds.
     work_since_survey: f64,
-    /// Answers a second.
+    /// Requests served per second.
     served_rate: f64,
+    /// Requests served since the last survey.
     served_since_survey: f64,
     /// Requests in flight that wait for an answer and not for a load.
     backlog: f64,
-    /// Recent requests of each tenant.
+    /// Exponentially decaying number of requests of each tenant.
     tenant_requests: Vec<f64>,
+    /// Number of surveys so far.
     surveys: f64,
 }
 
 impl Estimator {
-    /// `unknown_objective` is the service time's starting point for classes with a longer latency objective.
-    pub(crate) fn new(settings: &Settings, unknown_objective: Micros) -> Self {
-        let initial = |objective: Micros| objective.min(unknown_objective) as f64 / 4.0;
+    /// The first estimate of a class's service time derives from its latency objective, up to `max_objective`.
+    pub(crate) fn new(settings: &Settings, max_objective: Micros) -> Self {
+        let initial = |objective: Micros| objective.min(max_objective) as f64 / 4.0;
         Estimator {
             mean_in_flight: MODERATE_LOAD,
             class_service_times: settings
@@ -121,8 +127,8 @@
         self.has_load_reports
     }
 
-    /// A worker reported what it has in flight.
-    pub(crate) fn load_report_came(&mut self) {
+    /// Records that a worker reported its requests in flight.
+    pub(crate) fn load_report_received(&mut self) {
         self.has_load_reports = true;
     }
 
@@ -166,25 +172,26 @@
         self.class_service_times[class]
     }
 
-    /// Service times of the classes that the settings name.
+    /// Service times of the classes in the settings, without the one that stands for unknown classes.
     pub(crate) fn known_class_service_times(&self) -> &[f64] {
         &self.class_service_times[..self.class_service_times.len() - 1]
     }
 
-    /// The design's theta by the present load.
+    /// The theta of the design for the current load.
     pub(crate) fn theta(&self) -> f64 {
         theta(self.busy_share, self.instances_per_worker)
     }
 
-    /// The tenant's position, if the settings name it; its request is counted.
+    /// Counts a request of a tenant. Returns the tenant, or `None` if the settings do not name it.
     pub(crate) fn count_tenant(&mut self, tenant: Option<usize>) -> Option<usize> {
         let tenant = tenant.filter(|&tenant| tenant < self.tenant_requests.len())?;
         self.tenant_requests[tenant] += 1.0;
         Some(tenant)
     }
 
-    /// Whether a tenant has more of this front end's traffic than its part of the quotas, by more than chance would
-    /// give: front ends carry uneven traffic, so its rate here tells nothing of its rate at all of them.
+    /// Whether a tenant's share of this front end's traffic exceeds its share of all quotas by more than chance
+    /// explains. Shares are compared, not rates: front ends get uneven traffic, so a tenant's rate at this one does not
+    /// show its rate over all of them.
     pub(crate) fn is_over_quota(&self, settings: &Settings, tenant: usize) -> bool {
         let quotas: f64 = settings
             .tenants
@@ -197,48 +204,49 @@
         part > 0.0 && self.tenant_requests[tenant] > part * all + QUOTA_DEVIATIONS * deviation
     }
 
-    /// Requests in flight at a worker: its last report, fading to the mean, and this front end's since.
+    /// Estimated requests in flight at a worker: its last report, decaying to the mean, plus the change in this front
+    /// end's open attempts since the report.
     pub(crate) fn in_flight_at(&self, worker: &Worker, now: Micros) -> f64 {
         let own = worker.open_attempts.len() as f64;
         let reported = |report: &LoadReport| {
             let age = now.saturating_sub(report.received_at) as f64;
             let weight = (-age / self.report_decay_time.max(MIN_REPORT_DECAY_TIME)).exp();
-            let faded = self.mean_in_flight + (report.in_flight - self.mean_in_flight) * weight;
-            faded + own - report.own_attempts as f64
+            let decayed = self.mean_in_flight + (report.in_flight - self.mean_in_flight) * weight;
+            decayed + own - report.own_attempts as f64
         };
         let estimate = worker.load_report.as_ref().map(reported);
         estimate.unwrap_or(self.mean_in_flight).max(own)
     }
 
-    /// A request was served.
+    /// Counts a request that was served.
     pub(crate) fn count_served(&mut self) {
         self.served_since_survey += 1.0;
     }
 
-    /// A request of this class was executed.
+    /// Counts the service time of a request of this class that was executed.
     pub(crate) fn count_work(&mut self, class: usize) {
         self.work_since_survey += self.class_service_times[class];
     }
 
-    /// An answer of this class came with no load in the way; `bounded` is its time without the part that is out of
-    /// proportion.
+    /// Records the time of an answer of this class for which no load was needed; `bounded` is that time, limited to a
+    /// multiple of the expected time.
     pub(crate) fn record_answer(&mut self, class: usize, elapsed: f64, bounded: f64) {
         self.answer_time += ANSWER_WEIGHT * (elapsed - self.answer_time);
         let mean = &mut self.class_service_times[class];
         *mean += CLASS_SERVICE_WEIGHT * (bounded - *mean);
     }
 
-    /// Takes the survey's sample into all estimates.
+    /// Updates all estimates with the survey's sample.
     pub(crate) fn update(&mut self, sample: FleetSample, settings: &Settings) {
         let requests = (sample.recent_requests as f64).max(1.0);
-        let rate_span = (REQUESTS_PER_RATE / requests * MAX_RATE_WINDOW as f64)
+        let rate_window = (REQUESTS_PER_RATE / requests * MAX_RATE_WINDOW as f64)
             .clamp(MIN_RATE_WINDOW as f64, MAX_RATE_WINDOW as f64);
         let elapsed = sample.elapsed as f64;
-        let part = (elapsed / rate_span).min(1.0);
+        let part = (elapsed / rate_window).min(1.0);
         self.update_load(&sample, requests, part);
         self.update_rates(&sample, requests, part);
         self.update_replication(&sample, settings);
-        self.update_backlog(&sample, rate_span);
+        self.update_backlog(&sample, rate_window);
         self.update_median_health(sample.health_scores);
     }
 
@@ -248,7 +256,8 @@
         self.report_decay_time = (workers / requests * MAX_RATE_WINDOW as f64)
             .clamp(MIN_REPORT_DECAY_TIME, MAX_REPORT_DECAY_TIME);
         self.busy_share += (4.0 * part).min(1.0) * (busy_share - self.busy_share);
-        // Each worker counts once, by its last report: a mean of reports would follow where most requests go.
+        // Each worker counts once, by its last report: the mean of all reports would be biased to workers that get most
+        // requests.
         let reported = &sample.reported_in_flight;
         self.mean_in_flight = if reported.is_empty() {
             MODERATE_LOAD
@@ -261,12 +270,12 @@
         let elapsed = sample.elapsed as f64;
         let work_rate = self.work_since_survey / sample.capacity.max(1.0) / elapsed;
         self.work_rate += part * (work_rate - self.work_rate);
-        // Guards against taking a rise in traffic, or the start, for a queue: a rate that lags is too low.
+        // Protects against mistaking rising traffic, or the start, for a queue: a rate that lags behind is too low.
         self.surveys += 1.0;
         let observed = (self.surveys * SURVEY_INTERVAL as f64).min(MAX_RATE_WINDOW as f64);
-        let answer_span = (REQUESTS_PER_RATE / requests * observed)
-            .clamp(SHORTEST_ANSWER_SPAN, MAX_RATE_WINDOW as f64);
-        let answer_part = (elapsed / answer_span).min(1.0).max(1.0 / self.surveys);
+        let answer_window = (REQUESTS_PER_RATE / requests * observed)
+            .clamp(MIN_ANSWER_WINDOW, MAX_RATE_WINDOW as f64);
+        let answer_part = (elapsed / answer_window).min(1.0).max(1.0 / self.surveys);
         let served_rate = self.served_since_survey * SECOND as f64 / elapsed;
         self.served_rate += answer_part * (served_rate - self.served_rate);
         self.work_since_survey = 0.0;
@@ -282,11 +291,11 @@
         self.instances_per_worker = worker_mb / sample.mean_replica_mb.max(1.0);
     }
 
-    /// What is in flight is a count where requests are many; where they are few it is a mean over time.
-    fn update_backlog(&mut self, sample: &FleetSample, rate_span: f64) {
+    /// With many requests the backlog is the current count; with few it is a mean over time.
+    fn update_backlog(&mut self, sample: &FleetSample, rate_window: f64) {
         let range = (MAX_RATE_WINDOW - MIN_RATE_WINDOW) as f64;
-        let fewness = (rate_span - MIN_RATE_WINDOW as f64) / range;
-        let part = (sample.elapsed as f64 / (rate_span * fewness).max(1.0)).min(1.0);
+        let scarcity = (rate_window - MIN_RATE_WINDOW as f64) / range;
+        let part = (sample.elapsed as f64 / (rate_window * scarcity).max(1.0)).min(1.0);
         self.backlog += part * (sample.queued_requests as f64 - self.backlog);
     }
 
@@ -297,12 +306,12 @@
     }
 }
 
-/// Whether a load report counts for the mean.
+/// Whether a load report still counts for the mean.
 pub(crate) fn is_report_recent(report: &LoadReport, now: Micros) -> bool {
     now < report.received_at + REPORT_LIFETIME
 }
 
-/// Until when a request that arrived then counts as queued.
+/// The time until which a request counts as queued.
 pub(crate) fn queued_until(arrived_at: Micros, latency_objective: Micros) -> Micros {
     arrived_at + QUEUED_OBJECTIVES * latency_objective
 }
--- a/policy/src/function.rs
+++ b/policy/src/function.rs
@@ -1,4 +1,4 @@
-//! Functions that requests called: what is known of each, and the table of them.
+//! Functions that requests called: the state of each, and their table.
 use crate::answer_times::MOST_ANSWERS;
 use crate::index::{FunctionIndex, WorkerIndex};
 use crate::periodic_calls::PeriodicCalls;
@@ -7,31 +7,31 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::{Index, IndexMut};
 
-/// Rates of calls fade with this time constant.
-pub(crate) const CALL_RATE_SPAN: Micros = 8 * crate::types::SECOND;
-/// Requests of a function not served yet that may count for the load budget later: as many as a window of the budget
-/// holds of one.
+/// Time constant of the exponentially decaying rate of calls.
+pub(crate) const CALL_RATE_TIME_CONSTANT: Micros = 8 * crate::types::SECOND;
+/// Maximum requests of a function not served yet that are kept to count for the load budget later: about as many as
+/// arrive for one function within the budget's window.
 const MAX_UNCOUNTED_REQUESTS: usize = 64;
-/// A speculative request that came too late weighs two in time: two in three must be.
+/// A speculative request that was not answered in time outweighs this many that were: two in three must be in time.
 const FAILED_SPECULATION_WEIGHT: u32 = 2;
-/// Weight of an answer in the number of workers that requests of a function are spread over.
+/// Weight of a new answer in the running mean of a function's spread.
 const SPREAD_WEIGHT: f64 = 0.3;
-/// Most workers that requests of a function are spread over in a large fleet.
+/// Maximum number of workers that the requests of a function are spread over.
 const MAX_SPREAD: f64 = 8.0;
-/// A request that finds all slots of a replica taken waits, or has another replica loaded; so many slots for each
-/// request in flight make that rare.
+/// Slots for each request in flight: a request that finds all slots of a replica taken has to wait or has another
+/// replica loaded, and this many make that rare.
 const FREE_SLOTS_PER_REQUEST: f64 = 3.0;
-/// Replicas beyond the first for each request in flight: a core's work.
+/// Replicas beyond the first for each request in flight; a request in flight is about one core's work.
 pub(crate) const REPLICAS_PER_REQUEST: f64 = 0.6;
 
-/// Errors of orders and polls about a function that was never served here, one after another.
+/// Consecutive errors of load orders and polls for a function that was never served here.
 #[derive(Clone, Copy, Debug, Default)]
 struct OrderErrors {
     count: u32,
     last_at: Micros,
 }
 
-/// What is known of a function.
+/// The state of a function at this front end.
 #[derive(Default)]
 pub(crate) struct Function {
     pub(crate) id: FunctionId,
@@ -39,28 +39,30 @@
     pub(crate) memory_mb: f64,
     /// Requests that one replica runs at a time.
     pub(crate) concurrency: u32,
-    /// Usual time of a load, in microseconds; 0 if not known.
+    /// Usual time that loading it takes, in microseconds; 0 if not known.
     pub(crate) load_time: f64,
-    /// Usual time from sending a request to its answer where it is loaded, in microseconds.
+    /// Usual time from sending a request to its answer when the function is loaded, in microseconds.
     pub(crate) service_time: f64,
-    /// When a request last found no free replica.
-    pub(crate) last_lost: Micros,
-    /// Requests in flight wait for their replica here.
+    /// When a request was last lost, that is, found no free replica, or a virtual loss was drawn.
+    pub(crate) last_loss: Micros,
+    /// Requests that wait for a replica, in the order in which they began to wait.
     pub(crate) waiting: VecDeque<RequestId>,
+    /// Replica state at each worker of which something is known.
     pub(crate) replicas: BTreeMap<WorkerIndex, ReplicaState>,
     pub(crate) periodic: PeriodicCalls,
-    /// Answers that came in time though answers of its class take longer, less those that did not.
+    /// Speculative requests that were answered in time, less a multiple of those that were not.
     speculative_successes: u32,
+    /// Exponentially decaying number of calls.
     recent_calls: f64,
     last_call: Micros,
-    /// Whether a worker has served it: workers know it.
+    /// Whether a worker has served it, so that workers are known to be able to load it.
     known_to_load: bool,
-    /// When its requests came while it was not known to load: they count for the load budget once it is.
+    /// Arrival times of its requests while it was not known to load; they count for the load budget once it is.
     uncounted_requests: VecDeque<Micros>,
     order_errors: OrderErrors,
-    /// Workers that its requests are spread over, where many front ends share the workers; 0: not known.
+    /// Number of workers that its requests are spread over in a large fleet; 0 if not known.
     spread: f64,
-    /// All workers in the rendezvous order of this function; empty: not worked out.
+    /// All workers in the rendezvous order of this function; empty if not computed.
     preferred_workers: Vec<WorkerIndex>,
 }
 
@@ -82,10 +84,10 @@
         self.known_to_load
     }
 
-    /// A request of the function came.
+    /// Records that a request of the function arrived.
     pub(crate) fn called(&mut self, now: Micros, class: usize, retry: bool) {
         let elapsed = now.saturating_sub(self.last_call) as f64;
-        let kept = (-elapsed / CALL_RATE_SPAN as f64).exp();
+        let kept = (-elapsed / CALL_RATE_TIME_CONSTANT as f64).exp();
         self.recent_calls = self.recent_calls * kept + 1.0;
         if !retry {
             self.periodic.called(now, self.last_call);
@@ -94,13 +96,13 @@
         self.last_call = now;
     }
 
-    /// Requests that this front end takes of the function in a span, by the recent rate.
-    pub(crate) fn calls_in(&self, span: f64) -> f64 {
-        let known = (self.recent_calls - 1.0).max(0.0) / CALL_RATE_SPAN as f64;
-        known * span
+    /// Expected requests of the function at this front end within `duration` (in microseconds), by the recent rate.
+    pub(crate) fn calls_in(&self, duration: f64) -> f64 {
+        let rate = (self.recent_calls - 1.0).max(0.0) / CALL_RATE_TIME_CONSTANT as f64;
+        rate * duration
     }
 
-    /// A request came before any worker served the function.
+    /// Records a request that arrived before any worker served the function.
     pub(crate) fn note_uncounted_request(&mut self, now: Micros) {
         self.uncounted_requests.push_back(now);
         if self.uncounted_requests.len() > MAX_UNCOUNTED_REQUESTS {
@@ -108,18 +110,20 @@
         }
     }
 
-    /// A client took a request back that came at this time.
+    /// Removes a request that arrived at this time and that its client cancelled.
     pub(crate) fn forget_uncounted_request(&mut self, arrived_at: Micros) {
         self.uncounted_requests.retain(|&at| at != arrived_at);
     }
 
-    /// A worker served the function. Returns when its requests came that have not been counted.
+    /// Records that a worker served the function. Returns the arrival times of its requests that have not been counted
+    /// for the load budget.
     pub(crate) fn served(&mut self) -> VecDeque<Micros> {
         self.known_to_load = true;
         std::mem::take(&mut self.uncounted_requests)
     }
 
-    /// An order or a poll ended; with an error that `may_be_unknown` a worker may not know the function at all.
+    /// Records that an order or a poll ended; `may_be_unknown` if it ended with an error that may mean that workers do
+    /// not know the function.
     pub(crate) fn order_ended(&mut self, may_be_unknown: bool, now: Micros) {
         self.order_errors = if may_be_unknown {
             OrderErrors {
@@ -131,17 +135,18 @@
         };
     }
 
-    /// Whether at least `errors` orders failed one after another, the last within this time.
+    /// Whether at least `errors` consecutive orders failed, the last one less than `within` ago.
     pub(crate) fn orders_fail(&self, errors: u32, now: Micros, within: Micros) -> bool {
         self.order_errors.count >= errors && now < self.order_errors.last_at + within
     }
 
-    /// Whether its requests were answered in time of late though answers of its class take longer.
+    /// Whether its recent speculative requests were answered in time although answers of its class take longer.
     pub(crate) fn is_faster_than_its_class(&self) -> bool {
         self.speculative_successes > 0
     }
 
-    /// A request ended that was sent though answers of its class take longer than its client waits.
+    /// Records the end of a speculative request: one that was sent although answers of its class take longer than its
+    /// client waits.
     pub(crate) fn speculation_ended(&mut self, in_time: bool) {
         self.speculative_successes = if in_time {
             (self.speculative_successes + 1).min(MOST_ANSWERS)
@@ -155,7 +160,8 @@
         self.spread
     }
 
-    /// A worker had `queue_depth` requests of the function when one came: the deeper, the more workers are used.
+    /// Adjusts the spread by the requests of the function that were at a worker when one arrived: the deeper the queue,
+    /// the more workers are used.
     pub(crate) fn adjust_spread(&mut self, queue_depth: f64) {
         let spread = self.spread.max(1.0);
         let free_slots = FREE_SLOTS_PER_REQUEST / f64::from(self.concurrency);
@@ -170,7 +176,7 @@
         f64::from(requests.sum::<u32>())
     }
 
-    /// Whether the function may be forgotten: nothing of it is in flight, and nobody called it since.
+    /// Whether the function may be removed: nothing of it is in flight, and it has not been called since.
     fn is_unused_since(&self, time: Micros) -> bool {
         self.waiting.is_empty()
             && !self.replicas.values().any(ReplicaState::is_in_use)
@@ -178,14 +184,14 @@
     }
 }
 
-/// All functions that requests called of late.
+/// All functions that were called recently.
 #[derive(Default)]
 pub(crate) struct FunctionTable {
     functions: Vec<Function>,
     by_id: BTreeMap<FunctionId, FunctionIndex>,
-    /// Positions whose function was forgotten.
+    /// Positions whose function was removed.
     free: Vec<FunctionIndex>,
-    /// Functions that requests may wait for.
+    /// Functions that may have waiting requests.
     with_waiting: BTreeSet<FunctionIndex>,
     latest: FunctionIndex,
 }
@@ -213,7 +219,7 @@
         self.functions.get(index.0)
     }
 
-    /// The position of a function, made by `new` where it is not known.
+    /// The position of a function, which is created by `new` if it is not known.
     pub(crate) fn find_or_insert(
         &mut self,
         id: FunctionId,
@@ -244,7 +250,7 @@
         self.latest
     }
 
-    /// All positions, also those whose function was forgotten.
+    /// All positions, including those whose function was removed.
     pub(crate) fn indexes(&self) -> impl Iterator<Item = FunctionIndex> {
         (0..self.functions.len()).map(FunctionIndex)
     }
@@ -253,20 +259,20 @@
         self.functions.iter()
     }
 
-    /// Functions that are not forgotten.
+    /// Number of functions that have not been removed.
     pub(crate) fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// The rendezvous order of each function has to be worked out anew: a worker took another's position.
+    /// Discards the rendezvous order of each function, since a worker took the position of another.
     pub(crate) fn invalidate_preferred_workers(&mut self) {
         for function in &mut self.functions {
             function.preferred_workers.clear();
         }
     }
 
-    /// All workers in the rendezvous order of the function, highest weight first; worked out anew by `rank` when the
-    /// number of workers changed.
+    /// All workers in the rendezvous order of the function, highest weight first; recomputed by `rank` when the number
+    /// of workers changed.
     pub(crate) fn preferred_workers(
         &mut self,
         index: FunctionIndex,
@@ -280,7 +286,7 @@
         function.preferred_workers.clone()
     }
 
-    /// Has a request wait for a replica of its function.
+    /// Adds a request to those that wait for a replica of the function.
     pub(crate) fn wait(&mut self, index: FunctionIndex, request: RequestId) {
         let waiting = &mut self.functions[index.0].waiting;
         if !waiting.contains(&request) {
@@ -289,12 +295,12 @@
         }
     }
 
-    /// The request waits no more.
+    /// Removes a request from those that wait for a replica of the function.
     pub(crate) fn stop_waiting(&mut self, index: FunctionIndex, request: RequestId) {
         self.functions[index.0].waiting.retain(|&id| id != request);
     }
 
-    /// Requests that wait for one function, or for any.
+    /// Requests that wait for a replica of one function, or of any if `only` is `None`.
     pub(crate) fn waiting_requests(&mut self, only: Option<FunctionIndex>) -> Vec<RequestId> {
         let functions = &self.functions;
         self.with_waiting
@@ -306,8 +312,8 @@
             .collect()
     }
 
-    /// Forgets a function that nobody called since `time` and of which nothing is in flight. Returns the workers at
-    /// which something was known of it.
+    /// Removes a function if it has not been called since `time` and nothing of it is in flight. Returns the workers at
+    /// which it had replica state.
     pub(crate) fn forget_unused(&mut self, index: FunctionIndex, time: Micros) -> Vec<WorkerIndex> {
         let function = &self.functions[index.0];
         if !function.is_unused_since(time) || self.by_id.get(&function.id) != Some(&index) {
--- a/policy/src/hedging.rs
+++ b/policy/src/hedging.rs
@@ -1,6 +1,6 @@
-//! Hedged requests: guards against waiting out a worker that will not answer. A request that may be repeated and whose
-//! attempt is long overdue, or is at an ejected worker, goes to a free worker as well; where two attempts at once are
-//! not allowed, it is cancelled first and placed again when that is confirmed.
+//! Hedged requests: protect against waiting for a worker that will not answer. If a request may be repeated and its
+//! attempt is long overdue, or is at an ejected worker, a second attempt is sent to a free worker. Where two attempts
+//! at a time are not allowed, the first is cancelled, and the request is placed again once the attempt has ended.
 use crate::action::Action;
 use crate::outlier_detection::SILENT_MULTIPLE;
 use crate::request::{Attempt, AttemptState, Request};
@@ -8,19 +8,19 @@
 use crate::state::State;
 use crate::types::{Micros, RequestId, SECOND};
 
-/// A broken connection within this time shows that answers get lost as well.
-const LOSS_MEMORY: Micros = 5 * SECOND;
-/// Where answers take less than this part of the latency objectives there is capacity for hedged requests.
-const SPARE_CAPACITY: f64 = 0.2;
-/// A hedged request follows after this multiple of the attempt's expected time, ...
-const PATIENCE: f64 = 4.0;
-/// ... and after this part of the latency objective at the least.
-const LEAST_PATIENCE: f64 = 0.5;
-/// The same multiple for an attempt at an ejected worker.
-const PATIENCE_WITH_EJECTED: f64 = 1.5;
+/// Answers count as being lost for this long after a connection broke.
+const LOST_ANSWER_PERIOD: Micros = 5 * SECOND;
+/// There is capacity for hedged requests while answers take less than this fraction of the mean latency objective.
+const SPARE_CAPACITY_OBJECTIVES: f64 = 0.2;
+/// Delay of a hedged request, as a multiple of the attempt's expected time.
+const HEDGE_DELAY: f64 = 4.0;
+/// Lower bound of the delay of a hedged request, as a fraction of the latency objective.
+const MIN_HEDGE_DELAY_OBJECTIVES: f64 = 0.5;
+/// Delay of a hedged request for an attempt at an ejected worker, as a multiple of the attempt's expected time.
+const HEDGE_DELAY_IF_EJECTED: f64 = 1.5;
 
 impl State {
-    /// Hedges all requests for which that is due.
+    /// Hedges all requests whose attempt is overdue.
     pub(crate) fn hedge_overdue_requests(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let may_hedge = self.may_hedge(now);
         let overdue: Vec<RequestId> = self
@@ -34,14 +34,15 @@
         }
     }
 
-    /// Whether sound workers' attempts may be hedged: answers get lost, or there is capacity to spare.
+    /// Whether attempts at workers that are not ejected may be hedged early: answers are being lost, or there is spare
+    /// capacity.
     fn may_hedge(&self, now: Micros) -> bool {
-        let answers_get_lost = self.last_reset > 0 && now < self.last_reset + LOSS_MEMORY;
-        let spare = SPARE_CAPACITY * self.mean_latency_objective();
-        self.settings.hedging && (answers_get_lost || self.estimator.answer_time() < spare)
+        let are_answers_lost = self.last_reset > 0 && now < self.last_reset + LOST_ANSWER_PERIOD;
+        let spare = SPARE_CAPACITY_OBJECTIVES * self.mean_latency_objective();
+        self.settings.hedging && (are_answers_lost || self.estimator.answer_time() < spare)
     }
 
-    /// Whether a request has just one attempt in flight, which is late, and may have another.
+    /// Whether a request has exactly one attempt in flight, which is late, and may have a further one.
     fn is_overdue(&self, request: &Request, may_hedge: bool, now: Micros) -> bool {
         let Some(attempt) = request.attempts.last() else {
             return false;
@@ -54,22 +55,22 @@
         let has_attempts_left = (request.attempts.len() as u32) < self.settings.max_attempts;
         let may_repeat = self.class(request.class).idempotency != Idempotency::NotIdempotent;
         let waited = now.saturating_sub(attempt.sent_at.max(self.resumed_at)) as f64;
-        let is_late = waited > self.patience(request, attempt, may_hedge);
+        let is_late = waited > self.hedge_delay(request, attempt, may_hedge);
         is_only && is_late && has_attempts_left && may_repeat
     }
 
-    /// How long an attempt is waited for before it is hedged, in microseconds.
-    fn patience(&self, request: &Request, attempt: &Attempt, may_hedge: bool) -> f64 {
+    /// Time after which an attempt is hedged, in microseconds.
+    fn hedge_delay(&self, request: &Request, attempt: &Attempt, may_hedge: bool) -> f64 {
         let longest = SILENT_MULTIPLE * attempt.expected;
-        let patience = if self.workers[attempt.worker].health.is_ejected() {
-            PATIENCE_WITH_EJECTED * attempt.expected
+        let delay = if self.workers[attempt.worker].health.is_ejected() {
+            HEDGE_DELAY_IF_EJECTED * attempt.expected
         } else if may_hedge {
             let objective = self.class(request.class).latency_objective as f64;
-            (PATIENCE * attempt.expected).max(LEAST_PATIENCE * objective)
+            (HEDGE_DELAY * attempt.expected).max(MIN_HEDGE_DELAY_OBJECTIVES * objective)
         } else {
             f64::INFINITY
         };
-        patience.min(longest)
+        delay.min(longest)
     }
 
     fn hedge(&mut self, id: RequestId, now: Micros, actions: &mut Vec<Action>) {
@@ -77,7 +78,7 @@
             return;
         };
         let free = self.free_workers_for(request, now);
-        if free.is_empty() || !self.retry_budget.has_token() {
+        if free.is_empty() || !self.hedge_budget.has_token() {
             return;
         }
         if self.settings.hedging {
@@ -87,7 +88,7 @@
         } else if self.settings.cancellation {
             self.cancel_last_attempt(id, actions);
         }
-        self.retry_budget.spend();
+        self.hedge_budget.spend();
     }
 
     fn cancel_last_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
--- a/policy/src/load_orders.rs
+++ b/policy/src/load_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to workers: to load replicas, to poll how many are loaded, to unload idle ones; and their answers.
+//! Orders to workers to load replicas, to report how many are loaded (polls) and to unload idle ones; and the answers.
 use crate::action::Action;
 use crate::event::Outcome;
 use crate::index::{FunctionIndex, WorkerIndex};
@@ -9,20 +9,21 @@
 use crate::types::{Micros, MILLISECOND};
 use crate::worker::{LoadPace, SLOW_LOAD};
 
-/// A load that took no longer, in microseconds, found its replicas loaded.
-const LEAST_LOAD_TIME: f64 = 20.0 * MILLISECOND as f64;
+/// An order that took no longer than this, in microseconds, found the replicas already loaded.
+const MIN_LOAD_TIME: f64 = 20.0 * MILLISECOND as f64;
 
 /// The answer to an order.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OrderResult {
     pub(crate) outcome: Outcome,
-    /// Replicas that are loaded.
+    /// Number of replicas that are loaded.
     pub(crate) replicas: u32,
+    /// Time since the order was given.
     pub(crate) elapsed: Micros,
 }
 
 impl State {
-    /// Orders a worker to hold at least so many replicas.
+    /// Orders a worker to hold at least this many replicas.
     pub(crate) fn order_load(
         &mut self,
         function: FunctionIndex,
@@ -38,7 +39,7 @@
         actions.push(self.load_action(function, worker, replicas));
     }
 
-    /// Polls a worker: how many replicas of the function are loaded there?
+    /// Polls a worker for how many replicas of the function it has loaded.
     pub(crate) fn poll(
         &mut self,
         function: FunctionIndex,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Has a worker unload the idle replicas of a function.
+    /// Orders a worker to unload the idle replicas of a function.
     pub(crate) fn unload(
         &mut self,
         function: FunctionIndex,
@@ -74,7 +75,7 @@
         });
     }
 
-    /// Has all idle replicas of a function unloaded, wherever they are known.
+    /// Orders all workers with idle replicas of a function to unload them.
     pub(crate) fn unload_idle_replicas(
         &mut self,
         function: FunctionIndex,
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Takes the answer to an order into the replica state, the worker's health and the limit on loads. Returns whether
-    /// an order was pending.
+    /// Handles the end of an order: updates the replica state, the worker's health and the limit on loads. Returns
+    /// whether an order was pending.
     pub(crate) fn order_ended(
         &mut self,
         now: Micros,
@@ -111,13 +112,14 @@
             return false;
         };
         let endpoint = &self.workers[worker].endpoint;
-        let is_of_present_process = order.since() >= endpoint.started_at;
-        // It came back without what it had loaded: a new process that no list has named yet.
-        let was_emptied = was_loaded
+        let is_current_process = order.since() >= endpoint.started_at;
+        // The worker answers after a failure, without the replicas that it had: a new process that the endpoint list
+        // does not show yet.
+        let has_restarted = was_loaded
             && result.replicas == 0
             && result.outcome == Outcome::Ok
             && self.workers[worker].health.is_in_doubt();
-        if is_of_present_process {
+        if is_current_process {
             self.confirm_replicas(now, worker, function, order, result, lifetime);
         }
         match result.outcome {
@@ -130,13 +132,14 @@
             result.outcome,
             now,
             result.elapsed,
-            is_of_present_process,
+            is_current_process,
         );
-        // Of what was never served here an error tells neither of the store nor of the worker.
+        // For a function that was never served here an error is no sign of a problem of the store or the worker: the
+        // function may be unknown.
         let may_be_unknown =
             result.outcome == Outcome::Error && !self.functions[function].is_known_to_load();
         self.functions[function].order_ended(may_be_unknown, now);
-        if was_emptied {
+        if has_restarted {
             self.invalidate_replicas(worker);
         }
         if order.is_load() {
@@ -145,8 +148,8 @@
         true
     }
 
-    /// A worker's answer tells what is loaded there. A poll does not restart the idle time: what it finds may be about
-    /// to be unloaded.
+    /// Updates the replica state by a worker's answer. A poll does not restart the idle time: the replicas that it
+    /// finds may be about to be unloaded.
     fn confirm_replicas(
         &mut self,
         now: Micros,
@@ -174,8 +177,8 @@
         self.workers[worker].health.answered_order();
     }
 
-    /// An order to load ended. Guards the store that all workers share: loads that are slow everywhere, or two that
-    /// fail within a short time, lower the limit on loads in flight; good ones raise it slowly.
+    /// Handles the end of an order to load. Protects the store that all workers load from: loads that are slow
+    /// everywhere, or two that fail within a short time, lower the limit on loads in flight; good ones raise it slowly.
     fn load_ended(
         &mut self,
         now: Micros,
@@ -192,7 +195,7 @@
         }
         let load_time = result.elapsed as f64;
         match result.outcome {
-            Outcome::Ok if !was_loaded && load_time > LEAST_LOAD_TIME => {
+            Outcome::Ok if !was_loaded && load_time > MIN_LOAD_TIME => {
                 self.record_load_time(now, worker, function, load_time);
             }
             Outcome::Error | Outcome::Timeout if !may_be_unknown => {
@@ -226,8 +229,8 @@
         };
     }
 
-    /// Whether loads were slow at more than three in four workers that loaded of late. Guards against taking the queue
-    /// at one worker for the store: with no loads allowed elsewhere, workers that are new stay empty.
+    /// Whether loads were slow at more than three in four of the workers that loaded recently. Protects against
+    /// mistaking a queue at one worker for a slow store: if that stopped loads elsewhere, new workers would stay empty.
     fn are_loads_slow_everywhere(&self, now: Micros) -> bool {
         let recent = self
             .workers
--- a/policy/src/replica.rs
+++ b/policy/src/replica.rs
@@ -1,10 +1,10 @@
-//! Cached replica state: what is believed of one function at one worker, and until when.
+//! Cached replica state: what is assumed about one function at one worker, and until when.
 use crate::types::{Micros, MILLISECOND};
 
-/// How long a worker's note on other front ends' requests is believed.
-const QUEUE_NOTE_LIFETIME: Micros = 500 * MILLISECOND;
+/// How long a worker's report on the requests of other front ends is used.
+const QUEUE_REPORT_LIFETIME: Micros = 500 * MILLISECOND;
 
-/// An order to a worker that has not been answered.
+/// An order to a worker that has not been answered yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum PendingOrder {
     /// A poll of how many replicas are loaded.
@@ -25,29 +25,31 @@
     }
 }
 
-/// Requests of other front ends that a worker had for the function when it last said so.
+/// Requests of other front ends for the function at the worker, by the worker's last report.
 #[derive(Clone, Copy, Debug, Default)]
-struct QueueNote {
-    noted_at: Micros,
+struct QueueReport {
+    received_at: Micros,
     in_flight: u32,
 }
 
 /// What is known of the replicas of one function at one worker.
 #[derive(Debug, Default)]
 pub(crate) struct ReplicaState {
-    /// Replicas believed to be loaded, and until when without a further sign.
+    /// Replicas assumed to be loaded.
     count: u32,
+    /// Until when they are assumed to be loaded unless they are confirmed again.
     expires_at: Micros,
-    /// When the last sign of them came, counted as of the start of their idle time.
+    /// Start of their idle time, by the last confirmation that they are loaded.
     confirmed_at: Micros,
+    /// This front end's requests in flight there for the function.
     own_in_flight: u32,
-    others: QueueNote,
+    others: QueueReport,
     order: Option<PendingOrder>,
     last_poll: Option<Micros>,
-    /// Attempts in flight that were sent to have the function loaded.
+    /// Attempts in flight for which the worker is expected to load the function.
     loading_attempts: u32,
-    /// Whether the memory of its idle replicas has been given to another function, in the order of least recent loss.
-    slot_given_away: bool,
+    /// Whether its idle replicas were chosen to be replaced by another function's, in the order of least recent loss.
+    marked_for_replacement: bool,
 }
 
 impl ReplicaState {
@@ -71,21 +73,21 @@
         self.last_poll
     }
 
-    /// Whether a replica is believed to be loaded.
+    /// Whether a replica is assumed to be loaded.
     pub(crate) fn is_loaded(&self, now: Micros) -> bool {
         self.count > 0 && (self.expires_at > now || self.own_in_flight > 0)
     }
 
-    /// Whether a replica is believed to be loaded and has no request of this front end.
+    /// Whether a replica is assumed to be loaded and has no request of this front end in flight.
     pub(crate) fn is_idle(&self, now: Micros) -> bool {
         self.is_loaded(now) && self.own_in_flight == 0
     }
 
-    /// Whether the replicas run fewer requests than they can: this front end's, and others' where a recent note told of
-    /// them.
+    /// Whether the replicas run fewer requests than they can, counting this front end's and, by a recent report, those
+    /// of other front ends.
     pub(crate) fn has_free_slot(&self, now: Micros, concurrency: u32) -> bool {
-        let note_is_recent = now < self.others.noted_at + QUEUE_NOTE_LIFETIME;
-        let others = if note_is_recent {
+        let is_report_recent = now < self.others.received_at + QUEUE_REPORT_LIFETIME;
+        let others = if is_report_recent {
             self.others.in_flight
         } else {
             0
@@ -98,71 +100,72 @@
         self.order.is_some_and(PendingOrder::is_load)
     }
 
-    /// Whether attempts are in flight that were sent to have the function loaded.
+    /// Whether attempts are in flight for which the worker is expected to load the function.
     pub(crate) fn is_loaded_by_attempts(&self) -> bool {
         self.loading_attempts > 0
     }
 
-    /// Whether a first replica is on its way.
+    /// Whether a first replica is being loaded, by an order or by an attempt.
     pub(crate) fn is_loading(&self) -> bool {
         self.is_load_ordered() && self.count == 0 || self.loading_attempts > 0
     }
 
-    /// Whether something of this front end is in flight there, so that the record must stay.
+    /// Whether an attempt or an order is in flight there, so that this record must be kept.
     pub(crate) fn is_in_use(&self) -> bool {
         self.own_in_flight > 0 || self.order.is_some() || self.loading_attempts > 0
     }
 
-    pub(crate) fn is_slot_given_away(&self) -> bool {
-        self.slot_given_away
+    pub(crate) fn is_marked_for_replacement(&self) -> bool {
+        self.marked_for_replacement
     }
 
-    /// Nothing is loaded there any more: the process stopped, restarted or left.
+    /// Records that nothing is loaded there any more: the process stopped, restarted or left.
     pub(crate) fn invalidate(&mut self) {
         self.count = 0;
         self.expires_at = 0;
         self.last_poll = None;
     }
 
-    /// The function is not loaded there, or its idle replicas are being unloaded.
+    /// Records that the function is not loaded there, or that its idle replicas are being unloaded.
     pub(crate) fn mark_unloaded(&mut self) {
         self.count = 0;
     }
 
-    pub(crate) fn give_slot_away(&mut self) {
-        self.slot_given_away = true;
+    pub(crate) fn mark_for_replacement(&mut self) {
+        self.marked_for_replacement = true;
     }
 
-    /// Replicas live at least this long from their last sign.
+    /// Extends the assumed lifetime of the replicas to this long after they were last confirmed.
     pub(crate) fn extend(&mut self, lifetime: Micros) {
         self.expires_at = self.expires_at.max(self.confirmed_at + lifetime);
     }
 
-    /// An attempt goes there; `loads` if it is to have the function loaded. Returns the requests in flight with it.
+    /// Records that an attempt was sent; `loads` if the worker is expected to load the function for it. Returns this
+    /// front end's requests in flight, including it.
     pub(crate) fn attempt_sent(&mut self, loads: bool) -> u32 {
         self.own_in_flight += 1;
-        self.slot_given_away = false;
+        self.marked_for_replacement = false;
         self.loading_attempts += u32::from(loads);
         self.own_in_flight
     }
 
-    /// An attempt there has ended.
+    /// Records that an attempt ended; `loads` as when it was sent.
     pub(crate) fn attempt_ended(&mut self, loads: bool) {
         self.own_in_flight -= 1;
         self.loading_attempts -= u32::from(loads);
     }
 
-    /// An attempt was served there.
+    /// Records that an attempt was served there.
     pub(crate) fn served(&mut self, now: Micros, expires_at: Micros) {
         self.count = self.count.max(1);
         self.expires_at = self.expires_at.max(expires_at);
         self.confirmed_at = now;
     }
 
-    /// A worker noted the requests that it had for the function, of which `own` were this front end's.
-    pub(crate) fn note_queue(&mut self, now: Micros, requests: u32, own: u32) {
-        self.others = QueueNote {
-            noted_at: now,
+    /// Records the worker's report of its requests for the function, of which `own` were this front end's.
+    pub(crate) fn queue_reported(&mut self, now: Micros, requests: u32, own: u32) {
+        self.others = QueueReport {
+            received_at: now,
             in_flight: requests.saturating_sub(own),
         };
     }
@@ -175,18 +178,18 @@
         self.order = Some(PendingOrder::Poll { since: now });
     }
 
-    /// Notes that the worker was polled, by an order or by a request.
+    /// Records that the worker was polled, by an order or by a request.
     pub(crate) fn polled(&mut self, now: Micros) {
         self.last_poll = Some(now);
     }
 
-    /// The pending order has ended.
+    /// Records that the pending order ended, and returns it; `None` if none was pending.
     pub(crate) fn order_ended(&mut self) -> Option<PendingOrder> {
         self.order.take()
     }
 
-    /// The answer to an order: so many replicas are loaded, which for certain stay until `certain_until`; `lifetime` is
-    /// how long they stay from the start of their idle time.
+    /// Records the answer to an order: this many replicas are loaded, and stay at least until `certain_until`.
+    /// `lifetime` is how long they stay from the start of their idle time.
     pub(crate) fn confirm(&mut self, replicas: u32, certain_until: Micros, lifetime: Micros) {
         self.count = replicas;
         self.confirmed_at = certain_until.saturating_sub(lifetime);
--- a/policy/src/replication.rs
+++ b/policy/src/replication.rs
@@ -1,8 +1,8 @@
-//! Replication, as the design has it (docs/design.md): losses, real and virtual, add replicas where the least recently
-//! lost function lies idle.
+//! Replication as docs/design.md describes it: each loss, real or virtual, adds a replica of the function at a worker
+//! where the least recently lost function has an idle replica.
 //!
-//! A loss is a request that finds no free replica. A virtual loss is one that chance adds at an arrival, before the
-//! replicas run out. Each is answered by one more replica of the function.
+//! A loss is a request that finds no free replica. A virtual loss is drawn at random when a request arrives, so that
+//! replicas are added before they run out.
 use crate::action::Action;
 use crate::function::REPLICAS_PER_REQUEST;
 use crate::index::{FunctionIndex, WorkerIndex};
@@ -12,18 +12,21 @@
 use crate::types::{Micros, RequestId};
 use crate::virtual_loss::{has_virtual_losses, virtual_loss_chance};
 
-/// Loads asked of one worker at a time by this front end: it runs few, and others ask too.
-const LOADS_PER_WORKER: u32 = 2;
-/// The same of a worker at which loads were slow of late.
-const LOADS_PER_SLOW_WORKER: u32 = 1;
-/// Most replicas that are ordered of one worker.
-const MOST_REPLICAS: u32 = 16;
-/// Share of a worker's memory that this front end's own account fills before it unloads what it replaces.
-const MEMORY_FILLED: f64 = 0.65;
+/// Maximum loads that this front end has pending at one worker: a worker runs few loads at a time, and other front
+/// ends order some too.
+const MAX_LOADS_PER_WORKER: u32 = 2;
+/// Maximum loads that this front end has pending at a worker whose last load was recent and slow.
+const MAX_LOADS_PER_SLOW_WORKER: u32 = 1;
+/// Maximum replicas of a function that are ordered at one worker.
+const MAX_REPLICAS_PER_WORKER: u32 = 16;
+/// Share of a worker's memory that the replicas known to this front end may take before idle ones are unloaded for a
+/// new one.
+const USABLE_MEMORY_SHARE: f64 = 0.65;
 
 impl State {
-    /// The design's virtual loss: probability (min z*/z*) 1(Z <= z*) q(Z), while theta >= 1, D > 0, z* >= 1.
-    pub(crate) fn is_virtual_loss(&mut self, index: FunctionIndex, now: Micros) -> bool {
+    /// Draws whether an arrival is a virtual loss of the design: with probability (min z*/z*) 1(Z <= z*) q(Z), while
+    /// theta >= 1, D > 0, z* >= 1.
+    pub(crate) fn draw_virtual_loss(&mut self, index: FunctionIndex, now: Micros) -> bool {
         let theta = self.estimator.theta();
         let load = self.function_load(&self.functions[index], now);
         let z_star = load.z_star(theta);
@@ -46,8 +49,8 @@
         }
     }
 
-    /// The answer to a loss: one more replica, unless loads are at their limit or one is on its way already. `lost` is
-    /// the request that was lost; none for a loss ahead of need. Returns whether a load was ordered.
+    /// Responds to a loss with one more replica, unless loads are at their limit or one is already being loaded. `lost`
+    /// is the request that was lost; `None` for a virtual loss. Returns whether a load was ordered.
     pub(crate) fn add_replica(
         &mut self,
         index: FunctionIndex,
@@ -64,7 +67,7 @@
         self.free_memory(index, worker, now, actions);
         let replica = self.replica_mut(index, worker);
         let replicas = if replica.is_loaded(now) {
-            (replica.count() + 1).min(MOST_REPLICAS)
+            (replica.count() + 1).min(MAX_REPLICAS_PER_WORKER)
         } else {
             1
         };
@@ -105,9 +108,9 @@
         !self.load_budget.is_exhausted(now, purpose)
     }
 
-    /// Exception to the design while several front ends share the workers: each answers the same losses, and together
-    /// they would load more replicas than memory holds and unload each other's. So requests in flight, taken over all
-    /// front ends, bound the replicas that this one knows of.
+    /// Exception to the design while several front ends share the workers: each responds to the same losses, and
+    /// together they would load more replicas than memory holds and unload each other's. The number of replicas known
+    /// here is therefore bounded by the expected requests in flight of all front ends.
     fn has_enough_replicas(&self, index: FunctionIndex, now: Micros) -> bool {
         if !self.is_shared() {
             return false;
@@ -118,7 +121,8 @@
         loaded >= 1.0 + (REPLICAS_PER_REQUEST * in_flight).round()
     }
 
-    /// Where a new replica goes: a random worker on which the least recently lost function lies idle, else any.
+    /// The worker for a new replica: a random one at which the least recently lost function has an idle replica, else a
+    /// random candidate. While front ends share the workers, the first suitable one in rendezvous order.
     pub(crate) fn worker_for_replica(
         &mut self,
         index: FunctionIndex,
@@ -134,7 +138,8 @@
         }
     }
 
-    /// The workers that can take a new replica: those without one first, and where there are none also the others.
+    /// The workers that can take a new replica, in rendezvous order: those that have none of the function and are not
+    /// overloaded; if there are none, also the others.
     fn replica_candidates(
         &self,
         index: FunctionIndex,
@@ -163,7 +168,7 @@
             .collect()
     }
 
-    /// Whether a worker may be ordered to load the function, for this request if one was lost.
+    /// Whether a worker may be ordered to load the function and, if a request was lost, may be sent that request.
     fn takes_replica(
         &self,
         index: FunctionIndex,
@@ -177,9 +182,9 @@
         let known = &self.workers[worker];
         let loads_slowly = known.load_pace.is_recent(now) && known.load_pace.is_slow();
         let most_loads = if loads_slowly {
-            LOADS_PER_SLOW_WORKER
+            MAX_LOADS_PER_SLOW_WORKER
         } else {
-            LOADS_PER_WORKER
+            MAX_LOADS_PER_WORKER
         };
         !is_ordered
             && self.is_usable(worker, self.functions[index].class, now)
@@ -189,9 +194,9 @@
             && request.is_none_or(|request| self.may_go_to(request, worker, now))
     }
 
-    /// Exception to the design while several front ends share the workers: private draws would give each of them
-    /// replicas of its own. They choose alike instead, in the rendezvous order, and take the first worker that has
-    /// memory or an idle replica of a function lost less recently than this one.
+    /// Exception to the design while several front ends share the workers: with independent random choices each would
+    /// load replicas of its own. Instead, all of them follow the rendezvous order and take the first worker that has
+    /// enough memory or an idle replica of a function lost less recently than this one.
     fn preferred_candidate(
         &self,
         index: FunctionIndex,
@@ -218,18 +223,18 @@
         worker: WorkerIndex,
         now: Micros,
     ) -> bool {
-        let last_lost = self.functions[index].last_lost;
+        let last_loss = self.functions[index].last_loss;
         self.workers[worker].functions.iter().any(|&other| {
             let is_idle = |function| {
                 self.replica(function, worker)
                     .is_some_and(|replica| replica.is_idle(now))
             };
-            self.functions[other].last_lost < last_lost && is_idle(other)
+            self.functions[other].last_loss < last_loss && is_idle(other)
         })
     }
 
-    /// The design's choice. A slot once given away is passed over until its function is used again, as if it had been
-    /// evicted.
+    /// The choice of the design. An idle replica that was chosen for replacement before is not chosen again until its
+    /// function is used there, as if it had been evicted.
     fn least_recently_lost_candidate(
         &mut self,
         index: FunctionIndex,
@@ -241,20 +246,20 @@
             .indexes()
             .filter(|&other| other != index)
             .collect();
-        others.sort_by_key(|&other| self.functions[other].last_lost);
+        others.sort_by_key(|&other| self.functions[other].last_loss);
         for other in others {
             let idle: Vec<WorkerIndex> = candidates
                 .iter()
                 .copied()
                 .filter(|&worker| {
                     self.replica(other, worker).is_some_and(|replica| {
-                        replica.is_idle(now) && !replica.is_slot_given_away()
+                        replica.is_idle(now) && !replica.is_marked_for_replacement()
                     })
                 })
                 .collect();
             if let Some(worker) = self.random.pick(&idle) {
                 if let Some(replica) = self.functions[other].replicas.get_mut(&worker) {
-                    replica.give_slot_away();
+                    replica.mark_for_replacement();
                 }
                 return Some(worker);
             }
@@ -262,23 +267,23 @@
         self.random.pick(candidates)
     }
 
-    /// Memory in MB that one more replica would leave at a worker, by this front end's account; 0 where the worker's
-    /// memory is not known.
+    /// Usable memory in MB that would be left at a worker with one more replica, as far as this front end knows;
+    /// negative if it does not suffice, and 0 if the worker's memory is not known.
     fn memory_left(&self, index: FunctionIndex, worker: WorkerIndex, now: Micros) -> f64 {
         let kind = self.workers[worker].endpoint.kind;
         let memory_mb = self.settings.kind_memory_mb.get(kind).copied();
         let memory_mb = memory_mb.unwrap_or(0.0);
         if memory_mb > 0.0 {
             let used = self.memory_used(worker, now) + self.functions[index].memory_mb;
-            memory_mb * MEMORY_FILLED - used
+            memory_mb * USABLE_MEMORY_SHARE - used
         } else {
             0.0
         }
     }
 
-    /// Unloads the least recently lost idle replicas at a worker while this front end's account shows its memory short.
-    /// Exception in a large fleet: what lies idle by this account is in use by others, and the worker's own eviction is
-    /// better.
+    /// Unloads idle replicas at a worker, those of the least recently lost functions first, until the memory known to
+    /// this front end suffices for the new replica. Exception in a large fleet: replicas that look idle here are in use
+    /// by other front ends, and the worker's own eviction chooses better.
     pub(crate) fn free_memory(
         &mut self,
         index: FunctionIndex,
@@ -296,7 +301,7 @@
             .copied()
             .filter(|&other| other != index)
             .collect();
-        others.sort_by_key(|&other| self.functions[other].last_lost);
+        others.sort_by_key(|&other| self.functions[other].last_loss);
         for other in others {
             if memory_left >= 0.0 {
                 return;
--- a/policy/src/request.rs
+++ b/policy/src/request.rs
@@ -9,30 +9,30 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) worker: WorkerIndex,
-    /// Where its worker was listed when it was sent.
+    /// Placement of its worker when it was sent.
     pub(crate) placement: Placement,
     pub(crate) sent_at: Micros,
-    /// How long its answer is likely to take, in microseconds.
+    /// Expected time from sending it to its answer, in microseconds.
     pub(crate) expected: f64,
-    /// Whether it is to have the function loaded.
+    /// Whether the worker is expected to load the function for it.
     pub(crate) loads_function: bool,
-    /// This front end's requests in flight for the function at the worker, with this one, when it was sent.
+    /// This front end's requests in flight for the function at the worker when it was sent, including itself.
     pub(crate) own_in_flight: u32,
     pub(crate) state: AttemptState,
 }
 
-/// What is known of an attempt.
+/// The state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
     /// It is in flight; it may be executed.
     Open,
-    /// It was cancelled and has not ended; it may be executed.
+    /// It was cancelled but has not ended yet; it may be executed.
     Cancelling,
     /// It ended, and may have been executed.
     MayHaveExecuted,
-    /// It ended, as the function is not loaded there.
+    /// It ended because the function is not loaded at the worker; it was not executed.
     NotLoaded,
-    /// It ended, and was certainly not executed.
+    /// It ended for another reason, and was certainly not executed.
     NotExecuted,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// A request from its arrival until its answer is given and all its attempts have ended.
+/// A request, kept from its arrival until it has its final answer and all its attempts have ended.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) function: FunctionIndex,
@@ -72,12 +72,13 @@
     pub(crate) deadline: Micros,
     /// Whether the client marked it as a retry.
     pub(crate) is_retry: bool,
-    /// Whether it found no free replica before.
+    /// Whether it found no free replica before, which is a loss.
     pub(crate) lost: bool,
     /// Whether it has its final answer.
     pub(crate) closed: bool,
+    /// Attempts that ended with an error.
     pub(crate) errors: u32,
-    /// It was sent though answers of its class take longer than its client waits.
+    /// Whether it was sent although answers of its class take longer than its client waits.
     pub(crate) speculative: bool,
     pub(crate) attempts: Vec<Attempt>,
 }
@@ -91,27 +92,27 @@
         self.attempts.iter().any(Attempt::may_have_executed)
     }
 
-    /// Attempts that workers rejected, or that did not reach one.
+    /// Number of attempts that workers rejected or that did not reach a worker.
     pub(crate) fn rejected_attempts(&self) -> usize {
         let rejected = |attempt: &&Attempt| attempt.state == AttemptState::NotExecuted;
         self.attempts.iter().filter(rejected).count()
     }
 
-    /// Whether workers that lack the function were the only ones that it reached, if any.
-    pub(crate) fn met_only_missing_functions(&self) -> bool {
+    /// Whether all its attempts, if any, ended because the function was not loaded.
+    pub(crate) fn only_found_function_not_loaded(&self) -> bool {
         self.attempts
             .iter()
             .all(|attempt| attempt.state == AttemptState::NotLoaded)
     }
 
-    /// Whether an attempt is in flight at the worker, or may have been executed there.
+    /// Whether an attempt at the worker is in flight or may have been executed.
     pub(crate) fn has_tried(&self, worker: WorkerIndex) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.worker == worker && attempt.may_have_executed())
     }
 
-    /// Ends an attempt that is open. Returns it as it was.
+    /// Ends an open attempt. Returns its state before; `None` if there is no such attempt or it has ended already.
     pub(crate) fn end_attempt(&mut self, number: usize, outcome: Outcome) -> Option<Attempt> {
         let attempt = self.attempts.get_mut(number)?;
         if !attempt.is_open() {
@@ -139,8 +140,8 @@
         self.requests.get_mut(&id)
     }
 
-    /// A request that has no final answer yet.
-    pub(crate) fn owed(&self, id: RequestId) -> Option<&Request> {
+    /// A request that has no final answer yet; `None` otherwise.
+    pub(crate) fn unanswered(&self, id: RequestId) -> Option<&Request> {
         self.get(id).filter(|request| !request.closed)
     }
 
@@ -168,7 +169,7 @@
         self.requests.iter().map(|(&id, request)| (id, request))
     }
 
-    /// Whether any request has an attempt at this worker.
+    /// Whether any request has an attempt at this worker, open or ended.
     pub(crate) fn has_attempts_at(&self, worker: WorkerIndex) -> bool {
         self.requests.values().any(|request| {
             request
--- a/policy/src/request_lifecycle.rs
+++ b/policy/src/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! A request's way through the policy: its arrival, the ends of its attempts, and its deadline.
+//! The life cycle of a request: its arrival, the ends of its attempts, and its deadline.
 use crate::action::Action;
 use crate::admission::Arrival;
 use crate::event::{AttemptResult, NewRequest, Outcome};
@@ -6,27 +6,27 @@
 use crate::index::FunctionIndex;
 use crate::outlier_detection::AttemptSample;
 use crate::request::{Attempt, Request};
-use crate::state::{State, LONGEST_SPAN};
+use crate::state::{State, MAX_DURATION};
 use crate::types::{Micros, RequestId, MILLISECOND};
 use crate::worker::OpenAttempt;
 
-/// The final answer comes this long before the client leaves.
+/// The final answer is given this long before the client gives up.
 const ANSWER_MARGIN: Micros = 8 * MILLISECOND;
-/// Requests that one replica runs at a time, at the most.
-const MOST_CONCURRENCY: u32 = 1024;
+/// Upper bound of the requests that one replica runs concurrently.
+const MAX_CONCURRENCY: u32 = 1024;
 
-/// The token of the timer that ends a request in time: odd, as the housekeeping has 0.
+/// The token of a request's deadline timer: odd, since the housekeeping timer's is 0.
 fn deadline_token(id: RequestId) -> u64 {
     id << 1 | 1
 }
 
-/// The request that a timer with this token ends.
+/// The request whose deadline timer has this token.
 pub(crate) fn request_of_deadline_token(token: u64) -> RequestId {
     token >> 1
 }
 
 impl State {
-    /// A client's request came. An id that is in use already is passed over.
+    /// Handles a client's new request: admits and places it, or rejects it. Ignored if its id is already in use.
     pub(crate) fn request_arrived(
         &mut self,
         now: Micros,
@@ -39,9 +39,9 @@
         let class = new.class.min(self.settings.classes.len() - 1);
         let function = self.function_called(now, new, class);
         let tenant = self.estimator.count_tenant(new.tenant);
-        self.retry_budget.earn();
+        self.hedge_budget.earn();
         self.poll_budget.earn();
-        let time_left = new.time_left.min(LONGEST_SPAN);
+        let time_left = new.time_left.min(MAX_DURATION);
         let deadline = now + time_left.saturating_sub(ANSWER_MARGIN);
         let request = Request {
             function,
@@ -83,22 +83,22 @@
         deadline: Micros,
         actions: &mut Vec<Action>,
     ) {
-        // Rule 1: whatever else happens, this timer ends the request in time.
+        // Rule 1: this timer ends the request before its deadline, whatever else happens.
         actions.push(Action::Timer {
             delay: deadline - now,
             token: deadline_token(id),
         });
-        if self.is_virtual_loss(function, now) {
-            self.functions[function].last_lost = now;
+        if self.draw_virtual_loss(function, now) {
+            self.functions[function].last_loss = now;
             self.add_replica(function, now, None, actions);
         }
         self.place(now, id, actions);
     }
 
-    /// Takes a request into what is known of its function.
+    /// Updates the state of the called function, and adds the function if it is new.
     fn function_called(&mut self, now: Micros, new: &NewRequest, class: usize) -> FunctionIndex {
         let service_time = self.estimator.class_service_time(class);
-        let load_time = new.load_time.min(LONGEST_SPAN) as f64;
+        let load_time = new.load_time.min(MAX_DURATION) as f64;
         let index = self.functions.find_or_insert(new.function, || {
             Function::new(new.function, service_time, load_time)
         });
@@ -106,7 +106,7 @@
         if new.memory_mb.is_finite() && new.memory_mb > 0.0 {
             function.memory_mb = new.memory_mb;
         }
-        function.concurrency = new.concurrency.clamp(1, MOST_CONCURRENCY);
+        function.concurrency = new.concurrency.clamp(1, MAX_CONCURRENCY);
         function.called(now, class, new.retry);
         let lifetime = self.replica_lifetime(index);
         let function = &mut self.functions[index];
@@ -115,7 +115,8 @@
                 replica.extend(lifetime);
             }
         }
-        // Guards the load budget: only requests of functions that load count, as only usual clients' do.
+        // Protects the load budget: only the usual clients' requests count for it, so requests of a function that is
+        // not known to load do not count yet.
         if function.is_known_to_load() {
             self.load_budget.count_request(now);
         } else {
@@ -124,7 +125,7 @@
         index
     }
 
-    /// A request's time is up: it is answered, unless it was.
+    /// Handles a deadline timer: gives the request its final answer unless it has one.
     pub(crate) fn deadline_passed(
         &mut self,
         now: Micros,
@@ -137,7 +138,7 @@
         }
     }
 
-    /// An attempt ended: its worker's state is updated, and the request is closed or placed again.
+    /// Handles the end of an attempt: updates the state of its worker, and closes the request or places it again.
     pub(crate) fn attempt_ended(
         &mut self,
         now: Micros,
@@ -154,7 +155,7 @@
         let class = request.class;
         let tenant = request.tenant;
         self.release_attempt(function, &attempt, result);
-        self.learn_from_attempt(now, function, &attempt, result, tenant, class);
+        self.update_worker_after_attempt(now, function, &attempt, result, tenant, class);
         if result.outcome == Outcome::Ok {
             self.estimator.count_served();
             self.function_served(result.id, function);
@@ -171,8 +172,8 @@
         self.place_waiting(Some(function), now, actions);
     }
 
-    /// What an attempt's end tells of its worker and of the replicas there.
-    fn learn_from_attempt(
+    /// Updates what is known of a worker and of its replicas by the end of an attempt.
+    fn update_worker_after_attempt(
         &mut self,
         now: Micros,
         function: FunctionIndex,
@@ -182,21 +183,21 @@
         class: usize,
     ) {
         let worker = attempt.worker;
-        let is_of_present_process = attempt.sent_at >= self.workers[worker].endpoint.started_at;
-        if self.workers[worker].is_ready() && is_of_present_process {
+        let is_current_process = attempt.sent_at >= self.workers[worker].endpoint.started_at;
+        if self.workers[worker].is_ready() && is_current_process {
             if result.outcome == Outcome::Ok {
                 self.workers[worker].rejections.served(tenant, class);
             }
-            self.learn_replicas(now, function, attempt, result);
+            self.update_replica_after_attempt(now, function, attempt, result);
         }
         if result.outcome == Outcome::Rejected {
             self.attempt_rejected(worker, tenant, class, now);
         }
         if let Some(in_flight) = result.in_flight.filter(|in_flight| in_flight.is_finite()) {
             self.workers[worker].report_load(now, in_flight.max(0.0));
-            self.estimator.load_report_came();
+            self.estimator.load_report_received();
         }
-        if is_of_present_process {
+        if is_current_process {
             let sample = AttemptSample {
                 outcome: result.outcome,
                 elapsed: result.elapsed,
@@ -209,7 +210,7 @@
         }
     }
 
-    /// The attempt is in flight no more.
+    /// Removes the attempt from all counts of what is in flight.
     fn release_attempt(
         &mut self,
         function: FunctionIndex,
@@ -230,8 +231,8 @@
         }
     }
 
-    /// What an attempt's end tells of the replicas at its worker.
-    fn learn_replicas(
+    /// Updates what is known of the function's replicas at the worker by the end of an attempt.
+    fn update_replica_after_attempt(
         &mut self,
         now: Micros,
         index: FunctionIndex,
@@ -247,7 +248,7 @@
         }
         if let Some(queue_depth) = result.queue_depth {
             let own = attempt.own_in_flight.saturating_sub(1);
-            replica.note_queue(now, queue_depth, own);
+            replica.queue_reported(now, queue_depth, own);
         }
         let found_replica = result.outcome == Outcome::Ok && result.replica_loaded != Some(false);
         if result.outcome == Outcome::Rejected || found_replica {
@@ -256,8 +257,8 @@
         }
     }
 
-    /// A function was served: what its requests would have counted for the load budget before counts now. Guards a
-    /// process that has just started, to which every function is new, from having no loads to give.
+    /// A request of the function was served: its earlier requests now count for the load budget too. Otherwise a
+    /// process that has just started, to which every function is new, would have no budget for loads.
     fn function_served(&mut self, id: RequestId, function: FunctionIndex) {
         self.end_speculation(id, true);
         let earlier = self.functions[function].served();
--- a/policy/src/routing.rs
+++ b/policy/src/routing.rs
@@ -1,6 +1,7 @@
-//! Routing, the ordinary path of the design (docs/design.md): a request goes to a uniformly random worker among those
-//! with a free replica. Finding none is a loss: it joins the loaded worker with the fewest of this front end's requests,
-//! or waits for a replica. Everything else here is a guard, and says what it guards against.
+//! Routing as docs/design.md describes it: a request goes to a uniformly random worker among those with a free replica.
+//! If there is none, that is a loss: the request goes to the worker with a loaded replica that has the fewest of this
+//! front end's requests, or waits for a replica. All other rules here are safeguards; their comments name what they
+//! protect against.
 use crate::action::Action;
 use crate::index::{FunctionIndex, WorkerIndex};
 use crate::polling::{Discovery, POLLED_WORKERS, POLL_INTERVAL};
@@ -9,20 +10,20 @@
 use crate::state::State;
 use crate::types::{Micros, RequestId};
 
-/// Part of its life that a request waits with no attempt made: with none by then, a rejection while the client has time
-/// to retry is worth more than a place in the queue.
-const WAITING_PART: f64 = 0.45;
-/// Attempts that were certainly not executed after which no further worker is tried.
-const MOST_REJECTED_ATTEMPTS: usize = 3;
-/// Errors after which requests of a function never served here end.
-const MOST_ERRORS_OF_UNKNOWN_FUNCTION: u32 = 2;
-/// Steps of an estimated load of 1 in which loaded workers are compared.
-const LOAD_STEPS: f64 = 16.0;
+/// Fraction of the time until its deadline for which a request waits for a replica while no worker could execute it:
+/// after that, a rejection that leaves the client time to retry is better than further waiting.
+const MAX_WAITING_SHARE: f64 = 0.45;
+/// Number of attempts rejected or not delivered after which no further worker is tried.
+const MAX_REJECTED_ATTEMPTS: usize = 3;
+/// Number of errors after which requests of a function that was never served here are given up.
+const MAX_ERRORS_OF_UNKNOWN_FUNCTION: u32 = 2;
+/// Estimated loads are compared in steps of one request divided by this.
+const LOAD_STEPS_PER_REQUEST: f64 = 16.0;
 
 impl State {
-    /// Sends a request, or leaves it waiting until a replica is due, or ends it if nothing more can be done.
+    /// Sends a request to a worker, lets it wait for a replica, or gives its final answer if no attempt may be made.
     pub(crate) fn place(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(request) = self.requests.owed(id) else {
+        let Some(request) = self.requests.unanswered(id) else {
             return;
         };
         if request.has_open_attempt() {
@@ -35,7 +36,7 @@
         let is_fresh_loss = !(request.lost || request.is_retry);
         if let Some(worker) = self.pick_worker(id, now) {
             if is_fresh_loss {
-                self.answer_unseen_loss(function, id, now, actions);
+                self.handle_inferred_loss(function, id, now, actions);
             }
             return self.send(now, id, worker, actions);
         }
@@ -52,7 +53,7 @@
         self.wait_for_replica(now, id, actions);
     }
 
-    /// Places the waiting requests of one function, or of all, again.
+    /// Tries again to place the waiting requests of one function, or of all functions if `only` is `None`.
     pub(crate) fn place_waiting(
         &mut self,
         only: Option<FunctionIndex>,
@@ -69,34 +70,36 @@
         let idempotency = self.class(request.class).idempotency;
         let must_not_repeat =
             request.may_have_executed() && idempotency == Idempotency::NotIdempotent;
-        // Guards workers against requests that none of them can use: each answers them with an error.
-        let is_unknown = request.errors >= MOST_ERRORS_OF_UNKNOWN_FUNCTION
+        // Protects workers from requests for a function that none of them has: each would answer with an error.
+        let is_unknown = request.errors >= MAX_ERRORS_OF_UNKNOWN_FUNCTION
             && !self.functions[request.function].is_known_to_load();
-        // The deadline guards against a request for nobody: an attempt's time-out may come just before its timer.
+        // The deadline is checked since an attempt's time-out may come just before the deadline's timer: no client
+        // would wait for a further attempt.
         now >= request.deadline
-            || request.rejected_attempts() >= MOST_REJECTED_ATTEMPTS
+            || request.rejected_attempts() >= MAX_REJECTED_ATTEMPTS
             || request.attempts.len() as u32 >= self.settings.max_attempts
             || must_not_repeat
             || is_unknown
     }
 
-    /// A random worker among those with a free replica and, in a large fleet, the common workers.
+    /// A uniformly random worker among those with a free replica and, in a large fleet, the common workers.
     fn pick_worker(&mut self, id: RequestId, now: Micros) -> Option<WorkerIndex> {
         let request = self.requests.get(id)?;
         let function = request.function;
         let mut workers = self.free_workers_for(request, now);
         let spread = self.spread_of(function);
         let mut common = self.common_workers(id, now, spread);
-        // A worker that has just started has nothing loaded, and would have to load what is loaded elsewhere.
+        // A worker that has just started has nothing loaded: it would load a function that is already loaded elsewhere.
         let has_free_worker = !workers.is_empty();
         common.retain(|&worker| !has_free_worker || self.capacity_share(worker, now).is_none());
         workers.extend(common);
         self.random.pick(&workers)
     }
 
-    /// Exception to the design while several front ends share the workers: others' requests take replicas too. If they
-    /// are as many as this front end's of late, all replicas known here are taken: a loss that cannot be seen.
-    fn answer_unseen_loss(
+    /// Exception to the design while several front ends share the workers: other front ends' requests occupy replicas
+    /// too, but are not seen here. If the expected requests of all front ends exceed the slots of all known replicas,
+    /// the request counts as lost although a replica looks free.
+    fn handle_inferred_loss(
         &mut self,
         function: FunctionIndex,
         id: RequestId,
@@ -108,30 +111,32 @@
         let loaded = replicas.filter(|replica| replica.is_loaded(now)).count();
         let slots = loaded as f64 * f64::from(called.concurrency);
         if self.is_shared() && self.fleet_calls(function, called.service_time) > slots {
-            self.functions[function].last_lost = now;
+            self.functions[function].last_loss = now;
             self.add_replica(function, now, Some(id), actions);
         }
     }
 
-    /// A marked retry is no fresh loss: the first attempt was counted.
+    /// Records a loss. A request that its client marked as a retry does not count as a new one: the client's first
+    /// request was counted.
     fn record_loss(&mut self, function: FunctionIndex, id: RequestId, is_fresh: bool, now: Micros) {
         if is_fresh {
-            self.functions[function].last_lost = now;
+            self.functions[function].last_loss = now;
         }
         if let Some(request) = self.requests.get_mut(id) {
             request.lost = true;
         }
     }
 
-    /// The loaded worker with the fewest of this front end's requests for the function. Ties go to the least loaded by
-    /// all accounts: in a large fleet this front end's are mostly none.
+    /// The worker with a loaded replica that has the fewest of this front end's requests for the function. Ties go to
+    /// the worker with the lowest estimated load, weighted by its health: in a large fleet most workers have none of
+    /// this front end's requests.
     fn least_loaded_worker(&self, id: RequestId, now: Micros) -> Option<WorkerIndex> {
         let request = self.requests.get(id)?;
         let function = &self.functions[request.function];
         let load = |worker: WorkerIndex| {
             let known = &self.workers[worker];
             let in_flight = self.estimator.in_flight_at(known, now);
-            (in_flight * known.health.score() * LOAD_STEPS) as u64
+            (in_flight * known.health.score() * LOAD_STEPS_PER_REQUEST) as u64
         };
         function
             .replicas
@@ -146,10 +151,11 @@
             .map(|(_, _, worker)| worker)
     }
 
-    /// Exception to the design in a large fleet: each front end sees too little of a function to know where it is
-    /// loaded, and a hundred that poll cost more than they learn. All prefer alike, so the first workers that may be
-    /// used are where others' requests go: this one's go there too, and their answers tell. So many at most, of which
-    /// no replica is known yet.
+    /// Exception to the design in a large fleet: each front end sees too few requests of a function to know where it is
+    /// loaded, and polls by a hundred front ends cost more than they tell. All front ends prefer workers in the same
+    /// order, so the first usable ones are where other front ends send their requests; this front end sends its own
+    /// there too, and the answers report whether a replica is loaded. Returns those of the first `most` usable workers
+    /// at which no replica is known yet and this front end's requests do not fill one.
     fn common_workers(&mut self, id: RequestId, now: Micros, most: usize) -> Vec<WorkerIndex> {
         if !self.is_large_fleet() || !self.settings.load_on_demand {
             return Vec::new();
@@ -181,8 +187,8 @@
             .collect()
     }
 
-    /// How many common workers the requests of a function are spread over: more, the deeper the queues at its workers
-    /// were when this front end's came. What is between two numbers is left to chance.
+    /// Number of common workers that the requests of a function are spread over: grows with the queue depths that
+    /// workers reported for this front end's requests. A fractional number is rounded up or down at random.
     fn spread_of(&mut self, function: FunctionIndex) -> usize {
         let spread = self.functions[function].spread();
         if spread <= 1.0 {
@@ -191,7 +197,7 @@
         (spread + self.random.fraction()) as usize
     }
 
-    /// Leaves a request waiting for a replica, and sees to it that one comes.
+    /// Lets a request wait for a replica, and has one found or loaded.
     fn wait_for_replica(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else {
             return;
@@ -214,19 +220,20 @@
         self.load_for_waiting(now, id, function, actions);
     }
 
-    /// Guards against keeping a request until nobody can use its answer.
+    /// Protects against holding a request until its client can no longer use the answer.
     fn has_waited_too_long(&self, request: &Request, now: Micros) -> bool {
         let waited = now.saturating_sub(request.arrived_at) as f64;
         let life = (request.deadline - request.arrived_at) as f64;
-        waited > WAITING_PART * life && request.met_only_missing_functions()
+        waited > MAX_WAITING_SHARE * life && request.only_found_function_not_loaded()
     }
 
-    /// Guards workers and the load budget against requests of what no worker knows: orders to load it fail at once.
+    /// Protects workers and the load budget from requests for functions that no worker knows: orders to load them fail
+    /// at once.
     fn are_load_orders_failing(&self, function: FunctionIndex, now: Micros) -> bool {
-        self.functions[function].orders_fail(MOST_ERRORS_OF_UNKNOWN_FUNCTION, now, POLL_INTERVAL)
+        self.functions[function].orders_fail(MAX_ERRORS_OF_UNKNOWN_FUNCTION, now, POLL_INTERVAL)
     }
 
-    /// Orders one more replica where those on their way do not suffice for the waiting requests.
+    /// Orders one more replica if those being loaded do not suffice for the waiting requests.
     fn load_for_waiting(
         &mut self,
         now: Micros,
@@ -244,7 +251,8 @@
         if self.add_replica(index, now, Some(id), actions) || loading > 0 {
             return;
         }
-        // No order may be given (budget, limit or settings): where requests load by themselves, this one does.
+        // No order may be given (budget, limit or settings): if workers load missing functions on demand, the request
+        // itself is sent to have the function loaded.
         if self.settings.load_on_demand && self.load_limiter.is_below_limit() {
             if let Some(worker) = self.worker_for_replica(index, now, Some(id)) {
                 self.send(now, id, worker, actions);
--- a/policy/src/state.rs
+++ b/policy/src/state.rs
@@ -1,5 +1,6 @@
-//! The state of one front end's policy: the tables and estimates that the decisions read and change. Each part owns its
-//! own; what concerns two of them, a function at a worker above all, is looked up and kept consistent here.
+//! The state of one front end's policy: the tables and estimates that the decisions read and change. Each component
+//! owns its state; what involves several of them, such as the replicas of a function at a worker, is kept consistent
+//! here.
 use crate::answer_times::AnswerTimes;
 use crate::estimator::{Estimator, FunctionLoad};
 use crate::function::{Function, FunctionTable};
@@ -18,32 +19,37 @@
 use crate::zone_health::ZoneHealth;
 use std::cmp::Reverse;
 
-/// Period of the housekeeping while requests are open: well under any latency objective.
+/// Interval of the housekeeping while requests are open; well under any latency objective.
 pub(crate) const TICK: Micros = 20 * MILLISECOND;
-/// The longest span that is taken over: absurd figures must not overflow the clock.
-pub(crate) const LONGEST_SPAN: Micros = 3_600 * SECOND;
-/// Load time and latency objective where none is stated.
-pub(crate) const DEFAULT_SPAN: Micros = SECOND;
-/// Idle time of a replica where none is stated.
+/// Upper bound of durations in settings and requests, so that an extreme value cannot overflow the clock.
+pub(crate) const MAX_DURATION: Micros = 3_600 * SECOND;
+/// Shortest load time that is assumed for a function that is not loaded, and longest latency objective from which a
+/// class's first service time is estimated.
+pub(crate) const DEFAULT_DURATION: Micros = SECOND;
+/// Keep-alive of an idle replica if the settings state none.
 const DEFAULT_KEEP_ALIVE: Micros = 5 * SECOND;
-/// Part of the stated idle time that a replica is believed to stay: travel time, and a margin.
-const KEEP_ALIVE_USED: f64 = 0.9;
-/// Most idle times for which other front ends' requests are trusted to keep a replica.
-const MOST_KEEP_ALIVES: f64 = 4.0;
-/// Requests to each replica within an idle time for each idle time more that it is believed to stay.
+/// Fraction of the stated keep-alive for which an idle replica is assumed to stay; the rest covers network latency and
+/// a margin.
+const KEEP_ALIVE_FRACTION: f64 = 0.9;
+/// Upper bound, in keep-alives, on how long other front ends' requests are assumed to keep a replica loaded.
+const MAX_KEEP_ALIVES: f64 = 4.0;
+/// Requests to a replica within a keep-alive that count for one keep-alive of its assumed lifetime.
 const REQUESTS_PER_KEEP_ALIVE: f64 = 4.0;
-/// Front ends up to which each sees enough of the workers' load and of the functions' replicas by itself.
-const SMALL_FLEET: u32 = 16;
-/// Further attempts: what is there at the start, what each request earns and what can be saved up. Bounds what retries
-/// add to an overload.
-const INITIAL_RETRIES: f64 = 5.0;
-const RETRIES_PER_REQUEST: f64 = 0.15;
-const MOST_RETRIES: f64 = 20.0;
-/// Polls of replicas: what each request earns and what can be saved up, a round for some tens of functions.
+/// Largest number of front ends at which each one still sees enough of the workers' load and of the functions' replicas
+/// by itself.
+const MAX_SMALL_FLEET: u32 = 16;
+/// Hedged requests that are allowed at the start, before any request has arrived.
+const INITIAL_HEDGES: f64 = 5.0;
+/// Hedged requests allowed for each request: bounds what they add to an overload.
+const HEDGES_PER_REQUEST: f64 = 0.15;
+/// Maximum hedged requests that can be saved up.
+const MAX_SAVED_HEDGES: f64 = 20.0;
+/// Polls of replicas allowed for each request.
 const POLLS_PER_REQUEST: f64 = 0.5;
-const MOST_POLLS: f64 = 600.0;
+/// Maximum polls that can be saved up: a round of polls for some tens of functions.
+const MAX_SAVED_POLLS: f64 = 600.0;
 
-/// All that one front end's policy remembers.
+/// The complete state of one front end's policy.
 pub(crate) struct State {
     pub(crate) settings: Settings,
     pub(crate) random: Random,
@@ -55,17 +61,18 @@
     pub(crate) estimator: Estimator,
     pub(crate) load_budget: LoadBudget,
     pub(crate) load_limiter: LoadLimiter,
-    pub(crate) retry_budget: TokenBucket,
+    pub(crate) hedge_budget: TokenBucket,
     pub(crate) poll_budget: TokenBucket,
-    /// How long answers take of late, by class.
+    /// How long recent answers took, by class.
     pub(crate) answer_times: Vec<AnswerTimes>,
-    /// When this front end last went on after it had stood still.
+    /// When this front end's process started, or last resumed after a stall.
     pub(crate) resumed_at: Micros,
-    /// When a connection to any worker last broke.
+    /// When a connection to any worker last broke; 0 if none did.
     pub(crate) last_reset: Micros,
-    /// Most workers look bad: then the judgement is at fault, and nobody is ejected for it.
+    /// Whether more than half of the ready workers would be ejected: outlier detection is then more likely wrong than
+    /// the workers are, so no worker is ejected.
     pub(crate) ejection_suspended: bool,
-    /// Ticks since the start, with the first event.
+    /// Ticks since the start; the first event counts as one.
     pub(crate) ticks: u32,
 }
 
@@ -79,11 +86,11 @@
             requests: RequestTable::default(),
             zones: ZoneHealth::default(),
             slow_start: SlowStart::new(&settings),
-            estimator: Estimator::new(&settings, DEFAULT_SPAN),
+            estimator: Estimator::new(&settings, DEFAULT_DURATION),
             load_budget: LoadBudget::new(&settings),
             load_limiter: LoadLimiter::new(settings.front_ends),
-            retry_budget: TokenBucket::new(INITIAL_RETRIES, RETRIES_PER_REQUEST, MOST_RETRIES),
-            poll_budget: TokenBucket::new(MOST_POLLS, POLLS_PER_REQUEST, MOST_POLLS),
+            hedge_budget: TokenBucket::new(INITIAL_HEDGES, HEDGES_PER_REQUEST, MAX_SAVED_HEDGES),
+            poll_budget: TokenBucket::new(MAX_SAVED_POLLS, POLLS_PER_REQUEST, MAX_SAVED_POLLS),
             answer_times: vec![AnswerTimes::default(); settings.classes.len()],
             resumed_at: 0,
             last_reset: 0,
@@ -93,9 +100,9 @@
         }
     }
 
-    /// Whether so many front ends share the workers that each sees too little of them by itself.
+    /// Whether so many front ends share the workers that each one sees too little of them by itself.
     pub(crate) fn is_large_fleet(&self) -> bool {
-        self.settings.front_ends > SMALL_FLEET
+        self.settings.front_ends > MAX_SMALL_FLEET
     }
 
     /// Whether other front ends share the workers.
@@ -112,7 +119,7 @@
         &self.settings.classes[class]
     }
 
-    /// The classes that the settings name.
+    /// The classes in the settings, without the one that stands for unknown classes.
     pub(crate) fn known_classes(&self) -> &[ClassSettings] {
         &self.settings.classes[..self.settings.classes.len() - 1]
     }
@@ -127,7 +134,7 @@
         sum / classes.len().max(1) as f64
     }
 
-    /// What is known of a function at a worker; recorded with both if nothing was.
+    /// The replica state of a function at a worker; created if there is none.
     pub(crate) fn replica_mut(
         &mut self,
         function: FunctionIndex,
@@ -137,7 +144,7 @@
         self.functions[function].replicas.entry(worker).or_default()
     }
 
-    /// What is known of a function at a worker.
+    /// The replica state of a function at a worker; `None` if nothing is known.
     pub(crate) fn replica(
         &self,
         function: FunctionIndex,
@@ -146,7 +153,7 @@
         self.functions[function].replicas.get(&worker)
     }
 
-    /// Nothing is loaded at a worker any more: its process stopped, restarted or left.
+    /// Marks all functions as unloaded at a worker whose process stopped, restarted or left.
     pub(crate) fn invalidate_replicas(&mut self, worker: WorkerIndex) {
         for function in std::mem::take(&mut self.workers[worker].functions) {
             let replicas = &mut self.functions[function].replicas;
@@ -162,7 +169,8 @@
         }
     }
 
-    /// Forgets the functions that nobody called since `time`, so that nothing grows with the past.
+    /// Removes functions that have not been called since `time`, so that memory use does not grow with every function
+    /// ever called.
     pub(crate) fn forget_functions_unused_since(&mut self, time: Micros) {
         for function in self.functions.indexes() {
             for worker in self.functions.forget_unused(function, time) {
@@ -185,7 +193,7 @@
             .preferred_workers(function, workers.positions(), rank)
     }
 
-    /// The ready workers that have a function loaded, and its requests in flight.
+    /// How many ready workers have a function loaded, and this front end's requests in flight for it.
     pub(crate) fn function_load(&self, function: &Function, now: Micros) -> FunctionLoad {
         let loaded = function
             .replicas
@@ -197,13 +205,13 @@
         }
     }
 
-    /// Requests of a function in a span at all front ends, if each takes as many as this one.
+    /// Requests for a function at all front ends within a duration, assuming that each receives as many as this one.
     pub(crate) fn fleet_calls(&self, function: FunctionIndex, span: f64) -> f64 {
         let front_ends = f64::from(self.settings.front_ends.max(1));
         self.functions[function].calls_in(span) * front_ends
     }
 
-    /// How long an idle replica is believed to stay.
+    /// How long an idle replica is assumed to stay loaded.
     pub(crate) fn keep_alive(&self) -> Micros {
         let stated = self.settings.keep_alive;
         let keep_alive = if stated > 0 {
@@ -211,11 +219,11 @@
         } else {
             DEFAULT_KEEP_ALIVE
         };
-        (keep_alive as f64 * KEEP_ALIVE_USED) as Micros
+        (keep_alive as f64 * KEEP_ALIVE_FRACTION) as Micros
     }
 
-    /// How long a sign that a replica is loaded is believed: the idle time, and longer while several front ends'
-    /// requests come several times to each replica within it and so restart its idle time.
+    /// How long a replica is assumed to stay loaded after it was last confirmed: the keep-alive, and longer while the
+    /// requests of several front ends are frequent enough to restart its idle time.
     pub(crate) fn replica_lifetime(&self, function: FunctionIndex) -> Micros {
         let keep_alive = self.keep_alive() as f64;
         let replicas = self.functions[function].replicas.values();
@@ -225,17 +233,17 @@
         } else {
             0.0
         };
-        let keep_alives = (requests_each / REQUESTS_PER_KEEP_ALIVE).clamp(1.0, MOST_KEEP_ALIVES);
+        let keep_alives = (requests_each / REQUESTS_PER_KEEP_ALIVE).clamp(1.0, MAX_KEEP_ALIVES);
         (keep_alive * keep_alives) as Micros
     }
 
-    /// What part of its full capacity a worker has for certain; `None` once it has all of it.
+    /// The fraction of its full capacity that a worker in slow start has at least; `None` outside of slow start.
     pub(crate) fn capacity_share(&self, worker: WorkerIndex, now: Micros) -> Option<f64> {
         let started_at = self.workers[worker].endpoint.started_at;
         self.slow_start.capacity_share(started_at, now)
     }
 
-    /// What a request of a class weighs for the rule on workers in slow start: as its class does on the mean.
+    /// Weight of a request in the slow-start accounts: the mean service time of its class relative to all classes.
     pub(crate) fn request_weight(&self, class: usize) -> f64 {
         let known = self.estimator.known_class_service_times();
         let most_expensive = known.iter().copied().fold(0.0, f64::max);
@@ -243,7 +251,7 @@
         slow_start::request_weight(known, own.min(most_expensive))
     }
 
-    /// Memory in MB that the replicas loaded or loading at a worker take, by what this front end knows.
+    /// Memory in MB that loaded and loading replicas take at a worker, as far as this front end knows.
     pub(crate) fn memory_used(&self, worker: WorkerIndex, now: Micros) -> f64 {
         let used = |&function: &FunctionIndex| {
             let memory_mb = self.functions[function].memory_mb;
@@ -261,29 +269,29 @@
     }
 }
 
-/// Absurd figures are clamped; a class is added that stands for all that the settings do not name: it must not be
-/// executed twice, and has no latency objective or weight.
+/// Clamps extreme values, and appends a class that stands for all unknown classes: it is not idempotent, and has no
+/// latency objective or weight.
 fn sanitize(mut settings: Settings) -> Settings {
     settings.classes.push(ClassSettings {
         name: String::new(),
         idempotency: Idempotency::NotIdempotent,
         key_scope: KeyScope::Cell,
         key_memory: 0,
-        latency_objective: LONGEST_SPAN,
+        latency_objective: MAX_DURATION,
         priority_weight: 0.0,
     });
     for class in &mut settings.classes {
         if class.latency_objective == 0 {
-            class.latency_objective = LONGEST_SPAN;
+            class.latency_objective = MAX_DURATION;
         }
-        class.latency_objective = class.latency_objective.min(LONGEST_SPAN);
-        class.key_memory = class.key_memory.min(LONGEST_SPAN);
+        class.latency_objective = class.latency_objective.min(MAX_DURATION);
+        class.key_memory = class.key_memory.min(MAX_DURATION);
     }
     if settings.max_attempts == 0 {
         settings.max_attempts = u32::MAX; // not stated: no limit
     }
-    settings.load_budget_window = settings.load_budget_window.min(LONGEST_SPAN);
-    settings.overload_window = settings.overload_window.min(LONGEST_SPAN);
-    settings.keep_alive = settings.keep_alive.min(LONGEST_SPAN);
+    settings.load_budget_window = settings.load_budget_window.min(MAX_DURATION);
+    settings.overload_window = settings.overload_window.min(MAX_DURATION);
+    settings.keep_alive = settings.keep_alive.min(MAX_DURATION);
     settings
 }
