--- a/policy/src/estimator.rs
+++ b/policy/src/estimator.rs
@@ -30,7 +30,7 @@
 pub(crate) const MODERATE_LOAD: f64 = 4.0;
 /// Time after its arrival for which a request counts as queued, in multiples of its class's latency objective.
 const QUEUED_OBJECTIVES: Micros = 2;
-/// Standard deviations by which a tenant's traffic must exceed its part of the quotas: chance alone makes it vary.
+/// Standard deviations by which a tenant's traffic must exceed its share of the quotas: chance alone makes it vary.
 const QUOTA_DEVIATIONS: f64 = 2.0;
 
 /// What the survey measures.
@@ -64,7 +64,7 @@
 }
 
 impl FunctionLoad {
-    /// The function's z* of the design.
+    /// The function's z* (docs/design.md).
     pub(crate) fn z_star(&self, theta: f64) -> f64 {
         (self.loaded as f64 - self.in_flight) / theta
     }
@@ -177,7 +177,7 @@
         &self.class_service_times[..self.class_service_times.len() - 1]
     }
 
-    /// The theta of the design for the current load.
+    /// The theta of docs/design.md for the current load.
     pub(crate) fn theta(&self) -> f64 {
         theta(self.busy_share, self.instances_per_worker)
     }
@@ -198,10 +198,10 @@
             .iter()
             .map(|tenant| tenant.quota_per_s.max(0.0))
             .sum();
-        let part = settings.tenants[tenant].quota_per_s / quotas;
+        let share = settings.tenants[tenant].quota_per_s / quotas;
         let all = self.tenant_requests.iter().sum::<f64>();
-        let deviation = (all * part * (1.0 - part)).sqrt();
-        part > 0.0 && self.tenant_requests[tenant] > part * all + QUOTA_DEVIATIONS * deviation
+        let deviation = (all * share * (1.0 - share)).sqrt();
+        share > 0.0 && self.tenant_requests[tenant] > share * all + QUOTA_DEVIATIONS * deviation
     }
 
     /// Estimated requests in flight at a worker: its last report, decaying to the mean, plus the change in this front
@@ -242,20 +242,20 @@
         let rate_window = (REQUESTS_PER_RATE / requests * MAX_RATE_WINDOW as f64)
             .clamp(MIN_RATE_WINDOW as f64, MAX_RATE_WINDOW as f64);
         let elapsed = sample.elapsed as f64;
-        let part = (elapsed / rate_window).min(1.0);
-        self.update_load(&sample, requests, part);
-        self.update_rates(&sample, requests, part);
+        let weight = (elapsed / rate_window).min(1.0);
+        self.update_load(&sample, requests, weight);
+        self.update_rates(&sample, requests, weight);
         self.update_replication(&sample, settings);
         self.update_backlog(&sample, rate_window);
         self.update_median_health(sample.health_scores);
     }
 
-    fn update_load(&mut self, sample: &FleetSample, requests: f64, part: f64) {
+    fn update_load(&mut self, sample: &FleetSample, requests: f64, weight: f64) {
         let workers = sample.ready_workers.max(1) as f64;
         let busy_share = sample.busy_workers as f64 / workers;
         self.report_decay_time = (workers / requests * MAX_RATE_WINDOW as f64)
             .clamp(MIN_REPORT_DECAY_TIME, MAX_REPORT_DECAY_TIME);
-        self.busy_share += (4.0 * part).min(1.0) * (busy_share - self.busy_share);
+        self.busy_share += (4.0 * weight).min(1.0) * (busy_share - self.busy_share);
         // Each worker counts once, by its last report: the mean of all reports would be biased to workers that get most
         // requests.
         let reported = &sample.reported_in_flight;
@@ -266,22 +266,22 @@
         };
     }
 
-    fn update_rates(&mut self, sample: &FleetSample, requests: f64, part: f64) {
+    fn update_rates(&mut self, sample: &FleetSample, requests: f64, weight: f64) {
         let elapsed = sample.elapsed as f64;
         let work_rate = self.work_since_survey / sample.capacity.max(1.0) / elapsed;
-        self.work_rate += part * (work_rate - self.work_rate);
+        self.work_rate += weight * (work_rate - self.work_rate);
         // Protects against mistaking rising traffic, or the start, for a queue: a rate that lags behind is too low.
         self.surveys += 1.0;
         let observed = (self.surveys * SURVEY_INTERVAL as f64).min(MAX_RATE_WINDOW as f64);
         let answer_window = (REQUESTS_PER_RATE / requests * observed)
             .clamp(MIN_ANSWER_WINDOW, MAX_RATE_WINDOW as f64);
-        let answer_part = (elapsed / answer_window).min(1.0).max(1.0 / self.surveys);
+        let answer_weight = (elapsed / answer_window).min(1.0).max(1.0 / self.surveys);
         let served_rate = self.served_since_survey * SECOND as f64 / elapsed;
-        self.served_rate += answer_part * (served_rate - self.served_rate);
+        self.served_rate += answer_weight * (served_rate - self.served_rate);
         self.work_since_survey = 0.0;
         self.served_since_survey = 0.0;
         for requests in &mut self.tenant_requests {
-            *requests *= 1.0 - part;
+            *requests *= 1.0 - weight;
         }
     }
 
@@ -295,8 +295,8 @@
     fn update_backlog(&mut self, sample: &FleetSample, rate_window: f64) {
         let range = (MAX_RATE_WINDOW - MIN_RATE_WINDOW) as f64;
         let scarcity = (rate_window - MIN_RATE_WINDOW as f64) / range;
-        let part = (sample.elapsed as f64 / (rate_window * scarcity).max(1.0)).min(1.0);
-        self.backlog += part * (sample.queued_requests as f64 - self.backlog);
+        let weight = (sample.elapsed as f64 / (rate_window * scarcity).max(1.0)).min(1.0);
+        self.backlog += weight * (sample.queued_requests as f64 - self.backlog);
     }
 
     fn update_median_health(&mut self, mut scores: Vec<f64>) {
--- a/policy/src/function.rs
+++ b/policy/src/function.rs
@@ -87,8 +87,8 @@
     /// Records that a request of the function arrived.
     pub(crate) fn called(&mut self, now: Micros, class: usize, retry: bool) {
         let elapsed = now.saturating_sub(self.last_call) as f64;
-        let kept = (-elapsed / CALL_RATE_TIME_CONSTANT as f64).exp();
-        self.recent_calls = self.recent_calls * kept + 1.0;
+        let decay = (-elapsed / CALL_RATE_TIME_CONSTANT as f64).exp();
+        self.recent_calls = self.recent_calls * decay + 1.0;
         if !retry {
             self.periodic.called(now, self.last_call);
         }
--- a/policy/src/hedging.rs
+++ b/policy/src/hedging.rs
@@ -13,11 +13,11 @@
 /// There is capacity for hedged requests while answers take less than this fraction of the mean latency objective.
 const SPARE_CAPACITY_OBJECTIVES: f64 = 0.2;
 /// Delay of a hedged request, as a multiple of the attempt's expected time.
-const HEDGE_DELAY: f64 = 4.0;
+const HEDGE_DELAY_MULTIPLE: f64 = 4.0;
 /// Lower bound of the delay of a hedged request, as a fraction of the latency objective.
 const MIN_HEDGE_DELAY_OBJECTIVES: f64 = 0.5;
 /// Delay of a hedged request for an attempt at an ejected worker, as a multiple of the attempt's expected time.
-const HEDGE_DELAY_IF_EJECTED: f64 = 1.5;
+const EJECTED_HEDGE_DELAY_MULTIPLE: f64 = 1.5;
 
 impl State {
     /// Hedges all requests whose attempt is overdue.
@@ -63,10 +63,10 @@
     fn hedge_delay(&self, request: &Request, attempt: &Attempt, may_hedge: bool) -> f64 {
         let longest = SILENT_MULTIPLE * attempt.expected;
         let delay = if self.workers[attempt.worker].health.is_ejected() {
-            HEDGE_DELAY_IF_EJECTED * attempt.expected
+            EJECTED_HEDGE_DELAY_MULTIPLE * attempt.expected
         } else if may_hedge {
             let objective = self.class(request.class).latency_objective as f64;
-            (HEDGE_DELAY * attempt.expected).max(MIN_HEDGE_DELAY_OBJECTIVES * objective)
+            (HEDGE_DELAY_MULTIPLE * attempt.expected).max(MIN_HEDGE_DELAY_OBJECTIVES * objective)
         } else {
             f64::INFINITY
         };
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -69,7 +69,7 @@
 //!   `retry`, `worker`, `worker_health`, `placement`, `rejections`, `slow_start`, `zone_health`, `estimator`,
 //!   `answer_times`, `load_budget`, `load_limiter`, `token_bucket`; the stateless functions of `rendezvous` and
 //!   [`virtual_loss`].
-//! - `state`: owns all components of one front end; operations that involve several of them.
+//! - `state`: owns all components of one front end, and holds the operations that involve several of them.
 //! - Decisions, one module each: `eligibility`, `dispatch`, `outlier_detection`, `load_orders`, `replication`,
 //!   `polling`, `routing`, `hedging`, `keep_alive`, `admission`, `endpoint_list`, `survey`, `request_lifecycle`.
 //! - `controller`: takes one event and returns actions.
--- a/policy/src/rejections.rs
+++ b/policy/src/rejections.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// First pause of a worker that is full.
+/// First pause of a worker that is full, and pause of loads at a worker that rejected one.
 pub(crate) const FULL_PAUSE: Micros = SECOND / 5;
 /// First pause of a tenant and class, and longest pause of a worker that is full.
 const SELECTIVE_PAUSE: Micros = 5 * SECOND;
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// In the order in which they were sent.
+/// The attempts that may have been executed, in the order in which they were sent.
 fn attempts_that_may_have_executed(request: &Request) -> impl Iterator<Item = &Attempt> {
     request
         .attempts
--- a/policy/src/routing.rs
+++ b/policy/src/routing.rs
@@ -17,7 +17,7 @@
 const MAX_REJECTED_ATTEMPTS: usize = 3;
 /// Number of errors after which requests of a function that was never served here are given up.
 const MAX_ERRORS_OF_UNKNOWN_FUNCTION: u32 = 2;
-/// Estimated loads are compared in steps of one request divided by this.
+/// Steps per request in flight in which estimated loads are compared: smaller differences count as ties.
 const LOAD_STEPS_PER_REQUEST: f64 = 16.0;
 
 impl State {
