--- a/policy/src/endpoint_list.rs
+++ b/policy/src/endpoint_list.rs
@@ -82,7 +82,7 @@
         worker.is_gone()
             && worker.open_attempts.is_empty()
             && !is_in_use
-            && !self.requests.refer_to(index)
+            && !self.requests.has_attempts_at(index)
     }
 
     /// Applies a listed worker's new entry. A start time of 0 (not stated) leaves the known one.
--- a/policy/src/outlier_detection.rs
+++ b/policy/src/outlier_detection.rs
@@ -2,8 +2,8 @@
 //! answers, errors, time-outs, resets and silence raise it, whatever their cause. Workers whose score exceeds a
 //! multiple of the median are ejected until trial requests or polls show that they do as expected again.
 use crate::action::Action;
-use crate::dispatch::LEAST_EXPECTED;
-use crate::estimator::SHORTEST_REPORT_FADE;
+use crate::dispatch::MIN_EXPECTED_TIME;
+use crate::estimator::MIN_REPORT_DECAY_TIME;
 use crate::event::Outcome;
 use crate::index::{FunctionIndex, WorkerIndex};
 use crate::rejections::RejectedScope;
@@ -62,7 +62,7 @@
         // After a stall of this front end's process, late answers say nothing about the workers.
         let was_stalled = now < self.resumed_at + TICK;
         let score = score.filter(|_| !was_stalled);
-        let weight_factor = self.estimator.report_fade() / SHORTEST_REPORT_FADE;
+        let weight_factor = self.estimator.report_decay_time() / MIN_REPORT_DECAY_TIME;
         let weight = 2.0 * SAMPLE_WEIGHT * weight_factor.clamp(1.0, MAX_WEIGHT_FACTOR);
         self.workers[attempt.worker].health.record(score, weight);
     }
@@ -158,7 +158,7 @@
             } else {
                 attempt.expected
             };
-            let expected = expected.max(LEAST_EXPECTED);
+            let expected = expected.max(MIN_EXPECTED_TIME);
             let elapsed = sample.elapsed as f64;
             let ratio = (elapsed / expected).min(self.max_sample());
             score = Some(ratio);
@@ -221,7 +221,7 @@
     /// outliers. Suspends ejection while more than half of them would be ejected. Returns how many are outliers or
     /// unreachable.
     pub(crate) fn compare_workers(&mut self, now: Micros, elapsed: Micros) -> usize {
-        let time_constant = RECOVERY_TIME_CONSTANT.max(self.estimator.report_fade());
+        let time_constant = RECOVERY_TIME_CONSTANT.max(self.estimator.report_decay_time());
         let part = (elapsed as f64 / time_constant).min(1.0);
         let median = self.estimator.median_health_score();
         let mut ejected = 0;
--- a/policy/src/settings_json.rs
+++ b/policy/src/settings_json.rs
@@ -1,69 +1,71 @@
-//! The one reader of the settings' JSON, used by the simulator adapter and by the front end.
+//! Parses the settings' JSON, for the simulator adapter and for the front end.
 //!
-//! The keys are the platform's; each is mapped to its field here, once.
-use crate::json::{as_number, as_text, count, flag, list, number, object, part, span, text};
+//! The platform defines the keys; this module is the only place that maps them to fields.
+use crate::json::{
+    as_number, as_text, count, duration, flag, list, nested_object, number, object, text,
+};
 use crate::settings::{ClassSettings, Idempotency, KeyScope, Settings, TenantSettings};
 use crate::types::{Micros, SECOND};
 use miniserde::json::{Object, Value};
 use std::fmt;
 
-/// The longest wait that a class may state: absurd figures must not overflow the clock.
-const LONGEST_WAIT: Micros = 3_600 * SECOND;
-/// Front ends are numbered below this.
+/// Upper bound of `longest_wait`, so that an extreme value cannot overflow the clock.
+const MAX_LONGEST_WAIT: Micros = 3_600 * SECOND;
+/// Valid indexes of a front end; any other value counts as not stated.
 const FRONT_END_INDEXES: std::ops::Range<f64> = 0.0..4e9;
-/// The effects that a class may name; others count as never to be executed twice.
+/// The known values of a class's `effect`; a class with any other value is not idempotent.
 const EFFECTS: [&str; 3] = ["retryable", "dedup", "fragile"];
 
 impl Settings {
-    /// Reads the settings' object: the simulator's `conf`, the platform's `settings`. Unknown keys are skipped; what is
-    /// absent counts as not stated.
+    /// Parses the settings' object: the simulator's `conf` or the platform's `settings`. Unknown keys are ignored; a
+    /// missing value counts as not stated.
     pub fn from_json(conf: &Object) -> Settings {
         let empty = Object::new();
-        let section = |key: &str| part(conf, key).unwrap_or(&empty);
+        let section = |key: &str| nested_object(conf, key).unwrap_or(&empty);
         let limits = section("limits");
         let rules = section("rules");
         let family = section("family-info");
         let objects = |key: &str| list(conf, key).iter().filter_map(object);
         let longest_wait = objects("classes")
-            .map(|class| span(class, "give-up"))
+            .map(|class| duration(class, "give-up"))
             .max()
             .unwrap_or(0);
         Settings {
             front_ends: count(conf, "balancers"),
             front_end_index: front_end_index(conf),
             classes: objects("classes").map(class).collect(),
-            longest_wait: longest_wait.min(LONGEST_WAIT),
+            longest_wait: longest_wait.min(MAX_LONGEST_WAIT),
             tenants: objects("tenants").map(tenant).collect(),
             zones: names(list(conf, "failure-domains")),
             kinds: names(list(conf, "flavors")),
             over_quota_weight: number(conf, "over-share-worth").unwrap_or(0.0),
             kind_memory_mb: numbers(list(family, "machine-mb")),
-            keep_alive: span(family, "keep"),
+            keep_alive: duration(family, "keep"),
             load_on_demand: text(family, "when-absent") == Some("load"),
             load_orders: flag(family, "orders"),
-            order_timeout: span(family, "load-wait"),
-            load_budget_window: span(family, "load-span"),
+            order_timeout: duration(family, "load-wait"),
+            load_budget_window: duration(family, "load-span"),
             load_budget_base: number(family, "free-loads").unwrap_or(0.0),
             load_budget_per_request: number(family, "loads-per-request").unwrap_or(0.0),
             max_attempts: count(limits, "max-attempts"),
             cancellation: flag(limits, "may-cancel"),
             hedging: flag(limits, "second-copies"),
             max_retry_after: max_retry_after(limits),
-            connect_timeout: span(limits, "connect-timeout"),
-            connection_idle_timeout: span(limits, "conn-idle"),
+            connect_timeout: duration(limits, "connect-timeout"),
+            connection_idle_timeout: duration(limits, "conn-idle"),
             streams_per_connection: count(limits, "streams-per-conn"),
-            slow_start_from: number(rules, "cold-from").unwrap_or(0.0),
-            slow_start_duration: span(rules, "warm-within"),
+            slow_start_initial_share: number(rules, "cold-from").unwrap_or(0.0),
+            slow_start_duration: duration(rules, "warm-within"),
             overload_multiple: number(rules, "fall-multiple").unwrap_or(0.0),
-            overload_window: span(rules, "fall"),
-            drain_grace: span(rules, "drain-grace"),
+            overload_window: duration(rules, "fall"),
+            drain_grace: duration(rules, "drain-grace"),
             health_checks: flag(limits, "probes"),
             watch_endpoints: text(conf, "registry-mode") == Some("ask"),
         }
     }
 
-    /// What in the settings cannot be used as it stands: such a value counts as not stated, and an effect that is not
-    /// known as one that must never be executed twice.
+    /// The values in the settings that cannot be used as written. [`Settings::from_json`] takes such a value as not
+    /// stated, and a class with an unknown effect as not idempotent.
     pub fn faults(conf: &Object) -> Vec<SettingsFault> {
         let mut faults = Vec::new();
         check_fields("", conf, &TOP_LEVEL, &mut faults);
@@ -111,8 +113,8 @@
             Some("zone") => KeyScope::Zone,
             _ => KeyScope::Cell,
         },
-        key_memory: span(fields, "memory-span"),
-        latency_objective: span(fields, "goal-time"),
+        key_memory: duration(fields, "memory-span"),
+        latency_objective: duration(fields, "goal-time"),
         priority_weight: number(fields, "worth").unwrap_or(0.0),
     }
 }
@@ -131,13 +133,13 @@
 
 fn max_retry_after(limits: &Object) -> Micros {
     if flag(limits, "retry-after") {
-        span(limits, "max-retry-after")
+        duration(limits, "max-retry-after")
     } else {
         0
     }
 }
 
-/// Names, given as texts or as objects with a `name`.
+/// Names, given as strings or as objects with a `name`.
 fn names(values: &[Value]) -> Vec<String> {
     let name = |value| match object(value) {
         Some(fields) => text(fields, "name"),
@@ -154,17 +156,17 @@
         .collect()
 }
 
-/// A setting that cannot be used as it stands.
+/// A setting that cannot be used as written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsFault {
-    /// A value is not what its key asks for.
+    /// A value does not have the type or range that its key requires.
     Value {
         /// The path of the key.
         key: String,
         /// What is wrong with the value.
         problem: ValueProblem,
     },
-    /// A class names an effect that is not known.
+    /// A class has an unknown `effect`.
     UnknownEffect(String),
 }
 
@@ -175,7 +177,7 @@
             SettingsFault::UnknownEffect(effect) => {
                 write!(
                     formatter,
-                    "effect '{effect}' is not known: never to run twice"
+                    "effect '{effect}' is unknown: the class is treated as not idempotent"
                 )
             }
         }
@@ -189,7 +191,7 @@
     OutOfRange,
     /// It is not a number.
     NotNumber,
-    /// It is not a text.
+    /// It is not a string.
     NotText,
     /// It is neither true nor false.
     NotBoolean,
@@ -202,20 +204,20 @@
 impl fmt::Display for ValueProblem {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            ValueProblem::OutOfRange => "is below 0 or no figure",
-            ValueProblem::NotNumber => "is no number",
-            ValueProblem::NotText => "is no text",
+            ValueProblem::OutOfRange => "is negative or not finite",
+            ValueProblem::NotNumber => "is not a number",
+            ValueProblem::NotText => "is not a string",
             ValueProblem::NotBoolean => "is neither true nor false",
-            ValueProblem::NotList => "is no list",
-            ValueProblem::NotObject => "is no object",
+            ValueProblem::NotList => "is not a list",
+            ValueProblem::NotObject => "is not an object",
         })
     }
 }
 
-/// What a setting has to be.
+/// The type that a setting must have.
 #[derive(Clone, Copy)]
 enum Expected {
-    /// A number, 0 or more.
+    /// A finite number, 0 or more.
     Number,
     Text,
     Boolean,
@@ -243,7 +245,7 @@
     }
 }
 
-/// A key and what its value has to be.
+/// A key and the type that its value must have.
 type KnownKey = (&'static str, Expected);
 
 fn check_fields(
--- a/policy/src/slow_start.rs
+++ b/policy/src/slow_start.rs
@@ -82,7 +82,7 @@
         let front_ends = settings.front_ends.max(1);
         let stated_index = settings.front_end_index.filter(|&index| index < front_ends);
         SlowStart {
-            initial_share: non_negative(settings.slow_start_from).min(1.0),
+            initial_share: non_negative(settings.slow_start_initial_share).min(1.0),
             duration: settings.slow_start_duration,
             overload_multiple: non_negative(settings.overload_multiple),
             overload_window: settings.overload_window,
--- a/wrenseam/tests/cli.rs
+++ b/wrenseam/tests/cli.rs
@@ -22,12 +22,16 @@
 #[case::text_for_a_number(
     settings(r#""limits":{"max-attempts":"six"}"#),
     true,
-    "'limits.max-attempts' is no number"
+    "'limits.max-attempts' is not a number"
 )]
-#[case::negative(settings(r#""rules":{"fall":-1}"#), true, "'rules.fall' is below 0")]
-#[case::not_an_object(settings(r#""family-info":7"#), true, "'family-info' is no object")]
-#[case::not_a_list(settings(r#""tenants":{}"#), true, "'tenants' is no list")]
-#[case::tenant_that_is_not_an_object(settings(r#""tenants":[7]"#), true, "'tenants' is no object")]
+#[case::negative(
+    settings(r#""rules":{"fall":-1}"#),
+    true,
+    "'rules.fall' is negative or not finite"
+)]
+#[case::not_an_object(settings(r#""family-info":7"#), true, "'family-info' is not an object")]
+#[case::not_a_list(settings(r#""tenants":{}"#), true, "'tenants' is not a list")]
+#[case::tenant_that_is_not_an_object(settings(r#""tenants":[7]"#), true, "'tenants' is not an object")]
 #[case::text_for_a_boolean(
     settings(r#""limits":{"may-cancel":"yes"}"#),
     true,
@@ -36,7 +40,7 @@
 #[case::unknown_effect(
     r#"{"listen":"127.0.0.1:0","settings":{"classes":[{"name":"c","effect":"idempotent"}]}}"#.to_owned(),
     true,
-    "effect 'idempotent' is not known: never to run twice"
+    "effect 'idempotent' is unknown: the class is treated as not idempotent"
 )]
 fn check_reports_what_is_wrong(
     #[case] text: String,
