--- a/wrenseam/tests/cli.rs
+++ b/wrenseam/tests/cli.rs
@@ -31,7 +31,11 @@
 )]
 #[case::not_an_object(settings(r#""family-info":7"#), true, "'family-info' is not an object")]
 #[case::not_a_list(settings(r#""tenants":{}"#), true, "'tenants' is not a list")]
-#[case::tenant_that_is_not_an_object(settings(r#""tenants":[7]"#), true, "'tenants' is not an object")]
+#[case::tenant_that_is_not_an_object(
+    settings(r#""tenants":[7]"#),
+    true,
+    "'tenants' is not an object"
+)]
 #[case::text_for_a_boolean(
     settings(r#""limits":{"may-cancel":"yes"}"#),
     true,
