--- a/fleetlab/src/clock.rs
+++ b/fleetlab/src/clock.rs
@@ -1,41 +1,41 @@
-//! The run's time: it begins with the load, and is paused while the lab waits for a process that it has started.
-//! On a busy machine eight starts, one after the other, can last longer than the load, which would be over before
-//! they are up.
+//! The clock of a run. It starts with the load and is paused while the lab waits for restarted front ends to listen: on
+//! a busy machine, eight starts one after the other can take longer than the load, which would then end before the
+//! front ends are up.
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The time of the run at a moment.
+/// A reading of the run's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct RunTime {
-    /// Seconds of the run.
+    /// Seconds since the start of the load, pauses not counted.
     pub seconds: f64,
-    /// Whether it is paused.
+    /// Whether the clock is paused, so that `seconds` does not change.
     pub is_paused: bool,
 }
 
-/// How long the clock was paused.
+/// The pauses of the clock.
 struct Pauses {
-    /// All pauses that are over.
+    /// Total duration of the pauses that have ended.
     total: Duration,
-    /// Since when it is paused now.
-    since: Option<Instant>,
+    /// Start of the present pause; `None` while the clock runs.
+    paused_since: Option<Instant>,
 }
 
-/// Seconds of the run, and real ones beside them.
+/// The clock of a run, which can be paused; also tells the time since its creation, pauses included.
 pub struct Clock {
     start: Instant,
     pauses: Mutex<Pauses>,
 }
 
 impl Clock {
-    /// A clock that is paused at 0 until it is resumed.
+    /// Creates a clock that is paused at 0 until [`Clock::resume`].
     pub fn paused() -> Clock {
         let start = Instant::now();
         Clock {
             start,
             pauses: Mutex::new(Pauses {
                 total: Duration::ZERO,
-                since: Some(start),
+                paused_since: Some(start),
             }),
         }
     }
@@ -44,35 +44,36 @@
         self.pauses.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Goes on.
+    /// Ends the present pause; no effect if the clock runs.
     pub fn resume(&self) {
         let mut pauses = self.pauses();
-        if let Some(since) = pauses.since.take() {
-            pauses.total += since.elapsed();
+        if let Some(paused_since) = pauses.paused_since.take() {
+            pauses.total += paused_since.elapsed();
         }
     }
 
-    /// Real seconds since it was made: what happens at workers goes by these.
-    pub fn real_s(&self) -> f64 {
+    /// Seconds since the clock was created, pauses included. Workers' starts and the calls to cold workers are timed
+    /// with it: front ends' slow start does not pause with the run.
+    pub fn elapsed_s(&self) -> f64 {
         self.start.elapsed().as_secs_f64()
     }
 
-    /// The time of the run.
+    /// Reads the clock.
     pub fn now(&self) -> RunTime {
         let pauses = self.pauses();
-        let at = pauses.since.unwrap_or_else(Instant::now);
+        let at = pauses.paused_since.unwrap_or_else(Instant::now);
         let ran = at
             .saturating_duration_since(self.start)
             .saturating_sub(pauses.total);
         RunTime {
             seconds: ran.as_secs_f64(),
-            is_paused: pauses.since.is_some(),
+            is_paused: pauses.paused_since.is_some(),
         }
     }
 
-    /// Is paused while `wait` lasts.
+    /// Pauses the clock while `wait` runs.
     pub fn pause_while<T>(&self, wait: impl FnOnce() -> T) -> T {
-        self.pauses().since = Some(Instant::now());
+        self.pauses().paused_since = Some(Instant::now());
         let result = wait();
         self.resume();
         result
--- a/fleetlab/src/coroutine.rs
+++ b/fleetlab/src/coroutine.rs
@@ -1,15 +1,16 @@
-//! Coroutines of the lab, and how they wait.
+//! Starts and suspends the lab's coroutines (`may`).
 use std::time::Duration;
 
-/// Starts a coroutine; the lab's are few and small.
+/// Starts a coroutine, with the stack size that the lab has configured.
 pub fn spawn(run: impl FnOnce() + Send + 'static) {
     // SAFETY: the closure owns what it uses and blocks only on may's own sockets and sleeps.
     unsafe { may::coroutine::spawn(run) };
 }
 
-/// Has a coroutine wait, and takes it back to the scheduler's thread: `may` has it go on in its thread of timers, where
-/// a socket that is waited for may be ready and gone before the wait has been written down.
-pub fn pause(span: Duration) {
+/// Suspends the calling coroutine for `span`. `may` resumes a sleeping coroutine on its timer thread, where a socket
+/// can become ready before the coroutine's wait for it is registered; the yield moves it back to the scheduler's
+/// thread.
+pub fn sleep(span: Duration) {
     may::coroutine::sleep(span);
     may::coroutine::yield_now();
 }
--- a/fleetlab/src/fleet_view.rs
+++ b/fleetlab/src/fleet_view.rs
@@ -1,5 +1,5 @@
-//! What the front ends know of their fleet, read from their admin endpoints and their logs: whether all agree and are
-//! right, and which peers were declared down.
+//! The front ends' view of their fleet, read from their admin endpoints and logs: whether all have the same and correct
+//! view, and which peers were declared down.
 use crate::error::LabError;
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -7,43 +7,44 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How long a connection to an admin endpoint may take.
+/// Timeout for connecting to an admin endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long an admin endpoint may be silent.
+/// Timeout for a read from an admin endpoint.
 const READ_TIMEOUT: Duration = Duration::from_secs(2);
-/// How often the views are compared.
+/// Interval at which the front ends' views are compared.
 const AGREEMENT_POLL: Duration = Duration::from_millis(10);
-/// What the names of the fleet's figures begin with.
-const FLEET_PREFIX: &str = "app.fleet.";
+/// Prefix of the fleet's metrics in the telemetry.
+const FLEET_METRIC_PREFIX: &str = "app.fleet.";
 
-/// The fleet's figures of a front end by their short names: `peers` for `app.fleet.peers`.
+/// The fleet metrics in a front end's telemetry, by their names without the prefix: `peers` for `app.fleet.peers`.
 #[derive(Clone, Debug, Default)]
-pub struct FleetFigures(BTreeMap<String, u64>);
+pub struct FleetTelemetry(BTreeMap<String, u64>);
 
-impl FleetFigures {
-    /// The figures that a front end reports at its admin endpoint; none if it does not answer.
-    pub fn read(admin: SocketAddr) -> FleetFigures {
-        let lines = telemetry(admin);
-        let fleet = lines
+impl FleetTelemetry {
+    /// Reads the fleet metrics from a front end's admin endpoint; empty if it does not answer.
+    pub fn read(admin: SocketAddr) -> FleetTelemetry {
+        let answer = read_telemetry(admin);
+        let metrics = answer
             .lines()
-            .filter_map(|line| line.strip_prefix(FLEET_PREFIX));
-        FleetFigures(fleet.filter_map(parse_figure).collect())
+            .filter_map(|line| line.strip_prefix(FLEET_METRIC_PREFIX));
+        FleetTelemetry(metrics.filter_map(parse_metric).collect())
     }
 
-    /// A figure by its short name.
+    /// Returns the value of a metric, by its name without the prefix; `None` if the front end did not report it.
     pub fn get(&self, name: &str) -> Option<u64> {
         self.0.get(name).copied()
     }
 }
 
-/// The answer of an admin endpoint to `telemetry`, as far as it came.
-fn telemetry(admin: SocketAddr) -> String {
+/// Sends `telemetry` to an admin endpoint and returns its answer; what arrived of it if the connection fails or times
+/// out.
+fn read_telemetry(admin: SocketAddr) -> String {
     let mut answer = String::new();
     let Ok(mut stream) = TcpStream::connect_timeout(&admin, CONNECT_TIMEOUT) else {
         return answer;
     };
-    let _ = stream.set_read_timeout(Some(READ_TIMEOUT)); // refused only for a time of zero
-    let _ = stream.write_all(b"telemetry\n"); // if it fails the read finds nothing
+    let _ = stream.set_read_timeout(Some(READ_TIMEOUT)); // fails only for a timeout of zero
+    let _ = stream.write_all(b"telemetry\n"); // after a failure the read returns nothing
     let mut chunk = [0u8; 4096];
     while !answer.contains("END") {
         match stream.read(&mut chunk) {
@@ -54,49 +55,49 @@
     answer
 }
 
-/// A line `NAME:VALUE|KIND`.
-fn parse_figure(line: &str) -> Option<(String, u64)> {
+/// Parses a line `NAME:VALUE|TYPE`; `None` if it has another form.
+fn parse_metric(line: &str) -> Option<(String, u64)> {
     let (name, rest) = line.split_once(':')?;
     let value = rest.split('|').next()?.parse().ok()?;
     Some((name.to_owned(), value))
 }
 
-/// A front end that runs.
+/// A front end that the lab has not ended.
 #[derive(Clone, Copy, Debug)]
 pub struct RunningFront {
-    /// Its number.
+    /// Index of the front end.
     pub index: usize,
-    /// Its admin endpoint.
+    /// Address of its admin endpoint.
     pub admin: SocketAddr,
 }
 
-/// How soon all front ends agreed.
+/// The agreement of all running front ends after the last fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Agreement {
-    /// How long after the last fault.
+    /// Time from the last fault to the start of the comparison that found agreement.
     pub after: Duration,
-    /// How many front ends ran.
+    /// Number of front ends that agreed.
     pub fronts: usize,
 }
 
-/// What differs between the views of these front ends, which are all that run, or between them and the truth; `None`:
-/// all have the same digest, count each other alive and ready, and no other.
+/// Compares the views of the fleet of these front ends, which must be all that run. Returns a description of the first
+/// difference; `None` if each counts exactly the others as live and as ready, and all have the same digest.
 pub fn disagreement(running: &[RunningFront]) -> Option<String> {
-    let want = running.len() as u64 - 1;
+    let expected = running.len() as u64 - 1;
     let mut first_digest = None;
     for front in running {
-        let figures = FleetFigures::read(front.admin);
-        let counts = (figures.get("peers"), figures.get("peers_ready"));
-        if counts != (Some(want), Some(want)) {
+        let telemetry = FleetTelemetry::read(front.admin);
+        let counts = (telemetry.get("peers"), telemetry.get("peers_ready"));
+        if counts != (Some(expected), Some(expected)) {
             return Some(format!(
-                "front end {} counts {counts:?} peers alive and ready, {want} run",
+                "front end {} counts {counts:?} peers (live, ready), expected {expected} of each",
                 front.index
             ));
         }
-        let digest = figures.get("view_digest");
+        let digest = telemetry.get("view_digest");
         if digest != *first_digest.get_or_insert(digest) {
             return Some(format!(
-                "front end {} holds another view than front end {}",
+                "the view digest of front end {} differs from that of front end {}",
                 front.index, running[0].index
             ));
         }
@@ -104,10 +105,11 @@
     None
 }
 
-/// Waits until all agree, counted from `since`.
+/// Waits until all running front ends have the same and correct view of the fleet; `since` is the time of the last
+/// fault.
 ///
 /// # Errors
-/// They do not within `within` after it, with what differs.
+/// They do not agree within `within` after `since`; the error names the first difference.
 pub fn wait_until_agreed(
     running: &[RunningFront],
     since: Instant,
@@ -131,7 +133,7 @@
     }
 }
 
-/// The log lines in which a front end declares the peer at one of these addresses down.
+/// Returns the log lines that declare one of these peers down, each with the path of its log.
 ///
 /// # Errors
 /// A log cannot be read.
--- a/fleetlab/src/infer.rs
+++ b/fleetlab/src/infer.rs
@@ -1,11 +1,11 @@
-//! The KServe v2 infer requests that the load generator sends and the stand-in workers answer.
+//! The KServe v2 infer requests that the load generator sends and the simulated workers answer.
 
-/// The one function that the lab's load calls.
+/// The only function that the load calls.
 pub const FUNCTION: &str = "7f3a9c21e0b4d655";
-/// Bits of an attempt's id that number the attempts of a request.
+/// Number of low bits of an attempt's id that hold the index of the attempt; the others hold the request's number.
 const ATTEMPT_BITS: u32 = 8;
 
-/// The bytes of an attempt of a request: each attempt has an id of its own, and its body names the request.
+/// Returns the HTTP request of an attempt. Each attempt has its own id; the input data holds the number of the request.
 pub fn request_bytes(request: u64, attempt: usize, wait_ms: u64) -> String {
     let id = request << ATTEMPT_BITS | attempt as u64;
     let body = format!(
@@ -17,15 +17,15 @@
     )
 }
 
-/// The id of an attempt, which its response repeats.
+/// Returns the id in the body of an attempt, which the response must repeat; `None` if there is none.
 pub fn attempt_id(body: &[u8]) -> Option<&str> {
     let (_, rest) = std::str::from_utf8(body).ok()?.split_once(r#""id":""#)?;
     rest.split('"').next()
 }
 
-/// The number of the request that an attempt's body names.
+/// Returns the request's number in the body of an attempt; `None` if there is none.
 pub fn request_number(body: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(body).ok()?;
-    let (_, named) = text.split_once(r#""data":["r"#)?;
-    named.split('"').next()?.parse().ok()
+    let (_, rest) = text.split_once(r#""data":["r"#)?;
+    rest.split('"').next()?.parse().ok()
 }
--- a/fleetlab/src/lab.rs
+++ b/fleetlab/src/lab.rs
@@ -1,5 +1,5 @@
-//! A run: stand-in workers behind relays, N processes of the program with their gossip behind relays,
-//! the load, and the faults on their timeline. Everything is on loopback and ends by itself.
+//! Runs a scenario: simulated workers and the front ends' gossip sockets behind relays, the wrenseam processes, the
+//! load, and the faults at their times. All of it runs on loopback, and the run ends without intervention.
 mod cold;
 mod endpoints;
 mod front_end;
@@ -27,19 +27,21 @@
 use std::sync::{Arc, Mutex, RwLock};
 use std::time::Duration;
 
-/// Calls a second of the one tenant, where the scenario names none: no bound.
+/// Quota of the tenant where the scenario states none, in calls per second: high enough not to limit the
+/// load.
 const UNBOUNDED_QUOTA: f64 = 100_000.0;
-/// A fleet that does not form within this is given up.
-const FORMS_WITHIN: Duration = Duration::from_secs(10);
-/// How long the load may take beyond its seconds.
+/// Time limit for the front ends to form a fleet; the run fails after it.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time allowed for the load beyond its duration, in seconds.
 const LOAD_MARGIN_S: u64 = 60;
-/// The stack of a coroutine, in words: 256 KiB.
-const STACK_WORDS: usize = 0x8000;
+/// Stack size of a coroutine in words of 8 bytes: 256 KiB.
+const COROUTINE_STACK_WORDS: usize = 0x8000;
 
-/// Whether a thread or coroutine of the lab panicked: the figures then tell of the lab, not of the front ends.
+/// Whether a thread or coroutine of the lab has panicked: the results then show a fault of the lab, not the behaviour
+/// of the front ends, so the run fails.
 static PANICKED: AtomicBool = AtomicBool::new(false);
 
-/// The lab's state while a run goes on.
+/// State of the lab during a run.
 struct Lab {
     scenario: Scenario,
     program: PathBuf,
@@ -49,28 +51,28 @@
     relay_counts: Arc<Mutex<RelayCounts>>,
     workers: Vec<ListedWorker>,
     fronts: Vec<FrontEnd>,
-    /// Where each front end accepts clients.
+    /// Addresses at which the front ends accept KServe requests.
     targets: Targets,
-    /// The address of each front end's gossip relay.
+    /// Address of each front end's gossip relay, by index.
     gossip_relays: Vec<SocketAddr>,
     gossip_sockets: GossipSockets,
 }
 
-/// Runs a scenario with the program at `program`, writing its files into `folder`.
+/// Runs a scenario with the wrenseam program at `program`. Configuration files and logs are written into `folder`.
 ///
 /// # Errors
-/// A port, a file or a process could not be had; a front end did not start, the fleet did not form or did not agree, or
-/// the load did not end.
+/// A port could not be bound, a file not written or a process not started; a front end did not listen, the fleet did
+/// not form or did not agree in time, the load did not end, or the lab panicked.
 pub fn run(scenario: &Scenario, program: &Path, folder: &Path) -> Result<Outcome, LabError> {
     let folder = create_folder(folder)?;
-    note_panics();
+    record_panics();
     configure_coroutines();
     let mut lab = Lab::new(scenario, program, folder);
     lab.start_workers()?;
     lab.start_gossip_relays()?;
     lab.start_front_ends()?;
     let joined_s = if scenario.fleet {
-        Some(lab.wait_until_joined(FORMS_WITHIN)?)
+        Some(lab.wait_until_joined(JOIN_TIMEOUT)?)
     } else {
         None
     };
@@ -81,31 +83,33 @@
     if PANICKED.load(Ordering::Acquire) {
         return Err(LabError::Panicked);
     }
-    lab.end(joined_s, agreement)
+    lab.finish(joined_s, agreement)
 }
 
-/// Creates the folder of a run. Its path is absolute from here on: the program looks for the files that its files name
-/// beside those.
+/// Creates the folder of a run and returns its absolute path. The path must be absolute: wrenseam resolves a relative
+/// path in a configuration file against the directory of that file.
 fn create_folder(folder: &Path) -> Result<PathBuf, LabError> {
     std::fs::create_dir_all(folder)
         .and_then(|()| folder.canonicalize())
         .map_err(LabError::at(folder))
 }
 
-/// Notes from now on whether a thread or coroutine panics.
-fn note_panics() {
-    let hook_before = std::panic::take_hook();
+/// Installs a panic hook that sets [`PANICKED`] and then calls the previous hook.
+fn record_panics() {
+    let previous_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
         PANICKED.store(true, Ordering::Release);
-        hook_before(info);
+        previous_hook(info);
     }));
 }
 
-/// One scheduler thread, tied to no core. With two, a connect that one thread waits for could be over in the other
-/// before the wait was written down: `may` then panicked, and with that thread half of the sockets were dead. A
-/// thread tied to a core waits for whatever else runs there.
+/// Configures `may` with one scheduler thread that is not pinned to a core. With two threads, a connect could complete
+/// on one thread before the other had registered its wait: `may` panicked, and the sockets of that thread, half of all,
+/// stopped working. A pinned thread is delayed by whatever else runs on its core.
 fn configure_coroutines() {
-    may::config().set_workers(1).set_stack_size(STACK_WORDS);
+    may::config()
+        .set_workers(1)
+        .set_stack_size(COROUTINE_STACK_WORDS);
     may::config().set_worker_pin(false);
 }
 
@@ -134,7 +138,7 @@
         }
     }
 
-    /// Starts the workers, each behind a relay, and lists them.
+    /// Starts the workers, each behind a relay, and writes the endpoint list.
     fn start_workers(&mut self) -> Result<(), LabError> {
         let seed = self.scenario.seed;
         let settings = WorkerSettings {
@@ -156,7 +160,7 @@
         self.write_endpoints()
     }
 
-    /// Starts a relay in front of each front end's gossip.
+    /// Starts a relay in front of each front end's gossip socket.
     fn start_gossip_relays(&mut self) -> Result<(), LabError> {
         for index in 0..self.scenario.fronts {
             let seed = self.scenario.seed ^ (index as u64) << 16;
@@ -167,7 +171,7 @@
         Ok(())
     }
 
-    /// Starts the load; what it returns gets a message when the load has ended.
+    /// Starts the clock and the load. The returned receiver gets a message when the load has ended.
     fn start_load(&self) -> Receiver<()> {
         let scenario = &self.scenario;
         let load = LoadSettings {
@@ -184,7 +188,7 @@
         self.metrics.clock.resume();
         spawn(move || {
             load_generator::run(load, targets, metrics);
-            let _ = ended.send(()); // the lab may have ended by an error
+            let _ = ended.send(()); // fails if the lab has ended with an error
         });
         load_ended
     }
@@ -196,7 +200,7 @@
             .map_err(|_| LabError::LoadDidNotEnd { within_s })
     }
 
-    /// Calls a second that the tenant's quota allows over all workers.
+    /// Returns the tenant's quota, in calls per second over all workers.
     fn quota_per_s(&self) -> f64 {
         self.scenario.quota_per_s.unwrap_or(UNBOUNDED_QUOTA)
     }
--- a/fleetlab/src/lab/cold.rs
+++ b/fleetlab/src/lab/cold.rs
@@ -1,24 +1,26 @@
-//! What a cold worker was sent, as a part of what the front ends' rule allows.
+//! Compares the calls that reached a worker in slow start with the limit that the front ends must keep together.
 use super::Lab;
 
-/// The part of its full rate that a cold worker is allowed at first: `cold-from` of the front ends' settings.
-const COLD_PART: f64 = 0.2;
-/// The age at which a worker is warm, in seconds: `warm-within` of the front ends' settings.
-const WARM_AFTER_S: f64 = 17.0;
-/// What the front ends together may send of what the rule allows one worker.
-const ALLOWANCE: f64 = 2.0;
+/// Share of its full capacity that a worker has when it starts: `cold-from` in the front ends' settings.
+const INITIAL_SHARE: f64 = 0.2;
+/// Age in seconds at which a worker has its full capacity: `warm-within` in the front ends' settings.
+const SLOW_START_S: f64 = 17.0;
+/// Multiple of its capacity that a worker may be sent in a second by all front ends together: `fall-multiple` in the
+/// front ends' settings.
+const OVERLOAD_MULTIPLE: f64 = 2.0;
 
-/// A worker that was started again during the run.
+/// A worker that counted as restarted during the run (fault `cold`).
 #[derive(Clone, Copy, Debug)]
 pub struct ColdWorker {
-    /// Its number.
+    /// Index of the worker.
     pub index: usize,
-    /// The most that reached it in any second, as a part of what the rule allows.
-    pub worst_part: f64,
+    /// Maximum over all spans of one second: calls that reached the worker, divided by the limit at its age. Above 1
+    /// the front ends exceeded the limit.
+    pub peak_ratio: f64,
 }
 
 impl Lab {
-    /// The workers that were started again.
+    /// Returns the workers that counted as restarted.
     pub(super) fn cold_workers(&self) -> Vec<ColdWorker> {
         let quota = self.quota_per_s() / self.scenario.workers as f64;
         let mut cold = Vec::new();
@@ -29,18 +31,19 @@
             let allowed = |age_s| allowed_per_s(age_s, quota);
             cold.push(ColdWorker {
                 index,
-                worst_part: self.metrics.worst_part(index, restart.at_s, allowed),
+                peak_ratio: self.metrics.peak_ratio(index, restart.at_s, allowed),
             });
         }
         cold
     }
 }
 
-/// Calls that a worker of this age may get in a second.
+/// Returns how many calls a worker of this age may get in a second; `quota` is its share of the tenant's quota, in
+/// calls per second.
 fn allowed_per_s(age_s: f64, quota: f64) -> f64 {
-    if age_s >= WARM_AFTER_S {
-        return f64::INFINITY; // it is warm, and there is no rule any more
+    if age_s >= SLOW_START_S {
+        return f64::INFINITY; // past slow start there is no limit
     }
-    let warmth = (age_s / WARM_AFTER_S).max(0.0);
-    ALLOWANCE * (COLD_PART + (1.0 - COLD_PART) * warmth) * quota
+    let progress = (age_s / SLOW_START_S).max(0.0);
+    OVERLOAD_MULTIPLE * (INITIAL_SHARE + (1.0 - INITIAL_SHARE) * progress) * quota
 }
--- a/fleetlab/src/lab/endpoints.rs
+++ b/fleetlab/src/lab/endpoints.rs
@@ -1,30 +1,30 @@
-//! The file with the endpoint list that front ends read: the relays in front of the workers.
+//! Writes the endpoint list that the front ends read. It names the relays in front of the workers, not the workers.
 use super::Lab;
 use crate::error::LabError;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// When a worker was started again.
+/// Time at which a worker counted as restarted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WorkerRestart {
-    /// Real seconds of the run.
+    /// On the run's clock, pauses included (`Clock::elapsed_s`), in seconds.
     pub(super) at_s: f64,
-    /// Milliseconds of the Unix time, as the list gives it to front ends.
+    /// As Unix time in milliseconds, for the endpoint list.
     unix_ms: u128,
 }
 
-/// A worker as the list has it.
+/// A worker's entry in the endpoint list.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ListedWorker {
-    /// The address of its relay.
+    /// Address of the worker's relay.
     pub(super) address: SocketAddr,
-    /// When it was started again, if it was.
+    /// Time of its restart; `None` if it was not restarted, which the list states as start time 0.
     pub(super) restart: Option<WorkerRestart>,
 }
 
 impl ListedWorker {
-    /// Its part of the list.
+    /// Returns the locality with this worker as its only endpoint, in JSON.
     fn locality(&self, index: usize) -> String {
         let zone = zone(index);
         let started_at_ms = self.restart.map_or(0, |restart| restart.unix_ms);
@@ -35,7 +35,7 @@
     }
 }
 
-/// The zone of a worker, by the names in the front ends' settings: workers alternate.
+/// Returns the zone of a worker; workers alternate between the two zones of the front ends' settings.
 fn zone(index: usize) -> &'static str {
     if index.is_multiple_of(2) {
         "hall-a"
@@ -45,12 +45,12 @@
 }
 
 impl Lab {
-    /// Where the list is.
+    /// Returns the path of the endpoint list.
     pub(super) fn endpoints_file(&self) -> PathBuf {
         self.folder.join("endpoints.json")
     }
 
-    /// Writes the list of workers, each with its start where it was started again.
+    /// Writes the endpoint list, with the start times of restarted workers.
     pub(super) fn write_endpoints(&self) -> Result<(), LabError> {
         let localities: Vec<String> = self
             .workers
@@ -66,11 +66,11 @@
         Ok(())
     }
 
-    /// Marks a worker as started again now.
+    /// Sets the worker's start time to now and rewrites the endpoint list. The worker itself keeps running.
     pub(super) fn restart_worker(&mut self, index: usize) -> Result<(), LabError> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         self.workers[index].restart = Some(WorkerRestart {
-            at_s: self.metrics.clock.real_s(),
+            at_s: self.metrics.clock.elapsed_s(),
             unix_ms: unix.map_or(0, |since| since.as_millis()),
         });
         self.write_endpoints()
--- a/fleetlab/src/lab/timeline.rs
+++ b/fleetlab/src/lab/timeline.rs
@@ -1,4 +1,5 @@
-//! The faults' timeline: those of processes are applied here, the rest by the relays and workers.
+//! Applies the faults of a scenario at their times. Faults of processes are carried out here, all others by the relays
+//! and workers.
 use super::Lab;
 use crate::error::LabError;
 use crate::fleet_view::{wait_until_agreed, Agreement};
@@ -6,31 +7,31 @@
 use nix::sys::signal::Signal;
 use std::time::{Duration, Instant};
 
-/// A front end that has not ended so long after SIGTERM is given up.
-const LEAVES_WITHIN: Duration = Duration::from_secs(10);
-/// How often the run's time is compared with the next fault's.
+/// Time limit for a front end to exit after SIGTERM; the run fails after it.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval at which the run's clock is compared with the time of the next fault.
 const TIMELINE_POLL: Duration = Duration::from_millis(5);
 
 impl Lab {
-    /// Applies each fault when its time has come; restarts due at the same time at once.
+    /// Applies each fault at its time. Successive restarts with the same time are applied together.
     pub(super) fn run_timeline(&mut self) -> Result<(), LabError> {
         let mut timeline = self.scenario.faults.clone();
         timeline.sort_by(|earlier, later| earlier.at_s.total_cmp(&later.at_s));
-        let mut ahead = &timeline[..];
-        while let Some(fault) = ahead.first() {
+        let mut remaining = &timeline[..];
+        while let Some(fault) = remaining.first() {
             while self.metrics.clock.now().seconds < fault.at_s {
                 std::thread::sleep(TIMELINE_POLL);
             }
             let now_s = self.metrics.clock.now().seconds;
             eprintln!("lab: {now_s:.2} s: {}", fault.kind);
-            let (due, later) = ahead.split_at(due_together(ahead));
-            ahead = later;
+            let (due, later) = remaining.split_at(count_due_together(remaining));
+            remaining = later;
             self.apply(fault, due)?;
         }
         Ok(())
     }
 
-    /// Applies a fault; `due` are the faults of its kind that are applied with it.
+    /// Applies a fault together with the others in `due`, which begins with it; there are others only for a restart.
     fn apply(&mut self, fault: &Fault, due: &[Fault]) -> Result<(), LabError> {
         let fronts: Vec<usize> = due.iter().filter_map(|fault| fault.front).collect();
         match fault.known_kind() {
@@ -40,7 +41,7 @@
             Some(FaultKind::Continue) => self.signal(&fronts, Signal::SIGCONT)?,
             Some(FaultKind::Restart) => self.restart_front_ends(&fronts)?,
             kind => {
-                let mut faults = self.faults.write().map_err(|_| LabError::Poisoned)?;
+                let mut faults = self.faults.write().map_err(|_| LabError::PoisonedLock)?;
                 faults.apply(fault);
                 drop(faults);
                 if let (Some(FaultKind::Cold), Some(worker)) = (kind, fault.worker) {
@@ -51,31 +52,32 @@
         Ok(())
     }
 
-    /// Ends these front ends as a crash would.
+    /// Kills these front ends with SIGKILL.
     fn kill(&mut self, fronts: &[usize]) {
         for &front in fronts {
             self.fronts[front].process.kill();
-            self.fronts[front].was_ended = true;
+            self.fronts[front].ended_by_fault = true;
         }
     }
 
-    /// Has these front ends shut down gracefully.
+    /// Shuts these front ends down gracefully, one after the other.
     fn terminate(&mut self, fronts: &[usize]) -> Result<(), LabError> {
         for &front in fronts {
-            self.fronts[front].process.terminate(LEAVES_WITHIN)?;
-            self.fronts[front].was_ended = true;
+            self.fronts[front].process.terminate(SHUTDOWN_TIMEOUT)?;
+            self.fronts[front].ended_by_fault = true;
         }
         Ok(())
     }
 
-    /// Sends a signal to these front ends.
+    /// Sends a signal to each of these front ends.
     fn signal(&self, fronts: &[usize], signal: Signal) -> Result<(), LabError> {
         fronts
             .iter()
             .try_for_each(|&front| self.fronts[front].process.signal(signal))
     }
 
-    /// Waits until all front ends that run agree after the last fault, where the scenario asks for it.
+    /// Waits until all running front ends agree on the members of the fleet; `None` where the scenario does not ask for
+    /// it. To be called right after the last fault.
     pub(super) fn wait_until_agreed(&self) -> Result<Option<Agreement>, LabError> {
         let last_fault = Instant::now();
         let Some(within_s) = self.scenario.agree_within_s else {
@@ -86,13 +88,14 @@
     }
 }
 
-/// How many of the faults ahead are applied together: restarts of one time, else one.
-fn due_together(ahead: &[Fault]) -> usize {
-    let Some(first) = ahead.first() else {
+/// Returns how many of the remaining faults, which are in order of time, are applied together: successive restarts with
+/// the same time, otherwise 1.
+fn count_due_together(remaining: &[Fault]) -> usize {
+    let Some(first) = remaining.first() else {
         return 0;
     };
     let is_restart = |fault: &&Fault| fault.known_kind() == Some(FaultKind::Restart);
-    let same = ahead
+    let same = remaining
         .iter()
         .take_while(|fault| is_restart(fault) && is_restart(&first) && fault.at_s == first.at_s);
     same.count().max(1)
--- a/fleetlab/src/lib.rs
+++ b/fleetlab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The fleet lab: several processes of the program on loopback, stand-in workers and gateways, and faults between
-//! them. docs/fleetlab.md has the scenarios.
+//! The fleet lab: runs several wrenseam processes with simulated workers and clients on loopback, and injects faults
+//! between them. docs/fleetlab.md describes the scenarios.
 pub mod clock;
 pub mod coroutine;
 pub mod error;
--- a/fleetlab/src/load_generator.rs
+++ b/fleetlab/src/load_generator.rs
@@ -1,7 +1,7 @@
-//! The load: an open loop of KServe v2 infer requests at seeded Poisson times, each sent to a front end chosen at
-//! random; a 500 or 503 is retried at once at another, up to the scenario's attempts, as clients in a retry storm do.
-//! Each attempt must end in exactly one response.
-use crate::coroutine::{pause, spawn};
+//! The load generator: an open loop of KServe v2 infer requests at the times of a seeded Poisson process. Each attempt
+//! goes to a front end chosen at random. An attempt that was not served is retried at once, up to the scenario's
+//! maximum number of attempts, as clients do in a retry storm.
+use crate::coroutine::{sleep, spawn};
 use crate::infer::request_bytes;
 use crate::metrics::{Counter, Metrics};
 use crate::wire::{read_response, Response};
@@ -14,48 +14,48 @@
 use std::sync::{Arc, PoisonError, RwLock};
 use std::time::{Duration, Instant};
 
-/// The most requests in flight; past it a request is counted failed at once (the bound on memory).
+/// Maximum number of requests in flight; a request beyond it is counted as failed at once. Bounds the memory.
 const MAX_IN_FLIGHT: usize = 4096;
-/// How often the load looks whether the run's time goes on again.
+/// Interval at which the load checks whether the run's clock is still paused.
 const PAUSE_POLL: Duration = Duration::from_millis(5);
-/// How often it looks whether the last requests have ended.
+/// Interval at which the load checks whether the last requests have ended.
 const DRAIN_POLL: Duration = Duration::from_millis(20);
-/// How long the last requests may take beyond the waits of all their attempts.
+/// Time allowed for the last requests beyond the maximum waits of all their attempts, in ms.
 const DRAIN_MARGIN_MS: u64 = 5000;
-/// How long a response may take beyond the request's wait.
+/// Time allowed for a response beyond the maximum wait of the request, in ms.
 const RESPONSE_MARGIN_MS: u64 = 1000;
-/// The lowest rate that is computed with, a second: no division by zero.
-const LOWEST_RATE: f64 = 1e-9;
+/// Minimum rate for calculations, in requests per second: it is a divisor.
+const MIN_RATE_PER_S: f64 = 1e-9;
 
-/// Where the front ends accept clients, by index; a restart changes an entry.
+/// Addresses at which the front ends accept KServe requests, by index; a restart of a front end changes its entry.
 pub type Targets = Arc<RwLock<Vec<SocketAddr>>>;
 
-/// The load's shape.
+/// Settings of the load.
 #[derive(Clone, Copy)]
 pub struct LoadSettings {
-    /// First attempts a second.
+    /// Requests per second, retries not counted; 0: no load.
     pub rate_per_s: f64,
-    /// How long new requests come.
+    /// Duration in seconds of the run in which requests start.
     pub seconds: u64,
-    /// The wait that each request allows.
+    /// Maximum wait that each request allows, in ms.
     pub wait_ms: u64,
-    /// The most attempts of a request.
+    /// Maximum number of attempts per request, the first one included.
     pub attempts: u32,
-    /// Seeds the times and the choice of front ends.
+    /// Seed of the requests' times and of the choice of front ends.
     pub seed: u64,
-    /// Whether a request is retried after a rejection only.
+    /// Whether calls must never run twice: an attempt is then retried only after a rejection.
     pub fragile: bool,
 }
 
-/// Runs the load to its end; returns when the last request has ended.
+/// Runs the load; returns once the last request has ended, or has taken longer than its attempts may.
 pub fn run(load: LoadSettings, targets: Targets, metrics: Arc<Metrics>) {
     let mut rng = SmallRng::seed_from_u64(load.seed);
     let in_flight = Arc::new(AtomicUsize::new(0));
     let mut at_s = 0.0f64;
     let mut number = 0u64;
     while load.rate_per_s > 0.0 && at_s < load.seconds as f64 {
-        let chance = 1.0 - rng.random::<f64>();
-        at_s += -chance.ln() / load.rate_per_s.max(LOWEST_RATE);
+        let uniform = 1.0 - rng.random::<f64>();
+        at_s += -uniform.ln() / load.rate_per_s.max(MIN_RATE_PER_S);
         if at_s >= load.seconds as f64 {
             break;
         }
@@ -66,10 +66,10 @@
             continue;
         }
         number += 1;
-        let choices = (0..load.attempts).map(|_| rng.random::<f64>()).collect();
+        let target_choices = (0..load.attempts).map(|_| rng.random::<f64>()).collect();
         let request = Request {
             number,
-            choices,
+            target_choices,
             load,
             targets: targets.clone(),
             metrics: metrics.clone(),
@@ -84,53 +84,53 @@
     drain(&load, &in_flight);
 }
 
-/// Waits until the run's time is `at_s`.
+/// Waits until the run's clock is at `at_s`.
 fn wait_until(at_s: f64, metrics: &Metrics) {
     loop {
         let now = metrics.clock.now();
         if now.is_paused {
-            // The run's time does not come nearer: look again soon.
-            pause(PAUSE_POLL);
+            // The end of the pause is not known in advance, so the clock is polled.
+            sleep(PAUSE_POLL);
         } else if now.seconds < at_s {
-            pause(Duration::from_secs_f64(at_s - now.seconds));
+            sleep(Duration::from_secs_f64(at_s - now.seconds));
         } else {
             return;
         }
     }
 }
 
-/// Waits until no request is in flight, for as long as one may take.
+/// Waits until no request is in flight, at most as long as all attempts of a request may take.
 fn drain(load: &LoadSettings, in_flight: &AtomicUsize) {
     let longest_ms = load.wait_ms * u64::from(load.attempts) + DRAIN_MARGIN_MS;
     let deadline = Instant::now() + Duration::from_millis(longest_ms);
     while in_flight.load(Ordering::Relaxed) > 0 && Instant::now() < deadline {
-        pause(DRAIN_POLL);
+        sleep(DRAIN_POLL);
     }
 }
 
-/// One request.
+/// A client's request, with all its attempts.
 struct Request {
     number: u64,
-    /// For each attempt a number in [0, 1) that chooses its front end.
-    choices: Vec<f64>,
+    /// For each attempt, a random number in [0, 1) that chooses its front end.
+    target_choices: Vec<f64>,
     load: LoadSettings,
     targets: Targets,
     metrics: Arc<Metrics>,
 }
 
 impl Request {
-    /// Sends the request, and retries it as far as the load's settings allow.
+    /// Sends the request and retries it until it is served, or the settings of the load allow no further attempt.
     fn send(&self) {
-        let begun = Instant::now();
-        for (attempt, choice) in self.choices.iter().enumerate() {
+        let started_at = Instant::now();
+        for (attempt, choice) in self.target_choices.iter().enumerate() {
             if attempt > 0 {
                 self.metrics.add(Counter::Retried);
             }
             let response = self.attempt(attempt, self.target(*choice));
             let was_rejected = match response {
                 Some(Response { status: 200, .. }) => {
-                    let latency = begun.elapsed().as_micros() as u64;
-                    return self.metrics.record_served(latency);
+                    let latency_us = started_at.elapsed().as_micros() as u64;
+                    return self.metrics.record_served(latency_us);
                 }
                 Some(Response {
                     status: 503,
@@ -153,14 +153,15 @@
         self.metrics.add(Counter::Failed);
     }
 
-    /// The front end of an attempt.
+    /// Returns the address of the front end for an attempt; `choice` is the attempt's random number.
     fn target(&self, choice: f64) -> SocketAddr {
         let targets = self.targets.read().unwrap_or_else(PoisonError::into_inner);
         let index = (choice * targets.len() as f64) as usize;
         targets[index.min(targets.len() - 1)]
     }
 
-    /// One attempt: its response, or none if it did not come within the wait and a second.
+    /// Makes one attempt. `None`: no complete response came within the maximum wait and [`RESPONSE_MARGIN_MS`], or the
+    /// connection failed.
     fn attempt(&self, attempt: usize, target: SocketAddr) -> Option<Response> {
         let wait_ms = self.load.wait_ms;
         let mut stream = TcpStream::connect(target).ok()?;
--- a/fleetlab/src/main.rs
+++ b/fleetlab/src/main.rs
@@ -1,5 +1,5 @@
-//! fleetlab: runs scenarios of several wrenseam processes, stand-in workers and a load on loopback,
-//! with faults between them, and reports what came of it. See docs/fleetlab.md.
+//! fleetlab: runs a scenario with several wrenseam processes, simulated workers and a load on loopback, injects faults
+//! between them, and writes a report. See docs/fleetlab.md.
 
 use clap::{Parser, Subcommand};
 use fleetlab::error::LabError;
@@ -13,7 +13,7 @@
 #[command(
     name = "fleetlab",
     version,
-    about = "Several wrenseam processes under load, with faults between them"
+    about = "Runs several wrenseam processes under load and injects faults between them"
 )]
 struct Cli {
     #[command(subcommand)]
@@ -22,28 +22,32 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// Reads a scenario and says whether it holds.
-    Check { scenario: PathBuf },
-    /// Runs a scenario; writes report.md and report.svg into the folder, and prints the totals.
+    /// Validates a scenario file without running it.
+    Check {
+        /// Path of the scenario file (JSON).
+        scenario: PathBuf,
+    },
+    /// Runs a scenario, writes report.md and report.svg into the output directory, and prints the totals.
     Run(Run),
 }
 
 #[derive(clap::Args)]
 struct Run {
+    /// Path of the scenario file (JSON).
     scenario: PathBuf,
-    /// Where the files of the run go.
+    /// Output directory for the files of the run; created if it does not exist.
     #[arg(long, default_value = "fleetlab-out")]
     out: PathBuf,
-    /// The program; by default the `wrenseam` beside this one.
+    /// Path of the wrenseam program; by default `wrenseam` in the directory of this program.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Instead of the scenario's number of front ends.
+    /// Number of front ends; overrides the scenario's `fronts`.
     #[arg(long)]
     fronts: Option<usize>,
-    /// Instead of the scenario's `fleet`: on or off.
+    /// Whether the front ends form a fleet; overrides the scenario's `fleet`.
     #[arg(long)]
     fleet: Option<Switch>,
-    /// Instead of the scenario's seed.
+    /// Seed of the run; overrides the scenario's `seed`.
     #[arg(long)]
     seed: Option<u64>,
 }
@@ -55,9 +59,9 @@
 }
 
 impl Run {
-    /// The scenario, with what the command line changes in it.
+    /// Reads the scenario file, applies the overrides of the command line, and validates the result.
     fn scenario(&self) -> Result<Scenario, LabError> {
-        let mut scenario = read(&self.scenario)?;
+        let mut scenario = read_scenario(&self.scenario)?;
         scenario.fronts = self.fronts.unwrap_or(scenario.fronts);
         if let Some(fleet) = self.fleet {
             scenario.fleet = matches!(fleet, Switch::On);
@@ -67,13 +71,13 @@
         Ok(scenario)
     }
 
-    /// The program: by default the one beside this.
+    /// Path of the wrenseam program: `--program`, or `wrenseam` in the directory of this program.
     fn program(&self) -> Result<PathBuf, LabError> {
         if let Some(program) = &self.program {
             return Ok(program.clone());
         }
-        let lab = std::env::current_exe().map_err(|_| LabError::NoProgram)?;
-        Ok(lab.with_file_name("wrenseam"))
+        let this_program = std::env::current_exe().map_err(|_| LabError::NoExecutablePath)?;
+        Ok(this_program.with_file_name("wrenseam"))
     }
 
     fn run(&self) -> Result<(), LabError> {
@@ -90,7 +94,7 @@
     }
 }
 
-fn read(path: &Path) -> Result<Scenario, LabError> {
+fn read_scenario(path: &Path) -> Result<Scenario, LabError> {
     let text = std::fs::read_to_string(path).map_err(LabError::at(path))?;
     Scenario::parse(&text).map_err(|source| LabError::ScenarioFile {
         path: path.to_owned(),
@@ -99,8 +103,8 @@
 }
 
 fn check(path: &Path) -> Result<(), LabError> {
-    let scenario = read(path)?;
-    println!("{}: holds, {} faults", scenario.name, scenario.faults.len());
+    let scenario = read_scenario(path)?;
+    println!("{}: valid, {} faults", scenario.name, scenario.faults.len());
     Ok(())
 }
 
@@ -110,7 +114,8 @@
     println!("{}", lines[last..].join("\n"));
 }
 
-/// The lines that scripts and tests read.
+/// Prints the lines that scripts and tests parse: TOTALS, PEERS, COLD, and, where the scenario asks for agreement,
+/// AGREED and WRONGED.
 fn print_outcome(outcome: &Outcome, totals: &Totals) {
     println!(
         "TOTALS offered={} served={} failed={} refused={} unanswered={} retried={} calls_per_request={:.3} extra_attempts={} extra_denied={} goodput={:.1} p99_ms={:.1} died={} repeats={}",
@@ -129,16 +134,16 @@
         totals.repeats
     );
     let peers: Vec<String> = outcome
-        .figures
+        .fleet_telemetry
         .iter()
-        .map(|figures| figures.get("peers"))
+        .map(|telemetry| telemetry.get("peers"))
         .map(|peers| peers.map_or("-".to_owned(), |peers| peers.to_string()))
         .collect();
     println!("PEERS {}", peers.join(","));
     let cold: Vec<String> = outcome
         .cold
         .iter()
-        .map(|worker| format!("w{}={:.2}", worker.index, worker.worst_part))
+        .map(|worker| format!("w{}={:.2}", worker.index, worker.peak_ratio))
         .collect();
     println!("COLD {}", cold.join(" "));
     if let Some(agreement) = &outcome.agreement {
--- a/fleetlab/src/process.rs
+++ b/fleetlab/src/process.rs
@@ -1,4 +1,4 @@
-//! A process of the program: its end, its signals, and its log.
+//! A wrenseam process: signals, exit and log.
 use crate::error::LabError;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -8,31 +8,32 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::time::{Duration, Instant};
 
-/// How often a process that is to end is looked at.
+/// Interval at which the lab checks whether a process has exited.
 const EXIT_POLL: Duration = Duration::from_millis(2);
 
-/// A child that ends with its owner.
+/// A child process that is killed when this is dropped; `None` once the lab has ended it.
 pub struct Process(Option<Child>);
 
 impl Drop for Process {
-    /// A caller that waits for the lab's output would else wait for what it leaves running, should it end by an error.
+    /// Kills the process, also where the lab ends with an error: a process left running would keep the lab's output
+    /// open, and a caller that waits for the end of that output would not return.
     fn drop(&mut self) {
         self.kill();
     }
 }
 
 impl Process {
-    /// Owns a child that was started.
+    /// Takes ownership of a started child process.
     pub fn new(child: Child) -> Process {
         Process(Some(child))
     }
 
-    /// Whether the lab has not ended it.
+    /// Whether the lab has not ended it; also true for a process that has exited by itself.
     pub fn is_started(&self) -> bool {
         self.0.is_some()
     }
 
-    /// Whether it still runs.
+    /// Whether the process is running (suspended counts as running). `false` after the lab has ended it.
     pub fn is_running(&mut self) -> bool {
         let Some(child) = self.0.as_mut() else {
             return false;
@@ -40,34 +41,34 @@
         child.try_wait().ok().flatten().is_none()
     }
 
-    /// Ends it at once, as a crash would.
+    /// Kills the process with SIGKILL, which has the effect of a crash, and waits for its exit.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.0.take() {
-            let _ = child.kill(); // it may have ended already
+            let _ = child.kill(); // fails if the process has already exited
             let _ = child.wait();
         }
     }
 
-    /// Sends it a signal.
+    /// Sends the process a signal.
     ///
     /// # Errors
-    /// It does not run, or the system refuses.
+    /// The lab has already ended the process, or the system call fails.
     pub fn signal(&self, signal: Signal) -> Result<(), LabError> {
         let child = self.0.as_ref().ok_or(LabError::ProcessEnded)?;
         let pid = Pid::from_raw(child.id() as i32);
         kill(pid, signal).map_err(|source| LabError::Signal { signal, source })
     }
 
-    /// Shuts it down gracefully by SIGTERM, and waits for its exit.
+    /// Shuts the process down gracefully with SIGTERM, and waits for its exit.
     ///
     /// # Errors
-    /// It does not end within `within`, or not with success.
+    /// The process does not exit within `within`, or exits with a failure status.
     pub fn terminate(&mut self, within: Duration) -> Result<(), LabError> {
         self.signal(Signal::SIGTERM)?;
         let status = self.wait_for_exit(within)?;
         self.0 = None;
         if !status.success() {
-            return Err(LabError::EndedBadly(status));
+            return Err(LabError::ExitFailure(status));
         }
         Ok(())
     }
@@ -80,7 +81,7 @@
                 return Ok(status);
             }
             if since.elapsed() > within {
-                return Err(LabError::DidNotEnd {
+                return Err(LabError::DidNotExit {
                     within_s: within.as_secs(),
                 });
             }
@@ -89,9 +90,10 @@
     }
 }
 
-/// Copies a process's log into a file, so that its pipe never fills, and passes each line on for as long as there is a
-/// receiver; a thread, for a pipe blocks and is no socket of may's.
-pub fn follow(log: ChildStderr, file: PathBuf) -> Receiver<String> {
+/// Copies a process's standard error into a file and sends each line to the returned receiver while that exists. The
+/// pipe must be read until its end: a full pipe would block the process. It is read on a thread because reading a pipe
+/// blocks, and `may` offers non-blocking reads only for its own sockets.
+pub fn follow_log(log: ChildStderr, file: PathBuf) -> Receiver<String> {
     let (sender, lines) = channel();
     std::thread::spawn(move || {
         let options = std::fs::OpenOptions::new()
@@ -102,8 +104,8 @@
             return;
         };
         for line in BufReader::new(log).lines().map_while(Result::ok) {
-            let _ = writeln!(copy, "{line}"); // a disk that is full ends no run
-            let _ = sender.send(line); // there is no receiver any more once the process listens
+            let _ = writeln!(copy, "{line}"); // a full disk does not end the run
+            let _ = sender.send(line); // fails once the process listens: the receiver is dropped then
         }
     });
     lines
--- a/fleetlab/src/relay.rs
+++ b/fleetlab/src/relay.rs
@@ -1,7 +1,7 @@
-//! The relays that put faults between the processes: one for UDP in front of each front end's gossip socket (peers get
-//! its address through the fleet's `advertise`), one for TCP in front of each worker. What they do to a datagram or
-//! connection is decided in [`crate::faults`].
-use crate::coroutine::{pause, spawn};
+//! The relays, which inject the network faults: one for UDP in front of each front end's gossip socket, one for TCP in
+//! front of each worker. Peers send to a gossip relay because the front end's fleet file states its address as
+//! `advertise`. [`crate::faults`] decides what a relay does with a datagram or connection.
+use crate::coroutine::{sleep, spawn};
 use crate::faults::{ConnectionAction, DatagramAction, Faults};
 use may::net::{TcpListener, TcpStream, UdpSocket};
 use rand::rngs::SmallRng;
@@ -13,16 +13,16 @@
 
 /// The largest UDP datagram, in bytes.
 const MAX_DATAGRAM: usize = 64 * 1024;
-/// Bytes of a connection passed on at once.
+/// Maximum number of bytes forwarded at once; one such read is a chunk.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// The gossip socket of each front end, once it has reported it; by index.
+/// Gossip socket of each front end, by index; `None` until it has logged its address.
 pub type GossipSockets = Arc<RwLock<Vec<Option<SocketAddr>>>>;
 
-/// What the relays have done, for the report.
+/// Counts of what the relays did, for the report.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RelayCounts {
-    /// Datagrams and connections passed on.
+    /// Datagrams and connections forwarded without a fault.
     pub passed: u64,
     /// Datagrams lost.
     pub dropped: u64,
@@ -30,35 +30,36 @@
     pub duplicated: u64,
     /// Datagrams delayed.
     pub delayed: u64,
-    /// Connections reset.
+    /// Connections closed as they were accepted.
     pub reset: u64,
     /// Connections accepted and never answered.
     pub black_holed: u64,
 }
 
-/// What all relays of a run have in common.
+/// State that all relays of a run share.
 #[derive(Clone)]
 pub struct RelaySettings {
-    /// The faults in force.
+    /// The faults that are active now.
     pub faults: Arc<RwLock<Faults>>,
-    /// Where the relays' work is counted.
+    /// Counts of what the relays did.
     pub counts: Arc<Mutex<RelayCounts>>,
 }
 
 impl RelaySettings {
-    /// Counts under the lock, never across a yield: a coroutine that blocks a worker thread on a lock that is owned
-    /// by one that waits for I/O stops them both.
+    /// Updates the counts under their lock. `count` must not yield: a coroutine that waits for a lock blocks the
+    /// scheduler thread, and a coroutine that holds the lock while it waits for I/O could then never resume: both would
+    /// hang.
     fn count(&self, count: impl FnOnce(&mut RelayCounts)) {
         count(&mut self.counts.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Whether a connection is severed now.
+    /// Whether a connection is severed at this chunk; `chance` is a uniform random number in [0, 1).
     fn severs(&self, chance: f64) -> bool {
         self.faults.read().is_ok_and(|faults| faults.severs(chance))
     }
 }
 
-/// Starts the gossip relay of front end `to`; the address that its peers are to send to.
+/// Starts the gossip relay of front end `to`, and returns the address that its peers must send to.
 ///
 /// # Errors
 /// No port can be bound.
@@ -93,12 +94,13 @@
     fn run(mut self) {
         let mut buffer = vec![0u8; MAX_DATAGRAM];
         while let Ok((length, source)) = self.socket.recv_from(&mut buffer) {
-            self.pass_on(source, &buffer[..length]);
+            self.forward(source, &buffer[..length]);
         }
     }
 
-    /// Does with a datagram what the faults say.
-    fn pass_on(&mut self, source: SocketAddr, bytes: &[u8]) {
+    /// Applies the active faults to a datagram from `source`. It is dropped while the front end has not logged its
+    /// gossip socket.
+    fn forward(&mut self, source: SocketAddr, bytes: &[u8]) {
         let sockets = self.sockets.read().unwrap_or_else(PoisonError::into_inner);
         let from = sockets.iter().position(|known| *known == Some(source));
         let target = sockets[self.to];
@@ -132,19 +134,20 @@
     }
 
     fn send(&self, bytes: &[u8], target: SocketAddr) {
-        let _ = self.socket.send_to(bytes, target); // a target that is gone is no fault of the relay
+        let _ = self.socket.send_to(bytes, target); // fails if the target has exited, as faults make it do
     }
 
     fn send_later(&self, bytes: Vec<u8>, target: SocketAddr, delay: Duration) {
         let socket = self.socket.clone();
         spawn(move || {
-            pause(delay);
-            let _ = socket.send_to(&bytes, target); // as above
+            sleep(delay);
+            let _ = socket.send_to(&bytes, target); // fails if the target has exited
         });
     }
 }
 
-/// Starts the relay in front of worker `index` at `worker`; the address that front ends are to connect to.
+/// Starts the relay of worker `index`, whose address is `worker`, and returns the address that front ends must connect
+/// to.
 ///
 /// # Errors
 /// No port can be bound.
@@ -178,12 +181,12 @@
 }
 
 impl WorkerRelay {
-    /// Does with a new connection what the faults say.
+    /// Applies the active faults to a new connection.
     fn accept(&mut self, client: TcpStream) {
         match self.action() {
             ConnectionAction::Reset => {
                 self.settings.count(|counts| counts.reset += 1);
-                // Ended at once, before a byte is read or answered.
+                // Closed before any byte is read or answered.
                 let _ = client.shutdown(Shutdown::Both);
             }
             ConnectionAction::BlackHole => {
@@ -209,29 +212,30 @@
     }
 }
 
-/// Reads a connection to its end, and answers nothing.
+/// Reads a connection until it ends, and answers nothing.
 fn discard(mut client: TcpStream) {
     let mut sink = [0u8; 4096];
     while matches!(client.read(&mut sink), Ok(length) if length > 0) {}
 }
 
-/// Passes on what comes on two connections, both ways.
+/// Forwards the bytes between two connections in both directions. `seed` is that of the fault `sever`.
 fn pipe(client: TcpStream, worker: TcpStream, settings: &RelaySettings, seed: u64) {
     let (Ok(to_client), Ok(to_worker)) = (client.try_clone(), worker.try_clone()) else {
         return;
     };
-    let forth = settings.clone();
-    let back = settings.clone();
-    spawn(move || copy(client, to_worker, &forth, seed));
-    spawn(move || copy(worker, to_client, &back, seed.wrapping_add(1)));
+    let client_to_worker = settings.clone();
+    let worker_to_client = settings.clone();
+    spawn(move || copy(client, to_worker, &client_to_worker, seed));
+    spawn(move || copy(worker, to_client, &worker_to_client, seed.wrapping_add(1)));
 }
 
-/// Passes on what comes on a connection until it ends or is severed, and ends both ends.
+/// Forwards the bytes of one direction until `from` ends or the fault `sever` applies. Then closes this direction, or
+/// both while `sever` is active with a ratio above 0.
 fn copy(mut from: TcpStream, mut to: TcpStream, settings: &RelaySettings, seed: u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut chunk = [0u8; CHUNK_BYTES];
     while let Ok(length) = from.read(&mut chunk) {
-        // Severed before the chunk passes, or after it: what it carried may have run.
+        // Severed either before the chunk is forwarded or after it: after it, a call in it may have run.
         let chance = rng.random::<f64>();
         let is_before = rng.random::<bool>();
         let is_severed = settings.severs(chance);
@@ -243,10 +247,10 @@
         }
     }
     if settings.severs(0.0) {
-        let _ = to.shutdown(Shutdown::Both); // the other end may have ended already
+        let _ = to.shutdown(Shutdown::Both); // fails if the connection has already closed
         let _ = from.shutdown(Shutdown::Both);
         return;
     }
-    let _ = to.shutdown(Shutdown::Write); // as above
+    let _ = to.shutdown(Shutdown::Write); // fails if the connection has already closed
     let _ = from.shutdown(Shutdown::Read);
 }
--- a/fleetlab/src/report.rs
+++ b/fleetlab/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run: a table a second (Markdown), totals, and a plot (SVG, `plotters`).
+//! The report of a run: a table with a row per second and the totals (Markdown), and a plot (SVG, with `plotters`).
 use crate::error::LabError;
 use crate::lab::Outcome;
 use crate::metrics::Counter;
@@ -10,52 +10,52 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// Seconds in the report beyond the load's, for what ends late.
-const LATE_SECONDS: usize = 2;
+/// Number of seconds after the end of the load that the report includes: requests end after they start.
+const EXTRA_SECONDS: usize = 2;
 /// Width and height of the plot, in pixels.
 const PLOT_SIZE: (u32, u32) = (900, 480);
 
-/// The run's totals, over all processes together.
+/// Totals of a run over all front ends, workers and seconds. In the report, `refused` stands for rejected.
 pub struct Totals {
-    /// Requests begun.
+    /// Requests that clients started, retries not counted.
     pub offered: u64,
-    /// Requests that ended served.
+    /// Requests that were served.
     pub served: u64,
-    /// Requests that ended without being served.
+    /// Requests that were not served by any of their attempts.
     pub failed: u64,
     /// Attempts that were rejected.
     pub refused: u64,
-    /// Attempts without a response.
+    /// Attempts without a complete response in time.
     pub unanswered: u64,
-    /// Attempts beyond the first of a request.
+    /// Attempts after the first of a request.
     pub retried: u64,
-    /// Calls that reached workers, over offered requests.
+    /// Calls that reached workers, divided by the requests offered.
     pub calls_per_request: f64,
-    /// Extra attempts that the front ends made to workers, summed from their figures.
+    /// Extra attempts that the front ends made at workers: sum over the telemetry of those that run at the end.
     pub extra_attempts: u64,
-    /// Extra attempts that the front ends' budgets denied, summed from their figures.
+    /// Extra attempts that the front ends' retry budgets denied: sum over the telemetry of those that run at the end.
     pub extra_denied: u64,
-    /// Requests served a second of the load.
+    /// Requests served, divided by the duration of the load in seconds.
     pub goodput_per_s: f64,
-    /// Median latency of served requests, ms.
+    /// Median latency of the served requests, in ms.
     pub p50_ms: f64,
-    /// 99th percentile of the latency of served requests, ms.
+    /// 99th percentile of the latency of the served requests, in ms.
     pub p99_ms: f64,
     /// Health checks that reached workers.
     pub probes: u64,
-    /// Calls that reached workers completely though they may have run before.
+    /// Calls that reached a worker completely although they may have run before.
     pub repeats: u64,
 }
 
-/// The totals of a run.
+/// Computes the totals of a run.
 pub fn totals(scenario: &Scenario, outcome: &Outcome) -> Totals {
     let metrics = &outcome.metrics;
     let offered = metrics.total(Counter::Offered);
     let served = metrics.total(Counter::Served);
     let calls = metrics.total(Counter::Calls);
     let sum = |name: &str| {
-        let figures = outcome.figures.iter();
-        figures.filter_map(|figures| figures.get(name)).sum()
+        let fronts = outcome.fleet_telemetry.iter();
+        fronts.filter_map(|telemetry| telemetry.get(name)).sum()
     };
     Totals {
         offered,
@@ -75,15 +75,15 @@
     }
 }
 
-/// Writes `report.md` and `report.svg` into `folder`; the Markdown's text.
+/// Writes `report.md` and `report.svg` into `folder`, and returns the text of `report.md`.
 ///
 /// # Errors
 /// A file cannot be written.
 pub fn write(scenario: &Scenario, outcome: &Outcome, folder: &Path) -> Result<String, LabError> {
     let load_seconds = scenario.seconds as usize;
-    let seconds = (load_seconds + LATE_SECONDS).min(outcome.metrics.seconds());
+    let seconds = (load_seconds + EXTRA_SECONDS).min(outcome.metrics.seconds());
     let mut report = String::new();
-    // Writing to a String cannot fail.
+    // Writing to a `String` cannot fail.
     let _ = write_table(&mut report, scenario, outcome, seconds);
     let _ = write_totals(&mut report, &totals(scenario, outcome));
     let _ = write_relays(&mut report, outcome);
@@ -92,7 +92,7 @@
     Ok(report)
 }
 
-/// A row a second.
+/// Writes the heading and the table with a row per second.
 fn write_table(
     report: &mut String,
     scenario: &Scenario,
@@ -166,14 +166,14 @@
     )
 }
 
-/// A line of the plot.
+/// A line of the plot: a counter's value in each second.
 struct Series {
     counter: Counter,
     name: &'static str,
     colour: RGBColor,
 }
 
-/// The lines of the plot.
+/// All lines of the plot.
 const SERIES: [Series; 5] = [
     Series {
         counter: Counter::Offered,
@@ -207,7 +207,7 @@
     let counts = SERIES
         .iter()
         .flat_map(|series| (0..seconds).map(|second| metrics.count(second, series.counter)));
-    let top = counts.max().unwrap_or(1).max(1);
+    let max_count = counts.max().unwrap_or(1).max(1);
     let root = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
@@ -215,7 +215,7 @@
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(50)
-        .build_cartesian_2d(0..seconds as u32, 0..top + top / 10)?;
+        .build_cartesian_2d(0..seconds as u32, 0..max_count + max_count / 10)?;
     chart.configure_mesh().x_desc("s").y_desc("count").draw()?;
     for series in SERIES {
         let points =
--- a/fleetlab/src/scenario.rs
+++ b/fleetlab/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario file (JSON): how many front ends and workers, the load, and the faults on a timeline.
+//! Scenario files (JSON): the number of front ends and workers, the load, and the faults with their times.
 //!
 //! ```json
 //! {"name":"storm","seed":7,"seconds":10,"fronts":3,"workers":4,"fleet":true,
@@ -12,165 +12,168 @@
 use miniserde::{json, Deserialize};
 use std::collections::BTreeMap;
 
-/// The most front ends: a run is to fit one machine.
+/// Maximum number of front ends: a run must fit on one machine.
 pub const MAX_FRONTS: usize = 1024;
-/// The most workers: a run is to fit one machine.
+/// Maximum number of workers: a run must fit on one machine.
 pub const MAX_WORKERS: usize = 1024;
-/// The longest load, in seconds: a run is to end.
+/// Maximum duration of the load in seconds: bounds the duration of a run.
 pub const MAX_SECONDS: u64 = 600;
-/// The most requests a second.
+/// Maximum rate of the load in requests per second.
 pub const MAX_RATE: f64 = 5000.0;
-/// How often a front end probes a peer where the scenario says nothing, ms.
+/// Interval in ms at which a front end probes a peer, where the scenario does not state `probe_ms`.
 pub const DEFAULT_PROBE_MS: u64 = 200;
-/// After how long a suspect is declared down where the scenario says nothing, ms.
+/// Time in ms after which a suspected peer is declared down, where the scenario does not state `suspect_ms`.
 pub const DEFAULT_SUSPECT_MS: u64 = 600;
 
-/// The most attempts of a request.
+/// Maximum number of attempts of a client's request.
 const MAX_ATTEMPTS: f64 = 10.0;
-/// The longest work, wait or suspicion, ms.
+/// Maximum of `work_ms`, `wait_ms` and `suspect_ms`, in ms.
 const MAX_TIME_MS: f64 = 60_000.0;
-/// The shortest probe period and suspicion, ms.
+/// Minimum of `probe_ms` and `suspect_ms`, in ms.
 const MIN_GOSSIP_MS: f64 = 10.0;
-/// The longest probe period, ms.
+/// Maximum of `probe_ms`, in ms.
 const MAX_PROBE_MS: f64 = 10_000.0;
-/// The longest time to agree, s.
+/// Maximum of `agree_within_s`, in seconds.
 const MAX_AGREE_S: f64 = 120.0;
-/// The largest quota, calls a second.
+/// Maximum of `quota_per_s`, in calls per second.
 const MAX_QUOTA: f64 = 1e6;
-/// The longest delay of a datagram, ms.
+/// Maximum delay of a datagram, in ms.
 const MAX_DELAY_MS: f64 = 10_000.0;
-/// The least and the most that `slow` multiplies by.
+/// Minimum factor of the fault `slow`.
 const MIN_FACTOR: f64 = 0.01;
+/// Maximum factor of the fault `slow`.
 const MAX_FACTOR: f64 = 1000.0;
-/// What a repeat of a call may do.
+/// The values of `effect`.
 const EFFECTS: [&str; 2] = ["retryable", "fragile"];
 
-/// A complete scenario.
+/// A scenario. The names of the fields are the keys of the file.
 #[derive(Deserialize, Clone, Debug)]
 pub struct Scenario {
-    /// The run's name.
+    /// Name of the scenario, for the report.
     pub name: String,
-    /// Seeds the load's times, the choice of front ends and the faults' dice.
+    /// Seed of the requests' times, of the choice of front ends, and of the random choices of faults.
     pub seed: u64,
-    /// Length of the load, s.
+    /// Duration of the load in seconds.
     pub seconds: u64,
-    /// Processes of the program.
+    /// Number of front ends, each a wrenseam process.
     pub fronts: usize,
-    /// Stand-in workers.
+    /// Number of simulated workers.
     pub workers: usize,
-    /// Whether the front ends gossip and share budgets (false: each alone, as before the fleet).
+    /// Whether the front ends form a fleet: they gossip and share their retry budget. `false`: each runs without peers.
     pub fleet: bool,
-    /// First attempts a second, all clients together (open loop, Poisson).
+    /// Requests per second of all clients together, retries not counted (open loop, Poisson).
     pub rate_per_s: f64,
-    /// A worker's time for one call, ms, before `slow`.
+    /// Time in ms that a worker takes for one call, without the fault `slow`.
     pub work_ms: u64,
-    /// The wait each request allows, ms (`wait_ms` of KServe v2 parameters).
+    /// Maximum wait that each request allows, in ms (`wait_ms` in its KServe v2 parameters).
     pub wait_ms: u64,
-    /// Attempts a client makes of one request, the first included: 500s and 503s are retried
-    /// at once on another front end, as a client in a storm does.
+    /// Maximum number of attempts per request, the first one included. An attempt that was not served is retried at
+    /// once at a front end chosen anew, as clients do in a retry storm.
     pub client_attempts: u32,
-    /// The faults, in any order.
+    /// The faults, in any order of their times.
     pub faults: Vec<Fault>,
-    /// Calls a second that the tenants' shares allow over all workers (default 100,000: no bound).
+    /// Quota of the tenant, in calls per second over all workers (default 100,000: in effect no limit).
     pub quota_per_s: Option<f64>,
-    /// How often a front end probes a peer, ms (default 200).
+    /// Interval in ms at which a front end probes a peer (default 200).
     pub probe_ms: Option<u64>,
-    /// After how long a suspect is declared down, ms (default 600).
+    /// Time in ms after which a suspected peer is declared down (default 600).
     pub suspect_ms: Option<u64>,
-    /// Within how many seconds after the last fault all front ends that run have to hold the same view of the fleet,
-    /// and the right one (default: not looked at).
+    /// Time limit in seconds, from the last fault, for all running front ends to have the same and correct view of the
+    /// fleet; the run fails otherwise (default: not checked).
     pub agree_within_s: Option<f64>,
-    /// What a repeat of a call may do: `retryable` (the default) or `fragile`, which must never run twice: clients
-    /// retry it after a rejection only, and the run fails if a call reaches workers completely again.
+    /// Effect of the calls' class: `retryable` (the default), or `fragile` for calls that must never run twice. Clients
+    /// retry a fragile call only after a rejection, and the run fails if a call reaches a worker completely again
+    /// after it may have run.
     pub effect: Option<String>,
-    /// Whether each front end gets its index and the number of front ends (default: each as if alone).
+    /// Whether the settings of each front end state its index and the number of front ends (default: no index, and one
+    /// front end).
     pub numbered: Option<bool>,
 }
 
-/// Why a scenario cannot be run.
+/// A reason why a scenario is invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ScenarioError {
-    /// The text is not JSON of a scenario's form.
-    #[error("not a scenario (see fleetlab's page)")]
-    Form,
-    /// A figure is out of bounds.
+    /// The text is not JSON, or a key is missing or has a value of the wrong type.
+    #[error("not a scenario in JSON (see docs/fleetlab.md)")]
+    Malformed,
+    /// A value is outside its permitted range.
     #[error("'{name}' is {value}, not within {low} to {high}")]
     OutOfBounds {
-        /// The key.
+        /// Key of the value.
         name: &'static str,
-        /// Its value.
+        /// The value; not a number, or the maximum of its type, where a fault lacks it.
         value: f64,
-        /// The least that is allowed.
+        /// Minimum that is permitted.
         low: f64,
-        /// The most that is allowed.
+        /// Maximum that is permitted.
         high: f64,
     },
-    /// An effect that there is not.
+    /// `effect` has an unknown value.
     #[error("'effect' is {0}, not retryable or fragile")]
     UnknownEffect(String),
-    /// A kind of fault that there is not.
-    #[error("no fault is called '{0}'")]
-    UnknownFault(String),
+    /// The `kind` of a fault is unknown.
+    #[error("unknown kind of fault: '{0}'")]
+    UnknownFaultKind(String),
 }
 
 impl Scenario {
-    /// Whether a call must never run twice.
+    /// Whether the calls must never run twice (`effect` is `fragile`).
     pub fn is_fragile(&self) -> bool {
         self.effect.as_deref() == Some("fragile")
     }
 
-    /// Reads and checks a scenario.
+    /// Parses and validates the text of a scenario file.
     ///
     /// # Errors
-    /// The text is not such JSON, a figure is out of bounds, or a fault names what is not there.
+    /// The text is not a scenario in JSON, or [`Scenario::check`] fails.
     pub fn parse(text: &str) -> Result<Scenario, ScenarioError> {
-        let scenario: Scenario = json::from_str(text).map_err(|_| ScenarioError::Form)?;
+        let scenario: Scenario = json::from_str(text).map_err(|_| ScenarioError::Malformed)?;
         scenario.check()?;
         Ok(scenario)
     }
 
-    /// Whether the figures are within bounds and the faults name what is there.
+    /// Validates the scenario: every value is within its range, and faults name existing kinds, front ends and workers.
     ///
     /// # Errors
-    /// The first figure or fault that is not.
+    /// The first value or fault that is invalid.
     pub fn check(&self) -> Result<(), ScenarioError> {
         if let Some(effect) = &self.effect {
             if !EFFECTS.contains(&effect.as_str()) {
                 return Err(ScenarioError::UnknownEffect(effect.clone()));
             }
         }
-        self.check_figures()?;
+        self.check_ranges()?;
         self.faults
             .iter()
             .try_for_each(|fault| self.check_fault(fault))
     }
 
-    fn check_figures(&self) -> Result<(), ScenarioError> {
+    fn check_ranges(&self) -> Result<(), ScenarioError> {
         let probe_ms = self.probe_ms.unwrap_or(DEFAULT_PROBE_MS) as f64;
         let suspect_ms = self.suspect_ms.unwrap_or(DEFAULT_SUSPECT_MS) as f64;
         let agree_within_s = self.agree_within_s.unwrap_or(0.0);
         let quota_per_s = self.quota_per_s.unwrap_or(0.0);
-        within("fronts", self.fronts as f64, 1.0, MAX_FRONTS as f64)?;
-        within("workers", self.workers as f64, 1.0, MAX_WORKERS as f64)?;
-        within("seconds", self.seconds as f64, 1.0, MAX_SECONDS as f64)?;
-        within("rate_per_s", self.rate_per_s, 0.0, MAX_RATE)?;
+        check_range("fronts", self.fronts as f64, 1.0, MAX_FRONTS as f64)?;
+        check_range("workers", self.workers as f64, 1.0, MAX_WORKERS as f64)?;
+        check_range("seconds", self.seconds as f64, 1.0, MAX_SECONDS as f64)?;
+        check_range("rate_per_s", self.rate_per_s, 0.0, MAX_RATE)?;
         let client_attempts = f64::from(self.client_attempts);
-        within("client_attempts", client_attempts, 1.0, MAX_ATTEMPTS)?;
-        within("work_ms", self.work_ms as f64, 0.0, MAX_TIME_MS)?;
-        within("wait_ms", self.wait_ms as f64, 1.0, MAX_TIME_MS)?;
-        within("probe_ms", probe_ms, MIN_GOSSIP_MS, MAX_PROBE_MS)?;
-        within("suspect_ms", suspect_ms, MIN_GOSSIP_MS, MAX_TIME_MS)?;
-        within("agree_within_s", agree_within_s, 0.0, MAX_AGREE_S)?;
-        within("quota_per_s", quota_per_s, 0.0, MAX_QUOTA)
+        check_range("client_attempts", client_attempts, 1.0, MAX_ATTEMPTS)?;
+        check_range("work_ms", self.work_ms as f64, 0.0, MAX_TIME_MS)?;
+        check_range("wait_ms", self.wait_ms as f64, 1.0, MAX_TIME_MS)?;
+        check_range("probe_ms", probe_ms, MIN_GOSSIP_MS, MAX_PROBE_MS)?;
+        check_range("suspect_ms", suspect_ms, MIN_GOSSIP_MS, MAX_TIME_MS)?;
+        check_range("agree_within_s", agree_within_s, 0.0, MAX_AGREE_S)?;
+        check_range("quota_per_s", quota_per_s, 0.0, MAX_QUOTA)
     }
 
     fn check_fault(&self, fault: &Fault) -> Result<(), ScenarioError> {
-        within("at_s", fault.at_s, 0.0, self.seconds as f64)?;
+        check_range("at_s", fault.at_s, 0.0, self.seconds as f64)?;
         let kind = fault
             .known_kind()
-            .ok_or_else(|| ScenarioError::UnknownFault(fault.kind.clone()))?;
+            .ok_or_else(|| ScenarioError::UnknownFaultKind(fault.kind.clone()))?;
         match kind {
-            FaultKind::Slow => within(
+            FaultKind::Slow => check_range(
                 "factor",
                 fault.factor.unwrap_or(f64::NAN),
                 MIN_FACTOR,
@@ -189,14 +192,14 @@
             | FaultKind::Duplicate
             | FaultKind::Reset
             | FaultKind::Sever
-            | FaultKind::Spoil => within("ratio", fault.ratio.unwrap_or(f64::NAN), 0.0, 1.0),
+            | FaultKind::Spoil => check_range("ratio", fault.ratio.unwrap_or(f64::NAN), 0.0, 1.0),
             FaultKind::Delay => {
                 let ms = fault.ms.unwrap_or(u64::MAX) as f64;
-                within("ms", ms, 0.0, MAX_DELAY_MS)
+                check_range("ms", ms, 0.0, MAX_DELAY_MS)
             }
             FaultKind::Blackhole | FaultKind::Cold => {
                 let worker = fault.worker.unwrap_or(usize::MAX) as f64;
-                within("worker", worker, 0.0, self.workers as f64 - 1.0)
+                check_range("worker", worker, 0.0, self.workers as f64 - 1.0)
             }
             FaultKind::Kill
             | FaultKind::Restart
@@ -211,11 +214,12 @@
 
     fn check_front(&self, front: Option<usize>) -> Result<(), ScenarioError> {
         let front = front.unwrap_or(usize::MAX) as f64;
-        within("front", front, 0.0, self.fronts as f64 - 1.0)
+        check_range("front", front, 0.0, self.fronts as f64 - 1.0)
     }
 }
 
-fn within(name: &'static str, value: f64, low: f64, high: f64) -> Result<(), ScenarioError> {
+/// Fails if the value is not finite or outside the range.
+fn check_range(name: &'static str, value: f64, low: f64, high: f64) -> Result<(), ScenarioError> {
     if value.is_finite() && (low..=high).contains(&value) {
         return Ok(());
     }
--- a/fleetlab/src/scenario/fault.rs
+++ b/fleetlab/src/scenario/fault.rs
@@ -1,52 +1,55 @@
-//! The faults of a scenario.
+//! The faults of a scenario: their kinds, and the fields of the file.
 use miniserde::Deserialize;
 use std::collections::BTreeMap;
 
-/// What a fault does.
+/// The kinds of faults. Names in backquotes are the fields of [`Fault`] that a kind needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// Workers take `factor` times as long.
+    /// All workers take `factor` times as long for a call.
     Slow,
-    /// The gossip of `fronts` is cut from the others', or that of each of the named `groups` from all outside it.
+    /// Gossip between `fronts` and all other front ends is lost, or between each of the named `groups` and all front
+    /// ends outside it.
     Partition,
-    /// Gossip `from` one front end `to` another is lost, one way.
+    /// Gossip `from` one front end `to` another is lost, in this direction only.
     Cut,
-    /// No gossip reaches `front`.
+    /// All gossip to `front` is lost; what it sends arrives.
     Deaf,
-    /// No gossip leaves `front`.
+    /// All gossip from `front` is lost; what is sent to it arrives.
     Mute,
-    /// Gossip and worker links are as at first.
+    /// Ends all faults except `slow`, `cold` and those of processes (`kill`, `leave`, `stop`).
     Heal,
-    /// A `ratio` of datagrams is lost.
+    /// A `ratio` of gossip datagrams is lost.
     Drop,
-    /// A `ratio` of datagrams is sent twice.
+    /// A `ratio` of gossip datagrams is sent twice.
     Duplicate,
-    /// Datagrams are delayed by `ms`.
+    /// Gossip datagrams are delayed by `ms`; `0` ends the delay.
     Delay,
-    /// A `ratio` of new connections to workers is reset.
+    /// A `ratio` of new connections to workers is closed at once.
     Reset,
-    /// At a `ratio` of the chunks that pass a worker connection it is reset.
+    /// Connections to workers are closed, each at a `ratio` of the chunks of data that are forwarded on it.
     Sever,
-    /// A `ratio` of calls is answered twice, rejected, or run and not answered for certain.
+    /// A `ratio` of calls is answered incorrectly: twice, with a 503, or not at all (see
+    /// [`crate::faults::Reply`]).
     Spoil,
-    /// Connections to `worker` are accepted and never answered.
+    /// New connections to `worker` are accepted, and nothing is ever answered on them.
     Blackhole,
-    /// `worker` has just started: front ends that start from now on get its start time, and what reaches it is counted.
+    /// `worker` counts as started now: the endpoint list states this start time, and the calls that reach it are
+    /// recorded.
     Cold,
-    /// Front end `front` is ended by SIGKILL.
+    /// Front end `front` is killed with SIGKILL.
     Kill,
-    /// Front end `front` is started again.
+    /// Front end `front` is started again; no effect if the lab has not ended it.
     Restart,
-    /// Front end `front` is ended by SIGTERM, its exit awaited.
+    /// Front end `front` is shut down with SIGTERM, and the lab waits until it has exited.
     Leave,
-    /// Front end `front` gets SIGSTOP.
+    /// Front end `front` is suspended with SIGSTOP.
     Stop,
-    /// Front end `front` gets SIGCONT.
+    /// Front end `front` is resumed with SIGCONT.
     Continue,
 }
 
 impl FaultKind {
-    /// The kind of this name in a scenario file.
+    /// Returns the kind that a scenario file names so; `None` if the name is unknown.
     pub fn from_name(name: &str) -> Option<FaultKind> {
         let kind = match name {
             "slow" => FaultKind::Slow,
@@ -74,35 +77,36 @@
     }
 }
 
-/// One fault, applied at `at_s` seconds after the load begins. Which fields a kind needs is said at [`FaultKind`].
+/// A fault of a scenario. [`FaultKind`] says which fields each kind needs; the names of the fields are the keys of the
+/// file.
 #[derive(Deserialize, Clone, Debug)]
 pub struct Fault {
-    /// When, in seconds of the run.
+    /// Time at which it is applied, in seconds of the run: from the start of the load, pauses not counted.
     pub at_s: f64,
-    /// The name of its kind.
+    /// Name of its kind.
     pub kind: String,
-    /// How many times as long work takes.
+    /// Factor by which the work time of calls is multiplied; 1 ends the slowdown.
     pub factor: Option<f64>,
-    /// Several front ends.
+    /// Indices of the front ends that are partitioned from the others.
     pub fronts: Option<Vec<usize>>,
-    /// Front ends by the name of their group; those in none are a group of their own.
+    /// Indices of front ends by the name of their group; the front ends in no group form one more group.
     pub groups: Option<BTreeMap<String, Vec<usize>>>,
-    /// The front end whose gossip is cut.
+    /// Index of the front end whose datagrams are lost.
     pub from: Option<usize>,
-    /// The front end that it does not reach.
+    /// Index of the front end that these datagrams are sent to.
     pub to: Option<usize>,
-    /// The part of datagrams, connections, chunks or calls, 0 to 1.
+    /// Fraction of the datagrams, connections, chunks or calls that are affected, 0 to 1.
     pub ratio: Option<f64>,
-    /// Milliseconds.
+    /// Delay of datagrams in milliseconds.
     pub ms: Option<u64>,
-    /// One worker.
+    /// Index of a worker.
     pub worker: Option<usize>,
-    /// One front end.
+    /// Index of a front end.
     pub front: Option<usize>,
 }
 
 impl Fault {
-    /// Its kind, if there is one of its name: a scenario that was checked has no others.
+    /// Returns the kind; `None` if its name is unknown, which [`super::Scenario::check`] rules out.
     pub fn known_kind(&self) -> Option<FaultKind> {
         FaultKind::from_name(&self.kind)
     }
--- a/fleetlab/src/wire.rs
+++ b/fleetlab/src/wire.rs
@@ -1,113 +1,115 @@
-//! Reading one HTTP/1.1 message from a stream with `httparse`.
+//! Reads HTTP/1.1 messages from a stream, with `httparse`.
 use std::io::{Error, ErrorKind, Read, Result};
 
-/// Largest message that the lab's stand-ins read, head and body, in bytes: they only speak to the program.
+/// Maximum size of a message in bytes, head and body; the lab's clients and workers exchange far smaller ones.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// Bytes read at once.
+/// Maximum number of bytes per read from the stream.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Header fields of a message at the most.
+/// Maximum number of header fields in a message.
 const MAX_FIELDS: usize = 32;
 
-/// A request.
+/// An HTTP request.
 pub struct Request {
-    /// Its target.
+    /// Request target: the path.
     pub target: String,
-    /// Its body.
+    /// Body, of the length that Content-Length states.
     pub body: Vec<u8>,
 }
 
-/// A response.
+/// An HTTP response.
 pub struct Response {
-    /// Its status.
+    /// Status code; 0 if the parser found none.
     pub status: u16,
-    /// The field `Srv-Wait-Ms`, if there.
+    /// Value of the header `Srv-Wait-Ms`, which marks a 503 as a rejection; `None` if absent or not a number.
     pub wait_ms: Option<u64>,
-    /// Its body.
+    /// Body, of the length that Content-Length states.
     pub body: Vec<u8>,
 }
 
-/// The head of a message.
+/// The parsed head of a message: start line and header fields.
 struct Head<T> {
-    /// What the first line says.
-    start: T,
-    /// Bytes of the head.
+    /// Request target or status code, from the start line.
+    start_line: T,
+    /// Length of the head in bytes.
     length: usize,
     body_length: usize,
     wait_ms: Option<u64>,
 }
 
-/// Reads a request; bytes past it stay in `carry`.
+/// Reads a request. `buffer` holds the bytes that were read but not yet used; those after the request stay in it.
 ///
 /// # Errors
-/// The stream ends or fails, the message is garbled or larger than 1 MiB.
-pub fn read_request(stream: &mut impl Read, carry: &mut Vec<u8>) -> Result<Request> {
-    let head = read_head(stream, carry, parse_request)?;
-    let body = read_body(stream, carry, &head)?;
+/// The stream ends or fails, or the message is invalid or larger than 1 MiB.
+pub fn read_request(stream: &mut impl Read, buffer: &mut Vec<u8>) -> Result<Request> {
+    let head = read_head(stream, buffer, parse_request)?;
+    let body = read_body(stream, buffer, &head)?;
     Ok(Request {
-        target: head.start,
+        target: head.start_line,
         body,
     })
 }
 
-/// Reads a response; bytes past it stay in `carry`.
+/// Reads a response. `buffer` holds the bytes that were read but not yet used; those after the response stay in it.
 ///
 /// # Errors
-/// The stream ends or fails, the message is garbled or larger than 1 MiB.
-pub fn read_response(stream: &mut impl Read, carry: &mut Vec<u8>) -> Result<Response> {
-    let head = read_head(stream, carry, parse_response)?;
-    let body = read_body(stream, carry, &head)?;
+/// The stream ends or fails, or the message is invalid or larger than 1 MiB.
+pub fn read_response(stream: &mut impl Read, buffer: &mut Vec<u8>) -> Result<Response> {
+    let head = read_head(stream, buffer, parse_response)?;
+    let body = read_body(stream, buffer, &head)?;
     Ok(Response {
-        status: head.start,
+        status: head.start_line,
         wait_ms: head.wait_ms,
         body,
     })
 }
 
-/// Reads on until the head is complete.
+/// Reads until the head of a message is complete. The head stays in `buffer`.
 fn read_head<T>(
     stream: &mut impl Read,
-    carry: &mut Vec<u8>,
+    buffer: &mut Vec<u8>,
     parse: impl Fn(&[u8]) -> Result<Option<Head<T>>>,
 ) -> Result<Head<T>> {
     loop {
-        if let Some(head) = parse(carry)? {
+        if let Some(head) = parse(buffer)? {
             return Ok(head);
         }
-        if carry.len() > MAX_MESSAGE_BYTES {
-            return Err(invalid("too large"));
+        if buffer.len() > MAX_MESSAGE_BYTES {
+            return Err(invalid("HTTP message larger than 1 MiB"));
         }
-        read_more(stream, carry)?;
+        read_more(stream, buffer)?;
     }
 }
 
-/// Reads on until the body is complete, and takes the message off `carry`.
-fn read_body<T>(stream: &mut impl Read, carry: &mut Vec<u8>, head: &Head<T>) -> Result<Vec<u8>> {
+/// Reads until the body is complete, and removes the message from `buffer`.
+fn read_body<T>(stream: &mut impl Read, buffer: &mut Vec<u8>, head: &Head<T>) -> Result<Vec<u8>> {
     let end = head.length + head.body_length;
     if end > MAX_MESSAGE_BYTES {
-        return Err(invalid("too large"));
+        return Err(invalid("HTTP message larger than 1 MiB"));
     }
-    while carry.len() < end {
-        read_more(stream, carry)?;
+    while buffer.len() < end {
+        read_more(stream, buffer)?;
     }
-    let body = carry[head.length..end].to_vec();
-    carry.drain(..end);
+    let body = buffer[head.length..end].to_vec();
+    buffer.drain(..end);
     Ok(body)
 }
 
-fn read_more(stream: &mut impl Read, carry: &mut Vec<u8>) -> Result<()> {
+fn read_more(stream: &mut impl Read, buffer: &mut Vec<u8>) -> Result<()> {
     let mut chunk = [0u8; CHUNK_BYTES];
     let length = stream.read(&mut chunk)?;
     if length == 0 {
         return Err(ErrorKind::UnexpectedEof.into());
     }
-    carry.extend_from_slice(&chunk[..length]);
+    buffer.extend_from_slice(&chunk[..length]);
     Ok(())
 }
 
 fn parse_request(bytes: &[u8]) -> Result<Option<Head<String>>> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut request = httparse::Request::new(&mut fields);
-    let status = request.parse(bytes).map_err(|_| invalid("garbled"))?;
+    let status = request
+        .parse(bytes)
+        .map_err(|_| invalid("HTTP head cannot be parsed"))?;
     let target = request.path.unwrap_or("").to_owned();
     Ok(complete(status).map(|length| head(target, length, request.headers)))
 }
@@ -115,7 +117,9 @@
 fn parse_response(bytes: &[u8]) -> Result<Option<Head<u16>>> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut response = httparse::Response::new(&mut fields);
-    let status = response.parse(bytes).map_err(|_| invalid("garbled"))?;
+    let status = response
+        .parse(bytes)
+        .map_err(|_| invalid("HTTP head cannot be parsed"))?;
     let code = response.code.unwrap_or(0);
     Ok(complete(status).map(|length| head(code, length, response.headers)))
 }
@@ -127,17 +131,17 @@
     }
 }
 
-fn head<T>(start: T, length: usize, fields: &[httparse::Header]) -> Head<T> {
+fn head<T>(start_line: T, length: usize, fields: &[httparse::Header]) -> Head<T> {
     Head {
-        start,
+        start_line,
         length,
-        body_length: number(fields, "content-length").unwrap_or(0) as usize,
-        wait_ms: number(fields, "srv-wait-ms"),
+        body_length: numeric_header(fields, "content-length").unwrap_or(0) as usize,
+        wait_ms: numeric_header(fields, "srv-wait-ms"),
     }
 }
 
-/// The number in a header field, if it is there and holds one.
-fn number(fields: &[httparse::Header], name: &str) -> Option<u64> {
+/// Returns the number in a header field; `None` if the field is absent or not a number.
+fn numeric_header(fields: &[httparse::Header], name: &str) -> Option<u64> {
     let field = fields
         .iter()
         .find(|field| field.name.eq_ignore_ascii_case(name))?;
@@ -145,6 +149,6 @@
     text.trim().parse().ok()
 }
 
-fn invalid(what: &str) -> Error {
-    Error::new(ErrorKind::InvalidData, what.to_owned())
+fn invalid(reason: &str) -> Error {
+    Error::new(ErrorKind::InvalidData, reason.to_owned())
 }
--- a/fleetlab/src/worker.rs
+++ b/fleetlab/src/worker.rs
@@ -1,6 +1,7 @@
-//! A stand-in KServe v2 worker: reports its function ready, and answers each call after its work time
-//! (times the `slow` fault), or spoils it (`spoil`). Everything that reaches it is counted.
-use crate::coroutine::{pause, spawn};
+//! A simulated KServe v2 worker. It reports its function as ready and answers each call after the work time, multiplied
+//! by the factor of the fault `slow`; under the fault `spoil` it answers some calls incorrectly. It counts all calls
+//! and health checks that reach it.
+use crate::coroutine::{sleep, spawn};
 use crate::faults::{Faults, Reply};
 use crate::infer::{attempt_id, request_number, FUNCTION};
 use crate::metrics::{Counter, Metrics};
@@ -15,25 +16,25 @@
 
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: f64 = 1000.0;
-/// The response of a worker at its capacity: the call never ran.
-const FULL: &[u8] = b"HTTP/1.1 503 Full\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n";
-/// The response of a proxy before the worker: the call may have run.
-const UNAVAILABLE: &[u8] = b"HTTP/1.1 503 Unavailable\r\nContent-Length: 0\r\n\r\n";
+/// The response of a worker that is at capacity: Retry-After tells the front end that the call did not run.
+const FULL_RESPONSE: &[u8] = b"HTTP/1.1 503 Full\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n";
+/// The response of a proxy in front of the worker: without Retry-After, the call may have run.
+const UNAVAILABLE_RESPONSE: &[u8] = b"HTTP/1.1 503 Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-/// What the workers of a run have in common.
+/// Settings that all workers of a run share.
 #[derive(Clone)]
 pub struct WorkerSettings {
-    /// A call's work time, before `slow`.
+    /// Time that a call takes in ms, without the fault `slow`.
     pub work_ms: u64,
-    /// Seeds the chance of spoilt calls.
+    /// Seed of the random choice of the calls that are answered incorrectly.
     pub seed: u64,
-    /// The faults in force.
+    /// The faults that are active now.
     pub faults: Arc<RwLock<Faults>>,
-    /// Where calls are counted.
+    /// The counters of the run.
     pub metrics: Arc<Metrics>,
 }
 
-/// Starts a worker on loopback; its address.
+/// Starts a worker on a free port of 127.0.0.1, and returns its address.
 ///
 /// # Errors
 /// No port can be bound.
@@ -55,24 +56,24 @@
     Ok(address)
 }
 
-/// A worker as one of its connections sees it.
+/// One connection of a worker.
 struct WorkerConnection {
     index: usize,
     settings: WorkerSettings,
     rng: SmallRng,
 }
 
-/// What the faults make of a call.
+/// The effect of the active faults on one call.
 struct CallFaults {
-    slow: f64,
+    slow_factor: f64,
     is_cold: bool,
     reply: Reply,
 }
 
 impl WorkerConnection {
     fn serve(mut self, mut stream: TcpStream) {
-        let mut carry = Vec::new();
-        while let Ok(request) = read_request(&mut stream, &mut carry) {
+        let mut buffer = Vec::new();
+        while let Ok(request) = read_request(&mut stream, &mut buffer) {
             if self.answer(&mut stream, &request).is_err() {
                 return;
             }
@@ -83,20 +84,21 @@
         if request.target == "/v2/repository/index" {
             self.settings.metrics.add(Counter::Probes);
             let index = format!(r#"[{{"name":"{FUNCTION}","state":"READY"}}]"#);
-            stream.write_all(&ok(&index))
+            stream.write_all(&ok_response(&index))
         } else if request.target.starts_with("/v2/repository/models/") {
             self.settings.metrics.add(Counter::Probes);
-            stream.write_all(&ok(r#"{"parameters":{"slots_up":1}}"#))
+            stream.write_all(&ok_response(r#"{"parameters":{"slots_up":1}}"#))
         } else {
             self.call(stream, &request.body)
         }
     }
 
-    /// Runs a call, unless it is to be rejected, and answers it as the faults say. An error ends the connection.
+    /// Runs a call, unless it is to be rejected as over capacity, and answers it as the active faults demand. An error
+    /// closes the connection.
     fn call(&mut self, stream: &mut TcpStream, body: &[u8]) -> Result<()> {
         self.settings.metrics.add(Counter::Calls);
         let CallFaults {
-            slow,
+            slow_factor,
             is_cold,
             reply,
         } = self.faults();
@@ -104,25 +106,25 @@
             self.settings.metrics.record_cold_call(self.index);
         }
         if let Some(request) = request_number(body) {
-            let may_run = !reply.never_ran();
-            self.settings.metrics.record_call(request, may_run);
+            let may_have_run = !reply.never_ran();
+            self.settings.metrics.record_call(request, may_have_run);
         }
         if reply == Reply::Full {
-            return stream.write_all(FULL);
+            return stream.write_all(FULL_RESPONSE);
         }
-        let work_micros = self.settings.work_ms as f64 * MICROS_PER_MS * slow;
-        pause(Duration::from_micros(work_micros as u64));
-        let served = served(attempt_id(body).unwrap_or_default());
+        let work_micros = self.settings.work_ms as f64 * MICROS_PER_MS * slow_factor;
+        sleep(Duration::from_micros(work_micros as u64));
+        let response = served_response(attempt_id(body).unwrap_or_default());
         match reply {
             Reply::Twice => {
-                stream.write_all(&served)?;
-                stream.write_all(&served)
+                stream.write_all(&response)?;
+                stream.write_all(&response)
             }
-            Reply::Unavailable => stream.write_all(UNAVAILABLE),
+            Reply::Unavailable => stream.write_all(UNAVAILABLE_RESPONSE),
             Reply::Reset => Err(ErrorKind::ConnectionReset.into()),
             Reply::HalfClose => stream.shutdown(Shutdown::Write),
             Reply::Silent => Ok(()),
-            Reply::Serve | Reply::Full => stream.write_all(&served),
+            Reply::Serve | Reply::Full => stream.write_all(&response),
         }
     }
 
@@ -130,27 +132,27 @@
         let chance = self.rng.random::<f64>();
         let Ok(faults) = self.settings.faults.read() else {
             return CallFaults {
-                slow: 1.0,
+                slow_factor: 1.0,
                 is_cold: false,
                 reply: Reply::Serve,
             };
         };
         CallFaults {
-            slow: faults.slow,
+            slow_factor: faults.slow_factor,
             is_cold: faults.is_cold(self.index),
             reply: faults.reply(chance),
         }
     }
 }
 
-/// The response to a call that was served.
-fn served(id: &str) -> Vec<u8> {
-    ok(&format!(
+/// Returns the response to a served call; `id` is that of the attempt.
+fn served_response(id: &str) -> Vec<u8> {
+    ok_response(&format!(
         r#"{{"id":"{id}","parameters":{{"detail":"resident"}},"outputs":[{{"name":"body","shape":[1],"datatype":"BYTES","data":["done"]}}]}}"#
     ))
 }
 
-fn ok(body: &str) -> Vec<u8> {
+fn ok_response(body: &str) -> Vec<u8> {
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}").into_bytes()
 }
--- a/fleetlab/tests/agreement.rs
+++ b/fleetlab/tests/agreement.rs
@@ -1,11 +1,12 @@
-//! Several processes of the program and faults between them: soon after the last fault all that run hold the same view
-//! of the fleet and the right one, and none that ran, heard and was heard was ever declared down.
+//! Runs several wrenseam processes with faults between them. Soon after the last fault, all that run must have the same
+//! and correct view of the fleet, and no front end that ran and exchanged gossip all the time may ever be declared
+//! down.
 mod common;
-use common::lab;
+use common::run_scenario;
 use rstest::rstest;
 
-/// A scenario of so many front ends with a light load; its faults, and within how many seconds after the last of them
-/// all agree. Probe 200 ms and suspicion 600 ms, where `times` says nothing else.
+/// Returns a scenario with a light load. `within_s` is the time limit for agreement after the last fault, in seconds;
+/// `times` may state the probe interval and the suspicion time, which are 200 ms and 600 ms otherwise.
 fn scenario(fronts: usize, seconds: u64, within_s: f64, times: &str, faults: &str) -> String {
     format!(
         r#"{{"name":"agreement","seed":5,"seconds":{seconds},"fronts":{fronts},"workers":2,"fleet":true,"rate_per_s":20,
@@ -13,7 +14,8 @@
     )
 }
 
-const DEFAULT_TIMES: &str = r#""probe_ms":500,"suspect_ms":1500,"#;
+/// The probe interval and suspicion time that wrenseam uses where its fleet file states none, as keys of a scenario.
+const WRENSEAM_DEFAULT_TIMES: &str = r#""probe_ms":500,"suspect_ms":1500,"#;
 
 #[rstest]
 #[case::a_crash(
@@ -76,20 +78,26 @@
 )]
 #[case::a_leave_at_the_default_times(
     "leave-12",
-    scenario(12, 3, 1.0, DEFAULT_TIMES, r#"{"at_s":1,"kind":"leave","front":5}"#),
+    scenario(
+        12,
+        3,
+        1.0,
+        WRENSEAM_DEFAULT_TIMES,
+        r#"{"at_s":1,"kind":"leave","front":5}"#
+    ),
     11
 )]
-fn all_agree_soon_after_the_last_fault(
+fn all_front_ends_agree_soon_after_the_last_fault(
     #[case] name: &str,
     #[case] scenario: String,
     #[case] fronts: usize,
 ) {
-    let run = lab(name, &scenario, "");
-    assert_eq!(run.get("died"), 0.0, "a front end ended by itself");
+    let run = run_scenario(name, &scenario, "");
+    assert_eq!(run.total("died"), 0.0, "a front end exited without a fault");
     assert_eq!(run.agreed_fronts, Some(fronts));
     assert_eq!(
-        run.wronged,
+        run.wrongly_declared_down,
         Some(0),
-        "one that ran, heard and was heard was declared down"
+        "a front end was declared down that no fault affected"
     );
 }
--- a/fleetlab/tests/common/mod.rs
+++ b/fleetlab/tests/common/mod.rs
@@ -1,42 +1,48 @@
-//! Runs the lab as a user would, and reads its figures. The program is the `wrenseam` built beside `fleetlab`: the
-//! workspace's test command builds both, that of `fleetlab` alone only one.
-#![allow(dead_code)] // each test file uses a part
+//! Runs the `fleetlab` command as a user would, and parses its output. The wrenseam program is the one in the directory
+//! of the built `fleetlab`: the tests of the whole workspace build both, those of the package `fleetlab` only the lab.
+#![allow(dead_code)] // each test file uses only some of the helpers
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// A run's figures, from the lab's TOTALS and PEERS lines.
-pub(crate) struct Run {
+/// The results of a run, parsed from the lines that the lab prints.
+pub(crate) struct RunResult {
+    /// The fields of the line TOTALS.
     pub(crate) totals: Vec<(String, f64)>,
+    /// Number of live peers by each front end's telemetry; `None` if it does not run.
     pub(crate) peers: Vec<Option<u64>>,
-    /// Per worker that came back cold: the most of any second, as a part of what the rule allows.
+    /// For each restarted worker: the maximum over all seconds of the calls that it got, divided by the limit.
     pub(crate) cold: Vec<f64>,
-    /// How many front ends agreed, and how many log lines declared a sound one down, where the scenario asks.
+    /// Number of front ends that agreed; `None` where the scenario does not ask for agreement.
     pub(crate) agreed_fronts: Option<usize>,
-    pub(crate) wronged: Option<usize>,
+    /// Number of log lines that declared a front end down that no fault affects; `None` where the scenario does not ask
+    /// for agreement.
+    pub(crate) wrongly_declared_down: Option<usize>,
 }
 
-impl Run {
-    pub(crate) fn get(&self, name: &str) -> f64 {
+impl RunResult {
+    /// Returns a field of the line TOTALS.
+    pub(crate) fn total(&self, name: &str) -> f64 {
         self.totals
             .iter()
             .find(|(total, _)| total == name)
             .map(|(_, value)| *value)
-            .unwrap_or_else(|| panic!("no {name}"))
+            .unwrap_or_else(|| panic!("no {name} in the line TOTALS"))
     }
 }
 
-/// The `wrenseam` in this folder, or what to build: it is missing, or older than a source that it was built from.
-pub(crate) fn program(folder: &Path) -> Result<PathBuf, String> {
+/// Returns the path of the `wrenseam` in this folder, or an error with the command that builds it if it is missing or
+/// older than one of its source files.
+pub(crate) fn find_program(folder: &Path) -> Result<PathBuf, String> {
     let program = folder.join("wrenseam");
-    let changed = |file: &Path| {
+    let modified_at = |file: &Path| {
         file.metadata()
             .and_then(|metadata| metadata.modified())
             .ok()
     };
     let sources = std::fs::read_to_string(folder.join("wrenseam.d")).unwrap_or_default();
-    let newer = |source: &&str| changed(Path::new(source)) > changed(&program);
-    let why = match changed(&program) {
+    let newer = |source: &&str| modified_at(Path::new(source)) > modified_at(&program);
+    let reason = match modified_at(&program) {
         None => "is missing".to_owned(),
         Some(_) => match sources.split_whitespace().skip(1).find(newer) {
             Some(source) => format!("is older than {source}"),
@@ -49,40 +55,46 @@
         ""
     };
     Err(format!(
-        "{} {why}: first run `cargo build{release} --locked -p wrenseam`",
+        "{} {reason}: first run `cargo build{release} --locked -p wrenseam`",
         program.display()
     ))
 }
 
-pub(crate) fn folder(name: &str) -> PathBuf {
+/// Creates a temporary folder for a test.
+pub(crate) fn create_folder(name: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("lab-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a folder");
     folder
 }
 
-/// Runs the lab with a program that runs `first` in a shell, and is the front end from then on.
-pub(crate) fn run(name: &str, scenario: &str, first: &str) -> Output {
+/// Runs the lab with a shell script as its program, which executes `startup_command` and then becomes the front end.
+pub(crate) fn run_lab(name: &str, scenario: &str, startup_command: &str) -> Output {
     let exe = PathBuf::from(env!("CARGO_BIN_EXE_fleetlab"));
-    let wrenseam = program(exe.parent().expect("a folder")).unwrap_or_else(|why| panic!("{why}"));
-    let folder = folder(name);
-    let (file, started) = (folder.join("scenario.json"), folder.join("program"));
+    let wrenseam =
+        find_program(exe.parent().expect("a folder")).unwrap_or_else(|reason| panic!("{reason}"));
+    let folder = create_folder(name);
+    let (file, script_file) = (folder.join("scenario.json"), folder.join("program"));
     std::fs::write(&file, scenario).expect("written");
-    let script = format!("#!/bin/sh\n{first}\nexec '{}' \"$@\"\n", wrenseam.display());
-    std::fs::write(&started, script).expect("written");
-    std::fs::set_permissions(&started, PermissionsExt::from_mode(0o755)).expect("set");
+    let script = format!(
+        "#!/bin/sh\n{startup_command}\nexec '{}' \"$@\"\n",
+        wrenseam.display()
+    );
+    std::fs::write(&script_file, script).expect("written");
+    std::fs::set_permissions(&script_file, PermissionsExt::from_mode(0o755)).expect("set");
     let mut lab = Command::new(exe);
     lab.arg("run")
         .arg(&file)
         .arg("--out")
         .arg(&folder)
         .arg("--program")
-        .arg(&started);
+        .arg(&script_file);
     lab.output().expect("the lab runs")
 }
 
-pub(crate) fn lab(name: &str, scenario: &str, first: &str) -> Run {
-    let out = run(name, scenario, first);
+/// Runs the lab like [`run_lab`], asserts that it succeeds, and returns the results.
+pub(crate) fn run_scenario(name: &str, scenario: &str, startup_command: &str) -> RunResult {
+    let out = run_lab(name, scenario, startup_command);
     let text = String::from_utf8_lossy(&out.stdout).into_owned();
     assert!(
         out.status.success(),
@@ -97,30 +109,32 @@
     let totals = line("TOTALS ")
         .split(' ')
         .filter_map(|pair| pair.split_once('='))
-        .map(|(name, value)| (name.to_owned(), value.parse().expect("a figure")))
+        .map(|(name, value)| (name.to_owned(), value.parse().expect("a number")))
         .collect();
     let peers = line("PEERS ")
         .split(',')
         .map(|count| count.parse().ok())
         .collect();
-    let parts = line("COLD ")
+    let ratios = line("COLD ")
         .split(' ')
         .filter_map(|pair| pair.split_once('='))
-        .map(|(_, part)| part);
-    let cold = parts.map(|part| part.parse().expect("a part")).collect();
-    let asked = |tag: &str| {
+        .map(|(_, ratio)| ratio);
+    let cold = ratios
+        .map(|ratio| ratio.parse().expect("a ratio"))
+        .collect();
+    let optional_number = |tag: &str| {
         text.lines()
             .find_map(|line| line.strip_prefix(tag))
             .and_then(|line| line.rsplit(['=', ' ']).next())
     };
-    let agreed_fronts = asked("AGREED ").and_then(|number| number.parse().ok());
-    let wronged = asked("WRONGED ").and_then(|number| number.parse().ok());
+    let agreed_fronts = optional_number("AGREED ").and_then(|number| number.parse().ok());
+    let wrongly_declared_down = optional_number("WRONGED ").and_then(|number| number.parse().ok());
     eprintln!("{text}");
-    Run {
+    RunResult {
         totals,
         peers,
         cold,
         agreed_fronts,
-        wronged,
+        wrongly_declared_down,
     }
 }
--- a/fleetlab/tests/faults.rs
+++ b/fleetlab/tests/faults.rs
@@ -1,4 +1,4 @@
-//! What is in force after each fault, and scenario files.
+//! The effect of each fault on datagrams and connections, and the validation of scenario files.
 use fleetlab::faults::{ConnectionAction, DatagramAction, Faults};
 use fleetlab::scenario::{Fault, Scenario};
 use rstest::rstest;
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn losses_duplicates_and_delays_follow_the_chance() {
+fn losses_duplicates_delays_and_resets_follow_the_random_number() {
     let mut faults = Faults::new(2, 2);
     faults.apply(&Fault {
         ratio: Some(0.2),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn named_groups_one_way_cuts_deaf_and_mute_front_ends() {
+fn named_groups_cut_links_and_deaf_or_mute_front_ends_lose_gossip() {
     let mut faults = Faults::new(5, 1);
     let groups = [("a".to_owned(), vec![0, 1]), ("b".to_owned(), vec![2])]
         .into_iter()
@@ -80,7 +80,7 @@
     };
     assert!(
         passes(&faults, 0, 1) && passes(&faults, 3, 4),
-        "within a group, and among those in none"
+        "within a group, and among front ends in no group"
     );
     assert!(!passes(&faults, 0, 2) && !passes(&faults, 2, 3) && !passes(&faults, 4, 1));
     faults.apply(&fault("heal"));
@@ -100,35 +100,35 @@
     });
     assert!(
         !passes(&faults, 0, 2) && passes(&faults, 2, 0),
-        "a deaf one is heard"
+        "gossip to the deaf front end is lost, gossip from it arrives"
     );
     assert!(
         !passes(&faults, 3, 0) && passes(&faults, 0, 3),
-        "a mute one hears"
+        "gossip from the mute front end is lost, gossip to it arrives"
     );
     faults.apply(&fault("heal"));
     assert!((0..5).all(|from| (0..5).all(|to| passes(&faults, from, to))));
 }
 
-const GOOD: &str = r#"{"name":"s","seed":1,"seconds":5,"fronts":3,"workers":2,"fleet":true,"rate_per_s":10,
+const VALID: &str = r#"{"name":"s","seed":1,"seconds":5,"fronts":3,"workers":2,"fleet":true,"rate_per_s":10,
     "work_ms":5,"wait_ms":300,"client_attempts":2,"faults":[{"at_s":1,"kind":"kill","front":2}]}"#;
 
 #[test]
-fn a_scenario_is_read_and_its_bounds_kept() {
-    assert_eq!(Scenario::parse(GOOD).expect("read").faults.len(), 1);
-    assert!(Scenario::parse(&GOOD.replace(r#""front":2"#, r#""front":3"#)).is_err());
-    assert!(Scenario::parse(&GOOD.replace(r#""kill""#, r#""melt""#)).is_err());
-    assert!(Scenario::parse(&GOOD.replace(r#""seconds":5"#, r#""seconds":6000"#)).is_err());
+fn a_scenario_is_parsed_and_its_ranges_are_enforced() {
+    assert_eq!(Scenario::parse(VALID).expect("valid").faults.len(), 1);
+    assert!(Scenario::parse(&VALID.replace(r#""front":2"#, r#""front":3"#)).is_err());
+    assert!(Scenario::parse(&VALID.replace(r#""kill""#, r#""melt""#)).is_err());
+    assert!(Scenario::parse(&VALID.replace(r#""seconds":5"#, r#""seconds":6000"#)).is_err());
     assert!(Scenario::parse("[]").is_err());
 }
 
 #[rstest]
-#[case::no_scenario("[]", "not a scenario (see fleetlab's page)")]
-#[case::a_figure(&GOOD.replace(r#""seconds":5"#, r#""seconds":6000"#), "'seconds' is 6000, not within 1 to 600")]
-#[case::a_front(&GOOD.replace(r#""front":2"#, r#""front":3"#), "'front' is 3, not within 0 to 2")]
-#[case::a_fault(&GOOD.replace(r#""kill""#, r#""melt""#), "no fault is called 'melt'")]
-#[case::an_effect(&GOOD.replace(r#""seed":1"#, r#""seed":1,"effect":"odd""#), "'effect' is odd, not retryable or fragile")]
+#[case::no_scenario("[]", "not a scenario in JSON (see docs/fleetlab.md)")]
+#[case::a_value(&VALID.replace(r#""seconds":5"#, r#""seconds":6000"#), "'seconds' is 6000, not within 1 to 600")]
+#[case::a_front(&VALID.replace(r#""front":2"#, r#""front":3"#), "'front' is 3, not within 0 to 2")]
+#[case::a_fault(&VALID.replace(r#""kill""#, r#""melt""#), "unknown kind of fault: 'melt'")]
+#[case::an_effect(&VALID.replace(r#""seed":1"#, r#""seed":1,"effect":"odd""#), "'effect' is odd, not retryable or fragile")]
 fn scenario_errors_keep_their_texts(#[case] text: &str, #[case] want: &str) {
-    let error = Scenario::parse(text).expect_err("not to be run");
+    let error = Scenario::parse(text).expect_err("invalid");
     assert_eq!(error.to_string(), want);
 }
--- a/fleetlab/tests/lab.rs
+++ b/fleetlab/tests/lab.rs
@@ -1,17 +1,19 @@
-//! Several processes of the program under the lab's load, with faults between them.
+//! Runs several wrenseam processes under the lab's load, with faults between them.
 mod common;
-use common::{folder, lab, program, run};
+use common::{create_folder, find_program, run_lab, run_scenario};
 use rstest::rstest;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// Workers slow to 3x their time, past the wait, and every client tries again at another front end.
+/// A retry storm: workers take 3 times as long for a call as before, close to the clients' maximum wait of 400 ms, and
+/// every client retries at a front end chosen anew.
 const STORM: &str = r#"{"name":"storm","seed":7,"seconds":5,"fronts":3,"workers":2,"fleet":true,
  "rate_per_s":40,"work_ms":120,"wait_ms":400,"client_attempts":3,
  "faults":[{"at_s":1,"kind":"slow","factor":3}]}"#;
 
-/// Front end 0 cut from its peers' gossip, lossy and doubled datagrams, front end 2 killed and restarted.
+/// Front end 0 exchanges no gossip with its peers, datagrams are lost and duplicated, and front end 2 is killed and
+/// restarted.
 const CUTS: &str = r#"{"name":"cuts","seed":11,"seconds":6,"fronts":3,"workers":2,"fleet":true,
  "rate_per_s":40,"work_ms":10,"wait_ms":400,"client_attempts":2,
  "faults":[{"at_s":1,"kind":"partition","fronts":[0]},{"at_s":1,"kind":"drop","ratio":0.1},
@@ -21,32 +23,36 @@
 #[rstest]
 #[case::retry_storm("storm", STORM)]
 #[case::partition_and_kill("cuts", CUTS)]
-fn every_attempt_at_a_live_process_ends_in_one_answer_and_no_process_ends(
+fn every_attempt_at_a_running_front_end_gets_one_response_and_no_front_end_exits(
     #[case] name: &str,
     #[case] scenario: &str,
 ) {
-    let run = lab(name, scenario, "");
-    assert_eq!(run.get("died"), 0.0, "a front end ended by itself");
-    let (offered, served, failed) = (run.get("offered"), run.get("served"), run.get("failed"));
+    let run = run_scenario(name, scenario, "");
+    assert_eq!(run.total("died"), 0.0, "a front end exited without a fault");
+    let (offered, served, failed) = (
+        run.total("offered"),
+        run.total("served"),
+        run.total("failed"),
+    );
     assert!(offered > 100.0, "the load ran: {offered}");
     assert_eq!(
         served + failed,
         offered,
         "each request ends once, served or failed"
     );
-    // Worker calls: at most one per attempt made (the program added none of its own beyond its budget).
-    let attempts = offered + run.get("retried");
-    assert!(run.get("calls_per_request") * offered <= attempts * 1.1 + 10.0);
+    // At most one worker call per attempt of a client, plus the retry budget of the front ends.
+    let attempts = offered + run.total("retried");
+    assert!(run.total("calls_per_request") * offered <= attempts * 1.1 + 10.0);
     if name == "storm" {
         assert_eq!(
-            run.get("unanswered"),
+            run.total("unanswered"),
             0.0,
-            "an attempt got no answer within its wait and a second"
+            "an attempt got no response within its maximum wait and a second"
         );
-        assert!(run.get("retried") > 0.2 * offered, "the storm came");
+        assert!(run.total("retried") > 0.2 * offered, "clients retried");
     } else {
-        // Only attempts at the killed process go unanswered; the cut-off one rejoins after the heal.
-        assert!(run.get("unanswered") < 0.2 * offered);
+        // Only attempts at the killed process get no response. The partitioned front end rejoins after the heal.
+        assert!(run.total("unanswered") < 0.2 * offered);
         assert!(served > 0.8 * offered);
         assert_eq!(
             run.peers,
@@ -56,34 +62,49 @@
     }
 }
 
-/// All front ends killed at once while a worker comes back cold: what they send it together, all of them notified, keeps
-/// the rule, and the rest is served. Before cold workers had seats this came to 1.4 to 1.6 of what the rule allows.
-/// However long the front ends take to start: the load waits for them, and what they serve is the same.
+/// All front ends are killed and restarted at once while a worker counts as restarted. Their settings state their
+/// indices, and the endpoint list states the worker's start. The calls that they send it together must stay within the
+/// limit of slow start, and nearly all requests are served. Before slow start limited the number of front ends that may
+/// send to such a worker, the calls reached 1.4 to 1.6 times the limit. In the second case the front ends start slowly:
+/// the load is paused until they listen, so the result must be the same.
 #[rstest]
 #[case::at_once("cold", "")]
 #[case::starts_are_slow("slow", "sleep 0.6")]
-fn a_worker_that_comes_back_cold_stands_under_what_all_front_ends_send(
+fn calls_to_a_restarted_worker_stay_within_the_limit_for_all_front_ends_together(
     #[case] name: &str,
-    #[case] first: &str,
+    #[case] startup_command: &str,
 ) {
-    let run = lab(name, include_str!("../scenarios/cold-return.json"), first);
-    assert_eq!(run.get("died"), 0.0, "a front end ended by itself");
+    let run = run_scenario(
+        name,
+        include_str!("../scenarios/cold-return.json"),
+        startup_command,
+    );
+    assert_eq!(run.total("died"), 0.0, "a front end exited without a fault");
     assert!(
         run.cold.len() == 1 && run.cold[0] > 0.0,
-        "the cold worker gets going: {:?}",
+        "the restarted worker gets calls: {:?}",
+        run.cold
+    );
+    assert!(
+        run.cold[0] <= 1.0,
+        "calls divided by the limit: {:?}",
         run.cold
     );
-    assert!(run.cold[0] <= 1.0, "{:?} of what the rule allows", run.cold);
-    assert!(run.get("served") > 0.9 * run.get("offered"));
+    assert!(run.total("served") > 0.9 * run.total("offered"));
 }
 
-/// Calls that must not be repeated, over worker connections that are reset in the middle, answers that are lost, double or
-/// a proxy's, one front end killed and one shut down gracefully: none reaches a worker completely after it may have run.
+/// Calls that must not run twice, while worker connections are closed in the middle of a call, responses are lost,
+/// duplicated or replaced by those of a proxy, one front end is killed and one is shut down gracefully. No call may
+/// reach a worker completely again after it may have run.
 #[test]
 fn no_call_that_must_not_be_repeated_reaches_workers_again() {
-    let run = lab("unsafe", include_str!("../scenarios/unsafe-links.json"), "");
-    assert_eq!((run.get("repeats"), run.get("died")), (0.0, 0.0));
-    let (offered, served, failed) = (run.get("offered"), run.get("served"), run.get("failed"));
+    let run = run_scenario("unsafe", include_str!("../scenarios/unsafe-links.json"), "");
+    assert_eq!((run.total("repeats"), run.total("died")), (0.0, 0.0));
+    let (offered, served, failed) = (
+        run.total("offered"),
+        run.total("served"),
+        run.total("failed"),
+    );
     assert_eq!(
         served + failed,
         offered,
@@ -92,15 +113,15 @@
     assert!(served > 0.5 * offered, "{served} of {offered} are served");
     assert!(
         failed > 0.02 * offered,
-        "the faults reach the calls: {failed} of {offered} failed"
+        "the faults affect calls: {failed} of {offered} failed"
     );
 }
 
-/// A front end that neither listens nor ends ends the lab, which leaves none of them behind: whoever waits for the
-/// lab's output would wait for theirs too.
+/// A front end that runs but never listens makes the run fail, and the lab must leave no front end running: it would
+/// keep the lab's output open, and a caller that waits for the end of that output, as this test does, would hang.
 #[test]
-fn a_front_end_that_never_listens_ends_the_lab() {
-    let out = run("mute", STORM, "echo said >&2; exec sleep 60");
+fn a_front_end_that_never_listens_fails_the_run() {
+    let out = run_lab("mute", STORM, "echo said >&2; exec sleep 60");
     let printed = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(
         !out.status.success() && printed.contains("does not listen"),
@@ -108,12 +129,12 @@
     );
 }
 
-/// Runs the lab in `folder`, as somebody who types the command there would, with a relative `--out`.
+/// Runs the lab with `folder` as its working directory, and `out` as the relative path of its output directory.
 fn run_in(folder: &Path, out: &str, program: &Path) -> Output {
-    let quick = STORM
+    let short_scenario = STORM
         .replace(r#""seconds":5"#, r#""seconds":1"#)
         .replace(r#""at_s":1,"#, r#""at_s":0.5,"#);
-    std::fs::write(folder.join("scenario.json"), quick).expect("written");
+    std::fs::write(folder.join("scenario.json"), short_scenario).expect("written");
     let mut lab = Command::new(env!("CARGO_BIN_EXE_fleetlab"));
     lab.current_dir(folder)
         .args(["run", "scenario.json", "--out", out, "--program"])
@@ -125,10 +146,11 @@
 #[case::a_name("lab-out")]
 #[case::below_a_folder("a/b")]
 #[case::with_dots("./x/../lab-out")]
-fn a_relative_folder_will_do(#[case] out: &str) {
+fn a_relative_output_path_is_accepted(#[case] out: &str) {
     let exe = PathBuf::from(env!("CARGO_BIN_EXE_fleetlab"));
-    let wrenseam = program(exe.parent().expect("a folder")).unwrap_or_else(|why| panic!("{why}"));
-    let folder = folder(&format!("relative-{}", out.len()));
+    let wrenseam =
+        find_program(exe.parent().expect("a folder")).unwrap_or_else(|reason| panic!("{reason}"));
+    let folder = create_folder(&format!("relative-{}", out.len()));
     std::fs::create_dir_all(folder.join("x")).expect("a folder");
     let ran = run_in(&folder, out, &wrenseam);
     assert!(
@@ -139,39 +161,41 @@
     assert!(folder.join(out).join("report.md").is_file());
 }
 
-/// The last log line of a front end that ends before it listens is in the lab's own message.
+/// The lab's error message contains the last log line of a front end that exits before it listens.
 #[test]
-fn the_last_line_of_a_front_end_that_ends_is_reported() {
-    let folder = folder("last-line");
-    let ends = folder.join("ends");
+fn the_last_log_line_of_a_front_end_that_exits_is_reported() {
+    let folder = create_folder("last-line");
+    let script_file = folder.join("ends");
     std::fs::write(
-        &ends,
+        &script_file,
         "#!/bin/sh\necho first >&2\necho 'start: the disk is full' >&2\nexit 1\n",
     )
     .expect("written");
-    std::fs::set_permissions(&ends, PermissionsExt::from_mode(0o755)).expect("set");
-    let ran = run_in(&folder, "out", &ends);
+    std::fs::set_permissions(&script_file, PermissionsExt::from_mode(0o755)).expect("set");
+    let ran = run_in(&folder, "out", &script_file);
     let printed = String::from_utf8_lossy(&ran.stderr).into_owned();
     assert!(
-        !ran.status.success() && printed.contains("ended before it listened"),
+        !ran.status.success() && printed.contains("exited before it listened"),
         "{printed}"
     );
     assert!(
-        printed.contains("it said last: start: the disk is full"),
+        printed.contains("last log line: start: the disk is full"),
         "{printed}"
     );
 }
 
-/// Tests of `fleetlab` alone do not build the program that they start.
+/// The tests of the package `fleetlab` alone do not build the wrenseam program that they start. If it is missing or
+/// older than its sources, they must say which command builds it.
 #[test]
-fn what_to_build_is_reported() {
-    let folder = folder("none").join("release");
+fn a_missing_or_outdated_program_is_reported() {
+    let folder = create_folder("none").join("release");
     std::fs::create_dir_all(&folder).expect("a folder");
     let assert_reason = |what: &str| {
-        let why = program(&folder).expect_err("not usable");
+        let reason = find_program(&folder).expect_err("not usable");
         assert!(
-            why.contains(what) && why.contains("`cargo build --release --locked -p wrenseam`"),
-            "{why}"
+            reason.contains(what)
+                && reason.contains("`cargo build --release --locked -p wrenseam`"),
+            "{reason}"
         );
     };
     assert_reason("is missing");
@@ -182,7 +206,7 @@
         format!("wrenseam: {}", source.display()),
     )
     .expect("written");
-    assert!(program(&folder).is_ok());
+    assert!(find_program(&folder).is_ok());
     std::fs::write(&source, "").expect("written");
     let later = std::time::SystemTime::now() + std::time::Duration::from_secs(60);
     std::fs::File::options()
