--- a/fleetlab/src/fleet_view.rs
+++ b/fleetlab/src/fleet_view.rs
@@ -149,9 +149,9 @@
     for log in logs {
         let log = log.as_ref();
         let text = std::fs::read_to_string(log).map_err(LabError::at(log))?;
-        let about = |line: &&str| texts.iter().any(|text| line.contains(text));
-        let of_log = text.lines().filter(about);
-        lines.extend(of_log.map(|line| format!("{}: {line}", log.display())));
+        let is_match = |line: &&str| texts.iter().any(|text| line.contains(text));
+        let matching = text.lines().filter(is_match);
+        lines.extend(matching.map(|line| format!("{}: {line}", log.display())));
     }
     Ok(lines)
 }
--- a/fleetlab/src/lab.rs
+++ b/fleetlab/src/lab.rs
@@ -27,8 +27,7 @@
 use std::sync::{Arc, Mutex, RwLock};
 use std::time::Duration;
 
-/// Quota of the tenant where the scenario states none, in calls per second: high enough not to limit the
-/// load.
+/// Quota of the tenant where the scenario states none, in calls per second: high enough not to limit the load.
 const UNBOUNDED_QUOTA: f64 = 100_000.0;
 /// Time limit for the front ends to form a fleet; the run fails after it.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(10);
--- a/fleetlab/src/lab/endpoints.rs
+++ b/fleetlab/src/lab/endpoints.rs
@@ -67,7 +67,7 @@
     }
 
     /// Sets the worker's start time to now and rewrites the endpoint list. The worker itself keeps running.
-    pub(super) fn restart_worker(&mut self, index: usize) -> Result<(), LabError> {
+    pub(super) fn mark_restarted(&mut self, index: usize) -> Result<(), LabError> {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         self.workers[index].restart = Some(WorkerRestart {
             at_s: self.metrics.clock.elapsed_s(),
--- a/fleetlab/src/lab/timeline.rs
+++ b/fleetlab/src/lab/timeline.rs
@@ -45,7 +45,7 @@
                 faults.apply(fault);
                 drop(faults);
                 if let (Some(FaultKind::Cold), Some(worker)) = (kind, fault.worker) {
-                    self.restart_worker(worker)?;
+                    self.mark_restarted(worker)?;
                 }
             }
         }
--- a/fleetlab/src/metrics.rs
+++ b/fleetlab/src/metrics.rs
@@ -50,6 +50,7 @@
 struct ColdCall {
     /// Time of the call (`Clock::elapsed_s`).
     at_s: f64,
+    /// Index of the worker.
     worker: usize,
 }
 
@@ -66,7 +67,7 @@
 }
 
 impl Metrics {
-    /// Creates counters for a load of `seconds` seconds and for [`EXTRA_SECONDS`] after it. The clock is paused.
+    /// Creates counters for a load of `seconds` seconds and for `EXTRA_SECONDS` after it. The clock is paused.
     pub fn new(seconds: u64) -> Metrics {
         let seconds = seconds as usize + EXTRA_SECONDS;
         Metrics {
--- a/fleetlab/src/relay.rs
+++ b/fleetlab/src/relay.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 use std::time::Duration;
 
-/// The largest UDP datagram, in bytes.
+/// Size of the receive buffer in bytes: no UDP datagram is larger.
 const MAX_DATAGRAM: usize = 64 * 1024;
 /// Maximum number of bytes forwarded at once; one such read is a chunk.
 const CHUNK_BYTES: usize = 16 * 1024;
@@ -24,7 +24,7 @@
 pub struct RelayCounts {
     /// Datagrams and connections forwarded without a fault.
     pub passed: u64,
-    /// Datagrams lost.
+    /// Datagrams dropped by a fault.
     pub dropped: u64,
     /// Datagrams sent twice.
     pub duplicated: u64,
@@ -83,7 +83,9 @@
 }
 
 struct GossipRelay {
+    /// Index of the front end that it forwards to.
     to: usize,
+    /// Socket of the relay: receives from the peers and sends to the front end.
     socket: Arc<UdpSocket>,
     sockets: GossipSockets,
     settings: RelaySettings,
@@ -174,7 +176,9 @@
 }
 
 struct WorkerRelay {
+    /// Index of the worker.
     index: usize,
+    /// Address of the worker.
     worker: SocketAddr,
     settings: RelaySettings,
     rng: SmallRng,
--- a/fleetlab/src/worker.rs
+++ b/fleetlab/src/worker.rs
@@ -65,7 +65,9 @@
 
 /// The effect of the active faults on one call.
 struct CallFaults {
+    /// Factor by which the work time is multiplied.
     slow_factor: f64,
+    /// Whether the worker counts as restarted, so that the call is recorded.
     is_cold: bool,
     reply: Reply,
 }
@@ -101,7 +103,7 @@
             slow_factor,
             is_cold,
             reply,
-        } = self.faults();
+        } = self.draw_faults();
         if is_cold {
             self.settings.metrics.record_cold_call(self.index);
         }
@@ -128,7 +130,8 @@
         }
     }
 
-    fn faults(&mut self) -> CallFaults {
+    /// Draws the effect of the active faults on the next call; none if the lock of the faults is poisoned.
+    fn draw_faults(&mut self) -> CallFaults {
         let chance = self.rng.random::<f64>();
         let Ok(faults) = self.settings.faults.read() else {
             return CallFaults {
