--- a/policy/tests/failures.rs
+++ b/policy/tests/failures.rs
@@ -1,28 +1,31 @@
-//! What goes wrong around a front end, and odd input.
+//! Failures of workers, loads and clients around a front end, and invalid input.
 mod common;
 use common::*;
 use wrenseam_policy::*;
 
 #[test]
-fn an_ejected_worker_returns_once_it_answers_a_query() {
+fn an_ejected_worker_gets_requests_again_once_it_answers_a_poll() {
     let mut harness = ControllerHarness::new(settings(), 2);
     harness.mark_loaded(7, 1, &["w0", "w1"]);
-    let first = sent_workers(&harness.request(2, IDEMPOTENT, 7)).remove(0);
+    let ejected = sent_workers(&harness.request(2, IDEMPOTENT, 7)).remove(0);
     harness.end_attempt(2, 0, Outcome::ConnectFailed, 250 * MS);
     harness.end_attempt(2, 1, Outcome::Ok, 50 * MS);
     for id in 3..20 {
-        assert!(!sent_workers(&harness.request(id, IDEMPOTENT, 7)).contains(&first));
+        assert!(!sent_workers(&harness.request(id, IDEMPOTENT, 7)).contains(&ejected));
         harness.end_attempt(id, 0, Outcome::Ok, 50 * MS);
     }
-    let asked = load_orders(&harness.advance(SEC), 0);
-    assert!(asked.contains(&first), "{asked:?}");
-    harness.end_load_order(&first, 7, 1, Outcome::Ok);
-    let back = (20..60).any(|id| {
-        let to = sent_workers(&harness.request(id, IDEMPOTENT, 7));
+    let polled = load_orders(&harness.advance(SEC), 0);
+    assert!(
+        polled.contains(&ejected),
+        "{ejected} was not polled, only {polled:?}"
+    );
+    harness.end_load_order(&ejected, 7, 1, Outcome::Ok);
+    let gets_requests = (20..60).any(|id| {
+        let workers = sent_workers(&harness.request(id, IDEMPOTENT, 7));
         harness.end_attempt(id, 0, Outcome::Ok, 50 * MS);
-        to.contains(&first)
+        workers.contains(&ejected)
     });
-    assert!(back);
+    assert!(gets_requests);
 }
 
 #[test]
@@ -34,18 +37,18 @@
     assert!(out.contains(&Action::Cancel { id: 2, attempt: 0 }));
     assert!(
         sent_workers(&out).is_empty(),
-        "two attempts at once are forbidden here"
+        "a second attempt was sent although hedging is off"
     );
-    let again = sent_workers(&harness.end_attempt(2, 0, Outcome::Cancelled, 2 * SEC));
-    assert_eq!(again.len(), 1);
-    assert_ne!(again[0], first);
+    let retried_at = sent_workers(&harness.end_attempt(2, 0, Outcome::Cancelled, 2 * SEC));
+    assert_eq!(retried_at.len(), 1);
+    assert_ne!(retried_at[0], first);
 }
 
 #[test]
-fn where_allowed_a_hedged_request_runs_beside_a_silent_attempt() {
-    let mut set = settings();
-    set.hedging = true;
-    let mut harness = ControllerHarness::new(set, 3);
+fn a_silent_attempt_is_hedged_where_hedging_is_allowed() {
+    let mut settings = settings();
+    settings.hedging = true;
+    let mut harness = ControllerHarness::new(settings, 3);
     harness.mark_loaded(7, 1, &["w0", "w1", "w2"]);
     harness.request(2, IDEMPOTENT, 7);
     assert_eq!(sent_workers(&harness.advance(5 * SEC / 2)).len(), 1);
@@ -54,9 +57,10 @@
         .contains(&Action::Cancel { id: 2, attempt: 0 }));
 }
 
-/// An answer that never comes is made up for while it can still be in time.
+/// After a connection broke, other answers may be lost too: an overdue attempt is hedged while the answer can still be
+/// in time.
 #[test]
-fn where_connections_break_an_overdue_attempt_is_soon_hedged() {
+fn an_overdue_attempt_is_hedged_early_after_a_connection_broke() {
     let mut harness = ControllerHarness::new(
         Settings {
             hedging: true,
@@ -67,12 +71,12 @@
     harness.mark_loaded(7, 1, &["w0", "w1", "w2"]);
     for id in 10..110 {
         harness.request(id, IDEMPOTENT, 7);
-        harness.end_attempt(id, 0, Outcome::Ok, 300 * MS); // not quick: no room for second attempts
+        harness.end_attempt(id, 0, Outcome::Ok, 300 * MS); // too slow for spare capacity
     }
     harness.request(2, IDEMPOTENT, 7);
     assert!(
         sent_workers(&harness.advance(2 * SEC)).is_empty(),
-        "no connection broke"
+        "hedged early although no connection had broken"
     );
     harness.end_attempt(2, 0, Outcome::Reset, 2 * SEC);
     harness.end_attempt(2, 1, Outcome::Ok, 300 * MS);
@@ -81,35 +85,36 @@
     assert_eq!(sent_workers(&harness.advance(SEC / 2)).len(), 1);
 }
 
-/// One spoilt answer ends a connection with all that is open on it; its worker stays in the choice.
+/// A corrupt answer ends its connection and all attempts on it. They count as one failure, which does not eject the
+/// worker.
 #[test]
 fn a_connection_reset_does_not_eject_its_worker() {
     let mut harness = ControllerHarness::new(settings(), 4);
     harness.mark_loaded(7, 1, &["w0", "w1", "w2", "w3"]);
-    let mut at: Vec<(u64, String)> = Vec::new();
-    at.extend((2..12).map(|id| {
+    let mut attempts: Vec<(u64, String)> = Vec::new();
+    attempts.extend((2..12).map(|id| {
         (
             id,
             sent_workers(&harness.request(id, IDEMPOTENT, 7)).remove(0),
         )
     }));
-    let spoilt = at[0].1.clone();
-    for (id, _) in at.iter().filter(|a| a.1 == spoilt) {
+    let reset = attempts[0].1.clone();
+    for (id, _) in attempts.iter().filter(|attempt| attempt.1 == reset) {
         harness.end_attempt(*id, 0, Outcome::Reset, 50 * MS);
     }
     harness.advance(40 * MS);
-    assert!((50..90).any(|id| sent_workers(&harness.request(id, IDEMPOTENT, 7)).contains(&spoilt)));
+    assert!((50..90).any(|id| sent_workers(&harness.request(id, IDEMPOTENT, 7)).contains(&reset)));
 }
 
-/// A worker that answers at once, but with errors, must not draw the traffic that its speed would earn.
+/// Guards against a worker that attracts requests because it fails fast and so looks idle.
 #[test]
-fn quick_errors_count_against_a_worker() {
+fn a_worker_that_answers_with_errors_gets_few_requests() {
     let mut harness = ControllerHarness::new(settings(), 4);
     harness.mark_loaded(7, 1, &["w0", "w1", "w2", "w3"]);
-    let mut late = 0;
+    let mut recent = 0;
     for id in 2..202 {
         let to = sent_workers(&harness.request(id, NOT_IDEMPOTENT, 7)).remove(0);
-        late += usize::from(id > 102 && to == "w0");
+        recent += usize::from(id > 102 && to == "w0");
         harness.end_attempt(
             id,
             0,
@@ -123,12 +128,13 @@
         harness.advance(20 * MS);
     }
     assert!(
-        late <= 5,
-        "{late} of the last 100 calls went to the failing worker"
+        recent <= 5,
+        "{recent} of the last 100 requests went to the failing worker"
     );
 }
 
-/// A request that no worker can use ends after two errors, and no worker is ejected for it.
+/// Where no worker has served a function, its requests may be the cause of errors: they fail after two, and no worker
+/// is ejected.
 #[test]
 fn errors_of_a_function_never_served_fail_the_request_and_eject_no_worker() {
     let mut harness = ControllerHarness::new(
@@ -141,8 +147,8 @@
     harness.mark_loaded(7, 1, &["w0", "w1", "w2", "w3"]);
     for id in 2..30 {
         let mut out = harness.request(id, IDEMPOTENT, 1_000 + id);
-        for w in load_orders(&out, 0) {
-            out.extend(harness.end_load_order(&w, 1_000 + id, 1, Outcome::Ok));
+        for worker in load_orders(&out, 0) {
+            out.extend(harness.end_load_order(&worker, 1_000 + id, 1, Outcome::Ok));
         }
         assert_eq!(sent_workers(&out).len(), 1);
         assert_eq!(
@@ -157,15 +163,15 @@
     let used: std::collections::BTreeSet<String> = (50..90)
         .flat_map(|id| sent_workers(&harness.request(id, IDEMPOTENT, 7)))
         .collect();
-    assert_eq!(used.len(), 4, "{used:?}");
+    assert_eq!(used.len(), 4, "only {used:?} get requests");
 }
 
 #[test]
 fn when_most_workers_are_outliers_none_is_ejected() {
     let mut harness = ControllerHarness::new(settings(), 3);
     harness.mark_loaded(7, 1, &["w0", "w1", "w2"]);
-    for w in ["w0", "w1"] {
-        harness.end_load_order(w, 7, 0, Outcome::ConnectFailed);
+    for worker in ["w0", "w1"] {
+        harness.end_load_order(worker, 7, 0, Outcome::ConnectFailed);
     }
     for id in 2..8 {
         harness.request(id, IDEMPOTENT, 7);
@@ -173,18 +179,18 @@
     }
     harness.advance(100 * MS);
     let mut out = harness.request(50, IDEMPOTENT, 9);
-    for w in load_orders(&out, 0) {
-        out.extend(harness.end_load_order(&w, 9, 0, Outcome::Timeout));
+    for worker in load_orders(&out, 0) {
+        out.extend(harness.end_load_order(&worker, 9, 0, Outcome::Timeout));
     }
     out.extend(harness.advance(SEC));
     assert!(
         !load_orders(&out, 1).is_empty(),
-        "a fleet that all looks dead is still tried"
+        "no load was ordered while most workers are outliers"
     );
 }
 
 #[test]
-fn a_restart_invalidates_replicas_and_clears_outlier_state() {
+fn a_restart_of_a_worker_invalidates_its_replicas() {
     let mut harness = ControllerHarness::new(settings(), 1);
     harness.mark_loaded(7, 1, &["w0"]);
     harness.feed(Event::EndpointUpdate {
@@ -198,7 +204,7 @@
 }
 
 #[test]
-fn unknown_and_absurd_input_is_ignored() {
+fn unknown_names_and_extreme_values_do_no_harm() {
     let mut harness = ControllerHarness::new(Settings::default(), 2);
     harness.end_attempt(99, 0, Outcome::Ok, 1);
     harness.end_load_order("nobody", 5, 3, Outcome::Ok);
@@ -224,12 +230,17 @@
     ));
 }
 
-/// How many loads are out at once after twelve that ended like this, by their number and worker.
-fn ordered_at_once(end: impl Fn(u64, &str) -> (Outcome, Micros)) -> usize {
-    ordered_by_one_of(1, end)
+/// The number of loads that a front end has in flight at most, after the loads of twelve functions. `result` gives the
+/// outcome and time of a load by function and worker.
+fn max_loads(result: impl Fn(u64, &str) -> (Outcome, Micros)) -> usize {
+    max_loads_per_front_end(1, result)
 }
 
-fn ordered_by_one_of(front_ends: u32, end: impl Fn(u64, &str) -> (Outcome, Micros)) -> usize {
+/// As `max_loads`, for one of so many front ends.
+fn max_loads_per_front_end(
+    front_ends: u32,
+    result: impl Fn(u64, &str) -> (Outcome, Micros),
+) -> usize {
     let mut harness = ControllerHarness::new(
         Settings {
             front_ends,
@@ -240,16 +251,16 @@
     );
     for id in 0..12 {
         let mut out = harness.request(id, IDEMPOTENT, id);
-        for w in load_orders(&out, 0) {
-            out.extend(harness.end_load_order(&w, id, 0, Outcome::Ok));
+        for worker in load_orders(&out, 0) {
+            out.extend(harness.end_load_order(&worker, id, 0, Outcome::Ok));
         }
         for worker in load_orders(&out, 1) {
-            let (outcome, elapsed) = end(id, &worker);
-            let count = u32::from(outcome == Outcome::Ok);
+            let (outcome, elapsed) = result(id, &worker);
+            let replicas = u32::from(outcome == Outcome::Ok);
             harness.feed(Event::LoadOrderEnded {
                 worker,
                 function: id,
-                replicas: count,
+                replicas,
                 outcome,
                 elapsed,
             });
@@ -258,8 +269,8 @@
     let mut orders = 0;
     for id in 100..130 {
         let mut out = harness.request(id, IDEMPOTENT, id);
-        for w in load_orders(&out, 0) {
-            out.extend(harness.end_load_order(&w, id, 0, Outcome::Ok));
+        for worker in load_orders(&out, 0) {
+            out.extend(harness.end_load_order(&worker, id, 0, Outcome::Ok));
         }
         orders += load_orders(&out, 1).len();
     }
@@ -268,42 +279,43 @@
 
 #[test]
 fn slow_or_failed_loads_lower_the_limit_on_loads_in_flight() {
-    let usual = ordered_at_once(|_, _| (Outcome::Ok, 400 * MS));
-    assert!(ordered_at_once(|_, _| (Outcome::Error, 400 * MS)) < usual);
-    assert!(ordered_at_once(|_, _| (Outcome::Ok, 2 * SEC)) < usual);
+    let usual = max_loads(|_, _| (Outcome::Ok, 400 * MS));
+    assert!(max_loads(|_, _| (Outcome::Error, 400 * MS)) < usual);
+    assert!(max_loads(|_, _| (Outcome::Ok, 2 * SEC)) < usual);
 }
 
-/// Seen in the simulator: sixteen loads from each of five front ends took all memory, and requests were rejected.
+/// Guards against filling the workers' memory: sixteen loads in flight from each of five front ends took all of it, and
+/// requests were rejected.
 #[test]
 fn many_front_ends_have_fewer_loads_in_flight_each() {
     let usual = |_: u64, _: &str| (Outcome::Ok, 400 * MS);
-    assert!(ordered_by_one_of(5, usual) + 2 < ordered_by_one_of(2, usual));
+    assert!(max_loads_per_front_end(5, usual) + 2 < max_loads_per_front_end(2, usual));
 }
 
-/// Seen on sockets: three workers drained, loads waited in line at one that was left, and that lowered the cap
-/// to one load: the new workers stayed empty while a wave of traffic filled the old ones.
+/// Guards against mistaking a queue at one worker for a slow store: three workers drained, loads queued at one that was
+/// left, and the limit fell to one load. New workers stayed empty while a burst of requests filled the old ones.
 #[test]
-fn loads_slow_at_two_of_eight_workers_or_one_that_failed_lower_nothing() {
-    let usual = ordered_at_once(|_, _| (Outcome::Ok, 400 * MS));
-    let slow = |w: &str| {
-        if ["w0", "w1"].contains(&w) {
+fn slow_loads_at_two_of_eight_workers_or_one_failed_load_keep_the_limit() {
+    let usual = max_loads(|_, _| (Outcome::Ok, 400 * MS));
+    let load_time = |worker: &str| {
+        if ["w0", "w1"].contains(&worker) {
             2 * SEC
         } else {
             400 * MS
         }
     };
-    assert!(ordered_at_once(|_, w| (Outcome::Ok, slow(w))) + 3 > usual);
-    let chance = |id: u64| {
+    assert!(max_loads(|_, worker| (Outcome::Ok, load_time(worker))) + 3 > usual);
+    let outcome = |id: u64| {
         if id == 11 {
             Outcome::Error
         } else {
             Outcome::Ok
         }
     };
-    assert!(ordered_at_once(|id, _| (chance(id), 400 * MS)) + 2 >= usual);
+    assert!(max_loads(|id, _| (outcome(id), 400 * MS)) + 2 >= usual);
 }
 
-/// A stalled worker may still answer queries at once; only answers to requests show that it works.
+/// A stalled worker may still answer load orders and polls at once, so only answers to requests count.
 #[test]
 fn a_worker_that_stalls_requests_but_answers_orders_is_an_outlier() {
     let mut harness = ControllerHarness::new(settings(), 4);
@@ -319,51 +331,55 @@
         load_time: 0,
         retry: false,
     }));
-    let mut said = Vec::new();
+    let mut logged = Vec::new();
     for _ in 0..600 {
         let out = harness.advance(20 * MS);
-        for w in load_orders(&out, 0).into_iter().chain(load_orders(&out, 1)) {
-            harness.end_load_order(&w, 7, 1, Outcome::Ok);
+        for worker in load_orders(&out, 0).into_iter().chain(load_orders(&out, 1)) {
+            harness.end_load_order(&worker, 7, 1, Outcome::Ok);
         }
-        said.extend(out.into_iter().filter(|a| matches!(a, Action::Log { .. })));
+        logged.extend(out.into_iter().filter(|a| matches!(a, Action::Log { .. })));
     }
-    let suspected = |a: &Action| matches!(a, Action::Log { text } if text.starts_with("1 of 4"));
-    assert!(said.iter().any(suspected), "{said:?}");
+    let reports_one = |a: &Action| matches!(a, Action::Log { text } if text.starts_with("1 of 4"));
+    assert!(
+        logged.iter().any(reports_one),
+        "no log line reports an outlier: {logged:?}"
+    );
 }
 
-/// Broken connections alone do not empty a worker: its replicas are found again, not loaded anew.
+/// A broken connection does not mean that the worker has restarted: its replicas are kept until a poll finds one gone.
 #[test]
-fn a_lost_connection_keeps_the_replica_state_until_a_query_shows_otherwise() {
-    for (stands, again) in [(1, true), (0, false)] {
+fn a_broken_connection_keeps_the_replica_state_until_a_poll_shows_otherwise() {
+    for (loaded, kept) in [(1, true), (0, false)] {
         let mut harness = ControllerHarness::new(settings(), 3);
         harness.mark_loaded(8, 1, &["w0"]);
         harness.advance(20 * MS);
         harness.mark_loaded(7, 2, &["w0"]);
         harness.request(3, IDEMPOTENT, 7);
         harness.end_attempt(3, 0, Outcome::Reset, 5 * MS);
-        let asked = load_orders(&harness.advance(SEC), 0);
-        assert!(asked.contains(&"w0".to_string()));
-        harness.end_load_order("w0", 7, stands, Outcome::Ok);
+        let polled = load_orders(&harness.advance(SEC), 0);
+        assert!(polled.contains(&"w0".to_string()));
+        harness.end_load_order("w0", 7, loaded, Outcome::Ok);
         assert_eq!(
             sent_workers(&harness.request(4, IDEMPOTENT, 8)) == ["w0"],
-            again
+            kept
         );
     }
 }
 
-/// Clients that cut their attempts short and retry them would fill the fleet with work that nobody waits for.
+/// Clients that give up early and retry would fill the workers with requests whose answers nobody waits for.
 #[test]
 fn under_overload_requests_with_too_short_deadlines_are_rejected() {
-    let short = |crowd: u64| {
-        let mut set = settings();
-        set.classes
+    let is_rejected = |others: u64| {
+        let mut settings = settings();
+        settings
+            .classes
             .iter_mut()
-            .for_each(|c| c.latency_objective = 3000 * SEC); // so that only the client's patience can refuse
-        let mut harness = ControllerHarness::new(set, 2);
+            .for_each(|class| class.latency_objective = 3000 * SEC); // only the short deadline can cause a rejection
+        let mut harness = ControllerHarness::new(settings, 2);
         harness.mark_loaded(7, 1, &["w0", "w1"]);
         harness.advance(3 * SEC);
-        (10..10 + crowd).for_each(|id| drop(harness.request(id, IDEMPOTENT, 7)));
-        harness.advance(12 * SEC); // so few requests are judged over several seconds
+        (10..10 + others).for_each(|id| drop(harness.request(id, IDEMPOTENT, 7)));
+        harness.advance(12 * SEC); // the mean over so few requests covers several seconds
         let out = harness.feed(Event::Request(NewRequest {
             id: 999,
             class: IDEMPOTENT,
@@ -378,12 +394,12 @@
         out.iter()
             .any(|a| matches!(a, Action::Reject { id: 999, .. }))
     };
-    assert!(short(12));
-    assert!(!short(1));
+    assert!(is_rejected(12));
+    assert!(!is_rejected(1));
 }
 
-/// Seen on sockets: the attempt's time-out came microseconds before the request's own timer, and the request
-/// was sent once more although its client was about to leave.
+/// Guards against a useless retry: an attempt timed out microseconds before the timer of its request's deadline, and
+/// the request was sent again although its client was about to give up.
 #[test]
 fn a_request_past_its_deadline_is_not_retried() {
     let mut harness = ControllerHarness::new(settings(), 3);
@@ -393,14 +409,14 @@
     let out = harness.end_attempt(2, 0, Outcome::Timeout, 3 * SEC);
     assert!(
         sent_workers(&out).is_empty() && out.contains(&Action::Fail { id: 2 }),
-        "{out:?}"
+        "the request was not failed at once: {out:?}"
     );
 }
 
-/// Seen in the simulator: losses of a function called now and then made every front end add a replica, and together
-/// they held 650 GB of replicas in 480 GB of memory, which unloaded each other.
+/// Guards against replicas that evict each other: several front ends each added a replica for every loss of rarely
+/// called functions, and together they held 650 GB of replicas in 480 GB of memory.
 #[test]
-fn a_seldom_called_function_gets_no_replica_for_each_loss() {
+fn a_rarely_called_function_gets_no_replica_for_each_loss() {
     let added = |front_ends| {
         let mut harness = ControllerHarness::new(
             Settings {
@@ -410,7 +426,7 @@
             4,
         );
         harness.mark_loaded(7, 1, &["w0", "w1"]);
-        // Both lanes are taken by requests that stay out: the third request is a loss.
+        // Two requests in flight take both replicas, so the third request is a loss.
         (2..5)
             .flat_map(|id| load_orders(&harness.request(id, IDEMPOTENT, 7), 1))
             .count()
@@ -418,7 +434,7 @@
     assert_eq!((added(1), added(5)), (1, 0));
 }
 
-/// Seen in overload: every request was rejected six times over, which kept full workers full.
+/// Guards against prolonging an overload: six attempts for each rejected request kept full workers full.
 #[test]
 fn a_request_rejected_by_three_workers_is_rejected() {
     let mut harness = ControllerHarness::new(
@@ -430,27 +446,27 @@
     );
     harness.mark_loaded(7, 1, &["w0", "w1", "w2", "w3", "w4", "w5"]);
     harness.request(2, IDEMPOTENT, 7);
-    let first = (0..3)
+    let actions = (0..3)
         .flat_map(|n| harness.end_attempt(2, n, Outcome::Rejected, MS))
         .collect::<Vec<_>>();
-    assert_eq!(sent_workers(&first).len(), 2);
+    assert_eq!(sent_workers(&actions).len(), 2);
     assert!(
-        first
+        actions
             .iter()
             .any(|a| matches!(a, Action::Reject { id: 2, .. })),
-        "{first:?}"
+        "the request was not rejected: {actions:?}"
     );
 }
 
-/// Seen on sockets: requests waited for a load to the end of their life and were rejected when no client could
-/// try again in time. Without an attempt they are rejected before half of it.
+/// Guards against rejections that come too late for a retry: requests waited for a load until their deadline. Without
+/// an attempt they are rejected before half of the time until then.
 #[test]
 fn a_request_with_no_attempt_is_rejected_before_half_its_deadline() {
     let mut harness = ControllerHarness::new(settings(), 2);
-    let asked = load_orders(&harness.request(1, IDEMPOTENT, 7), 0);
-    asked
+    let polled = load_orders(&harness.request(1, IDEMPOTENT, 7), 0);
+    polled
         .iter()
-        .for_each(|w| drop(harness.end_load_order(w, 7, 0, Outcome::Ok)));
+        .for_each(|worker| drop(harness.end_load_order(worker, 7, 0, Outcome::Ok)));
     assert!(harness
         .advance(1_200 * MS)
         .iter()
@@ -461,62 +477,65 @@
         .any(|a| matches!(a, Action::Reject { id: 1, .. })));
 }
 
-/// Seen on sockets: with a handful of front ends, requests queued at workers that held half as much again as others.
+/// Guards against queues in a small fleet: requests waited at workers with 50 % more in flight than the others.
 #[test]
 fn few_front_ends_avoid_a_worker_with_more_in_flight_than_the_mean() {
-    let kept = |front_ends, most: f64| {
-        let load_on_absence = front_ends < 16; // where calls load, few front_ends ask before
+    let requests_to_w0 = |front_ends, in_flight: f64| {
+        let load_on_demand = front_ends < 16; // otherwise a small fleet would not poll, as `mark_loaded` expects
         let mut harness = ControllerHarness::new(
             Settings {
                 front_ends,
-                load_on_demand: load_on_absence,
+                load_on_demand,
                 ..settings()
             },
             4,
         );
         harness.mark_loaded(7, 1, &["w0", "w1", "w2", "w3"]);
-        let mut calls = 0;
+        let mut requests = 0;
         for id in 10..210 {
             let worker = sent_workers(&harness.request(id, IDEMPOTENT, 7)).remove(0);
-            let inflight = Some(if worker == "w0" { most } else { 4.0 });
-            let (attempt, outcome, elapsed, closed) = (0, Outcome::Ok, 50 * MS, true);
-            let (warm, crowd) = (Some(true), None);
+            let in_flight = Some(if worker == "w0" { in_flight } else { 4.0 });
             harness.feed(Event::AttemptEnded(AttemptResult {
                 id,
-                attempt,
-                outcome,
-                elapsed,
-                request_closed: closed,
-                replica_loaded: warm,
-                queue_depth: crowd,
-                in_flight: inflight,
+                attempt: 0,
+                outcome: Outcome::Ok,
+                elapsed: 50 * MS,
+                request_closed: true,
+                replica_loaded: Some(true),
+                queue_depth: None,
+                in_flight,
             }));
             harness.advance(100 * MS);
-            calls += usize::from(worker == "w0");
+            requests += usize::from(worker == "w0");
         }
-        calls
+        requests
     };
-    // An even share would be 50.
-    let (few, many, even) = (kept(4, 5.5), kept(200, 5.5), kept(4, 4.0));
+    // An even share of the requests is 50.
+    let (small_fleet, large_fleet, even) = (
+        requests_to_w0(4, 5.5),
+        requests_to_w0(200, 5.5),
+        requests_to_w0(4, 4.0),
+    );
     assert!(
-        few < 40 && many >= 40 && even >= 40,
-        "{few}, {many} and {even}"
+        small_fleet < 40 && large_fleet >= 40 && even >= 40,
+        "requests to w0: {small_fleet} in a small fleet, {large_fleet} in a large one, \
+         {even} with even load"
     );
 }
 
-/// Seen on sockets: one in four answers of some workers never came. Such requests were given up in the end and told
-/// nothing of their worker, whose other answers kept it in good health.
+/// Guards against a worker that loses one answer in four: clients gave up those requests in the end, which did not
+/// count against the worker, and its other answers kept it healthy.
 #[test]
 fn a_worker_that_loses_answers_gets_fewer_requests() {
-    let calls_to_w0 = |given_up_after: Micros| {
+    let requests_to_w0 = |given_up_after: Micros| {
         let mut harness = ControllerHarness::new(settings(), 3);
         harness.mark_loaded(7, 1, &["w0", "w1", "w2"]);
-        let mut calls = 0;
+        let mut requests = 0;
         for id in 10..210 {
             let at_w0 =
                 sent_workers(&harness.request(id, IDEMPOTENT, 7)).contains(&"w0".to_owned());
-            calls += usize::from(at_w0);
-            if at_w0 && calls % 3 == 0 {
+            requests += usize::from(at_w0);
+            if at_w0 && requests % 3 == 0 {
                 harness.feed(Event::RequestCancelled { id });
                 harness.end_attempt(id, 0, Outcome::Cancelled, given_up_after);
             } else {
@@ -524,88 +543,90 @@
             }
             harness.advance(20 * MS);
         }
-        calls
+        requests
     };
-    let (early, late) = (calls_to_w0(10 * MS), calls_to_w0(900 * MS));
+    let (early, late) = (requests_to_w0(10 * MS), requests_to_w0(900 * MS));
     assert!(
         late * 3 < early * 2,
-        "{early} where calls were given up early, {late} where late"
+        "{early} requests went to w0 where clients gave up early, {late} where they gave up late"
     );
 }
 
-/// Seen on sockets: clients called functions that no worker knows. Each order to load one failed at once and was
-/// given again, some hundred times over: the load budget was spent, and the cap on loads fell to one for everybody.
+/// Guards against repeated loads of functions that no worker knows: each load order failed at once and was given again,
+/// about a hundred times. That spent the load budget, and the limit on loads fell to one for all functions.
 #[test]
-fn a_function_that_no_worker_knows_costs_no_loads() {
-    let (load_window, budget_base, budget_per_request) = (5 * SEC, 4.0, 0.15);
+fn a_function_that_no_worker_knows_gets_no_load_orders() {
     let mut harness = ControllerHarness::new(
         Settings {
-            load_budget_window: load_window,
-            load_budget_base: budget_base,
-            load_budget_per_request: budget_per_request,
+            load_budget_window: 5 * SEC,
+            load_budget_base: 4.0,
+            load_budget_per_request: 0.15,
             ..settings()
         },
         4,
     );
     let mut orders = 0;
-    for stranger in 100..105 {
-        let asked = load_orders(&harness.request(stranger, IDEMPOTENT, stranger), 0);
-        let mut out: Vec<Action> = asked
+    for unknown in 100..105 {
+        let polled = load_orders(&harness.request(unknown, IDEMPOTENT, unknown), 0);
+        let mut out: Vec<Action> = polled
             .iter()
-            .flat_map(|w| harness.end_load_order(w, stranger, 0, Outcome::Error))
+            .flat_map(|worker| harness.end_load_order(worker, unknown, 0, Outcome::Error))
             .collect();
         assert!(
             out.contains(&Action::Reject {
-                id: stranger,
+                id: unknown,
                 retry_after: SEC / 2
             }),
-            "{out:?}"
+            "the request was not rejected: {out:?}"
         );
         while let Some(worker) = load_orders(&std::mem::take(&mut out), 1).pop() {
             (out, orders) = (
-                harness.end_load_order(&worker, stranger, 0, Outcome::Error),
+                harness.end_load_order(&worker, unknown, 0, Outcome::Error),
                 orders + 1,
             );
         }
         harness.advance(100 * MS);
     }
     assert_eq!(orders, 0);
-    // Four functions that workers know are all loaded at once.
-    let known = |function| {
-        let asked = load_orders(&harness.request(function, IDEMPOTENT, function), 0);
-        asked
+    // The load budget is left for four functions that workers know.
+    let loads = |function| {
+        let polled = load_orders(&harness.request(function, IDEMPOTENT, function), 0);
+        polled
             .iter()
-            .flat_map(|w| load_orders(&harness.end_load_order(w, function, 0, Outcome::Ok), 1))
+            .flat_map(|worker| {
+                load_orders(&harness.end_load_order(worker, function, 0, Outcome::Ok), 1)
+            })
             .count()
     };
-    assert_eq!((1..5).map(known).sum::<usize>(), 4);
+    assert_eq!((1..5).map(loads).sum::<usize>(), 4);
 }
 
-/// Seen on sockets: hundreds of requests of unknown tenants, or taken back at once, earned loads that the rule on loads
-/// does not grant: only requests of usual clients count there.
+/// Rule 5 counts only requests of the usual clients, but hundreds of requests of unknown tenants, or cancelled at once,
+/// earned load budget. Requests for functions that no worker knows stand for those of unknown tenants here.
 #[test]
-fn requests_of_unknown_tenants_or_cancelled_earn_no_load_budget() {
-    let ordered = |calls: fn(&mut ControllerHarness)| {
-        let (load_window, budget_base, budget_per_request) = (5 * SEC, 1.0, 0.1);
+fn requests_for_unknown_functions_or_cancelled_ones_earn_no_load_budget() {
+    let loads_after = |requests: fn(&mut ControllerHarness)| {
         let mut harness = ControllerHarness::new(
             Settings {
-                load_budget_window: load_window,
-                load_budget_base: budget_base,
-                load_budget_per_request: budget_per_request,
+                load_budget_window: 5 * SEC,
+                load_budget_base: 1.0,
+                load_budget_per_request: 0.1,
                 ..settings()
             },
             4,
         );
         harness.mark_loaded(7, 1, &["w0"]);
-        calls(&mut harness);
-        let load = |function| {
-            let asked = load_orders(&harness.request(function, IDEMPOTENT, function), 0);
-            asked
+        requests(&mut harness);
+        let loads = |function| {
+            let polled = load_orders(&harness.request(function, IDEMPOTENT, function), 0);
+            polled
                 .iter()
-                .flat_map(|w| load_orders(&harness.end_load_order(w, function, 0, Outcome::Ok), 1))
+                .flat_map(|worker| {
+                    load_orders(&harness.end_load_order(worker, function, 0, Outcome::Ok), 1)
+                })
                 .count()
         };
-        (500..504).map(load).sum::<usize>()
+        (500..504).map(loads).sum::<usize>()
     };
     let served = |harness: &mut ControllerHarness| {
         for id in 10..50 {
@@ -613,32 +634,37 @@
             harness.end_attempt(id, 0, Outcome::Ok, 50 * MS);
         }
     };
-    let taken_back = |harness: &mut ControllerHarness| {
+    let cancelled = |harness: &mut ControllerHarness| {
         for id in 10..50 {
             harness.request(id, IDEMPOTENT, 7);
             harness.feed(Event::RequestCancelled { id });
             harness.end_attempt(id, 0, Outcome::Cancelled, MS);
         }
     };
-    let strange = |harness: &mut ControllerHarness| {
+    let unknown = |harness: &mut ControllerHarness| {
         for id in 10..50 {
-            let asked = load_orders(&harness.request(id, IDEMPOTENT, id), 0);
-            asked
+            let polled = load_orders(&harness.request(id, IDEMPOTENT, id), 0);
+            polled
                 .iter()
-                .for_each(|w| drop(harness.end_load_order(w, id, 0, Outcome::Error)));
+                .for_each(|worker| drop(harness.end_load_order(worker, id, 0, Outcome::Error)));
         }
     };
     assert_eq!(
-        (ordered(served), ordered(taken_back), ordered(strange)),
+        (
+            loads_after(served),
+            loads_after(cancelled),
+            loads_after(unknown)
+        ),
         (4, 1, 1)
     );
 }
 
-/// Seen on sockets: answers that never came were made up for after nine times the expected time, just past the
-/// aim, unless a connection had broken of late. Where answers are quick there is room to ask again sooner.
+/// Guards against hedging too late: where no connection had broken recently, an attempt whose answer was lost was
+/// hedged only after nine times the expected time, just past the latency objective. Fast answers leave capacity to
+/// hedge earlier.
 #[test]
-fn a_silent_attempt_is_hedged_in_time_while_answers_are_quick() {
-    let sent_after = |answers_take: Micros, wait: Micros| {
+fn a_silent_attempt_is_hedged_in_time_while_answers_are_fast() {
+    let hedges_within = |answer_time: Micros, wait: Micros| {
         let mut harness = ControllerHarness::new(
             Settings {
                 hedging: true,
@@ -649,38 +675,38 @@
         harness.mark_loaded(7, 1, &["w0", "w1", "w2"]);
         for id in 10..110 {
             harness.request(id, IDEMPOTENT, 7);
-            harness.end_attempt(id, 0, Outcome::Ok, answers_take);
+            harness.end_attempt(id, 0, Outcome::Ok, answer_time);
         }
         assert_eq!(sent_workers(&harness.request(200, IDEMPOTENT, 7)).len(), 1);
         sent_workers(&harness.advance(wait)).len()
     };
     assert_eq!(
         (
-            sent_after(100 * MS, 460 * MS),
-            sent_after(100 * MS, 600 * MS)
+            hedges_within(100 * MS, 460 * MS),
+            hedges_within(100 * MS, 600 * MS)
         ),
         (0, 1)
     );
-    assert_eq!(sent_after(300 * MS, 2 * SEC), 0);
+    assert_eq!(hedges_within(300 * MS, 2 * SEC), 0);
 }
 
-/// Seen on sockets: three of six workers lost one answer in four. Taken for outliers, they got hardly a request, and
-/// the other three queued: a worker that does most of its work is worth more than none.
+/// Guards against ejecting workers that lose a few answers: three of six lost one in four, got hardly any requests as
+/// outliers, and requests queued at the other three. A worker that answers most requests is better than none.
 #[test]
-fn a_worker_that_loses_one_answer_in_three_works_while_others_are_busy() {
+fn a_worker_that_loses_one_answer_in_three_gets_requests_while_others_are_busy() {
     let mut harness = ControllerHarness::new(settings(), 3);
     harness.mark_loaded(7, 1, &["w0", "w1", "w2"]);
-    let mut calls = 0;
+    let mut requests = 0;
     for round in 0..200 {
-        // Three at once, as many as there are lanes.
+        // Three requests at a time, one for each replica.
         let ids = 10 + 3 * round..13 + 3 * round;
-        let at: Vec<String> = ids
+        let workers: Vec<String> = ids
             .clone()
             .flat_map(|id| sent_workers(&harness.request(id, IDEMPOTENT, 7)))
             .collect();
-        for (id, worker) in ids.zip(at) {
-            calls += usize::from(worker == "w0");
-            if worker == "w0" && calls % 3 == 0 {
+        for (id, worker) in ids.zip(workers) {
+            requests += usize::from(worker == "w0");
+            if worker == "w0" && requests % 3 == 0 {
                 harness.feed(Event::RequestCancelled { id });
                 harness.end_attempt(id, 0, Outcome::Cancelled, 900 * MS);
             } else {
@@ -689,5 +715,8 @@
         }
         harness.advance(60 * MS);
     }
-    assert!(calls > 150, "{calls} calls to it in 200 rounds");
+    assert!(
+        requests > 150,
+        "{requests} requests went to w0 in 200 rounds"
+    );
 }
