--- a/policy/tests/deadline_admission.rs
+++ b/policy/tests/deadline_admission.rs
@@ -1,140 +1,151 @@
-//! Requests whose clients leave before an answer is likely, and clients that never wait long.
+//! Requests whose clients give up before an answer is likely, and clients whose deadlines are always short.
 mod common;
 use common::*;
 use rstest::rstest;
 use wrenseam_policy::*;
 
-/// One of so many front ends, whose classes have this latency objective, before enough workers that a request in flight is no overload.
-fn harness(front_ends: u32, aim: Micros) -> ControllerHarness {
-    let mut set = Settings {
+/// One of so many front ends, with this latency objective for all classes, and enough workers that a single request in
+/// flight is no overload.
+fn harness(front_ends: u32, latency_objective: Micros) -> ControllerHarness {
+    let mut settings = Settings {
         front_ends,
         load_on_demand: true,
         ..settings()
     };
-    set.classes
+    settings
+        .classes
         .iter_mut()
-        .for_each(|c| c.latency_objective = aim);
-    ControllerHarness::new(set, front_ends.max(6) as usize)
+        .for_each(|class| class.latency_objective = latency_objective);
+    ControllerHarness::new(settings, front_ends.max(6) as usize)
 }
 
-/// Answers all orders at once, as by workers that hold every function, and those that come of it.
-fn settle(harness: &mut ControllerHarness, mut out: Vec<Action>) -> Vec<Action> {
+/// Answers all load orders and polls at once, as if each function were loaded at all workers, including those that
+/// follow from the answers. Returns all actions.
+fn answer_orders(harness: &mut ControllerHarness, mut actions: Vec<Action>) -> Vec<Action> {
     let mut n = 0;
-    while n < out.len() {
+    while n < actions.len() {
         if let Action::Load {
             worker,
             function,
-            replicas: count,
-        } = out[n].clone()
+            replicas,
+        } = actions[n].clone()
         {
-            out.extend(harness.end_load_order(&worker, function, count.max(1), Outcome::Ok));
+            actions.extend(harness.end_load_order(&worker, function, replicas.max(1), Outcome::Ok));
         }
         n += 1;
     }
-    out
+    actions
 }
 
-/// Makes requests one after another, whose clients have `left` while an answer takes `took`: how many were served, and how
-/// many rejected at once with Retry-After.
-fn calls(
+/// Makes `n` requests one after another, whose clients wait for `time_left` while an answer takes `answer_time`.
+/// Returns how many were served and how many were rejected at once with Retry-After.
+fn run_requests(
     harness: &mut ControllerHarness,
     n: usize,
     function: u64,
-    left: Micros,
-    took: Micros,
+    time_left: Micros,
+    answer_time: Micros,
 ) -> (usize, usize) {
-    let (mut served, mut refused) = (0, 0);
+    let (mut served, mut rejected) = (0, 0);
     for _ in 0..n {
-        let (id, class, tenant, memory_mb, lanes, load_time) =
-            (harness.now, IDEMPOTENT, None, 500.0, 8, 0);
-        let retry = false;
-        let call = Event::Request(NewRequest {
+        let id = harness.now;
+        let request = Event::Request(NewRequest {
             id,
-            class,
-            tenant,
+            class: IDEMPOTENT,
+            tenant: None,
             function,
-            time_left: left,
-            memory_mb,
-            concurrency: lanes,
-            load_time,
-            retry,
+            time_left,
+            memory_mb: 500.0,
+            concurrency: 8,
+            load_time: 0,
+            retry: false,
         });
-        let out = harness.feed(call);
-        let out = settle(harness, out);
-        let advised =
+        let actions = harness.feed(request);
+        let actions = answer_orders(harness, actions);
+        let has_retry_after =
             |a: &Action| matches!(a, Action::Reject { retry_after, .. } if *retry_after > 0);
-        refused += usize::from(out.iter().any(advised));
-        let sent = !sent_workers(&out).is_empty();
-        let out = harness.advance(if sent { took.min(left) } else { 20 * MS });
-        settle(harness, out);
-        let (outcome, closed) = if took < left {
+        rejected += usize::from(actions.iter().any(has_retry_after));
+        let sent = !sent_workers(&actions).is_empty();
+        let elapsed = answer_time.min(time_left);
+        let actions = harness.advance(if sent { elapsed } else { 20 * MS });
+        answer_orders(harness, actions);
+        let (outcome, in_time) = if answer_time < time_left {
             (Outcome::Ok, true)
         } else {
             (Outcome::Timeout, false)
         };
-        let (attempt, elapsed, warm, crowd, inflight) = (0, took.min(left), Some(true), None, None);
         if sent {
             harness.feed(Event::AttemptEnded(AttemptResult {
                 id,
-                attempt,
+                attempt: 0,
                 outcome,
                 elapsed,
-                request_closed: closed,
-                replica_loaded: warm,
-                queue_depth: crowd,
-                in_flight: inflight,
+                request_closed: in_time,
+                replica_loaded: Some(true),
+                queue_depth: None,
+                in_flight: None,
             }));
-            served += usize::from(closed);
+            served += usize::from(in_time);
         }
     }
-    (served, refused)
+    (served, rejected)
 }
 
-/// Seen on sockets: clients that waited 63 ms came again and again while answers took longer. What was sent for them filled
-/// the workers, and requests with time left were rejected, also long after.
+/// Guards against wasted work: clients that waited for 63 ms retried again and again while answers took longer. What
+/// was sent for them filled the workers, and requests with time left were rejected, even long afterwards.
 #[rstest]
 fn requests_that_cannot_meet_their_deadline_are_rejected_at_once(
     #[values(17, 300)] front_ends: u32,
 ) {
     let mut harness = harness(front_ends, 400 * MS);
-    assert_eq!(calls(&mut harness, 20, 7, 3 * SEC, 120 * MS), (20, 0));
-    let (served, refused) = calls(&mut harness, 40, 7, 47 * MS, 120 * MS);
+    assert_eq!(
+        run_requests(&mut harness, 20, 7, 3 * SEC, 120 * MS),
+        (20, 0)
+    );
+    let (served, rejected) = run_requests(&mut harness, 40, 7, 47 * MS, 120 * MS);
     assert!(
-        served == 0 && refused >= 38,
-        "{refused} of 40 refused; one in two seconds may be tried"
+        served == 0 && rejected >= 38,
+        "{rejected} of 40 rejected, {served} served; only one in two seconds may be sent as a trial"
     );
     assert_eq!(
-        calls(&mut harness, 20, 7, 180 * MS, 120 * MS),
+        run_requests(&mut harness, 20, 7, 180 * MS, 120 * MS),
         (20, 0),
-        "what can end is sent"
+        "requests with enough time left were not served"
     );
 }
 
-/// All of a customer's deadlines are under 300 ms and its work is short: it is served from the first request on, whether the
-/// settings state a latency objective or not, and again soon after a spell in which answers came too late.
+/// Clients whose deadlines are all under 300 ms, with requests that take little time, are served from the first request
+/// on, whether the settings state a latency objective or not, and again soon after a time in which answers came too
+/// late.
 #[rstest]
-fn short_deadlines_are_served_where_the_work_is_short(
+fn requests_with_short_deadlines_are_served_where_answers_are_fast(
     #[values(1, 4, 300)] front_ends: u32,
-    #[values(0, 60 * MS, 30 * SEC)] aim: Micros,
-    #[values(60 * MS, 290 * MS)] left: Micros,
+    #[values(0, 60 * MS, 30 * SEC)] latency_objective: Micros,
+    #[values(60 * MS, 290 * MS)] time_left: Micros,
 ) {
-    let mut harness = harness(front_ends, aim);
-    assert_eq!(calls(&mut harness, 50, 7, left, 20 * MS), (50, 0));
-    calls(&mut harness, 50, 7, left, left + 100 * MS);
+    let mut harness = harness(front_ends, latency_objective);
+    assert_eq!(
+        run_requests(&mut harness, 50, 7, time_left, 20 * MS),
+        (50, 0)
+    );
+    run_requests(&mut harness, 50, 7, time_left, time_left + 100 * MS);
     harness.advance(SEC);
-    let (served, _) = calls(&mut harness, 50, 7, left, 20 * MS);
-    assert!(served >= 45, "{served} of 50 after the spell");
+    let (served, _) = run_requests(&mut harness, 50, 7, time_left, 20 * MS);
+    assert!(
+        served >= 45,
+        "{served} of 50 served after answers were fast again"
+    );
 }
 
-/// A function whose requests are short, of a class whose others take far longer than its clients wait.
+/// A function with fast answers in a class whose other answers take far longer than this function's clients wait.
 #[rstest]
-fn a_quick_function_of_a_slow_class_is_served(#[values(1, 4, 300)] front_ends: u32) {
+fn a_fast_function_of_a_slow_class_is_served(#[values(1, 4, 300)] front_ends: u32) {
     let mut harness = harness(front_ends, 400 * MS);
-    let (mut served, mut refused) = (0, 0);
+    let (mut served, mut rejected) = (0, 0);
     for _ in 0..60 {
-        calls(&mut harness, 1, 7, 3 * SEC, 500 * MS);
-        let ends = calls(&mut harness, 1, 8, 150 * MS, 20 * MS);
-        (served, refused) = (served + ends.0, refused + ends.1);
+        run_requests(&mut harness, 1, 7, 3 * SEC, 500 * MS);
+        let counts = run_requests(&mut harness, 1, 8, 150 * MS, 20 * MS);
+        (served, rejected) = (served + counts.0, rejected + counts.1);
     }
-    assert!(served >= 55, "{served} of 60 served, {refused} refused");
+    assert!(served >= 55, "{served} of 60 served, {rejected} rejected");
 }
--- a/policy/tests/replicas_invalidated.rs
+++ b/policy/tests/replicas_invalidated.rs
@@ -1,114 +1,121 @@
-//! New versions of what is loaded, on a quiet day: every replica is invalid at once, and what was loaded loads again or answers "not loaded".
+//! New versions of all functions while traffic is low: all replicas are invalid at once, and workers load the functions
+//! again or answer "not loaded".
 mod common;
 use common::*;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
 use wrenseam_policy::*;
 
-const LOAD: Micros = 400 * MS;
-const WORK: Micros = 50 * MS;
+const LOAD_TIME: Micros = 400 * MS;
+const SERVICE_TIME: Micros = 50 * MS;
 
-/// Workers on which replicas are loaded, and all that is still to happen, by time.
+/// A front end, the replicas that its workers have loaded, and the events that are due.
 struct World {
     harness: ControllerHarness,
-    stands: BTreeSet<(String, u64)>,
+    /// Workers and functions with a loaded replica.
+    loaded: BTreeSet<(String, u64)>,
+    /// Events by the time at which they are due and a sequence number.
     due: BTreeMap<(Micros, u64), Event>,
-    set: u64,
+    sequence: u64,
+    /// Number of the last attempt of each request.
     attempts: BTreeMap<u64, usize>,
-    /// The function of each request, and how each ended: whether it was served.
-    calls: BTreeMap<u64, u64>,
-    ends: BTreeMap<u64, Vec<bool>>,
-    taken: Vec<Micros>,
+    /// The function of each request.
+    requests: BTreeMap<u64, u64>,
+    /// The final answers of each request: whether it was served.
+    answers: BTreeMap<u64, Vec<bool>>,
+    /// Times at which requests arrived.
+    arrivals: Vec<Micros>,
+    /// Times at which loads were ordered.
     orders: Vec<Micros>,
-    /// The time at which a replica that is being loaded is ready.
+    /// When a replica that is being loaded is ready.
     loading: BTreeMap<(String, u64), Micros>,
     load_on_demand: bool,
 }
 
 impl World {
-    fn after(&mut self, span: Micros, event: Event) {
-        self.set += 1;
-        self.due.insert((self.harness.now + span, self.set), event);
+    fn schedule(&mut self, delay: Micros, event: Event) {
+        self.sequence += 1;
+        self.due
+            .insert((self.harness.now + delay, self.sequence), event);
     }
 
-    /// When a replica is ready at a worker that may be loading it already.
-    fn load(&mut self, place: &(String, u64)) -> Micros {
+    /// Loads a function at a worker, unless that is under way already. Returns the time until the replica is ready.
+    fn load(&mut self, replica: &(String, u64)) -> Micros {
         *self
             .loading
-            .entry(place.clone())
-            .or_insert(self.harness.now + LOAD)
+            .entry(replica.clone())
+            .or_insert(self.harness.now + LOAD_TIME)
             - self.harness.now
     }
 
-    fn act(&mut self, actions: Vec<Action>) {
+    /// Carries out the actions: schedules the events that follow from them.
+    fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Timer { delay, token } if token != 0 => {
-                    self.after(delay, Event::Timer { token })
+                    self.schedule(delay, Event::Timer { token })
                 }
                 Action::Send { id, worker, .. } => {
                     let attempt = *self.attempts.entry(id).and_modify(|n| *n += 1).or_insert(0);
-                    let place = (worker, self.calls[&id]);
-                    let coming = self.loading.contains_key(&place);
-                    let (outcome, warm, elapsed) = match self.stands.contains(&place) {
-                        true => (Outcome::Ok, true, WORK),
-                        false if coming || self.load_on_demand => {
-                            (Outcome::Ok, false, self.load(&place) + WORK)
+                    let replica = (worker, self.requests[&id]);
+                    let is_loading = self.loading.contains_key(&replica);
+                    let (outcome, replica_loaded, elapsed) = match self.loaded.contains(&replica) {
+                        true => (Outcome::Ok, true, SERVICE_TIME),
+                        false if is_loading || self.load_on_demand => {
+                            (Outcome::Ok, false, self.load(&replica) + SERVICE_TIME)
                         }
                         false => (Outcome::NotLoaded, false, 2 * MS),
                     };
-                    let (closed, warm) = (outcome == Outcome::Ok, Some(warm));
-                    let (crowd, inflight) = (None, None);
-                    let end = Event::AttemptEnded(AttemptResult {
+                    let result = Event::AttemptEnded(AttemptResult {
                         id,
                         attempt,
                         outcome,
                         elapsed,
-                        request_closed: closed,
-                        replica_loaded: warm,
-                        queue_depth: crowd,
-                        in_flight: inflight,
+                        request_closed: outcome == Outcome::Ok,
+                        replica_loaded: Some(replica_loaded),
+                        queue_depth: None,
+                        in_flight: None,
                     });
-                    self.after(elapsed, end);
+                    self.schedule(elapsed, result);
                 }
                 Action::Load {
                     worker,
                     function,
-                    replicas: count,
+                    replicas,
                 } => {
-                    let place = (worker.clone(), function);
-                    let stood = self.stands.contains(&place);
-                    let elapsed = if stood || count == 0 {
+                    let replica = (worker.clone(), function);
+                    let was_loaded = self.loaded.contains(&replica);
+                    let elapsed = if was_loaded || replicas == 0 {
                         2 * MS
                     } else {
-                        self.load(&place)
+                        self.load(&replica)
                     };
-                    if count > 0 {
+                    if replicas > 0 {
                         self.orders.push(self.harness.now);
                     }
-                    let (count, outcome) = (u32::from(stood || count > 0), Outcome::Ok);
-                    self.after(
+                    self.schedule(
                         elapsed,
                         Event::LoadOrderEnded {
                             worker,
                             function,
-                            replicas: count,
-                            outcome,
+                            replicas: u32::from(was_loaded || replicas > 0),
+                            outcome: Outcome::Ok,
                             elapsed,
                         },
                     );
                 }
                 Action::Unload { worker, function } => {
-                    self.stands.remove(&(worker, function));
+                    self.loaded.remove(&(worker, function));
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
-                    self.ends.entry(id).or_default().push(false)
+                    self.answers.entry(id).or_default().push(false)
                 }
                 _ => {}
             }
         }
     }
 
+    /// Feeds the events that are due, and the housekeeping timer every 20 ms.
     fn run(&mut self, until: Micros) {
         while self.harness.now < until {
             let tick = self.harness.now + 20 * MS;
@@ -121,44 +128,45 @@
                     .loading
                     .iter()
                     .filter(|(_, &at)| at <= key.0)
-                    .map(|(p, _)| p.clone())
+                    .map(|(replica, _)| replica.clone())
                     .collect();
-                for place in ready {
-                    self.loading.remove(&place);
-                    self.stands.insert(place);
+                for replica in ready {
+                    self.loading.remove(&replica);
+                    self.loaded.insert(replica);
                 }
                 match &event {
-                    Event::Request(NewRequest { id, .. }) if !self.calls.contains_key(id) => {}
-                    Event::Request(_) => self.taken.push(key.0),
+                    Event::Request(NewRequest { id, .. }) if !self.requests.contains_key(id) => {}
+                    Event::Request(_) => self.arrivals.push(key.0),
                     Event::AttemptEnded(AttemptResult {
                         id,
                         request_closed: true,
                         ..
-                    }) if !self.ends.contains_key(id) => {
-                        self.ends.entry(*id).or_default().push(true);
+                    }) if !self.answers.contains_key(id) => {
+                        self.answers.entry(*id).or_default().push(true);
                     }
                     _ => {}
                 }
                 let actions = self.harness.feed(event);
-                self.act(actions);
+                self.carry_out(actions);
             }
             self.harness.now = tick;
             let actions = self.harness.feed(Event::Timer { token: 0 });
-            self.act(actions);
+            self.carry_out(actions);
         }
     }
 }
 
-/// Each request ends once, orders keep within the load budget, and service is back once each function has been loaded again.
+/// Each request gets one final answer, load orders stay within the load budget, and requests are served again once each
+/// function has been loaded again.
 #[rstest]
 fn all_replicas_invalidated_at_once_while_traffic_is_low(
     #[values(true, false)] load_on_demand: bool,
     #[values(1, 4, 300)] front_ends: u32,
-    #[values((3.0, 0.2, 5), (6.0, 0.3, 3), (0.0, 0.0, 0))] ration: (f64, f64, u64),
+    #[values((3.0, 0.2, 5), (6.0, 0.3, 3), (0.0, 0.0, 0))] load_budget: (f64, f64, u64),
     #[values(IDEMPOTENT, KEYED, NOT_IDEMPOTENT)] class: usize,
 ) {
-    let (budget_base, budget_per_request, window) = ration;
-    let set = Settings {
+    let (budget_base, budget_per_request, window) = load_budget;
+    let settings = Settings {
         front_ends,
         load_on_demand,
         load_budget_base: budget_base,
@@ -168,64 +176,62 @@
         ..settings()
     };
     let mut world = World {
-        harness: ControllerHarness::new(set, 8),
-        stands: BTreeSet::new(),
+        harness: ControllerHarness::new(settings, 8),
+        loaded: BTreeSet::new(),
         due: BTreeMap::new(),
-        set: 0,
+        sequence: 0,
         attempts: BTreeMap::new(),
-        calls: BTreeMap::new(),
-        ends: BTreeMap::new(),
-        taken: Vec::new(),
+        requests: BTreeMap::new(),
+        answers: BTreeMap::new(),
+        arrivals: Vec::new(),
         orders: Vec::new(),
         loading: BTreeMap::new(),
         load_on_demand,
     };
     let start = world.harness.now;
-    let calls = 400u64;
-    for id in 1..=calls {
+    let requests = 400u64;
+    for id in 1..=requests {
         let function = 1 + id % 5;
-        world.calls.insert(id, function);
-        let (memory_mb, lanes, load_time) = (500.0, 2, LOAD);
-        let (tenant, left, retry) = (None, 3 * SEC, false);
+        world.requests.insert(id, function);
         let request = Event::Request(NewRequest {
             id,
             class,
-            tenant,
+            tenant: None,
             function,
-            time_left: left,
-            memory_mb,
-            concurrency: lanes,
-            load_time,
-            retry,
+            time_left: 3 * SEC,
+            memory_mb: 500.0,
+            concurrency: 2,
+            load_time: LOAD_TIME,
+            retry: false,
         });
-        world.after(id * 100 * MS, request);
+        world.schedule(id * 100 * MS, request);
     }
     world.run(start + 20 * SEC);
-    world.stands.clear();
-    let void = world.harness.now;
+    world.loaded.clear();
+    let invalidated_at = world.harness.now;
     world.run(start + 45 * SEC);
-    for id in 1..=calls {
+    for id in 1..=requests {
         assert_eq!(
-            world.ends.get(&id).map(Vec::len),
+            world.answers.get(&id).map(Vec::len),
             Some(1),
-            "call {id} ends once"
+            "request {id} did not get exactly one final answer"
         );
     }
     for (n, &at) in world.orders.iter().enumerate().filter(|_| window > 0) {
-        let within = |t: &&Micros| **t + window * SEC > at && **t <= at;
-        let given = world.orders[..=n].iter().filter(within).count() as f64;
-        let taken = world.taken.iter().filter(within).count() as f64;
+        let in_window = |time: &&Micros| **time + window * SEC > at && **time <= at;
+        let orders = world.orders[..=n].iter().filter(in_window).count() as f64;
+        let arrivals = world.arrivals.iter().filter(in_window).count() as f64;
         assert!(
-            given <= budget_base + budget_per_request * taken,
-            "{given} orders for {taken} calls"
+            orders <= budget_base + budget_per_request * arrivals,
+            "{orders} load orders for {arrivals} requests exceed the load budget"
         );
     }
-    let back = |id: &&u64| start + **id * 100 * MS > void + 6 * SEC;
-    let late: Vec<u64> = (1..=calls).filter(|id| back(&id)).collect();
-    let served = late.iter().filter(|id| world.ends[id][0]).count();
+    let is_late = |id: &&u64| start + **id * 100 * MS > invalidated_at + 6 * SEC;
+    let late: Vec<u64> = (1..=requests).filter(|id| is_late(&id)).collect();
+    let served = late.iter().filter(|id| world.answers[id][0]).count();
     assert!(
         served * 10 >= late.len() * 9,
-        "{served} of {} are served again",
+        "{served} of {} requests were served 6 s after the replicas were invalidated",
         late.len()
     );
 }
