--- a/policy/tests/readiness_lease.rs
+++ b/policy/tests/readiness_lease.rs
@@ -76,6 +76,7 @@
     }
 }
 
+/// A drain that began just after the last confirmation counts as reported `reported_at_s` seconds after `START`.
 #[rstest]
 #[case::no_further_response(None, 7)]
 #[case::unreachable(Some(Interruption::Unreachable), 7)]
@@ -285,7 +286,11 @@
                 _ => None,
             })
             .collect();
-        assert!(checks.len() <= 20, "one review sent {}", checks.len());
+        assert!(
+            checks.len() <= 20,
+            "one review sent {} health checks",
+            checks.len()
+        );
         for worker in checks {
             let _ = leases.check_ended(&worker, now, HealthCheckResult::Accepting, now);
             checked.insert(worker);
--- a/policy/tests/slow_start.rs
+++ b/policy/tests/slow_start.rs
@@ -14,6 +14,7 @@
 /// A simulated fleet of front ends that share no state, and the worker `w0`, which has just started.
 struct Fleet {
     settings: Settings,
+    /// The present process of each front end.
     front_ends: Vec<Option<Controller>>,
     /// When the endpoint list reports the worker's start to each front end.
     notified_at: Vec<Micros>,
@@ -113,7 +114,7 @@
             match action {
                 Action::Send { id, worker, .. } => {
                     self.sequence += 1;
-                    let n = self.attempts.entry((i, id)).or_default();
+                    let attempt = self.attempts.entry((i, id)).or_default();
                     let after_end = worker == "w0" && self.down_at > 0 && now >= self.down_at;
                     let outcome = match () {
                         () if after_end && now < START => Outcome::ConnectFailed,
@@ -126,8 +127,8 @@
                         () => Outcome::Ok,
                     };
                     self.due
-                        .insert((now + 60 * MS, self.sequence), (i, id, *n, outcome));
-                    *n += 1;
+                        .insert((now + 60 * MS, self.sequence), (i, id, *attempt, outcome));
+                    *attempt += 1;
                     if worker == "w0" && now >= START {
                         self.sent.push((now, 1.0, self.notified[i]));
                     }
@@ -208,7 +209,7 @@
     fn peak_and_notified_share(&self) -> (f64, f64) {
         let (settings, mut first, mut peak, mut notified_share) =
             (&self.settings, 0, 0.0f64, 0.0f64);
-        for (at, &(now, ..)) in self.sent.iter().enumerate() {
+        for (last, &(now, ..)) in self.sent.iter().enumerate() {
             while self.sent[first].0 + settings.overload_window <= now {
                 first += 1;
             }
@@ -217,7 +218,7 @@
                     / settings.slow_start_duration as f64;
             let n =
                 settings.overload_multiple * share.min(1.0) * QUOTA_PER_WORKER * RELATIVE_CAPACITY;
-            let window = &self.sent[first..=at];
+            let window = &self.sent[first..=last];
             let ratio = window.len() as f64 / (n + 2.0 * n.sqrt() + 2.0);
             if ratio > 1.0 {
                 let notified = window.iter().filter(|sent| sent.2).count();
@@ -228,8 +229,8 @@
         (peak, notified_share)
     }
 
-    /// Simulates the time from the worker's start to `end` after it, with a request at every front end each 100 ms: far
-    /// more than the worker can serve. Seven in ten front ends restart `restart` after the worker's start; none if 0.
+    /// Simulates the time from the worker's start to `end` after it. Each front end gets a request every 100 ms: far more
+    /// than the worker can serve. Seven in ten front ends restart `restart` after the worker's start; none if it is 0.
     fn run(&mut self, end: Micros, restart: Micros, indexed: bool) {
         self.run_between(0, end, restart, indexed);
     }
