--- a/policy/tests/slow_start.rs
+++ b/policy/tests/slow_start.rs
@@ -229,8 +229,9 @@
         (peak, notified_share)
     }
 
-    /// Simulates the time from the worker's start to `end` after it. Each front end gets a request every 100 ms: far more
-    /// than the worker can serve. Seven in ten front ends restart `restart` after the worker's start; none if it is 0.
+    /// Simulates the time from the worker's start to `end` after it. Each front end gets a request every 100 ms: far
+    /// more than the worker can serve. Seven in ten front ends restart `restart` after the worker's start; none if it
+    /// is 0.
     fn run(&mut self, end: Micros, restart: Micros, indexed: bool) {
         self.run_between(0, end, restart, indexed);
     }
