--- a/scalelab/src/gossip_network/mod.rs
+++ b/scalelab/src/gossip_network/mod.rs
@@ -162,12 +162,12 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let settings = SwimSettings {
             cluster: CLUSTER,
-            probe: 500 * MS,
-            suspect_for: 1500 * MS,
-            expected: n,
+            probe_period: 500 * MS,
+            suspicion_timeout: 1500 * MS,
+            expected_members: n,
             extra_transmissions: 0,
-            fresh_for: 1500 * MS,
-            capacity: 1024,
+            summary_ttl: 1500 * MS,
+            max_summaries: 1024,
         };
         let peers = (0..n)
             .map(|i| SimulatedPeer::new(i, protocol, rng.random_range(200..=800)))
@@ -367,7 +367,7 @@
             Delivery::Wake => {
                 node.tick(now);
                 if now >= peer.publish_at {
-                    peer.publish_at = now + self.settings.probe;
+                    peer.publish_at = now + self.settings.probe_period;
                     if let Some(range) = self.redraw {
                         peer.pressure = self.rng.random_range(500 - range..=500 + range);
                     }
--- a/wrenseam/src/core/fleet_admission.rs
+++ b/wrenseam/src/core/fleet_admission.rs
@@ -165,14 +165,14 @@
         let averages = &self.status.average_dropped;
         let garbled = datagrams.garbled + averages.garbled + records.garbled;
         let _ = writeln!(text, "app.fleet.repairs:{}|c", records.repairs);
-        let _ = writeln!(text, "app.fleet.records_taken:{}|c", records.taken);
+        let _ = writeln!(text, "app.fleet.records_taken:{}|c", records.merged);
         let dropped = [
             ("oversized", datagrams.oversized),
             ("foreign", datagrams.foreign),
             ("garbled", garbled),
             ("stale", averages.stale),
-            ("stranger", averages.stranger + records.stranger),
-            ("impostor", records.impostor),
+            ("stranger", averages.stranger + records.rejected_sender),
+            ("impostor", records.refuted),
         ];
         for (cause, count) in dropped {
             let _ = writeln!(text, "app.fleet.dropped_{cause}:{count}|c");
--- a/wrenseam/src/fleet/detector.rs
+++ b/wrenseam/src/fleet/detector.rs
@@ -71,16 +71,16 @@
 
 impl Detector {
     /// A detector by the probe period and the time of a suspicion, which trusts itself.
-    pub fn new(probe_period: Micros, suspect_for: Micros) -> Detector {
+    pub fn new(probe_period: Micros, suspicion_timeout: Micros) -> Detector {
         Detector {
             probe_period,
-            proof_for: suspect_for / 2,
+            proof_for: suspicion_timeout / 2,
             ..Detector::default()
         }
     }
 
     /// A probe begins; the one before it has ended.
-    pub fn probe_began(&mut self, now: Micros, number: u8) {
+    pub fn record_probe(&mut self, now: Micros, number: u8) {
         if let Some(before) = self.probe.take() {
             self.probe_ended(before);
         }
@@ -109,7 +109,7 @@
     }
 
     /// A probe of ours was acknowledged, by its target or by way of another.
-    pub fn acknowledged(&mut self, now: Micros, number: u8) {
+    pub fn record_ack(&mut self, now: Micros, number: u8) {
         let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == number) else {
             return;
         };
@@ -119,7 +119,7 @@
     }
 
     /// This front end did not run for a while.
-    pub fn stalled(&mut self) {
+    pub fn handle_stall(&mut self) {
         self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
     }
 
@@ -129,23 +129,23 @@
     }
 
     /// A datagram of this peer's own came.
-    pub fn heard(&mut self, now: Micros, addr: SocketAddr) {
+    pub fn record_contact(&mut self, now: Micros, addr: SocketAddr) {
         self.heard_at.insert(addr, now);
         self.heard_any_at = Some(now);
     }
 
     /// When anybody was last heard from.
-    pub fn heard_any(&self) -> Option<Micros> {
+    pub fn last_contact_any(&self) -> Option<Micros> {
         self.heard_any_at
     }
 
     /// When this peer was last heard from.
-    pub fn last_heard(&self, addr: SocketAddr) -> Option<Micros> {
+    pub fn last_contact(&self, addr: SocketAddr) -> Option<Micros> {
         self.heard_at.get(&addr).copied()
     }
 
     /// A peer is suspected from `now` on.
-    pub fn suspected(&mut self, now: Micros, id: PeerId) {
+    pub fn record_suspicion(&mut self, now: Micros, id: PeerId) {
         self.suspicions
             .insert(id.addr, Suspicion { id, since: now });
     }
@@ -156,12 +156,12 @@
     }
 
     /// The time of a suspicion is up: what becomes of it.
-    pub fn suspicion_timed_out(&mut self, now: Micros, id: PeerId) -> SuspicionOutcome {
+    pub fn resolve_suspicion(&mut self, now: Micros, id: PeerId) -> SuspicionOutcome {
         let suspicion = self.suspicions.get(&id.addr).copied();
         let Some(suspicion) = suspicion.filter(|suspicion| suspicion.id == id) else {
             return SuspicionOutcome::Cleared;
         };
-        let outcome = if self.last_heard(id.addr) >= Some(suspicion.since) {
+        let outcome = if self.last_contact(id.addr) >= Some(suspicion.since) {
             SuspicionOutcome::Cleared
         } else if self.may_declare_down(now, suspicion.since) {
             SuspicionOutcome::Confirmed
--- a/wrenseam/src/fleet/directory.rs
+++ b/wrenseam/src/fleet/directory.rs
@@ -15,9 +15,9 @@
 
 /// How long a member that is gone is remembered, in microseconds: a day. A front end that missed its end for longer can
 /// no longer tell of it (see `Swim::restart`), so that it does not come back by hearsay.
-pub const GONE_FOR: Micros = 86_400_000_000;
+pub const TOMBSTONE_TTL: Micros = 86_400_000_000;
 /// Members gone that are remembered; beyond that those gone longest are forgotten.
-pub const GONE_HELD: usize = 1024;
+pub const MAX_TOMBSTONES: usize = 1024;
 
 /// A member that is gone, and since when: in order of the time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -239,21 +239,21 @@
             .iter()
             .filter(|(_, member)| member.liveness != Liveness::Left);
         self.lost.extend(lost.map(|(&addr, _)| addr));
-        while self.lost.len() > GONE_HELD {
+        while self.lost.len() > MAX_TOMBSTONES {
             self.lost.pop_first();
         }
         self.parts = [0; PARTS];
         self.toggle(self.own_digest());
     }
 
-    /// Forgets members gone for longer than [`GONE_FOR`], and the oldest beyond [`GONE_HELD`]; who they were.
-    pub fn forget_gone(&mut self, now: Micros) -> Vec<PeerId> {
+    /// Forgets members gone for longer than [`TOMBSTONE_TTL`], and the oldest beyond [`MAX_TOMBSTONES`]; who they were.
+    pub fn expire_tombstones(&mut self, now: Micros) -> Vec<PeerId> {
         let mut gone = self.gone_members();
         gone.sort_unstable_by(|earlier, later| later.cmp(earlier));
         let remembered = gone
             .iter()
-            .take(GONE_HELD)
-            .take_while(|member| now.saturating_sub(member.since) < GONE_FOR)
+            .take(MAX_TOMBSTONES)
+            .take_while(|member| now.saturating_sub(member.since) < TOMBSTONE_TTL)
             .count();
         let forgotten = gone.split_off(remembered);
         for member in &forgotten {
--- a/wrenseam/src/fleet/members.rs
+++ b/wrenseam/src/fleet/members.rs
@@ -11,7 +11,7 @@
 use super::record::{Lifecycle, Metadata, Record, RecordError, Stamp};
 use super::repair::RepairSchedule;
 use super::rumor::RumorQueue;
-use super::swim::{PeerEvent, Swim, SwimSettings, TimedPeerEvent, SHORTEST_PROBE};
+use super::swim::{PeerEvent, Swim, SwimSettings, TimedPeerEvent, MIN_PROBE_PERIOD};
 use super::traffic::{Outgoing, TrafficKind};
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use std::net::SocketAddr;
@@ -34,15 +34,15 @@
     /// Dropped: cut short, a checksum or a bound not kept, or of an unknown form.
     pub garbled: u64,
     /// Dropped: from a sender that is no member, or whose incarnation is past.
-    pub stranger: u64,
+    pub rejected_sender: u64,
     /// Records and member digests of what this front end never published.
-    pub impostor: u64,
+    pub refuted: u64,
     /// Repairs in which the views differed.
     pub repairs: u64,
     /// Records taken because they were newer.
-    pub taken: u64,
+    pub merged: u64,
     /// Own records that were beyond their bounds and not published.
-    pub refused: u64,
+    pub unpublished: u64,
 }
 
 /// The digest of the whole view.
@@ -94,7 +94,7 @@
             metadata,
         });
         let mut rng = SmallRng::seed_from_u64(seed ^ SEED_SALT);
-        let probe = settings.probe.max(SHORTEST_PROBE);
+        let probe = settings.probe_period.max(MIN_PROBE_PERIOD);
         let view_digest = ViewDigest {
             value: directory.digest(),
             since: 0,
@@ -105,7 +105,7 @@
             rumors: RumorQueue::default(),
             liveness_checks: LivenessChecks::new(
                 probe / QUERY_ROUNDS_A_PROBE,
-                settings.suspect_for + probe,
+                settings.suspicion_timeout + probe,
             ),
             repair_schedule: RepairSchedule::new(probe, &mut rng),
             rumor_at: rng.random_range(0..probe / RUMOR_ROUNDS_A_PROBE),
@@ -113,7 +113,7 @@
             rng,
             header: header(RECORDS_VERSION, settings.cluster),
             probe,
-            isolated_after: 2 * (settings.suspect_for + 2 * probe),
+            isolated_after: 2 * (settings.suspicion_timeout + 2 * probe),
             silence_excused_at: 0,
             leaving: false,
             outbox: Vec::new(),
@@ -190,7 +190,7 @@
             ..self.directory.own().clone()
         };
         if let Err(error) = next.encode() {
-            self.counts.refused += 1;
+            self.counts.unpublished += 1;
             return Err(error);
         }
         self.publish_own(now, next.metadata, self.directory.own().stamp);
@@ -260,8 +260,8 @@
     }
 
     /// The process did not run for so long, up to now.
-    pub fn stalled(&mut self, now: Micros, span: Micros) {
-        self.swim.stalled(span);
+    pub fn handle_stall(&mut self, now: Micros, span: Micros) {
+        self.swim.handle_stall(span);
         self.silence_excused_at = now;
         self.sync_directory(now);
         if span > STALE_AFTER {
--- a/wrenseam/src/fleet/members/exchange.rs
+++ b/wrenseam/src/fleet/members/exchange.rs
@@ -28,7 +28,7 @@
             return;
         };
         if !self.accept_sender(now, from) {
-            self.counts.stranger += 1;
+            self.counts.rejected_sender += 1;
             return;
         }
         match message {
@@ -62,7 +62,7 @@
         if from.addr == self.directory.own().owner {
             return false;
         }
-        self.swim.detector().heard(now, from.addr);
+        self.swim.detector().record_contact(now, from.addr);
         if self.notify_outdated_sender(from) {
             return false;
         }
@@ -195,7 +195,7 @@
 
     /// Another member has of us what we did not publish: our next stamp is larger than that.
     fn refute(&mut self, now: Micros, past: Stamp) {
-        self.counts.impostor += 1;
+        self.counts.refuted += 1;
         self.republish_own(now, past);
     }
 
@@ -227,7 +227,7 @@
         if !self.directory.merge_record(record) {
             return;
         }
-        self.counts.taken += 1;
+        self.counts.merged += 1;
         if is_update && !self.is_budget_low && self.rumors.push(owner) {
             let next_round = now + self.probe / RUMOR_ROUNDS_A_PROBE;
             self.rumor_at = self.rumor_at.min(next_round);
@@ -286,7 +286,7 @@
     /// A member's own reply that it is alive: merges it if we sent the query, else passes it on to who did.
     fn take_alive_reply(&mut self, now: Micros, from: PeerId, record: Record, origin: SocketAddr) {
         if origin == self.directory.own().owner {
-            self.swim.detector().heard(now, record.owner);
+            self.swim.detector().record_contact(now, record.owner);
             self.take_record(now, record, true);
         } else if from.addr == record.owner {
             let reply = Message::AliveReply {
--- a/wrenseam/src/fleet/members/periodic.rs
+++ b/wrenseam/src/fleet/members/periodic.rs
@@ -33,7 +33,7 @@
             self.query_suspects();
             self.run_liveness_checks(now);
             self.restart_if_isolated(now);
-            self.forget_gone(now);
+            self.expire_tombstones(now);
         }
     }
 
@@ -43,7 +43,7 @@
             self.silence_excused_at = now;
             return;
         }
-        let heard_at = self.swim.detector().heard_any().unwrap_or(0);
+        let heard_at = self.swim.detector().last_contact_any().unwrap_or(0);
         let silent_since = heard_at.max(self.silence_excused_at);
         if now.saturating_sub(silent_since) > self.isolated_after {
             self.restart(now);
@@ -51,8 +51,8 @@
     }
 
     /// Forgets members that have been gone for long.
-    fn forget_gone(&mut self, now: Micros) {
-        for id in self.directory.forget_gone(now) {
+    fn expire_tombstones(&mut self, now: Micros) {
+        for id in self.directory.expire_tombstones(now) {
             self.swim.forget(id);
         }
     }
@@ -134,7 +134,7 @@
     /// The time of a liveness check is up: the member is down if it stayed silent and we were able to hear it.
     fn end_check(&mut self, now: Micros, id: PeerId, began: Micros) {
         let detector = self.swim.detector();
-        let was_heard = detector.last_heard(id.addr) >= Some(began);
+        let was_heard = detector.last_contact(id.addr) >= Some(began);
         if !was_heard && detector.may_declare_down(now, began) {
             self.swim.mark_down(now, id, true);
             self.sync_directory(now);
--- a/wrenseam/src/fleet/node.rs
+++ b/wrenseam/src/fleet/node.rs
@@ -80,7 +80,7 @@
         };
         Node {
             members: Members::new(id, settings.metadata.clone(), settings.swim, seed),
-            average: Average::new(id, settings.swim.cluster, settings.swim.probe, seed),
+            average: Average::new(id, settings.swim.cluster, settings.swim.probe_period, seed),
             traffic: Traffic::default(),
             settings,
             rng: SmallRng::seed_from_u64(seed ^ SEED_SALT),
@@ -107,7 +107,10 @@
             return;
         }
         if let Some(from) = self.average.handle_datagram(now, bytes) {
-            self.members.swim().detector().heard(now, from.addr);
+            self.members
+                .swim()
+                .detector()
+                .record_contact(now, from.addr);
         }
     }
 
@@ -133,10 +136,10 @@
     /// that time for theirs.
     fn detect_stall(&mut self, now: Micros) {
         let late = self.expected_at.map_or(0, |at| now.saturating_sub(at));
-        if late > self.settings.swim.probe / 2 {
-            self.members.stalled(now, late);
+        if late > self.settings.swim.probe_period / 2 {
+            self.members.handle_stall(now, late);
         }
-        if late > self.settings.swim.suspect_for {
+        if late > self.settings.swim.suspicion_timeout {
             self.backlog_until = now + BACKLOG_READ_TIME;
         }
     }
@@ -211,7 +214,7 @@
         }
         for _ in 0..LISTS_A_PROBE {
             let chance = self.rng.random();
-            self.members.swim().ask_for_members(now, chance);
+            self.members.swim().request_member_list(now, chance);
         }
     }
 
@@ -271,7 +274,7 @@
 
     /// The mean time between two joins by way of a lost peer.
     fn lost_join_pause(&self, is_alone: bool) -> Micros {
-        let probe = self.settings.swim.probe;
+        let probe = self.settings.swim.probe_period;
         if is_alone {
             return probe;
         }
--- a/wrenseam/src/fleet/status.rs
+++ b/wrenseam/src/fleet/status.rs
@@ -2,7 +2,7 @@
 use super::average::{AverageDropped, EdgeCounts};
 use super::members::RecordCounts;
 use super::record::Lifecycle;
-use super::swim::Dropped;
+use super::swim::DropCounts;
 use super::traffic::TrafficKind;
 use wrenseam_policy::Micros;
 
@@ -34,7 +34,7 @@
     /// What became of the datagrams of records.
     pub records: RecordCounts,
     /// Datagrams dropped, by cause.
-    pub dropped: Dropped,
+    pub dropped: DropCounts,
     /// Datagrams of the averaging dropped, by cause.
     pub average_dropped: AverageDropped,
 }
--- a/wrenseam/src/fleet/swim.rs
+++ b/wrenseam/src/fleet/swim.rs
@@ -11,7 +11,7 @@
 mod timers;
 
 pub use settings::SwimSettings;
-pub(crate) use settings::SHORTEST_PROBE;
+pub(crate) use settings::MIN_PROBE_PERIOD;
 
 use super::detector::{Detector, SuspicionOutcome};
 use super::identity::{header, PeerId, MAX_DATAGRAM, MAX_INCARNATION, SWIM_VERSION};
@@ -27,7 +27,7 @@
 
 /// Datagrams dropped, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Dropped {
+pub struct DropCounts {
     /// Larger than [`MAX_DATAGRAM`].
     pub oversized: u64,
     /// Of another cluster or version, or without our header.
@@ -76,7 +76,7 @@
     /// Whether this front end has said that it leaves.
     leaving: bool,
     /// Datagrams dropped, by cause.
-    pub dropped: Dropped,
+    pub dropped: DropCounts,
     /// Summaries published by this front end.
     published: u64,
 }
@@ -85,13 +85,13 @@
     /// Membership for the front end at `own`, in its `incarnation`, with a seeded generator.
     pub fn new(own: SocketAddr, incarnation: u64, settings: SwimSettings, seed: u64) -> Swim {
         let config = configure(&settings);
-        let summaries = SharedSummaries::new(settings.capacity, settings.fresh_for);
+        let summaries = SharedSummaries::new(settings.max_summaries, settings.summary_ttl);
         let own = PeerId {
             addr: own,
             incarnation: incarnation.min(MAX_INCARNATION),
         };
         let foca = new_foca(own, &config, seed, &summaries);
-        let detector = Detector::new(settings.probe, settings.suspect_for);
+        let detector = Detector::new(settings.probe_period, settings.suspicion_timeout);
         let runtime = FocaRuntime::new(header(SWIM_VERSION, settings.cluster), detector);
         Swim {
             foca,
@@ -102,7 +102,7 @@
             config,
             seed,
             leaving: false,
-            dropped: Dropped::default(),
+            dropped: DropCounts::default(),
             published: 0,
         }
     }
@@ -221,7 +221,7 @@
     }
 
     /// Asks a random peer counted alive for its list of members; `chance` is uniform in [0, 1).
-    pub fn ask_for_members(&mut self, now: Micros, chance: f64) {
+    pub fn request_member_list(&mut self, now: Micros, chance: f64) {
         self.set_now(now);
         let alive = self.foca.num_members();
         let which = ((alive as f64 * chance) as usize).min(alive.saturating_sub(1));
@@ -262,7 +262,7 @@
             .as_ref()
             .and_then(|header| acknowledged_probe(&header.message))
         {
-            self.runtime.detector.acknowledged(now, probe);
+            self.runtime.detector.record_ack(now, probe);
         }
         if self.foca.handle_data(data, &mut self.runtime).is_err() {
             self.dropped.garbled += 1;
@@ -272,7 +272,7 @@
         let from = header
             .map(|header| header.src)
             .filter(|src| src.addr != self.own.addr)?;
-        self.runtime.detector.heard(now, from.addr);
+        self.runtime.detector.record_contact(now, from.addr);
         Some(from)
     }
 
@@ -294,9 +294,9 @@
     }
 
     /// The process did not run for so long: foca's time stood still.
-    pub fn stalled(&mut self, span: Micros) {
+    pub fn handle_stall(&mut self, span: Micros) {
         self.runtime.stalled += span;
-        self.runtime.detector.stalled();
+        self.runtime.detector.handle_stall();
     }
 
     /// Runs the timers due at `now`.
@@ -318,11 +318,11 @@
         let Timer::ChangeSuspectToDown { member_id, .. } = timer else {
             return true;
         };
-        match self.runtime.detector.suspicion_timed_out(now, *member_id) {
+        match self.runtime.detector.resolve_suspicion(now, *member_id) {
             SuspicionOutcome::Confirmed => true,
             SuspicionOutcome::Cleared => false,
             SuspicionOutcome::Extended => {
-                let due = self.runtime.running() + self.settings.probe / 2;
+                let due = self.runtime.running() + self.settings.probe_period / 2;
                 self.runtime.timers.set(timer.clone(), due);
                 false
             }
--- a/wrenseam/src/fleet/swim/runtime.rs
+++ b/wrenseam/src/fleet/swim/runtime.rs
@@ -105,7 +105,7 @@
     fn send_to(&mut self, to: PeerId, data: &[u8]) {
         let message = read_header(data).map(|header| header.message);
         if let Some(Message::Ping(number)) = message {
-            self.detector.probe_began(self.now, number);
+            self.detector.record_probe(self.now, number);
         }
         let kind = match message {
             Some(Message::Feed | Message::Announce) => TrafficKind::Join,
@@ -126,7 +126,7 @@
                 self.detector.health_multiplier()
             }
             Timer::ChangeSuspectToDown { member_id, .. } => {
-                self.detector.suspected(self.now, *member_id);
+                self.detector.record_suspicion(self.now, *member_id);
                 self.detector.health_multiplier()
             }
             _ => 1,
--- a/wrenseam/src/gossip.rs
+++ b/wrenseam/src/gossip.rs
@@ -7,7 +7,7 @@
 use crate::config::FleetConfig;
 use crate::fleet::identity::MAX_DATAGRAM;
 use crate::fleet::node::EXTRA_TRANSMISSIONS;
-use crate::fleet::swim::Dropped;
+use crate::fleet::swim::DropCounts;
 use crate::fleet::traffic::Outgoing;
 use crate::fleet::{
     FleetStatus, Lifecycle, Metadata, Node, NodeSettings, PeerEvent, SwimSettings, TimedPeerEvent,
@@ -90,7 +90,7 @@
         clock,
         period: fleet.probe_ms * MICROS_PER_MS,
         publish_at: 0,
-        dropped: Dropped::default(),
+        dropped: DropCounts::default(),
         is_mixed: false,
         core,
         shared,
@@ -105,12 +105,12 @@
     NodeSettings {
         swim: SwimSettings {
             cluster: cluster_id(&fleet.cluster),
-            probe,
-            suspect_for: fleet.suspect_ms * MICROS_PER_MS,
-            expected: fleet.expected,
+            probe_period: probe,
+            suspicion_timeout: fleet.suspect_ms * MICROS_PER_MS,
+            expected_members: fleet.expected,
             extra_transmissions: EXTRA_TRANSMISSIONS,
-            fresh_for: FRESH_PROBES * probe,
-            capacity: SUMMARY_CAPACITY,
+            summary_ttl: FRESH_PROBES * probe,
+            max_summaries: SUMMARY_CAPACITY,
         },
         metadata: Metadata {
             lifecycle: shared.lifecycle(),
@@ -133,7 +133,7 @@
     period: Micros,
     publish_at: Micros,
     /// Datagrams dropped, as last logged.
-    dropped: Dropped,
+    dropped: DropCounts,
     /// Whether front ends of an earlier version are in the fleet, as last logged.
     is_mixed: bool,
     core: CoreHandle,
--- a/wrenseam/src/gossip/log_lines.rs
+++ b/wrenseam/src/gossip/log_lines.rs
@@ -1,6 +1,6 @@
 //! The texts of the fleet's log lines, one function each. docs/oncall.md says what each means for the operator.
 use crate::fleet::record::RecordError;
-use crate::fleet::swim::Dropped;
+use crate::fleet::swim::DropCounts;
 use std::net::SocketAddr;
 
 /// A peer joined; `alive` peers are counted alive now.
@@ -34,7 +34,7 @@
 }
 
 /// Datagrams were dropped, counted by cause since the start.
-pub fn datagrams_dropped(dropped: &Dropped) -> String {
+pub fn datagrams_dropped(dropped: &DropCounts) -> String {
     format!(
         "fleet: datagrams dropped: {} oversized, {} foreign, {} garbled",
         dropped.oversized, dropped.foreign, dropped.garbled
--- a/wrenseam/tests/fleet_log_lines.rs
+++ b/wrenseam/tests/fleet_log_lines.rs
@@ -2,7 +2,7 @@
 use rstest::rstest;
 use std::net::SocketAddr;
 use wrenseam::fleet::record::RecordError;
-use wrenseam::fleet::swim::Dropped;
+use wrenseam::fleet::swim::DropCounts;
 use wrenseam::gossip::log_lines;
 
 fn peer() -> SocketAddr {
@@ -32,7 +32,7 @@
     "fleet: member record not published: a name of 65 bytes, 64 allowed"
 )]
 #[case::datagrams_dropped(
-    log_lines::datagrams_dropped(&Dropped { oversized: 1, foreign: 2, garbled: 3 }),
+    log_lines::datagrams_dropped(&DropCounts { oversized: 1, foreign: 2, garbled: 3 }),
     "fleet: datagrams dropped: 1 oversized, 2 foreign, 3 garbled"
 )]
 #[case::mixed_versions(
--- a/wrenseam/tests/fleet_records.rs
+++ b/wrenseam/tests/fleet_records.rs
@@ -3,7 +3,7 @@
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use rstest::rstest;
 use std::net::SocketAddr;
-use wrenseam::fleet::directory::{Directory, MergeAction, GONE_FOR, GONE_HELD};
+use wrenseam::fleet::directory::{Directory, MergeAction, MAX_TOMBSTONES, TOMBSTONE_TTL};
 use wrenseam::fleet::identity::{header, MAX_DATAGRAM, MAX_INCARNATION};
 use wrenseam::fleet::member_digest::{Liveness, MemberDigest};
 use wrenseam::fleet::members::Members;
@@ -314,12 +314,12 @@
 fn settings() -> SwimSettings {
     SwimSettings {
         cluster: CLUSTER,
-        probe: 500 * MS,
-        suspect_for: 1500 * MS,
-        expected: 3,
+        probe_period: 500 * MS,
+        suspicion_timeout: 1500 * MS,
+        expected_members: 3,
         extra_transmissions: 0,
-        fresh_for: 1500 * MS,
-        capacity: 64,
+        summary_ttl: 1500 * MS,
+        max_summaries: 64,
     }
 }
 
@@ -558,7 +558,7 @@
         dropped.foreign,
         dropped.garbled,
         counts.garbled,
-        counts.stranger,
+        counts.rejected_sender,
     ];
     assert_eq!((got, members.directory().digest()), (want, digest));
 }
@@ -584,8 +584,8 @@
 /// Members gone are forgotten after a day, and sooner where there are too many.
 #[rstest]
 #[case::soon(10, 1000 * MS, 10)]
-#[case::too_many(GONE_HELD + 100, 1000 * MS, GONE_HELD)]
-#[case::long_ago(10, GONE_FOR, 0)]
+#[case::too_many(MAX_TOMBSTONES + 100, 1000 * MS, MAX_TOMBSTONES)]
+#[case::long_ago(10, TOMBSTONE_TTL, 0)]
 fn the_gone_are_forgotten_in_bounded_time_and_number(
     #[case] gone: usize,
     #[case] after: u64,
@@ -596,7 +596,7 @@
         directory.mark_alive(0, id(member, 5));
         directory.mark_gone(member as u64, id(member, 5));
     }
-    let forgotten = directory.forget_gone(after + gone as u64);
+    let forgotten = directory.expire_tombstones(after + gone as u64);
     let left = (1..=gone)
         .filter(|&member| directory.member_digest(addr(member)).is_some())
         .count();
--- a/wrenseam/tests/fleet_swim.rs
+++ b/wrenseam/tests/fleet_swim.rs
@@ -12,12 +12,12 @@
 fn settings() -> SwimSettings {
     SwimSettings {
         cluster: 7,
-        probe: 100 * MS,
-        suspect_for: 300 * MS,
-        expected: 5,
+        probe_period: 100 * MS,
+        suspicion_timeout: 300 * MS,
+        expected_members: 5,
         extra_transmissions: 0,
-        fresh_for: 1000 * MS,
-        capacity: 64,
+        summary_ttl: 1000 * MS,
+        max_summaries: 64,
     }
 }
 
--- a/wrenseam/tests/golden_admin.rs
+++ b/wrenseam/tests/golden_admin.rs
@@ -9,7 +9,7 @@
 use wrenseam::core::{FleetAdmission, Gauges, RequestCounters};
 use wrenseam::fleet::average::{AverageDropped, EdgeCounts};
 use wrenseam::fleet::members::RecordCounts;
-use wrenseam::fleet::swim::Dropped;
+use wrenseam::fleet::swim::DropCounts;
 use wrenseam::fleet::FleetStatus;
 use wrenseam::model::{AdminCommand, RequestEnd};
 use wrenseam_policy::Settings;
@@ -111,13 +111,13 @@
         bytes_held_back: [201, 202, 203, 204, 205, 206, 207],
         records: RecordCounts {
             garbled: 11,
-            stranger: 12,
-            impostor: 13,
+            rejected_sender: 12,
+            refuted: 13,
             repairs: 14,
-            taken: 15,
-            refused: 16,
+            merged: 15,
+            unpublished: 16,
         },
-        dropped: Dropped {
+        dropped: DropCounts {
             oversized: 21,
             foreign: 22,
             garbled: 23,
--- a/wrenseam/tests/golden_fleet.rs
+++ b/wrenseam/tests/golden_fleet.rs
@@ -297,12 +297,12 @@
 fn swim(address: SocketAddr) -> Swim {
     let settings = SwimSettings {
         cluster: CLUSTER,
-        probe: 500_000,
-        suspect_for: 1_500_000,
-        expected: 4,
+        probe_period: 500_000,
+        suspicion_timeout: 1_500_000,
+        expected_members: 4,
         extra_transmissions: 0,
-        fresh_for: 3_000_000,
-        capacity: 16,
+        summary_ttl: 3_000_000,
+        max_summaries: 16,
     };
     Swim::new(address, 0x1122_3344_5566, settings, 42)
 }
