--- a/wrenseam/src/fleet/detector.rs
+++ b/wrenseam/src/fleet/detector.rs
@@ -1,161 +1,167 @@
-//! This front end's failure detection and how far it is to be trusted (local health, after Lifeguard): it doubts itself
-//! before it declares others down. No I/O; time is handed in.
+//! Failure detection with local health, after Lifeguard: before a front end declares a peer down, it checks that the
+//! fault is not its own. No I/O; the caller passes the time.
 //!
-//! - Its own probes that fail in a row or in silence, and times in which it did not run, raise its local health score,
-//!   which makes its probes and suspicions longer.
-//! - A suspicion is cleared once the suspect is heard from, by any datagram.
-//! - It declares no peer down unless probes of its own were acknowledged for half of the suspicion's time, without a
-//!   gap and up to now: proof that it heard and was heard. A front end that hears nobody declares nobody down.
+//! - Consecutive failed probes, a failed probe during which no datagram arrived, and stalls of the process raise the
+//!   local health score, which lengthens the probe period and the suspicion timeout.
+//! - A suspicion is cleared when any datagram of the suspect arrives.
+//! - A peer is declared down only if our own probes were acknowledged without a gap for half of the suspicion timeout,
+//!   up to now. This proves that our datagrams arrive and that we receive answers. A front end that receives nothing
+//!   declares no peer down.
 use super::identity::PeerId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// The worst local health score: probes and suspicions are at most so many times longer, and once more.
+/// The highest (worst) local health score. Probe periods and suspicion timeouts are multiplied by the score plus one.
 pub const MAX_HEALTH_SCORE: u32 = 3;
 
-/// So many probes that fail one after another are a gap in the proof that we hear and are heard.
+/// Consecutive failed probes after which acknowledgements no longer count as received without a gap.
 const GAP_FAILURES: u32 = 2;
-/// So many probes that fail one after another are rather our own fault.
-const OWN_FAILURES: u32 = 3;
-/// A proof is up to now if the probe that gave it began within so many quarters of a probe period.
-const PROOF_QUARTERS: Micros = 9;
+/// Consecutive failed probes from which on the fault is assumed to be local.
+const LOCAL_FAULT_FAILURES: u32 = 3;
+/// How long ago, in quarters of a probe period, the last acknowledged probe may have started for a peer to be declared
+/// down.
+const MAX_ACK_AGE_QUARTERS: Micros = 9;
 
-/// A probe of ours.
+/// The probe that this front end sent last.
 #[derive(Clone, Copy, Debug)]
 struct Probe {
     number: u8,
-    began: Micros,
+    started_at: Micros,
     acknowledged: bool,
 }
 
-/// A peer whose probe failed, and since when.
+/// A suspected peer and when the suspicion started.
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
     id: PeerId,
     since: Micros,
 }
 
-/// What becomes of a suspicion whose time is up.
+/// The outcome of a suspicion that has reached its timeout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SuspicionOutcome {
     /// The peer is declared down.
     Confirmed,
-    /// It was heard from: the suspicion is dropped.
+    /// The peer is not declared down: a datagram of it arrived, or this incarnation of it is no longer suspected.
     Cleared,
-    /// We have no proof that we hear and are heard: the suspicion goes on.
+    /// Too few of our own probes were acknowledged to rule out a local fault: the suspicion continues.
     Extended,
 }
 
-/// This front end's failure detection.
+/// The failure detector of this front end.
 #[derive(Debug, Default)]
 pub struct Detector {
     probe: Option<Probe>,
-    /// Probes that failed, one after another.
-    failures: u32,
-    /// When the newest probe that was acknowledged had begun.
-    acknowledged_probe_at: Option<Micros>,
-    /// Since when probes have been acknowledged without a gap.
-    acknowledged_since: Option<Micros>,
+    /// Consecutive failed probes.
+    consecutive_failures: u32,
+    /// When the last acknowledged probe started; `None` before the first acknowledgement.
+    last_acked_probe_at: Option<Micros>,
+    /// Since when probes have been acknowledged without a gap; `None` during a gap.
+    acked_since: Option<Micros>,
     probe_period: Micros,
-    /// For how long we have to have heard and been heard before we declare a peer down.
-    proof_for: Micros,
-    /// Lifeguard's local health score: 0 is healthy.
+    /// How long probes must have been acknowledged without a gap before a peer is declared down.
+    min_acked_time: Micros,
+    /// Lifeguard's local health score, from 0 (healthy) to [`MAX_HEALTH_SCORE`].
     health_score: u32,
     suspicions: BTreeMap<SocketAddr, Suspicion>,
-    /// When each peer was last heard from, by any datagram of its own.
-    heard_at: BTreeMap<SocketAddr, Micros>,
-    /// When any peer was.
-    heard_any_at: Option<Micros>,
+    /// When the last datagram of each peer arrived.
+    last_contact_at: BTreeMap<SocketAddr, Micros>,
+    /// When the last datagram of any peer arrived.
+    last_contact_any_at: Option<Micros>,
 }
 
 impl Detector {
-    /// A detector by the probe period and the time of a suspicion, which trusts itself.
+    /// A detector with a healthy local score. Both times are in microseconds.
     pub fn new(probe_period: Micros, suspicion_timeout: Micros) -> Detector {
         Detector {
             probe_period,
-            proof_for: suspicion_timeout / 2,
+            min_acked_time: suspicion_timeout / 2,
             ..Detector::default()
         }
     }
 
-    /// A probe begins; the one before it has ended.
+    /// Records the start of our probe `number`, which ends the one before it.
     pub fn record_probe(&mut self, now: Micros, number: u8) {
-        if let Some(before) = self.probe.take() {
-            self.probe_ended(before);
+        if let Some(previous) = self.probe.take() {
+            self.end_probe(previous);
         }
         self.probe = Some(Probe {
             number,
-            began: now,
+            started_at: now,
             acknowledged: false,
         });
     }
 
-    /// One failure, or two, may be the others': a third of a fleet may go at once. [`OWN_FAILURES`] of them, or one
-    /// in whose time nobody was heard, are rather ours.
-    fn probe_ended(&mut self, probe: Probe) {
+    /// Evaluates a finished probe. One or two consecutive failures may be the peers' fault, as a third of a fleet may go
+    /// down at once. [`LOCAL_FAULT_FAILURES`] in a row, or one failure during which no datagram arrived, point to a local
+    /// fault.
+    fn end_probe(&mut self, probe: Probe) {
         if probe.acknowledged {
-            self.health_score /= 2; // an answer proves that we hear and are heard
-            self.failures = 0;
+            self.health_score /= 2; // an acknowledgement proves that we can send and receive
+            self.consecutive_failures = 0;
             return;
         }
-        self.failures += 1;
-        if self.failures >= GAP_FAILURES {
-            self.acknowledged_since = None;
+        self.consecutive_failures += 1;
+        if self.consecutive_failures >= GAP_FAILURES {
+            self.acked_since = None;
         }
-        if self.failures >= OWN_FAILURES || self.heard_any_at < Some(probe.began) {
+        if self.consecutive_failures >= LOCAL_FAULT_FAILURES
+            || self.last_contact_any_at < Some(probe.started_at)
+        {
             self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
         }
     }
 
-    /// A probe of ours was acknowledged, by its target or by way of another.
+    /// Records an acknowledgement of our probe `number`, from its target or through an indirect probe. Ignored if the
+    /// number is not that of the latest probe.
     pub fn record_ack(&mut self, now: Micros, number: u8) {
         let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == number) else {
             return;
         };
         probe.acknowledged = true;
-        self.acknowledged_since.get_or_insert(now);
-        self.acknowledged_probe_at = Some(probe.began);
+        self.acked_since.get_or_insert(now);
+        self.last_acked_probe_at = Some(probe.started_at);
     }
 
-    /// This front end did not run for a while.
+    /// Raises the local health score after the process was stopped or starved of processor time.
     pub fn handle_stall(&mut self) {
         self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
     }
 
-    /// How many times longer probes and suspicions are: Lifeguard's local health multiplier.
+    /// Lifeguard's local health multiplier, from 1: the factor on probe periods and suspicion timeouts.
     pub fn health_multiplier(&self) -> u32 {
         1 + self.health_score
     }
 
-    /// A datagram of this peer's own came.
+    /// Records that a datagram of the peer at `addr` arrived.
     pub fn record_contact(&mut self, now: Micros, addr: SocketAddr) {
-        self.heard_at.insert(addr, now);
-        self.heard_any_at = Some(now);
+        self.last_contact_at.insert(addr, now);
+        self.last_contact_any_at = Some(now);
     }
 
-    /// When anybody was last heard from.
+    /// When the last datagram of any peer arrived; `None` if none has since the start or a restart.
     pub fn last_contact_any(&self) -> Option<Micros> {
-        self.heard_any_at
+        self.last_contact_any_at
     }
 
-    /// When this peer was last heard from.
+    /// When the last datagram of this peer arrived; `None` if none has in its current incarnation.
     pub fn last_contact(&self, addr: SocketAddr) -> Option<Micros> {
-        self.heard_at.get(&addr).copied()
+        self.last_contact_at.get(&addr).copied()
     }
 
-    /// A peer is suspected from `now` on.
+    /// Records that `id` is suspected from `now` on.
     pub fn record_suspicion(&mut self, now: Micros, id: PeerId) {
         self.suspicions
             .insert(id.addr, Suspicion { id, since: now });
     }
 
-    /// Who is suspected.
+    /// The peers under suspicion.
     pub fn suspects(&self) -> impl Iterator<Item = PeerId> + '_ {
         self.suspicions.values().map(|suspicion| suspicion.id)
     }
 
-    /// The time of a suspicion is up: what becomes of it.
+    /// Decides what becomes of the suspicion of `id`, which has reached its timeout.
     pub fn resolve_suspicion(&mut self, now: Micros, id: PeerId) -> SuspicionOutcome {
         let suspicion = self.suspicions.get(&id.addr).copied();
         let Some(suspicion) = suspicion.filter(|suspicion| suspicion.id == id) else {
@@ -174,31 +180,31 @@
         outcome
     }
 
-    /// Whether a peer that has been silent since then may be declared down: whether we heard and were heard for long
-    /// enough, without a gap and up to now.
+    /// Whether a peer that has been silent since `since` may be declared down. Within that time our own probes must have
+    /// been acknowledged for long enough, without a gap and up to now.
     pub fn may_declare_down(&self, now: Micros, since: Micros) -> bool {
-        let proof_window = self.probe_period * PROOF_QUARTERS / 4;
-        let lately = now.saturating_sub(proof_window).max(since);
-        let is_up_to_now = self.acknowledged_probe_at >= Some(lately);
+        let max_age = self.probe_period * MAX_ACK_AGE_QUARTERS / 4;
+        let not_before = now.saturating_sub(max_age).max(since);
+        let is_recent = self.last_acked_probe_at >= Some(not_before);
         let is_long_enough = self
-            .acknowledged_since
-            .is_some_and(|began| now.saturating_sub(began.max(since)) >= self.proof_for);
-        is_up_to_now && is_long_enough
+            .acked_since
+            .is_some_and(|start| now.saturating_sub(start.max(since)) >= self.min_acked_time);
+        is_recent && is_long_enough
     }
 
-    /// A peer is counted out, or alive in a new incarnation: what was known of the former is void.
+    /// Drops the state of a peer that is down, or has come up or changed its incarnation: it is of the past incarnation.
     pub fn forget(&mut self, addr: SocketAddr) {
         self.suspicions.remove(&addr);
-        self.heard_at.remove(&addr);
+        self.last_contact_at.remove(&addr);
     }
 
-    /// Begins anew as a member that knows nobody; its own health score stays.
+    /// Drops everything known about peers and probes; the local health score stays.
     pub fn restart(&mut self) {
         self.probe = None;
-        self.acknowledged_probe_at = None;
-        self.acknowledged_since = None;
+        self.last_acked_probe_at = None;
+        self.acked_since = None;
         self.suspicions.clear();
-        self.heard_at.clear();
-        self.heard_any_at = None;
+        self.last_contact_at.clear();
+        self.last_contact_any_at = None;
     }
 }
--- a/wrenseam/src/fleet/swim.rs
+++ b/wrenseam/src/fleet/swim.rs
@@ -1,10 +1,9 @@
-//! Membership between front ends by SWIM, on the `foca` crate, without I/O: datagrams come in as bytes
-//! with the time, and what is to be sent, and when to be woken, is collected for the caller. Load summaries
-//! ride on foca's messages as custom broadcasts, where front ends that take no part in the averaging
-//! ([`super::average`]) want them.
+//! Membership of front ends by SWIM, on the `foca` crate, without I/O: the caller passes in datagrams and the time, and
+//! takes out datagrams to send and the time of the next wakeup. Load summaries are piggybacked on foca's messages as
+//! custom broadcasts while the fleet has front ends that do not support the averaging ([`super::average`]).
 //!
-//! Foca's timers pass through here: those of probes and suspicions are lengthened, and suspicions confirmed or not, by
-//! the [`Detector`]. Foca's time stands still while the process did not run.
+//! Foca's timers are kept here. The [`Detector`] lengthens those of probes and suspicions, and decides whether a peer
+//! whose suspicion times out is declared down. Foca's clock stops while the process does not run.
 mod runtime;
 mod settings;
 mod summaries;
@@ -19,7 +18,7 @@
 use foca::{Config, Foca, Member, Message, PostcardCodec, Timer};
 use rand::{rngs::SmallRng, SeedableRng};
 use runtime::{read_header, FocaRuntime};
-use settings::configure;
+use settings::foca_config;
 use std::net::SocketAddr;
 use std::num::NonZeroUsize;
 use summaries::{SharedSummaries, SummaryHandler};
@@ -30,41 +29,41 @@
 pub struct DropCounts {
     /// Larger than [`MAX_DATAGRAM`].
     pub oversized: u64,
-    /// Of another cluster or version, or without our header.
+    /// Without the header of this cluster and this protocol version.
     pub foreign: u64,
-    /// With our header, but foca (or a summary in it) could not read or take it.
+    /// With the right header, but not decodable or rejected by foca, or with an invalid summary.
     pub garbled: u64,
 }
 
 /// A change of membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerEvent {
-    /// A peer is counted alive.
+    /// A peer is alive.
     Up(PeerId),
     /// A peer was declared down.
     Down(PeerId),
-    /// A peer said that it leaves.
+    /// A peer announced that it leaves, and is now gone.
     Left(PeerId),
-    /// A peer goes on under a larger incarnation.
+    /// A live peer has taken a larger incarnation.
     NewIncarnation(PeerId),
-    /// This front end lost all its peers.
+    /// This front end no longer counts any peer as alive.
     Isolated,
-    /// This front end was declared down by the others and came back under a new incarnation.
+    /// This front end was declared down by its peers and rejoined under a new incarnation.
     Rejoined,
 }
 
-/// A change of membership, and when it was noticed.
+/// A change of membership with its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimedPeerEvent {
-    /// When, in microseconds.
+    /// When this front end noticed the change, in microseconds.
     pub at: Micros,
-    /// What changed.
+    /// The change.
     pub event: PeerEvent,
 }
 
 type FleetFoca = Foca<PeerId, PostcardCodec, SmallRng, SummaryHandler>;
 
-/// One front end's membership and the summaries that came with it.
+/// The SWIM state of one front end, and the load summaries that its peers gossip.
 pub struct Swim {
     foca: FleetFoca,
     runtime: FocaRuntime,
@@ -72,19 +71,20 @@
     own: PeerId,
     settings: SwimSettings,
     config: Config,
+    /// Seeds foca's random numbers; raised with each new state machine.
     seed: u64,
-    /// Whether this front end has said that it leaves.
+    /// Whether this front end has left: it then ignores what it learns of members, and does not rejoin.
     leaving: bool,
     /// Datagrams dropped, by cause.
     pub dropped: DropCounts,
-    /// Summaries published by this front end.
+    /// Sequence number of the last summary that this front end published.
     published: u64,
 }
 
 impl Swim {
-    /// Membership for the front end at `own`, in its `incarnation`, with a seeded generator.
+    /// The state of a front end that knows no peers, at gossip address `own`. `seed` is for random numbers.
     pub fn new(own: SocketAddr, incarnation: u64, settings: SwimSettings, seed: u64) -> Swim {
-        let config = configure(&settings);
+        let config = foca_config(&settings);
         let summaries = SharedSummaries::new(settings.max_summaries, settings.summary_ttl);
         let own = PeerId {
             addr: own,
@@ -107,59 +107,60 @@
         }
     }
 
-    /// This front end as its peers know it.
+    /// The gossip address and present incarnation of this front end.
     pub fn own(&self) -> PeerId {
         self.own
     }
 
-    /// This front end's failure detection.
+    /// The failure detector.
     pub fn detector(&mut self) -> &mut Detector {
         &mut self.runtime.detector
     }
 
-    /// Sets the time of what follows.
+    /// Sets the time that foca's callbacks and the summaries use until the next call.
     fn set_now(&mut self, now: Micros) {
         self.runtime.now = now;
         self.summaries.set_now(now);
     }
 
-    /// Goes on under a larger incarnation, with the members as they are known. Foca's own way to a new identity would
-    /// declare the former one down, and with it, for whoever hears that first, this front end.
+    /// Continues under a larger incarnation with the members that are known. Foca's own change of identity is not used:
+    /// it declares the former identity down, and a peer that receives that update first would count this front end as
+    /// down.
     pub fn renew(&mut self, now: Micros, incarnation: u64) {
         let members: Vec<Member<PeerId>> = self.foca.iter_membership_state().cloned().collect();
-        self.start_foca(now, incarnation);
+        self.replace_foca(now, incarnation);
         let events = std::mem::take(&mut self.runtime.events);
-        // Refused only for a member that cannot be encoded, and these were decoded or made here.
+        // Fails only for a member that cannot be encoded, and these were decoded or created here.
         let _ = self
             .foca
             .apply_many(members.into_iter(), false, &mut self.runtime);
-        self.runtime.events = events; // to others nothing has changed
-        let _ = self.foca.gossip(&mut self.runtime); // it can only fail to encode members, as above
+        self.runtime.events = events; // the members have not changed, so their Up events are discarded
+        let _ = self.foca.gossip(&mut self.runtime); // can only fail to encode members, as above
     }
 
-    /// Begins anew as a front end that knows nobody: what it knew of the members is out of date.
+    /// Drops all members, whose state is out of date, and continues under the next incarnation.
     pub fn restart(&mut self, now: Micros) {
         let incarnation = self.own.incarnation.saturating_add(1);
-        self.start_foca(now, incarnation);
+        self.replace_foca(now, incarnation);
         self.runtime.detector.restart();
         self.runtime.changed = true;
         self.runtime.push_event(PeerEvent::Isolated);
     }
 
-    /// Puts a new state machine in place of the one before, under this incarnation.
-    fn start_foca(&mut self, now: Micros, incarnation: u64) {
+    /// Replaces foca's state machine by a new one without members, under this incarnation.
+    fn replace_foca(&mut self, now: Micros, incarnation: u64) {
         self.set_now(now);
         self.own.incarnation = incarnation.min(MAX_INCARNATION);
         self.seed = self.seed.wrapping_add(1);
         self.foca = new_foca(self.own, &self.config, self.seed, &self.summaries);
-        // They were of the state machine before, whose timers this one could not tell from its own.
+        // The new state machine could not tell the timers of the former one from its own.
         self.runtime.timers.clear();
         self.runtime.defunct = false;
         let reduced_gossip = std::mem::take(&mut self.runtime.reduced_gossip);
         self.set_reduced_gossip(reduced_gossip);
     }
 
-    /// If the others declared us down: comes back under a new incarnation.
+    /// Rejoins under the next incarnation if the peers declared this front end down.
     fn rejoin(&mut self) {
         if self.runtime.defunct && !self.leaving {
             let now = self.runtime.now;
@@ -168,22 +169,22 @@
         }
     }
 
-    /// This front end leaves, and from here on takes part in nothing. `notify`: with foca's own message too, which says
-    /// no more than that it is down.
+    /// Leaves the fleet for good. With `notify`, peers also get foca's message, by which they count this front end as
+    /// down.
     pub fn leave(&mut self, now: Micros, notify: bool) {
         self.set_now(now);
         self.leaving = true;
         if notify {
-            let _ = self.foca.leave_cluster(&mut self.runtime); // it can only fail to encode ourselves
+            let _ = self.foca.leave_cluster(&mut self.runtime); // can only fail to encode our own identity
         }
     }
 
-    /// Takes up that `id` is alive, as somebody else knows; `disseminate`: passes it on as an update.
+    /// Applies information from elsewhere that `id` is alive; with `disseminate`, gossips it as an update.
     pub fn mark_alive(&mut self, now: Micros, id: PeerId, disseminate: bool) {
         self.apply_member(now, Member::alive(id), disseminate);
     }
 
-    /// Takes up that `id` is gone, as somebody else knows; `disseminate`: passes it on as an update.
+    /// Applies information from elsewhere that `id` is down or has left; with `disseminate`, gossips it as an update.
     pub fn mark_down(&mut self, now: Micros, id: PeerId, disseminate: bool) {
         self.apply_member(now, Member::down(id), disseminate);
     }
@@ -193,21 +194,21 @@
         if member.id().addr == self.own.addr || self.leaving {
             return;
         }
-        // Refused only for a member that cannot be encoded, and this one was decoded or made here.
+        // Fails only for a member that cannot be encoded, and this one was decoded or created here.
         let _ = self
             .foca
             .apply_many(std::iter::once(member), disseminate, &mut self.runtime);
     }
 
-    /// Forgets a member that is gone.
+    /// Removes the tombstone of a member that is gone.
     pub fn forget(&mut self, id: PeerId) {
         let _ = self
             .foca
-            .handle_timer(Timer::RemoveDown(id), &mut self.runtime); // a stale timer is foca's to drop
+            .handle_timer(Timer::RemoveDown(id), &mut self.runtime); // foca drops stale timers itself
     }
 
-    /// Whether periodic gossip goes to one peer a round from now on, instead of all that are configured, and probes
-    /// carry fewer updates: updates of many members then take longer and fewer bytes a second.
+    /// Turns reduced gossip on or off: periodic gossip goes to one peer a round instead of the configured number, and
+    /// probes piggyback fewer updates. Updates of many members then take fewer bytes a second, and longer to spread.
     pub fn set_reduced_gossip(&mut self, reduced: bool) {
         if reduced == self.runtime.reduced_gossip {
             return;
@@ -217,21 +218,21 @@
         if let Some(gossip) = config.periodic_gossip.as_mut().filter(|_| reduced) {
             gossip.num_members = NonZeroUsize::MIN;
         }
-        let _ = self.foca.set_config(config); // refused only for a changed probe
+        let _ = self.foca.set_config(config); // fails only for other probe times or newly enabled tasks
     }
 
-    /// Asks a random peer counted alive for its list of members; `chance` is uniform in [0, 1).
+    /// Requests the member list of a random live peer; `chance`, uniform in [0, 1), selects it.
     pub fn request_member_list(&mut self, now: Micros, chance: f64) {
         self.set_now(now);
         let alive = self.foca.num_members();
-        let which = ((alive as f64 * chance) as usize).min(alive.saturating_sub(1));
-        let peer = self.foca.iter_members().nth(which);
+        let index = ((alive as f64 * chance) as usize).min(alive.saturating_sub(1));
+        let peer = self.foca.iter_members().nth(index);
         if let Some(peer) = peer.map(|member| *member.id()) {
-            let _ = self.foca.announce(peer, &mut self.runtime); // it fails only for ourselves, no member
+            let _ = self.foca.announce(peer, &mut self.runtime); // can only fail to encode the header
         }
     }
 
-    /// Asks to join by way of a peer at `seed`.
+    /// Asks the peer at `seed` to let us join.
     pub fn join(&mut self, now: Micros, seed: SocketAddr) {
         self.set_now(now);
         if seed == self.own.addr || self.leaving {
@@ -241,12 +242,12 @@
             addr: seed,
             incarnation: 0,
         };
-        // An error here means that the seed is ourselves: nothing to do.
+        // Can only fail to encode the header.
         let _ = self.foca.announce(peer, &mut self.runtime);
     }
 
-    /// Takes a datagram that came at `now`; what cannot be taken is counted in [`Swim::dropped`]. Who sent it, if
-    /// it is a peer's.
+    /// Handles a datagram that arrived at `now`, and returns its sender. `None` if it was dropped, which is counted in
+    /// [`Swim::dropped`], or if its sender has our own address.
     pub fn handle_datagram(&mut self, now: Micros, bytes: &[u8]) -> Option<PeerId> {
         self.set_now(now);
         if bytes.len() > MAX_DATAGRAM {
@@ -276,26 +277,26 @@
         Some(from)
     }
 
-    /// Whether a datagram is of this fleet and of `version`, and no longer than any we send.
+    /// Whether a datagram has the header of this cluster and `version`, and is within [`MAX_DATAGRAM`].
     pub fn is_ours(&self, bytes: &[u8], version: u8) -> bool {
         let header = header(version, self.settings.cluster);
         bytes.len() <= MAX_DATAGRAM && bytes.starts_with(&header)
     }
 
-    /// Whether the peers alive may have changed since the last call.
+    /// Whether the live peers may have changed since the last call.
     pub fn changed(&mut self) -> bool {
         std::mem::take(&mut self.runtime.changed)
     }
 
-    /// When foca wants to be woken next, if at all.
+    /// When [`Swim::tick`] is due next; `None` while no timer is set.
     pub fn next_wakeup(&self) -> Option<Micros> {
         let due = self.runtime.timers.next_due()?;
-        Some(due.saturating_add(self.runtime.stalled))
+        Some(due.saturating_add(self.runtime.stalled_for))
     }
 
-    /// The process did not run for so long: foca's time stood still.
+    /// Accounts for a `span` in which the process did not run: foca's timers are due that much later.
     pub fn handle_stall(&mut self, span: Micros) {
-        self.runtime.stalled += span;
+        self.runtime.stalled_for += span;
         self.runtime.detector.handle_stall();
     }
 
@@ -306,15 +307,15 @@
             let Some(timer) = self.runtime.timers.pop() else {
                 return;
             };
-            if self.may_run(now, &timer) {
-                let _ = self.foca.handle_timer(timer, &mut self.runtime); // a stale timer is foca's to drop
+            if self.should_run(now, &timer) {
+                let _ = self.foca.handle_timer(timer, &mut self.runtime); // foca drops stale timers itself
             }
         }
     }
 
-    /// Whether a timer that is due runs: that of a suspicion only if the [`Detector`] confirms it, and it is set anew
-    /// where the suspicion is extended.
-    fn may_run(&mut self, now: Micros, timer: &Timer<PeerId>) -> bool {
+    /// Whether a timer that is due is passed on to foca. That of a suspicion is only if the [`Detector`] confirms the
+    /// suspicion; if it extends it, the timer is set again.
+    fn should_run(&mut self, now: Micros, timer: &Timer<PeerId>) -> bool {
         let Timer::ChangeSuspectToDown { member_id, .. } = timer else {
             return true;
         };
@@ -322,19 +323,19 @@
             SuspicionOutcome::Confirmed => true,
             SuspicionOutcome::Cleared => false,
             SuspicionOutcome::Extended => {
-                let due = self.runtime.running() + self.settings.probe_period / 2;
+                let due = self.runtime.foca_now() + self.settings.probe_period / 2;
                 self.runtime.timers.set(timer.clone(), due);
                 false
             }
         }
     }
 
-    /// Datagrams to send; they are the caller's from then on.
+    /// Takes the datagrams to send.
     pub fn outbox(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.runtime.outbox)
     }
 
-    /// Changes of membership since the last call.
+    /// Takes the changes of membership since the last call, and drops the summaries of the peers that went down.
     pub fn events(&mut self) -> Vec<TimedPeerEvent> {
         let events = std::mem::take(&mut self.runtime.events);
         for timed in &events {
@@ -345,18 +346,18 @@
         events
     }
 
-    /// Peers counted alive.
+    /// The number of live peers.
     pub fn alive(&self) -> usize {
         self.foca.num_members()
     }
 
-    /// The addresses of the peers counted alive.
+    /// The addresses of the live peers.
     pub fn members(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.foca.iter_members().map(|member| member.id().addr)
     }
 }
 
-/// The number of the probe of ours that a message acknowledges, if it is an acknowledgement.
+/// The number of our probe that a message acknowledges; `None` if it is no acknowledgement.
 fn acknowledged_probe(message: &Message<PeerId>) -> Option<u8> {
     match message {
         Message::Ack(number)
--- a/wrenseam/src/fleet/swim/runtime.rs
+++ b/wrenseam/src/fleet/swim/runtime.rs
@@ -1,4 +1,4 @@
-//! What foca asks of its runtime, collected: datagrams, timers, and changes of membership.
+//! The runtime that foca calls: it collects datagrams, timers and changes of membership.
 use super::timers::Timers;
 use super::{PeerEvent, TimedPeerEvent};
 use crate::fleet::detector::Detector;
@@ -9,34 +9,36 @@
 use std::time::Duration;
 use wrenseam_policy::Micros;
 
-/// The most updates of members on a probe or an acknowledgement, where summaries are not wanted.
-const UPDATES_ON_PROBES: u16 = 24;
-/// The same while the byte budget is low.
-const UPDATES_ON_LOW_BUDGET: u16 = 12;
+/// The most member updates piggybacked on a probe message (ping, acknowledgement and their indirect forms) while no
+/// summaries are gossiped.
+const MAX_PROBE_UPDATES: u16 = 24;
+/// The most member updates piggybacked on a probe message while the byte budget is low.
+const MAX_PROBE_UPDATES_LOW_BUDGET: u16 = 12;
 
-/// What foca asks of its runtime, collected.
+/// What foca has asked of its runtime since the caller last took it.
 #[derive(Default)]
 pub(super) struct FocaRuntime {
     pub(super) now: Micros,
-    /// For how long the process did not run, over all: foca's time is behind ours by this.
-    pub(super) stalled: Micros,
+    /// Total time in which the process did not run; foca's clock is behind `now` by this.
+    pub(super) stalled_for: Micros,
     pub(super) outbox: Vec<Outgoing>,
     pub(super) timers: Timers,
     pub(super) events: Vec<TimedPeerEvent>,
-    /// A peer came up or went down since this was last asked.
+    /// Whether the live peers may have changed since [`super::Swim::changed`] was last called.
     pub(super) changed: bool,
-    /// Foca found that the others declared us down.
+    /// Whether foca found that the peers declared this front end down.
     pub(super) defunct: bool,
-    /// Whether probes carry all that foca puts on them: summaries, for front ends that want them.
+    /// Whether summaries are gossiped: probe messages then carry all updates and summaries that foca adds.
     pub(super) carries_summaries: bool,
-    /// Whether the byte budget is low: probes carry fewer updates, and periodic gossip goes to one peer a round.
+    /// Whether the byte budget is low: probe messages carry fewer updates, and periodic gossip goes to one peer a
+    /// round.
     pub(super) reduced_gossip: bool,
     pub(super) detector: Detector,
     pub(super) header: [u8; HEADER_BYTES],
 }
 
 impl FocaRuntime {
-    /// A runtime that puts `header` before foca's datagrams.
+    /// A runtime that prefixes foca's datagrams with `header`.
     pub(super) fn new(header: [u8; HEADER_BYTES], detector: Detector) -> FocaRuntime {
         FocaRuntime {
             header,
@@ -45,12 +47,12 @@
         }
     }
 
-    /// Foca's time.
-    pub(super) fn running(&self) -> Micros {
-        self.now.saturating_sub(self.stalled)
+    /// The present time on foca's clock, which stops while the process does not run.
+    pub(super) fn foca_now(&self) -> Micros {
+        self.now.saturating_sub(self.stalled_for)
     }
 
-    /// Notes a change of membership, at the time that it is.
+    /// Queues a change of membership with the present time.
     pub(super) fn push_event(&mut self, event: PeerEvent) {
         self.events.push(TimedPeerEvent {
             at: self.now,
@@ -58,12 +60,12 @@
         });
     }
 
-    /// Foca's datagram with our header before it, and a probe's updates cut to what it may carry.
-    fn framed(&self, kind: TrafficKind, data: &[u8]) -> Vec<u8> {
+    /// Foca's datagram behind the fleet's header; a probe message's updates are cut to [`Self::max_updates`].
+    fn frame_datagram(&self, kind: TrafficKind, data: &[u8]) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(HEADER_BYTES + data.len());
         bytes.extend_from_slice(&self.header);
         if kind == TrafficKind::Probe && !self.carries_summaries {
-            if let Some(trimmed) = with_fewer_updates(data, self.max_updates()) {
+            if let Some(trimmed) = truncate_updates(data, self.max_updates()) {
                 bytes.extend(trimmed);
                 return bytes;
             }
@@ -72,12 +74,12 @@
         bytes
     }
 
-    /// The most updates that a probe carries now.
+    /// The most updates that a probe message may carry now.
     fn max_updates(&self) -> u16 {
         if self.reduced_gossip {
-            UPDATES_ON_LOW_BUDGET
+            MAX_PROBE_UPDATES_LOW_BUDGET
         } else {
-            UPDATES_ON_PROBES
+            MAX_PROBE_UPDATES
         }
     }
 }
@@ -95,7 +97,7 @@
             }
             _ => return,
         };
-        if let Some(addr) = addr_of(event) {
+        if let Some(addr) = peer_addr(event) {
             self.detector.forget(addr);
         }
         self.changed |= matches!(event, PeerEvent::Up(_) | PeerEvent::Down(_));
@@ -112,7 +114,7 @@
             Some(Message::Gossip | Message::Broadcast) => TrafficKind::MembershipGossip,
             _ => TrafficKind::Probe,
         };
-        let bytes = self.framed(kind, data);
+        let bytes = self.frame_datagram(kind, data);
         self.outbox.push(Outgoing {
             to: to.addr,
             kind,
@@ -132,40 +134,41 @@
             _ => 1,
         };
         let after = after.saturating_mul(multiplier).as_micros() as Micros;
-        let due = self.running().saturating_add(after);
+        let due = self.foca_now().saturating_add(after);
         self.timers.set(event, due);
     }
 }
 
-/// The peer that foca's events of one peer are about.
-fn addr_of(event: PeerEvent) -> Option<SocketAddr> {
+/// The peer that an event raised by foca is about; `None` for events about this front end.
+fn peer_addr(event: PeerEvent) -> Option<SocketAddr> {
     match event {
         PeerEvent::Up(id) | PeerEvent::Down(id) | PeerEvent::NewIncarnation(id) => Some(id.addr),
         PeerEvent::Left(_) | PeerEvent::Isolated | PeerEvent::Rejoined => None,
     }
 }
 
-/// A probe or an acknowledgement of foca's with `most` updates of members, if it has more: these datagrams are never
-/// deferred, and with all the updates that fit each would take a tenth of the byte budget of a second.
-fn with_fewer_updates(data: &[u8], most: u16) -> Option<Vec<u8>> {
+/// A copy of foca's probe message with only the first `max_updates` member updates; `None` if it has no more than
+/// that. The byte budget never defers probe messages, and one full of updates would take a tenth of the budget of a
+/// second.
+fn truncate_updates(data: &[u8], max_updates: u16) -> Option<Vec<u8>> {
     let mut rest = data;
     let _: Header<PeerId> = PostcardCodec.decode_header(&mut rest).ok()?;
     let header_bytes = data.len() - rest.len();
     let (count, mut rest) = rest.split_first_chunk::<2>()?;
-    if u16::from_be_bytes(*count) <= most {
+    if u16::from_be_bytes(*count) <= max_updates {
         return None;
     }
-    for _ in 0..most {
+    for _ in 0..max_updates {
         let _: Member<PeerId> = PostcardCodec.decode_member(&mut rest).ok()?;
     }
     let end = data.len() - rest.len();
     let mut bytes = data[..header_bytes].to_vec();
-    bytes.extend(most.to_be_bytes());
+    bytes.extend(max_updates.to_be_bytes());
     bytes.extend(&data[header_bytes + count.len()..end]);
     Some(bytes)
 }
 
-/// The header of a datagram of foca's, without ours before it.
+/// Foca's header, read from a datagram without the fleet's header; `None` if it is invalid.
 pub(super) fn read_header(mut data: &[u8]) -> Option<Header<PeerId>> {
     PostcardCodec.decode_header(&mut data).ok()
 }
--- a/wrenseam/src/fleet/swim/summaries.rs
+++ b/wrenseam/src/fleet/swim/summaries.rs
@@ -1,4 +1,4 @@
-//! Load summaries on foca's custom broadcasts, for front ends that take no part in the averaging.
+//! Load summaries as custom broadcasts of foca, for front ends that do not support the averaging.
 use super::Swim;
 use crate::fleet::identity::PeerId;
 use crate::fleet::summary::{InsertOutcome, Summaries, Summary, SummaryError};
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use wrenseam_policy::Micros;
 
-/// The summaries that came, and the time by which they are taken.
+/// The summaries received, and the present time, which foca does not pass to its broadcast handler.
 struct SummaryTable {
     summaries: Summaries,
     now: Micros,
@@ -18,10 +18,10 @@
 pub(super) struct SharedSummaries(Arc<Mutex<SummaryTable>>);
 
 impl SharedSummaries {
-    /// Capacity for so many peers; a summary counts for `fresh_for` microseconds.
-    pub(super) fn new(capacity: usize, fresh_for: Micros) -> SharedSummaries {
+    /// An empty table for at most `capacity` peers; a summary is valid for `ttl` microseconds.
+    pub(super) fn new(capacity: usize, ttl: Micros) -> SharedSummaries {
         let table = SummaryTable {
-            summaries: Summaries::new(capacity, fresh_for),
+            summaries: Summaries::new(capacity, ttl),
             now: 0,
         };
         SharedSummaries(Arc::new(Mutex::new(table)))
@@ -31,12 +31,12 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets the time of what follows.
+    /// Sets the arrival time of the summaries that follow.
     pub(super) fn set_now(&self, now: Micros) {
         self.table().now = now;
     }
 
-    /// Forgets the summary of a peer that is gone.
+    /// Removes the summary of a peer that is gone.
     pub(super) fn forget(&self, origin: SocketAddr) {
         self.table().summaries.forget(origin);
     }
@@ -48,7 +48,7 @@
     }
 }
 
-/// Which summary replaces which among foca's broadcasts.
+/// Identifies a summary among foca's broadcasts; it replaces an older one, or a copy, of the same origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SummaryKey {
     origin: SocketAddr,
@@ -61,14 +61,14 @@
     }
 }
 
-/// The handler of custom broadcasts: takes summaries into the shared table.
+/// The handler of foca's custom broadcasts, which stores summaries in the shared table.
 pub(super) struct SummaryHandler {
     own: SocketAddr,
     summaries: SharedSummaries,
 }
 
 impl SummaryHandler {
-    /// The handler of the front end at `own`.
+    /// The handler of the front end at gossip address `own`.
     pub(super) fn new(own: SocketAddr, summaries: SharedSummaries) -> SummaryHandler {
         SummaryHandler { own, summaries }
     }
@@ -92,7 +92,7 @@
             seq: summary.seq,
         };
         if origin == self.own {
-            return Ok(Some(key)); // our own, added to be sent on
+            return Ok(Some(key)); // our own, which `Swim::publish` adds
         }
         match self.summaries.insert(self.own, summary) {
             InsertOutcome::Updated => Ok(Some(key)),
@@ -102,22 +102,22 @@
 }
 
 impl Swim {
-    /// Gossips this front end's summary, with the next sequence number.
+    /// Gossips this front end's summary under the next sequence number.
     pub fn publish(&mut self, now: Micros, mut summary: Summary) {
         self.set_now(now);
         self.runtime.carries_summaries = true;
         self.published += 1;
         summary.origin = Some(self.own.addr);
         summary.seq = self.published;
-        let _ = self.foca.add_broadcast(&summary.encode()); // only ever our own well-formed bytes
+        let _ = self.foca.add_broadcast(&summary.encode()); // fails only for invalid bytes, and these were encoded here
     }
 
-    /// No summary is wanted any more.
+    /// Ends the gossip of summaries: probe messages then carry member updates only, and fewer of them.
     pub fn stop_publishing(&mut self) {
         self.runtime.carries_summaries = false;
     }
 
-    /// Whether a fresh summary is of a front end that takes no part in the averaging (see
+    /// Whether a valid summary is of a front end that does not support the averaging (see
     /// [`Summary::supports_averaging`]).
     pub fn is_mixed(&self, now: Micros) -> bool {
         let table = self.summaries.table();
@@ -125,12 +125,12 @@
         fresh.any(|summary| !summary.supports_averaging)
     }
 
-    /// The fleet's pressure in thousandths (see [`Summaries::pressure`]), with ours at `own`.
+    /// The fleet's pressure in thousandths of capacity (see [`Summaries::pressure`]); `own` is that of this front end.
     pub fn pressure(&self, now: Micros, own: u32) -> u32 {
         self.summaries.table().summaries.pressure(now, own)
     }
 
-    /// Fresh summaries of peers.
+    /// The valid summaries of peers.
     pub fn summaries(&self, now: Micros) -> Vec<Summary> {
         let table = self.summaries.table();
         table.summaries.fresh(now).copied().collect()
--- a/wrenseam/src/fleet/swim/timers.rs
+++ b/wrenseam/src/fleet/swim/timers.rs
@@ -1,11 +1,11 @@
-//! Foca's timers, in the order in which they are due.
+//! A queue of foca's timers, ordered by due time.
 use crate::fleet::identity::PeerId;
 use foca::Timer;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 use wrenseam_policy::Micros;
 
-/// A timer and when it is due; of those due at the same time the one set first comes first.
+/// A timer and its due time; among timers due at the same time, the one set first comes first.
 #[derive(Debug, PartialEq, Eq)]
 struct TimerEntry {
     due: Micros,
@@ -25,15 +25,16 @@
     }
 }
 
-/// The timers that are set, by foca's time.
+/// The timers that are set; due times are on foca's clock.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     entries: BinaryHeap<Reverse<TimerEntry>>,
+    /// The number of the timer that was set last.
     seq: u64,
 }
 
 impl Timers {
-    /// Sets a timer.
+    /// Adds a timer that is due at `due`.
     pub(super) fn set(&mut self, timer: Timer<PeerId>, due: Micros) {
         self.seq += 1;
         self.entries.push(Reverse(TimerEntry {
@@ -43,17 +44,17 @@
         }));
     }
 
-    /// When the first is due.
+    /// When the next timer is due; `None` if none is set.
     pub(super) fn next_due(&self) -> Option<Micros> {
         self.entries.peek().map(|Reverse(entry)| entry.due)
     }
 
-    /// Takes the first.
+    /// Removes and returns the timer that is due next.
     pub(super) fn pop(&mut self) -> Option<Timer<PeerId>> {
         self.entries.pop().map(|Reverse(entry)| entry.timer)
     }
 
-    /// Drops all.
+    /// Removes all timers.
     pub(super) fn clear(&mut self) {
         self.entries.clear();
     }
