--- a/wrenseam/src/fleet/directory.rs
+++ b/wrenseam/src/fleet/directory.rs
@@ -1,44 +1,47 @@
-//! What one front end knows of the fleet's members: who is alive, who is gone, and everybody's record, with a
-//! digest by which two members see at once whether they hold the same. No I/O; time is handed in.
+//! The view that one front end has of the fleet: live members, tombstones of gone members, and the members' records. A
+//! digest shows two members whether their views are the same. No I/O; the caller passes the time.
 mod member;
 mod merge;
 
 pub use merge::MergeAction;
 
 use super::identity::{mix, PeerId};
-use super::member_digest::{member_digest_hash, part_of, short, Liveness, MemberDigest, PARTS};
+use super::member_digest::{
+    fold_to_u32, member_digest_hash, part_of, Liveness, MemberDigest, PARTS,
+};
 use super::record::{Lifecycle, Record};
 use member::Member;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// How long a member that is gone is remembered, in microseconds: a day. A front end that missed its end for longer can
-/// no longer tell of it (see `Swim::restart`), so that it does not come back by hearsay.
+/// How long the tombstone of a gone member is kept, in microseconds: one day. A front end that missed the member's end
+/// for as long has dropped its view (see `Swim::restart`), so that it cannot report the member as alive again.
 pub const TOMBSTONE_TTL: Micros = 86_400_000_000;
-/// Members gone that are remembered; beyond that those gone longest are forgotten.
+/// The most tombstones kept; when there are more, the oldest are removed.
 pub const MAX_TOMBSTONES: usize = 1024;
 
-/// A member that is gone, and since when: in order of the time.
+/// A gone member and when it went; ordered by that time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct GoneMember {
+struct Tombstone {
     since: Micros,
     id: PeerId,
 }
 
-/// Members and their records.
+/// This front end's record, and the other members with their records.
 pub struct Directory {
     own: Record,
     own_checksum: u32,
+    /// The other members, live and gone, by gossip address.
     members: BTreeMap<SocketAddr, Member>,
-    /// Where there were members before [`Directory::forget_all`], that are not known again.
+    /// The addresses of members dropped by [`Directory::forget_all`] that have not been alive since.
     lost: BTreeSet<SocketAddr>,
-    /// Of each part, the live members' hashes as one.
+    /// For each part of the view, the XOR of the hashes of its live members, this front end included.
     parts: [u64; PARTS],
 }
 
 impl Directory {
-    /// A directory that knows only its own front end.
+    /// A directory without other members.
     pub fn new(own: Record) -> Directory {
         let own_checksum = own.metadata.checksum();
         let mut directory = Directory {
@@ -48,7 +51,7 @@
             lost: BTreeSet::new(),
             parts: [0; PARTS],
         };
-        directory.toggle(directory.own_digest());
+        directory.toggle_hash(directory.own_digest());
         directory
     }
 
@@ -66,34 +69,34 @@
         }
     }
 
-    /// Puts this front end's own record in place; its stamp is the caller's to raise.
+    /// Replaces this front end's own record; the caller has to raise its stamp.
     pub fn set_own(&mut self, own: Record) {
-        self.toggle(self.own_digest());
+        self.toggle_hash(self.own_digest());
         self.own_checksum = own.metadata.checksum();
         self.own = own;
-        self.toggle(self.own_digest());
+        self.toggle_hash(self.own_digest());
     }
 
-    /// Takes a live member's hash out of the digest of its part, or puts it in.
-    fn toggle(&mut self, member_digest: MemberDigest) {
+    /// Adds a live member's hash to its part of the view, or removes it if it was added before.
+    fn toggle_hash(&mut self, member_digest: MemberDigest) {
         if !member_digest.liveness.is_gone() {
             self.parts[part_of(member_digest.owner)] ^= member_digest_hash(&member_digest);
         }
     }
 
-    /// Changes what is known of a member, and the digest with it.
-    fn change(&mut self, addr: SocketAddr, change: impl FnOnce(&mut Member)) {
+    /// Applies `change` to a known member and updates the view's digest.
+    fn update_member(&mut self, addr: SocketAddr, change: impl FnOnce(&mut Member)) {
         let Some(member) = self.members.get_mut(&addr) else {
             return;
         };
         let before = member.digest(addr);
         change(member);
         let after = member.digest(addr);
-        self.toggle(before);
-        self.toggle(after);
+        self.toggle_hash(before);
+        self.toggle_hash(after);
     }
 
-    /// Membership counts `id` alive since `now`.
+    /// Records that membership counts `id` as alive since `now`; adds it if it is not known.
     pub fn mark_alive(&mut self, now: Micros, id: PeerId) {
         if id.addr == self.own.owner {
             return;
@@ -102,40 +105,41 @@
         self.members
             .entry(id.addr)
             .or_insert_with(|| Member::new(id.incarnation, now));
-        self.change(id.addr, |member| member.revive(id.incarnation, now));
+        self.update_member(id.addr, |member| member.mark_alive(id.incarnation, now));
     }
 
-    /// Membership replaced an incarnation by `id`, without a change of who is alive.
+    /// Records that a live member has taken the larger incarnation `id`.
     pub fn update_incarnation(&mut self, id: PeerId) {
-        self.change(id.addr, |member| {
+        self.update_member(id.addr, |member| {
             member.incarnation = member.incarnation.max(id.incarnation);
         });
     }
 
-    /// Membership counts `id` out since `now`; how it went.
+    /// Records that membership counts `id` as gone since `now`. Returns whether it left or is down.
     pub fn mark_gone(&mut self, now: Micros, id: PeerId) -> Liveness {
-        let mut how = Liveness::Down;
-        self.change(id.addr, |member| {
-            how = member.end(id.incarnation, now);
+        let mut liveness = Liveness::Down;
+        self.update_member(id.addr, |member| {
+            liveness = member.mark_gone(id.incarnation, now);
         });
-        how
+        liveness
     }
 
-    /// A member said that it leaves: once membership counts it out, that is no failure.
+    /// Records that a member announced that it leaves: when membership then counts it as gone, it has left and not
+    /// failed.
     pub fn mark_leaving(&mut self, id: PeerId) {
         let member = self.members.get_mut(&id.addr);
         if let Some(member) = member.filter(|member| member.incarnation == id.incarnation) {
-            member.leaving = true;
+            member.announced_leave = true;
         }
     }
 
-    /// Whether there are live members that know no records: front ends of an earlier version.
+    /// Whether there are live members that do not support records: front ends of an earlier version.
     pub fn is_mixed(&self) -> bool {
         self.live_members()
             .any(|(_, member)| !member.supports_records())
     }
 
-    /// What is known of a member, or of this front end itself, in short.
+    /// The digest of a member, live or gone, or of this front end itself; `None` if it is not known.
     pub fn member_digest(&self, addr: SocketAddr) -> Option<MemberDigest> {
         if addr == self.own.owner {
             return Some(self.own_digest());
@@ -143,7 +147,7 @@
         self.members.get(&addr).map(|member| member.digest(addr))
     }
 
-    /// The record of a member's present incarnation, or this front end's own.
+    /// The record of a member's present incarnation, or of this front end; `None` if it is not known.
     pub fn record(&self, addr: SocketAddr) -> Option<Record> {
         if addr == self.own.owner {
             return Some(self.own.clone());
@@ -156,7 +160,7 @@
         })
     }
 
-    /// The digests of the live members in a set of parts, this front end among them.
+    /// The digests of the live members, this front end included, in a set of parts (one bit for each part).
     pub fn member_digests_in(&self, parts: u16) -> impl Iterator<Item = MemberDigest> + '_ {
         let own = std::iter::once(self.own_digest());
         let others = self
@@ -166,16 +170,16 @@
             .filter(move |member_digest| parts & (1 << part_of(member_digest.owner)) != 0)
     }
 
-    /// The digest of the whole view: who is alive, of which incarnation, with which record.
+    /// The digest of the whole view: of all live members' incarnations and records.
     pub fn digest(&self) -> u64 {
         self.parts
             .iter()
             .fold(0, |digest, &part| mix(digest ^ part))
     }
 
-    /// The view's digests by part.
+    /// The digest of each part of the view.
     pub fn part_digests(&self) -> [u32; PARTS] {
-        self.parts.map(short)
+        self.parts.map(fold_to_u32)
     }
 
     fn live_members(&self) -> impl Iterator<Item = (SocketAddr, &Member)> + '_ {
@@ -185,7 +189,7 @@
             .map(|(&addr, member)| (addr, member))
     }
 
-    /// Members counted alive besides this front end.
+    /// The live members other than this front end.
     pub fn alive(&self) -> impl Iterator<Item = PeerId> + '_ {
         self.live_members().map(|(addr, member)| PeerId {
             addr,
@@ -193,14 +197,15 @@
         })
     }
 
-    /// Live members that take part in repair: all but those that do not seem to know records.
+    /// The live members with which repairs are begun and to which rumors are sent: those that support records.
     pub fn repair_partners(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.live_members()
             .filter(|(_, member)| member.supports_records())
             .map(|(addr, _)| addr)
     }
 
-    /// Members declared down, or forgotten unheard: where a part of the fleet may have been cut off.
+    /// The addresses of members that are down, or were dropped by [`Directory::forget_all`]: a part of the fleet may be
+    /// there that was cut off from this one.
     pub fn lost(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         let down = self
             .members
@@ -209,14 +214,14 @@
         down.map(|(&addr, _)| addr).chain(self.lost.iter().copied())
     }
 
-    /// Members besides this front end that accept clients.
+    /// The members other than this front end that accept clients.
     pub fn ready(&self) -> impl Iterator<Item = SocketAddr> + '_ {
         self.live_members()
             .filter(|(_, member)| member.lifecycle() == Lifecycle::Ready)
             .map(|(addr, _)| addr)
     }
 
-    /// Members besides this front end by lifecycle, in the order of [`Lifecycle::ALL`].
+    /// The numbers of live members other than this front end by lifecycle, in the order of [`Lifecycle::ALL`].
     pub fn by_lifecycle(&self) -> [usize; Lifecycle::ALL.len()] {
         let mut counts = [0; Lifecycle::ALL.len()];
         for (_, member) in self.live_members() {
@@ -225,14 +230,14 @@
         counts
     }
 
-    /// A repair was begun with this member.
+    /// Counts a repair begun with this member as unanswered, until a record of it is merged.
     pub fn repair_started(&mut self, addr: SocketAddr) {
         if let Some(member) = self.members.get_mut(&addr) {
             member.unanswered_repairs = member.unanswered_repairs.saturating_add(1);
         }
     }
 
-    /// Forgets all members and their records, but for where they were.
+    /// Drops all members and their records. Only the addresses of those that have not left are kept.
     pub fn forget_all(&mut self) {
         let members = std::mem::take(&mut self.members);
         let lost = members
@@ -243,31 +248,32 @@
             self.lost.pop_first();
         }
         self.parts = [0; PARTS];
-        self.toggle(self.own_digest());
+        self.toggle_hash(self.own_digest());
     }
 
-    /// Forgets members gone for longer than [`TOMBSTONE_TTL`], and the oldest beyond [`MAX_TOMBSTONES`]; who they were.
+    /// Removes tombstones older than [`TOMBSTONE_TTL`], and the oldest beyond [`MAX_TOMBSTONES`]. Returns the members
+    /// removed.
     pub fn expire_tombstones(&mut self, now: Micros) -> Vec<PeerId> {
-        let mut gone = self.gone_members();
-        gone.sort_unstable_by(|earlier, later| later.cmp(earlier));
-        let remembered = gone
+        let mut tombstones = self.tombstones();
+        tombstones.sort_unstable_by(|earlier, later| later.cmp(earlier));
+        let kept = tombstones
             .iter()
             .take(MAX_TOMBSTONES)
-            .take_while(|member| now.saturating_sub(member.since) < TOMBSTONE_TTL)
+            .take_while(|tombstone| now.saturating_sub(tombstone.since) < TOMBSTONE_TTL)
             .count();
-        let forgotten = gone.split_off(remembered);
-        for member in &forgotten {
-            self.members.remove(&member.id.addr);
+        let expired = tombstones.split_off(kept);
+        for tombstone in &expired {
+            self.members.remove(&tombstone.id.addr);
         }
-        forgotten.into_iter().map(|member| member.id).collect()
+        expired.into_iter().map(|tombstone| tombstone.id).collect()
     }
 
-    fn gone_members(&self) -> Vec<GoneMember> {
+    fn tombstones(&self) -> Vec<Tombstone> {
         let gone = self
             .members
             .iter()
             .filter(|(_, member)| member.liveness.is_gone());
-        gone.map(|(&addr, member)| GoneMember {
+        gone.map(|(&addr, member)| Tombstone {
             since: member.since,
             id: PeerId {
                 addr,
--- a/wrenseam/src/fleet/directory/member.rs
+++ b/wrenseam/src/fleet/directory/member.rs
@@ -1,13 +1,13 @@
-//! What the directory knows of one member. No I/O.
+//! The directory's entry of one member. No I/O.
 use crate::fleet::member_digest::{Liveness, MemberDigest};
 use crate::fleet::record::{Lifecycle, Metadata, Stamp};
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// Repairs that a member may leave unanswered before it counts as one that knows no records.
+/// Consecutive unanswered repairs from which on a member counts as one that does not support records.
 const MAX_UNANSWERED_REPAIRS: u8 = 3;
 
-/// The replica of a member's record, and the newest stamp under which its content is known to stand.
+/// The replica of a member's record, under the newest stamp that its content is known to have.
 #[derive(Clone, Debug)]
 pub(super) struct RecordReplica {
     pub(super) stamp: Stamp,
@@ -15,52 +15,52 @@
     pub(super) checksum: u32,
 }
 
-/// One member.
+/// A member other than this front end, live or gone.
 #[derive(Clone, Debug)]
 pub(super) struct Member {
     pub(super) incarnation: u64,
     pub(super) liveness: Liveness,
-    /// Since when it is alive, or gone.
+    /// When it came up, or went down or left.
     pub(super) since: Micros,
-    /// Its record, be it of its present incarnation or of a former one.
+    /// Its record, which may be of a former incarnation.
     pub(super) record: Option<RecordReplica>,
-    /// Whether it said that it leaves.
-    pub(super) leaving: bool,
-    /// Repairs begun with it in a row that it did not answer in any way.
+    /// Whether it announced that it leaves.
+    pub(super) announced_leave: bool,
+    /// Repairs begun with it since its record was last merged or it came up with a known record.
     pub(super) unanswered_repairs: u8,
 }
 
 impl Member {
-    /// A member of which nothing is known but that there is this incarnation; not counted alive yet.
+    /// A member without a record, not alive yet.
     pub(super) fn new(incarnation: u64, now: Micros) -> Member {
         Member {
             incarnation,
             liveness: Liveness::Down,
             since: now,
             record: None,
-            leaving: false,
+            announced_leave: false,
             unanswered_repairs: 0,
         }
     }
 
-    /// It is alive in this incarnation.
-    pub(super) fn revive(&mut self, incarnation: u64, now: Micros) {
+    /// Records that it is alive in this incarnation.
+    pub(super) fn mark_alive(&mut self, incarnation: u64, now: Micros) {
         self.incarnation = incarnation;
         self.liveness = Liveness::Alive;
         self.since = now;
-        self.leaving = false;
+        self.announced_leave = false;
         if self.record.is_some() {
             self.unanswered_repairs = 0;
         }
     }
 
-    /// This incarnation of it is gone; how it went.
-    pub(super) fn end(&mut self, incarnation: u64, now: Micros) -> Liveness {
-        let is_same = self.incarnation == incarnation;
-        let said_so = self.leaving || self.liveness == Liveness::Left;
+    /// Records that this incarnation of it is gone. Returns whether it left or is down.
+    pub(super) fn mark_gone(&mut self, incarnation: u64, now: Micros) -> Liveness {
+        let is_same_incarnation = self.incarnation == incarnation;
+        let announced_leave = self.announced_leave || self.liveness == Liveness::Left;
         self.incarnation = incarnation;
         self.since = now;
-        self.liveness = if is_same && said_so {
+        self.liveness = if is_same_incarnation && announced_leave {
             Liveness::Left
         } else {
             Liveness::Down
@@ -68,26 +68,27 @@
         self.liveness
     }
 
-    /// The record of its present incarnation.
+    /// The record of its present incarnation; `None` if none is known.
     pub(super) fn current_record(&self) -> Option<&RecordReplica> {
         self.record
             .as_ref()
             .filter(|replica| replica.stamp.incarnation == self.incarnation)
     }
 
-    /// What it is doing; without a record (a front end of an earlier version, or one just heard of) it counts as ready.
+    /// Its published state. Without a record, as of a front end of an earlier version or a member that has just come
+    /// up, it counts as ready.
     pub(super) fn lifecycle(&self) -> Lifecycle {
         self.current_record()
             .map_or(Lifecycle::Ready, |replica| replica.metadata.lifecycle)
     }
 
-    /// Whether it has a record, or has not left too many repairs unanswered: front ends of an earlier version never
-    /// answer.
+    /// Whether it supports records, as far as known: a record of it is known, or it has not left too many repairs
+    /// unanswered. Front ends of an earlier version never answer them.
     pub(super) fn supports_records(&self) -> bool {
         self.record.is_some() || self.unanswered_repairs < MAX_UNANSWERED_REPAIRS
     }
 
-    /// The version and checksum of its record; zeros for none.
+    /// The version and checksum of its present incarnation's record; zeros if none is known.
     pub(super) fn content(&self) -> RecordContent {
         self.current_record()
             .map_or(RecordContent::default(), |replica| RecordContent {
@@ -96,7 +97,7 @@
             })
     }
 
-    /// All this in short, of the member at `owner`.
+    /// Its digest, for the member at `owner`.
     pub(super) fn digest(&self, owner: SocketAddr) -> MemberDigest {
         let content = self.content();
         MemberDigest {
@@ -111,8 +112,8 @@
     }
 }
 
-/// Which content a record of one incarnation has: the larger version is newer, and the checksum breaks a tie the same
-/// way everywhere.
+/// Orders the records of one incarnation: the larger version is newer. On equal versions the larger checksum wins, so
+/// that all members keep the same record.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RecordContent {
     pub(super) version: u32,
--- a/wrenseam/src/fleet/directory/merge.rs
+++ b/wrenseam/src/fleet/directory/merge.rs
@@ -1,34 +1,35 @@
-//! What a member digest or a record from another member changes in the directory. No I/O.
+//! Merges member digests and records from other members into the directory. No I/O.
 use super::member::{RecordContent, RecordReplica};
 use super::Directory;
 use crate::fleet::member_digest::{Liveness, MemberDigest};
 use crate::fleet::record::Record;
 use std::cmp::Ordering;
 
-/// What follows from another member's digest of a member. Only the owner writes a record, so the larger
-/// (incarnation, version) wins, and among equal incarnations gone wins over alive.
+/// What to do with another member's digest of a member. As only its owner writes a record, the larger stamp
+/// (incarnation, version) wins; for the same incarnation, gone wins over alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeAction {
-    /// Both know the same, or neither has anything that the other needs.
+    /// Nothing: both know the same, or neither has anything that the other needs.
     NoChange,
-    /// Ours is newer: the other gets it.
+    /// Send our digest, which is newer.
     SendNewer,
-    /// A member, or an incarnation of it, that is not known here.
+    /// Add the member, or its incarnation, which is not known here.
     AddMember,
-    /// A newer record of a known incarnation.
+    /// Fetch the record, which is a newer one of an incarnation known here.
     FetchRecord,
-    /// A newer stamp on the content known here.
+    /// Take the stamp, which is a newer one of the content known here.
     AdoptStamp,
-    /// The other counts as gone a member that is alive here: the member itself is queried first.
+    /// Query the member, which is alive here but gone for the other member.
     CheckLiveness,
-    /// The member said that it leaves.
+    /// Count the member as gone; it announced that it leaves.
     MarkLeft,
-    /// The digest says of us what we did not publish, or counts our incarnation as gone: a larger stamp refutes it.
+    /// Publish our record under a larger stamp: the digest contradicts what we published, or counts our incarnation as
+    /// gone.
     Refute,
 }
 
 impl Directory {
-    /// What follows from another member's digest of a member.
+    /// What to do with another member's digest of a member.
     pub fn merge_action(&self, remote: &MemberDigest) -> MergeAction {
         if remote.owner == self.own.owner {
             return self.own_merge_action(remote);
@@ -55,13 +56,13 @@
         }
     }
 
-    /// The digest is of ourselves.
+    /// What to do with another member's digest of this front end.
     fn own_merge_action(&self, remote: &MemberDigest) -> MergeAction {
         let own = self.own_digest();
         let is_gone =
             remote.liveness.is_gone() && remote.stamp.incarnation >= own.stamp.incarnation;
-        let is_foreign_content = remote.stamp == own.stamp && remote.checksum != own.checksum;
-        if is_gone || is_foreign_content || remote.stamp > own.stamp {
+        let has_other_content = remote.stamp == own.stamp && remote.checksum != own.checksum;
+        if is_gone || has_other_content || remote.stamp > own.stamp {
             MergeAction::Refute
         } else if remote.stamp < own.stamp {
             MergeAction::SendNewer
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Both count the same incarnation alive.
+    /// What to do with another member's digest of a member that is alive in the same incarnation for both.
     fn record_merge_action(&self, local: &MemberDigest, remote: &MemberDigest) -> MergeAction {
         match content_of(remote).cmp(&content_of(local)) {
             Ordering::Equal => MergeAction::NoChange,
@@ -80,17 +81,18 @@
         }
     }
 
-    /// Whether the content that a member digest is of is known here, if under an older stamp.
+    /// Whether the record content that a digest describes is known here, possibly under an older stamp.
     pub fn has_content(&self, remote: &MemberDigest) -> bool {
         let member = self.members.get(&remote.owner);
         let replica = member.and_then(|member| member.record.as_ref());
         remote.checksum != 0 && replica.is_some_and(|replica| replica.checksum == remote.checksum)
     }
 
-    /// Takes a newer stamp for the content known here; the caller has found that it is to be taken.
+    /// Takes a digest's stamp for the record known here, if it is newer. The caller has checked that the content is the
+    /// same.
     pub fn adopt_stamp(&mut self, remote: &MemberDigest) {
         let stamp = remote.stamp;
-        self.change(remote.owner, |member| {
+        self.update_member(remote.owner, |member| {
             let replica = member.record.as_mut();
             if let Some(replica) = replica.filter(|replica| replica.stamp < stamp) {
                 replica.stamp = stamp;
@@ -98,8 +100,8 @@
         });
     }
 
-    /// Takes a member's record unless the one known is as new; whether it was taken. Its incarnation has to be the
-    /// one that membership counts.
+    /// Stores a member's record if it is newer than the one known and of the incarnation that membership counts.
+    /// Returns whether it was stored.
     pub fn merge_record(&mut self, record: Record) -> bool {
         let Some(member) = self.members.get(&record.owner) else {
             return false;
@@ -117,7 +119,7 @@
             metadata: record.metadata,
             checksum: content.checksum,
         };
-        self.change(record.owner, |member| {
+        self.update_member(record.owner, |member| {
             member.record = Some(replica);
             member.unanswered_repairs = 0;
         });
--- a/wrenseam/src/fleet/liveness_check.rs
+++ b/wrenseam/src/fleet/liveness_check.rs
@@ -1,63 +1,66 @@
-//! Members whose liveness is being checked, because another member counts them as gone while they are alive here. No
-//! I/O; time is handed in.
+//! Liveness checks: a member that is alive here but gone for another member is queried before it is declared down. No
+//! I/O; the caller passes the time.
 use super::identity::PeerId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// Checks at once; of further members the next repair reports again.
+/// The most concurrent checks. Further members are not checked now; the next repair reports them again.
 const MAX_CHECKS: usize = 24;
-/// The pause between queries doubles up to this exponent.
-const MAX_BACKOFF_EXPONENT: u32 = 2;
+/// How many times the pause between queries doubles at most.
+const MAX_PAUSE_DOUBLINGS: u32 = 2;
 
-/// One member that is being checked.
+/// The check of one member.
 #[derive(Clone, Copy, Debug)]
 struct LivenessCheck {
     id: PeerId,
-    began: Micros,
-    query_at: Micros,
+    started_at: Micros,
+    /// When the next query is due.
+    next_query_at: Micros,
+    /// Queries sent so far.
     queries: u32,
 }
 
-/// What is to be done about a member that is being checked.
+/// What the caller has to do for a check that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CheckAction {
-    /// It is to be queried.
+    /// Query the member.
     Query {
-        /// The incarnation that is checked.
+        /// The member, and the incarnation that is checked.
         id: PeerId,
-        /// Whether it did not answer a query before: others may have a way to it.
-        is_repeat: bool,
+        /// Whether an earlier query had no reply: the query also goes through relays, which may still reach the member.
+        is_retry: bool,
     },
-    /// Its time to answer is up.
+    /// The time to answer is over.
     Expired {
-        /// The incarnation that is checked.
+        /// The member, and the incarnation that is checked.
         id: PeerId,
-        /// When it was first queried.
-        began: Micros,
+        /// When the check began, with the first query.
+        started_at: Micros,
     },
 }
 
-/// The checks under way.
+/// All checks under way, one per member at most.
 #[derive(Debug)]
 pub struct LivenessChecks {
     checks: BTreeMap<SocketAddr, LivenessCheck>,
     query_pause: Micros,
-    answer_within: Micros,
+    reply_timeout: Micros,
 }
 
 impl LivenessChecks {
-    /// Queries are `query_pause` apart at first, then the pause doubles each time up to a limit; a member has
-    /// `answer_within` to answer.
-    pub fn new(query_pause: Micros, answer_within: Micros) -> LivenessChecks {
+    /// No checks. `query_pause` is the first pause between the queries of a check, which then doubles up to a limit;
+    /// `reply_timeout` is the time that a member has to answer. Both are in microseconds.
+    pub fn new(query_pause: Micros, reply_timeout: Micros) -> LivenessChecks {
         LivenessChecks {
             checks: BTreeMap::new(),
             query_pause,
-            answer_within,
+            reply_timeout,
         }
     }
 
-    /// Another member counts `id` as gone, which is alive here.
+    /// Begins a check of `id`, which another member counts as gone, unless this or a later incarnation is being checked
+    /// or there are too many checks.
     pub fn open(&mut self, now: Micros, id: PeerId) {
         let open = self.checks.get(&id.addr);
         if open.is_some_and(|check| check.id.incarnation >= id.incarnation) {
@@ -68,19 +71,19 @@
         }
         let check = LivenessCheck {
             id,
-            began: now,
-            query_at: now,
+            started_at: now,
+            next_query_at: now,
             queries: 0,
         };
         self.checks.insert(id.addr, check);
     }
 
-    /// Ends the check of a member that is gone here too.
+    /// Ends the check of a member that is now gone here too.
     pub fn member_gone(&mut self, id: PeerId) {
         self.checks.remove(&id.addr);
     }
 
-    /// Ends the check of a member that is alive in a larger incarnation.
+    /// Ends the check of a member if `id` is a larger incarnation of it than the one that is checked.
     pub fn member_alive(&mut self, id: PeerId) {
         let open = self.checks.get(&id.addr);
         if open.is_some_and(|check| check.id.incarnation < id.incarnation) {
@@ -88,16 +91,16 @@
         }
     }
 
-    /// What is due at `now`.
+    /// What has to be done at `now`; each check's next action is scheduled.
     pub fn due(&mut self, now: Micros) -> Vec<CheckAction> {
         let mut actions = Vec::new();
         for check in self.checks.values_mut() {
-            if now < check.query_at {
+            if now < check.next_query_at {
                 continue;
             }
-            actions.push(check.action(now, self.answer_within));
-            let pause = self.query_pause << check.queries.min(MAX_BACKOFF_EXPONENT);
-            check.query_at = now + pause;
+            actions.push(check.action(now, self.reply_timeout));
+            let pause = self.query_pause << check.queries.min(MAX_PAUSE_DOUBLINGS);
+            check.next_query_at = now + pause;
             check.queries += 1;
         }
         actions
@@ -105,16 +108,16 @@
 }
 
 impl LivenessCheck {
-    fn action(&self, now: Micros, answer_within: Micros) -> CheckAction {
-        if now.saturating_sub(self.began) >= answer_within {
+    fn action(&self, now: Micros, reply_timeout: Micros) -> CheckAction {
+        if now.saturating_sub(self.started_at) >= reply_timeout {
             CheckAction::Expired {
                 id: self.id,
-                began: self.began,
+                started_at: self.started_at,
             }
         } else {
             CheckAction::Query {
                 id: self.id,
-                is_repeat: self.queries > 0,
+                is_retry: self.queries > 0,
             }
         }
     }
--- a/wrenseam/src/fleet/member_digest.rs
+++ b/wrenseam/src/fleet/member_digest.rs
@@ -1,24 +1,26 @@
-//! The digest of what one member knows of another, and its hash: what anti-entropy repair compares. No I/O.
+//! Member digests, which summarize what one member knows of another, and their hashes. Anti-entropy repair compares
+//! both. No I/O.
 use super::identity::{address_hash, mix};
 use super::record::Stamp;
 use std::net::SocketAddr;
 
-/// Parts of a view that have a digest each; a bit each in a message's set of parts.
+/// The number of parts that a view is split into, by member address. Each part has a digest, and a bit in a message's
+/// set of parts.
 pub const PARTS: usize = 16;
 
-/// Whether a member is in the fleet.
+/// Whether a member is in the fleet, and if not, how it went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// Counted alive.
+    /// In the fleet.
     Alive,
-    /// It left after it said so.
+    /// Left after it announced that.
     Left,
     /// Declared down.
     Down,
 }
 
 impl Liveness {
-    /// The number that stands for it on the wire; members of other versions rely on it.
+    /// The code on the wire; it must not change, as members of other versions use it.
     pub(super) fn wire_code(self) -> u8 {
         match self {
             Liveness::Alive => 0,
@@ -27,7 +29,7 @@
         }
     }
 
-    /// Reads what [`Liveness::wire_code`] gave.
+    /// The inverse of [`Liveness::wire_code`]; `None` for an unknown code.
     pub(super) fn from_wire_code(code: u8) -> Option<Liveness> {
         match code {
             0 => Some(Liveness::Alive),
@@ -37,42 +39,42 @@
         }
     }
 
-    /// Whether it is no longer in the fleet.
+    /// Whether the member is no longer in the fleet.
     pub fn is_gone(self) -> bool {
         self != Liveness::Alive
     }
 }
 
-/// What some member knows of a member, in short.
+/// A summary of what one member knows of another, or of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberDigest {
-    /// The member.
+    /// The gossip address of the member that the digest is about.
     pub owner: SocketAddr,
-    /// Its incarnation, and the version of the record known; version 0: none.
+    /// Its incarnation and the version of its record; version 0 if no record is known.
     pub stamp: Stamp,
     /// Whether it is in the fleet.
     pub liveness: Liveness,
-    /// The checksum of the record's content; 0: no record.
+    /// The checksum of the record's content; 0 if no record is known.
     pub checksum: u32,
 }
 
-/// The part of the view that a member is in.
+/// The index of the part of the view that a member belongs to.
 pub(super) fn part_of(addr: SocketAddr) -> usize {
     (mix(address_hash(addr)) % PARTS as u64) as usize
 }
 
-/// A hash of all that a member digest says; the digests of parts are made of these.
+/// A hash of a member digest without its liveness; a part's digest is the XOR of those of its live members.
 pub(super) fn member_digest_hash(member_digest: &MemberDigest) -> u64 {
     let content = u64::from(member_digest.stamp.version) << 32 | u64::from(member_digest.checksum);
     mix(mix(mix(address_hash(member_digest.owner)) ^ member_digest.stamp.incarnation) ^ content)
 }
 
-/// A member digest's hash as messages carry it.
+/// The hash of a member digest in the 32 bits that messages carry.
 pub fn short_hash(member_digest: &MemberDigest) -> u32 {
-    short(member_digest_hash(member_digest))
+    fold_to_u32(member_digest_hash(member_digest))
 }
 
 /// Folds a hash to the 32 bits that messages carry.
-pub(super) fn short(hash: u64) -> u32 {
+pub(super) fn fold_to_u32(hash: u64) -> u32 {
     (hash ^ (hash >> 32)) as u32
 }
--- a/wrenseam/src/fleet/members.rs
+++ b/wrenseam/src/fleet/members.rs
@@ -1,5 +1,5 @@
-//! Who is in the fleet and what each member publishes about itself: membership ([`Swim`]), the records
-//! ([`Directory`]), and the datagrams that keep both the same everywhere. No I/O; docs/fleet-view.md has the design.
+//! Membership ([`Swim`]) combined with the record that each member publishes about itself ([`Directory`]), and the
+//! datagrams by which all members' views of both converge. No I/O; docs/fleet-view.md has the design.
 mod exchange;
 mod periodic;
 
@@ -17,40 +17,42 @@
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// Members that are notified at once that this front end leaves.
-const NOTIFIED_OF_LEAVE: usize = 16;
-/// A process that did not run for so long, in microseconds, knows nothing that is still worth telling: it begins anew.
-const STALE_AFTER: Micros = 60_000_000;
-/// Rounds of rumors in a probe period.
-const RUMOR_ROUNDS_A_PROBE: Micros = 4;
-/// Rounds of queries in a probe period.
-const QUERY_ROUNDS_A_PROBE: Micros = 2;
-/// Mixed into the seed, so that the records draw other numbers than membership.
+/// Random members that this front end sends its last record to when it leaves.
+const LEAVE_FANOUT: usize = 16;
+/// The longest stall of the process, in microseconds, after which its view of the fleet is still used. After a longer
+/// one it is out of date and dropped before it spreads.
+const MAX_STALL: Micros = 60_000_000;
+/// Rounds of rumor mongering in a probe period.
+const RUMOR_ROUNDS_PER_PROBE: Micros = 4;
+/// Rounds of alive queries in a probe period.
+const QUERY_ROUNDS_PER_PROBE: Micros = 2;
+/// XORed with the seed, so that the records' random numbers differ from those of [`Swim`].
 const SEED_SALT: u64 = 0x7265_636f;
 
-/// What became of the datagrams of records, counted.
+/// Counters of the record datagrams and of what they changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RecordCounts {
-    /// Dropped: cut short, a checksum or a bound not kept, or of an unknown form.
+    /// Datagrams dropped because they cannot be decoded: truncated, with a wrong checksum, with a value out of bounds,
+    /// or of an unknown kind or format.
     pub garbled: u64,
-    /// Dropped: from a sender that is no member, or whose incarnation is past.
+    /// Datagrams dropped because the sender has our own address, or an incarnation that is outdated or counted as gone.
     pub rejected_sender: u64,
-    /// Records and member digests of what this front end never published.
+    /// Records and member digests about this front end that contradict what it published, which it refuted.
     pub refuted: u64,
-    /// Repairs in which the views differed.
+    /// Repairs begun by other members in which the views differed, and which were answered.
     pub repairs: u64,
-    /// Records taken because they were newer.
+    /// Records of other members merged because they were newer than those known.
     pub merged: u64,
-    /// Own records that were beyond their bounds and not published.
+    /// Own records that were not published because they exceed a bound of [`Record::encode`].
     pub unpublished: u64,
 }
 
-/// The digest of the whole view.
+/// The digest of this front end's view of the fleet; members with the same view have the same digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ViewDigest {
-    /// The digest.
+    /// The digest (see [`Directory::digest`]).
     pub value: u64,
-    /// Since when it has stood.
+    /// When it last changed, in microseconds.
     pub since: Micros,
 }
 
@@ -63,26 +65,31 @@
     repair_schedule: RepairSchedule,
     rng: SmallRng,
     header: [u8; HEADER_BYTES],
-    probe: Micros,
-    /// After how long without any datagram this front end takes itself for cut off.
-    isolated_after: Micros,
-    /// When there was last nobody to hear, or the process had not run: silence counts from then on.
-    silence_excused_at: Micros,
-    rumor_at: Micros,
-    query_at: Micros,
-    leaving: bool,
+    probe_period: Micros,
+    /// How long no datagram may arrive before this front end considers itself cut off.
+    isolation_timeout: Micros,
+    /// Silence counts from here on at the earliest: when this front end last had no live peer, or the process stalled.
+    silence_counts_from: Micros,
+    /// When the next round of rumors is due.
+    next_rumor_at: Micros,
+    /// When the next round of alive queries is due.
+    next_query_at: Micros,
+    /// Whether this front end has left: it then sends and handles nothing more.
+    has_left: bool,
     outbox: Vec<Outgoing>,
     events: Vec<TimedPeerEvent>,
+    /// Whether members or records may have changed since [`Members::changed`] was last called.
     changed: bool,
-    /// Whether the byte budget leaves no room for a complete repair: none is begun, and no rumor passed on.
+    /// Whether the byte budget is too low for a complete repair: no repair is begun or answered, and no rumor
+    /// forwarded.
     is_budget_low: bool,
     view_digest: ViewDigest,
-    /// What became of the datagrams of records.
+    /// Counters of the record datagrams.
     pub counts: RecordCounts,
 }
 
 impl Members {
-    /// The front end at `own` in its `incarnation`, which publishes this about itself.
+    /// The state of a front end that knows no peers and publishes `metadata`; `seed` is for random numbers.
     pub fn new(own: PeerId, metadata: Metadata, settings: SwimSettings, seed: u64) -> Members {
         let swim = Swim::new(own.addr, own.incarnation, settings, seed);
         let directory = Directory::new(Record {
@@ -94,7 +101,7 @@
             metadata,
         });
         let mut rng = SmallRng::seed_from_u64(seed ^ SEED_SALT);
-        let probe = settings.probe_period.max(MIN_PROBE_PERIOD);
+        let probe_period = settings.probe_period.max(MIN_PROBE_PERIOD);
         let view_digest = ViewDigest {
             value: directory.digest(),
             since: 0,
@@ -104,18 +111,18 @@
             directory,
             rumors: RumorQueue::default(),
             liveness_checks: LivenessChecks::new(
-                probe / QUERY_ROUNDS_A_PROBE,
-                settings.suspicion_timeout + probe,
+                probe_period / QUERY_ROUNDS_PER_PROBE,
+                settings.suspicion_timeout + probe_period,
             ),
-            repair_schedule: RepairSchedule::new(probe, &mut rng),
-            rumor_at: rng.random_range(0..probe / RUMOR_ROUNDS_A_PROBE),
-            query_at: rng.random_range(0..probe / QUERY_ROUNDS_A_PROBE),
+            repair_schedule: RepairSchedule::new(probe_period, &mut rng),
+            next_rumor_at: rng.random_range(0..probe_period / RUMOR_ROUNDS_PER_PROBE),
+            next_query_at: rng.random_range(0..probe_period / QUERY_ROUNDS_PER_PROBE),
             rng,
             header: header(RECORDS_VERSION, settings.cluster),
-            probe,
-            isolated_after: 2 * (settings.suspicion_timeout + 2 * probe),
-            silence_excused_at: 0,
-            leaving: false,
+            probe_period,
+            isolation_timeout: 2 * (settings.suspicion_timeout + 2 * probe_period),
+            silence_counts_from: 0,
+            has_left: false,
             outbox: Vec::new(),
             events: Vec::new(),
             changed: true,
@@ -125,27 +132,28 @@
         }
     }
 
-    /// Whether the byte budget leaves no room for a complete repair.
+    /// Sets whether the byte budget is too low for a complete repair: no repair is begun or answered then, and no rumor
+    /// forwarded.
     pub fn set_budget_low(&mut self, is_budget_low: bool) {
         self.is_budget_low = is_budget_low;
     }
 
-    /// Membership.
+    /// The SWIM membership.
     pub fn swim(&mut self) -> &mut Swim {
         &mut self.swim
     }
 
-    /// Members and their records.
+    /// The members and their records, as this front end knows them.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
 
-    /// Peers counted alive.
+    /// The number of live peers.
     pub fn alive(&self) -> usize {
         self.swim.alive()
     }
 
-    /// The other members that accept clients, if this front end does so itself; else none.
+    /// The other members that accept clients; empty unless this front end accepts clients itself.
     pub fn ready(&self) -> Vec<SocketAddr> {
         if self.directory.own().metadata.lifecycle != Lifecycle::Ready {
             return Vec::new();
@@ -160,27 +168,27 @@
         own_change || swim_change
     }
 
-    /// The digest of the whole view, and since when it has stood.
+    /// The digest of this front end's view of the fleet.
     pub fn view_digest(&self) -> ViewDigest {
         self.view_digest
     }
 
-    /// Datagrams to send; they are the caller's from then on.
+    /// Takes the datagrams to send.
     pub fn outbox(&mut self) -> Vec<Outgoing> {
         let mut out = self.swim.outbox();
         out.append(&mut self.outbox);
         out
     }
 
-    /// Changes of membership since the last call.
+    /// Takes the changes of membership since the last call.
     pub fn events(&mut self) -> Vec<TimedPeerEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// Changes what this front end publishes about itself.
+    /// Replaces what this front end publishes about itself; no new version is published if nothing changed.
     ///
     /// # Errors
-    /// [`RecordError`] where the record would be beyond its bounds; the former one stays.
+    /// [`RecordError`] if the record would exceed a bound; the former one stays published.
     pub fn set_metadata(&mut self, now: Micros, metadata: Metadata) -> Result<(), RecordError> {
         if metadata == self.directory.own().metadata {
             return Ok(());
@@ -197,9 +205,10 @@
         Ok(())
     }
 
-    /// Publishes these metadata under a stamp larger than `past`.
-    fn publish_own(&mut self, now: Micros, metadata: Metadata, past: Stamp) {
-        let Some(stamp) = past.max(self.directory.own().stamp).next() else {
+    /// Publishes our record with this metadata under a stamp larger than `above` and than our present one; a larger
+    /// incarnation is also taken by membership.
+    fn publish_own(&mut self, now: Micros, metadata: Metadata, above: Stamp) {
+        let Some(stamp) = above.max(self.directory.own().stamp).next() else {
             return;
         };
         let owner = self.directory.own().owner;
@@ -212,82 +221,85 @@
             self.swim.renew(now, stamp.incarnation);
         }
         self.rumors.push_own(owner);
-        self.rumor_at = self.rumor_at.min(now);
+        self.next_rumor_at = self.next_rumor_at.min(now);
         self.repair_schedule.views_differ(now);
         self.sync_directory(now);
     }
 
-    /// Publishes what we published before under a stamp larger than `past`.
-    fn republish_own(&mut self, now: Micros, past: Stamp) {
+    /// Publishes our record unchanged under a stamp larger than `above`.
+    fn republish_own(&mut self, now: Micros, above: Stamp) {
         let metadata = self.directory.own().metadata.clone();
-        self.publish_own(now, metadata, past);
+        self.publish_own(now, metadata, above);
     }
 
-    /// Notifies the fleet that this front end leaves; it takes part in nothing from here on.
+    /// Publishes that this front end leaves, then ends all its gossip. Later calls do nothing.
     pub fn leave(&mut self, now: Micros) {
-        if self.leaving {
+        if self.has_left {
             return;
         }
         let metadata = Metadata {
             lifecycle: Lifecycle::Leaving,
             ..self.directory.own().metadata.clone()
         };
-        let _ = self.set_metadata(now, metadata); // no larger than the one before
+        let _ = self.set_metadata(now, metadata); // the record's size does not change
         let own = self.directory.own().clone();
         let peers: Vec<SocketAddr> = self.directory.alive().map(|id| id.addr).collect();
-        for to in pick(&mut self.rng, peers, NOTIFIED_OF_LEAVE) {
+        for to in choose_random(&mut self.rng, peers, LEAVE_FANOUT) {
             let message = Message::Records {
                 is_update: true,
                 records: vec![own.clone()],
             };
             self.send(to, TrafficKind::Probe, message);
         }
-        self.leaving = true;
+        self.has_left = true;
         self.swim.leave(now, self.directory.is_mixed());
         self.sync_directory(now);
     }
 
-    /// When [`Members::tick`] is wanted next.
+    /// When [`Members::tick`] is due next; `Micros::MAX` after this front end has left.
     pub fn next_wakeup(&self) -> Micros {
-        if self.leaving {
+        if self.has_left {
             return Micros::MAX;
         }
-        let mut next = self.repair_schedule.next_at().min(self.query_at);
+        let mut next = self.repair_schedule.next_at().min(self.next_query_at);
         if !self.rumors.is_empty() {
-            next = next.min(self.rumor_at);
+            next = next.min(self.next_rumor_at);
         }
         self.swim.next_wakeup().unwrap_or(Micros::MAX).min(next)
     }
 
-    /// The process did not run for so long, up to now.
+    /// Accounts for a `span` up to `now` in which the process did not run; after more than `MAX_STALL` the view of the
+    /// fleet is dropped.
     pub fn handle_stall(&mut self, now: Micros, span: Micros) {
         self.swim.handle_stall(span);
-        self.silence_excused_at = now;
+        self.silence_counts_from = now;
         self.sync_directory(now);
-        if span > STALE_AFTER {
+        if span > MAX_STALL {
             self.restart(now);
         }
     }
 
-    /// Begins anew as a front end that knows nobody, but where there were others: what it knew of them is out of date.
+    /// Drops all members and records, as they are out of date, and continues under the next incarnation. Only the
+    /// addresses of former members are kept, to rejoin through them.
     fn restart(&mut self, now: Micros) {
         self.swim.restart(now);
         self.directory.forget_all();
         self.sync_directory(now);
     }
 
-    /// Brings the directory in line with what membership noticed, and our own record with our incarnation.
+    /// Applies the changes of membership to the directory, republishes our record if our incarnation was raised, and
+    /// updates the view's digest.
     fn sync_directory(&mut self, now: Micros) {
         for timed in self.swim.events() {
             self.apply_event(now, timed);
         }
         let incarnation = self.swim.own().incarnation;
         if incarnation > self.directory.own().stamp.incarnation {
-            let past = Stamp {
+            let above = Stamp {
                 incarnation,
                 version: 0,
             };
-            self.republish_own(now, past);
+            self.republish_own(now, above);
         }
         let digest = self.directory.digest();
         if digest != self.view_digest.value {
@@ -299,8 +311,8 @@
         }
     }
 
-    /// Takes a change of membership over into the directory, and notes it; a member that goes after it said so is noted
-    /// as one that left.
+    /// Applies a change of membership to the directory and queues it as an event; a member that goes down after it
+    /// announced its leave is reported as [`PeerEvent::Left`].
     fn apply_event(&mut self, now: Micros, timed: TimedPeerEvent) {
         let TimedPeerEvent { at, mut event } = timed;
         match event {
@@ -325,7 +337,7 @@
         self.events.push(TimedPeerEvent { at, event });
     }
 
-    /// Sends a message to another member; one that is beyond its bounds is not sent.
+    /// Queues a message to another member. One that is too large, or that is to ourselves, is dropped.
     fn send(&mut self, to: SocketAddr, kind: TrafficKind, message: Message) {
         let from = self.swim.own();
         if to == from.addr {
@@ -338,12 +350,12 @@
     }
 }
 
-/// `most` of these at random, or all.
-fn pick(rng: &mut SmallRng, mut from: Vec<SocketAddr>, most: usize) -> Vec<SocketAddr> {
-    for index in 0..most.min(from.len()) {
+/// At most `count` random ones of these addresses.
+fn choose_random(rng: &mut SmallRng, mut from: Vec<SocketAddr>, count: usize) -> Vec<SocketAddr> {
+    for index in 0..count.min(from.len()) {
         let other = rng.random_range(index..from.len());
         from.swap(index, other);
     }
-    from.truncate(most);
+    from.truncate(count);
     from
 }
--- a/wrenseam/src/fleet/members/exchange.rs
+++ b/wrenseam/src/fleet/members/exchange.rs
@@ -1,5 +1,5 @@
-//! What a front end makes of the datagrams of membership and records, and what it answers.
-use super::{Members, RUMOR_ROUNDS_A_PROBE};
+//! Handles the datagrams of membership and records, and queues the answers.
+use super::{Members, RUMOR_ROUNDS_PER_PROBE};
 use crate::fleet::directory::MergeAction;
 use crate::fleet::identity::PeerId;
 use crate::fleet::member_digest::{Liveness, MemberDigest, PARTS};
@@ -11,9 +11,9 @@
 use wrenseam_policy::Micros;
 
 impl Members {
-    /// Takes a datagram of membership or of records that came at `now`.
+    /// Handles a membership or record datagram that arrived at `now`; does nothing after this front end has left.
     pub fn handle_datagram(&mut self, now: Micros, bytes: &[u8]) {
-        if self.leaving {
+        if self.has_left {
             return;
         }
         if !self.swim.is_ours(bytes, RECORDS_VERSION) {
@@ -37,10 +37,10 @@
             Message::MemberDigests {
                 unmatched,
                 member_digests,
-            } => self.take_member_digests(now, from, &member_digests, &unmatched),
+            } => self.handle_member_digests(now, from, &member_digests, &unmatched),
             Message::Records { is_update, records } => {
                 for record in records {
-                    self.take_record(now, record, is_update);
+                    self.handle_record(now, record, is_update);
                 }
             }
             Message::Wanted(owners) => self.send_records(from.addr, &owners),
@@ -50,14 +50,15 @@
                 origin,
             } => self.answer_alive_query(now, from, about, gone, origin),
             Message::AliveReply { record, origin } => {
-                self.take_alive_reply(now, from, *record, origin)
+                self.handle_alive_reply(now, from, *record, origin)
             }
         }
         self.sync_directory(now);
     }
 
-    /// A datagram came from `from` itself: takes it up as a member if it is a new one. Whether the datagram counts; one
-    /// whose incarnation is past is notified which it needs.
+    /// Checks the sender of a record datagram and adds it as a live member if it, or its incarnation, is new. Returns
+    /// false if the datagram is to be dropped: the sender has our own address, or its incarnation is outdated or
+    /// counted as gone. In the latter case it is notified.
     fn accept_sender(&mut self, now: Micros, from: PeerId) -> bool {
         if from.addr == self.directory.own().owner {
             return false;
@@ -74,7 +75,8 @@
         true
     }
 
-    /// Notifies a sender whose incarnation is past, or counted as gone, so; whether it had to be notified.
+    /// Notifies a sender whose incarnation is outdated or counted as gone, so that it takes a larger one. Returns
+    /// whether that was so.
     fn notify_outdated_sender(&mut self, from: PeerId) -> bool {
         let Some(known) = self.directory.member_digest(from.addr) else {
             return false;
@@ -97,7 +99,7 @@
         true
     }
 
-    /// Another member began a repair: answers with hashes of what is in some of the parts that differ.
+    /// Answers the digests that begin a repair with the hashes of the members in some of the parts that differ.
     fn answer_digest(&mut self, now: Micros, from: PeerId, remote: &[u32; PARTS]) {
         let differing = repair::differing(&self.directory.part_digests(), remote);
         if differing == 0 {
@@ -114,7 +116,8 @@
         self.send(from.addr, TrafficKind::RepairBegin, message);
     }
 
-    /// Answers another member's hashes with the member digests that do not match.
+    /// Answers another member's hashes with the digests of our members that match none of them, and with its hashes
+    /// that match none of ours.
     fn answer_hashes(&mut self, now: Micros, from: PeerId, parts: u16, remote: &[u32]) {
         self.repair_schedule.views_differ(now);
         let Mismatches {
@@ -131,8 +134,9 @@
         self.send(from.addr, TrafficKind::Repair, message);
     }
 
-    /// Sends what is newer here than another member's digests, asks for what is newer there, and merges the rest.
-    fn take_member_digests(
+    /// Compares another member's digests with the directory: sends the digests that are newer here, requests the
+    /// records that are newer there, and merges the rest.
+    fn handle_member_digests(
         &mut self,
         now: Micros,
         from: PeerId,
@@ -147,10 +151,10 @@
             let wanted = std::mem::take(&mut plan.wanted);
             self.send(from.addr, TrafficKind::Repair, Message::Wanted(wanted));
         }
-        self.apply(now, &plan);
+        self.apply_plan(now, &plan);
     }
 
-    /// Sends digests of what is newer here: only those, so that no answer calls for another without end.
+    /// Sends digests that are newer here, and no others, so that the exchange of digests ends.
     fn send_newer(&mut self, from: PeerId, newer: &[MemberDigest]) {
         for member_digests in repair::in_datagrams(newer) {
             let message = Message::MemberDigests {
@@ -162,12 +166,12 @@
     }
 
     /// Merges what another member's digests call for.
-    fn apply(&mut self, now: Micros, plan: &MergePlan) {
+    fn apply_plan(&mut self, now: Micros, plan: &MergePlan) {
         for &id in &plan.add {
             self.swim.mark_alive(now, id, false);
         }
         for &id in &plan.left {
-            self.take_leave(now, id);
+            self.handle_leave(now, id);
         }
         self.sync_directory(now);
         for member_digest in &plan.adopt_stamps {
@@ -176,14 +180,14 @@
         for &id in &plan.check_liveness {
             self.check_liveness(now, id);
         }
-        if let Some(past) = plan.refute_above {
-            self.refute(now, past);
+        if let Some(above) = plan.refute_above {
+            self.refute(now, above);
         }
         self.run_liveness_checks(now);
     }
 
-    /// Another member counts as gone one that is alive here. If we suspect it too, it is gone; else it is queried
-    /// first.
+    /// Handles a member that is alive here but gone for another member. If we suspect it too, it is declared down; else
+    /// it is queried first.
     fn check_liveness(&mut self, now: Micros, id: PeerId) {
         if self.swim.detector().suspects().any(|suspect| suspect == id) {
             self.swim.mark_down(now, id, true);
@@ -193,13 +197,13 @@
         }
     }
 
-    /// Another member has of us what we did not publish: our next stamp is larger than that.
-    fn refute(&mut self, now: Micros, past: Stamp) {
+    /// Refutes what another member knows about us but we did not publish: republishes our record under a larger stamp.
+    fn refute(&mut self, now: Micros, above: Stamp) {
         self.counts.refuted += 1;
-        self.republish_own(now, past);
+        self.republish_own(now, above);
     }
 
-    /// Sends the records of these members, as far as they are known.
+    /// Sends the records of these members that are known here.
     fn send_records(&mut self, to: SocketAddr, owners: &[SocketAddr]) {
         let records: Vec<Record> = owners
             .iter()
@@ -210,8 +214,8 @@
         }
     }
 
-    /// Merges a record; `is_update`: it has just changed and is passed on if it was new here.
-    fn take_record(&mut self, now: Micros, record: Record, is_update: bool) {
+    /// Merges a record. With `is_update` it has just changed, and is forwarded as a rumor if it was new here and the byte budget allows.
+    fn handle_record(&mut self, now: Micros, record: Record, is_update: bool) {
         let owner = record.owner;
         let id = record.id();
         let lifecycle = record.metadata.lifecycle;
@@ -229,24 +233,26 @@
         }
         self.counts.merged += 1;
         if is_update && !self.is_budget_low && self.rumors.push(owner) {
-            let next_round = now + self.probe / RUMOR_ROUNDS_A_PROBE;
-            self.rumor_at = self.rumor_at.min(next_round);
+            let next_round = now + self.probe_period / RUMOR_ROUNDS_PER_PROBE;
+            self.next_rumor_at = self.next_rumor_at.min(next_round);
         }
         if lifecycle == Lifecycle::Leaving {
-            self.take_leave(now, id);
+            self.handle_leave(now, id);
         }
     }
 
-    /// A member said that it leaves. Front ends of an earlier version hear of it as one that is down; to others that
-    /// would look like a failure, should it come before the record.
-    fn take_leave(&mut self, now: Micros, id: PeerId) {
+    /// Handles a member's announcement that it leaves. Membership gossips that it is down only if the fleet has front
+    /// ends of an earlier version, which know no records. To the others that update would look like a failure if it
+    /// arrived before the record.
+    fn handle_leave(&mut self, now: Micros, id: PeerId) {
         self.directory.mark_leaving(id);
         let disseminate = self.directory.is_mixed();
         self.swim.mark_down(now, id, disseminate);
     }
 
-    /// A query whether a member is alive: answers it if it is about us, else passes it on. One relay only: what a relay
-    /// passed on goes no further.
+    /// Answers an alive query about ourselves, and forwards one about another member if it came from its origin: a
+    /// query takes one relay at most. If the query has a larger incarnation of ours, or counts ours as gone, our
+    /// incarnation is raised first.
     fn answer_alive_query(
         &mut self,
         now: Micros,
@@ -269,11 +275,11 @@
         }
         let is_declared_gone = gone && own.incarnation == about.incarnation;
         if own.incarnation < about.incarnation || is_declared_gone {
-            let past = Stamp {
+            let above = Stamp {
                 incarnation: about.incarnation,
                 version: u32::MAX,
             };
-            self.republish_own(now, past);
+            self.republish_own(now, above);
         }
         let record = Box::new(self.directory.own().clone());
         let reply = Message::AliveReply { record, origin };
@@ -283,11 +289,18 @@
         self.send(origin, TrafficKind::Probe, reply);
     }
 
-    /// A member's own reply that it is alive: merges it if we sent the query, else passes it on to who did.
-    fn take_alive_reply(&mut self, now: Micros, from: PeerId, record: Record, origin: SocketAddr) {
+    /// Handles a member's reply that it is alive: merges its record if we sent the query, else forwards the reply to
+    /// the origin of the query.
+    fn handle_alive_reply(
+        &mut self,
+        now: Micros,
+        from: PeerId,
+        record: Record,
+        origin: SocketAddr,
+    ) {
         if origin == self.directory.own().owner {
             self.swim.detector().record_contact(now, record.owner);
-            self.take_record(now, record, true);
+            self.handle_record(now, record, true);
         } else if from.addr == record.owner {
             let reply = Message::AliveReply {
                 record: Box::new(record),
@@ -298,7 +311,7 @@
     }
 }
 
-/// The digest of a member that is alive with this record.
+/// The digest of a live member with this record.
 fn digest_of(record: &Record) -> MemberDigest {
     MemberDigest {
         owner: record.owner,
--- a/wrenseam/src/fleet/members/periodic.rs
+++ b/wrenseam/src/fleet/members/periodic.rs
@@ -1,5 +1,5 @@
-//! What a front end does for its membership and records from time to time: repairs, rumors, liveness checks.
-use super::{pick, Members, QUERY_ROUNDS_A_PROBE, RUMOR_ROUNDS_A_PROBE};
+//! The periodic work on membership and records: repairs, rumors, alive queries, liveness checks, expiry of tombstones.
+use super::{choose_random, Members, QUERY_ROUNDS_PER_PROBE, RUMOR_ROUNDS_PER_PROBE};
 use crate::fleet::identity::PeerId;
 use crate::fleet::liveness_check::CheckAction;
 use crate::fleet::message::{records_in_messages, Message};
@@ -10,13 +10,13 @@
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// Relays through which a member is queried, besides directly.
+/// Random members through which a member is queried, in addition to the direct query.
 const RELAYS: usize = 2;
 
 impl Members {
-    /// Runs what is due at `now`.
+    /// Runs the work that is due at `now`.
     pub fn tick(&mut self, now: Micros) {
-        if self.leaving {
+        if self.has_left {
             return;
         }
         self.swim.tick(now);
@@ -24,12 +24,12 @@
         if self.repair_schedule.is_due(now, &mut self.rng) && !self.is_budget_low {
             self.start_repair();
         }
-        if now >= self.rumor_at {
-            self.rumor_at = now + self.probe / RUMOR_ROUNDS_A_PROBE;
+        if now >= self.next_rumor_at {
+            self.next_rumor_at = now + self.probe_period / RUMOR_ROUNDS_PER_PROBE;
             self.send_rumors();
         }
-        if now >= self.query_at {
-            self.query_at = now + self.probe / QUERY_ROUNDS_A_PROBE;
+        if now >= self.next_query_at {
+            self.next_query_at = now + self.probe_period / QUERY_ROUNDS_PER_PROBE;
             self.query_suspects();
             self.run_liveness_checks(now);
             self.restart_if_isolated(now);
@@ -37,27 +37,28 @@
         }
     }
 
-    /// A front end that hears nobody for long has an outdated view, and drops it before it spreads it.
+    /// Drops the view of the fleet if no datagram arrived for [`Members::isolation_timeout`], before it is spread: by
+    /// then it is out of date.
     fn restart_if_isolated(&mut self, now: Micros) {
         if self.swim.alive() == 0 {
-            self.silence_excused_at = now;
+            self.silence_counts_from = now;
             return;
         }
-        let heard_at = self.swim.detector().last_contact_any().unwrap_or(0);
-        let silent_since = heard_at.max(self.silence_excused_at);
-        if now.saturating_sub(silent_since) > self.isolated_after {
+        let last_contact_at = self.swim.detector().last_contact_any().unwrap_or(0);
+        let silent_since = last_contact_at.max(self.silence_counts_from);
+        if now.saturating_sub(silent_since) > self.isolation_timeout {
             self.restart(now);
         }
     }
 
-    /// Forgets members that have been gone for long.
+    /// Removes expired tombstones from the directory and from foca.
     fn expire_tombstones(&mut self, now: Micros) {
         for id in self.directory.expire_tombstones(now) {
             self.swim.forget(id);
         }
     }
 
-    /// Begins a repair with a random member.
+    /// Begins an anti-entropy repair with a random member.
     fn start_repair(&mut self) {
         let Some(to) = self.directory.repair_partners().choose(&mut self.rng) else {
             return;
@@ -67,7 +68,7 @@
         self.send(to, TrafficKind::RepairBegin, digests);
     }
 
-    /// Passes the records that have just changed on to some random members.
+    /// Sends the records that have just changed to [`FANOUT`] random members.
     fn send_rumors(&mut self) {
         if self.rumors.is_empty() {
             return;
@@ -78,14 +79,14 @@
             .filter_map(|owner| self.directory.record(owner))
             .collect();
         let partners = self.directory.repair_partners().collect();
-        for to in pick(&mut self.rng, partners, FANOUT) {
+        for to in choose_random(&mut self.rng, partners, FANOUT) {
             for message in records_in_messages(true, records.clone()) {
                 self.send(to, TrafficKind::Rumor, message);
             }
         }
     }
 
-    /// Queries suspects, directly and through others.
+    /// Queries the suspected peers, directly and through relays.
     fn query_suspects(&mut self) {
         let suspects: Vec<PeerId> = self.swim.detector().suspects().collect();
         for id in suspects {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Queries a member whether it is alive, through so many relays and directly.
+    /// Asks `about` whether it is alive, directly and through `relays` random members.
     fn send_alive_queries(&mut self, about: PeerId, gone: bool, relays: usize) {
         let mut targets = self.pick_relays(about, relays);
         targets.push(about.addr);
@@ -108,34 +109,35 @@
         }
     }
 
-    /// So many random members through which another one can be queried.
+    /// At most `relays` random members through which `about` can be queried.
     fn pick_relays(&mut self, about: PeerId, relays: usize) -> Vec<SocketAddr> {
         if relays == 0 {
             return Vec::new();
         }
         let alive = self.directory.alive().map(|other| other.addr);
         let others = alive.filter(|&addr| addr != about.addr).collect();
-        pick(&mut self.rng, others, relays)
+        choose_random(&mut self.rng, others, relays)
     }
 
-    /// Does what is due for the members whose liveness is being checked.
+    /// Runs the liveness checks that are due.
     pub(super) fn run_liveness_checks(&mut self, now: Micros) {
         for action in self.liveness_checks.due(now) {
             match action {
-                CheckAction::Query { id, is_repeat } => {
-                    let relays = if is_repeat { RELAYS } else { 0 };
+                CheckAction::Query { id, is_retry } => {
+                    let relays = if is_retry { RELAYS } else { 0 };
                     self.send_alive_queries(id, true, relays);
                 }
-                CheckAction::Expired { id, began } => self.end_check(now, id, began),
+                CheckAction::Expired { id, started_at } => self.expire_check(now, id, started_at),
             }
         }
     }
 
-    /// The time of a liveness check is up: the member is down if it stayed silent and we were able to hear it.
-    fn end_check(&mut self, now: Micros, id: PeerId, began: Micros) {
+    /// Ends a liveness check without a reply: the member is declared down if no datagram of it arrived meanwhile and
+    /// the detector finds no local fault.
+    fn expire_check(&mut self, now: Micros, id: PeerId, started_at: Micros) {
         let detector = self.swim.detector();
-        let was_heard = detector.last_contact(id.addr) >= Some(began);
-        if !was_heard && detector.may_declare_down(now, began) {
+        let had_contact = detector.last_contact(id.addr) >= Some(started_at);
+        if !had_contact && detector.may_declare_down(now, started_at) {
             self.swim.mark_down(now, id, true);
             self.sync_directory(now);
         }
--- a/wrenseam/src/fleet/record.rs
+++ b/wrenseam/src/fleet/record.rs
@@ -1,34 +1,34 @@
-//! The record that each member of the fleet writes of itself and of which all others hold a replica: typed, bounded,
-//! and ordered by its owner's stamp. No I/O.
+//! The record that each member publishes about itself and of which all others keep a replica. Its size is bounded, and
+//! its owner's stamp orders its versions. No I/O.
 use super::identity::{put_address, take, take_address, PeerId, MAX_INCARNATION};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The most bytes of an encoded record, its owner and stamp included.
+/// The most bytes of an encoded record, including its owner and stamp.
 pub const MAX_RECORD_BYTES: usize = 1024;
 /// The most entries of a record.
 pub const MAX_ENTRIES: usize = 32;
-/// The most bytes of a zone's, a program version's or an entry's name.
+/// The most bytes of a zone's name, of a program's version, and of an entry's name.
 pub const MAX_NAME_BYTES: usize = 64;
-/// The form of an encoded record; a reader refuses any other.
+/// The version of the record encoding; decoding rejects any other.
 const RECORD_FORMAT: u8 = 1;
 
-/// What a member is doing.
+/// The state that a member publishes about itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lifecycle {
-    /// Runs, but accepts no clients yet.
+    /// Runs and does not accept clients yet.
     #[default]
     Starting,
     /// Accepts clients.
     Ready,
-    /// Answers the requests that it has and accepts no new clients.
+    /// Completes the requests in flight and accepts no new clients.
     Draining,
-    /// Is about to end: the last record of its incarnation.
+    /// About to exit; this is the last record of its incarnation.
     Leaving,
 }
 
 impl Lifecycle {
-    /// All of them, in order.
+    /// All states, in the order of [`Lifecycle::index`].
     pub const ALL: [Lifecycle; 4] = [
         Lifecycle::Starting,
         Lifecycle::Ready,
@@ -36,12 +36,12 @@
         Lifecycle::Leaving,
     ];
 
-    /// Its place in [`Lifecycle::ALL`] and in arrays by lifecycle.
+    /// The state's index in [`Lifecycle::ALL`] and in arrays by lifecycle.
     pub fn index(self) -> usize {
         self as usize
     }
 
-    /// The number that stands for it in an encoded record; members of other versions rely on it.
+    /// The state's code in an encoded record; it must not change, as members of other versions use it.
     fn wire_code(self) -> u8 {
         match self {
             Lifecycle::Starting => 0,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Reads what [`Lifecycle::wire_code`] gave.
+    /// The inverse of [`Lifecycle::wire_code`].
     fn from_wire_code(code: u8) -> Result<Lifecycle, RecordError> {
         match code {
             0 => Ok(Lifecycle::Starting),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Its name in telemetry.
+    /// The state's name in telemetry.
     pub fn name(self) -> &'static str {
         match self {
             Lifecycle::Starting => "starting",
@@ -73,10 +73,10 @@
     }
 }
 
-/// A value that the processes share; its owner raises the version with each change.
+/// A named value that a member shares with the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Entry {
-    /// Counts the changes of the value.
+    /// The version, which the owner raises with each change of the value.
     pub version: u32,
     /// The value.
     pub value: String,
@@ -85,30 +85,30 @@
 /// What a member publishes about itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Metadata {
-    /// What it is doing.
+    /// Its state.
     pub lifecycle: Lifecycle,
     /// Its zone; empty where none is configured.
     pub zone: String,
     /// The version of its program.
     pub program: String,
-    /// A digest of the configuration in force.
+    /// A digest of its current configuration.
     pub config_digest: u64,
     /// Shared values by name.
     pub entries: BTreeMap<String, Entry>,
 }
 
-/// How new a record is: the owner's incarnation first, then its version.
+/// The version of a record: a larger stamp is newer. Ordered by the owner's incarnation, then by the version within it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Stamp {
     /// The owner's incarnation.
     pub incarnation: u64,
-    /// Counts the changes within the incarnation, from 1.
+    /// Counts the changes within the incarnation from 1; 0 where no record is known.
     pub version: u32,
 }
 
 impl Stamp {
-    /// The stamp of the owner's next change: the next version, or at the last one the next incarnation's first;
-    /// `None` once there is no larger.
+    /// The stamp of the owner's next change: the next version, or version 1 of the next incarnation after the largest
+    /// version. `None` for the largest stamp.
     pub fn next(self) -> Option<Stamp> {
         if let Some(version) = self.version.checked_add(1) {
             return Some(Stamp { version, ..self });
@@ -126,52 +126,52 @@
 /// One member's record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Whose it is: the gossip address.
+    /// The gossip address of the member that it is about.
     pub owner: SocketAddr,
-    /// How new it is.
+    /// Its version.
     pub stamp: Stamp,
     /// What its owner publishes.
     pub metadata: Metadata,
 }
 
-/// Why a record cannot be written or read.
+/// Why a record cannot be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// So many bytes, more than [`MAX_RECORD_BYTES`].
-    #[error("a record of {0} bytes, {MAX_RECORD_BYTES} allowed")]
+    /// Its size in bytes is above [`MAX_RECORD_BYTES`].
+    #[error("record of {0} bytes exceeds the limit of {MAX_RECORD_BYTES}")]
     TooLarge(usize),
-    /// So many entries, more than [`MAX_ENTRIES`].
-    #[error("{0} entries, {MAX_ENTRIES} allowed")]
+    /// Its number of entries is above [`MAX_ENTRIES`].
+    #[error("{0} entries exceed the limit of {MAX_ENTRIES}")]
     TooManyEntries(usize),
-    /// A name of so many bytes, more than [`MAX_NAME_BYTES`].
-    #[error("a name of {0} bytes, {MAX_NAME_BYTES} allowed")]
+    /// The length of a name in bytes is above [`MAX_NAME_BYTES`].
+    #[error("name of {0} bytes exceeds the limit of {MAX_NAME_BYTES}")]
     NameTooLong(usize),
-    /// Ends before it is whole, or goes on after its end.
-    #[error("the record is cut short")]
-    Truncated,
-    /// A form that this program does not know.
-    #[error("record format {0} is not known")]
+    /// The bytes end within the record, or continue after it.
+    #[error("record is truncated or has trailing bytes")]
+    InvalidLength,
+    /// The version of the encoding is not the one that this program knows.
+    #[error("unknown record format {0}")]
     UnknownFormat(u8),
-    /// A lifecycle that this program does not know.
-    #[error("lifecycle {0} is not known")]
+    /// The code of the lifecycle is not known to this program.
+    #[error("unknown lifecycle {0}")]
     UnknownLifecycle(u8),
-    /// A text that is not UTF-8.
-    #[error("a text is not UTF-8")]
-    NotText(#[from] std::string::FromUtf8Error),
-    /// An incarnation above [`MAX_INCARNATION`].
-    #[error("incarnation {0} is out of range")]
+    /// A name or value is not UTF-8.
+    #[error("text is not valid UTF-8")]
+    InvalidUtf8(#[from] std::string::FromUtf8Error),
+    /// The incarnation is above [`MAX_INCARNATION`].
+    #[error("incarnation {0} exceeds the limit of {MAX_INCARNATION}")]
     IncarnationOutOfRange(u64),
-    /// Two entries of one name, or names out of order.
-    #[error("entries are not in the order of their names")]
+    /// Two entries have the same name, or entries are not sorted by name.
+    #[error("entries are not sorted by name without duplicates")]
     EntriesOutOfOrder,
 }
 
 impl Metadata {
-    /// The bytes, big-endian: format (1), lifecycle (1), configuration digest (8), zone and program (length 1 and
-    /// text each), entries (count 1; each: name, version 4, value length 2 and text).
+    /// Encodes the metadata, big-endian: format (1 byte), lifecycle (1), configuration digest (8), zone and program
+    /// (length 1 and text each), entries (count 1; each: name like a zone, version 4, value length 2 and text).
     ///
     /// # Errors
-    /// [`RecordError`] where a name or the number of entries is beyond its bound.
+    /// [`RecordError`] if a name, a value or the number of entries exceeds its limit.
     pub fn encode(&self) -> Result<Vec<u8>, RecordError> {
         if self.entries.len() > MAX_ENTRIES {
             return Err(RecordError::TooManyEntries(self.entries.len()));
@@ -192,18 +192,18 @@
         Ok(bytes)
     }
 
-    /// Reads what [`Metadata::encode`] wrote.
+    /// Decodes the bytes of [`Metadata::encode`] at the front of `rest`, and advances `rest` behind them.
     ///
     /// # Errors
     /// [`RecordError`] for anything else.
     pub fn decode(rest: &mut &[u8]) -> Result<Metadata, RecordError> {
-        let [format] = need(rest)?;
+        let [format] = take_bytes(rest)?;
         if format != RECORD_FORMAT {
             return Err(RecordError::UnknownFormat(format));
         }
-        let [lifecycle] = need(rest)?;
+        let [lifecycle] = take_bytes(rest)?;
         let lifecycle = Lifecycle::from_wire_code(lifecycle)?;
-        let config_digest = u64::from_be_bytes(need(rest)?);
+        let config_digest = u64::from_be_bytes(take_bytes(rest)?);
         let zone = take_name(rest)?;
         let program = take_name(rest)?;
         let entries = take_entries(rest)?;
@@ -216,7 +216,8 @@
         })
     }
 
-    /// A checksum of the content, whoever's it is and however new; 0 stands for no record.
+    /// A checksum of the content, independent of owner and stamp. It is 0 only for metadata that cannot be encoded; a
+    /// checksum of 0 elsewhere means that no record is known.
     pub fn checksum(&self) -> u32 {
         self.encode()
             .map_or(0, |bytes| crc32fast::hash(&bytes).max(1))
@@ -224,7 +225,7 @@
 }
 
 impl Record {
-    /// Whose record it is, and of which incarnation.
+    /// The owner and its incarnation.
     pub fn id(&self) -> PeerId {
         PeerId {
             addr: self.owner,
@@ -232,10 +233,10 @@
         }
     }
 
-    /// The bytes, big-endian: owner, incarnation (8), version (4), the metadata.
+    /// Encodes the record, big-endian: owner, incarnation (8 bytes), version (4), metadata.
     ///
     /// # Errors
-    /// [`RecordError`] where it is larger than [`MAX_RECORD_BYTES`], or a part of it beyond its bound.
+    /// [`RecordError`] if it is larger than [`MAX_RECORD_BYTES`], or a part of it exceeds its limit.
     pub fn encode(&self) -> Result<Vec<u8>, RecordError> {
         let mut bytes = Vec::new();
         put_address(&mut bytes, self.owner);
@@ -248,7 +249,7 @@
         Ok(bytes)
     }
 
-    /// Reads what [`Record::encode`] wrote.
+    /// Decodes the bytes of [`Record::encode`], which must be all of `bytes`.
     ///
     /// # Errors
     /// [`RecordError`] for anything else.
@@ -257,15 +258,15 @@
             return Err(RecordError::TooLarge(bytes.len()));
         }
         let mut rest = bytes;
-        let owner = take_address(&mut rest).ok_or(RecordError::Truncated)?;
-        let incarnation = u64::from_be_bytes(need(&mut rest)?);
+        let owner = take_address(&mut rest).ok_or(RecordError::InvalidLength)?;
+        let incarnation = u64::from_be_bytes(take_bytes(&mut rest)?);
         if incarnation > MAX_INCARNATION {
             return Err(RecordError::IncarnationOutOfRange(incarnation));
         }
-        let version = u32::from_be_bytes(need(&mut rest)?);
+        let version = u32::from_be_bytes(take_bytes(&mut rest)?);
         let metadata = Metadata::decode(&mut rest)?;
         if !rest.is_empty() {
-            return Err(RecordError::Truncated);
+            return Err(RecordError::InvalidLength);
         }
         Ok(Record {
             owner,
@@ -278,18 +279,18 @@
     }
 }
 
-/// Reads a count of entries and the entries, in the order of their names: content has one encoding only, since
-/// checksums and digests are of the bytes.
+/// Takes the number of entries and the entries off the front of `rest`. Entries must be sorted by name: the same
+/// content must have one encoding only, since checksums and digests are computed from the bytes.
 fn take_entries(rest: &mut &[u8]) -> Result<BTreeMap<String, Entry>, RecordError> {
-    let [count] = need(rest)?;
+    let [count] = take_bytes(rest)?;
     if usize::from(count) > MAX_ENTRIES {
         return Err(RecordError::TooManyEntries(usize::from(count)));
     }
     let mut entries = BTreeMap::new();
     for _ in 0..count {
         let name = take_name(rest)?;
-        let version = u32::from_be_bytes(need(rest)?);
-        let length = usize::from(u16::from_be_bytes(need(rest)?));
+        let version = u32::from_be_bytes(take_bytes(rest)?);
+        let length = usize::from(u16::from_be_bytes(take_bytes(rest)?));
         let value = take_text(rest, length)?;
         let last = entries.last_key_value();
         if last.is_some_and(|(last, _)| *last >= name) {
@@ -300,9 +301,9 @@
     Ok(entries)
 }
 
-/// Takes so many bytes off the front.
-fn need<const N: usize>(rest: &mut &[u8]) -> Result<[u8; N], RecordError> {
-    take(rest).ok_or(RecordError::Truncated)
+/// Takes `N` bytes off the front of `rest`.
+fn take_bytes<const N: usize>(rest: &mut &[u8]) -> Result<[u8; N], RecordError> {
+    take(rest).ok_or(RecordError::InvalidLength)
 }
 
 fn put_name(bytes: &mut Vec<u8>, name: &str) -> Result<(), RecordError> {
@@ -315,7 +316,7 @@
 }
 
 fn take_name(rest: &mut &[u8]) -> Result<String, RecordError> {
-    let [length] = need(rest)?;
+    let [length] = take_bytes(rest)?;
     if usize::from(length) > MAX_NAME_BYTES {
         return Err(RecordError::NameTooLong(usize::from(length)));
     }
@@ -325,7 +326,7 @@
 fn take_text(rest: &mut &[u8], length: usize) -> Result<String, RecordError> {
     let (text, tail) = rest
         .split_at_checked(length)
-        .ok_or(RecordError::Truncated)?;
+        .ok_or(RecordError::InvalidLength)?;
     *rest = tail;
     Ok(String::from_utf8(text.to_vec())?)
 }
--- a/wrenseam/src/fleet/rumor.rs
+++ b/wrenseam/src/fleet/rumor.rs
@@ -1,25 +1,27 @@
-//! Rumor mongering: records that have just changed, and in how many rounds each is still to be passed on. No I/O.
+//! Rumor mongering: the queue of records that have just changed, with the rounds in which each is still sent. No I/O.
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Members that a rumor goes to in a round.
+/// Random members that rumors are sent to in a round.
 pub const FANOUT: usize = 3;
-/// Rounds in which a record is passed on: of the members not reached so, one in 400 at random, repair takes care.
+/// Rounds in which a member sends a record that was new to it. By chance this misses one member in 400, which gets the
+/// record by repair.
 const ROUNDS: u8 = 2;
-/// Rounds in which our own record is passed on.
+/// Rounds in which a member sends its own record after a change.
 const OWN_ROUNDS: u8 = ROUNDS + 1;
-/// Records passed on at once: beyond these (a zone returns, regions heal) repair is cheaper, which sends no member what
-/// it has.
+/// The most records of other members in the queue. When more change at once, such as when a zone returns or a network
+/// partition heals, repair is cheaper, since it sends no member a record that it has.
 const MAX_QUEUED: usize = 12;
 
-/// The members whose records are to be passed on.
+/// The members whose records are to be sent.
 #[derive(Debug, Default)]
 pub struct RumorQueue {
+    /// Rounds in which the record of each member is still to be sent.
     rounds_left: BTreeMap<SocketAddr, u8>,
 }
 
 impl RumorQueue {
-    /// This member's record is to be passed on; whether there was capacity for it.
+    /// Queues the record of `owner` for the full number of rounds. Returns false if the queue is full.
     pub fn push(&mut self, owner: SocketAddr) -> bool {
         let has_capacity = self.rounds_left.len() < MAX_QUEUED;
         if !has_capacity && !self.rounds_left.contains_key(&owner) {
@@ -29,17 +31,17 @@
         true
     }
 
-    /// Our own record is to be passed on, whatever else is queued.
+    /// Queues our own record, also when the queue is full.
     pub fn push_own(&mut self, owner: SocketAddr) {
         self.rounds_left.insert(owner, OWN_ROUNDS);
     }
 
-    /// Whether there is nothing to pass on.
+    /// Whether no record is to be sent.
     pub fn is_empty(&self) -> bool {
         self.rounds_left.is_empty()
     }
 
-    /// The members whose records are passed on in this round; each has one round less from then on.
+    /// The members whose records are sent in this round; each then has one round less left.
     pub fn next_round(&mut self) -> Vec<SocketAddr> {
         let owners = self.rounds_left.keys().copied().collect();
         self.rounds_left.retain(|_, rounds_left| {
--- a/wrenseam/tests/fleet_log_lines.rs
+++ b/wrenseam/tests/fleet_log_lines.rs
@@ -29,7 +29,7 @@
 )]
 #[case::record_not_published(
     log_lines::record_not_published(&RecordError::NameTooLong(65)),
-    "fleet: member record not published: a name of 65 bytes, 64 allowed"
+    "fleet: member record not published: name of 65 bytes exceeds the limit of 64"
 )]
 #[case::datagrams_dropped(
     log_lines::datagrams_dropped(&DropCounts { oversized: 1, foreign: 2, garbled: 3 }),
--- a/wrenseam/tests/fleet_records.rs
+++ b/wrenseam/tests/fleet_records.rs
@@ -226,12 +226,12 @@
 }
 
 #[rstest]
-#[case::cut_short(|bytes: &mut Vec<u8>| bytes.truncate(bytes.len() - 1), RecordError::Truncated)]
-#[case::longer(|bytes: &mut Vec<u8>| bytes.push(0), RecordError::Truncated)]
+#[case::cut_short(|bytes: &mut Vec<u8>| bytes.truncate(bytes.len() - 1), RecordError::InvalidLength)]
+#[case::longer(|bytes: &mut Vec<u8>| bytes.push(0), RecordError::InvalidLength)]
 #[case::another_form(|bytes: &mut Vec<u8>| bytes[19] = 2, RecordError::UnknownFormat(2))]
 #[case::another_lifecycle(|bytes: &mut Vec<u8>| bytes[20] = 4, RecordError::UnknownLifecycle(4))]
 #[case::an_endless_incarnation(|bytes: &mut Vec<u8>| bytes[7] = 0xff, RecordError::IncarnationOutOfRange(0xff00_0000_0000_0005))]
-#[case::no_text(|bytes: &mut Vec<u8>| bytes[30] = 0xff, RecordError::NotText(invalid_utf8()))]
+#[case::no_text(|bytes: &mut Vec<u8>| bytes[30] = 0xff, RecordError::InvalidUtf8(invalid_utf8()))]
 fn what_is_no_record_is_refused(#[case] spoil: fn(&mut Vec<u8>), #[case] want: RecordError) {
     let metadata = Metadata {
         zone: "z".to_owned(),
