--- a/wrenseam/tests/fleet_records.rs
+++ b/wrenseam/tests/fleet_records.rs
@@ -1,5 +1,5 @@
-//! The rules of member records as tables: which member digest wins and what follows from it, what a record may hold, what a
-//! datagram must look like, and which state follows which message.
+//! The rules of member records: how member digests and records are merged, the limits of a record, the validity of
+//! datagrams, and the state and answers after each message.
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     }
 }
 
-/// A record of member `i` whose content depends on `content` alone.
+/// A record of this member whose content depends on `content` alone.
 fn record(member: usize, incarnation: u64, version: u32, content: u64) -> Record {
     let metadata = Metadata {
         lifecycle: Lifecycle::Ready,
@@ -42,7 +42,8 @@
     }
 }
 
-/// Member 0 at (5, 3) with content 1, which holds member 1 at (5, 3) with content 1, in this liveness.
+/// The directory of member 0 at stamp (5, 3) with content 1. Unless `liveness` is `None`, it knows member 1 at stamp
+/// (5, 3) with content 1 and this liveness.
 fn directory(liveness: Option<Liveness>) -> Directory {
     let mut directory = Directory::new(record(0, 5, 3, 1));
     let Some(liveness) = liveness else {
@@ -63,38 +64,38 @@
 use MergeAction::{AddMember, AdoptStamp, CheckLiveness, FetchRecord, NoChange, Refute, SendNewer};
 
 #[rstest]
-// Not known here: only a live member is worth learning.
+// A member not known here is added only if it is alive.
 #[case::unknown_and_alive(None, (1, 5, 3, Alive, 1), AddMember)]
 #[case::unknown_and_down(None, (1, 5, 3, Down, 1), NoChange)]
 #[case::unknown_and_left(None, (1, 5, 3, Left, 1), NoChange)]
-// The same incarnation: the larger version wins, and content breaks a tie the same way everywhere.
-#[case::the_same(Some(Alive), (1, 5, 3, Alive, 1), NoChange)]
+// In the same incarnation the larger version wins; the larger checksum breaks a tie.
+#[case::the_same_digest(Some(Alive), (1, 5, 3, Alive, 1), NoChange)]
 #[case::a_newer_version(Some(Alive), (1, 5, 4, Alive, 2), FetchRecord)]
 #[case::a_newer_version_of_the_same_content(Some(Alive), (1, 5, 4, Alive, 1), AdoptStamp)]
 #[case::an_older_version(Some(Alive), (1, 5, 2, Alive, 2), SendNewer)]
-#[case::no_record_there(Some(Alive), (1, 5, 0, Alive, 0), SendNewer)]
+#[case::no_record_elsewhere(Some(Alive), (1, 5, 0, Alive, 0), SendNewer)]
 #[case::the_largest_version(Some(Alive), (1, 5, u32::MAX, Alive, 2), FetchRecord)]
-// A larger incarnation wins whatever the versions.
+// A larger incarnation wins with any version.
 #[case::a_larger_incarnation(Some(Alive), (1, 6, 0, Alive, 0), AddMember)]
-#[case::a_larger_incarnation_over_gone(Some(Down), (1, 6, 1, Alive, 2), AddMember)]
+#[case::a_larger_incarnation_of_a_gone_member(Some(Down), (1, 6, 1, Alive, 2), AddMember)]
 #[case::a_smaller_incarnation(Some(Alive), (1, 4, u32::MAX, Alive, 2), SendNewer)]
-#[case::a_smaller_incarnation_gone(Some(Alive), (1, 4, 9, Down, 2), SendNewer)]
-// Gone against alive: who is said to be down is asked first, who said so itself has left.
-#[case::down_there(Some(Alive), (1, 5, 3, Down, 1), CheckLiveness)]
-#[case::a_larger_incarnation_down_there(Some(Alive), (1, 6, 1, Down, 1), CheckLiveness)]
-#[case::left_there(Some(Alive), (1, 5, 4, Left, 2), MergeAction::MarkLeft)]
-#[case::alive_there_down_here(Some(Down), (1, 5, 9, Alive, 2), SendNewer)]
-#[case::alive_there_left_here(Some(Left), (1, 5, 9, Alive, 2), SendNewer)]
+#[case::a_smaller_incarnation_down(Some(Alive), (1, 4, 9, Down, 2), SendNewer)]
+// A member that is down elsewhere is queried first; one that announced its leave has left.
+#[case::down_elsewhere(Some(Alive), (1, 5, 3, Down, 1), CheckLiveness)]
+#[case::a_larger_incarnation_down_elsewhere(Some(Alive), (1, 6, 1, Down, 1), CheckLiveness)]
+#[case::left_elsewhere(Some(Alive), (1, 5, 4, Left, 2), MergeAction::MarkLeft)]
+#[case::alive_elsewhere_down_here(Some(Down), (1, 5, 9, Alive, 2), SendNewer)]
+#[case::alive_elsewhere_left_here(Some(Left), (1, 5, 9, Alive, 2), SendNewer)]
 #[case::gone_on_both_sides(Some(Down), (1, 7, 9, Left, 2), NoChange)]
-// Ourselves: nobody else writes our record.
-#[case::ours(None, (0, 5, 3, Alive, 1), NoChange)]
-#[case::ours_before(None, (0, 5, 2, Alive, 2), SendNewer)]
-#[case::ours_that_we_never_said(None, (0, 5, 4, Alive, 2), Refute)]
-#[case::ours_with_another_content(None, (0, 5, 3, Alive, 2), Refute)]
-#[case::ours_of_a_former_clock(None, (0, 9, 1, Alive, 1), Refute)]
-#[case::ours_held_as_down(None, (0, 5, 3, Down, 1), Refute)]
-#[case::ours_before_held_as_down(None, (0, 4, 3, Down, 1), SendNewer)]
-fn which_member_digest_wins(
+// About ourselves: a digest that contradicts what we published is refuted.
+#[case::own_digest(None, (0, 5, 3, Alive, 1), NoChange)]
+#[case::own_older_version(None, (0, 5, 2, Alive, 2), SendNewer)]
+#[case::own_version_never_published(None, (0, 5, 4, Alive, 2), Refute)]
+#[case::own_stamp_with_other_content(None, (0, 5, 3, Alive, 2), Refute)]
+#[case::own_incarnation_never_used(None, (0, 9, 1, Alive, 1), Refute)]
+#[case::own_incarnation_down(None, (0, 5, 3, Down, 1), Refute)]
+#[case::own_former_incarnation_down(None, (0, 4, 3, Down, 1), SendNewer)]
+fn member_digest_leads_to_merge_action(
     #[case] known: Option<Liveness>,
     #[case] member_digest: (usize, u64, u32, Liveness, u64),
     #[case] want: MergeAction,
@@ -105,7 +106,6 @@
     } else {
         record(owner, 5, 3, content).metadata.checksum()
     };
-    // The tie of equal stamps goes by checksum, whichever is larger.
     let member_digest = MemberDigest {
         owner: addr(owner),
         stamp: Stamp {
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn equal_stamps_with_two_contents_end_in_the_same_one_everywhere() {
+fn equal_stamps_with_different_contents_converge_to_the_same_record() {
     let first = record(1, 5, 3, 1);
     let second = record(1, 5, 3, 2);
     let ends: Vec<_> = [[&first, &second], [&second, &first]]
@@ -136,9 +136,9 @@
     assert_eq!(ends[0], ends[1]);
 }
 
-/// Whatever the order and number of deliveries, all end with the newest record of the newest incarnation.
+/// The newest record of the newest incarnation wins, whatever the order and number of deliveries.
 #[test]
-fn any_order_of_deliveries_ends_the_same() {
+fn records_converge_for_any_order_of_delivery() {
     let mut rng = SmallRng::seed_from_u64(1);
     let all: Vec<Record> = (0..24)
         .map(|n| record(1, 5 + n / 8, 1 + (n % 8) as u32, n))
@@ -169,12 +169,12 @@
 
 #[rstest]
 #[case::the_next_version(Stamp { incarnation: 5, version: 3 }, Some(Stamp { incarnation: 5, version: 4 }))]
-#[case::after_the_last_version(
+#[case::after_the_largest_version(
     Stamp { incarnation: 5, version: u32::MAX },
     Some(Stamp { incarnation: 6, version: 1 })
 )]
-#[case::after_the_last_of_all(Stamp { incarnation: MAX_INCARNATION, version: u32::MAX }, None)]
-fn the_next_stamp(#[case] of: Stamp, #[case] want: Option<Stamp>) {
+#[case::after_the_largest_stamp(Stamp { incarnation: MAX_INCARNATION, version: u32::MAX }, None)]
+fn next_stamp_is_larger(#[case] of: Stamp, #[case] want: Option<Stamp>) {
     assert_eq!(of.next(), want);
     assert!(want.is_none_or(|next| next > of));
 }
@@ -197,12 +197,12 @@
 
 #[rstest]
 #[case::empty(Metadata::default(), None)]
-#[case::full(with_entries(MAX_ENTRIES, 10), None)]
-#[case::too_many(with_entries(MAX_ENTRIES + 1, 1), Some(RecordError::TooManyEntries(MAX_ENTRIES + 1)))]
+#[case::most_entries(with_entries(MAX_ENTRIES, 10), None)]
+#[case::too_many_entries(with_entries(MAX_ENTRIES + 1, 1), Some(RecordError::TooManyEntries(MAX_ENTRIES + 1)))]
 #[case::too_large(with_entries(10, 100), Some(RecordError::TooLarge(1172)))]
 #[case::a_long_zone(Metadata { zone: "z".repeat(65), ..Metadata::default() }, Some(RecordError::NameTooLong(65)))]
-#[case::a_value_of_any_text(Metadata { zone: "zona-ñ".to_owned(), ..Metadata::default() }, None)]
-fn a_record_is_bounded(#[case] metadata: Metadata, #[case] want: Option<RecordError>) {
+#[case::a_zone_beyond_ascii(Metadata { zone: "zona-ñ".to_owned(), ..Metadata::default() }, None)]
+fn record_size_is_limited(#[case] metadata: Metadata, #[case] want: Option<RecordError>) {
     let record = Record {
         owner: addr(1),
         stamp: Stamp {
@@ -220,19 +220,19 @@
     }
 }
 
-/// The standard library's error for the one byte 0xff.
+/// The standard library's error for the byte 0xff, which occurs in no UTF-8 text.
 fn invalid_utf8() -> std::string::FromUtf8Error {
     String::from_utf8(vec![0xff]).expect_err("0xff is in no UTF-8 text")
 }
 
 #[rstest]
-#[case::cut_short(|bytes: &mut Vec<u8>| bytes.truncate(bytes.len() - 1), RecordError::InvalidLength)]
-#[case::longer(|bytes: &mut Vec<u8>| bytes.push(0), RecordError::InvalidLength)]
-#[case::another_form(|bytes: &mut Vec<u8>| bytes[19] = 2, RecordError::UnknownFormat(2))]
-#[case::another_lifecycle(|bytes: &mut Vec<u8>| bytes[20] = 4, RecordError::UnknownLifecycle(4))]
-#[case::an_endless_incarnation(|bytes: &mut Vec<u8>| bytes[7] = 0xff, RecordError::IncarnationOutOfRange(0xff00_0000_0000_0005))]
-#[case::no_text(|bytes: &mut Vec<u8>| bytes[30] = 0xff, RecordError::InvalidUtf8(invalid_utf8()))]
-fn what_is_no_record_is_refused(#[case] spoil: fn(&mut Vec<u8>), #[case] want: RecordError) {
+#[case::truncated(|bytes: &mut Vec<u8>| bytes.truncate(bytes.len() - 1), RecordError::InvalidLength)]
+#[case::trailing_byte(|bytes: &mut Vec<u8>| bytes.push(0), RecordError::InvalidLength)]
+#[case::unknown_format(|bytes: &mut Vec<u8>| bytes[19] = 2, RecordError::UnknownFormat(2))]
+#[case::unknown_lifecycle(|bytes: &mut Vec<u8>| bytes[20] = 4, RecordError::UnknownLifecycle(4))]
+#[case::incarnation_out_of_range(|bytes: &mut Vec<u8>| bytes[7] = 0xff, RecordError::IncarnationOutOfRange(0xff00_0000_0000_0005))]
+#[case::invalid_utf8(|bytes: &mut Vec<u8>| bytes[30] = 0xff, RecordError::InvalidUtf8(invalid_utf8()))]
+fn invalid_records_are_rejected(#[case] corrupt: fn(&mut Vec<u8>), #[case] want: RecordError) {
     let metadata = Metadata {
         zone: "z".to_owned(),
         ..Metadata::default()
@@ -246,7 +246,7 @@
         metadata,
     };
     let mut bytes = record.encode().expect("small");
-    spoil(&mut bytes);
+    corrupt(&mut bytes);
     assert_eq!(Record::decode(&bytes), Err(want));
 }
 
@@ -260,7 +260,7 @@
         liveness: Left,
         checksum: 9,
     };
-    let present = Message::AliveReply {
+    let alive_reply = Message::AliveReply {
         record: Box::new(record(1, 5, 3, 1)),
         origin: addr(2),
     };
@@ -284,12 +284,12 @@
             gone: true,
             origin: addr(2),
         },
-        present,
+        alive_reply,
     ]
 }
 
 #[test]
-fn datagrams_round_trip_and_any_flipped_bit_is_caught() {
+fn datagrams_round_trip_and_any_flipped_bit_is_detected() {
     let header = header(RECORDS_VERSION, CLUSTER);
     for message in messages() {
         let envelope = Envelope {
@@ -331,8 +331,8 @@
     Members::new(id(0, 5), metadata, settings(), 1)
 }
 
-/// Hands `members` a message of member `from`; what it answers, with whom to.
-fn tell(
+/// Delivers a message from member `from`; returns the answers with their receivers.
+fn deliver(
     members: &mut Members,
     now: u64,
     from: PeerId,
@@ -350,27 +350,28 @@
         .collect()
 }
 
-fn news(record: Record) -> Message {
+fn update(record: Record) -> Message {
     Message::Records {
         is_update: true,
         records: vec![record],
     }
 }
 
-/// Our own stamp after what others say of us: always larger than theirs, and unchanged by what is past.
+/// Another member's record or query about us raises our stamp above its own, unless that is not newer than ours. Our
+/// metadata stays.
 #[rstest]
-#[case::a_forged_record(news(record(0, 5, 9, 9)), (5, 10))]
-#[case::one_at_the_largest_version(news(record(0, 5, u32::MAX, 9)), (6, 1))]
-#[case::one_of_a_former_clock(news(record(0, 8, 2, 9)), (8, 3))]
-#[case::one_that_is_past(news(record(0, 4, 9, 9)), (5, 1))]
-#[case::held_as_gone(Message::AliveQuery { about: id(0, 5), gone: true, origin: addr(1) }, (6, 1))]
-#[case::a_larger_one_held_as_gone(Message::AliveQuery { about: id(0, 9), gone: true, origin: addr(1) }, (10, 1))]
-#[case::a_larger_one_held_alive(Message::AliveQuery { about: id(0, 9), gone: false, origin: addr(1) }, (10, 1))]
-#[case::ours_asked_for(Message::AliveQuery { about: id(0, 5), gone: false, origin: addr(1) }, (5, 1))]
-#[case::a_past_one_held_as_gone(Message::AliveQuery { about: id(0, 4), gone: true, origin: addr(1) }, (5, 1))]
-fn only_we_write_our_record(#[case] message: Message, #[case] want: (u64, u32)) {
+#[case::a_forged_record(update(record(0, 5, 9, 9)), (5, 10))]
+#[case::a_forged_record_at_the_largest_version(update(record(0, 5, u32::MAX, 9)), (6, 1))]
+#[case::a_record_of_a_larger_incarnation(update(record(0, 8, 2, 9)), (8, 3))]
+#[case::a_record_of_a_former_incarnation(update(record(0, 4, 9, 9)), (5, 1))]
+#[case::own_incarnation_gone(Message::AliveQuery { about: id(0, 5), gone: true, origin: addr(1) }, (6, 1))]
+#[case::a_larger_incarnation_gone(Message::AliveQuery { about: id(0, 9), gone: true, origin: addr(1) }, (10, 1))]
+#[case::a_larger_incarnation_alive(Message::AliveQuery { about: id(0, 9), gone: false, origin: addr(1) }, (10, 1))]
+#[case::own_incarnation_alive(Message::AliveQuery { about: id(0, 5), gone: false, origin: addr(1) }, (5, 1))]
+#[case::a_former_incarnation_gone(Message::AliveQuery { about: id(0, 4), gone: true, origin: addr(1) }, (5, 1))]
+fn only_the_owner_changes_its_record(#[case] message: Message, #[case] want: (u64, u32)) {
     let mut members = members();
-    tell(&mut members, MS, id(1, 5), message);
+    deliver(&mut members, MS, id(1, 5), message);
     let own = members.directory().own().clone();
     assert_eq!((own.stamp.incarnation, own.stamp.version), want);
     assert_eq!(
@@ -382,21 +383,24 @@
     );
 }
 
-/// What follows from each message about member 1, known alive at incarnation 5: its liveness, and its incarnation.
+/// The incarnation and liveness of member 1, which was alive at incarnation 5, after a message about it.
 #[rstest]
-#[case::nothing(None, Some((5, Alive)))]
-#[case::it_leaves(Some(news(leaving(1, 5))), Some((5, Left)))]
-#[case::it_left_before(Some(news(leaving(1, 4))), Some((5, Alive)))]
-#[case::it_started_again(Some(news(record(1, 6, 1, 1))), Some((6, Alive)))]
-#[case::down_there(Some(member_digests(1, 5, Down)), Some((5, Alive)))]
-#[case::left_there(Some(member_digests(1, 5, Left)), Some((5, Left)))]
-#[case::a_former_one_down(Some(member_digests(1, 4, Down)), Some((5, Alive)))]
-fn which_state_follows(#[case] message: Option<Message>, #[case] want: Option<(u64, Liveness)>) {
+#[case::no_message(None, Some((5, Alive)))]
+#[case::it_leaves(Some(update(leaving(1, 5))), Some((5, Left)))]
+#[case::a_former_incarnation_leaves(Some(update(leaving(1, 4))), Some((5, Alive)))]
+#[case::it_restarts(Some(update(record(1, 6, 1, 1))), Some((6, Alive)))]
+#[case::down_elsewhere(Some(member_digests(1, 5, Down)), Some((5, Alive)))]
+#[case::left_elsewhere(Some(member_digests(1, 5, Left)), Some((5, Left)))]
+#[case::a_former_incarnation_down(Some(member_digests(1, 4, Down)), Some((5, Alive)))]
+fn message_leads_to_liveness(
+    #[case] message: Option<Message>,
+    #[case] want: Option<(u64, Liveness)>,
+) {
     let mut members = members();
-    tell(&mut members, MS, id(2, 5), news(record(1, 5, 1, 1)));
+    deliver(&mut members, MS, id(2, 5), update(record(1, 5, 1, 1)));
     message
         .into_iter()
-        .for_each(|message| drop(tell(&mut members, 2 * MS, id(2, 5), message)));
+        .for_each(|message| drop(deliver(&mut members, 2 * MS, id(2, 5), message)));
     let known = members
         .directory()
         .member_digest(addr(1))
@@ -437,95 +441,104 @@
     }
 }
 
-/// Who left or died is not taken up again by what others say; its own next incarnation is.
+/// Records and digests from other members do not bring a gone member back; only its next incarnation does.
 #[rstest]
-#[case::by_a_record(news(record(1, 5, 3, 1)), false)]
-#[case::by_a_newer_record(news(record(1, 5, 99, 1)), false)]
+#[case::by_a_record(update(record(1, 5, 3, 1)), false)]
+#[case::by_a_newer_record(update(record(1, 5, 99, 1)), false)]
 #[case::by_a_member_digest(member_digests(1, 5, Alive), false)]
-#[case::by_a_former_incarnation(news(record(1, 4, 99, 1)), false)]
-#[case::by_its_next_incarnation(news(record(1, 6, 1, 1)), true)]
-fn none_comes_back_by_hearsay(#[case] message: Message, #[case] back: bool) {
+#[case::by_a_former_incarnation(update(record(1, 4, 99, 1)), false)]
+#[case::by_its_next_incarnation(update(record(1, 6, 1, 1)), true)]
+fn gone_member_returns_only_by_its_next_incarnation(
+    #[case] message: Message,
+    #[case] returns: bool,
+) {
     let mut members = members();
-    tell(&mut members, MS, id(2, 5), news(record(1, 5, 1, 1)));
-    tell(&mut members, 2 * MS, id(2, 5), news(leaving(1, 5)));
+    deliver(&mut members, MS, id(2, 5), update(record(1, 5, 1, 1)));
+    deliver(&mut members, 2 * MS, id(2, 5), update(leaving(1, 5)));
     assert_eq!(members.alive(), 1);
-    tell(&mut members, 3 * MS, id(2, 5), message);
-    assert_eq!(members.alive() == 2, back);
+    deliver(&mut members, 3 * MS, id(2, 5), message);
+    assert_eq!(members.alive() == 2, returns);
 }
 
-/// Who is held as down elsewhere is asked, and told that it needs a larger incarnation; who asks is answered once,
-/// and what a relay passed on goes no further.
+/// A member that is down elsewhere gets an alive query by which it learns that it needs a larger incarnation. A query
+/// is answered once, and queries and replies take one relay at most.
 #[test]
-fn alive_queries_go_one_relay_far() {
+fn alive_queries_take_one_relay_at_most() {
     let mut members = members();
-    tell(&mut members, MS, id(1, 5), news(record(1, 5, 1, 1)));
-    let answers_sent = tell(&mut members, 2 * MS, id(2, 5), member_digests(1, 5, Down));
+    deliver(&mut members, MS, id(1, 5), update(record(1, 5, 1, 1)));
+    let answers_sent = deliver(&mut members, 2 * MS, id(2, 5), member_digests(1, 5, Down));
     let query = Message::AliveQuery {
         about: id(1, 5),
         gone: true,
         origin: addr(0),
     };
     assert!(answers_sent.contains(&(addr(1), query)), "{answers_sent:?}");
-    let of_another = Message::AliveQuery {
+    let query_of_another = Message::AliveQuery {
         about: id(1, 5),
         gone: false,
         origin: addr(2),
     };
     assert_eq!(
-        tell(&mut members, 3 * MS, id(2, 5), of_another.clone()),
-        [(addr(1), of_another.clone())]
+        deliver(&mut members, 3 * MS, id(2, 5), query_of_another.clone()),
+        [(addr(1), query_of_another.clone())]
+    );
+    assert_eq!(
+        deliver(&mut members, 4 * MS, id(3, 5), query_of_another),
+        []
     );
-    assert_eq!(tell(&mut members, 4 * MS, id(3, 5), of_another), []);
     let own = Box::new(members.directory().own().clone());
-    let of_us = Message::AliveQuery {
+    let query_of_us = Message::AliveQuery {
         about: id(0, 5),
         gone: false,
         origin: addr(2),
     };
-    let present = Message::AliveReply {
+    let reply_of_us = Message::AliveReply {
         record: own,
         origin: addr(2),
     };
     assert_eq!(
-        tell(&mut members, 5 * MS, id(2, 5), of_us),
-        [(addr(2), present)]
+        deliver(&mut members, 5 * MS, id(2, 5), query_of_us),
+        [(addr(2), reply_of_us)]
     );
-    let passed = Message::AliveReply {
+    let reply_of_another = Message::AliveReply {
         record: Box::new(record(1, 5, 1, 1)),
         origin: addr(2),
     };
     assert_eq!(
-        tell(&mut members, 6 * MS, id(1, 5), passed.clone()),
-        [(addr(2), passed.clone())]
+        deliver(&mut members, 6 * MS, id(1, 5), reply_of_another.clone()),
+        [(addr(2), reply_of_another.clone())]
+    );
+    assert_eq!(
+        deliver(&mut members, 7 * MS, id(3, 5), reply_of_another),
+        []
     );
-    assert_eq!(tell(&mut members, 7 * MS, id(3, 5), passed), []);
 }
 
-/// Two that hold the same say nothing; answers end, whatever is claimed.
+/// Members with the same view exchange no more messages, and every repair ends, even after a wrong digest.
 #[test]
-fn no_repair_goes_round_in_circles() {
+fn every_repair_ends() {
     let mut members = members();
-    tell(&mut members, MS, id(1, 5), news(record(1, 5, 1, 1)));
+    deliver(&mut members, MS, id(1, 5), update(record(1, 5, 1, 1)));
     let same = members.directory().part_digests();
     assert_eq!(
-        tell(&mut members, 2 * MS, id(1, 5), Message::Digest(same)),
+        deliver(&mut members, 2 * MS, id(1, 5), Message::Digest(same)),
         []
     );
-    // A digest that lies costs one answer of bounded size, and member digests of what is held just so none.
-    let answers_sent = tell(&mut members, 3 * MS, id(1, 5), Message::Digest([1; 16]));
+    // A wrong digest causes one answer of bounded size; member digests equal to our own cause none.
+    let answers_sent = deliver(&mut members, 3 * MS, id(1, 5), Message::Digest([1; 16]));
     assert!(
         matches!(&answers_sent[..], [(_, Message::Hashes { .. })]),
         "{answers_sent:?}"
     );
     assert_eq!(
-        tell(&mut members, 4 * MS, id(1, 5), member_digests(1, 5, Alive)),
+        deliver(&mut members, 4 * MS, id(1, 5), member_digests(1, 5, Alive)),
         []
     );
     let hashes = Message::Hashes {
         parts: u16::MAX,
         hashes: vec![1, 2, 3],
     };
-    let answers_sent = tell(&mut members, 5 * MS, id(1, 5), hashes);
+    let answers_sent = deliver(&mut members, 5 * MS, id(1, 5), hashes);
     assert!(
         matches!(&answers_sent[..], [(_, Message::MemberDigests { .. })]),
         "{answers_sent:?}"
@@ -538,18 +551,18 @@
 #[case::oversized(vec![b'w'; MAX_DATAGRAM + 1], [1, 0, 0, 0, 0])]
 #[case::garbled(b"wF\x03\x00\x00\x00\x07and more".to_vec(), [0, 0, 0, 1, 0])]
 #[case::garbled_membership(b"wF\x01\x00\x00\x00\x07\xff\xff\xff".to_vec(), [0, 0, 1, 0, 0])]
-#[case::of_a_version_to_come(b"wF\x09\x00\x00\x00\x07and more".to_vec(), [0, 1, 0, 0, 0])]
-#[case::from_ourselves(
+#[case::of_a_future_version(b"wF\x09\x00\x00\x00\x07and more".to_vec(), [0, 1, 0, 0, 0])]
+#[case::from_our_own_address(
     Envelope { from: id(0, 5), message: Message::Digest([0; 16]) }.encode(&header(3, CLUSTER)).expect("small"),
     [0, 0, 0, 0, 1]
 )]
-#[case::from_a_past_incarnation(
+#[case::from_a_former_incarnation(
     Envelope { from: id(1, 4), message: Message::Digest([0; 16]) }.encode(&header(3, CLUSTER)).expect("small"),
     [0, 0, 0, 0, 1]
 )]
-fn bad_datagrams_are_counted_by_cause(#[case] bytes: Vec<u8>, #[case] want: [u64; 5]) {
+fn invalid_datagrams_are_counted_by_cause(#[case] bytes: Vec<u8>, #[case] want: [u64; 5]) {
     let mut members = members();
-    tell(&mut members, MS, id(1, 5), news(record(1, 5, 1, 1)));
+    deliver(&mut members, MS, id(1, 5), update(record(1, 5, 1, 1)));
     let digest = members.directory().digest();
     members.handle_datagram(2 * MS, &bytes);
     let (dropped, counts) = (members.swim().dropped, members.counts);
@@ -563,9 +576,9 @@
     assert_eq!((got, members.directory().digest()), (want, digest));
 }
 
-/// Random bytes behind each of our headers, some with a valid checksum: no table grows beyond the members named.
+/// Random bytes behind each valid header, some with a valid checksum, cause no panic and few new members.
 #[test]
-fn no_bytes_end_or_swell_a_front_end() {
+fn random_datagrams_neither_panic_nor_add_many_members() {
     let (mut members, mut rng) = (members(), SmallRng::seed_from_u64(3));
     for n in 0..20_000u64 {
         let length = rng.random_range(0..300);
@@ -581,12 +594,12 @@
     assert!(members.directory().alive().count() < 1_024);
 }
 
-/// Members gone are forgotten after a day, and sooner where there are too many.
+/// Tombstones expire after [`TOMBSTONE_TTL`], and sooner when there are too many.
 #[rstest]
-#[case::soon(10, 1000 * MS, 10)]
+#[case::recent(10, 1000 * MS, 10)]
 #[case::too_many(MAX_TOMBSTONES + 100, 1000 * MS, MAX_TOMBSTONES)]
-#[case::long_ago(10, TOMBSTONE_TTL, 0)]
-fn the_gone_are_forgotten_in_bounded_time_and_number(
+#[case::expired(10, TOMBSTONE_TTL, 0)]
+fn tombstones_are_limited_in_age_and_number(
     #[case] gone: usize,
     #[case] after: u64,
     #[case] known: usize,
@@ -596,11 +609,11 @@
         directory.mark_alive(0, id(member, 5));
         directory.mark_gone(member as u64, id(member, 5));
     }
-    let forgotten = directory.expire_tombstones(after + gone as u64);
+    let expired = directory.expire_tombstones(after + gone as u64);
     let left = (1..=gone)
         .filter(|&member| directory.member_digest(addr(member)).is_some())
         .count();
-    assert_eq!((left, forgotten.len()), (known, gone - known));
-    // Those gone longest go first.
+    assert_eq!((left, expired.len()), (known, gone - known));
+    // The oldest tombstones are removed first.
     assert!(known == 0 || directory.member_digest(addr(gone)).is_some());
 }
--- a/wrenseam/tests/fleet_swim.rs
+++ b/wrenseam/tests/fleet_swim.rs
@@ -1,4 +1,4 @@
-//! Membership alone on a simulated net: joining, a dead peer, bad datagrams.
+//! SWIM membership on a simulated network: join, detection of a failed peer, invalid datagrams.
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use rstest::rstest;
@@ -21,48 +21,51 @@
     }
 }
 
-fn addr(number: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 7000 + number as u16))
+fn addr(index: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 7000 + index as u16))
 }
 
-/// A fleet on a network of chance: `loss` of datagrams lost, `dup` repeated, all delayed 1 to 20 ms
-/// (and so reordered). `dead` front ends stop at `dead_at`.
+/// A fleet on a simulated network that delays each datagram by 1 to 20 ms, and so reorders them.
 struct Net {
     swims: Vec<Swim>,
-    flight: Vec<(Micros, usize, Vec<u8>)>,
+    /// Datagrams in flight: arrival time, receiver, bytes.
+    in_flight: Vec<(Micros, usize, Vec<u8>)>,
     rng: SmallRng,
+    /// The share of datagrams lost.
     loss: f64,
+    /// The share of datagrams sent twice.
     duplicates: f64,
-    dead: Vec<usize>,
-    dead_at: Micros,
+    /// The front ends that crash at `crash_at`.
+    crashed: Vec<usize>,
+    crash_at: Micros,
 }
 
 impl Net {
-    fn new(number: usize, loss: f64, duplicates: f64, seed: u64) -> Net {
-        let mut swims: Vec<Swim> = (0..number)
+    fn new(count: usize, loss: f64, duplicates: f64, seed: u64) -> Net {
+        let mut swims: Vec<Swim> = (0..count)
             .map(|i| Swim::new(addr(i), 1, settings(), seed + i as u64))
             .collect();
-        (1..number).for_each(|i| swims[i].join(0, addr(0)));
+        (1..count).for_each(|i| swims[i].join(0, addr(0)));
         let rng = SmallRng::seed_from_u64(seed);
         Net {
             swims,
-            flight: Vec::new(),
+            in_flight: Vec::new(),
             rng,
             loss,
             duplicates,
-            dead: Vec::new(),
-            dead_at: Micros::MAX,
+            crashed: Vec::new(),
+            crash_at: Micros::MAX,
         }
     }
 
     fn run(&mut self, until: Micros) -> Vec<(Micros, usize, PeerEvent)> {
-        let mut seen = Vec::new();
+        let mut events_seen = Vec::new();
         let mut now = 0;
         while now < until {
             now += MS;
             for i in 0..self.swims.len() {
-                let gone = self.dead.contains(&i) && now >= self.dead_at;
-                if gone {
+                let has_crashed = self.crashed.contains(&i) && now >= self.crash_at;
+                if has_crashed {
                     self.swims[i].outbox();
                     continue;
                 }
@@ -84,36 +87,36 @@
                     for _ in 0..copies {
                         if self.rng.random::<f64>() >= self.loss {
                             let at = now + self.rng.random_range(1..20) * MS;
-                            self.flight.push((at, to, bytes.clone()));
+                            self.in_flight.push((at, to, bytes.clone()));
                         }
                     }
                 }
                 let events = self.swims[i].events().into_iter();
-                seen.extend(events.map(|timed| (timed.at, i, timed.event)));
+                events_seen.extend(events.map(|timed| (timed.at, i, timed.event)));
             }
             let (due, later): (Vec<_>, Vec<_>) =
-                self.flight.drain(..).partition(|(at, ..)| *at <= now);
-            self.flight = later;
+                self.in_flight.drain(..).partition(|(at, ..)| *at <= now);
+            self.in_flight = later;
             for (_, to, bytes) in due {
-                if !(self.dead.contains(&to) && now >= self.dead_at) {
+                if !(self.crashed.contains(&to) && now >= self.crash_at) {
                     self.swims[to].handle_datagram(now, &bytes);
                 }
             }
         }
-        seen
+        events_seen
     }
 }
 
 #[rstest]
 #[case::clean(0.0, 0.0)]
-#[case::lossy_and_repeated(0.1, 0.2)]
-fn all_find_all_and_hear_their_summaries(#[case] loss: f64, #[case] duplicates: f64) {
+#[case::lossy_with_duplicates(0.1, 0.2)]
+fn all_members_find_each_other_and_receive_summaries(#[case] loss: f64, #[case] duplicates: f64) {
     let mut net = Net::new(5, loss, duplicates, 11);
     net.run(3000 * MS);
     for (index, swim) in net.swims.iter().enumerate() {
         assert_eq!(swim.alive(), 4, "front end {index}");
         assert_eq!(swim.summaries(3000 * MS).len(), 4, "front end {index}");
-        // Pressures 1000 to 1004, all heard: their mean.
+        // The mean of the pressures 1000 to 1004.
         assert_eq!(
             swim.pressure(3000 * MS, 1000 + index as u32),
             1002,
@@ -123,13 +126,13 @@
 }
 
 #[test]
-fn a_dead_peer_is_declared_down_within_the_bound() {
+fn crashed_peer_is_declared_down_within_one_second() {
     let mut net = Net::new(5, 0.0, 0.0, 3);
-    net.dead = vec![4];
-    net.dead_at = 2000 * MS;
-    let seen = net.run(4000 * MS);
+    net.crashed = vec![4];
+    net.crash_at = 2000 * MS;
+    let events_seen = net.run(4000 * MS);
     for i in 0..4 {
-        let down = seen.iter().find(|(_, at, event)| {
+        let down = events_seen.iter().find(|(_, at, event)| {
             *at == i
                 && *event
                     == PeerEvent::Down(PeerId {
@@ -137,9 +140,13 @@
                         incarnation: 1,
                     })
         });
-        let (when, _, _) = down.unwrap_or_else(|| panic!("front end {i} never noticed: {seen:?}"));
-        // Probe period, round trip and suspicion, and the updates spread to all: well under a second here.
-        assert!(*when - 2000 * MS < 1000 * MS, "front end {i} at {when}");
+        let (when, _, _) = down
+            .unwrap_or_else(|| panic!("front end {i} did not declare it down: {events_seen:?}"));
+        // Probe period, probe timeout, suspicion timeout and dissemination together take well under a second here.
+        assert!(
+            *when - 2000 * MS < 1000 * MS,
+            "front end {i} declared it down only at {when} us"
+        );
         assert_eq!(net.swims[i].alive(), 3);
     }
 }
@@ -149,7 +156,7 @@
 #[case::other_cluster({ let mut b = vec![b'w', b'F', 1, 0, 0, 0, 8]; b.extend([1; 40]); b })]
 #[case::garbled({ let mut b = vec![b'w', b'F', 1, 0, 0, 0, 7]; b.extend([0xff; 40]); b })]
 #[case::oversized(vec![0; MAX_DATAGRAM + 1])]
-fn bad_datagrams_are_counted_and_dropped(#[case] bytes: Vec<u8>) {
+fn invalid_datagrams_are_counted_and_dropped(#[case] bytes: Vec<u8>) {
     let mut swim = Swim::new(addr(0), 1, settings(), 1);
     swim.handle_datagram(0, &bytes);
     let dropped = swim.dropped;
--- a/wrenseam/tests/golden_fleet.rs
+++ b/wrenseam/tests/golden_fleet.rs
@@ -1,5 +1,5 @@
-//! Golden bytes of the datagrams between front ends: each encoder with fixed inputs, and its bytes decoded back.
-//! A change that alters one of these literals alters what processes of different versions say to each other.
+//! Golden bytes of the datagrams between front ends: each encoder with fixed input, and its bytes decoded back. A
+//! change of one of these literals is a change of the protocol between processes of different versions.
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 }
 
 fn v6() -> SocketAddr {
-    "[2001:db8::7]:7947".parse().expect("an address")
+    "[2001:db8::7]:7947".parse().expect("valid address")
 }
 
 fn peer(addr: SocketAddr) -> PeerId {
@@ -40,7 +40,7 @@
     }
 }
 
-/// A record with entries, each field of another value.
+/// A record with entries, in which each field has a different value.
 fn record(owner: SocketAddr, lifecycle: Lifecycle) -> Record {
     let entry = |version, value: &str| Entry {
         version,
@@ -98,7 +98,7 @@
     }
 }
 
-fn claims_message() -> Message {
+fn member_digests_message() -> Message {
     let member_digests = vec![
         member_digest(v4(), Liveness::Alive),
         member_digest(v6(), Liveness::Left),
@@ -110,22 +110,19 @@
     }
 }
 
-fn records_message(changed: bool) -> Message {
+fn records_message(is_update: bool) -> Message {
     let records = vec![
         record(v4(), Lifecycle::Ready),
         record(v6(), Lifecycle::Leaving),
     ];
-    Message::Records {
-        is_update: changed,
-        records,
-    }
+    Message::Records { is_update, records }
 }
 
 fn wanted_message() -> Message {
     Message::Wanted(vec![v4(), v6()])
 }
 
-fn inquiry_message(gone: bool) -> Message {
+fn alive_query_message(gone: bool) -> Message {
     Message::AliveQuery {
         about: peer(v6()),
         gone,
@@ -133,14 +130,14 @@
     }
 }
 
-fn present_message() -> Message {
+fn alive_reply_message() -> Message {
     Message::AliveReply {
         record: Box::new(record(v4(), Lifecycle::Draining)),
         origin: v6(),
     }
 }
 
-/// Each kind of datagram about records, whole.
+/// Complete datagrams of each kind of record message.
 #[rstest]
 #[case::digest(digest_message(), "77460301020304041f0a0a01020300001122334455660000000000010101010202020203030303040404040505050506\
          0606060707070708080808090909090a0a0a0a0b0b0b0b0c0c0c0c0d0d0d0d0e0e0e0e0f0f0f0fd72c803a")]
@@ -148,24 +145,24 @@
     hashes_message(),
     "77460301020304041f0a0a010203000011223344556601800100000001fffffffef474ff4a"
 )]
-#[case::member_digests(claims_message(), "77460301020304041f0a0a01020300001122334455660200010a0b0c0d041f0a0a010203000011223344556600000009\
+#[case::member_digests(member_digests_message(), "77460301020304041f0a0a01020300001122334455660200010a0b0c0d041f0a0a010203000011223344556600000009\
          00cafef00d061f0b20010db800000000000000000000000700001122334455660000000901cafef00d041f0a0a010203\
          00001122334455660000000902cafef00de5e8245d")]
-#[case::changed_records(records_message(true), "77460301020304041f0a0a010203000011223344556603010043041f0a0a0102030000112233445566000000090101de\
+#[case::records_as_rumor(records_message(true), "77460301020304041f0a0a010203000011223344556603010043041f0a0a0102030000112233445566000000090101de\
          adbeef01020304046561737405302e312e300205616c7068610000000100036f6e650462657461000000020000004f06\
          1f0b20010db80000000000000000000000070000112233445566000000090103deadbeef01020304046561737405302e\
          312e300205616c7068610000000100036f6e6504626574610000000200007bfc2434")]
-#[case::repaired_records(records_message(false), "77460301020304041f0a0a010203000011223344556603000043041f0a0a0102030000112233445566000000090101de\
+#[case::records_of_repair(records_message(false), "77460301020304041f0a0a010203000011223344556603000043041f0a0a0102030000112233445566000000090101de\
          adbeef01020304046561737405302e312e300205616c7068610000000100036f6e650462657461000000020000004f06\
          1f0b20010db80000000000000000000000070000112233445566000000090103deadbeef01020304046561737405302e\
          312e300205616c7068610000000100036f6e650462657461000000020000e234043b")]
 #[case::wanted(wanted_message(), "77460301020304041f0a0a010203000011223344556604041f0a0a010203061f0b20010db80000000000000000000000\
          07b350ca17")]
-#[case::inquiry_of_alive(inquiry_message(false), "77460301020304041f0a0a010203000011223344556605061f0b20010db8000000000000000000000007000011223344\
+#[case::alive_query_of_alive_member(alive_query_message(false), "77460301020304041f0a0a010203000011223344556605061f0b20010db8000000000000000000000007000011223344\
          556600041f0a0a010203c015b788")]
-#[case::inquiry_of_gone(inquiry_message(true), "77460301020304041f0a0a010203000011223344556605061f0b20010db8000000000000000000000007000011223344\
+#[case::alive_query_of_gone_member(alive_query_message(true), "77460301020304041f0a0a010203000011223344556605061f0b20010db8000000000000000000000007000011223344\
          556601041f0a0a0102030cbfb716")]
-#[case::present(present_message(), "77460301020304041f0a0a010203000011223344556606061f0b20010db80000000000000000000000070043041f0a0a\
+#[case::alive_reply(alive_reply_message(), "77460301020304041f0a0a010203000011223344556606061f0b20010db80000000000000000000000070043041f0a0a\
          0102030000112233445566000000090102deadbeef01020304046561737405302e312e300205616c7068610000000100\
          036f6e65046265746100000002000076606392")]
 fn record_datagrams_keep_their_bytes(#[case] message: Message, #[case] golden: &str) {
@@ -175,8 +172,8 @@
     };
     let bytes = envelope
         .encode(&header(RECORDS_VERSION, CLUSTER))
-        .expect("within the largest datagram");
-    pinned(&bytes, golden);
+        .expect("datagram within the size limit");
+    assert_golden(&bytes, golden);
     assert_eq!(Envelope::decode(&bytes), Ok(envelope));
 }
 
@@ -200,12 +197,12 @@
 #[case::with_entries(record(v6(), Lifecycle::Ready), "061f0b20010db80000000000000000000000070000112233445566000000090101deadbeef0102030404656173740530\
          2e312e300205616c7068610000000100036f6e650462657461000000020000")]
 fn records_keep_their_bytes(#[case] record: Record, #[case] golden: &str) {
-    let bytes = record.encode().expect("within its bounds");
-    pinned(&bytes, golden);
+    let bytes = record.encode().expect("record within its limits");
+    assert_golden(&bytes, golden);
     assert_eq!(Record::decode(&bytes), Ok(record));
 }
 
-/// Checksums are compared between processes, so they are as fixed as bytes are.
+/// Processes of different versions compare these values, so they must not change.
 #[test]
 fn checksums_and_hashes_keep_their_values() {
     assert_eq!(
@@ -238,13 +235,13 @@
          440000005566770100000000a72589ef")]
 #[case::of_v6(full_summary(Some(v6())), "7753061f0b20010db8000000000000000000000007010203040506070800000011000004d20000002200000033000000\
          440000005566770100000000969d1289")]
-#[case::of_nobody(full_summary(None), "775300000000000000000000000000000000000000010203040506070800000011000004d20000002200000033000000\
+#[case::without_origin(full_summary(None), "775300000000000000000000000000000000000000010203040506070800000011000004d20000002200000033000000\
          440000005566770100000000963eb12b")]
-#[case::of_zeros(Summary::default(), "775300000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000\
+#[case::default(Summary::default(), "775300000000000000000000000000000000000000000000000000000000000000000000000000000000000000000000\
          0000000000000000000000004c2455d5")]
 fn summaries_keep_their_bytes(#[case] summary: Summary, #[case] golden: &str) {
     let bytes = summary.encode();
-    pinned(&bytes, golden);
+    assert_golden(&bytes, golden);
     assert_eq!(Summary::decode(&bytes), Ok(summary));
 }
 
@@ -271,7 +268,7 @@
          621f15")]
 fn averaging_exchanges_keep_their_bytes(#[case] exchange: Exchange, #[case] golden: &str) {
     let bytes = exchange.encode(&header(AVERAGE_VERSION, CLUSTER));
-    pinned(&bytes, golden);
+    assert_golden(&bytes, golden);
     assert_eq!(Exchange::decode(&bytes), Some(exchange));
 }
 
@@ -307,25 +304,25 @@
     Swim::new(address, 0x1122_3344_5566, settings, 42)
 }
 
-/// A member joins by way of another, which answers with the members it knows; then the first is left.
+/// The datagrams of a join: the announce, the answer with the known members, and the announcement of a leave.
 #[test]
 fn membership_datagrams_keep_their_bytes() {
     let (mut joining, mut seed) = (swim(v4()), swim(v6()));
     joining.join(0, v6());
     let announce = only_datagram(&mut joining);
-    pinned(
+    assert_golden(
         &announce,
         "77460101020304000a0102038a3ee6aa919aa3a404000120010db80000000000000000000000078b3e0006",
     );
     assert_eq!(seed.handle_datagram(0, &announce), Some(peer(v4())));
     let feed = only_datagram(&mut seed);
-    pinned(&feed, "774601010203040120010db80000000000000000000000078b3ee6aa919aa3a40400000a0102038a3ee6aa919aa3a404\
+    assert_golden(&feed, "774601010203040120010db80000000000000000000000078b3ee6aa919aa3a40400000a0102038a3ee6aa919aa3a404\
          070000");
     assert_eq!(joining.handle_datagram(0, &feed), Some(peer(v6())));
     assert_eq!(joining.members().collect::<Vec<_>>(), [v6()]);
     joining.publish(0, full_summary(None));
     joining.leave(0, true);
-    pinned(&only_datagram(&mut joining), "77460101020304000a0102038a3ee6aa919aa3a404000120010db80000000000000000000000078b3ee6aa919aa3a404\
+    assert_golden(&only_datagram(&mut joining), "77460101020304000a0102038a3ee6aa919aa3a404000120010db80000000000000000000000078b3ee6aa919aa3a404\
          0800020120010db80000000000000000000000078b3ee6aa919aa3a4040000000a0102038a3ee6aa919aa3a404000200\
          407753041f0a0a010203000000000000000000000000000000000000000100000011000004d200000022000000330000\
          0044000000556677010000000045e779cd");
@@ -337,6 +334,6 @@
     datagrams.remove(0).bytes
 }
 
-fn pinned(bytes: &[u8], golden: &str) {
+fn assert_golden(bytes: &[u8], golden: &str) {
     assert_eq!(hex(bytes), golden);
 }
