--- a/wrenseam/src/fleet/detector.rs
+++ b/wrenseam/src/fleet/detector.rs
@@ -15,9 +15,9 @@
 /// The highest (worst) local health score. Probe periods and suspicion timeouts are multiplied by the score plus one.
 pub const MAX_HEALTH_SCORE: u32 = 3;
 
-/// Consecutive failed probes after which acknowledgements no longer count as received without a gap.
+/// Consecutive failed probes that count as a gap in the acknowledgements.
 const GAP_FAILURES: u32 = 2;
-/// Consecutive failed probes from which on the fault is assumed to be local.
+/// Consecutive failed probes after which the fault is assumed to be local.
 const LOCAL_FAULT_FAILURES: u32 = 3;
 /// How long ago, in quarters of a probe period, the last acknowledged probe may have started for a peer to be declared
 /// down.
@@ -93,9 +93,9 @@
         });
     }
 
-    /// Evaluates a finished probe. One or two consecutive failures may be the peers' fault, as a third of a fleet may go
-    /// down at once. [`LOCAL_FAULT_FAILURES`] in a row, or one failure during which no datagram arrived, point to a local
-    /// fault.
+    /// Evaluates a finished probe. One or two consecutive failures may be the peers' fault, as a third of a fleet may
+    /// go down at once. [`LOCAL_FAULT_FAILURES`] in a row, or one failure during which no datagram arrived, point to a
+    /// local fault.
     fn end_probe(&mut self, probe: Probe) {
         if probe.acknowledged {
             self.health_score /= 2; // an acknowledgement proves that we can send and receive
@@ -180,8 +180,8 @@
         outcome
     }
 
-    /// Whether a peer that has been silent since `since` may be declared down. Within that time our own probes must have
-    /// been acknowledged for long enough, without a gap and up to now.
+    /// Whether a peer that has been silent since `since` may be declared down. Within that time our own probes must
+    /// have been acknowledged for long enough, without a gap and up to now.
     pub fn may_declare_down(&self, now: Micros, since: Micros) -> bool {
         let max_age = self.probe_period * MAX_ACK_AGE_QUARTERS / 4;
         let not_before = now.saturating_sub(max_age).max(since);
@@ -192,7 +192,7 @@
         is_recent && is_long_enough
     }
 
-    /// Drops the state of a peer that is down, or has come up or changed its incarnation: it is of the past incarnation.
+    /// Drops the state of a peer that came up, went down or changed its incarnation, as it is of a former incarnation.
     pub fn forget(&mut self, addr: SocketAddr) {
         self.suspicions.remove(&addr);
         self.last_contact_at.remove(&addr);
--- a/wrenseam/src/fleet/directory/member.rs
+++ b/wrenseam/src/fleet/directory/member.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// Consecutive unanswered repairs from which on a member counts as one that does not support records.
+/// Unanswered repairs after which a member without a known record counts as one that does not support records.
 const MAX_UNANSWERED_REPAIRS: u8 = 3;
 
 /// The replica of a member's record, under the newest stamp that its content is known to have.
--- a/wrenseam/src/fleet/members/exchange.rs
+++ b/wrenseam/src/fleet/members/exchange.rs
@@ -58,7 +58,7 @@
 
     /// Checks the sender of a record datagram and adds it as a live member if it, or its incarnation, is new. Returns
     /// false if the datagram is to be dropped: the sender has our own address, or its incarnation is outdated or
-    /// counted as gone. In the latter case it is notified.
+    /// counted as gone, of which it is notified.
     fn accept_sender(&mut self, now: Micros, from: PeerId) -> bool {
         if from.addr == self.directory.own().owner {
             return false;
@@ -214,7 +214,8 @@
         }
     }
 
-    /// Merges a record. With `is_update` it has just changed, and is forwarded as a rumor if it was new here and the byte budget allows.
+    /// Merges a record. With `is_update` it has just changed, and is forwarded as a rumor if it was new here and the
+    /// byte budget allows.
     fn handle_record(&mut self, now: Micros, record: Record, is_update: bool) {
         let owner = record.owner;
         let id = record.id();
--- a/wrenseam/src/fleet/members/periodic.rs
+++ b/wrenseam/src/fleet/members/periodic.rs
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Ends a liveness check without a reply: the member is declared down if no datagram of it arrived meanwhile and
-    /// the detector finds no local fault.
+    /// Handles a liveness check whose reply timeout is over: the member is declared down if no datagram of it arrived
+    /// since the check began and the detector finds no local fault. Else the check stays open.
     fn expire_check(&mut self, now: Micros, id: PeerId, started_at: Micros) {
         let detector = self.swim.detector();
         let had_contact = detector.last_contact(id.addr) >= Some(started_at);
--- a/wrenseam/src/fleet/swim.rs
+++ b/wrenseam/src/fleet/swim.rs
@@ -38,7 +38,7 @@
 /// A change of membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerEvent {
-    /// A peer is alive.
+    /// A peer came up.
     Up(PeerId),
     /// A peer was declared down.
     Down(PeerId),
@@ -57,7 +57,7 @@
 pub struct TimedPeerEvent {
     /// When this front end noticed the change, in microseconds.
     pub at: Micros,
-    /// The change.
+    /// What changed.
     pub event: PeerEvent,
 }
 
@@ -74,11 +74,11 @@
     /// Seeds foca's random numbers; raised with each new state machine.
     seed: u64,
     /// Whether this front end has left: it then ignores what it learns of members, and does not rejoin.
-    leaving: bool,
+    has_left: bool,
     /// Datagrams dropped, by cause.
     pub dropped: DropCounts,
     /// Sequence number of the last summary that this front end published.
-    published: u64,
+    last_summary_seq: u64,
 }
 
 impl Swim {
@@ -101,9 +101,9 @@
             settings,
             config,
             seed,
-            leaving: false,
+            has_left: false,
             dropped: DropCounts::default(),
-            published: 0,
+            last_summary_seq: 0,
         }
     }
 
@@ -162,7 +162,7 @@
 
     /// Rejoins under the next incarnation if the peers declared this front end down.
     fn rejoin(&mut self) {
-        if self.runtime.defunct && !self.leaving {
+        if self.runtime.defunct && !self.has_left {
             let now = self.runtime.now;
             self.renew(now, self.own.incarnation.saturating_add(1));
             self.runtime.push_event(PeerEvent::Rejoined);
@@ -173,7 +173,7 @@
     /// down.
     pub fn leave(&mut self, now: Micros, notify: bool) {
         self.set_now(now);
-        self.leaving = true;
+        self.has_left = true;
         if notify {
             let _ = self.foca.leave_cluster(&mut self.runtime); // can only fail to encode our own identity
         }
@@ -191,7 +191,7 @@
 
     fn apply_member(&mut self, now: Micros, member: Member<PeerId>, disseminate: bool) {
         self.set_now(now);
-        if member.id().addr == self.own.addr || self.leaving {
+        if member.id().addr == self.own.addr || self.has_left {
             return;
         }
         // Fails only for a member that cannot be encoded, and this one was decoded or created here.
@@ -235,7 +235,7 @@
     /// Asks the peer at `seed` to let us join.
     pub fn join(&mut self, now: Micros, seed: SocketAddr) {
         self.set_now(now);
-        if seed == self.own.addr || self.leaving {
+        if seed == self.own.addr || self.has_left {
             return;
         }
         let peer = PeerId {
--- a/wrenseam/src/fleet/swim/summaries.rs
+++ b/wrenseam/src/fleet/swim/summaries.rs
@@ -106,9 +106,9 @@
     pub fn publish(&mut self, now: Micros, mut summary: Summary) {
         self.set_now(now);
         self.runtime.carries_summaries = true;
-        self.published += 1;
+        self.last_summary_seq += 1;
         summary.origin = Some(self.own.addr);
-        summary.seq = self.published;
+        summary.seq = self.last_summary_seq;
         let _ = self.foca.add_broadcast(&summary.encode()); // fails only for invalid bytes, and these were encoded here
     }
 
