--- a/wrenseam/tests/fleet_log_lines.rs
+++ b/wrenseam/tests/fleet_log_lines.rs
@@ -2,7 +2,7 @@
 use rstest::rstest;
 use std::net::SocketAddr;
 use wrenseam::fleet::record::RecordError;
-use wrenseam::fleet::swim::Dropped;
+use wrenseam::fleet::swim::DropCounts;
 use wrenseam::gossip::log_lines;
 
 fn peer() -> SocketAddr {
@@ -29,10 +29,10 @@
 )]
 #[case::record_not_published(
     log_lines::record_not_published(&RecordError::NameTooLong(65)),
-    "fleet: member record not published: a name of 65 bytes, 64 allowed"
+    "fleet: member record not published: name of 65 bytes exceeds the limit of 64"
 )]
 #[case::datagrams_dropped(
-    log_lines::datagrams_dropped(&Dropped { oversized: 1, foreign: 2, garbled: 3 }),
+    log_lines::datagrams_dropped(&DropCounts { oversized: 1, foreign: 2, garbled: 3 }),
     "fleet: datagrams dropped: 1 oversized, 2 foreign, 3 garbled"
 )]
 #[case::mixed_versions(
