--- a/wrenseam/src/front/admin/handover.rs
+++ b/wrenseam/src/front/admin/handover.rs
@@ -69,7 +69,7 @@
 /// Hands the file's exclusions to the core at the start and whenever the file changes: a process that replaces another
 /// keeps its exclusions. Tells the core, too, when this process becomes the active one or is replaced. Ends with the
 /// core.
-pub fn watch(context: &ListenerContext, mut active_process: ActiveProcess) {
+pub fn poll_handover_files(context: &ListenerContext, mut active_process: ActiveProcess) {
     let path = exclusions_path();
     let mut sent = None;
     loop {
--- a/wrenseam/src/front/admin/mod.rs
+++ b/wrenseam/src/front/admin/mod.rs
@@ -12,7 +12,7 @@
     exclusions_path, read_exclusions, update_exclusions, write_exclusions, ExclusionCommands,
     RunningCommand,
 };
-pub use handover::{watch, ActiveProcess, POLL_INTERVAL};
+pub use handover::{poll_handover_files, ActiveProcess, POLL_INTERVAL};
 pub use line::{ReadLineError, MAX_LINE_LENGTH, READ_TIMEOUT};
 pub use reply::{render, AdminError};
 
@@ -89,9 +89,11 @@
     match AdminCommand::parse(line)? {
         command @ (AdminCommand::Exclude(_) | AdminCommand::Include(_)) => {
             let _running = context.exclusion_commands.begin();
-            update_exclusions(&exclusions_path(), command, |command| ask(context, command))
+            update_exclusions(&exclusions_path(), command, |command| {
+                send_command(context, command)
+            })
         }
-        command => ask(context, command),
+        command => send_command(context, command),
     }
 }
 
@@ -99,7 +101,10 @@
 ///
 /// # Errors
 /// The core has ended, or does not answer in time.
-pub fn ask(context: &ListenerContext, command: AdminCommand) -> Result<AdminReply, AdminError> {
+pub fn send_command(
+    context: &ListenerContext,
+    command: AdminCommand,
+) -> Result<AdminReply, AdminError> {
     let (reply, replies) = may::sync::mpsc::channel();
     let message = Message::Admin { command, reply };
     context
--- a/wrenseam/src/front/fastcgi/connection.rs
+++ b/wrenseam/src/front/fastcgi/connection.rs
@@ -1,8 +1,8 @@
 //! One FastCGI connection: its records, and the requests that they make up.
 use super::answers::{request_tag, status_response, FastCgiClient};
-use super::partial::{EarlyEnd, PartialRequest, Rejection};
+use super::partial::{EarlyRejection, PartialRequest, Rejection};
 use super::records::{
-    end_request, get_values_result, pairs, unknown_type, BeginRequest, FastCgiError, Record,
+    decode_pairs, end_request, get_values_result, unknown_type, BeginRequest, FastCgiError, Record,
     RecordDecoder, ABORT_REQUEST, BEGIN_REQUEST, GET_VALUES, PARAMS, STDIN,
 };
 use crate::front::connection::{
@@ -163,7 +163,7 @@
         let connections = self.context.limits.max_client_connections;
         let requests = connections * self.context.limits.max_requests_per_connection;
         let mut values = Vec::new();
-        for (name, _) in pairs(content) {
+        for (name, _) in decode_pairs(content) {
             let value = match name.as_str() {
                 "FCGI_MAX_CONNS" => connections,
                 "FCGI_MAX_REQS" => requests,
@@ -186,9 +186,9 @@
             return Err(FastCgiError::DuplicateRequestId(request_id).into());
         }
         if !begin.is_responder() {
-            self.end_at_once(request_id, EarlyEnd::UnknownRole);
+            self.end_at_once(request_id, EarlyRejection::UnknownRole);
         } else if open_count >= self.context.limits.max_requests_per_connection {
-            self.end_at_once(request_id, EarlyEnd::TooManyRequests);
+            self.end_at_once(request_id, EarlyRejection::TooManyRequests);
         } else {
             let partial =
                 PartialRequest::new(!begin.keeps_connection(), self.context.budget.reserve(0));
@@ -198,7 +198,7 @@
     }
 
     /// Ends a request whose parameters are not looked at; its connection stays.
-    fn end_at_once(&self, request_id: u16, reason: EarlyEnd) {
+    fn end_at_once(&self, request_id: u16, reason: EarlyRejection) {
         log_limited!(
             "{}",
             messages::fastcgi_request_rejected(request_id, &reason)
--- a/wrenseam/src/front/fastcgi/mod.rs
+++ b/wrenseam/src/front/fastcgi/mod.rs
@@ -7,5 +7,5 @@
 mod request;
 
 pub use connection::serve;
-pub use partial::EarlyEnd;
-pub use records::{pairs, record, response, FastCgiError};
+pub use partial::EarlyRejection;
+pub use records::{append_record, decode_pairs, response, FastCgiError};
--- a/wrenseam/src/front/fastcgi/partial.rs
+++ b/wrenseam/src/front/fastcgi/partial.rs
@@ -7,7 +7,7 @@
 
 /// Why a request is ended before its parameters are looked at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum EarlyEnd {
+pub enum EarlyRejection {
     /// Its role is not the Responder's.
     #[error("unsupported role")]
     UnknownRole,
@@ -19,12 +19,14 @@
     MemoryLimit,
 }
 
-impl EarlyEnd {
+impl EarlyRejection {
     /// The status for the client.
     pub(super) fn status(self) -> ProtocolStatus {
         match self {
-            EarlyEnd::UnknownRole => ProtocolStatus::UnknownRole,
-            EarlyEnd::TooManyRequests | EarlyEnd::MemoryLimit => ProtocolStatus::Overloaded,
+            EarlyRejection::UnknownRole => ProtocolStatus::UnknownRole,
+            EarlyRejection::TooManyRequests | EarlyRejection::MemoryLimit => {
+                ProtocolStatus::Overloaded
+            }
         }
     }
 }
@@ -37,7 +39,7 @@
     Invalid(#[from] ParameterError),
     /// It cannot be read now.
     #[error(transparent)]
-    Early(#[from] EarlyEnd),
+    Early(#[from] EarlyRejection),
 }
 
 /// A request of which records are still to come.
@@ -111,7 +113,7 @@
     fn reserve(&mut self, bytes: usize) -> Result<(), Rejection> {
         let reserved = self.reserved_bytes.as_mut();
         if !reserved.is_some_and(|held| held.grow(bytes)) {
-            return Err(EarlyEnd::MemoryLimit.into());
+            return Err(EarlyRejection::MemoryLimit.into());
         }
         Ok(())
     }
--- a/wrenseam/src/front/fastcgi/records.rs
+++ b/wrenseam/src/front/fastcgi/records.rs
@@ -153,7 +153,7 @@
 }
 
 /// Appends one record; `content` must be shorter than 64 KiB.
-pub fn record(record_type: u8, request_id: u16, content: &[u8], to: &mut Vec<u8>) {
+pub fn append_record(record_type: u8, request_id: u16, content: &[u8], to: &mut Vec<u8>) {
     to.extend([VERSION, record_type]);
     to.extend(request_id.to_be_bytes());
     to.extend((content.len() as u16).to_be_bytes());
@@ -163,7 +163,7 @@
 
 fn append_end_request(request_id: u16, status: ProtocolStatus, to: &mut Vec<u8>) {
     let content = [0, 0, 0, 0, status as u8, 0, 0, 0];
-    record(END_REQUEST, request_id, &content, to);
+    append_record(END_REQUEST, request_id, &content, to);
 }
 
 /// An END_REQUEST record alone.
@@ -177,7 +177,7 @@
 pub(super) fn unknown_type(record_type: u8) -> Vec<u8> {
     let mut bytes = Vec::new();
     let content = [record_type, 0, 0, 0, 0, 0, 0, 0];
-    record(UNKNOWN_TYPE, 0, &content, &mut bytes);
+    append_record(UNKNOWN_TYPE, 0, &content, &mut bytes);
     bytes
 }
 
@@ -191,7 +191,7 @@
         content.extend(value.as_bytes());
     }
     let mut bytes = Vec::new();
-    record(GET_VALUES_RESULT, 0, &content, &mut bytes);
+    append_record(GET_VALUES_RESULT, 0, &content, &mut bytes);
     bytes
 }
 
@@ -200,15 +200,15 @@
     let content = [head.as_bytes(), b"\r\n", body].concat();
     let mut bytes = Vec::with_capacity(content.len() + RESPONSE_OVERHEAD);
     for chunk in content.chunks(STDOUT_CHUNK) {
-        record(STDOUT, request_id, chunk, &mut bytes);
+        append_record(STDOUT, request_id, chunk, &mut bytes);
     }
-    record(STDOUT, request_id, &[], &mut bytes);
+    append_record(STDOUT, request_id, &[], &mut bytes);
     append_end_request(request_id, ProtocolStatus::Complete, &mut bytes);
     bytes
 }
 
 /// Name-value pairs of a parameter stream; a truncated pair ends them.
-pub fn pairs(mut stream: &[u8]) -> Vec<(String, String)> {
+pub fn decode_pairs(mut stream: &[u8]) -> Vec<(String, String)> {
     let mut pairs = Vec::new();
     while let Some((name, value)) = next_pair(&mut stream) {
         pairs.push((
--- a/wrenseam/src/front/fastcgi/request.rs
+++ b/wrenseam/src/front/fastcgi/request.rs
@@ -6,14 +6,14 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use super::records::pairs;
+use super::records::decode_pairs;
 
 /// The parameters of a request by name.
 pub(super) struct Parameters(HashMap<String, String>);
 
 impl Parameters {
     pub(super) fn decode(stream: &[u8]) -> Self {
-        Parameters(pairs(stream).into_iter().collect())
+        Parameters(decode_pairs(stream).into_iter().collect())
     }
 
     /// A parameter's value; empty if it is missing.
--- a/wrenseam/src/front/kserve/answers.rs
+++ b/wrenseam/src/front/kserve/answers.rs
@@ -12,7 +12,7 @@
 use wrenseam_policy::Micros;
 
 /// An error object of the protocol.
-pub fn error(text: &str) -> Vec<u8> {
+pub fn error_body(text: &str) -> Vec<u8> {
     let mut fields = Object::new();
     fields.insert("error".to_owned(), Value::String(text.to_owned()));
     json::to_string(&fields).into_bytes()
@@ -28,7 +28,7 @@
         Answer::Rejected { retry_after } => rejected_response(retry_after, close),
         Answer::Failed => {
             let status = Status::InternalServerError.as_str();
-            response(status, "", &error("failed"), close)
+            response(status, "", &error_body("failed"), close)
         }
     }
 }
@@ -57,7 +57,7 @@
         retry_after.div_ceil(1_000_000).max(1),
         retry_after.div_ceil(1000)
     );
-    let body = error("refused, trying again is harmless");
+    let body = error_body("refused, trying again is harmless");
     response(Status::ServiceUnavailable.as_str(), &headers, &body, close)
 }
 
--- a/wrenseam/src/front/kserve/decoder.rs
+++ b/wrenseam/src/front/kserve/decoder.rs
@@ -1,5 +1,5 @@
 //! HTTP/1.1 requests out of the bytes of a connection; no I/O.
-use super::answers::error;
+use super::answers::error_body;
 use crate::http::{response, Head, HeadError, Status};
 use crate::limits::Limits;
 use crate::ring::Ring;
@@ -43,7 +43,7 @@
 
     /// The response to such a request.
     pub(super) fn response(&self, close: bool) -> Vec<u8> {
-        let body = error(&self.to_string());
+        let body = error_body(&self.to_string());
         response(self.status().as_str(), "", &body, close)
     }
 }
--- a/wrenseam/src/front/kserve/mod.rs
+++ b/wrenseam/src/front/kserve/mod.rs
@@ -7,6 +7,6 @@
 mod request;
 mod routes;
 
-pub use answers::error;
+pub use answers::error_body;
 pub use connection::{serve, serve_admin};
 pub use decoder::HttpError;
--- a/wrenseam/src/front/kserve/routes.rs
+++ b/wrenseam/src/front/kserve/routes.rs
@@ -1,5 +1,5 @@
 //! What each path of the v2 protocol answers.
-use super::answers::error;
+use super::answers::error_body;
 use super::connection::HttpConnection;
 use super::decoder::HttpRequest;
 use super::request::to_request;
@@ -44,7 +44,7 @@
 
     /// A response with an error object.
     pub(super) fn error(status: Status, reason: &str) -> Reply {
-        Reply::now(status, error(reason))
+        Reply::now(status, error_body(reason))
     }
 }
 
--- a/wrenseam/src/server.rs
+++ b/wrenseam/src/server.rs
@@ -252,7 +252,7 @@
         let accept = move || admin::accept(&listener, &context);
         spawn(self.limits.coroutine_stack_bytes, accept).map_err(failed)?;
         let context = self.listener_context.clone();
-        let watch = move || admin::watch(&context, active_process);
+        let watch = move || admin::poll_handover_files(&context, active_process);
         spawn(self.limits.coroutine_stack_bytes, watch).map_err(StartError::Exclusions)
     }
 
--- a/wrenseam/src/shutdown.rs
+++ b/wrenseam/src/shutdown.rs
@@ -89,7 +89,7 @@
 
 /// Reports not ready at once, so that new clients go to the process that replaces this one.
 fn start_draining(context: &ListenerContext) {
-    let _ = admin::ask(context, AdminCommand::Evacuate); // the shutdown continues without the core's reply
+    let _ = admin::send_command(context, AdminCommand::Evacuate); // the shutdown continues without the core's reply
     let message = messages::shutdown_started(context.limits.listener_close_delay);
     eprintln!("{message}");
 }
--- a/wrenseam/tests/golden_fronts.rs
+++ b/wrenseam/tests/golden_fronts.rs
@@ -179,7 +179,7 @@
 #[test]
 fn fastcgi_encoders_keep_their_bytes() {
     let mut bytes = Vec::new();
-    front::fastcgi::record(6, 0x0102, b"abc", &mut bytes);
+    front::fastcgi::append_record(6, 0x0102, b"abc", &mut bytes);
     pinned(&bytes, b"\x01\x06\x01\x02\x00\x03\x00\x00abc");
     let long = front::fastcgi::response(1, "Status: 200 OK\r\n", &[b'x'; 0x10000]);
     assert_eq!(long[..8], *b"\x01\x06\x00\x01\xff\xf8\x00\x00");
@@ -190,7 +190,7 @@
     let parameters = b"\x01\x03a123\x80\x00\x00\x02\x00bc\x05";
     let expected =
         [("a", "123"), ("bc", "")].map(|(name, value)| (name.to_owned(), value.to_owned()));
-    assert_eq!(front::fastcgi::pairs(parameters), expected);
+    assert_eq!(front::fastcgi::decode_pairs(parameters), expected);
 }
 
 /// One HTTP answer as it stands on the wire; the connection closes behind it.
@@ -407,7 +407,7 @@
 
 #[test]
 fn http_encoders_keep_their_bytes() {
-    let error = front::kserve::error("a \"quoted\" reason");
+    let error = front::kserve::error_body("a \"quoted\" reason");
     assert_eq!(error, br#"{"error":"a \"quoted\" reason"}"#);
     pinned(
         &response("200 OK", "", b"{}", false),
--- a/wrenseam/tests/log_messages.rs
+++ b/wrenseam/tests/log_messages.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use wrenseam::front::admin::ReadLineError;
-use wrenseam::front::fastcgi::{EarlyEnd, FastCgiError};
+use wrenseam::front::fastcgi::{EarlyRejection, FastCgiError};
 use wrenseam::front::kserve::HttpError;
 use wrenseam::front::messages::{self, HandoverContent};
 use wrenseam::front::{ConnectionError, ParameterError};
@@ -49,7 +49,7 @@
     "fastcgi: request 7 rejected as invalid: it timed out before it was complete"
 )]
 #[case(
-    messages::fastcgi_request_rejected(7, &EarlyEnd::MemoryLimit).to_string(),
+    messages::fastcgi_request_rejected(7, &EarlyRejection::MemoryLimit).to_string(),
     "fastcgi: request 7 rejected: memory limit of requests reached"
 )]
 #[case(
@@ -155,10 +155,10 @@
 
 /// Why a FastCGI request is rejected before its parameters are looked at.
 #[rstest]
-#[case(EarlyEnd::UnknownRole, "unsupported role")]
-#[case(EarlyEnd::TooManyRequests, "too many requests on one connection")]
-#[case(EarlyEnd::MemoryLimit, "memory limit of requests reached")]
-fn a_rejected_request_has_its_reason(#[case] reason: EarlyEnd, #[case] text: &str) {
+#[case(EarlyRejection::UnknownRole, "unsupported role")]
+#[case(EarlyRejection::TooManyRequests, "too many requests on one connection")]
+#[case(EarlyRejection::MemoryLimit, "memory limit of requests reached")]
+fn a_rejected_request_has_its_reason(#[case] reason: EarlyRejection, #[case] text: &str) {
     assert_eq!(reason.to_string(), text);
 }
 
