--- a/wrenseam/src/front/admin/mod.rs
+++ b/wrenseam/src/front/admin/mod.rs
@@ -16,7 +16,7 @@
 pub use line::{ReadLineError, MAX_LINE_LENGTH, READ_TIMEOUT};
 pub use reply::{render, AdminError};
 
-use super::listener::ACCEPT_RETRY;
+use super::listener::ACCEPT_RETRY_DELAY;
 use super::{messages, ListenerContext};
 use crate::model::{AdminCommand, AdminReply};
 use crate::net::{resume_on_scheduler, sleep, spawn};
@@ -42,7 +42,7 @@
             Ok((stream, peer)) => admit(stream, peer, context, &connections),
             Err(error) => {
                 log_limited!("{}", messages::accept_failed("admin", &error));
-                sleep(ACCEPT_RETRY);
+                sleep(ACCEPT_RETRY_DELAY);
             }
         }
     }
--- a/wrenseam/src/front/connection.rs
+++ b/wrenseam/src/front/connection.rs
@@ -1,4 +1,4 @@
-//! What the client connections of all protocols do alike: start, read step by step, time out and close in order.
+//! What the client connections of all protocols have in common: how they start, read, time out, close and log.
 use super::fastcgi::FastCgiError;
 use super::kserve::HttpError;
 use super::{messages, ListenerContext};
@@ -11,42 +11,42 @@
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// Why this side ends a client connection.
+/// Why the front end closes a client connection.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectionError {
-    /// Reading failed.
+    /// A system call on the connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The connection was evicted to make room for another before its request was read.
-    #[error("evicted to make room before its request was read")]
+    /// The connection was evicted to make room for another one before its request was passed to the core.
+    #[error("evicted to make room for another connection before its request was accepted")]
     Evicted,
-    /// A request was not complete within its time.
+    /// A request was not complete within `Limits::request_read_timeout`.
     #[error("request timed out before it was complete")]
     RequestTimeout,
-    /// More requests are open on the connection than one may have.
-    #[error("too many requests on one connection")]
+    /// The client exceeded `Limits::max_requests_per_connection`.
+    #[error("too many open requests on one connection")]
     TooManyRequests,
-    /// A thread panicked while it held the connection's state.
+    /// A panic occurred while the lock of the connection's state was held.
     #[error("connection state poisoned by a panic")]
     Poisoned,
-    /// The client broke the rules of FastCGI.
+    /// The client violated the FastCGI protocol.
     #[error(transparent)]
     FastCgi(#[from] FastCgiError),
-    /// The client sent HTTP that is not read.
+    /// The client sent an HTTP request that is malformed, too long or not supported.
     #[error(transparent)]
     Http(#[from] HttpError),
 }
 
-/// Whether a connection goes on.
+/// Whether the reader of a connection continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Flow {
-    /// It is read on.
+    /// The connection stays open and is read further.
     Open,
-    /// It ends, and nothing more is read.
+    /// The connection ends, and no further request is read from it.
     Ended,
 }
 
-/// The log lines about the connections of one protocol, each limited in rate for that protocol.
+/// The rate limits of the log lines about the connections of one protocol.
 pub(super) struct ConnectionLog {
     not_started: RateLimitedLine,
     closed: RateLimitedLine,
@@ -60,36 +60,36 @@
         }
     }
 
-    /// The connection's writer could not be started.
+    /// Logs that a connection is closed because its writer could not be started.
     fn not_started(&self, front: &str, peer: &str, error: &io::Error) {
         let message = messages::writer_not_started(front, peer, error);
         self.not_started.write(format_args!("{message}"));
     }
 
-    /// This side ended the connection.
+    /// Logs that the front end closed a connection.
     fn closed(&self, front: &str, peer: &str, error: &ConnectionError) {
         let message = messages::connection_closed(front, peer, error);
         self.closed.write(format_args!("{message}"));
     }
 }
 
-/// A connection's slot and its sending side.
+/// The slot and the sending side of a connection.
 pub(super) struct ResponseChannel {
-    /// The connection as the limit of connections knows it.
+    /// The connection's slot, which tracks its open requests and idle time.
     pub(super) slot: Arc<ConnectionSlot>,
-    /// Where responses are queued.
+    /// The queue of responses.
     pub(super) out: Outbox,
 }
 
 impl ResponseChannel {
-    /// Sends the response to a request that the core does not see.
+    /// Sends a response to a request that is not passed to the core. With `close`, the connection closes after it.
     pub(super) fn respond_directly(&self, response: Vec<u8>, close: bool) {
         self.out.send(response);
         self.slot.touch();
         self.close_if(close);
     }
 
-    /// Closes the connection behind what is queued, where that is asked for.
+    /// With `close`, half-closes the connection once all queued responses are written.
     pub(super) fn close_if(&self, close: bool) {
         if close {
             self.out.close();
@@ -97,12 +97,12 @@
     }
 }
 
-/// The client of one connection, which knows its pending requests.
+/// The client of one connection, with its pending requests.
 pub(super) trait ConnectionClient: Client {
-    /// Its slot and sending side.
+    /// The connection's slot and sending side.
     fn channel(&self) -> &ResponseChannel;
 
-    /// Marks all pending requests as those of a client that has left.
+    /// Sets the `client_gone` flag of each pending request, so that no attempt is started for it any more.
     fn mark_disconnected(&self);
 }
 
@@ -111,9 +111,10 @@
     context: &'a ListenerContext,
     channel: &'a ResponseChannel,
     stream: &'a mut TcpStream,
-    /// What has been read and not yet parsed.
+    /// Received bytes that are not parsed yet.
     pub(super) ring: Ring,
     fairness: ReadFairness,
+    /// Whether the last read filled the ring, so that more input may be waiting.
     filled_ring: bool,
 }
 
@@ -134,10 +135,10 @@
         })
     }
 
-    /// Reads once. In a graceful shutdown the connection ends as soon as it is `between_requests`, nothing arrives and
-    /// no request is pending on it.
+    /// Makes one read. During a graceful shutdown the connection ends as soon as nothing arrives, no request is partly
+    /// read (`between_requests`) and none is pending.
     pub(super) fn receive(&mut self, between_requests: bool) -> Result<Flow, ConnectionError> {
-        // Loaded before the read: what arrived before the shutdown began is still served.
+        // Loaded before the read, so that a request that arrived before the shutdown began is still served.
         let shutting_down = self.context.shutting_down.load(Ordering::Acquire);
         let received = receive(&mut self.ring, self.stream)?;
         if received == ReadOutcome::Closed {
@@ -147,7 +148,7 @@
         let is_quiet =
             received == ReadOutcome::NotReady && between_requests && self.ring.is_empty();
         if shutting_down && is_quiet && self.channel.slot.is_idle() {
-            self.close_in_order();
+            self.close_gracefully();
             return Ok(Flow::Ended);
         }
         if self.channel.out.is_closing() {
@@ -156,21 +157,22 @@
         Ok(Flow::Open)
     }
 
-    /// Ends the connection if it has been idle for too long.
+    /// Ends the connection if its idle timeout has passed.
     pub(super) fn check_idle_timeout(&self) -> Flow {
         if !self.channel.slot.has_idle_timed_out(&self.context.limits) {
             return Flow::Open;
         }
-        self.close_in_order();
+        self.close_gracefully();
         Flow::Ended
     }
 
-    /// Lets other connections run if this client sends at full speed: it would else keep the scheduler's one thread.
-    pub(super) fn finish_turn(&mut self) {
+    /// Lets other connections run if this client sends at full speed; otherwise its reader would keep the scheduler's
+    /// only thread. Called after each read.
+    pub(super) fn yield_if_full_speed(&mut self) {
         self.fairness.record(self.filled_ring);
     }
 
-    /// Discards what arrives until the client disconnects or the connection is closed.
+    /// Discards input until the client disconnects, a read fails or the connection is half-closed.
     pub(super) fn discard_until_closed(&mut self) {
         let mut fairness = ReadFairness::default();
         loop {
@@ -188,23 +190,25 @@
         }
     }
 
-    /// Has the connection linger if a response may still be on its way.
-    fn close_in_order(&self) {
+    /// Half-closes the connection if a response may still be in flight, and it then lingers. Otherwise [`serve`] closes
+    /// it without a linger.
+    fn close_gracefully(&self) {
         let linger = self.context.limits.linger_timeout;
         self.channel
             .close_if(self.channel.slot.finished_within(linger));
     }
 }
 
-/// The protocol of a connection, as the log names it.
+/// The protocol of a connection in the log.
 pub(super) struct Protocol {
-    /// Its name in the log.
+    /// The name of the front in log lines.
     pub(super) front: &'static str,
-    /// Its log lines.
+    /// The rate limits of the log lines.
     pub(super) log: &'static ConnectionLog,
 }
 
-/// Serves one connection until it ends: `read` parses its requests, `client` takes their responses.
+/// Serves one connection until it ends. `client` creates the client that receives the answers, and `read` reads and
+/// handles its requests until the connection ends.
 pub(super) fn serve<C: ConnectionClient>(
     mut stream: TcpStream,
     context: &ListenerContext,
@@ -232,7 +236,8 @@
     }
     client.mark_disconnected();
     context.core.client_disconnected(guard.slot.number);
-    // A response may be on its way to the client; else nothing is lost by a close without a linger.
+    // After a half-close a response may still be in flight, so the connection lingers. Otherwise no response is lost if
+    // it closes at once.
     if channel.out.is_closing() {
         channel.out.linger(stream, &context.limits);
     } else {
--- a/wrenseam/src/front/fastcgi/answers.rs
+++ b/wrenseam/src/front/fastcgi/answers.rs
@@ -1,4 +1,4 @@
-//! Responses to FastCGI requests, and the requests that wait for one.
+//! Responses to FastCGI requests, and the open requests that wait for one.
 use super::records::response;
 use crate::front::connection::{ConnectionClient, ResponseChannel};
 use crate::model::{Answer, Client};
@@ -7,20 +7,21 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Bits of a tag that hold the request id; those above count the uses of ids on the connection.
+/// The number of low bits of a tag that hold the request id. The bits above hold the request's sequence number.
 const REQUEST_ID_BITS: u32 = 16;
 
-/// The tag of a request: its id alone may name several requests one after the other.
-pub(super) fn request_tag(use_number: u64, request_id: u16) -> u64 {
-    use_number << REQUEST_ID_BITS | u64::from(request_id)
+/// The tag of a request, unique on its connection: clients reuse request ids for later requests, but each request has a
+/// sequence number of its own.
+pub(super) fn request_tag(sequence_number: u64, request_id: u16) -> u64 {
+    sequence_number << REQUEST_ID_BITS | u64::from(request_id)
 }
 
-/// A response with a status and no body.
+/// A response with this status and no body.
 pub(super) fn status_response(request_id: u16, status: &str) -> Vec<u8> {
     response(request_id, &format!("Status: {status}\r\n"), &[])
 }
 
-/// The response that an answer of the core becomes.
+/// The response for an answer of the core.
 pub(super) fn answer_response(request_id: u16, answer: &Answer) -> Vec<u8> {
     match answer {
         Answer::Served(payload) => response(
@@ -30,32 +31,32 @@
         ),
         Answer::Rejected { retry_after } => {
             let retry_after_ms = retry_after.div_ceil(1000);
-            let advice = if retry_after_ms > 0 {
+            let retry_header = if retry_after_ms > 0 {
                 format!("Srv-Wait-Ms: {retry_after_ms}\r\n")
             } else {
                 String::new()
             };
-            let head = format!("Status: 503 Service Unavailable\r\n{advice}");
+            let head = format!("Status: 503 Service Unavailable\r\n{retry_header}");
             response(request_id, &head, &[])
         }
         Answer::Failed => status_response(request_id, "500 Internal Server Error"),
     }
 }
 
-/// The client of a FastCGI connection, as the core sees it.
+/// The client of a FastCGI connection, which receives the core's answers.
 pub(super) struct FastCgiClient {
     pub(super) channel: ResponseChannel,
-    /// Requests that wait for a response, by FastCGI id.
-    pub(super) open: Mutex<HashMap<u16, OpenRequest>>,
+    /// Requests that the core has not answered yet, by FastCGI request id.
+    pub(super) open_requests: Mutex<HashMap<u16, OpenRequest>>,
 }
 
-/// A request that waits for a response.
+/// A request that the core has not answered yet.
 pub(super) struct OpenRequest {
-    /// Which use of its id it is.
-    pub(super) use_number: u64,
-    /// Whether the connection closes behind the response.
+    /// Counts the requests of the connection that were passed to the core, from 1.
+    pub(super) sequence_number: u64,
+    /// Whether the connection closes after the response.
     pub(super) close: bool,
-    /// To be set once the client cancels the request: an attempt that has not begun by then is not sent.
+    /// Set when the client cancels the request or disconnects: an attempt that has not started by then is not sent.
     pub(super) client_gone: Arc<AtomicBool>,
 }
 
@@ -63,19 +64,20 @@
     pub(super) fn new(channel: ResponseChannel) -> Self {
         FastCgiClient {
             channel,
-            open: Mutex::default(),
+            open_requests: Mutex::default(),
         }
     }
 
-    /// Takes out the open request of this tag, unless it was cancelled or its id is used by another since.
+    /// Removes and returns the open request with this tag; `None` if the client cancelled it or has reused its id
+    /// since.
     fn take_open(&self, tag: u64) -> Option<OpenRequest> {
         let request_id = tag as u16;
-        let mut open = self.open.lock().ok()?;
-        let use_number = tag >> REQUEST_ID_BITS;
-        if open.get(&request_id)?.use_number != use_number {
+        let mut open_requests = self.open_requests.lock().ok()?;
+        let sequence_number = tag >> REQUEST_ID_BITS;
+        if open_requests.get(&request_id)?.sequence_number != sequence_number {
             return None;
         }
-        open.remove(&request_id)
+        open_requests.remove(&request_id)
     }
 }
 
@@ -102,8 +104,8 @@
     }
 
     fn mark_disconnected(&self) {
-        if let Ok(open) = self.open.lock() {
-            for request in open.values() {
+        if let Ok(open_requests) = self.open_requests.lock() {
+            for request in open_requests.values() {
                 request.client_gone.store(true, Ordering::Release);
             }
         }
--- a/wrenseam/src/front/fastcgi/connection.rs
+++ b/wrenseam/src/front/fastcgi/connection.rs
@@ -1,4 +1,4 @@
-//! One FastCGI connection: its records, and the requests that they make up.
+//! Serves one FastCGI connection: reads its records and assembles requests from them.
 use super::answers::{request_tag, status_response, FastCgiClient};
 use super::partial::{EarlyRejection, PartialRequest, Rejection};
 use super::records::{
@@ -19,7 +19,7 @@
 
 static LOG: ConnectionLog = ConnectionLog::new();
 
-/// Serves one connection until it ends.
+/// Serves one FastCGI connection until it ends.
 pub fn serve(stream: TcpStream, context: &ListenerContext, guard: SlotGuard) {
     let protocol = Protocol {
         front: "fastcgi",
@@ -31,14 +31,15 @@
     connection::serve(stream, context, &guard, &protocol, FastCgiClient::new, read);
 }
 
-/// The requests of one connection.
+/// The state of one FastCGI connection while its requests are read.
 pub(super) struct FastCgiConnection<'a> {
     pub(super) context: &'a ListenerContext,
     pub(super) client: Arc<FastCgiClient>,
-    partial: HashMap<u16, PartialRequest>,
-    /// How many requests of it have been sent to the core.
+    /// Requests that are not completely received yet, by FastCGI request id.
+    partial_requests: HashMap<u16, PartialRequest>,
+    /// The number of requests that have been passed to the core.
     pub(super) submitted: u64,
-    /// Bytes discarded of requests that have been rejected.
+    /// Bytes that have been discarded: records of rejected requests, and records of types that are not used.
     discarded: usize,
 }
 
@@ -47,7 +48,7 @@
         FastCgiConnection {
             context,
             client,
-            partial: HashMap::new(),
+            partial_requests: HashMap::new(),
             submitted: 0,
             discarded: 0,
         }
@@ -72,23 +73,24 @@
                     return Ok(());
                 }
             }
-            reader.finish_turn();
+            reader.yield_if_full_speed();
         }
     }
 
     fn is_between_requests(&self, records: &RecordDecoder) -> bool {
-        self.partial.is_empty() && records.is_between_records()
+        self.partial_requests.is_empty() && records.is_between_records()
     }
 
-    /// Rejects requests that are not complete in time, or ends the connection if no other is pending on it. Guards
-    /// against requests that never end: each needs a response or a close, and holds memory.
+    /// Rejects requests that were not completely received in time. If no request of the connection is pending in the
+    /// core, the connection is closed instead. A request that is never completed would otherwise hold memory forever,
+    /// and its client would get neither a response nor a close.
     fn check_read_timeouts(&mut self, records: &RecordDecoder) -> Result<(), ConnectionError> {
         let limit = self.context.limits.request_read_timeout;
         if records.is_overdue(limit) && self.client.channel.slot.is_idle() {
             return Err(FastCgiError::RecordTimeout.into());
         }
         let any_overdue = self
-            .partial
+            .partial_requests
             .values()
             .any(|partial| partial.is_overdue(limit));
         if any_overdue && self.client.channel.slot.is_idle() {
@@ -96,20 +98,21 @@
         }
         let overdue = |partial: &PartialRequest| partial.is_accepted() && partial.is_overdue(limit);
         let request_ids: Vec<u16> = self
-            .partial
+            .partial_requests
             .iter()
             .filter(|(_, partial)| overdue(partial))
             .map(|(&request_id, _)| request_id)
             .collect();
         for request_id in request_ids {
-            self.reject_partial(request_id, ParameterError::Incomplete.into());
+            self.reject_partial(request_id, ParameterError::ReadTimeout.into());
         }
         Ok(())
     }
 
-    /// Answers a request that is still being read: a client that sends without end would else get no response.
+    /// Rejects a request that is not completely received, without waiting for the rest of it: a client that sends
+    /// without end would otherwise get no response.
     fn reject_partial(&mut self, request_id: u16, rejection: Rejection) {
-        let Some(partial) = self.partial.get_mut(&request_id) else {
+        let Some(partial) = self.partial_requests.get_mut(&request_id) else {
             return;
         };
         partial.reject();
@@ -117,9 +120,10 @@
         self.reject(request_id, rejection, close);
     }
 
+    /// Logs a rejection and sends it to the client. With `close`, the connection closes after it.
     pub(super) fn reject(&self, request_id: u16, rejection: Rejection, close: bool) {
         match rejection {
-            Rejection::Early(reason) => self.end_at_once(request_id, reason),
+            Rejection::Early(reason) => self.reject_early(request_id, reason),
             Rejection::Invalid(error) => {
                 log_limited!("{}", messages::fastcgi_request_invalid(request_id, &error));
                 let response = status_response(request_id, "400 Bad Request");
@@ -130,7 +134,7 @@
         self.client.channel.close_if(close);
     }
 
-    /// Counts what is discarded; too much of it ends the connection.
+    /// Counts discarded bytes, and closes the connection above `Limits::max_discarded_bytes`.
     fn discard(&mut self, bytes: usize) -> Result<(), ConnectionError> {
         self.discarded += bytes;
         if self.discarded > self.context.limits.max_discarded_bytes {
@@ -153,12 +157,13 @@
             (PARAMS, _) => return self.extend(request_id, content, PartialRequest::extend_params),
             (STDIN, _) if content.is_empty() => return self.finish_body(request_id),
             (STDIN, _) => return self.extend(request_id, content, PartialRequest::extend_body),
-            // DATA belongs to another role; other types mean nothing to a Responder.
+            // DATA records are for the Filter role; the other types have no meaning for a Responder.
             _ => return self.discard(content.len()),
         }
         Ok(())
     }
 
+    /// Answers GET_VALUES. Variables that are not known are left out of the response, as the protocol requires.
     fn report_values(&self, content: &[u8]) {
         let connections = self.context.limits.max_client_connections;
         let requests = connections * self.context.limits.max_requests_per_connection;
@@ -177,28 +182,29 @@
 
     fn begin(&mut self, request_id: u16, content: &[u8]) -> Result<(), ConnectionError> {
         let begin = BeginRequest::parse(content)?;
-        let open = self.client.open.lock();
-        let open = open.map_err(|_| ConnectionError::Poisoned)?;
-        let open_count = open.len() + self.partial.len();
-        let is_open = open.contains_key(&request_id) || self.partial.contains_key(&request_id);
-        drop(open);
+        let open_requests = self.client.open_requests.lock();
+        let open_requests = open_requests.map_err(|_| ConnectionError::Poisoned)?;
+        let open_count = open_requests.len() + self.partial_requests.len();
+        let is_open = open_requests.contains_key(&request_id)
+            || self.partial_requests.contains_key(&request_id);
+        drop(open_requests);
         if is_open {
             return Err(FastCgiError::DuplicateRequestId(request_id).into());
         }
         if !begin.is_responder() {
-            self.end_at_once(request_id, EarlyRejection::UnknownRole);
+            self.reject_early(request_id, EarlyRejection::UnknownRole);
         } else if open_count >= self.context.limits.max_requests_per_connection {
-            self.end_at_once(request_id, EarlyRejection::TooManyRequests);
+            self.reject_early(request_id, EarlyRejection::TooManyRequests);
         } else {
             let partial =
                 PartialRequest::new(!begin.keeps_connection(), self.context.budget.reserve(0));
-            self.partial.insert(request_id, partial);
+            self.partial_requests.insert(request_id, partial);
         }
         Ok(())
     }
 
-    /// Ends a request whose parameters are not looked at; its connection stays.
-    fn end_at_once(&self, request_id: u16, reason: EarlyRejection) {
+    /// Ends a request without its parameters being parsed. The connection stays open.
+    fn reject_early(&self, request_id: u16, reason: EarlyRejection) {
         log_limited!(
             "{}",
             messages::fastcgi_request_rejected(request_id, &reason)
@@ -207,28 +213,29 @@
         self.client.channel.out.send(response);
     }
 
+    /// Handles ABORT_REQUEST, by which the client cancels a request. No response is sent.
     fn abort(&mut self, request_id: u16) {
-        self.partial.remove(&request_id);
-        let Ok(mut open) = self.client.open.lock() else {
+        self.partial_requests.remove(&request_id);
+        let Ok(mut open_requests) = self.client.open_requests.lock() else {
             return;
         };
-        if let Some(request) = open.remove(&request_id) {
+        if let Some(request) = open_requests.remove(&request_id) {
             request.client_gone.store(true, Ordering::Release);
             let slot = &self.client.channel.slot;
             slot.finish_request(false);
-            let tag = request_tag(request.use_number, request_id);
+            let tag = request_tag(request.sequence_number, request_id);
             self.context.core.request_cancelled(slot.number, tag);
         }
     }
 
-    /// The request of this id, if more of it is wanted.
-    fn accepted(&mut self, request_id: u16) -> Option<&mut PartialRequest> {
-        self.partial
+    /// The partly received request with this id; `None` if there is none or it has been rejected.
+    fn accepted_partial(&mut self, request_id: u16) -> Option<&mut PartialRequest> {
+        self.partial_requests
             .get_mut(&request_id)
             .filter(|partial| partial.is_accepted())
     }
 
-    /// Appends to one of the streams of a request.
+    /// Appends a record's content to a stream of a partly received request with `append`, or discards it.
     fn extend(
         &mut self,
         request_id: u16,
@@ -236,7 +243,7 @@
         append: fn(&mut PartialRequest, &[u8], &Limits) -> Result<(), Rejection>,
     ) -> Result<(), ConnectionError> {
         let limits = &self.context.limits;
-        let Some(partial) = self.accepted(request_id) else {
+        let Some(partial) = self.accepted_partial(request_id) else {
             return self.discard(content.len());
         };
         if let Err(rejection) = append(partial, content, limits) {
@@ -245,9 +252,9 @@
         Ok(())
     }
 
-    /// The body's last record has come.
+    /// Handles the empty STDIN record, which ends the body and with it the request.
     fn finish_body(&mut self, request_id: u16) -> Result<(), ConnectionError> {
-        match self.partial.remove(&request_id) {
+        match self.partial_requests.remove(&request_id) {
             Some(partial) if partial.is_accepted() => self.complete(request_id, partial),
             _ => Ok(()),
         }
--- a/wrenseam/src/front/fastcgi/dispatch.rs
+++ b/wrenseam/src/front/fastcgi/dispatch.rs
@@ -1,4 +1,4 @@
-//! What becomes of a complete FastCGI request: answered here, rejected, or sent to the core.
+//! Handles complete FastCGI requests: answers health checks, rejects requests, and passes the others to the core.
 use super::answers::{answer_response, request_tag, status_response, OpenRequest};
 use super::connection::FastCgiConnection;
 use super::partial::PartialRequest;
@@ -9,12 +9,12 @@
 use std::time::Instant;
 use wrenseam_policy::Micros;
 
-/// The retry advice of a process that shuts down, in µs: the shortest that the wire can state, as another process
-/// takes the request at once.
+/// The retry advice of a process that shuts down, in µs: the shortest that the `Srv-Wait-Ms` header can express, as
+/// another process accepts the request at once.
 const SHUTDOWN_RETRY_AFTER: Micros = 1_000;
 
 impl FastCgiConnection<'_> {
-    /// Answers a complete request, or sends it to the core.
+    /// Answers a complete request or passes it to the core.
     pub(super) fn complete(
         &mut self,
         request_id: u16,
@@ -56,7 +56,8 @@
         self.client.channel.respond_directly(response, close);
     }
 
-    /// The process ends soon: a request that comes now could not be served in time here, another process takes it.
+    /// Rejects a request because the process is about to exit: it might not be served in time here, and another process
+    /// accepts the retry.
     fn reject_in_shutdown(
         &self,
         request_id: u16,
@@ -87,13 +88,13 @@
             return Err(ConnectionError::Evicted);
         }
         self.submitted += 1;
-        if let Ok(mut open) = self.client.open.lock() {
+        if let Ok(mut open_requests) = self.client.open_requests.lock() {
             let open_request = OpenRequest {
-                use_number: self.submitted,
+                sequence_number: self.submitted,
                 close,
                 client_gone: request.client_gone.clone(),
             };
-            open.insert(request_id, open_request);
+            open_requests.insert(request_id, open_request);
         }
         let tag = request_tag(self.submitted, request_id);
         self.context.core.request(request, self.client.clone(), tag);
--- a/wrenseam/src/front/fastcgi/mod.rs
+++ b/wrenseam/src/front/fastcgi/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's protocol: FastCGI 1.0, Responder role, many requests on one connection.
+//! The front for the platform's gateways: FastCGI 1.0 in the Responder role, with several requests at a time on one
+//! connection.
 mod answers;
 mod connection;
 mod dispatch;
--- a/wrenseam/src/front/fastcgi/partial.rs
+++ b/wrenseam/src/front/fastcgi/partial.rs
@@ -1,26 +1,26 @@
-//! FastCGI requests of which records are still to come.
+//! FastCGI requests that are not completely received yet.
 use super::records::ProtocolStatus;
 use crate::front::ParameterError;
 use crate::limits::Limits;
 use crate::memory_budget::MemoryReservation;
 use std::time::{Duration, Instant};
 
-/// Why a request is ended before its parameters are looked at.
+/// Why a request is ended without its parameters being parsed. Its client gets a protocol status and no CGI response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EarlyRejection {
-    /// Its role is not the Responder's.
+    /// The requested role is not Responder.
     #[error("unsupported role")]
     UnknownRole,
-    /// More requests are open on the connection than one may have.
-    #[error("too many requests on one connection")]
+    /// The client exceeded `Limits::max_requests_per_connection`.
+    #[error("too many open requests on one connection")]
     TooManyRequests,
-    /// The bytes held over all requests are at their limit.
+    /// The memory budget of all requests is used up.
     #[error("memory limit of requests reached")]
     MemoryLimit,
 }
 
 impl EarlyRejection {
-    /// The status for the client.
+    /// The protocol status that the client gets.
     pub(super) fn status(self) -> ProtocolStatus {
         match self {
             EarlyRejection::UnknownRole => ProtocolStatus::UnknownRole,
@@ -31,28 +31,29 @@
     }
 }
 
-/// Why a request is rejected before the core sees it.
+/// Why a request is rejected without being passed to the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Rejection {
-    /// It cannot be served as it is.
+    /// It is invalid, too long, or was not complete in time: the client gets status 400.
     #[error(transparent)]
     Invalid(#[from] ParameterError),
-    /// It cannot be read now.
+    /// It is ended without its parameters being parsed.
     #[error(transparent)]
     Early(#[from] EarlyRejection),
 }
 
-/// A request of which records are still to come.
+/// A request that is not completely received yet.
 pub(super) struct PartialRequest {
+    /// When its BEGIN_REQUEST record was received.
     started_at: Instant,
-    /// Whether the connection closes behind the response.
+    /// Whether the connection closes after the response.
     pub(super) close: bool,
     pub(super) params: Vec<u8>,
     pub(super) body: Vec<u8>,
-    /// Its share of the bytes held over all requests, taken as they come: requests that are never finished
-    /// take memory too.
+    /// Its part of the memory budget, reserved as records arrive, because requests that are never completed take memory
+    /// too. `None` once it is rejected, or if the budget was exceeded when it began.
     pub(super) reserved_bytes: Option<MemoryReservation>,
-    /// Whether it has been rejected; the rest of it is discarded.
+    /// Whether it has been rejected, so that the rest of it is discarded.
     is_rejected: bool,
 }
 
@@ -68,17 +69,17 @@
         }
     }
 
-    /// Whether it is still read, and not discarded.
+    /// Whether it has not been rejected, so that its records are still stored.
     pub(super) fn is_accepted(&self) -> bool {
         !self.is_rejected
     }
 
-    /// Whether it began longer ago than this.
+    /// Whether it began longer than `limit` ago.
     pub(super) fn is_overdue(&self, limit: Duration) -> bool {
         self.started_at.elapsed() > limit
     }
 
-    /// Gives its memory back; what comes of it from now on is discarded.
+    /// Marks it as rejected and releases its memory. Records of it that arrive later are discarded.
     pub(super) fn reject(&mut self) {
         self.is_rejected = true;
         self.params = Vec::new();
--- a/wrenseam/src/front/fastcgi/records.rs
+++ b/wrenseam/src/front/fastcgi/records.rs
@@ -1,4 +1,4 @@
-//! FastCGI 1.0 records as bytes; no I/O.
+//! Encoding and decoding of FastCGI 1.0 records, without I/O.
 use crate::ring::Ring;
 use std::time::{Duration, Instant};
 
@@ -12,42 +12,44 @@
 const GET_VALUES_RESULT: u8 = 10;
 const UNKNOWN_TYPE: u8 = 11;
 
-/// The only version of the protocol.
+/// The only protocol version.
 const VERSION: u8 = 1;
-/// Bytes of a record's header.
+/// Length of a record's header, in bytes.
 const HEADER_LENGTH: usize = 8;
-/// Content of one STDOUT record at the most: the length has 16 bits, and a multiple of 8 needs no padding.
+/// Longest content of one STDOUT record, in bytes: the length field has 16 bits, and content whose length is a multiple
+/// of 8 needs no padding.
 const STDOUT_CHUNK: usize = 0xfff8;
-/// Bytes that the records round a response take besides its content, as a rule.
+/// Bytes to allocate for a response besides its content: record headers and the END_REQUEST record. Enough for a
+/// response of a few records.
 const RESPONSE_OVERHEAD: usize = 64;
-/// The flag of BEGIN_REQUEST by which the client keeps the connection.
+/// The flag in BEGIN_REQUEST that asks for the connection to stay open after the response.
 const KEEP_CONNECTION: u8 = 1;
-/// The role of BEGIN_REQUEST that is served.
+/// The Responder role in BEGIN_REQUEST, the only one that is supported.
 const RESPONDER: u16 = 1;
-/// The first bit of a length in a name-value pair: it has four bytes, not one.
+/// The bit in the first byte of a length in a name-value pair that marks a length of four bytes instead of one.
 const LONG_LENGTH: u8 = 0x80;
 
-/// How a client breaks the rules of the protocol, so that its connection ends.
+/// How a client violated the protocol, so that its connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FastCgiError {
-    /// The version is not supported.
+    /// A record has a protocol version other than 1.
     #[error("unsupported FastCGI version {0}")]
     UnsupportedVersion(u8),
-    /// A BEGIN_REQUEST record is shorter than its body.
+    /// A BEGIN_REQUEST record is too short to contain the role and the flags.
     #[error("truncated BEGIN_REQUEST record")]
     TruncatedBeginRequest,
-    /// A BEGIN_REQUEST record names a request that is open.
+    /// A BEGIN_REQUEST record has the id of a request that is still open.
     #[error("request id {0} is already open")]
     DuplicateRequestId(u16),
-    /// A record was not complete within its time.
+    /// A record was not complete within `Limits::request_read_timeout`.
     #[error("record timed out before it was complete")]
     RecordTimeout,
-    /// The client went on sending more of rejected requests than is discarded.
+    /// More than `Limits::max_discarded_bytes` had to be discarded, mostly records of requests that were rejected.
     #[error("too many bytes after a rejected request")]
     DiscardLimit,
 }
 
-/// How a request ended for the protocol.
+/// The protocol status of a request in its END_REQUEST record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(super) enum ProtocolStatus {
@@ -56,14 +58,14 @@
     UnknownRole = 3,
 }
 
-/// One record as it was received.
+/// A received record.
 pub(super) struct Record<'a> {
     pub(super) record_type: u8,
     pub(super) request_id: u16,
     pub(super) content: &'a [u8],
 }
 
-/// What a BEGIN_REQUEST record asks for.
+/// The content of a BEGIN_REQUEST record.
 pub(super) struct BeginRequest {
     role: u16,
     flags: u8,
@@ -89,11 +91,13 @@
     }
 }
 
-/// Takes records out of a ring. A record may be longer than the ring.
+/// Decodes records from a ring buffer. A record may be longer than the ring.
 pub(super) struct RecordDecoder {
-    /// The bytes of the record that is being read, or of the last one.
+    /// The bytes of the record that is being received, or of the one that was returned last.
     bytes: Vec<u8>,
+    /// Whether `bytes` is a complete record, which has been returned.
     is_complete: bool,
+    /// When decoding of the record began.
     started_at: Instant,
 }
 
@@ -106,17 +110,17 @@
         }
     }
 
-    /// Whether no part of a record has been read.
+    /// Whether no record is partly received.
     pub(super) fn is_between_records(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Whether a part of a record has been there for longer than this.
+    /// Whether a record is partly received and began longer than `limit` ago.
     pub(super) fn is_overdue(&self, limit: Duration) -> bool {
         !self.bytes.is_empty() && self.started_at.elapsed() > limit
     }
 
-    /// The next record, once all of it is there.
+    /// Returns the next record, or `None` while it is not completely received.
     pub(super) fn next(&mut self, ring: &mut Ring) -> Result<Option<Record<'_>>, FastCgiError> {
         if self.is_complete {
             self.bytes.clear();
@@ -152,7 +156,7 @@
     }
 }
 
-/// Appends one record; `content` must be shorter than 64 KiB.
+/// Appends one record to `to`. `content` must be shorter than 64 KiB.
 pub fn append_record(record_type: u8, request_id: u16, content: &[u8], to: &mut Vec<u8>) {
     to.extend([VERSION, record_type]);
     to.extend(request_id.to_be_bytes());
@@ -166,14 +170,14 @@
     append_record(END_REQUEST, request_id, &content, to);
 }
 
-/// An END_REQUEST record alone.
+/// An END_REQUEST record without a response before it.
 pub(super) fn end_request(request_id: u16, status: ProtocolStatus) -> Vec<u8> {
     let mut bytes = Vec::new();
     append_end_request(request_id, status, &mut bytes);
     bytes
 }
 
-/// The answer to a management record of a type that is not known.
+/// The response to a management record of unknown type.
 pub(super) fn unknown_type(record_type: u8) -> Vec<u8> {
     let mut bytes = Vec::new();
     let content = [record_type, 0, 0, 0, 0, 0, 0, 0];
@@ -181,7 +185,7 @@
     bytes
 }
 
-/// The answer to GET_VALUES: these names with their values, each shorter than 128 bytes.
+/// The response to GET_VALUES, with these names and values. Each name and each value must be shorter than 128 bytes.
 pub(super) fn get_values_result(values: &[(String, usize)]) -> Vec<u8> {
     let mut content = Vec::new();
     for (name, value) in values {
@@ -195,7 +199,8 @@
     bytes
 }
 
-/// A CGI response in STDOUT records, then END_REQUEST.
+/// A CGI response as STDOUT records, followed by END_REQUEST. `head` is complete lines, without the empty line after
+/// it.
 pub fn response(request_id: u16, head: &str, body: &[u8]) -> Vec<u8> {
     let content = [head.as_bytes(), b"\r\n", body].concat();
     let mut bytes = Vec::with_capacity(content.len() + RESPONSE_OVERHEAD);
@@ -207,7 +212,8 @@
     bytes
 }
 
-/// Name-value pairs of a parameter stream; a truncated pair ends them.
+/// Decodes the name-value pairs of a parameter stream. Decoding stops without an error at a truncated pair. Invalid
+/// UTF-8 is replaced.
 pub fn decode_pairs(mut stream: &[u8]) -> Vec<(String, String)> {
     let mut pairs = Vec::new();
     while let Some((name, value)) = next_pair(&mut stream) {
--- a/wrenseam/src/front/fastcgi/request.rs
+++ b/wrenseam/src/front/fastcgi/request.rs
@@ -1,5 +1,5 @@
-//! The request behind the parameters of a FastCGI request. Parameters keep the names of the platform's gateways.
-use crate::front::{is_valid_idempotency_key, parse_function, NumericParameters, ParameterError};
+//! Builds a request from the parameters of a FastCGI request. The platform's gateways define the parameters' names.
+use crate::front::{is_valid_idempotency_key, parse_hex_id, NumericParameters, ParameterError};
 use crate::limits::Limits;
 use crate::model::{Payload, Request};
 use std::collections::HashMap;
@@ -8,7 +8,7 @@
 
 use super::records::decode_pairs;
 
-/// The parameters of a request by name.
+/// The parameters of a FastCGI request, by name.
 pub(super) struct Parameters(HashMap<String, String>);
 
 impl Parameters {
@@ -16,11 +16,12 @@
         Parameters(decode_pairs(stream).into_iter().collect())
     }
 
-    /// A parameter's value; empty if it is missing.
+    /// The value of a parameter; empty if it is missing.
     fn get(&self, name: &str) -> &str {
         self.0.get(name).map_or("", String::as_str)
     }
 
+    /// The path: `SCRIPT_NAME` or, if that is missing or empty, `REQUEST_URI`.
     pub(super) fn path(&self) -> &str {
         match self.get("SCRIPT_NAME") {
             "" => self.get("REQUEST_URI"),
@@ -28,7 +29,7 @@
         }
     }
 
-    /// The request of these parameters and this body, received now.
+    /// Builds the request with these parameters and this body, received now.
     pub(super) fn to_request(
         &self,
         body: Vec<u8>,
@@ -45,11 +46,11 @@
         let numeric = self.numeric()?;
         numeric.check(limits)?;
         Ok(Request {
-            wire_id: parse_function(self.get("HTTP_REQ_ID"))
+            wire_id: parse_hex_id(self.get("HTTP_REQ_ID"))
                 .ok_or(ParameterError::InvalidRequestId)?,
             class: class.to_owned(),
             tenant: self.get("HTTP_REQ_OWNER").to_owned(),
-            function: parse_function(self.get("HTTP_REQ_KEY"))
+            function: parse_hex_id(self.get("HTTP_REQ_KEY"))
                 .ok_or(ParameterError::InvalidFunction)?,
             timeout: (numeric.timeout_ms * 1000.0) as u64,
             received_at: Instant::now(),
@@ -65,6 +66,7 @@
         })
     }
 
+    /// Parses the timeout, and the numbers in `HTTP_X_MORE`, which has the form `name:value;name:value`.
     fn numeric(&self) -> Result<NumericParameters, ParameterError> {
         let mut numeric = NumericParameters {
             timeout_ms: parse_number(self.get("HTTP_REQ_WAIT_MS"))?,
--- a/wrenseam/src/front/kserve/connection.rs
+++ b/wrenseam/src/front/kserve/connection.rs
@@ -85,7 +85,7 @@
                     return Ok(());
                 }
             }
-            reader.finish_turn();
+            reader.yield_if_full_speed();
         }
     }
 
--- a/wrenseam/src/front/kserve/request.rs
+++ b/wrenseam/src/front/kserve/request.rs
@@ -1,5 +1,5 @@
 //! The request behind a v2 body. Parameters keep their names on the wire.
-use crate::front::{is_valid_idempotency_key, parse_function, NumericParameters, ParameterError};
+use crate::front::{is_valid_idempotency_key, parse_hex_id, NumericParameters, ParameterError};
 use crate::limits::Limits;
 use crate::model::{Payload, Request};
 use miniserde::json::Object;
@@ -10,7 +10,7 @@
 
 /// The id that workers see: 16 hex digits as they are, any other text or none as a number drawn from it.
 fn wire_id(id: Option<&str>) -> u64 {
-    id.and_then(parse_function)
+    id.and_then(parse_hex_id)
         .unwrap_or_else(|| RandomState::new().hash_one(id))
 }
 
@@ -41,7 +41,7 @@
             .ok_or(ParameterError::MissingClass)?
             .to_owned(),
         tenant: text(parameters, "tenant").unwrap_or_default().to_owned(),
-        function: parse_function(name).ok_or(ParameterError::UnknownModel)?,
+        function: parse_hex_id(name).ok_or(ParameterError::UnknownModel)?,
         timeout: (numeric.timeout_ms * 1000.0) as u64,
         received_at: Instant::now(),
         idempotency_key: key.map(str::to_owned),
--- a/wrenseam/src/front/kserve/routes.rs
+++ b/wrenseam/src/front/kserve/routes.rs
@@ -3,7 +3,7 @@
 use super::connection::HttpConnection;
 use super::decoder::HttpRequest;
 use super::request::to_request;
-use crate::front::{messages, parse_function};
+use crate::front::{messages, parse_hex_id};
 use crate::http::Status;
 use crate::model::{Request, RequestEnd};
 use std::sync::atomic::Ordering;
@@ -70,7 +70,7 @@
         ("GET", ["v2", "health", "live"]) => Reply::now(Status::Ok, r#"{"live":true}"#),
         ("GET", ["v2", "health", "ready"]) => server_ready(is_ready()),
         ("GET", ["v2"]) => Reply::now(Status::Ok, SERVER_METADATA),
-        (_, ["v2", "models", name, ..]) if parse_function(name).is_none() => {
+        (_, ["v2", "models", name, ..]) if parse_hex_id(name).is_none() => {
             Reply::error(Status::NotFound, "unknown model: a name is 16 hex digits")
         }
         ("GET", ["v2", "models", name, "ready"]) => model_ready(name, is_ready()),
--- a/wrenseam/src/front/listener.rs
+++ b/wrenseam/src/front/listener.rs
@@ -1,4 +1,5 @@
-//! The listeners of all fronts: what their connections need, and how one is accepted or closed.
+//! The listeners of all fronts: the state that their connections share, how connections are accepted, and how a
+//! listener is closed.
 use super::admin::ExclusionCommands;
 use super::messages;
 use crate::limits::Limits;
@@ -14,40 +15,41 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How often a slot is asked for again after an eviction: the evicted connections close meanwhile.
+/// Maximum number of evictions for one new connection, after each of which the slots are checked again.
 const SLOT_ATTEMPTS: usize = 20;
-/// How long the evicted connections have for it each time.
+/// Time that evicted connections have to close and free their slots before the slots are checked again.
 const SLOT_WAIT: Duration = Duration::from_millis(1);
-/// How long an accept waits after one that failed: usually the process is short of descriptors.
-pub(super) const ACCEPT_RETRY: Duration = Duration::from_millis(10);
+/// Pause after a failed accept, which usually means that the process has no free file descriptors.
+pub(super) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What the connections of all listeners share.
+/// State that the connections of all listeners share.
 #[derive(Clone)]
 pub struct ListenerContext {
-    /// The core's queue.
+    /// The sending half of the core's queue.
     pub core: CoreHandle,
-    /// All limits.
+    /// The limits of the process.
     pub limits: Arc<Limits>,
-    /// Bytes held over all requests.
+    /// The memory budget of all request bodies and unsent responses.
     pub budget: MemoryBudget,
-    /// Client connections over all fronts.
+    /// The slots for the client connections of all fronts.
     pub slots: ConnectionSlots,
-    /// Bytes of answers not yet written.
+    /// Bytes of responses that are not written yet, over all client connections.
     pub unsent_bytes: Arc<AtomicUsize>,
-    /// What the core publishes.
+    /// Flags and counts that the parts of the process share.
     pub process_state: Arc<ProcessState>,
-    /// The admin endpoint's commands that change the exclusions.
+    /// The admin endpoint's `exclude` and `include` commands that are running.
     pub exclusion_commands: ExclusionCommands,
-    /// Set once the listeners close.
+    /// Set when the listeners close, so that their accept loops end.
     pub listeners_closing: Arc<AtomicBool>,
-    /// Set once the process ends: each connection closes when nothing is unread, half read or pending on it.
+    /// Set during a shutdown once the listeners are closed: each connection then closes as soon as no input is unread,
+    /// no request is partly read and none is pending.
     pub shutting_down: Arc<AtomicBool>,
-    /// Loops that accept connections.
+    /// The number of accept loops that are running.
     pub accept_loops: Arc<AtomicUsize>,
 }
 
 impl ListenerContext {
-    /// The context of a process that starts.
+    /// Creates the context of a starting process, without any connections.
     pub fn new(core: CoreHandle, limits: Arc<Limits>, process_state: Arc<ProcessState>) -> Self {
         ListenerContext {
             core,
@@ -70,26 +72,26 @@
     /// Starts the writer of a client connection.
     ///
     /// # Errors
-    /// No coroutine could be started.
+    /// The writer's coroutine could not be started.
     pub fn outbox(&self, stream: TcpStream) -> io::Result<Outbox> {
         Outbox::start(stream, &self.limits, &self.budget, &self.unsent_bytes)
     }
 }
 
-/// What serves a connection of some front.
+/// A function that serves one client connection until it ends.
 pub type Serve = fn(TcpStream, &ListenerContext, SlotGuard);
 
-/// A front's listener.
+/// The listener of one front.
 pub struct Listener {
-    /// Where clients connect.
+    /// The listening socket.
     pub socket: Arc<TcpListener>,
-    /// The front's name in the log.
+    /// The front's name in log lines.
     pub front: &'static str,
-    /// What serves its connections.
+    /// The function that serves its connections.
     pub serve: Serve,
 }
 
-/// Accepts connections until the listeners close, each served by a coroutine of its own.
+/// Accepts connections until the listeners close, and serves each in a coroutine of its own.
 pub fn accept(
     listener: &TcpListener,
     context: &ListenerContext,
@@ -100,14 +102,14 @@
         match listener.accept() {
             Ok((stream, peer)) => {
                 admit(stream, peer, context, front, serve);
-                // Lets the connection be read before the next is taken: many that come at once would else all be
-                // idle here, as if they had nothing to send.
+                // Lets this connection be read before the next one is accepted. Otherwise many connections that
+                // arrive at once would all look idle although their requests are only unread.
                 may::coroutine::yield_now();
             }
             Err(_) if context.listeners_closing.load(Ordering::Acquire) => break,
             Err(error) => {
                 log_limited!("{}", messages::accept_failed(front, &error));
-                sleep(ACCEPT_RETRY);
+                sleep(ACCEPT_RETRY_DELAY);
             }
         }
     }
@@ -121,40 +123,40 @@
     front: &'static str,
     serve: Serve,
 ) {
-    // Guards the descriptors that connections to workers and the discovery service need.
+    // The limit on slots keeps descriptors free for the connections to workers and to the discovery service.
     let Some(guard) = acquire_slot(context) else {
         return log_limited!("{}", messages::slots_exhausted(front, peer));
     };
     let connection_context = context.clone();
-    let _ = stream.set_nodelay(true); // a connection without it is only slower
+    let _ = stream.set_nodelay(true); // without it the connection is only slower
     let run = move || serve(stream, &connection_context, guard);
     if let Err(error) = spawn(context.limits.coroutine_stack_bytes, run) {
         log_limited!("{}", messages::connection_not_served(front, peer, &error));
     }
 }
 
-/// Closes a listener. Connections in its queue have been accepted by the system: they are served first, as the close
-/// would reset them.
+/// Closes a listener. Connections in its accept queue are already established, and closing the listener would reset
+/// them, so they are accepted and served first.
 pub fn close(listener: &Listener, context: &ListenerContext) {
     while let Ok((stream, peer)) = listener.socket.inner().accept() {
-        // SAFETY: the descriptor is open and ours alone, `into_raw_fd` has just let go of it; `may` has no other way to
-        // take a connection over, and its own `accept` would wait where the queue is empty.
+        // SAFETY: the descriptor is open and has no other owner, as `into_raw_fd` has just released it. `may` has no
+        // other way to take over a connection, and its own `accept` would wait once the queue is empty.
         #[allow(unsafe_code)]
         let stream = unsafe { TcpStream::from_raw_fd(stream.into_raw_fd()) };
         admit(stream, peer, context, listener.front, listener.serve);
     }
-    // Wakes the coroutine that waits in accept; it sees that the listeners close.
+    // Wakes the coroutine that waits in `accept`, which then finds `listeners_closing` set.
     let _ = socket2::SockRef::from(listener.socket.inner()).shutdown(std::net::Shutdown::Both);
 }
 
-/// A slot, if need be that of an idle connection.
+/// Takes a slot. If all are in use, idle connections are evicted; `None` if no slot becomes free even so.
 fn acquire_slot(context: &ListenerContext) -> Option<SlotGuard> {
     let mut guard = context.slots.acquire();
     for _ in 0..SLOT_ATTEMPTS {
         if guard.is_some() || !context.slots.evict_idle() {
             break;
         }
-        sleep(SLOT_WAIT); // evicted connections close meanwhile
+        sleep(SLOT_WAIT);
         guard = context.slots.acquire();
     }
     guard
--- a/wrenseam/src/front/messages.rs
+++ b/wrenseam/src/front/messages.rs
@@ -1,10 +1,12 @@
-//! The texts of the fronts' and the admin endpoint's log lines, one function each. docs/oncall.md says what to do.
+//! The texts of the log lines of the fronts and the admin endpoint, one function each. docs/oncall.md tells operators
+//! what to do about them.
 use super::admin::MAX_CONNECTIONS;
 use std::fmt::{self, Display};
 use std::io;
 use std::net::SocketAddr;
 
-/// A connection was rejected, as the limit of client connections is reached and none of them is idle.
+/// A connection was rejected because all client connection slots are in use and no idle connection could be evicted in
+/// time.
 pub fn slots_exhausted(front: &str, peer: SocketAddr) -> impl Display + '_ {
     fmt::from_fn(move |f| {
         write!(
@@ -14,7 +16,7 @@
     })
 }
 
-/// A connection was closed, as no coroutine could be started for it.
+/// A connection was closed because no coroutine could be started for it.
 pub fn connection_not_served<'a>(
     front: &'a str,
     peer: SocketAddr,
@@ -23,12 +25,12 @@
     fmt::from_fn(move |f| write!(f, "{front}: connection from {peer} closed: {error}"))
 }
 
-/// A listener failed to accept a connection, and goes on.
+/// A listener failed to accept a connection. It retries after a pause.
 pub fn accept_failed<'a>(front: &'a str, error: &'a io::Error) -> impl Display + 'a {
     fmt::from_fn(move |f| write!(f, "{front}: accept failed: {error}"))
 }
 
-/// A connection was closed, as its writer could not be started.
+/// A connection was closed because its writer could not be started.
 pub fn writer_not_started<'a>(
     front: &'a str,
     peer: &'a str,
@@ -42,7 +44,7 @@
     })
 }
 
-/// This side ended a connection, as a rule for what its client sent.
+/// The front end closed a connection, usually because of something that its client sent or did not complete in time.
 pub fn connection_closed<'a>(
     front: &'a str,
     peer: &'a str,
@@ -51,7 +53,7 @@
     fmt::from_fn(move |f| write!(f, "{front} {peer}: connection closed: {error}"))
 }
 
-/// A FastCGI request cannot be served as it is.
+/// A FastCGI request was answered with status 400: it is invalid, too long, or was not complete in time.
 pub fn fastcgi_request_invalid(request_id: u16, error: &dyn Display) -> impl Display + '_ {
     fmt::from_fn(move |f| {
         write!(
@@ -61,22 +63,22 @@
     })
 }
 
-/// A FastCGI request was ended before its parameters were looked at.
+/// A FastCGI request was ended with a protocol status other than "complete", without its parameters being parsed.
 pub fn fastcgi_request_rejected(request_id: u16, reason: &dyn Display) -> impl Display + '_ {
     fmt::from_fn(move |f| write!(f, "fastcgi: request {request_id} rejected: {reason}"))
 }
 
-/// A v2 request cannot be served as it is.
+/// A KServe v2 request was answered with status 400 because it is invalid.
 pub fn v2_request_invalid(error: &dyn Display) -> impl Display + '_ {
     fmt::from_fn(move |f| write!(f, "kserve: request rejected as invalid: {error}"))
 }
 
-/// A v2 request was rejected, as the bytes held over all requests are at their limit.
+/// A KServe v2 request was answered with status 503 because the memory budget is used up.
 pub fn v2_memory_limit() -> impl Display {
     "kserve: request rejected: memory limit of requests reached"
 }
 
-/// The admin endpoint rejected a connection.
+/// The admin endpoint closed a new connection because the maximum number of them is open.
 pub fn admin_connection_rejected(peer: SocketAddr) -> impl Display {
     fmt::from_fn(move |f| {
         write!(
@@ -86,22 +88,22 @@
     })
 }
 
-/// The admin endpoint closed a connection that sent no line.
+/// The admin endpoint closed a connection without a reply because it did not receive a valid line.
 pub fn admin_connection_closed(error: &dyn Display) -> impl Display + '_ {
     fmt::from_fn(move |f| write!(f, "admin: connection closed: {error}"))
 }
 
-/// A caller of the admin endpoint did not take its reply.
+/// The admin endpoint could not write a reply.
 pub fn admin_reply_not_written(error: &io::Error) -> impl Display + '_ {
     fmt::from_fn(move |f| write!(f, "admin: reply not written: {error}"))
 }
 
-/// What a process leaves for its successor.
+/// The content of a file that the processes of one front end share through `$TMPDIR`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HandoverContent {
-    /// The excluded ids.
+    /// The ids of the excluded workers.
     Exclusions,
-    /// Which process is active.
+    /// The name of the active process.
     ActiveProcess,
 }
 
@@ -114,7 +116,7 @@
     }
 }
 
-/// A file for the successor process could not be written.
+/// A file that a successor process reads could not be written.
 pub fn handover_not_written(content: HandoverContent, error: &io::Error) -> impl Display + '_ {
     fmt::from_fn(move |f| {
         write!(
@@ -124,17 +126,12 @@
     })
 }
 
-/// A file of another process could not be read.
+/// A file that another process may have written could not be read.
 pub fn handover_not_read(content: HandoverContent, error: &io::Error) -> impl Display + '_ {
-    fmt::from_fn(move |f| {
-        write!(
-            f,
-            "admin: {content} not read, what was read before holds: {error}"
-        )
-    })
+    fmt::from_fn(move |f| write!(f, "admin: {content} not read, previous state kept: {error}"))
 }
 
-/// This process went on standby, or became the active one.
+/// This process went on standby because a new one replaces it, or became the active process.
 pub fn standby_changed(is_standby: bool) -> impl Display {
     if is_standby {
         "admin: standby, a new process sends to workers in slow start"
--- a/wrenseam/src/front/mod.rs
+++ b/wrenseam/src/front/mod.rs
@@ -1,4 +1,6 @@
-//! The fronts: each parses its protocol, hands neutral requests to the core and writes the one final answer.
+//! The fronts, one for each client protocol: each parses requests, passes them to the core in a form that no longer
+//! depends on the protocol, and sends the core's final answer to the client. The admin endpoint for operators is here
+//! too.
 pub mod admin;
 mod connection;
 pub mod fastcgi;
@@ -9,4 +11,4 @@
 
 pub use connection::ConnectionError;
 pub use listener::{accept, close, Listener, ListenerContext, Serve};
-pub use parameters::{is_valid_idempotency_key, parse_function, NumericParameters, ParameterError};
+pub use parameters::{is_valid_idempotency_key, parse_hex_id, NumericParameters, ParameterError};
--- a/wrenseam/src/front/parameters.rs
+++ b/wrenseam/src/front/parameters.rs
@@ -1,73 +1,75 @@
-//! What the fronts of all protocols check of a request before the core sees it.
+//! The validation of request parameters that the fronts of all protocols share.
 use crate::limits::Limits;
 
-/// Bytes of an idempotency key at the most; every wire carries so many.
-const IDEMPOTENCY_KEY_LENGTH: usize = 128;
-/// Hex digits of a function's name.
-const FUNCTION_NAME_LENGTH: usize = 16;
+/// Longest idempotency key, in bytes. Every protocol can carry a key of this length.
+const MAX_IDEMPOTENCY_KEY_LENGTH: usize = 128;
+/// The number of hexadecimal digits in the name of a function or in a request id.
+const HEX_ID_LENGTH: usize = 16;
 
-/// Why a request's parameters cannot be used. v2 clients read these texts.
+/// Why a request is invalid. KServe v2 clients get the text in the error response, so the texts that this front uses
+/// must not change. FastCGI clients get only a status, and the text is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParameterError {
-    /// The time-out is no number in its range.
+    /// The timeout is NaN, negative or longer than `Limits::max_request_timeout`.
     #[error("the wait is out of range")]
     TimeoutOutOfRange,
-    /// Another numeric parameter is not in its range.
+    /// A numeric parameter other than the timeout is NaN, negative or above its limit.
     #[error("a figure is out of range")]
     OutOfRange,
-    /// A numeric parameter is no number.
+    /// A numeric parameter is not a number.
     #[error("a figure is no number")]
     NotANumber,
-    /// The idempotency key is too long or has bytes that some wire cannot carry.
+    /// The idempotency key is empty or too long, or has characters that some protocol cannot carry.
     #[error("the key cannot travel")]
     InvalidIdempotencyKey,
-    /// The path names no class.
+    /// The path of a FastCGI request does not begin with `/v1/`.
     #[error("the path is not /v1/CLASS")]
     InvalidPath,
-    /// The request id is not 16 hex digits.
+    /// The request id of a FastCGI request is not 16 hexadecimal digits.
     #[error("Req-Id is not 16 hex digits")]
     InvalidRequestId,
-    /// The function is not 16 hex digits.
+    /// The function of a FastCGI request is not 16 hexadecimal digits.
     #[error("Req-Key is not 16 hex digits")]
     InvalidFunction,
-    /// The body is not a JSON object.
+    /// The body of a KServe v2 request is not a JSON object.
     #[error("the body is no JSON object")]
     NotAnObject,
-    /// The parameters name no class.
+    /// The parameters of a KServe v2 request name no class.
     #[error("no 'class' among the parameters")]
     MissingClass,
-    /// The model's name is not 16 hex digits.
+    /// The model of a KServe v2 request is not named by 16 hexadecimal digits.
     #[error("unknown model")]
     UnknownModel,
-    /// The parameter stream is longer than allowed.
+    /// The parameter stream of a FastCGI request is longer than `Limits::max_head_bytes`.
     #[error("parameters are too long")]
     ParametersTooLong,
-    /// The body is longer than allowed.
+    /// The body of a FastCGI request is longer than `Limits::max_body_bytes`.
     #[error("the body is too long")]
     BodyTooLong,
-    /// The request was not complete within its time.
-    #[error("it timed out before it was complete")]
-    Incomplete,
+    /// A FastCGI request was not complete within `Limits::request_read_timeout`.
+    #[error("request timed out before it was complete")]
+    ReadTimeout,
 }
 
-/// The numeric parameters of a request as its client stated them; 0 where it did not.
+/// The numeric parameters of a request as its client stated them. A parameter that the client did not state is 0,
+/// except the timeout of a KServe v2 request, which is then `Limits::default_request_timeout`.
 #[derive(Debug, Default, PartialEq)]
 pub struct NumericParameters {
-    /// How long the client waits, in ms.
+    /// How long the client waits for the answer, in ms.
     pub timeout_ms: f64,
     /// Memory of one replica, in MB.
     pub memory_mb: f64,
     /// Requests that one replica runs at a time.
     pub concurrency: f64,
-    /// Usual time of a load, in ms.
+    /// Usual time of a load of a replica, in ms.
     pub load_time_ms: f64,
 }
 
 impl NumericParameters {
-    /// Guards clock and policy against values that are not a number, negative or huge.
+    /// Checks that no value is NaN, negative or above its limit: time arithmetic and the policy rely on that.
     ///
     /// # Errors
-    /// A value is out of its range.
+    /// A value is out of range.
     pub fn check(&self, limits: &Limits) -> Result<(), ParameterError> {
         let longest_ms = limits.max_request_timeout as f64 / 1000.0;
         let is_within = |value: f64, limit: f64| (0.0..=limit).contains(&value);
@@ -84,16 +86,17 @@
     }
 }
 
-/// Whether an idempotency key can be sent on every wire: no separator, no blank.
+/// Whether every protocol can carry this idempotency key: 1 to 128 printable ASCII characters, without spaces and
+/// without the separators, quotes and backslashes that a protocol gives a meaning.
 pub fn is_valid_idempotency_key(key: &str) -> bool {
     let is_carried = |byte: u8| byte.is_ascii_graphic() && !b",=;\"\\".contains(&byte);
-    !key.is_empty() && key.len() <= IDEMPOTENCY_KEY_LENGTH && key.bytes().all(is_carried)
+    !key.is_empty() && key.len() <= MAX_IDEMPOTENCY_KEY_LENGTH && key.bytes().all(is_carried)
 }
 
-/// The function that 16 hex digits name.
-pub fn parse_function(name: &str) -> Option<u64> {
+/// Parses the name of a function or a request id, which is 16 hexadecimal digits; `None` for any other text.
+pub fn parse_hex_id(name: &str) -> Option<u64> {
     let is_hex = name.bytes().all(|byte| byte.is_ascii_hexdigit());
-    if name.len() != FUNCTION_NAME_LENGTH || !is_hex {
+    if name.len() != HEX_ID_LENGTH || !is_hex {
         return None;
     }
     u64::from_str_radix(name, 16).ok()
--- a/wrenseam/tests/log_messages.rs
+++ b/wrenseam/tests/log_messages.rs
@@ -45,8 +45,8 @@
     "fastcgi ?: connection closed: request timed out before it was complete"
 )]
 #[case(
-    messages::fastcgi_request_invalid(7, &ParameterError::Incomplete).to_string(),
-    "fastcgi: request 7 rejected as invalid: it timed out before it was complete"
+    messages::fastcgi_request_invalid(7, &ParameterError::ReadTimeout).to_string(),
+    "fastcgi: request 7 rejected as invalid: request timed out before it was complete"
 )]
 #[case(
     messages::fastcgi_request_rejected(7, &EarlyRejection::MemoryLimit).to_string(),
@@ -80,6 +80,14 @@
     messages::handover_not_written(HandoverContent::ActiveProcess, &error()).to_string(),
     "admin: active process not written for a successor process: out of memory"
 )]
+#[case(
+    messages::handover_not_read(HandoverContent::Exclusions, &error()).to_string(),
+    "admin: exclusions not read, previous state kept: out of memory"
+)]
+#[case(
+    messages::handover_not_read(HandoverContent::ActiveProcess, &error()).to_string(),
+    "admin: active process not read, previous state kept: out of memory"
+)]
 #[case(
     messages::standby_changed(true).to_string(),
     "admin: standby, a new process sends to workers in slow start"
@@ -121,7 +129,7 @@
 #[case(ConnectionError::Io(error()), "out of memory")]
 #[case(
     ConnectionError::Evicted,
-    "evicted to make room before its request was read"
+    "evicted to make room for another connection before its request was accepted"
 )]
 #[case(
     ConnectionError::RequestTimeout,
@@ -129,7 +137,7 @@
 )]
 #[case(
     ConnectionError::TooManyRequests,
-    "too many requests on one connection"
+    "too many open requests on one connection"
 )]
 #[case(ConnectionError::Poisoned, "connection state poisoned by a panic")]
 #[case(
@@ -156,7 +164,10 @@
 /// Why a FastCGI request is rejected before its parameters are looked at.
 #[rstest]
 #[case(EarlyRejection::UnknownRole, "unsupported role")]
-#[case(EarlyRejection::TooManyRequests, "too many requests on one connection")]
+#[case(
+    EarlyRejection::TooManyRequests,
+    "too many open requests on one connection"
+)]
 #[case(EarlyRejection::MemoryLimit, "memory limit of requests reached")]
 fn a_rejected_request_has_its_reason(#[case] reason: EarlyRejection, #[case] text: &str) {
     assert_eq!(reason.to_string(), text);
