--- a/wrenseam/src/front/admin/command.rs
+++ b/wrenseam/src/front/admin/command.rs
@@ -1,31 +1,31 @@
-//! The lines that name a command.
+//! Parses the command lines of the admin endpoint.
 use crate::model::AdminCommand;
 
-/// Bytes of a worker's id at the most.
+/// Longest worker id, in bytes.
 const MAX_ID_LENGTH: usize = 128;
 
-/// Why a line names no command. Callers read these texts.
+/// Why a line is not a valid command. Operators' tools get the texts in replies, so they must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// `exclude` and `include` take one id.
+    /// `exclude` or `include` was not followed by exactly one id of at most 128 bytes.
     #[error("one id is wanted")]
     ExpectedOneId,
-    /// The other commands take no argument.
+    /// A command that takes no argument was followed by one.
     #[error("this call takes no argument")]
     UnexpectedArgument,
-    /// There is no such command.
+    /// The first word is not the name of a command.
     #[error("unknown call")]
     UnknownCommand,
-    /// The line has no words.
+    /// The line is empty or has only blanks.
     #[error("empty line")]
     EmptyLine,
 }
 
 impl AdminCommand {
-    /// The command that a line names.
+    /// Parses a command line.
     ///
     /// # Errors
-    /// The line names none.
+    /// The line is not a valid command.
     pub fn parse(line: &str) -> Result<AdminCommand, CommandError> {
         let mut words = line.split_ascii_whitespace();
         let verb = words.next().ok_or(CommandError::EmptyLine)?;
--- a/wrenseam/src/front/admin/exclusions.rs
+++ b/wrenseam/src/front/admin/exclusions.rs
@@ -1,5 +1,5 @@
-//! The file of excluded ids, which the processes of one front end share.
-use super::file::{read_if_there, write_atomically};
+//! The file of excluded worker ids, which the processes of one front end share.
+use super::file::{read_if_exists, write_atomically};
 use super::AdminError;
 use crate::front::messages::{handover_not_read, HandoverContent};
 use crate::model::{AdminCommand, AdminReply};
@@ -9,48 +9,49 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// The file's name in `$TMPDIR`, which a replacing process shares.
+/// The file's name in `$TMPDIR`, which a process shares with its successor.
 const FILE_NAME: &str = "wrenseam-excluded";
 
-/// Where the processes of this front end keep the excluded ids.
+/// The path of the file that the processes of this front end share.
 pub fn exclusions_path() -> PathBuf {
     std::env::temp_dir().join(FILE_NAME)
 }
 
-/// The excluded ids in the file; none if there is none.
+/// Reads the excluded ids from the file; empty if there is no file.
 ///
 /// # Errors
-/// The file cannot be read: which ids are excluded is not known.
+/// The file cannot be read, so it is not known which ids are excluded.
 pub fn read_exclusions(path: &Path) -> io::Result<BTreeSet<String>> {
-    let text = read_if_there(path)?.unwrap_or_default();
+    let text = read_if_exists(path)?.unwrap_or_default();
     let lines = text.lines().map(str::trim);
     let ids = lines.filter(|line| !line.is_empty());
     Ok(ids.map(str::to_owned).collect())
 }
 
-/// The commands that change the file. One for an id that no worker has is reversed once the core has answered: what the
-/// file holds until then is not to be acted on.
+/// Tracks the running commands that change the file. A command for an unknown worker id is reverted once the core has
+/// replied, so the content of the file must not be applied while a command runs.
 #[derive(Clone, Debug, Default)]
 pub struct ExclusionCommands(Arc<CommandCounts>);
 
+/// The numbers of commands that have begun and ended since the process started.
 #[derive(Debug, Default)]
 struct CommandCounts {
     begun: AtomicU64,
     ended: AtomicU64,
 }
 
-/// A command that has not ended. It ends when this is dropped.
+/// A command that is running. It counts as ended when this is dropped.
 pub struct RunningCommand(Arc<CommandCounts>);
 
 impl ExclusionCommands {
-    /// A command begins.
+    /// Counts a command as running until the result is dropped.
     #[must_use]
     pub fn begin(&self) -> RunningCommand {
         self.0.begun.fetch_add(1, Ordering::AcqRel);
         RunningCommand(self.0.clone())
     }
 
-    /// The ids in the file, unless a command is or was running meanwhile.
+    /// Reads the ids from the file; `None` if a command was running at any time during the read.
     ///
     /// # Errors
     /// The file cannot be read.
@@ -74,7 +75,7 @@
     write_atomically(path, &text, HandoverContent::Exclusions);
 }
 
-/// A change of the excluded ids.
+/// A change of the set of excluded ids.
 #[derive(Clone)]
 enum Change {
     Add(String),
@@ -82,8 +83,8 @@
 }
 
 impl Change {
-    /// The change that a command asks for, if any.
-    fn of(command: &AdminCommand) -> Option<Change> {
+    /// The change that a command requests; `None` if it is another kind of command.
+    fn from_command(command: &AdminCommand) -> Option<Change> {
         match command {
             AdminCommand::Exclude(id) => Some(Change::Add(id.clone())),
             AdminCommand::Include(id) => Some(Change::Remove(id.clone())),
@@ -91,14 +92,16 @@
         }
     }
 
-    fn reverse(self) -> Change {
+    /// The change that undoes this one.
+    fn reversed(self) -> Change {
         match self {
             Change::Add(id) => Change::Remove(id),
             Change::Remove(id) => Change::Add(id),
         }
     }
 
-    /// Changes the file; whether it differs now. One that cannot be read stays as it is.
+    /// Applies the change to the file. Returns whether its content changed. A file that cannot be read is left
+    /// unchanged.
     fn apply_to(&self, path: &Path) -> bool {
         let mut ids = match read_exclusions(path) {
             Ok(ids) => ids,
@@ -118,21 +121,22 @@
     }
 }
 
-/// Carries out an exclude or include: the file first, so that no poll of it undoes the command, then the core by `ask`.
-/// Only a change for an id that no worker has is reversed, and nothing else with it: commands come at the same time,
-/// and a core that is busy still does what it was asked.
+/// Executes an `exclude` or `include` command. The file is changed first, so that no poll of the file undoes the
+/// command. Then `send` passes the command to the core. If the core does not know the worker, this change alone is
+/// reverted, as concurrent commands may have made others. If the core does not reply in time the change stays, as a
+/// busy core still executes the command.
 ///
 /// # Errors
-/// Those of `ask`.
+/// Those of `send`.
 pub fn update_exclusions(
     path: &Path,
     command: AdminCommand,
-    ask: impl FnOnce(AdminCommand) -> Result<AdminReply, AdminError>,
+    send: impl FnOnce(AdminCommand) -> Result<AdminReply, AdminError>,
 ) -> Result<AdminReply, AdminError> {
-    let change = Change::of(&command).filter(|change| change.apply_to(path));
-    let reply = ask(command);
+    let change = Change::from_command(&command).filter(|change| change.apply_to(path));
+    let reply = send(command);
     if let (Some(change), Ok(AdminReply::UnknownWorker(_))) = (change, &reply) {
-        change.reverse().apply_to(path);
+        change.reversed().apply_to(path);
     }
     reply
 }
--- a/wrenseam/src/front/admin/file.rs
+++ b/wrenseam/src/front/admin/file.rs
@@ -1,9 +1,10 @@
-//! Files that a process leaves in `$TMPDIR` for the process that replaces it.
+//! Access to the files in `$TMPDIR` that a process leaves for the process that replaces it.
 use crate::front::messages::{handover_not_written, HandoverContent};
 use std::io;
 use std::path::Path;
 
-/// Writes a file as a whole, then renames it: the other process never reads half a file. `content` names it in the log.
+/// Writes a new file and renames it to `path`, so that the other process never reads an incomplete file. A failure is
+/// logged; `content` says in the log line what was to be written.
 pub(super) fn write_atomically(path: &Path, text: &str, content: HandoverContent) {
     let new = path.with_extension("new");
     if let Err(error) = std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, path)) {
@@ -11,11 +12,11 @@
     }
 }
 
-/// Reads a file that another process may leave; `None` if there is none.
+/// Reads a file that another process may have written; `None` if it does not exist.
 ///
 /// # Errors
-/// What it holds is not known: it does not count as empty.
-pub(super) fn read_if_there(path: &Path) -> io::Result<Option<String>> {
+/// The file cannot be read. Its content is unknown, so callers must not treat it as empty or missing.
+pub(super) fn read_if_exists(path: &Path) -> io::Result<Option<String>> {
     match std::fs::read_to_string(path) {
         Ok(text) => Ok(Some(text)),
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
--- a/wrenseam/src/front/admin/mod.rs
+++ b/wrenseam/src/front/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The admin endpoint for operators: one line in, one reply that begins with `YES` or `NO` out, then the close. Every
-//! command is the core's to answer.
+//! The admin endpoint for operators. Each connection carries one command line and one reply, and is then closed. The
+//! reply is the telemetry, or a line that begins with `YES` or `NO`. The core answers all valid commands.
 mod command;
 mod exclusions;
 mod file;
@@ -29,12 +29,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections served at once; more are closed at once. Guards descriptors and the core's queue.
+/// Maximum number of open connections; further ones are closed at once. Limits the use of file descriptors and of the
+/// core's queue.
 pub const MAX_CONNECTIONS: usize = 8;
-/// The core's reply is waited for so long, then the caller reads `NO busy`.
+/// Time that the core has to reply to a command. After that the client gets `NO busy`. Also the timeout for writing the
+/// reply to the connection.
 pub const REPLY_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Accepts connections until the program ends.
+/// Accepts connections until the process exits.
 pub fn accept(listener: &TcpListener, context: &ListenerContext) {
     let connections = Arc::new(AtomicUsize::new(0));
     loop {
@@ -48,7 +50,7 @@
     }
 }
 
-/// Serves a connection in a coroutine of its own, unless too many are open.
+/// Serves a connection in a coroutine of its own, or closes it if too many are open.
 fn admit(
     stream: TcpStream,
     peer: SocketAddr,
@@ -71,7 +73,7 @@
     }
 }
 
-/// One connection: a line within its time, the reply, the close.
+/// Serves one connection: reads the command line, writes the reply and closes the connection.
 fn serve(mut stream: TcpStream, context: &ListenerContext) {
     let line = match read_line(&mut stream) {
         Ok(line) => line,
@@ -85,6 +87,7 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
+/// Executes the command in this line.
 fn execute(line: &str, context: &ListenerContext) -> Result<AdminReply, AdminError> {
     match AdminCommand::parse(line)? {
         command @ (AdminCommand::Exclude(_) | AdminCommand::Include(_)) => {
@@ -97,10 +100,10 @@
     }
 }
 
-/// The core's reply to a command.
+/// Sends a command to the core and waits for the reply.
 ///
 /// # Errors
-/// The core has ended, or does not answer in time.
+/// The core has ended, or has not replied within [`REPLY_TIMEOUT`]. It may still execute the command then.
 pub fn send_command(
     context: &ListenerContext,
     command: AdminCommand,
--- a/wrenseam/src/front/admin/reply.rs
+++ b/wrenseam/src/front/admin/reply.rs
@@ -1,22 +1,22 @@
-//! Replies as callers read them.
+//! The replies of the admin endpoint as text.
 use super::CommandError;
 use crate::model::AdminReply;
 
-/// Why a command is not carried out. Callers read these texts.
+/// Why a command is answered `NO`. Operators' tools get the texts in replies, so they must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminError {
-    /// The line names no command.
+    /// The line is not a valid command.
     #[error(transparent)]
     InvalidCommand(#[from] CommandError),
-    /// The core does not answer in time; it may still carry the command out.
+    /// The core has not replied in time. It may still execute the command.
     #[error("busy")]
     Busy,
-    /// The core has ended, and the process with it.
+    /// The core has ended, because the process is exiting.
     #[error("the core is ending")]
     CoreEnded,
 }
 
-/// The bytes that answer a command.
+/// The text of the reply, with the line end.
 pub fn render(reply: &Result<AdminReply, AdminError>) -> String {
     match reply {
         Ok(AdminReply::Ready) => "YES ready\n".to_owned(),
--- a/wrenseam/src/front/kserve/admin_api.rs
+++ b/wrenseam/src/front/kserve/admin_api.rs
@@ -1,11 +1,11 @@
-//! What each path of the read-only administration API answers.
+//! The routes of the read-only administration API.
 use super::connection::HttpConnection;
 use super::decoder::HttpRequest;
 use super::routes::Reply;
 use crate::http::Status;
 use crate::queue::Message;
 
-/// Answers a request to the administration API.
+/// Handles a request to the administration API.
 pub(super) fn reply(connection: &HttpConnection, request: HttpRequest) -> Reply {
     let is_ready = || connection.context.process_state.accepts_clients();
     match (request.head.method.as_str(), request.head.path()) {
@@ -17,10 +17,10 @@
     }
 }
 
-/// The core's report.
+/// Answers with the core's state report. Waits until the core has sent it.
 fn state(connection: &HttpConnection) -> Reply {
     let (reply, report) = may::sync::mpsc::channel();
-    let _ = connection.context.core.send(Message::StateReport { reply }); // no report comes from a core that has ended
+    let _ = connection.context.core.send(Message::StateReport { reply }); // fails only if the core has ended
     match report.recv() {
         Ok(report) => Reply::now(Status::Ok, report),
         Err(_) => Reply::error(Status::ServiceUnavailable, "the core is ending"),
--- a/wrenseam/src/front/kserve/answers.rs
+++ b/wrenseam/src/front/kserve/answers.rs
@@ -1,4 +1,4 @@
-//! Responses to HTTP requests, in the order of the requests.
+//! Responses to HTTP requests, which are sent in the order of the requests.
 use crate::front::connection::{ConnectionClient, ConnectionError, ResponseChannel};
 use crate::http::{response, Status};
 use crate::model::{Answer, Client, Payload};
@@ -11,14 +11,14 @@
 use wrenseam_policy::json::{object, parse};
 use wrenseam_policy::Micros;
 
-/// An error object of the protocol.
+/// The body of an error response: a JSON object with the field `error`.
 pub fn error_body(text: &str) -> Vec<u8> {
     let mut fields = Object::new();
     fields.insert("error".to_owned(), Value::String(text.to_owned()));
     json::to_string(&fields).into_bytes()
 }
 
-/// The response that an answer of the core becomes.
+/// The response for an answer of the core.
 fn answer_response(answer: Answer, close: bool) -> Vec<u8> {
     match answer {
         Answer::Served(payload) => {
@@ -33,8 +33,8 @@
     }
 }
 
-/// The body for the client: a worker of the platform's protocol may send JSON, which passes unchanged; other bytes
-/// go as one tensor.
+/// The body of the response to a request that was served. A JSON object passes unchanged, also from a worker that
+/// speaks the platform's binary frames; other bytes are wrapped as one tensor.
 fn served_body(payload: Payload) -> Vec<u8> {
     match payload {
         Payload::Json(body) => body,
@@ -50,7 +50,8 @@
     value.as_ref().and_then(object).is_some()
 }
 
-/// `Retry-After` knows whole seconds only; the exact advice stands beside it.
+/// The response to a rejected request. `Retry-After` can express only whole seconds, so `Srv-Wait-Ms` states the advice
+/// in ms.
 fn rejected_response(retry_after: Micros, close: bool) -> Vec<u8> {
     let headers = format!(
         "Retry-After: {}\r\nSrv-Wait-Ms: {}\r\n",
@@ -61,20 +62,22 @@
     response(Status::ServiceUnavailable.as_str(), &headers, &body, close)
 }
 
-/// The place of a response in the order of the connection's requests.
+/// A response that has not been sent yet.
 struct PendingResponse {
+    /// The tag of the request.
     tag: u64,
-    /// Whether the connection closes behind it.
+    /// Whether the connection closes after the response.
     close: bool,
-    /// Its bytes, once they are there.
+    /// The response; `None` until it is known.
     bytes: Option<Vec<u8>>,
-    /// To be set once the client has left: an attempt that has not begun by then is not sent.
+    /// Set when the client disconnects: an attempt that has not started by then is not sent.
     client_gone: Arc<AtomicBool>,
 }
 
-/// The client of an HTTP connection, as the core sees it.
+/// The client of an HTTP connection, which receives the core's answers.
 pub(super) struct HttpClient {
     pub(super) channel: ResponseChannel,
+    /// The responses that have not been sent yet, in the order of the requests.
     pending: Mutex<VecDeque<PendingResponse>>,
 }
 
@@ -86,8 +89,13 @@
         }
     }
 
-    /// Keeps a place for the response to a request, if so few are open.
-    pub(super) fn open(&self, tag: u64, close: bool, limit: usize) -> Result<(), ConnectionError> {
+    /// Adds a pending response for a request. Fails if `limit` responses are pending already.
+    pub(super) fn add_pending(
+        &self,
+        tag: u64,
+        close: bool,
+        limit: usize,
+    ) -> Result<(), ConnectionError> {
         let pending = self.pending.lock();
         let mut pending = pending.map_err(|_| ConnectionError::Poisoned)?;
         if pending.len() >= limit {
@@ -102,8 +110,8 @@
         Ok(())
     }
 
-    /// Names the flag that is set if the client leaves before this response.
-    pub(super) fn watch(&self, tag: u64, client_gone: Arc<AtomicBool>) {
+    /// Stores the flag that is set if the client disconnects before this response is sent.
+    pub(super) fn attach_client_gone(&self, tag: u64, client_gone: Arc<AtomicBool>) {
         let Ok(mut pending) = self.pending.lock() else {
             return;
         };
@@ -112,7 +120,8 @@
         }
     }
 
-    /// Puts a response in its place and sends what is ready from the front on.
+    /// Stores the response to a request, then sends the pending responses up to the first one that is not known yet.
+    /// `bytes` gets whether the connection closes after the response.
     pub(super) fn respond(&self, tag: u64, bytes: impl FnOnce(bool) -> Vec<u8>) {
         let Ok(mut pending) = self.pending.lock() else {
             return;
--- a/wrenseam/src/front/kserve/connection.rs
+++ b/wrenseam/src/front/kserve/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP connection of a v2 client or of the administration API.
+//! Serves one HTTP connection, of a KServe v2 client or of the administration API.
 use super::admin_api;
 use super::answers::HttpClient;
 use super::decoder::{Decoded, HttpError, HttpRequest, RequestDecoder};
@@ -12,14 +12,14 @@
 use may::net::TcpStream;
 use std::sync::Arc;
 
-/// The interim response after which a client sends its body.
+/// The interim response for which a client waits before it sends its body.
 const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
-/// The header beside a 503 that is given without the core's advice.
-const RETRY_AFTER: &str = "Retry-After: 1\r\n";
+/// The header of a 503 response that does not come from the core and so has no advice of its own.
+const RETRY_AFTER_HEADER: &str = "Retry-After: 1\r\n";
 
 static LOG: ConnectionLog = ConnectionLog::new();
 
-/// Serves one v2 client connection until it ends.
+/// Serves one KServe v2 client connection until it ends.
 pub fn serve(stream: TcpStream, context: &ListenerContext, guard: SlotGuard) {
     serve_routes(stream, context, &guard, "kserve", routes::reply);
 }
@@ -29,7 +29,7 @@
     serve_routes(stream, context, &guard, "admin", admin_api::reply);
 }
 
-/// What answers the requests of a connection.
+/// A function that handles one request according to its method and path.
 type Routes = fn(&HttpConnection, HttpRequest) -> Reply;
 
 fn serve_routes(
@@ -52,11 +52,11 @@
     connection::serve(stream, context, guard, &protocol, HttpClient::new, read);
 }
 
-/// The requests of one connection.
+/// The state of one HTTP connection while its requests are read.
 pub(super) struct HttpConnection<'a> {
     pub(super) context: &'a ListenerContext,
     pub(super) client: Arc<HttpClient>,
-    /// The tag of the last complete request, counted from 1.
+    /// The tag of the last complete request. Tags are counted from 1; 0 before the first request.
     pub(super) tag: u64,
     routes: Routes,
 }
@@ -69,7 +69,7 @@
             if reader.receive(decoder.is_between_requests())? == Flow::Ended {
                 return Ok(());
             }
-            // Guards against requests that are never complete.
+            // A request that is never completed would otherwise hold the connection's slot and memory forever.
             if decoder.is_overdue(limits.request_read_timeout) {
                 self.respond_last(&HttpError::Timeout);
                 return Err(ConnectionError::RequestTimeout);
@@ -80,7 +80,7 @@
             }
             while let Some(decoded) = self.decode(&mut decoder, reader)? {
                 if self.handle(decoded)? == Flow::Ended {
-                    // Nothing more is read, but the client's leaving is seen.
+                    // No further request is read. Reading goes on only to notice that the client disconnects.
                     reader.discard_until_closed();
                     return Ok(());
                 }
@@ -89,6 +89,7 @@
         }
     }
 
+    /// Decodes the next request. One that cannot be read is answered with an error.
     fn decode(
         &self,
         decoder: &mut RequestDecoder,
@@ -99,7 +100,7 @@
             .inspect_err(|error| self.respond_last(error))
     }
 
-    /// Answers what has been read. Whether the connection takes more requests.
+    /// Handles what was decoded. Returns whether the connection accepts further requests.
     fn handle(&mut self, decoded: Decoded) -> Result<Flow, ConnectionError> {
         match decoded {
             Decoded::ExpectsContinue => {
@@ -114,25 +115,27 @@
         }
     }
 
-    /// The response to what cannot be read; the connection ends behind it.
+    /// Sends the response to a request that cannot be read. The connection closes after it.
     fn respond_last(&self, error: &HttpError) {
         let tag = self.tag + 1;
-        // Given even where as many responses are pending as the connection may have.
-        let _ = self.client.open(tag, true, usize::MAX);
+        // Sent even if the connection has the maximum number of pending responses.
+        let _ = self.client.add_pending(tag, true, usize::MAX);
         self.client.respond(tag, |close| error.response(close));
     }
 
+    /// Handles a complete request: answers it at once or passes it to the core.
     fn complete(&mut self, request: HttpRequest) -> Result<(), ConnectionError> {
         self.tag += 1;
         let limit = self.context.limits.max_requests_per_connection;
-        self.client.open(self.tag, request.head.close, limit)?;
+        self.client
+            .add_pending(self.tag, request.head.close, limit)?;
         match (self.routes)(self, request) {
             Reply::Deferred => Ok(()),
             Reply::Evicted => Err(ConnectionError::Evicted),
             Reply::Now { status, body } => {
                 self.client.channel.slot.touch();
                 let headers = match status {
-                    Status::ServiceUnavailable => RETRY_AFTER,
+                    Status::ServiceUnavailable => RETRY_AFTER_HEADER,
                     _ => "",
                 };
                 self.client.respond(self.tag, |close| {
--- a/wrenseam/src/front/kserve/decoder.rs
+++ b/wrenseam/src/front/kserve/decoder.rs
@@ -1,31 +1,32 @@
-//! HTTP/1.1 requests out of the bytes of a connection; no I/O.
+//! Decoding of HTTP/1.1 requests from the bytes of a connection, without I/O.
 use super::answers::error_body;
 use crate::http::{response, Head, HeadError, Status};
 use crate::limits::Limits;
 use crate::ring::Ring;
 use std::time::{Duration, Instant};
 
-/// The end of a head.
+/// The line ends that terminate a head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// An empty line, which may stand before a request.
+/// An empty line, which is skipped before a request.
 const EMPTY_LINE: &[u8] = b"\r\n";
 
-/// Why a request is not read. Clients read these texts, and the connection ends behind them.
+/// Why a request cannot be read. Clients get the texts in error responses, so they must not change. The connection
+/// closes after the response.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum HttpError {
-    /// The head is longer than allowed.
+    /// The head is longer than `Limits::max_head_bytes`.
     #[error("the head is too long")]
     HeadTooLong,
-    /// The head cannot be parsed.
+    /// The head is malformed.
     #[error(transparent)]
     InvalidHead(#[from] HeadError),
-    /// The body comes in chunks.
+    /// The body has the chunked transfer coding, which is not supported.
     #[error("chunked requests are not read")]
     ChunkedBody,
-    /// The body is longer than allowed.
+    /// The body is longer than `Limits::max_body_bytes`.
     #[error("the body is too long")]
     BodyTooLong,
-    /// The request was not complete within its time.
+    /// The request was not complete within `Limits::request_read_timeout`.
     #[error("the request never came whole")]
     Timeout,
 }
@@ -41,50 +42,51 @@
         }
     }
 
-    /// The response to such a request.
+    /// The error response. With `close`, it announces that the connection closes.
     pub(super) fn response(&self, close: bool) -> Vec<u8> {
         let body = error_body(&self.to_string());
         response(self.status().as_str(), "", &body, close)
     }
 }
 
-/// A complete request.
+/// A request that was completely received.
 pub(super) struct HttpRequest {
     pub(super) head: Head,
     pub(super) body: Vec<u8>,
 }
 
-/// What the next bytes of a connection are.
+/// What was decoded from the input of a connection.
 pub(super) enum Decoded {
-    /// The head of a request whose client waits for a 100 Continue before it sends the body.
+    /// The head of a request was received, and its client waits for a 100 Continue before it sends the body.
     ExpectsContinue,
-    /// A complete request.
+    /// A request was completely received.
     Request(HttpRequest),
 }
 
-/// Takes requests out of a ring.
+/// Decodes requests from a ring buffer.
 #[derive(Default)]
 pub(super) struct RequestDecoder {
+    /// The bytes of the head that is being received.
     head: Vec<u8>,
-    /// A request whose body is still to come.
+    /// The request whose body is being received; `None` until its head is complete.
     partial: Option<HttpRequest>,
-    /// When the first byte of the request that is being read came.
+    /// When the first byte of the current request was read; `None` between requests.
     started_at: Option<Instant>,
 }
 
 impl RequestDecoder {
-    /// Whether no part of a request has been read.
+    /// Whether no request is partly received.
     pub(super) fn is_between_requests(&self) -> bool {
         self.started_at.is_none()
     }
 
-    /// Whether a request has been read in part for longer than this.
+    /// Whether a request is partly received and began longer than `limit` ago.
     pub(super) fn is_overdue(&self, limit: Duration) -> bool {
         self.started_at
             .is_some_and(|started_at| started_at.elapsed() > limit)
     }
 
-    /// The next request, once all of it is there.
+    /// Decodes as far as the ring has bytes. `None` if the current request is not complete by then.
     pub(super) fn next(
         &mut self,
         ring: &mut Ring,
@@ -103,8 +105,8 @@
         Ok(None)
     }
 
-    /// Reads one byte of a head, and what follows from a complete head. Whether its client waits for a
-    /// 100 Continue.
+    /// Reads one byte of a head. If that completes the head, checks it and prepares for the body. Returns whether the
+    /// client waits for a 100 Continue.
     fn read_head(&mut self, ring: &mut Ring, limits: &Limits) -> Result<bool, HttpError> {
         ring.take(1, &mut self.head);
         if self.head == EMPTY_LINE {
@@ -132,7 +134,7 @@
         Ok(expects_continue)
     }
 
-    /// Reads on in the body; the request once it is complete.
+    /// Reads the next part of the body. Returns the request if it is complete.
     fn read_body(&mut self, ring: &mut Ring) -> Option<HttpRequest> {
         let request = self.partial.as_mut()?;
         let length = request.head.length.unwrap_or(0);
--- a/wrenseam/src/front/kserve/mod.rs
+++ b/wrenseam/src/front/kserve/mod.rs
@@ -1,5 +1,5 @@
-//! KServe v2: the Open Inference Protocol over HTTP/1.1 REST, on the same core as FastCGI; and the read-only
-//! administration API, which speaks HTTP as well.
+//! The KServe v2 front, which serves the Open Inference Protocol over HTTP/1.1, and the read-only administration API,
+//! which uses the same HTTP code.
 mod admin_api;
 mod answers;
 mod connection;
--- a/wrenseam/src/front/kserve/request.rs
+++ b/wrenseam/src/front/kserve/request.rs
@@ -1,4 +1,4 @@
-//! The request behind a v2 body. Parameters keep their names on the wire.
+//! Builds a request from the body of a KServe v2 inference request. Clients send these parameter names, so they stay.
 use crate::front::{is_valid_idempotency_key, parse_hex_id, NumericParameters, ParameterError};
 use crate::limits::Limits;
 use crate::model::{Payload, Request};
@@ -8,13 +8,13 @@
 use std::time::Instant;
 use wrenseam_policy::json::{flag, nested_object, number, object, parse, text};
 
-/// The id that workers see: 16 hex digits as they are, any other text or none as a number drawn from it.
+/// The id that workers see: the client's id if that is 16 hexadecimal digits, otherwise a random number.
 fn wire_id(id: Option<&str>) -> u64 {
     id.and_then(parse_hex_id)
         .unwrap_or_else(|| RandomState::new().hash_one(id))
 }
 
-/// The request to a model of this name, received now; its body stays as it is.
+/// Builds the request to the model `name`, received now. The body is kept unchanged.
 pub(super) fn to_request(
     name: &str,
     body: Vec<u8>,
@@ -56,6 +56,7 @@
     })
 }
 
+/// Reads the numeric parameters, with defaults for those that are not stated.
 fn numeric(parameters: &Object, limits: &Limits) -> Result<NumericParameters, ParameterError> {
     let get = |name: &str, default: f64| match parameters.get(name) {
         Some(_) => number(parameters, name).ok_or(ParameterError::NotANumber),
--- a/wrenseam/src/front/kserve/routes.rs
+++ b/wrenseam/src/front/kserve/routes.rs
@@ -1,4 +1,4 @@
-//! What each path of the v2 protocol answers.
+//! The routes of the KServe v2 protocol.
 use super::answers::error_body;
 use super::connection::HttpConnection;
 use super::decoder::HttpRequest;
@@ -9,22 +9,22 @@
 use std::sync::atomic::Ordering;
 use std::time::Instant;
 
-/// The metadata of the server.
+/// The JSON of the server metadata.
 const SERVER_METADATA: &str = concat!(
     r#"{"name":"wrenseam","version":""#,
     env!("CARGO_PKG_VERSION"),
     r#"","extensions":[]}"#
 );
-/// The tensors that every model takes and gives.
+/// The JSON of the input and output tensors, which are the same for every model.
 const TENSORS: &str = r#"[{"name":"body","datatype":"BYTES","shape":[1]}]"#;
 
-/// What becomes of a request at once.
+/// The result of handling a request.
 pub(super) enum Reply {
-    /// The core answers later.
+    /// The request was passed to the core, which answers later.
     Deferred,
-    /// The connection was evicted before the request was read: the request goes nowhere, and cannot be answered.
+    /// The connection was evicted before the request was passed to the core. The request is dropped without an answer.
     Evicted,
-    /// It is answered.
+    /// The request is answered at once.
     Now {
         /// The response's status.
         status: Status,
@@ -34,7 +34,7 @@
 }
 
 impl Reply {
-    /// A response with this body.
+    /// A response with this status and body.
     pub(super) fn now(status: Status, body: impl Into<Vec<u8>>) -> Reply {
         Reply::Now {
             status,
@@ -42,26 +42,26 @@
         }
     }
 
-    /// A response with an error object.
+    /// A response with this status and an error body.
     pub(super) fn error(status: Status, reason: &str) -> Reply {
         Reply::now(status, error_body(reason))
     }
 }
 
-/// The status of something that is well or is not.
-fn health_status(is_well: bool) -> Status {
-    if is_well {
+/// The status of a readiness check.
+fn readiness_status(is_ready: bool) -> Status {
+    if is_ready {
         Status::Ok
     } else {
         Status::ServiceUnavailable
     }
 }
 
-/// Answers a request of a v2 client.
+/// Handles a request of a KServe v2 client.
 pub(super) fn reply(connection: &HttpConnection, request: HttpRequest) -> Reply {
     let HttpRequest { head, body } = request;
     let mut segments = head.path_segments();
-    // A version may be named; there is one.
+    // The path may name a version of the model. Each model has only one, so the version is ignored.
     if segments.len() > 4 && segments[3] == "versions" {
         segments.drain(3..5);
     }
@@ -85,12 +85,12 @@
 
 fn server_ready(is_ready: bool) -> Reply {
     let body = format!("{{\"ready\":{is_ready}}}");
-    Reply::now(health_status(is_ready), body)
+    Reply::now(readiness_status(is_ready), body)
 }
 
 fn model_ready(name: &str, is_ready: bool) -> Reply {
     let body = format!("{{\"name\":\"{name}\",\"ready\":{is_ready}}}");
-    Reply::now(health_status(is_ready), body)
+    Reply::now(readiness_status(is_ready), body)
 }
 
 fn model_metadata(name: &str) -> Reply {
@@ -100,7 +100,7 @@
     Reply::now(Status::Ok, body)
 }
 
-/// Sends a request to the core, or rejects it.
+/// Passes an inference request to the core, or rejects it.
 fn infer(connection: &HttpConnection, name: &str, body: Vec<u8>) -> Reply {
     let context = connection.context;
     let received_at = Instant::now();
@@ -116,7 +116,7 @@
         }
     };
     if context.process_state.stopping.load(Ordering::Acquire) {
-        // The process ends soon: another process takes what comes now.
+        // The process is about to exit, and another process accepts the retry.
         context
             .core
             .answered_at_front(request.class, RequestEnd::Rejected);
@@ -133,7 +133,7 @@
 
 fn submit(connection: &HttpConnection, request: Request) -> Reply {
     let client = &connection.client;
-    client.watch(connection.tag, request.client_gone.clone());
+    client.attach_client_gone(connection.tag, request.client_gone.clone());
     if !client.channel.slot.begin_request() {
         return Reply::Evicted;
     }
--- a/wrenseam/src/front/parameters.rs
+++ b/wrenseam/src/front/parameters.rs
@@ -51,8 +51,8 @@
     ReadTimeout,
 }
 
-/// The numeric parameters of a request as its client stated them. A parameter that the client did not state is 0,
-/// except the timeout of a KServe v2 request, which is then `Limits::default_request_timeout`.
+/// The numeric parameters of a request as its client stated them. One that is not stated is 0, except the timeout: it
+/// is required in FastCGI, and `Limits::default_request_timeout` is its default in KServe v2.
 #[derive(Debug, Default, PartialEq)]
 pub struct NumericParameters {
     /// How long the client waits for the answer, in ms.
@@ -66,7 +66,7 @@
 }
 
 impl NumericParameters {
-    /// Checks that no value is NaN, negative or above its limit: time arithmetic and the policy rely on that.
+    /// Checks that no value is NaN, negative or above its limit. Time arithmetic and the policy rely on that.
     ///
     /// # Errors
     /// A value is out of range.
--- a/wrenseam/tests/log_messages.rs
+++ b/wrenseam/tests/log_messages.rs
@@ -66,7 +66,7 @@
 )]
 #[case(
     messages::admin_connection_closed(&ReadLineError::Timeout).to_string(),
-    "admin: connection closed: line timed out before it was complete"
+    "admin: connection closed: line not complete within 900 ms"
 )]
 #[case(
     messages::admin_reply_not_written(&error()).to_string(),
@@ -175,9 +175,9 @@
 
 /// Why the admin endpoint closes a connection without a reply.
 #[rstest]
-#[case(ReadLineError::TooLong, "line too long")]
-#[case(ReadLineError::Timeout, "line timed out before it was complete")]
-#[case(ReadLineError::Closed, "closed before a line was sent")]
+#[case(ReadLineError::TooLong, "line longer than 256 bytes")]
+#[case(ReadLineError::Timeout, "line not complete within 900 ms")]
+#[case(ReadLineError::Closed, "client disconnected before it sent a line")]
 fn a_caller_without_a_line_has_its_reason(#[case] error: ReadLineError, #[case] text: &str) {
     assert_eq!(error.to_string(), text);
 }
