--- a/wrenseam/src/front/connection.rs
+++ b/wrenseam/src/front/connection.rs
@@ -23,9 +23,9 @@
     /// A request was not complete within `Limits::request_read_timeout`.
     #[error("request timed out before it was complete")]
     RequestTimeout,
-    /// The client exceeded `Limits::max_requests_per_connection`.
-    #[error("too many open requests on one connection")]
-    TooManyRequests,
+    /// The client exceeded this number of requests, which is `Limits::max_requests_per_connection`.
+    #[error("more than {0} open requests on one connection")]
+    TooManyRequests(usize),
     /// A panic occurred while the lock of the connection's state was held.
     #[error("connection state poisoned by a panic")]
     Poisoned,
--- a/wrenseam/src/front/fastcgi/connection.rs
+++ b/wrenseam/src/front/fastcgi/connection.rs
@@ -191,10 +191,12 @@
         if is_open {
             return Err(FastCgiError::DuplicateRequestId(request_id).into());
         }
+        let request_limit = self.context.limits.max_requests_per_connection;
         if !begin.is_responder() {
             self.reject_early(request_id, EarlyRejection::UnknownRole);
-        } else if open_count >= self.context.limits.max_requests_per_connection {
-            self.reject_early(request_id, EarlyRejection::TooManyRequests);
+        } else if open_count >= request_limit {
+            let rejection = EarlyRejection::TooManyRequests(request_limit);
+            self.reject_early(request_id, rejection);
         } else {
             let partial =
                 PartialRequest::new(!begin.keeps_connection(), self.context.budget.reserve(0));
--- a/wrenseam/src/front/fastcgi/partial.rs
+++ b/wrenseam/src/front/fastcgi/partial.rs
@@ -11,9 +11,9 @@
     /// The requested role is not Responder.
     #[error("unsupported role")]
     UnknownRole,
-    /// The client exceeded `Limits::max_requests_per_connection`.
-    #[error("too many open requests on one connection")]
-    TooManyRequests,
+    /// The client exceeded this number of requests, which is `Limits::max_requests_per_connection`.
+    #[error("more than {0} open requests on one connection")]
+    TooManyRequests(usize),
     /// The memory budget of all requests is used up.
     #[error("memory limit of requests reached")]
     MemoryLimit,
@@ -24,7 +24,7 @@
     pub(super) fn status(self) -> ProtocolStatus {
         match self {
             EarlyRejection::UnknownRole => ProtocolStatus::UnknownRole,
-            EarlyRejection::TooManyRequests | EarlyRejection::MemoryLimit => {
+            EarlyRejection::TooManyRequests(_) | EarlyRejection::MemoryLimit => {
                 ProtocolStatus::Overloaded
             }
         }
@@ -94,7 +94,7 @@
         limits: &Limits,
     ) -> Result<(), Rejection> {
         if self.params.len() + content.len() > limits.max_head_bytes {
-            return Err(ParameterError::ParametersTooLong.into());
+            return Err(ParameterError::ParametersTooLong(limits.max_head_bytes).into());
         }
         self.reserve(content.len())?;
         self.params.extend(content);
@@ -104,7 +104,7 @@
     /// Appends to the body.
     pub(super) fn extend_body(&mut self, content: &[u8], limits: &Limits) -> Result<(), Rejection> {
         if self.body.len() + content.len() > limits.max_body_bytes {
-            return Err(ParameterError::BodyTooLong.into());
+            return Err(ParameterError::BodyTooLong(limits.max_body_bytes).into());
         }
         self.reserve(content.len())?;
         self.body.extend(content);
--- a/wrenseam/src/front/kserve/answers.rs
+++ b/wrenseam/src/front/kserve/answers.rs
@@ -99,7 +99,7 @@
         let pending = self.pending.lock();
         let mut pending = pending.map_err(|_| ConnectionError::Poisoned)?;
         if pending.len() >= limit {
-            return Err(ConnectionError::TooManyRequests);
+            return Err(ConnectionError::TooManyRequests(limit));
         }
         pending.push_back(PendingResponse {
             tag,
--- a/wrenseam/src/front/parameters.rs
+++ b/wrenseam/src/front/parameters.rs
@@ -40,12 +40,12 @@
     /// The model of a KServe v2 request is not named by 16 hexadecimal digits.
     #[error("unknown model")]
     UnknownModel,
-    /// The parameter stream of a FastCGI request is longer than `Limits::max_head_bytes`.
-    #[error("parameters are too long")]
-    ParametersTooLong,
-    /// The body of a FastCGI request is longer than `Limits::max_body_bytes`.
-    #[error("the body is too long")]
-    BodyTooLong,
+    /// The parameter stream of a FastCGI request is longer than this many bytes, which is `Limits::max_head_bytes`.
+    #[error("parameters longer than {0} bytes")]
+    ParametersTooLong(usize),
+    /// The body of a FastCGI request is longer than this many bytes, which is `Limits::max_body_bytes`.
+    #[error("body longer than {0} bytes")]
+    BodyTooLong(usize),
     /// A FastCGI request was not complete within `Limits::request_read_timeout`.
     #[error("request timed out before it was complete")]
     ReadTimeout,
