--- a/wrenseam/src/front/connection.rs
+++ b/wrenseam/src/front/connection.rs
@@ -46,7 +46,7 @@
     Ended,
 }
 
-/// The rate limits of the log lines about the connections of one protocol.
+/// Writes the log lines about the connections of one protocol. Each kind of line has its own rate limit.
 pub(super) struct ConnectionLog {
     not_started: RateLimitedLine,
     closed: RateLimitedLine,
@@ -199,11 +199,11 @@
     }
 }
 
-/// The protocol of a connection in the log.
+/// How log lines name the protocol of a connection, and what writes them.
 pub(super) struct Protocol {
     /// The name of the front in log lines.
     pub(super) front: &'static str,
-    /// The rate limits of the log lines.
+    /// Writes the log lines.
     pub(super) log: &'static ConnectionLog,
 }
 
--- a/wrenseam/src/front/fastcgi/answers.rs
+++ b/wrenseam/src/front/fastcgi/answers.rs
@@ -52,7 +52,7 @@
 
 /// A request that the core has not answered yet.
 pub(super) struct OpenRequest {
-    /// Counts the requests of the connection that were passed to the core, from 1.
+    /// The request's number among those of the connection that were passed to the core, counted from 1.
     pub(super) sequence_number: u64,
     /// Whether the connection closes after the response.
     pub(super) close: bool,
--- a/wrenseam/src/front/fastcgi/connection.rs
+++ b/wrenseam/src/front/fastcgi/connection.rs
@@ -120,7 +120,7 @@
         self.reject(request_id, rejection, close);
     }
 
-    /// Logs a rejection and sends it to the client. With `close`, the connection closes after it.
+    /// Logs that a request is rejected and sends the response. With `close`, the connection closes after it.
     pub(super) fn reject(&self, request_id: u16, rejection: Rejection, close: bool) {
         match rejection {
             Rejection::Early(reason) => self.reject_early(request_id, reason),
--- a/wrenseam/src/front/listener.rs
+++ b/wrenseam/src/front/listener.rs
@@ -103,7 +103,7 @@
             Ok((stream, peer)) => {
                 admit(stream, peer, context, front, serve);
                 // Lets this connection be read before the next one is accepted. Otherwise many connections that
-                // arrive at once would all look idle although their requests are only unread.
+                // arrive at once would all look idle although their requests just have not been read yet.
                 may::coroutine::yield_now();
             }
             Err(_) if context.listeners_closing.load(Ordering::Acquire) => break,
