--- a/wrenseam/src/front/admin/mod.rs
+++ b/wrenseam/src/front/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The admin endpoint for operators: one line in, one reply that begins with `YES` or `NO` out, then the close. Every
-//! command is the core's to answer.
+//! The admin endpoint for operators. Each connection carries one command line and one reply, and is then closed. The
+//! reply is the telemetry, or a line that begins with `YES` or `NO`. The core answers all valid commands.
 mod command;
 mod exclusions;
 mod file;
@@ -12,11 +12,11 @@
     exclusions_path, read_exclusions, update_exclusions, write_exclusions, ExclusionCommands,
     RunningCommand,
 };
-pub use handover::{watch, ActiveProcess, POLL_INTERVAL};
+pub use handover::{poll_handover_files, ActiveProcess, POLL_INTERVAL};
 pub use line::{ReadLineError, MAX_LINE_LENGTH, READ_TIMEOUT};
 pub use reply::{render, AdminError};
 
-use super::listener::ACCEPT_RETRY;
+use super::listener::ACCEPT_RETRY_DELAY;
 use super::{messages, ListenerContext};
 use crate::model::{AdminCommand, AdminReply};
 use crate::net::{resume_on_scheduler, sleep, spawn};
@@ -29,12 +29,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections served at once; more are closed at once. Guards descriptors and the core's queue.
+/// Maximum number of open connections; further ones are closed at once. Limits the use of file descriptors and of the
+/// core's queue.
 pub const MAX_CONNECTIONS: usize = 8;
-/// The core's reply is waited for so long, then the caller reads `NO busy`.
+/// Time that the core has to reply to a command. After that the client gets `NO busy`. Also the timeout for writing the
+/// reply to the connection.
 pub const REPLY_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Accepts connections until the program ends.
+/// Accepts connections until the process exits.
 pub fn accept(listener: &TcpListener, context: &ListenerContext) {
     let connections = Arc::new(AtomicUsize::new(0));
     loop {
@@ -42,13 +44,13 @@
             Ok((stream, peer)) => admit(stream, peer, context, &connections),
             Err(error) => {
                 log_limited!("{}", messages::accept_failed("admin", &error));
-                sleep(ACCEPT_RETRY);
+                sleep(ACCEPT_RETRY_DELAY);
             }
         }
     }
 }
 
-/// Serves a connection in a coroutine of its own, unless too many are open.
+/// Serves a connection in a coroutine of its own, or closes it if too many are open.
 fn admit(
     stream: TcpStream,
     peer: SocketAddr,
@@ -71,7 +73,7 @@
     }
 }
 
-/// One connection: a line within its time, the reply, the close.
+/// Serves one connection: reads the command line, writes the reply and closes the connection.
 fn serve(mut stream: TcpStream, context: &ListenerContext) {
     let line = match read_line(&mut stream) {
         Ok(line) => line,
@@ -85,21 +87,27 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
+/// Executes the command in this line.
 fn execute(line: &str, context: &ListenerContext) -> Result<AdminReply, AdminError> {
     match AdminCommand::parse(line)? {
         command @ (AdminCommand::Exclude(_) | AdminCommand::Include(_)) => {
             let _running = context.exclusion_commands.begin();
-            update_exclusions(&exclusions_path(), command, |command| ask(context, command))
+            update_exclusions(&exclusions_path(), command, |command| {
+                send_command(context, command)
+            })
         }
-        command => ask(context, command),
+        command => send_command(context, command),
     }
 }
 
-/// The core's reply to a command.
+/// Sends a command to the core and waits for the reply.
 ///
 /// # Errors
-/// The core has ended, or does not answer in time.
-pub fn ask(context: &ListenerContext, command: AdminCommand) -> Result<AdminReply, AdminError> {
+/// The core has ended, or has not replied within [`REPLY_TIMEOUT`]. It may still execute the command then.
+pub fn send_command(
+    context: &ListenerContext,
+    command: AdminCommand,
+) -> Result<AdminReply, AdminError> {
     let (reply, replies) = may::sync::mpsc::channel();
     let message = Message::Admin { command, reply };
     context
--- a/wrenseam/src/front/fastcgi/mod.rs
+++ b/wrenseam/src/front/fastcgi/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's protocol: FastCGI 1.0, Responder role, many requests on one connection.
+//! The front for the platform's gateways: FastCGI 1.0 in the Responder role, with several requests at a time on one
+//! connection.
 mod answers;
 mod connection;
 mod dispatch;
@@ -7,5 +8,5 @@
 mod request;
 
 pub use connection::serve;
-pub use partial::EarlyEnd;
-pub use records::{pairs, record, response, FastCgiError};
+pub use partial::EarlyRejection;
+pub use records::{append_record, decode_pairs, response, FastCgiError};
--- a/wrenseam/src/front/kserve/mod.rs
+++ b/wrenseam/src/front/kserve/mod.rs
@@ -1,5 +1,5 @@
-//! KServe v2: the Open Inference Protocol over HTTP/1.1 REST, on the same core as FastCGI; and the read-only
-//! administration API, which speaks HTTP as well.
+//! The KServe v2 front, which serves the Open Inference Protocol over HTTP/1.1, and the read-only administration API,
+//! which uses the same HTTP code.
 mod admin_api;
 mod answers;
 mod connection;
@@ -7,6 +7,6 @@
 mod request;
 mod routes;
 
-pub use answers::error;
+pub use answers::error_body;
 pub use connection::{serve, serve_admin};
 pub use decoder::HttpError;
--- a/wrenseam/src/front/kserve/request.rs
+++ b/wrenseam/src/front/kserve/request.rs
@@ -1,5 +1,5 @@
-//! The request behind a v2 body. Parameters keep their names on the wire.
-use crate::front::{is_valid_idempotency_key, parse_function, NumericParameters, ParameterError};
+//! Builds a request from the body of a KServe v2 inference request. Clients send these parameter names, so they stay.
+use crate::front::{is_valid_idempotency_key, parse_hex_id, NumericParameters, ParameterError};
 use crate::limits::Limits;
 use crate::model::{Payload, Request};
 use miniserde::json::Object;
@@ -8,13 +8,13 @@
 use std::time::Instant;
 use wrenseam_policy::json::{flag, nested_object, number, object, parse, text};
 
-/// The id that workers see: 16 hex digits as they are, any other text or none as a number drawn from it.
+/// The id that workers see: the client's id if that is 16 hexadecimal digits, otherwise a random number.
 fn wire_id(id: Option<&str>) -> u64 {
-    id.and_then(parse_function)
+    id.and_then(parse_hex_id)
         .unwrap_or_else(|| RandomState::new().hash_one(id))
 }
 
-/// The request to a model of this name, received now; its body stays as it is.
+/// Builds the request to the model `name`, received now. The body is kept unchanged.
 pub(super) fn to_request(
     name: &str,
     body: Vec<u8>,
@@ -41,7 +41,7 @@
             .ok_or(ParameterError::MissingClass)?
             .to_owned(),
         tenant: text(parameters, "tenant").unwrap_or_default().to_owned(),
-        function: parse_function(name).ok_or(ParameterError::UnknownModel)?,
+        function: parse_hex_id(name).ok_or(ParameterError::UnknownModel)?,
         timeout: (numeric.timeout_ms * 1000.0) as u64,
         received_at: Instant::now(),
         idempotency_key: key.map(str::to_owned),
@@ -56,6 +56,7 @@
     })
 }
 
+/// Reads the numeric parameters, with defaults for those that are not stated.
 fn numeric(parameters: &Object, limits: &Limits) -> Result<NumericParameters, ParameterError> {
     let get = |name: &str, default: f64| match parameters.get(name) {
         Some(_) => number(parameters, name).ok_or(ParameterError::NotANumber),
