--- a/policy/tests/characterization.rs
+++ b/policy/tests/characterization.rs
@@ -1,21 +1,23 @@
-//! Decisions stay the same, draw by draw: seeded event streams go through the module and all its actions, encoded by
-//! hand (variant number and fields, so that no name shows), are folded into one digest a stream.
+//! Characterization test of all decisions: seeded event streams are fed to the policy, and its actions are hashed into
+//! one digest per stream. Actions are encoded by variant number and fields, so that renaming one does not change the
+//! digest.
 //!
-//! A digest that changes means that a decision changed. It is recorded anew only by a commit that means to change one.
+//! A changed digest means that a decision or a draw of a random number changed. A new digest may be recorded only by a
+//! commit that intends to change decisions.
 mod world;
 
 use rstest::rstest;
 use world::Traffic::{self, Busy, Light, Overload};
-use world::{Scenario, World};
+use world::{Scenario, Simulation};
 use wrenseam_policy::*;
 
 const MS: Micros = 1_000;
 const SEC: Micros = 1_000_000;
 
-/// Events of a stream that is not overloaded.
+/// Number of events of a stream without overload.
 const EVENTS: usize = 12_000;
 
-/// FNV-1a over the encoded actions.
+/// FNV-1a hash of the encoded actions.
 struct Digest(u64);
 
 impl Digest {
@@ -45,14 +47,14 @@
                 id,
                 worker,
                 timeout,
-                retry_window: window,
+                retry_window,
             } => {
                 self.byte(0);
                 self.number(*id);
                 self.text(worker);
                 self.number(*timeout);
-                self.byte(u8::from(window.is_some()));
-                self.number(window.unwrap_or(0));
+                self.byte(u8::from(retry_window.is_some()));
+                self.number(retry_window.unwrap_or(0));
             }
             Action::Cancel { id, attempt } => {
                 self.byte(1);
@@ -76,12 +78,12 @@
             Action::Load {
                 worker,
                 function,
-                replicas: count,
+                replicas,
             } => {
                 self.byte(5);
                 self.text(worker);
                 self.number(*function);
-                self.number(u64::from(*count));
+                self.number(u64::from(*replicas));
             }
             Action::Unload { worker, function } => {
                 self.byte(6);
@@ -98,19 +100,19 @@
 }
 
 fn settings(scenario: &Scenario) -> Settings {
-    let class = |effect, group, aim, worth| ClassSettings {
-        idempotency: effect,
-        key_scope: group,
+    let class = |idempotency, key_scope, latency_objective, priority_weight| ClassSettings {
+        idempotency,
+        key_scope,
         key_memory: 3 * SEC,
-        latency_objective: aim,
-        priority_weight: worth,
+        latency_objective,
+        priority_weight,
         ..ClassSettings::default()
     };
     let tenant = |quota_per_s| TenantSettings {
         quota_per_s,
         ..TenantSettings::default()
     };
-    let group = if scenario.load_on_demand {
+    let key_scope = if scenario.load_on_demand {
         KeyScope::Zone
     } else {
         KeyScope::Cell
@@ -120,7 +122,7 @@
         front_end_index: scenario.hedging.then_some(scenario.front_ends / 2),
         classes: vec![
             class(Idempotency::Idempotent, KeyScope::All, 400 * MS, 1.0),
-            class(Idempotency::Keyed, group, 800 * MS, 3.0),
+            class(Idempotency::Keyed, key_scope, 800 * MS, 3.0),
             class(Idempotency::NotIdempotent, KeyScope::All, SEC, 2.0),
         ],
         tenants: if scenario.reports {
@@ -150,7 +152,7 @@
     }
 }
 
-/// How often each kind of action came, so that a stream that exercises nothing shows.
+/// Number of actions of each kind: shows whether a stream exercises the policy at all.
 #[derive(Debug, Default)]
 struct Counts {
     sends: usize,
@@ -174,14 +176,14 @@
         }
     }
 
-    fn exercises_the_module(&self) -> bool {
+    fn exercise_the_policy(&self) -> bool {
         self.sends > 1_000 && self.rejections > 100 && self.failures > 20 && self.loads > 40
     }
 }
 
-/// Plays a stream; the module is restarted at two thirds of it, and is on standby for a while.
-fn play(scenario: Scenario) -> (Digest, Counts) {
-    let mut world = World::new(scenario);
+/// Runs a stream: the front end is on standby from one third of it to one half, and is restarted at two thirds.
+fn run(scenario: Scenario) -> (Digest, Counts) {
+    let mut simulation = Simulation::new(scenario);
     let mut controller = Controller::new(settings(&scenario), scenario.seed);
     let mut digest = Digest::new();
     let mut counts = Counts::default();
@@ -192,15 +194,15 @@
         }
         if step == scenario.events * 2 / 3 {
             controller = Controller::new(settings(&scenario), scenario.seed + 1);
-            world.announce_after_restart();
+            simulation.restart_front_end();
         }
-        let (now, event) = world.next();
+        let (now, event) = simulation.next();
         controller.handle(now, event, &mut actions);
         for action in actions.drain(..) {
             digest.number(now);
             digest.action(&action);
             counts.add(&action);
-            world.carry_out(&action);
+            simulation.carry_out(&action);
         }
         if step % 500 == 0 {
             (0..scenario.workers).for_each(|w| {
@@ -211,6 +213,7 @@
     (digest, counts)
 }
 
+// A case is named after the number of front ends; with "orders_only", workers load no function on demand.
 // Columns: front ends, workers, load on demand, reports, hedging and load budget, traffic, digest.
 #[rstest]
 #[case::one_orders_only(1, 12, false, false, false, Light, 0xf2e3_fc65_5030_bf90)]
@@ -258,8 +261,8 @@
         traffic,
         events,
     };
-    let (digest, counts) = play(scenario);
-    assert!(counts.exercises_the_module(), "{counts:?}");
+    let (digest, counts) = run(scenario);
+    assert!(counts.exercise_the_policy(), "too few actions: {counts:?}");
     assert_eq!(
         digest.0, expected,
         "digest {:#018x} of {counts:?}",
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: settings, and short ways to give a controller events.
+//! Shared by the tests: default settings, and a harness that feeds events to a controller.
 #![allow(dead_code)]
 use wrenseam_policy::*;
 
@@ -8,10 +8,11 @@
 pub(crate) const KEYED: usize = 1;
 pub(crate) const NOT_IDEMPOTENT: usize = 2;
 
-pub(crate) fn class(effect: Idempotency, group: KeyScope) -> ClassSettings {
+/// A class with a key memory of 3 s and a latency objective of 1 s.
+pub(crate) fn class(idempotency: Idempotency, key_scope: KeyScope) -> ClassSettings {
     ClassSettings {
-        idempotency: effect,
-        key_scope: group,
+        idempotency,
+        key_scope,
         key_memory: 3 * SEC,
         latency_objective: SEC,
         priority_weight: 1.0,
@@ -19,7 +20,7 @@
     }
 }
 
-/// One front end before workers where only an order loads; tests change what they need.
+/// Settings of a single front end whose workers load functions only when ordered to; tests change fields as needed.
 pub(crate) fn settings() -> Settings {
     Settings {
         front_ends: 1,
@@ -50,6 +51,8 @@
     }
 }
 
+/// The entry of the ready worker `w{n}`, which is past slow start. Even and odd workers are in different zones; workers
+/// 0 and 1, 2 and 3 and so on share a cell.
 pub(crate) fn endpoint(n: usize) -> Endpoint {
     Endpoint {
         worker: format!("w{n}"),
@@ -61,14 +64,14 @@
     }
 }
 
-/// A controller and the time that tests give it.
+/// A controller and its clock, which the test advances.
 pub(crate) struct ControllerHarness {
     pub(crate) controller: Controller,
     pub(crate) now: Micros,
 }
 
 impl ControllerHarness {
-    /// A controller whose endpoint list has `n` warm workers, `w0` ...
+    /// A controller whose endpoint list has `n` workers ([`endpoint`]).
     pub(crate) fn new(settings: Settings, n: usize) -> Self {
         let mut harness = ControllerHarness {
             controller: Controller::new(settings, 11),
@@ -81,13 +84,14 @@
         harness
     }
 
+    /// Feeds an event at the present time and returns the actions.
     pub(crate) fn feed(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.controller.handle(self.now, event, &mut out);
         out
     }
 
-    /// Lets time pass with the policy's own periodic timer, and returns all that it does.
+    /// Advances the clock by `span`, feeds the housekeeping timer every 20 ms, and returns all actions.
     pub(crate) fn advance(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
@@ -98,6 +102,7 @@
         all
     }
 
+    /// Feeds a request whose client waits for 3 s.
     pub(crate) fn request(&mut self, id: u64, class: usize, function: u64) -> Vec<Action> {
         self.feed(Event::Request(NewRequest {
             id,
@@ -112,6 +117,7 @@
         }))
     }
 
+    /// Ends an attempt; the request counts as closed if it was served.
     pub(crate) fn end_attempt(
         &mut self,
         id: u64,
@@ -119,64 +125,64 @@
         outcome: Outcome,
         elapsed: Micros,
     ) -> Vec<Action> {
-        let closed = outcome == Outcome::Ok;
-        let (warm, crowd, inflight) = (None, None, None);
+        let request_closed = outcome == Outcome::Ok;
+        let (replica_loaded, queue_depth, in_flight) = (None, None, None);
         self.feed(Event::AttemptEnded(AttemptResult {
             id,
             attempt,
             outcome,
             elapsed,
-            request_closed: closed,
-            replica_loaded: warm,
-            queue_depth: crowd,
-            in_flight: inflight,
+            request_closed,
+            replica_loaded,
+            queue_depth,
+            in_flight,
         }))
     }
 
+    /// Answers a load order or a poll: the worker has `replicas` replicas loaded.
     pub(crate) fn end_load_order(
         &mut self,
         worker: &str,
         function: u64,
-        count: u32,
+        replicas: u32,
         outcome: Outcome,
     ) -> Vec<Action> {
         self.feed(Event::LoadOrderEnded {
             worker: worker.into(),
             function,
-            replicas: count,
+            replicas,
             outcome,
             elapsed: 2 * MS,
         })
     }
 
-    /// Makes the controller take the function for loaded at these workers, by answers to the queries of a first request.
+    /// Makes the controller know that the function is loaded at these of the polled workers and not at the others:
+    /// answers the polls for a first request accordingly, and serves that request.
     pub(crate) fn mark_loaded(&mut self, function: u64, id: u64, workers: &[&str]) {
-        let asked = self.request(id, IDEMPOTENT, function);
-        let names = load_orders(&asked, 0);
-        for name in &names {
-            let stands = workers.contains(&name.as_str());
-            self.end_load_order(name, function, u32::from(stands), Outcome::Ok);
+        let actions = self.request(id, IDEMPOTENT, function);
+        let polled = load_orders(&actions, 0);
+        for worker in &polled {
+            let is_loaded = workers.contains(&worker.as_str());
+            self.end_load_order(worker, function, u32::from(is_loaded), Outcome::Ok);
         }
         self.end_attempt(id, 0, Outcome::Ok, 50 * MS);
     }
 }
 
-/// The workers that were ordered to hold this many replicas.
+/// The workers that are ordered to hold this many replicas; with 0, the workers that are polled.
 pub(crate) fn load_orders(actions: &[Action], wanted: u32) -> Vec<String> {
-    let pick = |a: &Action| match a {
+    let pick = |action: &Action| match action {
         Action::Load {
-            worker,
-            replicas: count,
-            ..
-        } if *count == wanted => Some(worker.clone()),
+            worker, replicas, ..
+        } if *replicas == wanted => Some(worker.clone()),
         _ => None,
     };
     actions.iter().filter_map(pick).collect()
 }
 
-/// The workers that requests were sent to.
+/// The workers that attempts are sent to.
 pub(crate) fn sent_workers(actions: &[Action]) -> Vec<String> {
-    let pick = |a: &Action| match a {
+    let pick = |action: &Action| match action {
         Action::Send { worker, .. } => Some(worker.clone()),
         _ => None,
     };
