--- a/policy/tests/mechanism.rs
+++ b/policy/tests/mechanism.rs
@@ -1,10 +1,10 @@
-//! The ordinary path: replica states, losses, replicas and the random choice.
+//! Routing and replication without faults: polls, losses, new replicas, their expiry, and the choice of a worker.
 mod common;
 use common::*;
 use wrenseam_policy::*;
 
 #[test]
-fn a_new_front_end_queries_before_it_loads() {
+fn a_new_front_end_polls_before_it_orders_a_load() {
     let mut harness = ControllerHarness::new(settings(), 3);
     let out = harness.request(1, IDEMPOTENT, 7);
     assert_eq!(load_orders(&out, 0).len(), 3);
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn where_nothing_is_loaded_one_load_is_ordered_and_the_request_follows_it() {
+fn if_no_worker_has_the_function_one_load_is_ordered_and_the_request_is_sent_there() {
     let mut harness = ControllerHarness::new(settings(), 3);
     harness.request(1, IDEMPOTENT, 7);
     let mut out = Vec::new();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_second_waiting_request_does_not_load_the_same_thing_again() {
+fn a_second_waiting_request_orders_no_further_load() {
     let mut harness = ControllerHarness::new(settings(), 3);
     harness.request(1, IDEMPOTENT, 7);
     for w in ["w0", "w1", "w2"] {
@@ -46,23 +46,23 @@
 fn requests_spread_evenly_over_free_loaded_workers() {
     let mut harness = ControllerHarness::new(settings(), 4);
     harness.mark_loaded(7, 1, &["w0", "w1", "w2"]);
-    let mut seen = [0; 4];
+    let mut requests = [0; 4];
     for id in 100..700 {
         let to = sent_workers(&harness.request(id, IDEMPOTENT, 7));
         let w: usize = to[0][1..].parse().unwrap();
-        seen[w] += 1;
+        requests[w] += 1;
         harness.end_attempt(id, 0, Outcome::Ok, 50 * MS);
     }
-    // 600 draws over three: 200 each, give or take four standard deviations.
-    assert_eq!(seen[3], 0);
+    // 600 random choices of three workers: 200 each, within four standard deviations (46).
+    assert_eq!(requests[3], 0, "w3 does not have the function loaded");
     assert!(
-        seen[..3].iter().all(|n| (154..=246).contains(n)),
-        "{seen:?}"
+        requests[..3].iter().all(|n| (154..=246).contains(n)),
+        "requests by worker: {requests:?}"
     );
 }
 
 #[test]
-fn a_lost_request_joins_the_loaded_worker_with_fewest_in_flight_and_a_replica_is_added() {
+fn a_lost_request_goes_to_the_loaded_worker_with_fewest_in_flight_and_a_replica_is_added() {
     let mut harness = ControllerHarness::new(settings(), 3);
     harness.mark_loaded(7, 1, &["w0"]);
     assert_eq!(sent_workers(&harness.request(2, IDEMPOTENT, 7)), ["w0"]);
@@ -71,12 +71,12 @@
     let ordered = load_orders(&out, 1);
     assert_eq!(ordered.len(), 1);
     assert_ne!(ordered[0], "w0");
-    // While that load is out, further losses add none.
+    // Until that load ends, further losses add no replica.
     assert!(load_orders(&harness.request(4, IDEMPOTENT, 7), 1).is_empty());
 }
 
 #[test]
-fn marked_retries_are_no_new_losses() {
+fn a_request_marked_as_a_retry_is_no_new_loss() {
     let mut harness = ControllerHarness::new(settings(), 3);
     harness.mark_loaded(7, 1, &["w0"]);
     harness.request(2, IDEMPOTENT, 7);
@@ -136,9 +136,9 @@
 }
 
 #[test]
-fn memory_short_by_own_account_unloads_the_least_recently_lost() {
+fn a_replica_that_exceeds_a_workers_memory_unloads_the_least_recently_lost_function() {
     let mut set = settings();
-    set.kind_memory_mb = vec![1600.0]; // two replicas of 500 MB stay under the margin, three do not
+    set.kind_memory_mb = vec![1600.0]; // the usable share of it holds two replicas of 500 MB, not three
     let mut harness = ControllerHarness::new(set, 2);
     harness.mark_loaded(1, 1, &["w1"]);
     harness.advance(100 * MS);
@@ -166,13 +166,13 @@
     harness.mark_loaded(7, 1, &["w0"]);
     let out = harness.advance(7 * SEC);
     assert_eq!(load_orders(&out, 1), ["w0"]);
-    // With no answer to the order the replica state expires: the next request has to query again.
+    // As the order is not answered, the replica state expires: the next request is not sent before workers are polled.
     harness.advance(5 * SEC);
     assert!(sent_workers(&harness.request(2, IDEMPOTENT, 7)).is_empty());
 }
 
 #[test]
-fn a_not_loaded_answer_clears_the_replica_state_and_the_request_goes_on() {
+fn a_not_loaded_answer_clears_the_replica_state_and_another_replica_is_looked_for() {
     let mut harness = ControllerHarness::new(settings(), 2);
     harness.mark_loaded(7, 1, &["w0"]);
     assert_eq!(sent_workers(&harness.request(2, NOT_IDEMPOTENT, 7)), ["w0"]);
@@ -183,9 +183,9 @@
 }
 
 #[test]
-fn where_requests_load_on_demand_and_the_load_budget_is_spent_the_request_is_sent() {
+fn with_load_on_demand_a_request_is_sent_although_the_load_budget_is_exhausted() {
     let mut set = settings();
-    (set.load_on_demand, set.load_budget_window) = (true, 5 * SEC); // nothing free, no share: no order at all
+    (set.load_on_demand, set.load_budget_window) = (true, 5 * SEC); // the budget allows no load orders
     let mut harness = ControllerHarness::new(set, 2);
     harness.request(1, IDEMPOTENT, 7);
     let mut out = harness.end_load_order("w0", 7, 0, Outcome::Ok);
@@ -195,12 +195,12 @@
 }
 
 #[test]
-fn reported_queue_depth_takes_concurrency() {
+fn a_reported_queue_depth_occupies_the_slots_of_a_replica() {
     let mut harness = ControllerHarness::new(settings(), 3);
     harness.mark_loaded(7, 1, &["w0", "w1"]);
     for id in 2..40 {
         let to = sent_workers(&harness.request(id, IDEMPOTENT, 7)).remove(0);
-        let crowd = (to == "w0").then_some(3);
+        let queue_depth = (to == "w0").then_some(3);
         harness.feed(Event::AttemptEnded(AttemptResult {
             id,
             attempt: 0,
@@ -208,7 +208,7 @@
             elapsed: 50 * MS,
             request_closed: true,
             replica_loaded: Some(true),
-            queue_depth: crowd,
+            queue_depth,
             in_flight: None,
         }));
         if to == "w0" {
@@ -219,14 +219,15 @@
             return;
         }
     }
-    panic!("w0 was never drawn");
+    panic!("no request was sent to w0");
 }
 
-/// Feeds one request of function 7 at each of these distances, answered at once, and returns what is ordered
-/// after each: replicas ordered within the last second before the next, at other times, and replicas unloaded.
-fn fire(gaps: &[Micros]) -> Vec<(usize, usize, usize)> {
+/// Sends requests for function 7 with these times between them, each served at once. Returns the orders between each
+/// request and the next: replicas ordered within the last second, replicas ordered before that, and orders to unload
+/// before that.
+fn orders_between_requests(gaps: &[Micros]) -> Vec<(usize, usize, usize)> {
     let mut harness = ControllerHarness::new(settings(), 3);
-    let after = |(n, &gap): (usize, &Micros)| {
+    let orders_after = |(n, &gap): (usize, &Micros)| {
         let mut out = harness.request(n as u64, IDEMPOTENT, 7);
         for w in load_orders(&out, 0) {
             out.extend(harness.end_load_order(&w, 7, 0, Outcome::Ok));
@@ -239,35 +240,37 @@
         load_orders(&late, 1)
             .iter()
             .for_each(|w| drop(harness.end_load_order(w, 7, 1, Outcome::Ok)));
-        let drops = early
+        let unloads = early
             .iter()
-            .filter(|a| matches!(a, Action::Unload { .. }))
+            .filter(|action| matches!(action, Action::Unload { .. }))
             .count();
         (
             load_orders(&late, 1).len(),
             load_orders(&early, 1).len(),
-            drops,
+            unloads,
         )
     };
-    gaps.iter().enumerate().map(after).collect()
+    gaps.iter().enumerate().map(orders_after).collect()
 }
 
-/// Seen on sockets: eight in ten requests on timers found no replica, as it had been unloaded in between, and their
-/// replicas, kept though nothing called them, took the room of others.
+/// Guards against two faults that were seen over real connections: eight in ten requests of timers found no replica,
+/// because it had been unloaded since the last one; and replicas that were kept loaded between the requests of a timer
+/// took the memory that other functions needed.
 #[test]
-fn a_periodic_request_finds_a_prefetched_replica_and_none_is_kept_in_between() {
-    let even = fire(&[10 * SEC; 5]);
+fn a_replica_is_prefetched_for_a_periodic_request_and_unloaded_after_it() {
+    let even = orders_between_requests(&[10 * SEC; 5]);
     assert!(
         even[2..]
             .iter()
-            .all(|&(ahead, else_, drops)| (ahead, else_, drops) == (1, 0, 1)),
-        "{even:?}"
+            .all(|&(late, early, unloads)| (late, early, unloads) == (1, 0, 1)),
+        "orders at even intervals: {even:?}"
     );
-    let uneven = fire(&[10 * SEC, 7 * SEC, 12 * SEC, 9 * SEC, 6 * SEC, 10 * SEC]);
+    let uneven =
+        orders_between_requests(&[10 * SEC, 7 * SEC, 12 * SEC, 9 * SEC, 6 * SEC, 10 * SEC]);
     assert!(
         uneven[2..]
             .iter()
-            .all(|&(ahead, _, drops)| (ahead, drops) == (0, 0)),
-        "{uneven:?}"
+            .all(|&(late, _, unloads)| (late, unloads) == (0, 0)),
+        "orders at uneven intervals: {uneven:?}"
     );
 }
