--- a/policy/tests/properties.rs
+++ b/policy/tests/properties.rs
@@ -1,4 +1,5 @@
-//! The five rules over seeded random event streams, judged by a checker that shares no code with the policy.
+//! Checks the five rules (see `rules.rs`) over seeded random event streams, by a checker that shares no code with the
+//! policy.
 mod common;
 use common::*;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -6,225 +7,235 @@
 use std::collections::{BTreeMap, BTreeSet};
 use wrenseam_policy::*;
 
-struct Sent {
+struct SentAttempt {
     worker: String,
-    at: Micros,
+    sent_at: Micros,
     open: bool,
-    ran: bool,
+    may_have_executed: bool,
 }
 
-struct Known {
+struct TrackedRequest {
     class: usize,
-    ends: Micros,
-    sent: Vec<Sent>,
+    deadline: Micros,
+    attempts: Vec<SentAttempt>,
+    /// Whether the policy rejected or failed it.
     answered: bool,
-    client_knows: bool,
+    /// Whether the client has a worker's answer or cancelled the request.
+    closed: bool,
 }
 
-/// Keeps its own account of what was said and done, and lists every breach.
+/// Tracks all events and actions, and collects the violations of the rules.
 struct Checker {
-    set: Settings,
+    settings: Settings,
+    /// Whether the front end stalls ([`received_at`]).
     stalls: bool,
-    requests: BTreeMap<u64, Known>,
-    unready: BTreeMap<String, Micros>,
-    started: BTreeMap<String, Micros>,
-    /// Requests to warming workers: which, when, and when it had started.
-    to_cold: Vec<(String, Micros, Micros)>,
-    taken: Vec<Micros>,
-    orders: Vec<Micros>,
-    breaches: Vec<String>,
+    requests: BTreeMap<u64, TrackedRequest>,
+    /// Since when the endpoint list shows a worker as draining or gone.
+    not_ready_since: BTreeMap<String, Micros>,
+    started_at: BTreeMap<String, Micros>,
+    /// Attempts sent to workers in slow start: the worker, when it was sent, and when the worker's process started.
+    slow_start_attempts: Vec<(String, Micros, Micros)>,
+    request_times: Vec<Micros>,
+    load_order_times: Vec<Micros>,
+    violations: Vec<String>,
 }
 
-/// When a front end that stands still for two seconds in every five is notified of what happens at `t`.
-fn heard(t: Micros, stalls: bool) -> Micros {
-    let into = t % (5 * SEC);
-    if stalls && into < 2 * SEC {
-        t - into + 2 * SEC
+/// When the front end receives an event of time `t`: one that stalls receives none in the first two of every five
+/// seconds.
+fn received_at(t: Micros, stalls: bool) -> Micros {
+    let offset = t % (5 * SEC);
+    if stalls && offset < 2 * SEC {
+        t - offset + 2 * SEC
     } else {
         t
     }
 }
 
 impl Checker {
-    fn new(set: &Settings, stalls: bool) -> Self {
+    fn new(settings: &Settings, stalls: bool) -> Self {
         Checker {
-            set: set.clone(),
+            settings: settings.clone(),
             stalls,
             requests: BTreeMap::new(),
-            unready: BTreeMap::new(),
-            started: BTreeMap::new(),
-            to_cold: vec![],
-            taken: vec![],
-            orders: vec![],
-            breaches: vec![],
+            not_ready_since: BTreeMap::new(),
+            started_at: BTreeMap::new(),
+            slow_start_attempts: vec![],
+            request_times: vec![],
+            load_order_times: vec![],
+            violations: vec![],
         }
     }
 
     fn event(&mut self, now: Micros, event: &Event) {
         match event {
-            Event::EndpointUpdate {
-                endpoints: entries, ..
-            } => {
-                for e in entries {
-                    if e.state == WorkerState::Ready {
-                        self.unready.remove(&e.worker);
+            Event::EndpointUpdate { endpoints, .. } => {
+                for endpoint in endpoints {
+                    let worker = endpoint.worker.clone();
+                    if endpoint.state == WorkerState::Ready {
+                        self.not_ready_since.remove(&worker);
                     } else {
-                        self.unready.entry(e.worker.clone()).or_insert(now);
+                        self.not_ready_since.entry(worker.clone()).or_insert(now);
                     }
-                    if e.started_at > 0 {
-                        self.started.insert(e.worker.clone(), e.started_at);
+                    if endpoint.started_at > 0 {
+                        self.started_at.insert(worker, endpoint.started_at);
                     }
                 }
             }
             Event::Request(NewRequest {
                 id,
                 class,
-                time_left: left,
+                time_left,
                 ..
             }) => {
-                let (sent, answered, client_knows) = (vec![], false, false);
-                let r = Known {
+                let (attempts, answered, closed) = (vec![], false, false);
+                let request = TrackedRequest {
                     class: *class,
-                    ends: now + left,
-                    sent,
+                    deadline: now + time_left,
+                    attempts,
                     answered,
-                    client_knows,
+                    closed,
                 };
-                self.requests.insert(*id, r);
-                self.taken.push(now);
+                self.requests.insert(*id, request);
+                self.request_times.push(now);
             }
             Event::AttemptEnded(AttemptResult {
                 id,
                 attempt,
                 outcome,
-                request_closed: closed,
+                request_closed,
                 ..
             }) => {
-                let r = self.requests.get_mut(id).unwrap();
-                let s = &mut r.sent[*attempt];
-                s.open = false;
-                let never = [
+                let request = self.requests.get_mut(id).unwrap();
+                let attempt = &mut request.attempts[*attempt];
+                attempt.open = false;
+                let not_executed = [
                     Outcome::Rejected,
                     Outcome::ConnectFailed,
                     Outcome::NotSent,
                     Outcome::NotLoaded,
                 ];
-                s.ran = !never.contains(outcome);
-                r.client_knows |= closed;
-            }
-            Event::RequestCancelled { id } => {
-                self.requests.get_mut(id).unwrap().client_knows = true
+                attempt.may_have_executed = !not_executed.contains(outcome);
+                request.closed |= request_closed;
             }
+            Event::RequestCancelled { id } => self.requests.get_mut(id).unwrap().closed = true,
             _ => {}
         }
     }
 
     fn action(&mut self, now: Micros, action: &Action) {
-        let mut breach = |what: &str| self.breaches.push(format!("{what}: {action:?}"));
+        let mut violation = |what: &str| self.violations.push(format!("{what}: {action:?}"));
         match action {
             Action::Send { id, worker, .. } => {
-                let r = self.requests.get_mut(id).unwrap();
-                if r.answered || r.client_knows {
-                    breach("1 sent after the end");
+                let request = self.requests.get_mut(id).unwrap();
+                if request.answered || request.closed {
+                    violation("rule 1: attempt sent after the request ended");
                 }
-                if r.sent.len() as u32 >= self.set.max_attempts {
-                    breach("too many attempts");
+                if request.attempts.len() as u32 >= self.settings.max_attempts {
+                    violation("more attempts than max_attempts");
                 }
-                if !self.set.hedging && r.sent.iter().any(|s| s.open) {
-                    breach("2 two at once");
+                if !self.settings.hedging && request.attempts.iter().any(|other| other.open) {
+                    violation("rule 2: two attempts at a time without hedging");
                 }
                 let cell = |w: &str| w[1..].parse::<usize>().unwrap() / 2;
-                for s in r.sent.iter().filter(|s| s.ran) {
-                    let inside = cell(&s.worker) == cell(worker) && now <= s.at + 3 * SEC;
-                    if r.class == NOT_IDEMPOTENT || r.class == KEYED && !inside {
-                        breach("2 sent again");
+                let may_have_executed = |other: &&SentAttempt| other.may_have_executed;
+                for other in request.attempts.iter().filter(may_have_executed) {
+                    let is_key_known =
+                        cell(&other.worker) == cell(worker) && now <= other.sent_at + 3 * SEC;
+                    if request.class == NOT_IDEMPOTENT || request.class == KEYED && !is_key_known {
+                        violation("rule 2: repeated an attempt that may have been executed");
                     }
                 }
-                r.sent.push(Sent {
+                request.attempts.push(SentAttempt {
                     worker: worker.clone(),
-                    at: now,
+                    sent_at: now,
                     open: true,
-                    ran: true,
+                    may_have_executed: true,
                 });
-                if self.unready.get(worker).is_some_and(|t| now > t + SEC) {
-                    breach("3 sent to a draining worker");
+                let not_ready_since = self.not_ready_since.get(worker);
+                if not_ready_since.is_some_and(|since| now > since + SEC) {
+                    violation("rule 3: attempt sent to a worker that is not ready");
                 }
-                let set = &self.set;
-                if let Some(&t) = self
-                    .started
+                let settings = &self.settings;
+                if let Some(&started_at) = self
+                    .started_at
                     .get(worker)
-                    .filter(|&&t| now < t + set.slow_start_duration)
+                    .filter(|&&started_at| now < started_at + settings.slow_start_duration)
                 {
-                    self.to_cold.push((worker.clone(), now, t));
-                    // One of the front ends alone may not go beyond what all may send.
-                    let share = set.slow_start_initial_share
-                        + (1.0 - set.slow_start_initial_share) * (now - t) as f64
-                            / set.slow_start_duration as f64;
-                    let quotas: f64 = set.tenants.iter().map(|t| t.quota_per_s).sum();
-                    let most = set.overload_multiple * share * quotas / 6.0
-                        * set.overload_window as f64
+                    self.slow_start_attempts
+                        .push((worker.clone(), now, started_at));
+                    // This front end alone must not send more than all front ends together may.
+                    let share = settings.slow_start_initial_share
+                        + (1.0 - settings.slow_start_initial_share) * (now - started_at) as f64
+                            / settings.slow_start_duration as f64;
+                    let quotas: f64 = settings.tenants.iter().map(|t| t.quota_per_s).sum();
+                    let most = settings.overload_multiple * share * quotas / 6.0
+                        * settings.overload_window as f64
                         / SEC as f64;
-                    let of = |c: &&(String, Micros, Micros)| {
-                        c.0 == *worker && c.1 + set.overload_window > now && c.2 == t
+                    let is_in_window = |attempt: &&(String, Micros, Micros)| {
+                        attempt.0 == *worker
+                            && attempt.1 + settings.overload_window > now
+                            && attempt.2 == started_at
                     };
-                    let held = self.to_cold.iter().filter(of).count() as f64;
-                    if quotas > 0.0 && held > most.max(1.0) {
-                        breach("4 a cold worker is pushed over");
+                    let sent = self.slow_start_attempts.iter().filter(is_in_window);
+                    if quotas > 0.0 && sent.count() as f64 > most.max(1.0) {
+                        violation("rule 4: overloaded a worker in slow start");
                     }
                 }
             }
             Action::Load {
-                worker,
-                replicas: count,
-                ..
-            } if *count > 0 => {
-                if self.unready.get(worker).is_some_and(|t| now > t + SEC) {
-                    breach("3 loaded on a draining worker");
+                worker, replicas, ..
+            } if *replicas > 0 => {
+                let not_ready_since = self.not_ready_since.get(worker);
+                if not_ready_since.is_some_and(|since| now > since + SEC) {
+                    violation("rule 3: load ordered at a worker that is not ready");
                 }
-                self.orders.push(now);
-                let window = self.set.load_budget_window;
-                let count = |of: &[Micros]| of.iter().filter(|&&t| t + window > now).count() as f64;
-                let most = self.set.load_budget_base
-                    + self.set.load_budget_per_request * count(&self.taken);
-                if window > 0 && count(&self.orders) > most {
-                    breach("5 too many loads");
+                self.load_order_times.push(now);
+                let window = self.settings.load_budget_window;
+                let count_in_window =
+                    |times: &[Micros]| times.iter().filter(|&&t| t + window > now).count() as f64;
+                let most = self.settings.load_budget_base
+                    + self.settings.load_budget_per_request * count_in_window(&self.request_times);
+                if window > 0 && count_in_window(&self.load_order_times) > most {
+                    violation("rule 5: load budget exceeded");
                 }
             }
             Action::Reject { id, .. } | Action::Fail { id } => {
-                let r = self.requests.get_mut(id).unwrap();
-                if r.answered || now > heard(r.ends + 8 * MS, self.stalls) {
-                    breach("1 answered twice or late");
+                let request = self.requests.get_mut(id).unwrap();
+                if request.answered || now > received_at(request.deadline + 8 * MS, self.stalls) {
+                    violation("rule 1: answered twice or late");
                 }
-                let ran = r.sent.iter().any(|s| s.ran);
-                if matches!(action, Action::Reject { .. }) && r.class != IDEMPOTENT && ran {
-                    breach("2 refused what may have run");
+                let may_have_executed = request.attempts.iter().any(|a| a.may_have_executed);
+                let is_rejected = matches!(action, Action::Reject { .. });
+                if is_rejected && request.class != IDEMPOTENT && may_have_executed {
+                    violation("rule 2: rejected a request that may have been executed");
                 }
-                r.answered = true;
+                request.answered = true;
             }
             _ => {}
         }
     }
 
     fn end(&mut self, now: Micros) {
-        for (id, r) in &self.requests {
-            if !r.answered && !r.client_knows && now > r.ends + 8 * MS {
-                self.breaches.push(format!("1 request {id} was lost"));
+        for (id, request) in &self.requests {
+            if !request.answered && !request.closed && now > request.deadline + 8 * MS {
+                self.violations
+                    .push(format!("rule 1: request {id} got no final answer"));
             }
         }
     }
 }
 
-/// One random stream: a world that answers, fails, drains and restarts at random.
-#[allow(clippy::too_many_lines)] // one random world, whose parts share a generator and must draw in this order
-fn stream(seed: u64, set: Settings, stalls: bool) -> Checker {
+/// Feeds a controller one random stream of events, in which workers answer, fail, drain and restart.
+#[allow(clippy::too_many_lines)] // all parts share one random number generator and must draw in this order
+fn run_stream(seed: u64, settings: Settings, stalls: bool) -> Checker {
     let mut rng = Pcg32::seed_from_u64(seed);
     let mut draw = move |n: u64| u64::from(rng.next_u32()) % n;
-    let mut checker = Checker::new(&set, stalls);
-    let mut c = Controller::new(set, seed);
-    // Events that are due, in order of time and then of making.
+    let mut checker = Checker::new(&settings, stalls);
+    let mut controller = Controller::new(settings, seed);
+    // Scheduled events by time, then in the order of scheduling.
     let mut due: BTreeMap<(Micros, u64), Event> = BTreeMap::new();
     let mut attempts: BTreeMap<u64, usize> = BTreeMap::new();
-    let mut over: BTreeSet<u64> = BTreeSet::new();
+    let mut closed: BTreeSet<u64> = BTreeSet::new();
     let mut serial = 0;
     let start = 100 * SEC;
     due.insert(
@@ -238,25 +249,25 @@
     for id in 1..400u64 {
         at += draw(40) * MS;
         serial += 1;
-        let (class, left) = (draw(3) as usize, (20 + draw(3000)) * MS);
+        let (class, time_left) = (draw(3) as usize, (20 + draw(3000)) * MS);
         let (function, retry, memory_mb) = (draw(12), draw(8) == 0, 300.0);
-        let (tenant, lanes, load_time) = (None, 1 + draw(2) as u32, 0);
-        let r = Event::Request(NewRequest {
+        let (tenant, concurrency, load_time) = (None, 1 + draw(2) as u32, 0);
+        let request = Event::Request(NewRequest {
             id,
             class,
             tenant,
             function,
-            time_left: left,
+            time_left,
             memory_mb,
-            concurrency: lanes,
+            concurrency,
             load_time,
             retry,
         });
-        due.insert((at, serial), r);
+        due.insert((at, serial), request);
         if draw(15) == 0 {
             serial += 1;
             due.insert(
-                (at + draw(1 + left), serial),
+                (at + draw(1 + time_left), serial),
                 Event::RequestCancelled { id },
             );
         }
@@ -271,7 +282,7 @@
             } else {
                 0
             };
-            let e = Endpoint {
+            let changed = Endpoint {
                 state,
                 started_at,
                 ..endpoint(draw(6) as usize)
@@ -281,7 +292,7 @@
                 (at + 1, serial),
                 Event::EndpointUpdate {
                     complete: false,
-                    endpoints: vec![e],
+                    endpoints: vec![changed],
                 },
             );
         }
@@ -289,24 +300,24 @@
     let last = at + 20 * SEC;
     let mut out = Vec::new();
     while let Some(((now, _), mut event)) = due.pop_first().filter(|((t, _), _)| *t < last) {
-        let now = heard(now, stalls);
+        let now = received_at(now, stalls);
         if let Event::AttemptEnded(AttemptResult {
             id,
             outcome,
-            request_closed: closed,
+            request_closed,
             ..
         }) = &mut event
         {
-            *closed = *outcome == Outcome::Ok || over.contains(id);
+            *request_closed = *outcome == Outcome::Ok || closed.contains(id);
             if *outcome == Outcome::Ok {
-                over.insert(*id);
+                closed.insert(*id);
             }
         }
-        if matches!(&event, Event::RequestCancelled { id } if !over.insert(*id)) {
+        if matches!(&event, Event::RequestCancelled { id } if !closed.insert(*id)) {
             continue;
         }
         checker.event(now, &event);
-        c.handle(now, event, &mut out);
+        controller.handle(now, event, &mut out);
         for action in out.drain(..) {
             checker.action(now, &action);
             serial += 1;
@@ -315,8 +326,8 @@
                     due.insert((now + delay.max(MS), serial), Event::Timer { token });
                 }
                 Action::Send { id, timeout, .. } => {
-                    let n = attempts.entry(id).or_insert(0);
-                    let all = [
+                    let attempts_so_far = attempts.entry(id).or_insert(0);
+                    let outcomes = [
                         Outcome::Ok,
                         Outcome::Ok,
                         Outcome::Ok,
@@ -327,55 +338,59 @@
                         Outcome::NotLoaded,
                         Outcome::Timeout,
                     ];
-                    let outcome = all.get(draw(24) as usize).copied().unwrap_or(Outcome::Ok);
+                    let outcome = outcomes
+                        .get(draw(24) as usize)
+                        .copied()
+                        .unwrap_or(Outcome::Ok);
                     let took = if outcome == Outcome::Timeout {
                         timeout
                     } else {
                         draw(600) * MS + 1
                     };
-                    let (elapsed, closed) = (took.min(timeout), false);
+                    let (elapsed, request_closed) = (took.min(timeout), false);
                     let outcome = if took > timeout {
                         Outcome::Timeout
                     } else {
                         outcome
                     };
-                    let (attempt, warm, crowd, inflight) = (*n, None, None, Some(draw(9) as f64));
-                    *n += 1;
-                    let e = Event::AttemptEnded(AttemptResult {
+                    let (attempt, replica_loaded, queue_depth, in_flight) =
+                        (*attempts_so_far, None, None, Some(draw(9) as f64));
+                    *attempts_so_far += 1;
+                    let ended = Event::AttemptEnded(AttemptResult {
                         id,
                         attempt,
                         outcome,
                         elapsed,
-                        request_closed: closed,
-                        replica_loaded: warm,
-                        queue_depth: crowd,
-                        in_flight: inflight,
+                        request_closed,
+                        replica_loaded,
+                        queue_depth,
+                        in_flight,
                     });
-                    due.insert((now + elapsed.max(1), serial), e);
+                    due.insert((now + elapsed.max(1), serial), ended);
                 }
                 Action::Load {
                     worker,
                     function,
-                    replicas: count,
+                    replicas,
                 } => {
-                    let (outcome, count) = match draw(6) {
+                    let (outcome, replicas) = match draw(6) {
                         0 => (Outcome::Rejected, 0),
                         1 => (Outcome::Error, 0),
                         2 => (Outcome::Reset, 0),
-                        _ => (Outcome::Ok, count.max(draw(2) as u32)),
+                        _ => (Outcome::Ok, replicas.max(draw(2) as u32)),
                     };
                     let elapsed = (2 + draw(700)) * MS;
-                    let e = Event::LoadOrderEnded {
+                    let ended = Event::LoadOrderEnded {
                         worker,
                         function,
-                        replicas: count,
+                        replicas,
                         outcome,
                         elapsed,
                     };
-                    due.insert((now + elapsed, serial), e);
+                    due.insert((now + elapsed, serial), ended);
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
-                    over.insert(id);
+                    closed.insert(id);
                 }
                 _ => {}
             }
@@ -385,7 +400,8 @@
     checker
 }
 
-fn sites() -> Vec<Settings> {
+/// Settings of deployments of different size, with and without load on demand, hedging, a load budget and quotas.
+fn deployments() -> Vec<Settings> {
     let mut a = settings();
     (a.front_ends, a.front_end_index) = (3, Some(1));
     a.tenants = vec![TenantSettings {
@@ -408,16 +424,16 @@
 
 #[test]
 fn the_rules_hold_over_random_streams() {
-    for (n, set) in sites().into_iter().enumerate() {
+    for (n, set) in deployments().into_iter().enumerate() {
         for seed in 0..40 {
-            let stalls = seed % 2 == 1; // every other front end stands still now and then
-            let checker = stream(seed, set.clone(), stalls);
+            let stalls = seed % 2 == 1;
+            let checker = run_stream(seed, set.clone(), stalls);
             assert!(
-                checker.breaches.is_empty(),
-                "site {n}, seed {seed}: {:?}",
-                checker.breaches
+                checker.violations.is_empty(),
+                "deployment {n}, seed {seed}: {:?}",
+                checker.violations
             );
-            // One of two hundred front ends may send next to nothing to a fleet that restarts all the time.
+            // Where workers restart all the time, slow start may leave one of 200 front ends no attempt at all.
             let least = if set.front_ends > 100 {
                 0
             } else if stalls {
@@ -425,17 +441,17 @@
             } else {
                 31
             };
-            let sent: usize = checker.requests.values().map(|r| r.sent.len()).sum();
+            let sent: usize = checker.requests.values().map(|r| r.attempts.len()).sum();
             assert!(
                 sent >= least,
-                "site {n}, seed {seed}: only {sent} attempts were made"
+                "deployment {n}, seed {seed}: only {sent} attempts were made"
             );
         }
     }
 }
 
-/// Settings between and around those of the two deployments, so that neither is special.
-fn drawn(seed: u64) -> Settings {
+/// Random settings in the range of the two deployments and around it, so that the rules hold not just for those two.
+fn random_settings(seed: u64) -> Settings {
     let mut rng = Pcg32::seed_from_u64(seed ^ 0x5eed);
     let mut draw = |low: u64, high: u64| low + u64::from(rng.next_u32()) % (high - low + 1);
     let mut set = settings();
@@ -454,8 +470,9 @@
     (set.slow_start_initial_share, set.slow_start_duration) =
         (draw(15, 45) as f64 / 100.0, draw(6, 17) * SEC);
     (set.overload_multiple, set.overload_window) = (draw(2, 3) as f64, draw(500, 1_500) * MS);
-    set.classes.iter_mut().for_each(|c| {
-        (c.latency_objective, c.priority_weight) = (draw(400, 1_500) * MS, draw(1, 3) as f64)
+    set.classes.iter_mut().for_each(|class| {
+        (class.latency_objective, class.priority_weight) =
+            (draw(400, 1_500) * MS, draw(1, 3) as f64)
     });
     set
 }
@@ -463,14 +480,14 @@
 #[test]
 fn the_rules_hold_for_settings_over_the_range_of_both_deployments() {
     for seed in 0..120 {
-        let (set, stalls) = (drawn(seed), seed % 3 == 1);
-        let checker = stream(seed, set.clone(), stalls);
+        let (set, stalls) = (random_settings(seed), seed % 3 == 1);
+        let checker = run_stream(seed, set.clone(), stalls);
         assert!(
-            checker.breaches.is_empty(),
+            checker.violations.is_empty(),
             "seed {seed}, {set:?}: {:?}",
-            checker.breaches
+            checker.violations
         );
-        let sent: usize = checker.requests.values().map(|r| r.sent.len()).sum();
+        let sent: usize = checker.requests.values().map(|r| r.attempts.len()).sum();
         assert!(
             sent >= 11,
             "seed {seed}, {set:?}: only {sent} attempts were made"
@@ -479,8 +496,8 @@
 }
 
 #[test]
-fn the_checker_catches_a_faulty_stream() {
-    let mut checker = Checker::new(&sites()[2], false);
+fn the_checker_detects_violations() {
+    let mut checker = Checker::new(&deployments()[2], false);
     let request = |id, class| {
         Event::Request(NewRequest {
             id,
@@ -537,17 +554,17 @@
     }
     checker.end(20 * SEC);
     for what in [
-        "2 sent again",
-        "2 refused",
-        "1 answered twice",
-        "1 sent after",
-        "3 sent",
-        "5 too many",
-        "lost",
+        "rule 2: repeated",
+        "rule 2: rejected",
+        "rule 1: answered twice",
+        "rule 1: attempt sent after",
+        "rule 3: attempt sent",
+        "rule 5: load budget",
+        "got no final answer",
     ] {
         assert!(
-            checker.breaches.iter().any(|b| b.contains(what)),
-            "not caught: {what}"
+            checker.violations.iter().any(|text| text.contains(what)),
+            "not detected: {what}"
         );
     }
 }
