--- a/policy/tests/mechanism.rs
+++ b/policy/tests/mechanism.rs
@@ -112,9 +112,9 @@
     let place = |seed| {
         let mut set = settings();
         (set.front_ends, set.load_on_demand) = (3, true);
-        let mut c = Controller::new(set, seed);
+        let mut controller = Controller::new(set, seed);
         let mut out = Vec::new();
-        c.handle(
+        controller.handle(
             SEC,
             Event::EndpointUpdate {
                 complete: true,
@@ -123,7 +123,7 @@
             &mut out,
         );
         let mut harness = ControllerHarness {
-            controller: c,
+            controller,
             now: SEC,
         };
         harness.request(1, IDEMPOTENT, 7);
--- a/policy/tests/memory.rs
+++ b/policy/tests/memory.rs
@@ -1,4 +1,4 @@
-//! Nothing may grow with all that a front end has ever seen.
+//! The policy's tables are bounded by what is in use, not by everything that a front end has seen since its start.
 use wrenseam_policy::{
     Action, AttemptResult, Controller, Endpoint, Event, Micros, NewRequest, Outcome, Settings,
     WorkerState,
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn functions_long_unused_and_closed_requests_are_forgotten() {
+fn unused_functions_and_closed_requests_are_removed() {
     let settings = Settings {
         load_orders: true,
         front_ends: 200,
@@ -42,7 +42,7 @@
             }
         }
     }
-    // Four keep-alives of 0.9 s at fifty requests a second are 180 functions.
+    // Functions are kept for four keep-alives of 0.9 s: at 50 requests per second, each for a new function, 180.
     let sizes = controller.table_sizes();
     assert!(
         sizes.functions < 250 && sizes.function_positions < 250,
@@ -62,7 +62,7 @@
     }
 }
 
-/// The answer to an order or an attempt: all are served.
+/// The event that answers an action, and its delay: all orders and attempts succeed. `None` if it has no answer.
 fn answer(action: Action) -> Option<(Micros, Event)> {
     match action {
         Action::Load {
@@ -96,9 +96,9 @@
     }
 }
 
-/// Workers are replaced by new ones all day long: the positions of those that are gone are used again.
+/// Guards against tables that grow while workers are replaced by new ones: the positions of removed workers are reused.
 #[test]
-fn workers_that_are_gone_leave_their_positions() {
+fn positions_of_removed_workers_are_reused() {
     let settings = Settings {
         load_orders: true,
         ..Settings::default()
