--- a/policy/tests/memory.rs
+++ b/policy/tests/memory.rs
@@ -42,7 +42,8 @@
             }
         }
     }
-    // Functions are kept for four keep-alives of 0.9 s: at 50 requests per second, each for a new function, 180.
+    // Functions are kept for four keep-alives of 0.9 s. At 50 requests per second, each for a new function, that makes
+    // 180 functions.
     let sizes = controller.table_sizes();
     assert!(
         sizes.functions < 250 && sizes.function_positions < 250,
--- a/simulator-adapter/src/encode.rs
+++ b/simulator-adapter/src/encode.rs
@@ -1,8 +1,9 @@
-//! The policy's actions as the simulator's messages. The wire's names are mapped here, once.
+//! Encodes the policy's actions as the simulator's messages: translates the names of messages and fields, and the units
+//! of values.
 use miniserde::json::{self, Number, Object, Value};
 use wrenseam_policy::{Action, FunctionId, Micros, WorkerId};
 
-/// A field of a message.
+/// A field of a message: its key and value.
 type Field = (&'static str, Value);
 
 /// Appends the message that ends the reply to a batch.
@@ -10,13 +11,14 @@
     write_line(reply, "READY", vec![number("n", batch)]);
 }
 
-/// Appends an action of a front end.
+/// Appends the message for an action of a front end.
 pub(crate) fn action(reply: &mut String, front_end: u64, action: Action) {
     let (name, mut fields) = message(action);
     fields.push(number("gateway", front_end));
     write_line(reply, name, fields);
 }
 
+/// The name and the fields of the message for an action.
 fn message(action: Action) -> (&'static str, Vec<Field>) {
     match action {
         Action::Send {
--- a/simulator-adapter/src/error.rs
+++ b/simulator-adapter/src/error.rs
@@ -1,8 +1,8 @@
-//! What ends the adapter, and where in the input.
+//! Errors that end the adapter, with the line of the input at which they occurred.
 use std::io;
 use wrenseam_policy::json::NotJson;
 
-/// Why the adapter ended before its input did.
+/// Why the adapter stopped before the end of its input, or failed at the end.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RunError {
     /// A line cannot be read.
@@ -12,7 +12,7 @@
         line: usize,
         source: io::Error,
     },
-    /// A line holds no message that is due there.
+    /// A line is no valid message, or a message that is not allowed at this point.
     #[error("line {line}: {source}")]
     Message {
         /// Its number, counted from 1.
@@ -22,8 +22,8 @@
     /// A reply cannot be written.
     #[error("standard output: {0}")]
     Output(#[source] io::Error),
-    /// The input ended before the batch was committed.
-    #[error("input ended inside batch {0}")]
+    /// The input ended before the batch was committed; the batch's number.
+    #[error("input ended before batch {0} was committed")]
     OpenBatch(u64),
 }
 
@@ -32,13 +32,13 @@
 pub(crate) enum MessageError {
     #[error(transparent)]
     NotJson(#[from] NotJson),
-    #[error("not an object")]
+    #[error("message is not a JSON object")]
     NotObject,
-    #[error("not an object with a single key")]
+    #[error("message is not an object with exactly one key")]
     NotSingleKey,
-    #[error("the message holds no object")]
+    #[error("the value under the message's name is not an object")]
     NoBody,
-    /// An event came before the first batch, or between two.
+    /// A message other than FRAME came before the first batch or between two; its name.
     #[error("{0} outside a batch")]
     OutsideBatch(String),
     /// A field of the message cannot be used.
@@ -53,23 +53,23 @@
 /// What is wrong with a field.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum FieldError {
-    #[error("'{0}' is not a whole number")]
-    NotWholeNumber(&'static str),
-    #[error("'{0}' is not a text")]
+    #[error("'{0}' is missing or not an unsigned integer")]
+    NotUnsignedInteger(&'static str),
+    #[error("'{0}' is missing or not a string")]
     NotText(&'static str),
-    #[error("'{0}' is not a number")]
+    #[error("'{0}' is missing or not a number")]
     NotNumber(&'static str),
-    #[error("'{0}' is not an object")]
+    #[error("'{0}' is missing or not an object")]
     NotObject(&'static str),
-    #[error("'{0}' is not an array")]
+    #[error("'{0}' is neither an array nor null")]
     NotArray(&'static str),
-    #[error("'image': {0}")]
+    #[error("'image' is not a 64-bit hexadecimal number: {0}")]
     Function(#[from] std::num::ParseIntError),
     #[error("unknown status '{0}'")]
     UnknownStatus(String),
-    #[error("a list entry is not an object")]
+    #[error("an element of the endpoint list is not an object")]
     EntryNotObject,
-    #[error("'mode' of a list entry is unknown")]
+    #[error("'mode' of an element of the endpoint list is missing or unknown")]
     UnknownMode,
     #[error("unknown event")]
     UnknownEvent,
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
 //! Runs the policy on the simulator's wire protocol: reads batches of messages on standard input, writes replies on
-//! standard output. It translates and decides nothing.
+//! standard output. It only translates; all decisions are made by the policy.
 #![forbid(unsafe_code)]
 
 mod decode;
@@ -34,7 +34,7 @@
             continue;
         }
         let reply = session
-            .message(&line)
+            .handle_line(&line)
             .map_err(|source| error::RunError::Message {
                 line: line_number,
                 source,
