--- a/policy/tests/properties.rs
+++ b/policy/tests/properties.rs
@@ -400,26 +400,31 @@
     checker
 }
 
-/// Settings of deployments of different size, with and without load on demand, hedging, a load budget and quotas.
+/// Settings of deployments of different size, with and without load on demand, hedging, a load budget and quotas. The
+/// last one does not state the number of front ends.
 fn deployments() -> Vec<Settings> {
-    let mut a = settings();
-    (a.front_ends, a.front_end_index) = (3, Some(1));
-    a.tenants = vec![TenantSettings {
+    let mut small_fleet = settings();
+    (small_fleet.front_ends, small_fleet.front_end_index) = (3, Some(1));
+    small_fleet.tenants = vec![TenantSettings {
         quota_per_s: 100.0,
         ..TenantSettings::default()
     }];
-    let mut b = a.clone();
-    (b.load_on_demand, b.hedging) = (true, true);
+    let mut on_demand = small_fleet.clone();
+    (on_demand.load_on_demand, on_demand.hedging) = (true, true);
     (
-        b.load_budget_window,
-        b.load_budget_base,
-        b.load_budget_per_request,
+        on_demand.load_budget_window,
+        on_demand.load_budget_base,
+        on_demand.load_budget_per_request,
     ) = (5 * SEC, 4.0, 0.2);
-    let mut many = b.clone();
-    (many.front_ends, many.front_end_index) = (200, Some(77));
-    let mut none = a.clone();
-    (none.front_ends, none.front_end_index, none.tenants) = (0, None, vec![]);
-    vec![settings(), a, b, many, none]
+    let mut large_fleet = on_demand.clone();
+    (large_fleet.front_ends, large_fleet.front_end_index) = (200, Some(77));
+    let mut not_stated = small_fleet.clone();
+    (
+        not_stated.front_ends,
+        not_stated.front_end_index,
+        not_stated.tenants,
+    ) = (0, None, vec![]);
+    vec![settings(), small_fleet, on_demand, large_fleet, not_stated]
 }
 
 #[test]
