--- a/scalelab/tests/gossip.rs
+++ b/scalelab/tests/gossip.rs
@@ -419,7 +419,7 @@
                 d.garbled,
                 v.garbled,
                 v.stale,
-                v.stranger,
+                v.unexpected,
                 n.records.garbled,
             ]
         };
--- a/wrenseam/src/core/fleet_admission.rs
+++ b/wrenseam/src/core/fleet_admission.rs
@@ -61,9 +61,9 @@
     /// Takes the fleet's status from gossip, which sets its size and the pressure that the shedder follows.
     pub fn update(&mut self, now: Micros, status: FleetStatus) {
         self.status = status;
-        self.fleet_size.departed(status.departed);
-        self.fleet_size.seen(now, status.ready());
-        self.shedder.pressure(now, status.pressure);
+        self.fleet_size.remove_departed(status.departed);
+        self.fleet_size.update(now, status.ready());
+        self.shedder.set_pressure(now, status.pressure);
     }
 
     /// This front end's load summary for its peers, with this many requests open.
@@ -74,8 +74,8 @@
         Summary {
             in_flight,
             pressure: saturate(pressure),
-            firsts: usage.firsts,
-            extras: usage.extras,
+            first_attempts: usage.first_attempts,
+            extra_attempts: usage.extra_attempts,
             denied: usage.denied,
             shed: saturate(self.totals.shed),
             ..Summary::default()
@@ -85,7 +85,7 @@
     /// Decides whether an arriving request of this class is shed. Returns the Retry-After of the rejection if it is.
     pub fn shed(&mut self, now: Micros, class: usize) -> Option<Micros> {
         let chance = self.rng.random::<f64>();
-        if !self.shedder.refuses(now, class, chance) {
+        if !self.shedder.should_shed(now, class, chance) {
             return None;
         }
         self.totals.shed += 1;
@@ -96,10 +96,12 @@
     /// hedged request) needs room in the fleet's retry budget.
     pub fn admit_attempt(&mut self, now: Micros, extra: bool) -> bool {
         if !extra {
-            self.retry_budget.first(now);
+            self.retry_budget.record_first_attempt(now);
             return true;
         }
-        let admitted = self.retry_budget.extra(now, self.fleet_size.estimate());
+        let admitted = self
+            .retry_budget
+            .admit_extra_attempt(now, self.fleet_size.estimate());
         if admitted {
             self.totals.extra_attempts += 1;
         } else {
@@ -117,7 +119,7 @@
     }
 
     fn write_limits(&self, text: &mut String) {
-        let shed_permille = (self.shedder.refusing() * 1000.0) as u64;
+        let shed_permille = (self.shedder.shed_fraction() * 1000.0) as u64;
         let _ = writeln!(text, "app.fleet.peers:{}|g", self.status.alive);
         let _ = writeln!(text, "app.fleet.size:{}|g", self.fleet_size.estimate());
         let _ = writeln!(text, "app.fleet.pressure:{}|g", self.status.pressure);
@@ -139,8 +141,8 @@
             let count = status.by_lifecycle[lifecycle as usize];
             let _ = writeln!(text, "app.fleet.peers_{name}:{count}|g");
         }
-        let stood_ms = status.digest_stood / 1000;
-        let _ = writeln!(text, "app.fleet.view_digest:{}|g", status.digest);
+        let stood_ms = status.view_unchanged_for / 1000;
+        let _ = writeln!(text, "app.fleet.view_digest:{}|g", status.view_digest);
         let _ = writeln!(text, "app.fleet.view_stood_ms:{stood_ms}|g");
         let _ = writeln!(
             text,
@@ -153,7 +155,7 @@
         for kind in TrafficKind::ALL {
             let name = kind.name();
             let sent = self.status.bytes_sent[kind as usize];
-            let held_back = self.status.bytes_held_back[kind as usize];
+            let held_back = self.status.bytes_over_budget[kind as usize];
             let _ = writeln!(text, "app.fleet.bytes_{name}:{sent}|c");
             let _ = writeln!(text, "app.fleet.held_back_{name}:{held_back}|c");
         }
@@ -171,7 +173,7 @@
             ("foreign", datagrams.foreign),
             ("garbled", garbled),
             ("stale", averages.stale),
-            ("stranger", averages.stranger + records.stranger),
+            ("stranger", averages.unexpected + records.stranger),
             ("impostor", records.impostor),
         ];
         for (cause, count) in dropped {
--- a/wrenseam/src/fleet/average.rs
+++ b/wrenseam/src/fleet/average.rs
@@ -22,7 +22,7 @@
 use wrenseam_policy::Micros;
 
 /// Exchanges that a front end begins in a probe period.
-pub const EXCHANGES_A_PROBE: Micros = 5;
+pub const EXCHANGES_PER_PROBE: Micros = 5;
 /// The largest flow over an edge, in thousandths: two front ends alone at 0 and [`MAX_PRESSURE`] need half of it.
 pub const MAX_FLOW: u32 = MAX_PRESSURE / 2;
 
@@ -39,7 +39,7 @@
 /// is in our own estimate until exchanges have spread it. It puts a step off by some 0.5 s.
 const SMOOTHING_TURNS: i32 = 4;
 /// What is reported is the mean over so many turns: a probe period.
-const REPORTED_TURNS: usize = EXCHANGES_A_PROBE as usize;
+const REPORTED_TURNS: usize = EXCHANGES_PER_PROBE as usize;
 /// The shortest turn, in microseconds, however short the probe period.
 const SHORTEST_TURN: Micros = 1000;
 /// Mixed into the seed, so that the averaging draws other numbers than the rest of the node.
@@ -47,13 +47,13 @@
 
 /// Datagrams of the averaging that were dropped, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AverageDropped {
+pub struct DroppedExchanges {
     /// Cut short, of an unknown kind, or the checksum does not match.
     pub garbled: u64,
     /// Of an earlier incarnation of the peer, a repeat, or older than one taken before.
     pub stale: u64,
     /// From no neighbour, or of a kind that is not the neighbour's to send.
-    pub stranger: u64,
+    pub unexpected: u64,
 }
 
 /// The edges of a front end, counted.
@@ -84,14 +84,14 @@
     rng: SmallRng,
     outbox: Vec<Outgoing>,
     /// Datagrams dropped, by cause.
-    pub dropped: AverageDropped,
+    pub dropped: DroppedExchanges,
 }
 
 impl Average {
-    /// The averaging of the front end `own` in the fleet named `cluster`, which begins [`EXCHANGES_A_PROBE`] exchanges
+    /// The averaging of the front end `own` in the fleet named `cluster`, which begins [`EXCHANGES_PER_PROBE`] exchanges
     /// in each `probe` microseconds.
     pub fn new(own: PeerId, cluster: u32, probe: Micros, seed: u64) -> Average {
-        let turn_for = (probe / EXCHANGES_A_PROBE).max(SHORTEST_TURN);
+        let turn_for = (probe / EXCHANGES_PER_PROBE).max(SHORTEST_TURN);
         let mut rng = SmallRng::seed_from_u64(seed ^ SEED_SALT);
         Average {
             own,
@@ -106,7 +106,7 @@
             next_at: rng.random_range(0..turn_for),
             rng,
             outbox: Vec::new(),
-            dropped: AverageDropped::default(),
+            dropped: DroppedExchanges::default(),
         }
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// How long an edge lives unheard, in microseconds.
-    pub fn silent_for(&self) -> Micros {
+    pub fn silence_timeout(&self) -> Micros {
         SILENT_ROUNDS * self.round()
     }
 
@@ -168,7 +168,7 @@
         self.next_at = (self.next_at + self.turn_for).max(now + 1);
         self.value += (self.measured - self.value) / SMOOTHING_TURNS;
         self.record_median();
-        let silence = self.silent_for();
+        let silence = self.silence_timeout();
         for edge in self.edges.values_mut() {
             edge.expire(now, silence);
         }
@@ -221,7 +221,7 @@
         };
         let edge = self.edges.get_mut(&exchange.from.addr);
         let Some(edge) = edge.filter(|edge| edge.expects(exchange.kind)) else {
-            self.dropped.stranger += 1;
+            self.dropped.unexpected += 1;
             return None;
         };
         if edge.is_stale(&exchange) {
--- a/wrenseam/src/fleet/budget.rs
+++ b/wrenseam/src/fleet/budget.rs
@@ -15,16 +15,16 @@
 struct Bucket {
     /// Which stretch of time: `now / width`.
     stretch: u64,
-    firsts: u32,
-    extras: u32,
+    first_attempts: u32,
+    extra_attempts: u32,
     denied: u32,
 }
 
 /// What one front end may spend on extra attempts (hedged requests and retries to workers).
 ///
-/// The bound over a window `W`: `extras <= ratio * firsts + floor_per_s * W / size`, where `size` is the
-/// fleet's estimated size (see [`FleetSize`]). Summed over all front ends the extras stay within
-/// `ratio * firsts + floor_per_s * W` of the fleet, however many front ends there are.
+/// The bound over a window `W`: `extra_attempts <= ratio * first_attempts + floor_per_s * W / size`, where `size` is the
+/// fleet's estimated size (see [`FleetSize`]). Summed over all front ends the extra attempts stay within
+/// `ratio * first_attempts + floor_per_s * W` of the fleet, however many front ends there are.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -37,9 +37,9 @@
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 pub struct BudgetUsage {
     /// First attempts in the window.
-    pub firsts: u32,
+    pub first_attempts: u32,
     /// Extra attempts admitted in the window.
-    pub extras: u32,
+    pub extra_attempts: u32,
     /// Extra attempts that the budget denied in the window.
     pub denied: u32,
 }
@@ -92,8 +92,8 @@
         for bucket in &self.buckets {
             let is_inside = bucket.stretch + BUCKETS as u64 > stretch && bucket.stretch <= stretch;
             if is_inside {
-                usage.firsts += bucket.firsts;
-                usage.extras += bucket.extras;
+                usage.first_attempts += bucket.first_attempts;
+                usage.extra_attempts += bucket.extra_attempts;
                 usage.denied += bucket.denied;
             }
         }
@@ -101,20 +101,20 @@
     }
 
     /// A first attempt was sent.
-    pub fn first(&mut self, now: Micros) {
-        self.bucket(now).firsts += 1;
+    pub fn record_first_attempt(&mut self, now: Micros) {
+        self.bucket(now).first_attempts += 1;
     }
 
     /// Whether an extra attempt is admitted now, with the fleet at `size` front ends; counts it either way.
-    pub fn extra(&mut self, now: Micros, size: usize) -> bool {
+    pub fn admit_extra_attempt(&mut self, now: Micros, size: usize) -> bool {
         let usage = self.usage(now);
         let window_s = (self.width * BUCKETS as Micros) as f64 / MICROS_PER_SECOND;
         let floor = self.floor_per_s * window_s / size.max(1) as f64;
-        let allowed = self.ratio * f64::from(usage.firsts) + floor;
-        let is_admitted = f64::from(usage.extras) + 1.0 <= allowed;
+        let allowed = self.ratio * f64::from(usage.first_attempts) + floor;
+        let is_admitted = f64::from(usage.extra_attempts) + 1.0 <= allowed;
         let bucket = self.bucket(now);
         if is_admitted {
-            bucket.extras += 1;
+            bucket.extra_attempts += 1;
         } else {
             bucket.denied += 1;
         }
@@ -148,12 +148,12 @@
     }
 
     /// So many peers said that they no longer accept clients: their share is not kept for them.
-    pub fn departed(&mut self, peers: usize) {
+    pub fn remove_departed(&mut self, peers: usize) {
         self.largest = self.largest.saturating_sub(peers).max(1);
     }
 
     /// This front end counts `peers` besides itself that accept clients at `now`.
-    pub fn seen(&mut self, now: Micros, peers: usize) {
+    pub fn update(&mut self, now: Micros, peers: usize) {
         let size = peers + 1;
         let has_expired = now.saturating_sub(self.largest_at) > self.hold;
         if size >= self.largest || has_expired {
--- a/wrenseam/src/fleet/members.rs
+++ b/wrenseam/src/fleet/members.rs
@@ -213,7 +213,7 @@
         }
         self.rumors.push_own(owner);
         self.rumor_at = self.rumor_at.min(now);
-        self.repair_schedule.views_differ(now);
+        self.repair_schedule.speed_up(now);
         self.sync_directory(now);
     }
 
@@ -307,7 +307,7 @@
             PeerEvent::Up(id) => {
                 self.directory.mark_alive(at, id);
                 self.liveness_checks.member_alive(id);
-                self.repair_schedule.views_differ(now);
+                self.repair_schedule.speed_up(now);
             }
             PeerEvent::Down(id) => {
                 self.liveness_checks.member_gone(id);
--- a/wrenseam/src/fleet/members/exchange.rs
+++ b/wrenseam/src/fleet/members/exchange.rs
@@ -3,7 +3,7 @@
 use crate::fleet::directory::MergeAction;
 use crate::fleet::identity::PeerId;
 use crate::fleet::member_digest::{Liveness, MemberDigest, PARTS};
-use crate::fleet::message::{records_in_messages, Envelope, Message, RECORDS_VERSION};
+use crate::fleet::message::{batch_records, Envelope, Message, RECORDS_VERSION};
 use crate::fleet::record::{Lifecycle, Record, Stamp};
 use crate::fleet::repair::{self, MergePlan, Mismatches, PartHashes};
 use crate::fleet::traffic::TrafficKind;
@@ -43,12 +43,12 @@
                     self.take_record(now, record, is_update);
                 }
             }
-            Message::Wanted(owners) => self.send_records(from.addr, &owners),
+            Message::RecordRequest(owners) => self.send_records(from.addr, &owners),
             Message::AliveQuery {
-                about,
+                target,
                 gone,
                 origin,
-            } => self.answer_alive_query(now, from, about, gone, origin),
+            } => self.answer_alive_query(now, from, target, gone, origin),
             Message::AliveReply { record, origin } => {
                 self.take_alive_reply(now, from, *record, origin)
             }
@@ -86,7 +86,7 @@
             return false;
         }
         let query = Message::AliveQuery {
-            about: PeerId {
+            target: PeerId {
                 addr: from.addr,
                 incarnation,
             },
@@ -99,24 +99,24 @@
 
     /// Another member began a repair: answers with hashes of what is in some of the parts that differ.
     fn answer_digest(&mut self, now: Micros, from: PeerId, remote: &[u32; PARTS]) {
-        let differing = repair::differing(&self.directory.part_digests(), remote);
+        let differing = repair::differing_parts(&self.directory.part_digests(), remote);
         if differing == 0 {
             return;
         }
-        self.repair_schedule.views_differ(now);
+        self.repair_schedule.speed_up(now);
         if self.is_budget_low {
             return;
         }
         self.counts.repairs += 1;
         let PartHashes { parts, hashes } =
-            repair::hashes(&self.directory, differing, &mut self.rng);
+            repair::part_hashes(&self.directory, differing, &mut self.rng);
         let message = Message::Hashes { parts, hashes };
         self.send(from.addr, TrafficKind::RepairBegin, message);
     }
 
     /// Answers another member's hashes with the member digests that do not match.
     fn answer_hashes(&mut self, now: Micros, from: PeerId, parts: u16, remote: &[u32]) {
-        self.repair_schedule.views_differ(now);
+        self.repair_schedule.speed_up(now);
         let Mismatches {
             member_digests,
             unmatched,
@@ -145,14 +145,18 @@
         self.send_newer(from, &plan.newer);
         if !plan.wanted.is_empty() {
             let wanted = std::mem::take(&mut plan.wanted);
-            self.send(from.addr, TrafficKind::Repair, Message::Wanted(wanted));
+            self.send(
+                from.addr,
+                TrafficKind::Repair,
+                Message::RecordRequest(wanted),
+            );
         }
         self.apply(now, &plan);
     }
 
     /// Sends digests of what is newer here: only those, so that no answer calls for another without end.
     fn send_newer(&mut self, from: PeerId, newer: &[MemberDigest]) {
-        for member_digests in repair::in_datagrams(newer) {
+        for member_digests in repair::datagram_batches(newer) {
             let message = Message::MemberDigests {
                 unmatched: Vec::new(),
                 member_digests,
@@ -205,7 +209,7 @@
             .iter()
             .filter_map(|&owner| self.directory.record(owner))
             .collect();
-        for message in records_in_messages(false, records) {
+        for message in batch_records(false, records) {
             self.send(to, TrafficKind::Repair, message);
         }
     }
@@ -259,7 +263,7 @@
         if about.addr != own.addr {
             if from.addr == origin && about.addr != origin {
                 let query = Message::AliveQuery {
-                    about,
+                    target: about,
                     gone,
                     origin,
                 };
--- a/wrenseam/src/fleet/members/periodic.rs
+++ b/wrenseam/src/fleet/members/periodic.rs
@@ -2,7 +2,7 @@
 use super::{pick, Members, QUERY_ROUNDS_A_PROBE, RUMOR_ROUNDS_A_PROBE};
 use crate::fleet::identity::PeerId;
 use crate::fleet::liveness_check::CheckAction;
-use crate::fleet::message::{records_in_messages, Message};
+use crate::fleet::message::{batch_records, Message};
 use crate::fleet::record::Record;
 use crate::fleet::rumor::FANOUT;
 use crate::fleet::traffic::TrafficKind;
@@ -21,7 +21,7 @@
         }
         self.swim.tick(now);
         self.sync_directory(now);
-        if self.repair_schedule.is_due(now, &mut self.rng) && !self.is_budget_low {
+        if self.repair_schedule.take_due(now, &mut self.rng) && !self.is_budget_low {
             self.start_repair();
         }
         if now >= self.rumor_at {
@@ -79,7 +79,7 @@
             .collect();
         let partners = self.directory.repair_partners().collect();
         for to in pick(&mut self.rng, partners, FANOUT) {
-            for message in records_in_messages(true, records.clone()) {
+            for message in batch_records(true, records.clone()) {
                 self.send(to, TrafficKind::Rumor, message);
             }
         }
@@ -100,7 +100,7 @@
         let origin = self.directory.own().owner;
         for to in targets {
             let query = Message::AliveQuery {
-                about,
+                target: about,
                 gone,
                 origin,
             };
--- a/wrenseam/src/fleet/message.rs
+++ b/wrenseam/src/fleet/message.rs
@@ -17,7 +17,7 @@
 /// Bytes of a message's kind.
 const KIND_BYTES: usize = 1;
 /// Capacity for a message's body: the largest datagram less the header, the sender, the kind and the checksum.
-pub const MAX_BODY: usize = MAX_DATAGRAM - HEADER_BYTES - ID_BYTES - KIND_BYTES - CRC_BYTES;
+pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM - HEADER_BYTES - ID_BYTES - KIND_BYTES - CRC_BYTES;
 /// Bytes of a record's length before it.
 const LENGTH_BYTES: usize = 2;
 /// Bytes of a flag.
@@ -59,11 +59,11 @@
         records: Vec<Record>,
     },
     /// Asks for the records of these members.
-    Wanted(Vec<SocketAddr>),
+    RecordRequest(Vec<SocketAddr>),
     /// Queries whether a member is alive, directly or through a relay that passes this on to it.
     AliveQuery {
         /// The member, and the incarnation known of it.
-        about: PeerId,
+        target: PeerId,
         /// Whether that incarnation is known as gone: its owner needs a larger one.
         gone: bool,
         /// Where the reply is wanted.
@@ -137,7 +137,7 @@
 }
 
 /// Puts records into as few messages as hold them, in order; one that cannot be written is left out.
-pub fn records_in_messages(is_update: bool, records: Vec<Record>) -> Vec<Message> {
+pub fn batch_records(is_update: bool, records: Vec<Record>) -> Vec<Message> {
     let mut messages = Vec::new();
     let mut batch = Vec::new();
     let mut batch_bytes = 0;
@@ -146,7 +146,7 @@
             continue;
         };
         let record_bytes = LENGTH_BYTES + encoded.len();
-        let is_full = batch_bytes + record_bytes > MAX_BODY - FLAG_BYTES;
+        let is_full = batch_bytes + record_bytes > MAX_BODY_BYTES - FLAG_BYTES;
         if is_full && !batch.is_empty() {
             messages.push(Message::Records {
                 is_update,
--- a/wrenseam/src/fleet/message/codec.rs
+++ b/wrenseam/src/fleet/message/codec.rs
@@ -10,7 +10,7 @@
 const KIND_HASHES: u8 = 1;
 const KIND_MEMBER_DIGESTS: u8 = 2;
 const KIND_RECORDS: u8 = 3;
-const KIND_WANTED: u8 = 4;
+const KIND_RECORD_REQUEST: u8 = 4;
 const KIND_ALIVE_QUERY: u8 = 5;
 const KIND_ALIVE_REPLY: u8 = 6;
 
@@ -22,7 +22,7 @@
             Message::Hashes { .. } => KIND_HASHES,
             Message::MemberDigests { .. } => KIND_MEMBER_DIGESTS,
             Message::Records { .. } => KIND_RECORDS,
-            Message::Wanted(_) => KIND_WANTED,
+            Message::RecordRequest(_) => KIND_RECORD_REQUEST,
             Message::AliveQuery { .. } => KIND_ALIVE_QUERY,
             Message::AliveReply { .. } => KIND_ALIVE_REPLY,
         }
@@ -56,17 +56,17 @@
                     put_record(bytes, record)?;
                 }
             }
-            Message::Wanted(owners) => {
+            Message::RecordRequest(owners) => {
                 for &owner in owners {
                     put_address(bytes, owner);
                 }
             }
             Message::AliveQuery {
-                about,
+                target,
                 gone,
                 origin,
             } => {
-                put_id(bytes, *about);
+                put_id(bytes, *target);
                 bytes.push(u8::from(*gone));
                 put_address(bytes, *origin);
             }
@@ -89,7 +89,7 @@
             KIND_HASHES => take_part_hashes(rest),
             KIND_MEMBER_DIGESTS => take_member_digests(rest),
             KIND_RECORDS => take_records(rest),
-            KIND_WANTED => Ok(Message::Wanted(until_empty(rest, need_address)?)),
+            KIND_RECORD_REQUEST => Ok(Message::RecordRequest(until_empty(rest, need_address)?)),
             KIND_ALIVE_QUERY => take_alive_query(rest),
             KIND_ALIVE_REPLY => take_alive_reply(rest),
             other => Err(MessageError::UnknownKind(other)),
@@ -129,11 +129,11 @@
 }
 
 fn take_alive_query(rest: &mut &[u8]) -> Result<Message, MessageError> {
-    let about = take_id(rest)?;
+    let target = take_id(rest)?;
     let gone = take_flag(rest)?;
     let origin = need_address(rest)?;
     Ok(Message::AliveQuery {
-        about,
+        target,
         gone,
         origin,
     })
--- a/wrenseam/src/fleet/node.rs
+++ b/wrenseam/src/fleet/node.rs
@@ -1,5 +1,5 @@
 //! One front end's gossip as a whole, without I/O: membership and records ([`Members`]), the mean pressure
-//! ([`Average`]), the byte budget ([`Traffic`]), the way back to peers that were cut off, and the summaries that
+//! ([`Average`]), the byte budget ([`ByteBudget`]), the way back to peers that were cut off, and the summaries that
 //! front ends without averaging want to hear.
 use super::average::Average;
 use super::identity::{PeerId, AVERAGE_VERSION};
@@ -7,7 +7,7 @@
 use super::record::{Lifecycle, Metadata, RecordError};
 use super::status::FleetStatus;
 use super::swim::{PeerEvent, SwimSettings, TimedPeerEvent};
-use super::traffic::{Outgoing, Traffic};
+use super::traffic::{ByteBudget, Outgoing};
 use super::Summary;
 use rand::{rngs::SmallRng, RngExt, SeedableRng};
 use std::collections::BTreeSet;
@@ -52,7 +52,7 @@
 pub struct Node {
     members: Members,
     average: Average,
-    traffic: Traffic,
+    byte_budget: ByteBudget,
     settings: NodeSettings,
     rng: SmallRng,
     /// When a join by way of a lost peer is due.
@@ -81,7 +81,7 @@
         Node {
             members: Members::new(id, settings.metadata.clone(), settings.swim, seed),
             average: Average::new(id, settings.swim.cluster, settings.swim.probe, seed),
-            traffic: Traffic::default(),
+            byte_budget: ByteBudget::default(),
             settings,
             rng: SmallRng::seed_from_u64(seed ^ SEED_SALT),
             lost_join_at: 0,
@@ -101,7 +101,7 @@
         if now < self.backlog_until {
             return;
         }
-        self.members.set_budget_low(self.traffic.is_low(now));
+        self.members.set_budget_low(self.byte_budget.is_low(now));
         if !self.members.swim().is_ours(bytes, AVERAGE_VERSION) {
             self.members.handle_datagram(now, bytes);
             return;
@@ -120,7 +120,7 @@
     pub fn tick(&mut self, now: Micros) {
         self.now = now;
         self.detect_stall(now);
-        self.members.set_budget_low(self.traffic.is_low(now));
+        self.members.set_budget_low(self.byte_budget.is_low(now));
         self.members.tick(now);
         if now >= self.average.next_wakeup() {
             self.update_neighbours(now);
@@ -175,7 +175,7 @@
         self.now = now;
         self.average.set_pressure(own.pressure);
         let mixed = self.publish_summary(now, own);
-        let is_low = self.traffic.is_low(now);
+        let is_low = self.byte_budget.is_low(now);
         self.members.swim().set_reduced_gossip(is_low);
         self.fill_member_list(now);
         self.rejoin_missing(now);
@@ -226,14 +226,14 @@
             alive: self.members.alive(),
             by_lifecycle,
             departed: self.departed(&by_lifecycle),
-            digest: view.value,
-            digest_stood: now.saturating_sub(view.since),
+            view_digest: view.value,
+            view_unchanged_for: now.saturating_sub(view.since),
             pressure: self.pressure,
             edges: self.average.edge_counts(),
             mixed,
             health_multiplier,
-            bytes_sent: self.traffic.sent,
-            bytes_held_back: self.traffic.held_back,
+            bytes_sent: self.byte_budget.sent,
+            bytes_over_budget: self.byte_budget.over_budget,
             records: self.members.counts,
             dropped,
             average_dropped: self.average.dropped,
@@ -299,8 +299,8 @@
         out.extend(self.average.outbox());
         out.sort_by_key(|outgoing| outgoing.kind.index());
         let now = self.now;
-        let traffic = &mut self.traffic;
-        out.retain(|outgoing| traffic.admit(now, outgoing.kind, outgoing.bytes.len()));
+        let byte_budget = &mut self.byte_budget;
+        out.retain(|outgoing| byte_budget.admit(now, outgoing.kind, outgoing.bytes.len()));
         out
     }
 
--- a/wrenseam/src/fleet/repair.rs
+++ b/wrenseam/src/fleet/repair.rs
@@ -3,7 +3,7 @@
 use super::directory::{Directory, MergeAction};
 use super::identity::PeerId;
 use super::member_digest::{short_hash, Liveness, MemberDigest, PARTS};
-use super::message::MAX_BODY;
+use super::message::MAX_BODY_BYTES;
 use super::record::Stamp;
 use rand::{rngs::SmallRng, RngExt};
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,13 +13,13 @@
 /// Bytes of a hash on the wire.
 const HASH_BYTES: usize = 4;
 /// Hashes that fit a datagram, beside the set of parts.
-const MAX_HASHES: usize = (MAX_BODY - 2) / HASH_BYTES;
+const MAX_HASHES: usize = (MAX_BODY_BYTES - 2) / HASH_BYTES;
 /// Bytes of a member digest of an IPv6 member, the larger of the two.
 const MEMBER_DIGEST_BYTES: usize = 36;
 /// The part of a datagram that unmatched hashes take at the most.
-const UNMATCHED_BYTES: usize = MAX_BODY / 3;
+const UNMATCHED_BYTES: usize = MAX_BODY_BYTES / 3;
 /// Member digests that surely fit a datagram, beside unmatched hashes.
-const MAX_MEMBER_DIGESTS: usize = (MAX_BODY - UNMATCHED_BYTES - 3) / MEMBER_DIGEST_BYTES;
+const MAX_MEMBER_DIGESTS: usize = (MAX_BODY_BYTES - UNMATCHED_BYTES - 3) / MEMBER_DIGEST_BYTES;
 
 /// What another member's digests call for.
 #[derive(Debug, Default, PartialEq, Eq)]
@@ -91,7 +91,7 @@
 }
 
 /// The set of parts in which two views differ, a bit each.
-pub fn differing(local: &[u32; PARTS], remote: &[u32; PARTS]) -> u16 {
+pub fn differing_parts(local: &[u32; PARTS], remote: &[u32; PARTS]) -> u16 {
     let mut differing = 0;
     for (part, (local, remote)) in local.iter().zip(remote).enumerate() {
         if local != remote {
@@ -111,7 +111,7 @@
 }
 
 /// The hashes of so many of the differing parts, from a random one on, that they fit a datagram; at least one part.
-pub fn hashes(directory: &Directory, differing: u16, rng: &mut SmallRng) -> PartHashes {
+pub fn part_hashes(directory: &Directory, differing: u16, rng: &mut SmallRng) -> PartHashes {
     let start = rng.random_range(0..PARTS);
     let mut parts = 0u16;
     let mut hashes = Vec::new();
@@ -186,7 +186,7 @@
 }
 
 /// Member digests in batches that each fit a datagram.
-pub fn in_datagrams(
+pub fn datagram_batches(
     member_digests: &[MemberDigest],
 ) -> impl Iterator<Item = Vec<MemberDigest>> + '_ {
     member_digests
@@ -230,13 +230,13 @@
         }
     }
 
-    /// When [`RepairSchedule::is_due`] is wanted next.
+    /// When [`RepairSchedule::take_due`] is wanted next.
     pub fn next_at(&self) -> Micros {
         self.next_at
     }
 
     /// Whether a repair is to be begun now; if so, the one after it is set, out of step with those of others.
-    pub fn is_due(&mut self, now: Micros, rng: &mut SmallRng) -> bool {
+    pub fn take_due(&mut self, now: Micros, rng: &mut SmallRng) -> bool {
         if now < self.next_at {
             return false;
         }
@@ -250,7 +250,7 @@
     }
 
     /// A view was found to differ, or has just changed.
-    pub fn views_differ(&mut self, now: Micros) {
+    pub fn speed_up(&mut self, now: Micros) {
         self.differing_until = now + DIFFERING_PROBES * self.probe;
         self.next_at = self.next_at.min(now + self.probe / DIFFERING_SPEEDUP);
     }
--- a/wrenseam/src/fleet/shed.rs
+++ b/wrenseam/src/fleet/shed.rs
@@ -24,7 +24,7 @@
     /// When arrivals were last decayed.
     decayed_at: Micros,
     /// The part of arrivals to shed, by the pressures so far.
-    shed_part: f64,
+    shed_fraction: f64,
 }
 
 impl Shedder {
@@ -44,25 +44,25 @@
             arrivals: vec![0.0; ranked + 1],
             decay_for: decay_for.max(1),
             decayed_at: 0,
-            shed_part: 0.0,
+            shed_fraction: 0.0,
         }
     }
 
     /// The fleet's pressure at `now`, in thousandths of capacity.
-    pub fn pressure(&mut self, now: Micros, thousandths: u32) {
+    pub fn set_pressure(&mut self, now: Micros, thousandths: u32) {
         let pressure = f64::from(thousandths) / PRESSURE_AT_CAPACITY;
         let target = if pressure > 1.0 {
             1.0 - 1.0 / pressure
         } else {
             0.0
         };
-        self.shed_part += SMOOTHING * (target - self.shed_part);
+        self.shed_fraction += SMOOTHING * (target - self.shed_fraction);
         self.decay(now);
     }
 
     /// The part of arrivals that is shed now.
-    pub fn refusing(&self) -> f64 {
-        self.shed_part
+    pub fn shed_fraction(&self) -> f64 {
+        self.shed_fraction
     }
 
     fn decay(&mut self, now: Micros) {
@@ -77,7 +77,7 @@
     }
 
     /// Whether a request of class `class` that arrives at `now` is shed; `chance` is uniform in [0, 1).
-    pub fn refuses(&mut self, now: Micros, class: usize, chance: f64) -> bool {
+    pub fn should_shed(&mut self, now: Micros, class: usize, chance: f64) -> bool {
         self.decay(now);
         let never_shed = self.arrivals.len() - 1;
         let rank = self.ranks.get(class).copied().flatten();
@@ -85,13 +85,13 @@
         let Some(rank) = rank else {
             return false;
         };
-        if self.shed_part <= 0.0 {
+        if self.shed_fraction <= 0.0 {
             return false;
         }
         let total: f64 = self.arrivals.iter().sum();
         let before: f64 = self.arrivals[..rank].iter().sum::<f64>() / total;
         let own = self.arrivals[rank] / total;
-        let remaining = self.shed_part - before;
+        let remaining = self.shed_fraction - before;
         remaining >= own || remaining > 0.0 && chance < remaining / own
     }
 }
--- a/wrenseam/src/fleet/status.rs
+++ b/wrenseam/src/fleet/status.rs
@@ -1,5 +1,5 @@
 //! What a front end makes of its fleet at one moment, for the core and for telemetry.
-use super::average::{AverageDropped, EdgeCounts};
+use super::average::{DroppedExchanges, EdgeCounts};
 use super::members::RecordCounts;
 use super::record::Lifecycle;
 use super::swim::Dropped;
@@ -16,9 +16,9 @@
     /// Peers that said that they are draining or leaving since the status before.
     pub departed: usize,
     /// The digest of the whole view.
-    pub digest: u64,
+    pub view_digest: u64,
     /// For how long the digest has stood, in microseconds.
-    pub digest_stood: Micros,
+    pub view_unchanged_for: Micros,
     /// Mean in-flight over capacity of the fleet, in thousandths.
     pub pressure: u32,
     /// The edges of the averaging.
@@ -30,13 +30,13 @@
     /// Bytes sent, in the order of [`TrafficKind::ALL`].
     pub bytes_sent: [u64; TrafficKind::ALL.len()],
     /// Bytes deferred by the byte budget, in the order of [`TrafficKind::ALL`].
-    pub bytes_held_back: [u64; TrafficKind::ALL.len()],
+    pub bytes_over_budget: [u64; TrafficKind::ALL.len()],
     /// What became of the datagrams of records.
     pub records: RecordCounts,
     /// Datagrams dropped, by cause.
     pub dropped: Dropped,
     /// Datagrams of the averaging dropped, by cause.
-    pub average_dropped: AverageDropped,
+    pub average_dropped: DroppedExchanges,
 }
 
 impl FleetStatus {
--- a/wrenseam/src/fleet/summary.rs
+++ b/wrenseam/src/fleet/summary.rs
@@ -37,9 +37,9 @@
     /// In-flight over capacity, in thousandths (1000: at capacity).
     pub pressure: u32,
     /// First attempts sent in the window.
-    pub firsts: u32,
+    pub first_attempts: u32,
     /// Extra attempts (hedged requests, retries) sent in the window.
-    pub extras: u32,
+    pub extra_attempts: u32,
     /// Extra attempts that the budget refused in the window.
     pub denied: u32,
     /// Requests refused by shedding in the window.
@@ -69,7 +69,7 @@
 
 impl Summary {
     /// The 64 bytes, big-endian: magic (2), family (1: 0 none, 4, 6), port (2), address (16), seq (8),
-    /// in-flight, pressure, firsts, extras, denied, shed (4 each), healthy (2), averaging (1), zeros, CRC-32 of all
+    /// in-flight, pressure, first_attempts, extra_attempts, denied, shed (4 each), healthy (2), averaging (1), zeros, CRC-32 of all
     /// before it (4).
     pub fn encode(&self) -> [u8; SUMMARY_BYTES] {
         let mut bytes = [0u8; SUMMARY_BYTES];
@@ -79,8 +79,8 @@
         let counts = [
             self.in_flight,
             self.pressure,
-            self.firsts,
-            self.extras,
+            self.first_attempts,
+            self.extra_attempts,
             self.denied,
             self.shed,
         ];
@@ -114,8 +114,8 @@
             seq: u64::from_be_bytes(array_at(bytes, SEQ_AT)),
             in_flight: count(0),
             pressure: count(1),
-            firsts: count(2),
-            extras: count(3),
+            first_attempts: count(2),
+            extra_attempts: count(3),
             denied: count(4),
             shed: count(5),
             healthy: u16::from_be_bytes(array_at(bytes, HEALTHY_AT)),
--- a/wrenseam/src/fleet/traffic.rs
+++ b/wrenseam/src/fleet/traffic.rs
@@ -2,11 +2,11 @@
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// The largest mean rate of a front end, in bytes a second: with as many received, and [`BURST`] besides,
+/// The largest mean rate of a front end, in bytes a second: with as many received, and [`BURST_BYTES`] besides,
 /// the worst second stays under 22 KB.
-pub const RATE: i64 = 9_200;
+pub const BYTES_PER_SECOND: i64 = 9_200;
 /// Bytes that may be sent at once after a quiet time.
-pub const BURST: i64 = 1_700;
+pub const BURST_BYTES: i64 = 1_700;
 
 /// Microseconds in a second.
 const MICROS_PER_SECOND: i64 = 1_000_000;
@@ -35,7 +35,7 @@
 }
 
 impl TrafficKind {
-    /// All kinds, in the order of [`Traffic::sent`].
+    /// All kinds, in the order of [`ByteBudget::sent`].
     pub const ALL: [TrafficKind; 7] = [
         TrafficKind::Probe,
         TrafficKind::Average,
@@ -68,11 +68,11 @@
     fn reserve(self) -> Option<i64> {
         match self {
             TrafficKind::Probe | TrafficKind::Average => None,
-            TrafficKind::Repair => Some(-RATE / 2),
+            TrafficKind::Repair => Some(-BYTES_PER_SECOND / 2),
             TrafficKind::Join => Some(0),
-            TrafficKind::RepairBegin => Some(BURST / 8),
-            TrafficKind::Rumor => Some(BURST / 4),
-            TrafficKind::MembershipGossip => Some(BURST / 4),
+            TrafficKind::RepairBegin => Some(BURST_BYTES / 8),
+            TrafficKind::Rumor => Some(BURST_BYTES / 4),
+            TrafficKind::MembershipGossip => Some(BURST_BYTES / 4),
         }
     }
 }
@@ -90,28 +90,28 @@
 
 /// A token bucket over all kinds, each of which leaves a reserve to those before it.
 #[derive(Clone, Debug)]
-pub struct Traffic {
+pub struct ByteBudget {
     tokens: i64,
     refilled_at: Micros,
     /// Bytes sent, by kind.
     pub sent: [u64; TrafficKind::ALL.len()],
     /// Bytes deferred, by kind.
-    pub held_back: [u64; TrafficKind::ALL.len()],
+    pub over_budget: [u64; TrafficKind::ALL.len()],
 }
 
-impl Default for Traffic {
+impl Default for ByteBudget {
     fn default() -> Self {
         let none = [0; TrafficKind::ALL.len()];
-        Traffic {
-            tokens: BURST,
+        ByteBudget {
+            tokens: BURST_BYTES,
             refilled_at: 0,
             sent: none,
-            held_back: none,
+            over_budget: none,
         }
     }
 }
 
-impl Traffic {
+impl ByteBudget {
     /// Whether a datagram of so many bytes may go at `now`; counts it either way.
     pub fn admit(&mut self, now: Micros, kind: TrafficKind, bytes: usize) -> bool {
         self.refill(now);
@@ -121,10 +121,10 @@
             .is_none_or(|reserve| self.tokens - size >= reserve);
         if admitted {
             // What always goes may overdraw, up to a second's worth: the others then wait for that long.
-            self.tokens = (self.tokens - size).max(-RATE);
+            self.tokens = (self.tokens - size).max(-BYTES_PER_SECOND);
             self.sent[kind.index()] += bytes as u64;
         } else {
-            self.held_back[kind.index()] += bytes as u64;
+            self.over_budget[kind.index()] += bytes as u64;
         }
         admitted
     }
@@ -132,15 +132,15 @@
     /// Whether less than half of the burst is left, so that a repair could not be ended.
     pub fn is_low(&mut self, now: Micros) -> bool {
         self.refill(now);
-        self.tokens < BURST / 2
+        self.tokens < BURST_BYTES / 2
     }
 
     fn refill(&mut self, now: Micros) {
         let passed = now.saturating_sub(self.refilled_at).min(LONGEST_REFILL) as i64;
-        let earned = passed * RATE / MICROS_PER_SECOND;
+        let earned = passed * BYTES_PER_SECOND / MICROS_PER_SECOND;
         // Time that earned less than a byte is not taken, or frequent calls would earn nothing.
         if earned > 0 {
-            self.tokens = (self.tokens + earned).min(BURST);
+            self.tokens = (self.tokens + earned).min(BURST_BYTES);
             self.refilled_at = now;
         }
     }
--- a/wrenseam/tests/fleet_admission.rs
+++ b/wrenseam/tests/fleet_admission.rs
@@ -55,8 +55,8 @@
     let summary = admission.summary(1_000_000, 0);
     assert_eq!(
         (
-            summary.firsts,
-            summary.extras + summary.firsts,
+            summary.first_attempts,
+            summary.extra_attempts + summary.first_attempts,
             summary.denied
         ),
         (100, want, 500 - want)
--- a/wrenseam/tests/fleet_average.rs
+++ b/wrenseam/tests/fleet_average.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use wrenseam::config::FleetConfig;
 use wrenseam::fleet::average::{
-    neighbours, AverageDropped, EdgeRole, Exchange, ExchangeKind, MAX_FLOW, RINGS,
+    neighbours, DroppedExchanges, EdgeRole, Exchange, ExchangeKind, MAX_FLOW, RINGS,
 };
 use wrenseam::fleet::traffic::Outgoing;
 use wrenseam::fleet::{Average, PeerId, Summaries, Summary};
@@ -163,7 +163,7 @@
     let mut wire = Wire::new(6);
     wire.run(5_000, &mut |_| 1);
     assert_eq!(wire.told(), [2500; 6]);
-    let silent = wire.averages[5].silent_for();
+    let silent = wire.averages[5].silence_timeout();
     wire.run(silent / MS + 4_000, &mut |exchange| {
         usize::from(exchange.from != peer(5))
     });
@@ -184,22 +184,22 @@
 
 /// A request and its reply between two, then the same and others anew: counted by cause, and nothing moves.
 #[rstest]
-#[case::cut_short(|exchange: Exchange| exchange.encode(&HEADER)[..20].to_vec(), AverageDropped { garbled: 1, stale: 0, stranger: 0 })]
-#[case::an_unknown_kind(|exchange: Exchange| { let mut bytes = exchange.encode(&HEADER); bytes[7] = 9; bytes }, AverageDropped { garbled: 1, stale: 0, stranger: 0 })]
-#[case::a_repeat(|exchange: Exchange| exchange.encode(&HEADER), AverageDropped { garbled: 0, stale: 1, stranger: 0 })]
-#[case::an_older(|exchange: Exchange| Exchange { seq: exchange.seq.wrapping_sub(1), ..exchange }.encode(&HEADER), AverageDropped { garbled: 0, stale: 1, stranger: 0 })]
+#[case::cut_short(|exchange: Exchange| exchange.encode(&HEADER)[..20].to_vec(), DroppedExchanges { garbled: 1, stale: 0, unexpected: 0 })]
+#[case::an_unknown_kind(|exchange: Exchange| { let mut bytes = exchange.encode(&HEADER); bytes[7] = 9; bytes }, DroppedExchanges { garbled: 1, stale: 0, unexpected: 0 })]
+#[case::a_repeat(|exchange: Exchange| exchange.encode(&HEADER), DroppedExchanges { garbled: 0, stale: 1, unexpected: 0 })]
+#[case::an_older(|exchange: Exchange| Exchange { seq: exchange.seq.wrapping_sub(1), ..exchange }.encode(&HEADER), DroppedExchanges { garbled: 0, stale: 1, unexpected: 0 })]
 #[case::an_earlier_incarnation(
     |exchange: Exchange| Exchange { seq: exchange.seq.wrapping_add(1), from: PeerId { incarnation: 4, ..exchange.from }, ..exchange }.encode(&HEADER),
-    AverageDropped { garbled: 0, stale: 1, stranger: 0 }
+    DroppedExchanges { garbled: 0, stale: 1, unexpected: 0 }
 )]
-#[case::no_neighbour(|exchange: Exchange| Exchange { from: peer(9), ..exchange }.encode(&HEADER), AverageDropped { garbled: 0, stale: 0, stranger: 1 })]
+#[case::no_neighbour(|exchange: Exchange| Exchange { from: peer(9), ..exchange }.encode(&HEADER), DroppedExchanges { garbled: 0, stale: 0, unexpected: 1 })]
 #[case::a_reply_where_a_request_belongs(
     |exchange: Exchange| Exchange { kind: ExchangeKind::Reply, ..exchange }.encode(&HEADER),
-    AverageDropped { garbled: 0, stale: 0, stranger: 1 }
+    DroppedExchanges { garbled: 0, stale: 0, unexpected: 1 }
 )]
 fn what_cannot_be_taken_is_counted_and_moves_nothing(
     #[case] bad: fn(Exchange) -> Vec<u8>,
-    #[case] want: AverageDropped,
+    #[case] want: DroppedExchanges,
 ) {
     let mut wire = Wire::new(2);
     let mut last = None;
@@ -221,10 +221,10 @@
         }),
     );
     let after = wire.averages[to].dropped;
-    let more = AverageDropped {
+    let more = DroppedExchanges {
         garbled: after.garbled - before.garbled,
         stale: after.stale - before.stale,
-        stranger: after.stranger - before.stranger,
+        unexpected: after.unexpected - before.unexpected,
     };
     assert_eq!(
         (more, wire.told(), wire.averages[to].outbox().len()),
--- a/wrenseam/tests/fleet_budget.rs
+++ b/wrenseam/tests/fleet_budget.rs
@@ -13,18 +13,20 @@
 fn extras_stop_at_the_bound(
     #[case] ratio: f64,
     #[case] floor: f64,
-    #[case] firsts: u32,
+    #[case] first_attempts: u32,
     #[case] want: u32,
 ) {
     let mut budget = RetryBudget::new(ratio, floor, 10 * SECOND);
-    (0..firsts).for_each(|_| budget.first(SECOND));
-    let admitted = (0..1000).filter(|_| budget.extra(SECOND, 1)).count() as u32;
+    (0..first_attempts).for_each(|_| budget.record_first_attempt(SECOND));
+    let admitted = (0..1000)
+        .filter(|_| budget.admit_extra_attempt(SECOND, 1))
+        .count() as u32;
     assert_eq!(admitted, want);
     assert_eq!(
         budget.usage(SECOND),
         BudgetUsage {
-            firsts,
-            extras: want,
+            first_attempts,
+            extra_attempts: want,
             denied: 1000 - want
         }
     );
@@ -37,7 +39,9 @@
 fn the_floor_is_divided_by_the_fleet(#[case] size: usize, #[case] want: usize) {
     let mut budget = RetryBudget::new(0.0, 3.0, 10 * SECOND);
     assert_eq!(
-        (0..100).filter(|_| budget.extra(SECOND, size)).count(),
+        (0..100)
+            .filter(|_| budget.admit_extra_attempt(SECOND, size))
+            .count(),
         want
     );
 }
@@ -45,18 +49,23 @@
 #[test]
 fn the_window_slides() {
     let mut budget = RetryBudget::new(0.5, 0.0, 10 * SECOND);
-    (0..10).for_each(|_| budget.first(0));
-    assert_eq!((0..10).filter(|_| budget.extra(SECOND, 1)).count(), 5);
+    (0..10).for_each(|_| budget.record_first_attempt(0));
+    assert_eq!(
+        (0..10)
+            .filter(|_| budget.admit_extra_attempt(SECOND, 1))
+            .count(),
+        5
+    );
     // Eleven seconds on, the first attempts of the start have left the window.
-    assert!(!budget.extra(11 * SECOND, 1));
-    budget.first(11 * SECOND);
-    budget.first(11 * SECOND);
-    assert!(budget.extra(11 * SECOND, 1));
+    assert!(!budget.admit_extra_attempt(11 * SECOND, 1));
+    budget.record_first_attempt(11 * SECOND);
+    budget.record_first_attempt(11 * SECOND);
+    assert!(budget.admit_extra_attempt(11 * SECOND, 1));
     assert_eq!(
         budget.usage(11 * SECOND),
         BudgetUsage {
-            firsts: 2,
-            extras: 1,
+            first_attempts: 2,
+            extra_attempts: 1,
             denied: 1
         }
     );
@@ -70,6 +79,6 @@
 #[case::expected_is_the_floor(3, &[(0, 9), (61 * SECOND, 0)], 3)]
 fn size_is_held(#[case] expected: usize, #[case] seen: &[(Micros, usize)], #[case] want: usize) {
     let mut size = FleetSize::new(expected, 60 * SECOND);
-    seen.iter().for_each(|&(at, alive)| size.seen(at, alive));
+    seen.iter().for_each(|&(at, alive)| size.update(at, alive));
     assert_eq!(size.estimate(), want);
 }
--- a/wrenseam/tests/fleet_records.rs
+++ b/wrenseam/tests/fleet_records.rs
@@ -278,9 +278,9 @@
             is_update: true,
             records: vec![record(1, 5, 3, 1), record(2, 5, 3, 2)],
         },
-        Message::Wanted(vec![addr(1), "[fd00::7]:9".parse().expect("an address")]),
+        Message::RecordRequest(vec![addr(1), "[fd00::7]:9".parse().expect("an address")]),
         Message::AliveQuery {
-            about: id(1, 5),
+            target: id(1, 5),
             gone: true,
             origin: addr(2),
         },
@@ -363,11 +363,11 @@
 #[case::one_at_the_largest_version(news(record(0, 5, u32::MAX, 9)), (6, 1))]
 #[case::one_of_a_former_clock(news(record(0, 8, 2, 9)), (8, 3))]
 #[case::one_that_is_past(news(record(0, 4, 9, 9)), (5, 1))]
-#[case::held_as_gone(Message::AliveQuery { about: id(0, 5), gone: true, origin: addr(1) }, (6, 1))]
-#[case::a_larger_one_held_as_gone(Message::AliveQuery { about: id(0, 9), gone: true, origin: addr(1) }, (10, 1))]
-#[case::a_larger_one_held_alive(Message::AliveQuery { about: id(0, 9), gone: false, origin: addr(1) }, (10, 1))]
-#[case::ours_asked_for(Message::AliveQuery { about: id(0, 5), gone: false, origin: addr(1) }, (5, 1))]
-#[case::a_past_one_held_as_gone(Message::AliveQuery { about: id(0, 4), gone: true, origin: addr(1) }, (5, 1))]
+#[case::held_as_gone(Message::AliveQuery { target: id(0, 5), gone: true, origin: addr(1) }, (6, 1))]
+#[case::a_larger_one_held_as_gone(Message::AliveQuery { target: id(0, 9), gone: true, origin: addr(1) }, (10, 1))]
+#[case::a_larger_one_held_alive(Message::AliveQuery { target: id(0, 9), gone: false, origin: addr(1) }, (10, 1))]
+#[case::ours_asked_for(Message::AliveQuery { target: id(0, 5), gone: false, origin: addr(1) }, (5, 1))]
+#[case::a_past_one_held_as_gone(Message::AliveQuery { target: id(0, 4), gone: true, origin: addr(1) }, (5, 1))]
 fn only_we_write_our_record(#[case] message: Message, #[case] want: (u64, u32)) {
     let mut members = members();
     tell(&mut members, MS, id(1, 5), message);
@@ -461,13 +461,13 @@
     tell(&mut members, MS, id(1, 5), news(record(1, 5, 1, 1)));
     let answers_sent = tell(&mut members, 2 * MS, id(2, 5), member_digests(1, 5, Down));
     let query = Message::AliveQuery {
-        about: id(1, 5),
+        target: id(1, 5),
         gone: true,
         origin: addr(0),
     };
     assert!(answers_sent.contains(&(addr(1), query)), "{answers_sent:?}");
     let of_another = Message::AliveQuery {
-        about: id(1, 5),
+        target: id(1, 5),
         gone: false,
         origin: addr(2),
     };
@@ -478,7 +478,7 @@
     assert_eq!(tell(&mut members, 4 * MS, id(3, 5), of_another), []);
     let own = Box::new(members.directory().own().clone());
     let of_us = Message::AliveQuery {
-        about: id(0, 5),
+        target: id(0, 5),
         gone: false,
         origin: addr(2),
     };
--- a/wrenseam/tests/fleet_summary.rs
+++ b/wrenseam/tests/fleet_summary.rs
@@ -13,8 +13,8 @@
         seq,
         pressure,
         in_flight: 7,
-        firsts: 100,
-        extras: 9,
+        first_attempts: 100,
+        extra_attempts: 9,
         ..Summary::default()
     }
 }
--- a/wrenseam/tests/golden_admin.rs
+++ b/wrenseam/tests/golden_admin.rs
@@ -7,7 +7,7 @@
 use std::io::{Read, Write};
 use wrenseam::config;
 use wrenseam::core::{FleetAdmission, Gauges, RequestCounters};
-use wrenseam::fleet::average::{AverageDropped, EdgeCounts};
+use wrenseam::fleet::average::{DroppedExchanges, EdgeCounts};
 use wrenseam::fleet::members::RecordCounts;
 use wrenseam::fleet::swim::Dropped;
 use wrenseam::fleet::FleetStatus;
@@ -101,14 +101,14 @@
         alive: 10,
         by_lifecycle: [1, 2, 3, 4],
         departed: 0,
-        digest: 0x1234_5678_9abc_def0,
-        digest_stood: 5_678_901,
+        view_digest: 0x1234_5678_9abc_def0,
+        view_unchanged_for: 5_678_901,
         pressure: 432,
         edges: EdgeCounts { heard: 6, total: 8 },
         mixed: true,
         health_multiplier: 2,
         bytes_sent: [101, 102, 103, 104, 105, 106, 107],
-        bytes_held_back: [201, 202, 203, 204, 205, 206, 207],
+        bytes_over_budget: [201, 202, 203, 204, 205, 206, 207],
         records: RecordCounts {
             garbled: 11,
             stranger: 12,
@@ -122,10 +122,10 @@
             foreign: 22,
             garbled: 23,
         },
-        average_dropped: AverageDropped {
+        average_dropped: DroppedExchanges {
             garbled: 31,
             stale: 32,
-            stranger: 33,
+            unexpected: 33,
         },
     }
 }
--- a/wrenseam/tests/golden_fleet.rs
+++ b/wrenseam/tests/golden_fleet.rs
@@ -122,12 +122,12 @@
 }
 
 fn wanted_message() -> Message {
-    Message::Wanted(vec![v4(), v6()])
+    Message::RecordRequest(vec![v4(), v6()])
 }
 
 fn inquiry_message(gone: bool) -> Message {
     Message::AliveQuery {
-        about: peer(v6()),
+        target: peer(v6()),
         gone,
         origin: v4(),
     }
@@ -224,8 +224,8 @@
         seq: 0x0102_0304_0506_0708,
         in_flight: 0x11,
         pressure: 1234,
-        firsts: 0x22,
-        extras: 0x33,
+        first_attempts: 0x22,
+        extra_attempts: 0x33,
         denied: 0x44,
         shed: 0x55,
         healthy: 0x6677,
