--- a/wrenseam/src/fleet/average.rs
+++ b/wrenseam/src/fleet/average.rs
@@ -88,8 +88,8 @@
 }
 
 impl Average {
-    /// The averaging of the front end `own` in the fleet named `cluster`, which begins [`EXCHANGES_PER_PROBE`] exchanges
-    /// in each `probe` microseconds.
+    /// The averaging of the front end `own` in the fleet named `cluster`, which begins [`EXCHANGES_PER_PROBE`]
+    /// exchanges in each `probe` microseconds.
     pub fn new(own: PeerId, cluster: u32, probe: Micros, seed: u64) -> Average {
         let turn_for = (probe / EXCHANGES_PER_PROBE).max(SHORTEST_TURN);
         let mut rng = SmallRng::seed_from_u64(seed ^ SEED_SALT);
--- a/wrenseam/src/fleet/budget.rs
+++ b/wrenseam/src/fleet/budget.rs
@@ -1,39 +1,41 @@
-//! Retry budget of the fleet: extra attempts at most a fraction of first attempts over a sliding window, plus
-//! a floor of retries a second that the whole fleet shares, divided by its estimated size (as gRPC's retry
-//! throttling and Envoy's retry budgets bound retries). No I/O; time is handed in, in microseconds.
+//! The fleet's retry budget: over a sliding window, extra attempts may be at most a fraction of the first attempts,
+//! plus a minimum rate for the whole fleet that is divided by its estimated size. gRPC's retry throttling and Envoy's
+//! retry budgets bound retries in a similar way. No I/O; the caller passes the time, in microseconds.
 use wrenseam_policy::Micros;
 
-/// Buckets of the sliding window.
+/// Number of buckets in the sliding window.
 const BUCKETS: usize = 10;
-/// The shortest stretch of a bucket, in microseconds.
-const SHORTEST_STRETCH: Micros = 1000;
+/// The minimum time that a bucket covers, in microseconds.
+const MIN_BUCKET_WIDTH: Micros = 1000;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Counts of one stretch of the window.
+/// The counts of one interval of the window.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 struct Bucket {
-    /// Which stretch of time: `now / width`.
-    stretch: u64,
+    /// The number of the interval: `now / width`.
+    interval: u64,
     first_attempts: u32,
     extra_attempts: u32,
     denied: u32,
 }
 
-/// What one front end may spend on extra attempts (hedged requests and retries to workers).
+/// Limits the extra attempts (hedged requests and retries to workers) of one front end.
 ///
-/// The bound over a window `W`: `extra_attempts <= ratio * first_attempts + floor_per_s * W / size`, where `size` is the
-/// fleet's estimated size (see [`FleetSize`]). Summed over all front ends the extra attempts stay within
-/// `ratio * first_attempts + floor_per_s * W` of the fleet, however many front ends there are.
+/// Over a window of `W` seconds, `extra_attempts <= ratio * first_attempts + floor_per_s * W / size`, where `size` is
+/// the estimated size of the fleet (see [`FleetSize`]). The extra attempts of all front ends together therefore stay
+/// within `ratio * first_attempts + floor_per_s * W` of the fleet, however many front ends there are.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
+    /// Extra attempts per second that the whole fleet may make whatever the number of first attempts.
     floor_per_s: f64,
+    /// The time that each bucket covers.
     width: Micros,
     buckets: [Bucket; BUCKETS],
 }
 
-/// The sums of the window as it stands.
+/// The totals over the sliding window.
 #[derive(Clone, Copy, Default, Debug, PartialEq, Eq)]
 pub struct BudgetUsage {
     /// First attempts in the window.
@@ -45,10 +47,11 @@
 }
 
 impl RetryBudget {
-    /// A budget of `ratio` (0 to 1) of first attempts and `floor_per_s` retries a second for the whole fleet,
-    /// over a window of `window` microseconds (at least one bucket of 1 ms).
+    /// Allows extra attempts up to `ratio` (0 to 1) of the first attempts, plus `floor_per_s` extra attempts per second
+    /// for the whole fleet, over `window` microseconds. Each of the window's 10 buckets covers at least 1 ms. A ratio
+    /// or floor that is not finite counts as 0.
     pub fn new(ratio: f64, floor_per_s: f64, window: Micros) -> Self {
-        let width = (window / BUCKETS as Micros).max(SHORTEST_STRETCH);
+        let width = (window / BUCKETS as Micros).max(MIN_BUCKET_WIDTH);
         let ratio = if ratio.is_finite() {
             ratio.clamp(0.0, 1.0)
         } else {
@@ -67,30 +70,31 @@
         }
     }
 
-    /// Which stretch of time `now` is in; each has a bucket.
-    fn stretch(&self, now: Micros) -> u64 {
+    /// The number of the interval that contains `now`.
+    fn interval(&self, now: Micros) -> u64 {
         now / self.width
     }
 
-    /// The bucket of `now`, emptied if it still counts an earlier stretch.
+    /// The bucket for `now`, reset first if it still holds the counts of an earlier interval.
     fn bucket(&mut self, now: Micros) -> &mut Bucket {
-        let stretch = self.stretch(now);
-        let bucket = &mut self.buckets[(stretch % BUCKETS as u64) as usize];
-        if bucket.stretch != stretch {
+        let interval = self.interval(now);
+        let bucket = &mut self.buckets[(interval % BUCKETS as u64) as usize];
+        if bucket.interval != interval {
             *bucket = Bucket {
-                stretch,
+                interval,
                 ..Bucket::default()
             };
         }
         bucket
     }
 
-    /// The sums over the buckets still inside the window at `now`.
+    /// The totals over the window that ends at `now`.
     pub fn usage(&self, now: Micros) -> BudgetUsage {
-        let stretch = self.stretch(now);
+        let interval = self.interval(now);
         let mut usage = BudgetUsage::default();
         for bucket in &self.buckets {
-            let is_inside = bucket.stretch + BUCKETS as u64 > stretch && bucket.stretch <= stretch;
+            let is_inside =
+                bucket.interval + BUCKETS as u64 > interval && bucket.interval <= interval;
             if is_inside {
                 usage.first_attempts += bucket.first_attempts;
                 usage.extra_attempts += bucket.extra_attempts;
@@ -100,12 +104,12 @@
         usage
     }
 
-    /// A first attempt was sent.
+    /// Counts a first attempt, sent at `now`.
     pub fn record_first_attempt(&mut self, now: Micros) {
         self.bucket(now).first_attempts += 1;
     }
 
-    /// Whether an extra attempt is admitted now, with the fleet at `size` front ends; counts it either way.
+    /// Whether an extra attempt may be sent at `now` in a fleet of `size` front ends. Counts it as admitted or denied.
     pub fn admit_extra_attempt(&mut self, now: Micros, size: usize) -> bool {
         let usage = self.usage(now);
         let window_s = (self.width * BUCKETS as Micros) as f64 / MICROS_PER_SECOND;
@@ -122,22 +126,23 @@
     }
 }
 
-/// The fleet's size as this front end estimates it: itself and the peers that accept clients, at its
-/// largest for `hold` microseconds, and never below the `expected` size of the settings. A front end cut off
-/// from its peers thus keeps its own share for the hold and, with `expected`, ever after: it does not take the
-/// floor of the whole fleet.
+/// This front end's estimate of the fleet's size: itself plus the peers that accept clients.
+///
+/// The largest size seen is kept for `hold` microseconds, and the estimate is never below the configured `expected`
+/// size. A front end that loses contact with its peers therefore keeps only its own share of the floor for `hold`, and
+/// permanently if `expected` is configured, instead of claiming the floor of the whole fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSize {
     expected: usize,
     hold: Micros,
-    /// The largest size seen.
+    /// The largest recent size.
     largest: usize,
-    /// When it was last seen.
+    /// When the fleet last had that size.
     largest_at: Micros,
 }
 
 impl FleetSize {
-    /// No peer known yet; `expected` of at least 1.
+    /// An estimate without known peers. An `expected` of 0 counts as 1.
     pub fn new(expected: usize, hold: Micros) -> Self {
         FleetSize {
             expected: expected.max(1),
@@ -147,12 +152,12 @@
         }
     }
 
-    /// So many peers said that they no longer accept clients: their share is not kept for them.
+    /// Removes peers that announced that they no longer accept clients: `hold` does not apply to them.
     pub fn remove_departed(&mut self, peers: usize) {
         self.largest = self.largest.saturating_sub(peers).max(1);
     }
 
-    /// This front end counts `peers` besides itself that accept clients at `now`.
+    /// Updates the estimate: `peers` other front ends accept clients at `now`.
     pub fn update(&mut self, now: Micros, peers: usize) {
         let size = peers + 1;
         let has_expired = now.saturating_sub(self.largest_at) > self.hold;
@@ -162,7 +167,7 @@
         }
     }
 
-    /// The size that divides the shared floors.
+    /// The estimated number of front ends, at least 1. The fleet's floor is divided by it.
     pub fn estimate(&self) -> usize {
         self.largest.max(self.expected)
     }
--- a/wrenseam/src/fleet/message.rs
+++ b/wrenseam/src/fleet/message.rs
@@ -1,109 +1,111 @@
-//! The datagrams by which members share and repair their records: typed, checked by a CRC, and bounded by the
-//! largest datagram. No I/O; docs/fleet-view.md has the exchange.
+//! The datagrams that members exchange to replicate their records: typed, protected by a CRC, and limited in size. No
+//! I/O; docs/fleet-view.md describes the exchange.
 mod codec;
 
 use super::identity::{PeerId, HEADER_BYTES, MAX_DATAGRAM};
 use super::member_digest::{MemberDigest, PARTS};
 use super::record::{Record, RecordError};
-use codec::{put_id, take_id};
+use codec::{put_id, read_id};
 use std::net::SocketAddr;
 
-/// Version byte of these datagrams; front ends of earlier versions count them as foreign.
+/// The version byte in the header of these datagrams. Front ends of earlier versions drop them as foreign.
 pub const RECORDS_VERSION: u8 = 3;
-/// Bytes of the checksum at a datagram's end.
+/// Size of the checksum at the end of a datagram.
 const CRC_BYTES: usize = 4;
-/// Bytes of a member: an IPv6 address, the larger of the two, and the incarnation.
+/// Maximum size of a member's identity: an IPv6 address and the incarnation.
 const ID_BYTES: usize = 19 + 8;
-/// Bytes of a message's kind.
+/// Size of the message kind.
 const KIND_BYTES: usize = 1;
-/// Capacity for a message's body: the largest datagram less the header, the sender, the kind and the checksum.
+/// Maximum size of a message body: the largest datagram minus the header, the sender, the kind and the checksum.
 pub const MAX_BODY_BYTES: usize = MAX_DATAGRAM - HEADER_BYTES - ID_BYTES - KIND_BYTES - CRC_BYTES;
-/// Bytes of a record's length before it.
+/// Size of the length field that precedes a record.
 const LENGTH_BYTES: usize = 2;
-/// Bytes of a flag.
+/// Size of a flag.
 const FLAG_BYTES: usize = 1;
 
-/// One datagram.
+/// The content of one datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Envelope {
-    /// The sender.
+    /// The sender, in the incarnation that it has now.
     pub from: PeerId,
-    /// The message.
+    /// What the sender reports or asks for.
     pub message: Message,
 }
 
-/// What a member sends to another.
+/// A message from one member to another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Begins a repair: the digests of the view by part. A member with the same view does not answer.
+    /// Starts a repair with the digests of the sender's view, one per part. A receiver with the same view does not
+    /// answer.
     Digest([u32; PARTS]),
-    /// Answers a digest that differs: a hash of what is known of each live member in some of the differing parts.
+    /// Answers digests that differ, with a hash per live member in some of the differing parts.
     Hashes {
-        /// The parts that the hashes are of, a bit each.
+        /// The parts that the hashes cover, as a bit set.
         parts: u16,
-        /// The hashes.
+        /// The hash of each live member's digest, in no particular order.
         hashes: Vec<u32>,
     },
-    /// What is known of members where it differs; the other answers with what it knows newer.
+    /// Digests of the members on which the views differ. The receiver answers with what it knows that is newer.
     MemberDigests {
-        /// The other's hashes that are of nothing known here.
+        /// The receiver's hashes that match no member digest of the sender.
         unmatched: Vec<u32>,
-        /// What is known.
+        /// The sender's digests of the members that differ.
         member_digests: Vec<MemberDigest>,
     },
-    /// Complete records, of any member.
+    /// Complete records of any members.
     Records {
-        /// Whether they have just changed and are to be passed on.
+        /// Whether the records have just changed, so that a receiver to which they are new passes them on.
         is_update: bool,
-        /// The records.
+        /// The records, as many as fit the datagram.
         records: Vec<Record>,
     },
-    /// Asks for the records of these members.
+    /// Requests the records of these members.
     RecordRequest(Vec<SocketAddr>),
-    /// Queries whether a member is alive, directly or through a relay that passes this on to it.
+    /// Asks whether a member is alive. Sent to the member itself, or to a relay that forwards it to the member.
     AliveQuery {
-        /// The member, and the incarnation known of it.
+        /// The member, in the incarnation known to the origin.
         target: PeerId,
-        /// Whether that incarnation is known as gone: its owner needs a larger one.
+        /// Whether some member counts that incarnation as left or down. If so, the member must continue under a larger
+        /// one.
         gone: bool,
-        /// Where the reply is wanted.
+        /// The address of the member that started the query, to which the reply goes.
         origin: SocketAddr,
     },
-    /// A member's own reply that it is alive; a relay passes it on to `origin`.
+    /// A member's reply that it is alive. A relay forwards it to `origin`.
     AliveReply {
-        /// Its record.
+        /// The member's current record.
         record: Box<Record>,
-        /// Who sent the query.
+        /// The address of the member that started the query.
         origin: SocketAddr,
     },
 }
 
-/// Why a datagram was dropped.
+/// Why a datagram cannot be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// The checksum does not match.
-    #[error("the checksum does not match")]
+    /// The checksum at the end does not match the bytes before it.
+    #[error("checksum does not match")]
     Checksum,
-    /// Ends before it is whole, or does not end where it should.
-    #[error("the datagram is cut short or too long")]
+    /// The datagram ends too early, or has bytes left after its message.
+    #[error("datagram is truncated or has trailing bytes")]
     Length,
-    /// A kind that this program does not know.
-    #[error("message kind {0} is not known")]
+    /// A message kind that this version does not support.
+    #[error("unknown message kind {0}")]
     UnknownKind(u8),
-    /// A record in it cannot be read.
-    #[error("a record cannot be read")]
+    /// A record in the datagram cannot be decoded.
+    #[error("record in the datagram cannot be decoded: {0}")]
     Record(#[from] RecordError),
     /// An incarnation above `MAX_INCARNATION`.
     #[error("incarnation {0} is out of range")]
     IncarnationOutOfRange(u64),
-    /// A liveness that this program does not know.
-    #[error("liveness {0} is not known")]
+    /// A liveness code that this version does not support.
+    #[error("unknown liveness code {0}")]
     UnknownLiveness(u8),
 }
 
 impl Envelope {
-    /// The bytes, big-endian: `header` (7), sender (address, incarnation 8), kind (1), the message, and a CRC-32 of
-    /// all before it (4). `None` where a record in it is beyond its bounds or the datagram would be too large.
+    /// Encodes the datagram, big-endian: `header` (7), sender (address, incarnation 8), kind (1), the message body, and
+    /// a CRC-32 of all before it (4). `None` if a record exceeds its limits or the datagram exceeds [`MAX_DATAGRAM`].
     pub fn encode(&self, header: &[u8; HEADER_BYTES]) -> Option<Vec<u8>> {
         let mut bytes = header.to_vec();
         put_id(&mut bytes, self.from);
@@ -115,10 +117,10 @@
         Some(bytes)
     }
 
-    /// Reads what [`Envelope::encode`] wrote; the header is the caller's to check.
+    /// Decodes the output of [`Envelope::encode`]. The caller has checked the header.
     ///
     /// # Errors
-    /// [`MessageError`] for anything else.
+    /// [`MessageError`] if the bytes are not a valid datagram.
     pub fn decode(bytes: &[u8]) -> Result<Envelope, MessageError> {
         let (body, crc) = bytes
             .split_last_chunk::<CRC_BYTES>()
@@ -127,8 +129,8 @@
             return Err(MessageError::Checksum);
         }
         let mut rest = body.get(HEADER_BYTES..).ok_or(MessageError::Length)?;
-        let from = take_id(&mut rest)?;
-        let message = Message::take(&mut rest)?;
+        let from = read_id(&mut rest)?;
+        let message = Message::read(&mut rest)?;
         if !rest.is_empty() {
             return Err(MessageError::Length);
         }
@@ -136,7 +138,7 @@
     }
 }
 
-/// Puts records into as few messages as hold them, in order; one that cannot be written is left out.
+/// Packs records in order into messages that each fit a datagram. Omits records that exceed their limits.
 pub fn batch_records(is_update: bool, records: Vec<Record>) -> Vec<Message> {
     let mut messages = Vec::new();
     let mut batch = Vec::new();
--- a/wrenseam/src/fleet/message/codec.rs
+++ b/wrenseam/src/fleet/message/codec.rs
@@ -1,5 +1,5 @@
-//! The bytes of the messages between members, big-endian. The numbers of the kinds are part of the protocol: members of
-//! other versions rely on them.
+//! Encoding and decoding of the messages between members, big-endian. The numbers of the message kinds are part of the
+//! protocol: members of other versions rely on them.
 use super::{Message, MessageError};
 use crate::fleet::identity::{put_address, take, take_address, PeerId, MAX_INCARNATION};
 use crate::fleet::member_digest::{Liveness, MemberDigest, PARTS};
@@ -15,7 +15,7 @@
 const KIND_ALIVE_REPLY: u8 = 6;
 
 impl Message {
-    /// The number that stands for its kind on the wire.
+    /// The number of the message's kind on the wire.
     fn wire_kind(&self) -> u8 {
         match self {
             Message::Digest(_) => KIND_DIGEST,
@@ -28,10 +28,10 @@
         }
     }
 
-    /// Appends the kind (1) and the body.
+    /// Appends the kind (1) and the body of the message.
     ///
     /// # Errors
-    /// [`RecordError`] where a record in it is beyond its bounds.
+    /// [`RecordError`] if a record in the message exceeds its limits.
     pub(super) fn put(&self, bytes: &mut Vec<u8>) -> Result<(), RecordError> {
         bytes.push(self.wire_kind());
         match self {
@@ -78,60 +78,60 @@
         Ok(())
     }
 
-    /// Takes what [`Message::put`] appended off the front of `rest`.
+    /// Decodes the output of [`Message::put`] from the front of `rest`, and removes it there.
     ///
     /// # Errors
-    /// [`MessageError`] for anything else.
-    pub(super) fn take(rest: &mut &[u8]) -> Result<Message, MessageError> {
-        let [kind] = need(rest)?;
+    /// [`MessageError`] if the bytes are not a valid message.
+    pub(super) fn read(rest: &mut &[u8]) -> Result<Message, MessageError> {
+        let [kind] = read_bytes(rest)?;
         match kind {
-            KIND_DIGEST => take_part_digests(rest),
-            KIND_HASHES => take_part_hashes(rest),
-            KIND_MEMBER_DIGESTS => take_member_digests(rest),
-            KIND_RECORDS => take_records(rest),
-            KIND_RECORD_REQUEST => Ok(Message::RecordRequest(until_empty(rest, need_address)?)),
-            KIND_ALIVE_QUERY => take_alive_query(rest),
-            KIND_ALIVE_REPLY => take_alive_reply(rest),
+            KIND_DIGEST => read_part_digests(rest),
+            KIND_HASHES => read_part_hashes(rest),
+            KIND_MEMBER_DIGESTS => read_member_digests(rest),
+            KIND_RECORDS => read_records(rest),
+            KIND_RECORD_REQUEST => Ok(Message::RecordRequest(read_all(rest, read_address)?)),
+            KIND_ALIVE_QUERY => read_alive_query(rest),
+            KIND_ALIVE_REPLY => read_alive_reply(rest),
             other => Err(MessageError::UnknownKind(other)),
         }
     }
 }
 
-fn take_part_digests(rest: &mut &[u8]) -> Result<Message, MessageError> {
+fn read_part_digests(rest: &mut &[u8]) -> Result<Message, MessageError> {
     let mut digests = [0; PARTS];
     for digest in &mut digests {
-        *digest = take_hash(rest)?;
+        *digest = read_hash(rest)?;
     }
     Ok(Message::Digest(digests))
 }
 
-fn take_part_hashes(rest: &mut &[u8]) -> Result<Message, MessageError> {
-    let parts = u16::from_be_bytes(need(rest)?);
-    let hashes = until_empty(rest, take_hash)?;
+fn read_part_hashes(rest: &mut &[u8]) -> Result<Message, MessageError> {
+    let parts = u16::from_be_bytes(read_bytes(rest)?);
+    let hashes = read_all(rest, read_hash)?;
     Ok(Message::Hashes { parts, hashes })
 }
 
-fn take_member_digests(rest: &mut &[u8]) -> Result<Message, MessageError> {
-    let count = u16::from_be_bytes(need(rest)?);
-    let unmatched: Result<Vec<u32>, MessageError> = (0..count).map(|_| take_hash(rest)).collect();
+fn read_member_digests(rest: &mut &[u8]) -> Result<Message, MessageError> {
+    let count = u16::from_be_bytes(read_bytes(rest)?);
+    let unmatched: Result<Vec<u32>, MessageError> = (0..count).map(|_| read_hash(rest)).collect();
     let unmatched = unmatched?;
-    let member_digests = until_empty(rest, take_member_digest)?;
+    let member_digests = read_all(rest, read_member_digest)?;
     Ok(Message::MemberDigests {
         unmatched,
         member_digests,
     })
 }
 
-fn take_records(rest: &mut &[u8]) -> Result<Message, MessageError> {
-    let is_update = take_flag(rest)?;
-    let records = until_empty(rest, take_record)?;
+fn read_records(rest: &mut &[u8]) -> Result<Message, MessageError> {
+    let is_update = read_flag(rest)?;
+    let records = read_all(rest, read_record)?;
     Ok(Message::Records { is_update, records })
 }
 
-fn take_alive_query(rest: &mut &[u8]) -> Result<Message, MessageError> {
-    let target = take_id(rest)?;
-    let gone = take_flag(rest)?;
-    let origin = need_address(rest)?;
+fn read_alive_query(rest: &mut &[u8]) -> Result<Message, MessageError> {
+    let target = read_id(rest)?;
+    let gone = read_flag(rest)?;
+    let origin = read_address(rest)?;
     Ok(Message::AliveQuery {
         target,
         gone,
@@ -139,29 +139,29 @@
     })
 }
 
-fn take_alive_reply(rest: &mut &[u8]) -> Result<Message, MessageError> {
-    let origin = need_address(rest)?;
-    let record = Box::new(take_record(rest)?);
+fn read_alive_reply(rest: &mut &[u8]) -> Result<Message, MessageError> {
+    let origin = read_address(rest)?;
+    let record = Box::new(read_record(rest)?);
     Ok(Message::AliveReply { record, origin })
 }
 
-/// Reads items until nothing is left; a datagram's length bounds how many.
-fn until_empty<T>(
+/// Reads items until nothing is left. The size of a datagram bounds their number.
+fn read_all<T>(
     rest: &mut &[u8],
-    item: impl Fn(&mut &[u8]) -> Result<T, MessageError>,
+    read_item: impl Fn(&mut &[u8]) -> Result<T, MessageError>,
 ) -> Result<Vec<T>, MessageError> {
     let mut items = Vec::new();
     while !rest.is_empty() {
-        items.push(item(rest)?);
+        items.push(read_item(rest)?);
     }
     Ok(items)
 }
 
-fn need<const N: usize>(rest: &mut &[u8]) -> Result<[u8; N], MessageError> {
+fn read_bytes<const N: usize>(rest: &mut &[u8]) -> Result<[u8; N], MessageError> {
     take(rest).ok_or(MessageError::Length)
 }
 
-fn need_address(rest: &mut &[u8]) -> Result<SocketAddr, MessageError> {
+fn read_address(rest: &mut &[u8]) -> Result<SocketAddr, MessageError> {
     take_address(rest).ok_or(MessageError::Length)
 }
 
@@ -171,12 +171,12 @@
     }
 }
 
-fn take_hash(rest: &mut &[u8]) -> Result<u32, MessageError> {
-    Ok(u32::from_be_bytes(need(rest)?))
+fn read_hash(rest: &mut &[u8]) -> Result<u32, MessageError> {
+    Ok(u32::from_be_bytes(read_bytes(rest)?))
 }
 
-fn take_flag(rest: &mut &[u8]) -> Result<bool, MessageError> {
-    let [flag] = need(rest)?;
+fn read_flag(rest: &mut &[u8]) -> Result<bool, MessageError> {
+    let [flag] = read_bytes(rest)?;
     Ok(flag != 0)
 }
 
@@ -185,14 +185,14 @@
     bytes.extend(id.incarnation.to_be_bytes());
 }
 
-pub(super) fn take_id(rest: &mut &[u8]) -> Result<PeerId, MessageError> {
-    let addr = need_address(rest)?;
-    let incarnation = take_incarnation(rest)?;
+pub(super) fn read_id(rest: &mut &[u8]) -> Result<PeerId, MessageError> {
+    let addr = read_address(rest)?;
+    let incarnation = read_incarnation(rest)?;
     Ok(PeerId { addr, incarnation })
 }
 
-fn take_incarnation(rest: &mut &[u8]) -> Result<u64, MessageError> {
-    let incarnation = u64::from_be_bytes(need(rest)?);
+fn read_incarnation(rest: &mut &[u8]) -> Result<u64, MessageError> {
+    let incarnation = u64::from_be_bytes(read_bytes(rest)?);
     if incarnation > MAX_INCARNATION {
         return Err(MessageError::IncarnationOutOfRange(incarnation));
     }
@@ -207,14 +207,14 @@
     bytes.extend(member_digest.checksum.to_be_bytes());
 }
 
-fn take_member_digest(rest: &mut &[u8]) -> Result<MemberDigest, MessageError> {
-    let owner = need_address(rest)?;
-    let incarnation = take_incarnation(rest)?;
-    let version = u32::from_be_bytes(need(rest)?);
-    let [liveness] = need(rest)?;
+fn read_member_digest(rest: &mut &[u8]) -> Result<MemberDigest, MessageError> {
+    let owner = read_address(rest)?;
+    let incarnation = read_incarnation(rest)?;
+    let version = u32::from_be_bytes(read_bytes(rest)?);
+    let [liveness] = read_bytes(rest)?;
     let liveness =
         Liveness::from_wire_code(liveness).ok_or(MessageError::UnknownLiveness(liveness))?;
-    let checksum = u32::from_be_bytes(need(rest)?);
+    let checksum = u32::from_be_bytes(read_bytes(rest)?);
     Ok(MemberDigest {
         owner,
         stamp: Stamp {
@@ -233,8 +233,8 @@
     Ok(())
 }
 
-fn take_record(rest: &mut &[u8]) -> Result<Record, MessageError> {
-    let length = usize::from(u16::from_be_bytes(need(rest)?));
+fn read_record(rest: &mut &[u8]) -> Result<Record, MessageError> {
+    let length = usize::from(u16::from_be_bytes(read_bytes(rest)?));
     let (encoded, tail) = rest.split_at_checked(length).ok_or(MessageError::Length)?;
     *rest = tail;
     Ok(Record::decode(encoded)?)
--- a/wrenseam/src/fleet/mod.rs
+++ b/wrenseam/src/fleet/mod.rs
@@ -1,16 +1,18 @@
-//! What the fleet of front ends decides together, without I/O. From the ground up:
+//! The protocols and decisions that front ends share as a fleet, without I/O. From the bottom layer up:
 //!
-//! - [`identity`]: who a peer is, and the header that all datagrams share;
-//! - [`record`], [`member_digest`], [`directory`]: what each member publishes about itself, its short form, and what
-//!   is known of all members;
-//! - [`message`], [`repair`], [`rumor`], [`liveness_check`]: how the directories are kept the same everywhere, by
-//!   anti-entropy and rumor mongering;
-//! - [`detector`], [`swim`]: failure detection and membership; [`members`]: membership and records as one;
-//! - [`average`]: the mean pressure at bounded cost; [`summary`]: loads for front ends that know no averaging;
-//! - [`traffic`]: the byte budget; [`node`], [`status`]: one front end's gossip as a whole, and its view of the fleet;
-//! - [`budget`], [`shed`]: the retry budget that the fleet shares, and load shedding by class.
+//! - [`identity`]: the identity of a peer, and the header of all datagrams;
+//! - [`record`], [`member_digest`], [`directory`]: the record that each member publishes about itself, its digest, and
+//!   the table of all known members;
+//! - [`message`], [`repair`], [`rumor`], [`liveness_check`]: replication of the directory by anti-entropy repair and
+//!   rumor mongering;
+//! - [`detector`], [`swim`]: failure detection and membership; [`members`]: membership and records combined;
+//! - [`average`]: the fleet's mean pressure by pairwise averaging with a bounded number of neighbours; [`summary`]:
+//!   load summaries for front ends of versions without averaging;
+//! - [`traffic`]: the byte budget; [`node`], [`status`]: all of these combined for one front end, and its view of the
+//!   fleet;
+//! - [`budget`], [`shed`]: the retry budget shared by the fleet, and load shedding by class.
 //!
-//! The sockets are in the module `gossip`; docs/fleet.md and docs/fleet-view.md have the design.
+//! The module `gossip` has the socket. docs/fleet.md and docs/fleet-view.md describe the design.
 pub mod average;
 pub mod budget;
 pub mod detector;
--- a/wrenseam/src/fleet/shed.rs
+++ b/wrenseam/src/fleet/shed.rs
@@ -1,54 +1,56 @@
-//! Load shedding by class across the fleet: under overload every front end sheds the same classes first, in the order
-//! of the settings, by as much as the fleet's pressure asks, so that the shed fraction converges across front ends.
-//! No I/O; time is handed in, in microseconds, and chance comes from a seeded generator.
+//! Load shedding by class. Under overload, every front end sheds the same classes first, in the configured order, and
+//! computes the fraction to shed from the fleet's mean pressure, so that the front ends converge on the same fraction.
+//! No I/O; the caller passes the time, in microseconds, and random numbers.
 use wrenseam_policy::Micros;
 
-/// The pressure of a fleet at its capacity, in thousandths.
+/// The pressure, in thousandths, of a fleet that is at its capacity.
 const PRESSURE_AT_CAPACITY: f64 = 1000.0;
-/// How far the shed part moves towards its target with each pressure: halfway, so that a burst in one summary moves it
-/// some, not all.
+/// The weight of a new sample in the exponentially smoothed shed fraction. At one half, a burst in a single load report
+/// moves the fraction only halfway to its target.
 const SMOOTHING: f64 = 0.5;
 
-/// Decides which arriving requests are shed.
+/// Decides which arriving requests to shed.
 ///
-/// `order` ranks the classes, those shed first at the front. At fleet pressure `p` (in-flight over
-/// capacity; 1.0 at capacity) the part to shed is `1 - 1/p` above `1`, 0 below; it is taken from the
-/// front of the order by each class's share of the recent arrivals, the class at the edge in part.
+/// The shed order ranks the classes; rank 0 is shed first. At a fleet pressure `p` (requests in flight divided by
+/// capacity), the fraction of arrivals to shed is `1 - 1/p` if `p` is above 1, else 0. Classes are shed completely in
+/// their order as long as their share of recent arrivals fits into that fraction. The next class is shed at random to
+/// make up the rest.
 #[derive(Clone, Debug)]
 pub struct Shedder {
-    /// For each class of the settings, its rank in the order; classes not named come last, never shed.
+    /// The rank in the shed order of each class in the settings; `None` for classes that are never shed.
     ranks: Vec<Option<usize>>,
-    /// Arrivals of each rank, decayed, and last those of classes that are never shed.
+    /// Exponentially decayed arrivals per rank. The last element counts the classes that are never shed.
     arrivals: Vec<f64>,
-    decay_for: Micros,
+    /// The time in which arrivals decay by a factor of e.
+    decay_time: Micros,
     /// When arrivals were last decayed.
     decayed_at: Micros,
-    /// The part of arrivals to shed, by the pressures so far.
+    /// The smoothed fraction of arrivals to shed.
     shed_fraction: f64,
 }
 
 impl Shedder {
-    /// `order[i]` is the index of a class in the settings, `classes` their count; `decay_for` is the time
-    /// over which arrivals count (microseconds).
-    pub fn new(order: &[usize], classes: usize, decay_for: Micros) -> Self {
+    /// `order` lists the classes to shed, as indices into the settings, which have `classes` classes; those shed first
+    /// come first. Arrivals decay by a factor of e in `decay_time` microseconds.
+    pub fn new(order: &[usize], classes: usize, decay_time: Micros) -> Self {
         let mut ranks = vec![None; classes];
         for (rank, &class) in order.iter().enumerate() {
-            if let Some(unranked) = ranks.get_mut(class).filter(|known| known.is_none()) {
+            if let Some(unranked) = ranks.get_mut(class).filter(|rank| rank.is_none()) {
                 *unranked = Some(rank);
             }
         }
-        // One count a rank, and one for the classes that are never shed: they count in the total.
+        // One more count than ranks: classes that are never shed count in the total arrivals.
         let ranked = ranks.iter().flatten().count();
         Shedder {
             ranks,
             arrivals: vec![0.0; ranked + 1],
-            decay_for: decay_for.max(1),
+            decay_time: decay_time.max(1),
             decayed_at: 0,
             shed_fraction: 0.0,
         }
     }
 
-    /// The fleet's pressure at `now`, in thousandths of capacity.
+    /// Updates the shed fraction from the fleet's pressure at `now`, in thousandths of capacity.
     pub fn set_pressure(&mut self, now: Micros, thousandths: u32) {
         let pressure = f64::from(thousandths) / PRESSURE_AT_CAPACITY;
         let target = if pressure > 1.0 {
@@ -60,15 +62,15 @@
         self.decay(now);
     }
 
-    /// The part of arrivals that is shed now.
+    /// The fraction of arrivals that is currently shed, from 0 to 1.
     pub fn shed_fraction(&self) -> f64 {
         self.shed_fraction
     }
 
     fn decay(&mut self, now: Micros) {
-        let past = now.saturating_sub(self.decayed_at) as f64 / self.decay_for as f64;
-        if past > 0.0 {
-            let remaining = (-past).exp();
+        let decay_times = now.saturating_sub(self.decayed_at) as f64 / self.decay_time as f64;
+        if decay_times > 0.0 {
+            let remaining = (-decay_times).exp();
             for arrivals in &mut self.arrivals {
                 *arrivals *= remaining;
             }
@@ -76,12 +78,13 @@
         }
     }
 
-    /// Whether a request of class `class` that arrives at `now` is shed; `chance` is uniform in [0, 1).
+    /// Whether to shed a request of this class that arrives at `now`. Counts the arrival. `chance` is a random number,
+    /// uniform in [0, 1).
     pub fn should_shed(&mut self, now: Micros, class: usize, chance: f64) -> bool {
         self.decay(now);
-        let never_shed = self.arrivals.len() - 1;
+        let never_shed_index = self.arrivals.len() - 1;
         let rank = self.ranks.get(class).copied().flatten();
-        self.arrivals[rank.unwrap_or(never_shed)] += 1.0;
+        self.arrivals[rank.unwrap_or(never_shed_index)] += 1.0;
         let Some(rank) = rank else {
             return false;
         };
@@ -89,9 +92,9 @@
             return false;
         }
         let total: f64 = self.arrivals.iter().sum();
-        let before: f64 = self.arrivals[..rank].iter().sum::<f64>() / total;
-        let own = self.arrivals[rank] / total;
-        let remaining = self.shed_fraction - before;
-        remaining >= own || remaining > 0.0 && chance < remaining / own
+        let earlier_share: f64 = self.arrivals[..rank].iter().sum::<f64>() / total;
+        let own_share = self.arrivals[rank] / total;
+        let remaining = self.shed_fraction - earlier_share;
+        remaining >= own_share || remaining > 0.0 && chance < remaining / own_share
     }
 }
--- a/wrenseam/src/fleet/status.rs
+++ b/wrenseam/src/fleet/status.rs
@@ -1,4 +1,4 @@
-//! What a front end makes of its fleet at one moment, for the core and for telemetry.
+//! A front end's view of the fleet at one time, for the core and for telemetry.
 use super::average::{DroppedExchanges, EdgeCounts};
 use super::members::RecordCounts;
 use super::record::Lifecycle;
@@ -6,41 +6,43 @@
 use super::traffic::TrafficKind;
 use wrenseam_policy::Micros;
 
-/// What a front end makes of its fleet at one moment.
+/// A front end's view of the fleet at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetStatus {
-    /// Peers counted alive, besides itself.
+    /// Number of peers counted alive, without this front end.
     pub alive: usize,
-    /// Of these, by lifecycle in the order of [`Lifecycle::ALL`].
+    /// Number of peers counted alive per lifecycle, in the order of [`Lifecycle::ALL`].
     pub by_lifecycle: [usize; Lifecycle::ALL.len()],
-    /// Peers that said that they are draining or leaving since the status before.
+    /// Number of peers that announced since the previous status that they drain or leave.
     pub departed: usize,
-    /// The digest of the whole view.
+    /// A digest of the members, their incarnations and their records. Equal at two front ends that hold the same view.
     pub view_digest: u64,
-    /// For how long the digest has stood, in microseconds.
+    /// How long the digest has not changed, in microseconds.
     pub view_unchanged_for: Micros,
-    /// Mean in-flight over capacity of the fleet, in thousandths.
+    /// The fleet's mean pressure: requests in flight divided by capacity, in thousandths.
     pub pressure: u32,
-    /// The edges of the averaging.
+    /// The number of edges of the averaging at this front end.
     pub edges: EdgeCounts,
-    /// Whether a front end from before the averaging is in the fleet, and the mean is of summaries.
+    /// Whether the fleet contains a front end of a version without averaging. The pressure is then the mean of load
+    /// summaries.
     pub mixed: bool,
-    /// How many times longer this front end's probes and suspicions are: Lifeguard's local health multiplier.
+    /// Lifeguard's local health multiplier: the factor by which this front end's probe and suspicion time-outs are
+    /// longer than configured.
     pub health_multiplier: u32,
     /// Bytes sent, in the order of [`TrafficKind::ALL`].
     pub bytes_sent: [u64; TrafficKind::ALL.len()],
-    /// Bytes deferred by the byte budget, in the order of [`TrafficKind::ALL`].
+    /// Bytes not sent because they exceeded the byte budget, in the order of [`TrafficKind::ALL`].
     pub bytes_over_budget: [u64; TrafficKind::ALL.len()],
-    /// What became of the datagrams of records.
+    /// Counts of the datagrams that carry records.
     pub records: RecordCounts,
-    /// Datagrams dropped, by cause.
+    /// Datagrams dropped by SWIM, by cause.
     pub dropped: Dropped,
-    /// Datagrams of the averaging dropped, by cause.
+    /// Datagrams dropped by the averaging, by cause.
     pub average_dropped: DroppedExchanges,
 }
 
 impl FleetStatus {
-    /// Peers that take clients.
+    /// Number of peers that accept clients.
     pub fn ready(&self) -> usize {
         self.by_lifecycle[Lifecycle::Ready.index()]
     }
--- a/wrenseam/src/fleet/summary.rs
+++ b/wrenseam/src/fleet/summary.rs
@@ -1,5 +1,5 @@
-//! The load summary that each front end gossips, its bytes, and the table of the newest of each peer.
-//! No I/O; time is handed in, in microseconds.
+//! The load summary that a front end gossips, its encoding, and a table of the newest summary of each peer.
+//! No I/O; the caller passes the time, in microseconds.
 use super::identity::MAX_PRESSURE;
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -7,9 +7,9 @@
 
 /// Bytes of an encoded summary.
 pub const SUMMARY_BYTES: usize = 64;
-/// What every summary begins with.
+/// The first bytes of every summary.
 const MAGIC: [u8; 2] = *b"wS";
-/// Where each field begins.
+// Offsets of the fields in an encoded summary.
 const FAMILY_AT: usize = 2;
 const PORT_AT: usize = 3;
 const ADDRESS_AT: usize = 5;
@@ -18,59 +18,57 @@
 const HEALTHY_AT: usize = 53;
 const AVERAGING_AT: usize = 55;
 const CRC_AT: usize = SUMMARY_BYTES - 4;
-/// Address families on the wire.
+// Wire values of the address family.
 const FAMILY_NONE: u8 = 0;
 const FAMILY_V4: u8 = 4;
 const FAMILY_V6: u8 = 6;
 
-/// What one front end tells the fleet of its load, at one moment.
-///
-/// Counts are over the retry budget's window; `pressure` is in-flight over capacity, in thousandths.
+/// The load of one front end at one time, as it is gossiped to the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// Who: the front end's gossip address.
+    /// The gossip address of the front end that the summary describes. `None` until it is published.
     pub origin: Option<SocketAddr>,
-    /// Its sequence number: a larger one replaces a smaller one of the same origin.
+    /// The sequence number: a summary replaces one of the same origin with a smaller number.
     pub seq: u64,
-    /// Requests taken and not answered.
+    /// The number of open requests.
     pub in_flight: u32,
-    /// In-flight over capacity, in thousandths (1000: at capacity).
+    /// Requests in flight divided by capacity, in thousandths: 1000 at capacity.
     pub pressure: u32,
-    /// First attempts sent in the window.
+    /// First attempts in the window of the retry budget.
     pub first_attempts: u32,
-    /// Extra attempts (hedged requests, retries) sent in the window.
+    /// Extra attempts (hedged requests and retries) in the window of the retry budget.
     pub extra_attempts: u32,
-    /// Extra attempts that the budget refused in the window.
+    /// Extra attempts that the retry budget denied in its window.
     pub denied: u32,
-    /// Requests refused by shedding in the window.
+    /// Requests shed since the start of the process.
     pub shed: u32,
-    /// Workers that this front end counts healthy.
+    /// The number of healthy workers. Front ends of this version write 0.
     pub healthy: u16,
-    /// Whether it takes part in the averaging ([`super::average`]); front ends of earlier versions write a zero here.
+    /// Whether the front end takes part in the averaging ([`super::average`]). Versions without averaging write 0 here.
     pub supports_averaging: bool,
 }
 
-/// Why bytes were not a summary.
+/// Why bytes cannot be decoded as a summary.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SummaryError {
-    /// Not as long as a summary.
-    #[error("{0} bytes, {SUMMARY_BYTES} expected")]
+    /// The number of bytes, which differs from [`SUMMARY_BYTES`].
+    #[error("load summary of {0} bytes, {SUMMARY_BYTES} expected")]
     Length(usize),
-    /// Not one of ours.
-    #[error("not a summary")]
+    /// The first bytes are not those of a summary.
+    #[error("not a load summary")]
     Magic,
     /// The checksum does not match.
-    #[error("checksum does not match")]
+    #[error("checksum of the load summary does not match")]
     Checksum,
-    /// An address family that is not IPv4 or IPv6.
-    #[error("address family {0}")]
+    /// An unknown address family; 0 (none), 4 and 6 are valid.
+    #[error("unknown address family {0} in a load summary")]
     Family(u8),
 }
 
 impl Summary {
-    /// The 64 bytes, big-endian: magic (2), family (1: 0 none, 4, 6), port (2), address (16), seq (8),
-    /// in-flight, pressure, first_attempts, extra_attempts, denied, shed (4 each), healthy (2), averaging (1), zeros, CRC-32 of all
-    /// before it (4).
+    /// Encodes the summary in 64 bytes, big-endian: magic (2), family (1: 0 none, 4 or 6), port (2), address (16), seq
+    /// (8), in-flight requests, pressure, first attempts, extra attempts, denied, shed (4 each), healthy (2), averaging
+    /// (1), zeros, and a CRC-32 of all before it (4).
     pub fn encode(&self) -> [u8; SUMMARY_BYTES] {
         let mut bytes = [0u8; SUMMARY_BYTES];
         bytes[..MAGIC.len()].copy_from_slice(&MAGIC);
@@ -94,7 +92,7 @@
         bytes
     }
 
-    /// Reads what [`Summary::encode`] wrote.
+    /// Decodes the output of [`Summary::encode`].
     ///
     /// # Errors
     /// [`SummaryError`] for bytes of another length, magic or checksum, or an unknown family.
@@ -124,7 +122,7 @@
     }
 }
 
-/// Writes the family, port and address of a summary's origin; zeros for none.
+/// Writes the family, port and address of a summary's origin. Leaves them 0 if there is none.
 fn put_origin(bytes: &mut [u8; SUMMARY_BYTES], origin: Option<SocketAddr>) {
     let Some(origin) = origin else {
         return;
@@ -142,7 +140,7 @@
     }
 }
 
-/// Reads what [`put_origin`] wrote.
+/// Reads the origin that [`put_origin`] wrote.
 fn origin_of(bytes: &[u8; SUMMARY_BYTES]) -> Result<Option<SocketAddr>, SummaryError> {
     let port = u16::from_be_bytes(array_at(bytes, PORT_AT));
     match bytes[FAMILY_AT] {
@@ -159,21 +157,20 @@
     }
 }
 
-/// The `N` bytes from `at` on, which are inside a summary.
+/// The `N` bytes at an offset, all of which must be inside the summary.
 fn array_at<const N: usize>(bytes: &[u8; SUMMARY_BYTES], at: usize) -> [u8; N] {
     std::array::from_fn(|offset| bytes[at + offset])
 }
 
-/// A summary and when it came.
+/// A summary and when it was received.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedSummary {
     summary: Summary,
     received_at: Micros,
 }
 
-/// The newest summary of each peer, and when it came.
-///
-/// Holds at most `capacity` origins; a new origin beyond that replaces the one heard of longest ago.
+/// The newest summary of each peer. At most `capacity` are kept; a further peer replaces the one whose summary is the
+/// oldest.
 #[derive(Clone, Debug)]
 pub struct Summaries {
     capacity: usize,
@@ -181,19 +178,20 @@
     by_origin: BTreeMap<SocketAddr, ReceivedSummary>,
 }
 
-/// What came of a summary given to [`Summaries::insert`].
+/// The result of [`Summaries::insert`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InsertOutcome {
-    /// Newer than the one before: taken, and to be passed on.
+    /// The summary is newer than the known one. It was stored and is to be gossiped on.
     Updated,
-    /// Not newer than the one known (a repeat, or one that came out of order): dropped.
+    /// The summary is not newer than the known one (a duplicate, or reordered) and was dropped.
     Stale,
-    /// No origin, or our own.
+    /// The summary has no origin, or is this front end's own, and was dropped.
     Foreign,
 }
 
 impl Summaries {
-    /// Capacity for so many peers; a summary counts for `fresh_for` microseconds after it came.
+    /// An empty table for up to `capacity` peers, at least 1. A summary is fresh for `fresh_for` microseconds after it
+    /// was received.
     pub fn new(capacity: usize, fresh_for: Micros) -> Self {
         Summaries {
             capacity: capacity.max(1),
@@ -202,7 +200,8 @@
         }
     }
 
-    /// Takes a summary that came at `now`, unless it is ours (`own`) or not newer.
+    /// Stores a summary received at `now`, unless its origin is this front end (`own`) or it is not newer than the
+    /// known one.
     pub fn insert(&mut self, now: Micros, own: SocketAddr, summary: Summary) -> InsertOutcome {
         let Some(origin) = summary.origin.filter(|&origin| origin != own) else {
             return InsertOutcome::Foreign;
@@ -222,7 +221,7 @@
         InsertOutcome::Updated
     }
 
-    /// Makes room for one by forgetting the peer heard of longest ago.
+    /// Removes the summary that was received the longest time ago.
     fn evict_oldest(&mut self) {
         let oldest = self
             .by_origin
@@ -234,12 +233,12 @@
         }
     }
 
-    /// Forgets a peer that membership counts as gone.
+    /// Removes the summary of a peer, once it has left or was declared down.
     pub fn forget(&mut self, origin: SocketAddr) {
         self.by_origin.remove(&origin);
     }
 
-    /// Summaries that came within their freshness, in the order of their origins.
+    /// The summaries that are still fresh at `now`, ordered by origin.
     pub fn fresh(&self, now: Micros) -> impl Iterator<Item = &Summary> {
         self.by_origin
             .values()
@@ -247,8 +246,9 @@
             .map(|received| &received.summary)
     }
 
-    /// The fleet's pressure in thousandths: the mean of this front end's own and its peers' fresh ones, each
-    /// at most [`MAX_PRESSURE`], so that one that lies moves the mean by at most that over N.
+    /// The fleet's mean pressure in thousandths, from this front end's `own` and the fresh summaries of its peers. Each
+    /// is limited to [`MAX_PRESSURE`], so that a peer that reports a wrong value can shift the mean of N front ends by
+    /// at most `MAX_PRESSURE / N`.
     pub fn pressure(&self, now: Micros, own: u32) -> u32 {
         let mut sum = u64::from(own.min(MAX_PRESSURE));
         let mut front_ends = 1;
--- a/wrenseam/src/fleet/traffic.rs
+++ b/wrenseam/src/fleet/traffic.rs
@@ -1,41 +1,43 @@
-//! The byte budget: one token bucket for all that a front end gossips, and the bytes sent by kind. No I/O; time is handed in.
+//! The byte budget: a token bucket that limits all the datagrams that a front end sends to the fleet, and the bytes
+//! sent per kind. No I/O; the caller passes the time.
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// The largest mean rate of a front end, in bytes a second: with as many received, and [`BURST_BYTES`] besides,
-/// the worst second stays under 22 KB.
+/// The sustained rate of the token bucket, in bytes per second. A front end that sends and receives at this rate, with
+/// one burst of [`BURST_BYTES`] each way, stays under 22 KB of traffic in any second.
 pub const BYTES_PER_SECOND: i64 = 9_200;
-/// Bytes that may be sent at once after a quiet time.
+/// The capacity of the token bucket: the bytes that may be sent at once after idle time.
 pub const BURST_BYTES: i64 = 1_700;
 
 /// Microseconds in a second.
 const MICROS_PER_SECOND: i64 = 1_000_000;
-/// A longer time than this, in microseconds, earns no more: the bucket is full long before, and the product stays
-/// small.
-const LONGEST_REFILL: Micros = 10_000_000;
+/// The longest time, in microseconds, that one refill credits. The bucket is full long before, and the bound keeps the
+/// multiplication from overflowing.
+const MAX_REFILL_TIME: Micros = 10_000_000;
 
-/// What a datagram is for, the least dispensable first.
+/// What a datagram is for. Datagrams of one batch are sent in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficKind {
-    /// Probes, their acknowledgements and inquiries: always sent.
+    /// SWIM's direct and indirect probes and their acknowledgements, liveness queries and
+    /// replies, and leave notices. Always sent.
     Probe,
-    /// Exchanges of the averaging: of bounded number, always sent.
+    /// Exchanges of the averaging. Always sent, as their number is bounded.
     Average,
-    /// Joins, and the lists of members that answer them.
+    /// Join requests, the member lists that answer them, and notices to senders whose incarnation is outdated.
     Join,
-    /// What a repair between two members calls for, once begun: it sends nobody what it has, and so goes before what
-    /// does.
+    /// The later steps of a repair between two members. They rank above rumors and gossip because a repair sends only
+    /// what the receiver lacks.
     Repair,
-    /// The first two steps of a repair: none is begun that could not be ended.
+    /// The first two steps of a repair. Their reserve prevents the start of a repair that the budget could not finish.
     RepairBegin,
-    /// Records that have just changed.
+    /// Records that have just changed, passed on to random members.
     Rumor,
     /// SWIM's periodic gossip of membership updates.
     MembershipGossip,
 }
 
 impl TrafficKind {
-    /// All kinds, in the order of [`ByteBudget::sent`].
+    /// All kinds in the order in which they are sent. Counts per kind have the same order.
     pub const ALL: [TrafficKind; 7] = [
         TrafficKind::Probe,
         TrafficKind::Average,
@@ -46,12 +48,12 @@
         TrafficKind::MembershipGossip,
     ];
 
-    /// Its place in [`TrafficKind::ALL`] and in arrays by kind.
+    /// The kind's index in [`TrafficKind::ALL`] and in arrays of counts per kind.
     pub fn index(self) -> usize {
         self as usize
     }
 
-    /// Its name in telemetry.
+    /// The kind's name in telemetry.
     pub fn name(self) -> &'static str {
         match self {
             TrafficKind::Probe => "probe",
@@ -64,7 +66,8 @@
         }
     }
 
-    /// Tokens that have to be left once it is sent; `None`: it is sent whatever is left.
+    /// The tokens that must be left after sending a datagram of this kind. `None` if it is always sent; a negative
+    /// number lets the kind overdraw the bucket.
     fn reserve(self) -> Option<i64> {
         match self {
             TrafficKind::Probe | TrafficKind::Average => None,
@@ -77,25 +80,26 @@
     }
 }
 
-/// A datagram to send: where to, what it is for, and its bytes.
+/// A datagram to send.
 #[derive(Clone, Debug)]
 pub struct Outgoing {
-    /// Where to.
+    /// The receiver's gossip address.
     pub to: SocketAddr,
-    /// What for.
+    /// What the datagram is for, which decides when the byte budget admits it.
     pub kind: TrafficKind,
-    /// The bytes.
+    /// The complete datagram, header included.
     pub bytes: Vec<u8>,
 }
 
-/// A token bucket over all kinds, each of which leaves a reserve to those before it.
+/// A token bucket shared by datagrams of all kinds. A kind is sent only if its reserve is left for the others.
 #[derive(Clone, Debug)]
 pub struct ByteBudget {
+    /// Bytes that may be sent now; negative when overdrawn.
     tokens: i64,
     refilled_at: Micros,
-    /// Bytes sent, by kind.
+    /// Bytes sent, in the order of [`TrafficKind::ALL`].
     pub sent: [u64; TrafficKind::ALL.len()],
-    /// Bytes deferred, by kind.
+    /// Bytes not sent because they exceeded the budget, in the order of [`TrafficKind::ALL`].
     pub over_budget: [u64; TrafficKind::ALL.len()],
 }
 
@@ -112,7 +116,7 @@
 }
 
 impl ByteBudget {
-    /// Whether a datagram of so many bytes may go at `now`; counts it either way.
+    /// Whether a datagram of `bytes` bytes may be sent at `now`. Counts it as sent or as over budget.
     pub fn admit(&mut self, now: Micros, kind: TrafficKind, bytes: usize) -> bool {
         self.refill(now);
         let size = bytes as i64;
@@ -120,7 +124,8 @@
             .reserve()
             .is_none_or(|reserve| self.tokens - size >= reserve);
         if admitted {
-            // What always goes may overdraw, up to a second's worth: the others then wait for that long.
+            // Kinds that are always sent may overdraw the bucket by up to one second of the rate, which then delays
+            // the other kinds by as much.
             self.tokens = (self.tokens - size).max(-BYTES_PER_SECOND);
             self.sent[kind.index()] += bytes as u64;
         } else {
@@ -129,16 +134,16 @@
         admitted
     }
 
-    /// Whether less than half of the burst is left, so that a repair could not be ended.
+    /// Whether less than half of the burst is left at `now`, which is too little to complete a repair.
     pub fn is_low(&mut self, now: Micros) -> bool {
         self.refill(now);
         self.tokens < BURST_BYTES / 2
     }
 
     fn refill(&mut self, now: Micros) {
-        let passed = now.saturating_sub(self.refilled_at).min(LONGEST_REFILL) as i64;
-        let earned = passed * BYTES_PER_SECOND / MICROS_PER_SECOND;
-        // Time that earned less than a byte is not taken, or frequent calls would earn nothing.
+        let elapsed = now.saturating_sub(self.refilled_at).min(MAX_REFILL_TIME) as i64;
+        let earned = elapsed * BYTES_PER_SECOND / MICROS_PER_SECOND;
+        // Time that earned less than a byte is left for the next refill, or frequent calls would never earn a byte.
         if earned > 0 {
             self.tokens = (self.tokens + earned).min(BURST_BYTES);
             self.refilled_at = now;
