--- a/wrenseam/src/fleet/average.rs
+++ b/wrenseam/src/fleet/average.rs
@@ -1,11 +1,12 @@
-//! The fleet's mean pressure by Flow Updating (Jesus, Baquero, Almeida: averaging that tolerates faults), without
-//! I/O: datagrams come in as bytes with the time, what is to be sent is collected for the caller.
+//! The fleet's mean pressure, computed by Flow Updating (Jesus, Baquero and Almeida's fault-tolerant averaging). No
+//! I/O: the caller passes received datagrams and the time, and collects the datagrams to send.
 //!
-//! Each front end keeps an edge to a bounded number of peers, whatever the fleet's size: its neighbours on
-//! [`RINGS`] rings, each of all members in an order of its own by hash. An edge has a flow, the part of the
-//! pressure passed over it; a front end's estimate is its own pressure less the sum of its flows. An exchange
-//! over an edge brings both estimates to their middle. Flows are sent as they stand, not as changes: a lost or
-//! repeated datagram costs time and no mass, and an edge that ends takes its flow with it on both sides.
+//! Each front end has edges to a bounded number of peers, whatever the size of the fleet. These are its neighbours on
+//! [`RINGS`] rings, each of which holds all members in a different order, by hash. Each edge has a flow: the pressure
+//! that was transferred over it. A front end's estimate of the mean is its own pressure minus the sum of its flows. An
+//! exchange over an edge sets the estimates at both ends to their mean. Datagrams carry the total flow and not its
+//! change, so lost and duplicated datagrams only delay convergence and do not change the mean. When an edge ends, both
+//! sides discard its flow.
 mod edge;
 mod exchange;
 mod neighbours;
@@ -21,114 +22,117 @@
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// Exchanges that a front end begins in a probe period.
+/// Number of turns per probe period. A front end starts at most one exchange in each.
 pub const EXCHANGES_PER_PROBE: Micros = 5;
-/// The largest flow over an edge, in thousandths: two front ends alone at 0 and [`MAX_PRESSURE`] need half of it.
+/// Maximum flow over an edge, in thousandths of capacity. A fleet of two front ends with pressures 0 and
+/// [`MAX_PRESSURE`] needs as much: half of the difference.
 pub const MAX_FLOW: u32 = MAX_PRESSURE / 2;
 
-/// Units in a thousandth of capacity: estimates and flows are counted in millionths.
-const UNIT: i32 = 1000;
-/// The largest estimate that counts, in units.
-const LARGEST_ESTIMATE: i32 = MAX_PRESSURE as i32 * UNIT;
-/// The largest flow over an edge, in units.
-const LARGEST_FLOW: i32 = MAX_FLOW as i32 * UNIT;
-/// An edge not heard over for so many rounds has no flow: at 1% loss each way that is 8e-6 of edges a round by
-/// chance, for one round.
+/// Units per thousandth of capacity. Estimates and flows are integers in millionths of capacity, called units here.
+const UNITS_PER_THOUSANDTH: i32 = 1000;
+/// Maximum estimate, in units. Larger estimates from neighbours are clamped.
+const MAX_ESTIMATE_UNITS: i32 = MAX_PRESSURE as i32 * UNITS_PER_THOUSANDTH;
+/// Maximum flow over an edge, in units.
+const MAX_FLOW_UNITS: i32 = MAX_FLOW as i32 * UNITS_PER_THOUSANDTH;
+/// Number of rounds without a datagram after which an edge counts as silent and its flow is reset. With 1% datagram
+/// loss in each direction, this happens by chance to 8e-6 of the edges per round, and lasts one round.
 const SILENT_ROUNDS: Micros = 3;
-/// Of a change of our own pressure a quarter is taken up each turn: loads jump from sample to sample, and a jump
-/// is in our own estimate until exchanges have spread it. It puts a step off by some 0.5 s.
-const SMOOTHING_TURNS: i32 = 4;
-/// What is reported is the mean over so many turns: a probe period.
+/// Smoothing of this front end's own pressure: each turn applies a quarter of the difference to the measured value. The
+/// load varies between samples, and each jump distorts the local estimate until exchanges have spread it. The smoothing
+/// delays a step of the load by about 0.5 s.
+const SMOOTHING_DIVISOR: i32 = 4;
+/// Number of turns over which the reported pressure is averaged: one probe period.
 const REPORTED_TURNS: usize = EXCHANGES_PER_PROBE as usize;
-/// The shortest turn, in microseconds, however short the probe period.
-const SHORTEST_TURN: Micros = 1000;
-/// Mixed into the seed, so that the averaging draws other numbers than the rest of the node.
+/// Minimum time between turns, in microseconds, however short the probe period is.
+const MIN_TURN_INTERVAL: Micros = 1000;
+/// XORed with the seed, so that the averaging draws different random numbers from the rest of the node.
 const SEED_SALT: u64 = 0x666c_6f77;
 
-/// Datagrams of the averaging that were dropped, by cause.
+/// Counts of dropped averaging datagrams, by cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DroppedExchanges {
-    /// Cut short, of an unknown kind, or the checksum does not match.
+    /// Truncated, of an unknown kind, or with a wrong checksum.
     pub garbled: u64,
-    /// Of an earlier incarnation of the peer, a repeat, or older than one taken before.
+    /// From an earlier incarnation of the peer, duplicated, or older than a datagram processed before.
     pub stale: u64,
-    /// From no neighbour, or of a kind that is not the neighbour's to send.
+    /// From a peer that is not a neighbour, or of a kind that the neighbour's role does not allow.
     pub unexpected: u64,
 }
 
-/// The edges of a front end, counted.
+/// Number of edges of a front end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EdgeCounts {
-    /// Edges whose neighbour was heard lately.
+    /// Edges on which a datagram arrived recently.
     pub heard: usize,
-    /// All edges.
+    /// All edges, silent ones included.
     pub total: usize,
 }
 
-/// One front end's part in the averaging.
+/// The averaging state of one front end.
 pub struct Average {
     own: PeerId,
     header: [u8; HEADER_BYTES],
-    turn_for: Micros,
-    /// Our own pressure as last measured, in units.
+    turn_interval: Micros,
+    /// This front end's pressure as last measured, in units.
     measured: i32,
-    /// Our own pressure as the averaging has it, in units: a little behind what was measured.
-    value: i32,
-    /// What each of the last turns made of the mean, in units.
-    recent: VecDeque<i32>,
+    /// The smoothed pressure of this front end, in units, which the averaging uses.
+    smoothed: i32,
+    /// The median of the known estimates at each of the last turns, in units.
+    recent_medians: VecDeque<i32>,
     edges: BTreeMap<SocketAddr, Edge>,
-    /// The neighbours that get our requests, in turn.
+    /// The neighbours to which this front end sends requests, one per turn.
     responders: Vec<SocketAddr>,
+    /// The index of the current turn in the round.
     turn: usize,
-    next_at: Micros,
+    next_turn_at: Micros,
     rng: SmallRng,
     outbox: Vec<Outgoing>,
-    /// Datagrams dropped, by cause.
+    /// Counts of dropped datagrams, by cause.
     pub dropped: DroppedExchanges,
 }
 
 impl Average {
-    /// The averaging of the front end `own` in the fleet named `cluster`, which begins [`EXCHANGES_PER_PROBE`]
-    /// exchanges in each `probe` microseconds.
+    /// Starts the averaging of the front end `own` in the fleet with the id `cluster`. `probe` is the probe period in
+    /// microseconds, which has [`EXCHANGES_PER_PROBE`] turns.
     pub fn new(own: PeerId, cluster: u32, probe: Micros, seed: u64) -> Average {
-        let turn_for = (probe / EXCHANGES_PER_PROBE).max(SHORTEST_TURN);
+        let turn_interval = (probe / EXCHANGES_PER_PROBE).max(MIN_TURN_INTERVAL);
         let mut rng = SmallRng::seed_from_u64(seed ^ SEED_SALT);
         Average {
             own,
             header: header(AVERAGE_VERSION, cluster),
-            turn_for,
+            turn_interval,
             measured: 0,
-            value: 0,
-            recent: VecDeque::new(),
+            smoothed: 0,
+            recent_medians: VecDeque::new(),
             edges: BTreeMap::new(),
             responders: Vec::new(),
             turn: 0,
-            next_at: rng.random_range(0..turn_for),
+            next_turn_at: rng.random_range(0..turn_interval),
             rng,
             outbox: Vec::new(),
             dropped: DroppedExchanges::default(),
         }
     }
 
-    /// How long each neighbour has its turn once, in microseconds.
-    fn round(&self) -> Micros {
-        RINGS as Micros * self.turn_for
+    /// The time in which each neighbour gets one request, in microseconds.
+    fn round_time(&self) -> Micros {
+        RINGS as Micros * self.turn_interval
     }
 
-    /// How long an edge lives unheard, in microseconds.
+    /// The time without a datagram after which an edge counts as silent, in microseconds.
     pub fn silence_timeout(&self) -> Micros {
-        SILENT_ROUNDS * self.round()
+        SILENT_ROUNDS * self.round_time()
     }
 
-    /// Our own pressure from now on, in thousandths.
+    /// Sets this front end's measured pressure, in thousandths. Until the first turn it applies without smoothing.
     pub fn set_pressure(&mut self, pressure: u32) {
-        self.measured = pressure.min(MAX_PRESSURE) as i32 * UNIT;
-        if self.recent.is_empty() {
-            self.value = self.measured; // the first
+        self.measured = pressure.min(MAX_PRESSURE) as i32 * UNITS_PER_THOUSANDTH;
+        if self.recent_medians.is_empty() {
+            self.smoothed = self.measured;
         }
     }
 
-    /// The members besides us have changed to these: keeps the edges that stand, ends and begins the others.
+    /// Updates the edges for the current members. Keeps those whose neighbour and role did not change.
     pub fn set_members(&mut self, now: Micros, members: impl Iterator<Item = SocketAddr>) {
         let roles = neighbours(self.own.addr, members);
         self.edges
@@ -146,52 +150,53 @@
             .collect();
     }
 
-    /// Our estimate of the mean, in units.
+    /// This front end's estimate of the mean, in units.
     fn estimate(&self) -> i32 {
-        let passed = self.edges.values().map(|edge| edge.flow);
-        passed
-            .fold(self.value, |value, flow| value - flow)
-            .clamp(-2 * LARGEST_ESTIMATE, 2 * LARGEST_ESTIMATE)
+        let flows = self.edges.values().map(|edge| edge.flow);
+        flows
+            .fold(self.smoothed, |value, flow| value - flow)
+            .clamp(-2 * MAX_ESTIMATE_UNITS, 2 * MAX_ESTIMATE_UNITS)
     }
 
-    /// When [`Average::tick`] is wanted next.
+    /// When [`Average::tick`] must be called next.
     pub fn next_wakeup(&self) -> Micros {
-        self.next_at
+        self.next_turn_at
     }
 
-    /// Takes up some of a change of our own pressure, ends silent edges and begins the exchange whose turn it is.
+    /// If the next turn is due: smooths the own pressure, resets silent edges and starts the turn's exchange.
     pub fn tick(&mut self, now: Micros) {
-        if now < self.next_at {
+        if now < self.next_turn_at {
             return;
         }
-        // The phase is kept, not made up for: after a pause one exchange begins and not all that were missed.
-        self.next_at = (self.next_at + self.turn_for).max(now + 1);
-        self.value += (self.measured - self.value) / SMOOTHING_TURNS;
+        // Missed turns are skipped: after a stall, one exchange starts instead of all that were missed.
+        self.next_turn_at = (self.next_turn_at + self.turn_interval).max(now + 1);
+        self.smoothed += (self.measured - self.smoothed) / SMOOTHING_DIVISOR;
         self.record_median();
-        let silence = self.silence_timeout();
+        let silence_timeout = self.silence_timeout();
         for edge in self.edges.values_mut() {
-            edge.expire(now, silence);
+            edge.expire(now, silence_timeout);
         }
         self.send_request(now);
     }
 
-    /// Remembers what this turn makes of the mean, in place of the oldest turn.
+    /// Records the current median, in place of that of the oldest turn.
     fn record_median(&mut self) {
-        if self.recent.len() >= REPORTED_TURNS {
-            self.recent.pop_front();
+        if self.recent_medians.len() >= REPORTED_TURNS {
+            self.recent_medians.pop_front();
         }
-        self.recent.push_back(self.median());
+        self.recent_medians.push_back(self.median());
     }
 
-    /// Sends a request to the neighbour whose turn it is, if one is due to it.
+    /// Moves to the next turn and sends a request to its neighbour, unless requests to it are backed off.
     fn send_request(&mut self, now: Micros) {
         if self.responders.is_empty() {
             return;
         }
-        // As many turns as rings, however few the neighbours: a peer gets as many requests in a small fleet.
+        // A round has at least as many turns as there are rings, so that peers in a small fleet do not get requests
+        // more often.
         self.turn = (self.turn + 1) % self.responders.len().max(RINGS);
         let estimate = self.estimate();
-        let round = self.round();
+        let round_time = self.round_time();
         let Some(&to) = self.responders.get(self.turn) else {
             return;
         };
@@ -201,7 +206,7 @@
         if !edge.is_request_due(now) {
             return;
         }
-        edge.begin_request(now, round);
+        edge.begin_request(now, round_time);
         let request = Exchange {
             kind: ExchangeKind::Request,
             from: self.own,
@@ -212,8 +217,8 @@
         self.send(to, &request);
     }
 
-    /// Takes a datagram that came at `now`, whose header the caller has checked; what cannot be taken is
-    /// counted in [`Average::dropped`]. Who sent it, if it is a neighbour's.
+    /// Processes a datagram received at `now`, whose header the caller has checked. Returns the sender, or `None` if
+    /// the datagram was dropped and counted in [`Average::dropped`].
     pub fn handle_datagram(&mut self, now: Micros, bytes: &[u8]) -> Option<PeerId> {
         let Some(exchange) = Exchange::decode(bytes) else {
             self.dropped.garbled += 1;
@@ -236,13 +241,14 @@
         Some(exchange.from)
     }
 
-    /// Brings our estimate and the neighbour's to their middle, and replies with the flow that results.
+    /// Transfers half of the difference between the two estimates, which sets both to their mean, and replies with the
+    /// new flow.
     fn reply(&mut self, to: SocketAddr, seq: u32, remote_estimate: i32) {
         let half_difference = (self.estimate() - remote_estimate) / 2;
         let Some(edge) = self.edges.get_mut(&to) else {
             return;
         };
-        edge.pass(half_difference);
+        edge.transfer(half_difference);
         let flow = edge.flow;
         let reply = Exchange {
             kind: ExchangeKind::Reply,
@@ -262,12 +268,12 @@
         });
     }
 
-    /// Datagrams to send; they are the caller's from then on.
+    /// Removes and returns the datagrams to send.
     pub fn outbox(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// How many edges there are, and over how many the neighbour was heard lately.
+    /// The number of edges, and of those on which the neighbour was heard recently.
     pub fn edge_counts(&self) -> EdgeCounts {
         let heard = self.edges.values().filter(|edge| edge.estimate.is_some());
         EdgeCounts {
@@ -276,21 +282,25 @@
         }
     }
 
-    /// The fleet's mean pressure in thousandths: the median of our estimate and our neighbours', as a mean over the
-    /// last probe period.
+    /// The fleet's mean pressure in thousandths: the median of this front end's estimate and those of its neighbours,
+    /// averaged over the last probe period.
     pub fn pressure(&self) -> u32 {
-        let turns = self.recent.len() as i64;
+        let turns = self.recent_medians.len() as i64;
         let mean = if turns == 0 {
             i64::from(self.median())
         } else {
-            let sum: i64 = self.recent.iter().map(|&median| i64::from(median)).sum();
+            let sum: i64 = self
+                .recent_medians
+                .iter()
+                .map(|&median| i64::from(median))
+                .sum();
             sum / turns
         };
-        ((mean + i64::from(UNIT) / 2) / i64::from(UNIT)) as u32
+        ((mean + i64::from(UNITS_PER_THOUSANDTH) / 2) / i64::from(UNITS_PER_THOUSANDTH)) as u32
     }
 
-    /// The median of our estimate and those of our neighbours, so that one neighbour that lies, or a change of our
-    /// own that has not spread yet, does not stand for the fleet.
+    /// The median of this front end's estimate and those of its neighbours, in units. A neighbour that reports a wrong
+    /// estimate, or a local change that has not spread yet, thus does not determine the result.
     fn median(&self) -> i32 {
         let remote = self.edges.values().filter_map(|edge| edge.estimate);
         let mut estimates: Vec<i32> = remote.collect();
@@ -298,6 +308,6 @@
         estimates.sort_unstable();
         let low = i64::from(estimates[(estimates.len() - 1) / 2]);
         let high = i64::from(estimates[estimates.len() / 2]);
-        ((low + high) / 2).clamp(0, i64::from(LARGEST_ESTIMATE)) as i32
+        ((low + high) / 2).clamp(0, i64::from(MAX_ESTIMATE_UNITS)) as i32
     }
 }
--- a/wrenseam/src/fleet/average/edge.rs
+++ b/wrenseam/src/fleet/average/edge.rs
@@ -1,36 +1,38 @@
-//! One edge to a neighbour: the flow over it, and how the requests over it fare. No I/O.
+//! An edge to a neighbour: its flow, and the state of the requests sent over it. No I/O.
 use super::exchange::{Exchange, ExchangeKind};
 use super::neighbours::EdgeRole;
-use super::{LARGEST_ESTIMATE, LARGEST_FLOW};
+use super::{MAX_ESTIMATE_UNITS, MAX_FLOW_UNITS};
 use wrenseam_policy::Micros;
 
-/// A neighbour that does not answer gets a request every round at first, then every 2, 4, 8 and 16: the exponent's
-/// limit.
+/// Maximum exponent of the backoff for a neighbour that never answers: the pauses between requests to it are 1, 2, 4, 8
+/// and then always 16 rounds.
 const MAX_BACKOFF_EXPONENT: u32 = 4;
 
-/// One edge, as the front end at this end of it sees it.
+/// The state of one edge at this front end.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Edge {
+    /// This front end's role.
     pub(super) role: EdgeRole,
-    /// The neighbour's incarnation; 0 until it is heard.
+    /// The neighbour's incarnation. 0 while the edge is silent.
     incarnation: u64,
-    /// What we passed to it, in units; it has the opposite.
+    /// The pressure transferred to the neighbour, in units. The neighbour holds the negated value.
     pub(super) flow: i32,
-    /// Its estimate when last heard, in units; none while the edge is silent.
+    /// The neighbour's last estimate, in units. `None` while the edge is silent.
     pub(super) estimate: Option<i32>,
+    /// When the last datagram arrived, or the edge was created.
     heard_at: Micros,
-    /// The last request sent (or answered, at the other end).
+    /// The number of the last request that was sent, or answered at the other end.
     pub(super) seq: u32,
-    /// Whether a reply to `seq` is awaited.
+    /// Whether the request `seq` has no reply yet.
     awaits_reply: bool,
-    /// Requests in a row without a reply.
+    /// Number of consecutive requests without a reply.
     unanswered: u32,
-    /// No request goes before this.
-    request_at: Micros,
+    /// The earliest time of the next request.
+    next_request_at: Micros,
 }
 
 impl Edge {
-    /// An edge over which nothing has been heard; requests are numbered from `seq` on.
+    /// A silent edge. The first request gets the number after `seq`.
     pub(super) fn new(role: EdgeRole, seq: u32, now: Micros) -> Edge {
         Edge {
             role,
@@ -41,14 +43,14 @@
             seq,
             awaits_reply: false,
             unanswered: 0,
-            request_at: now,
+            next_request_at: now,
         }
     }
 
-    /// Ends the flow if nothing was heard for longer than `silence`. The neighbour may be back at once: it gets a
-    /// request each round again before the pauses grow.
-    pub(super) fn expire(&mut self, now: Micros, silence: Micros) {
-        let is_silent = now.saturating_sub(self.heard_at) > silence;
+    /// Resets the edge if no datagram arrived for longer than `silence_timeout`. The backoff starts over, as the
+    /// neighbour may return soon.
+    pub(super) fn expire(&mut self, now: Micros, silence_timeout: Micros) {
+        let is_silent = now.saturating_sub(self.heard_at) > silence_timeout;
         if is_silent && self.estimate.is_some() {
             self.flow = 0;
             self.estimate = None;
@@ -58,29 +60,29 @@
         }
     }
 
-    /// Whether a request may go at `now`.
+    /// Whether a request may be sent at `now`.
     pub(super) fn is_request_due(&self, now: Micros) -> bool {
-        now >= self.request_at
+        now >= self.next_request_at
     }
 
-    /// Numbers the next request; the pauses of a neighbour that never answers grow. `round` is the time in which each
-    /// neighbour has its turn once.
-    pub(super) fn begin_request(&mut self, now: Micros, round: Micros) {
+    /// Assigns the number of the next request, and backs off if the neighbour never answers. `round_time` is the time
+    /// in which each neighbour gets one request.
+    pub(super) fn begin_request(&mut self, now: Micros, round_time: Micros) {
         if self.awaits_reply {
             self.unanswered = self.unanswered.saturating_add(1);
         } else {
             self.unanswered = 0;
         }
         if self.estimate.is_none() && self.unanswered > 0 {
-            let pause = round << self.unanswered.min(MAX_BACKOFF_EXPONENT);
-            // Half a round early, so that the turn itself is not missed by the order of two timers.
-            self.request_at = now + pause - round / 2;
+            let pause = round_time << self.unanswered.min(MAX_BACKOFF_EXPONENT);
+            // Half a round early, so that small timing differences do not make it miss its turn.
+            self.next_request_at = now + pause - round_time / 2;
         }
         self.seq = self.seq.wrapping_add(1);
         self.awaits_reply = true;
     }
 
-    /// Whether the neighbour may send this kind of datagram over this edge.
+    /// Whether the neighbour's role allows it to send this kind of datagram.
     pub(super) fn expects(&self, kind: ExchangeKind) -> bool {
         match kind {
             ExchangeKind::Request => self.role == EdgeRole::Responder,
@@ -88,7 +90,8 @@
         }
     }
 
-    /// Whether a datagram is of an earlier incarnation of the neighbour, a repeat, or older than one taken before.
+    /// Whether a datagram is from an earlier incarnation of the neighbour, is a duplicate, or is older than one
+    /// processed before.
     pub(super) fn is_stale(&self, exchange: &Exchange) -> bool {
         let is_known = self.incarnation != 0;
         if is_known && exchange.from.incarnation < self.incarnation {
@@ -97,29 +100,30 @@
         match exchange.kind {
             ExchangeKind::Reply => !self.awaits_reply || exchange.seq != self.seq,
             ExchangeKind::Request => {
-                let is_later = exchange.seq.wrapping_sub(self.seq) as i32 > 0;
-                !is_later && exchange.from.incarnation == self.incarnation
+                let is_newer = exchange.seq.wrapping_sub(self.seq) as i32 > 0;
+                !is_newer && exchange.from.incarnation == self.incarnation
             }
         }
     }
 
-    /// Takes up what the neighbour sent, within the bounds of a flow and an estimate; its estimate as it counts.
-    /// Another incarnation has no flow of ours: its zero replaces what the former had.
+    /// Applies a datagram from the neighbour, with its flow and estimate clamped to their limits. Returns the clamped
+    /// estimate. A new incarnation of the neighbour starts without a flow, and its 0 replaces the flow of the former
+    /// one.
     pub(super) fn accept(&mut self, now: Micros, exchange: &Exchange) -> i32 {
-        let estimate = exchange.estimate.clamp(0, LARGEST_ESTIMATE);
+        let estimate = exchange.estimate.clamp(0, MAX_ESTIMATE_UNITS);
         self.incarnation = exchange.from.incarnation;
         self.heard_at = now;
-        self.flow = -exchange.flow.clamp(-LARGEST_FLOW, LARGEST_FLOW);
+        self.flow = -exchange.flow.clamp(-MAX_FLOW_UNITS, MAX_FLOW_UNITS);
         self.estimate = Some(estimate);
         self.awaits_reply = false;
         self.unanswered = 0;
-        self.request_at = now;
+        self.next_request_at = now;
         estimate
     }
 
-    /// Passes so much more over the edge, as far as a flow may be large.
-    pub(super) fn pass(&mut self, amount: i32) {
+    /// Transfers `amount` more to the neighbour, up to the maximum flow.
+    pub(super) fn transfer(&mut self, amount: i32) {
         let flow = self.flow.saturating_add(amount);
-        self.flow = flow.clamp(-LARGEST_FLOW, LARGEST_FLOW);
+        self.flow = flow.clamp(-MAX_FLOW_UNITS, MAX_FLOW_UNITS);
     }
 }
--- a/wrenseam/src/fleet/average/exchange.rs
+++ b/wrenseam/src/fleet/average/exchange.rs
@@ -1,4 +1,4 @@
-//! The datagram of an exchange between two neighbours, and its bytes. No I/O.
+//! The datagrams of an exchange between two neighbours, and their encoding. No I/O.
 use crate::fleet::identity::{put_address, take, take_address, PeerId, HEADER_BYTES};
 
 /// Wire value of [`ExchangeKind::Request`].
@@ -6,17 +6,17 @@
 /// Wire value of [`ExchangeKind::Reply`].
 const KIND_REPLY: u8 = 1;
 
-/// Which half of an exchange a datagram is.
+/// The two steps of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExchangeKind {
-    /// Begins an exchange.
+    /// Starts an exchange.
     Request,
     /// Answers a request.
     Reply,
 }
 
 impl ExchangeKind {
-    /// The number that stands for it on the wire; peers of other versions rely on it.
+    /// The kind's number on the wire. Peers of other versions rely on it.
     fn wire_code(self) -> u8 {
         match self {
             ExchangeKind::Request => KIND_REQUEST,
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Reads what [`ExchangeKind::wire_code`] gave.
+    /// The kind with this number on the wire; `None` if there is none.
     fn from_wire_code(code: u8) -> Option<ExchangeKind> {
         match code {
             KIND_REQUEST => Some(ExchangeKind::Request),
@@ -34,14 +34,14 @@
     }
 }
 
-/// One datagram of an exchange, after the header that all datagrams of the fleet share.
+/// One datagram of an exchange, without the header that all datagrams of the fleet share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Exchange {
     /// Request or reply.
     pub kind: ExchangeKind,
-    /// The sender: its gossip address, and its incarnation.
+    /// The sender's gossip address and incarnation.
     pub from: PeerId,
-    /// Numbers the requests over an edge; a reply repeats that of its request.
+    /// The number of the request on this edge. A reply repeats the number of its request.
     pub seq: u32,
     /// The sender's flow over this edge, in millionths of capacity.
     pub flow: i32,
@@ -50,8 +50,9 @@
 }
 
 impl Exchange {
-    /// The bytes, big-endian: `header` (7), kind (1), family (1: 4 or 6), port (2), address (4 or 16), incarnation (8),
-    /// seq, flow, estimate (4 each), CRC-32 of all before it (4). 39 bytes for IPv4, 51 for IPv6.
+    /// Encodes the datagram, big-endian: `header` (7), kind (1), family (1: 4 or 6), port (2), address (4 or 16),
+    /// incarnation (8), seq, flow, estimate (4 each), and a CRC-32 of all before it (4). 39 bytes for IPv4, 51 for
+    /// IPv6.
     pub fn encode(&self, header: &[u8; HEADER_BYTES]) -> Vec<u8> {
         let mut bytes = header.to_vec();
         bytes.push(self.kind.wire_code());
@@ -64,7 +65,8 @@
         bytes
     }
 
-    /// Reads what [`Exchange::encode`] wrote; `None` for anything else. The header is the caller's to check.
+    /// Decodes the output of [`Exchange::encode`]; `None` if the bytes are not valid. The caller has checked the
+    /// header.
     pub fn decode(bytes: &[u8]) -> Option<Exchange> {
         let (body, crc) = bytes.split_last_chunk::<4>()?;
         if crc32fast::hash(body).to_be_bytes() != *crc {
--- a/wrenseam/src/fleet/average/neighbours.rs
+++ b/wrenseam/src/fleet/average/neighbours.rs
@@ -1,48 +1,50 @@
-//! Which members a front end exchanges with: its neighbours on rings ordered by hash. No I/O.
+//! Selects the members with which a front end exchanges: its neighbours on rings ordered by hash. No I/O.
 use crate::fleet::identity::{address_hash, mix};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Rings of members: a front end sends requests to its successor on each and answers its predecessor. Four make a
-/// random graph of degree 8: an estimate's error falls by a factor of e in some 0.3 s at a probe period of 500 ms.
+/// Number of rings of members. On each, a front end sends requests to its successor and answers those of its
+/// predecessor. Four rings form a random graph of degree 8, on which the error of an estimate falls by a factor of e in
+/// about 0.3 s at a probe period of 500 ms.
 pub const RINGS: usize = 4;
 
-/// Spreads the number of a ring over all bits of a hash: 2^64 over the golden ratio, as in SplitMix64.
+/// Spreads the index of a ring over all bits of a hash: 2^64 divided by the golden ratio, as in SplitMix64.
 const RING_SALT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A front end's part on an edge to a neighbour.
+/// A front end's role on an edge to a neighbour.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EdgeRole {
-    /// It sends the requests.
+    /// It sends requests to the neighbour.
     Requester,
     /// It answers the neighbour's requests.
     Responder,
 }
 
-/// A member seen from this front end on one ring: how far away it is, and where.
+/// The nearest member in one direction on a ring.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RingNeighbour {
+    /// The distance on the ring, as a difference of hashes.
     distance: u64,
     addr: SocketAddr,
 }
 
-/// The neighbours of `own` among `members`, and the part of `own` on each edge: it is the requester of its successor on
-/// a ring. Of two that follow each other on different rings the lower address is the requester. All that hold the same
-/// members agree on every edge and on the roles on it.
+/// The neighbours of `own` among `members`, with the role of `own` on each edge. A front end sends requests to its
+/// successors. If two front ends are each other's successor on different rings, the one with the lower address sends
+/// the requests. Front ends with the same set of members agree on all edges and roles.
 pub fn neighbours(
     own: SocketAddr,
     members: impl Iterator<Item = SocketAddr>,
 ) -> BTreeMap<SocketAddr, EdgeRole> {
-    let own_places: [u64; RINGS] = std::array::from_fn(|ring| place(own, ring));
+    let own_positions: [u64; RINGS] = std::array::from_fn(|ring| position(own, ring));
     let mut successors = [None::<RingNeighbour>; RINGS];
     let mut predecessors = [None::<RingNeighbour>; RINGS];
     for addr in members.filter(|&addr| addr != own) {
         for ring in 0..RINGS {
-            let there = place(addr, ring);
-            let ahead = there.wrapping_sub(own_places[ring]);
-            let behind = own_places[ring].wrapping_sub(there);
-            keep_nearest(&mut successors[ring], addr, ahead);
-            keep_nearest(&mut predecessors[ring], addr, behind);
+            let remote = position(addr, ring);
+            let distance_after = remote.wrapping_sub(own_positions[ring]);
+            let distance_before = own_positions[ring].wrapping_sub(remote);
+            keep_nearest(&mut successors[ring], addr, distance_after);
+            keep_nearest(&mut predecessors[ring], addr, distance_before);
         }
     }
     let mut roles = BTreeMap::new();
@@ -58,12 +60,12 @@
     roles
 }
 
-/// A member's place on a ring.
-fn place(addr: SocketAddr, ring: usize) -> u64 {
+/// A member's position on a ring.
+fn position(addr: SocketAddr, ring: usize) -> u64 {
     mix(address_hash(addr) ^ (ring as u64 + 1).wrapping_mul(RING_SALT))
 }
 
-/// Keeps the nearer of the neighbour known so far and the member at `addr`.
+/// Replaces the nearest member so far by the one at `addr` if that is nearer.
 fn keep_nearest(nearest: &mut Option<RingNeighbour>, addr: SocketAddr, distance: u64) {
     let candidate = RingNeighbour { distance, addr };
     *nearest = Some(nearest.map_or(candidate, |known| known.min(candidate)));
