--- a/wrenseam/src/fleet/node.rs
+++ b/wrenseam/src/fleet/node.rs
@@ -1,6 +1,6 @@
-//! One front end's gossip as a whole, without I/O: membership and records ([`Members`]), the mean pressure
-//! ([`Average`]), the byte budget ([`ByteBudget`]), the way back to peers that were cut off, and the summaries that
-//! front ends without averaging want to hear.
+//! All of one front end's gossip, without I/O: membership and records ([`Members`]), the mean pressure ([`Average`]),
+//! the byte budget ([`ByteBudget`]), rejoining after a network partition, and load summaries for front ends of versions
+//! without averaging.
 use super::average::Average;
 use super::identity::{PeerId, AVERAGE_VERSION};
 use super::members::Members;
@@ -14,65 +14,70 @@
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// Least probe periods between two joins by way of a lost peer.
-const LOST_JOIN_PROBES: Micros = 5;
-/// Joins by way of lost peers of the whole fleet in a probe period, about: each front end's pause grows with the size.
-const LOST_JOINS_A_PROBE: Micros = 10;
-/// While more than one in so many members came in the last probe period, the member list is still filling: a front end
-/// that starts asks more peers for theirs, since one answer holds some 60 members.
-const FILLING_PART: usize = 20;
-/// Peers asked for their member lists in a probe period while one's own is filling.
-const LISTS_A_PROBE: usize = 2;
+/// Minimum mean time between two attempts to rejoin through an unreachable peer, in probe periods.
+const MIN_REJOIN_PROBES: Micros = 5;
+/// Approximate number of rejoin attempts per probe period in the whole fleet. To keep to it, each front end's pause
+/// grows with the size of the fleet.
+const FLEET_REJOINS_PER_PROBE: Micros = 10;
+/// The member list counts as incomplete if more than one in this many members joined in the last probe period. A front
+/// end that starts then requests the lists of further peers, as one answer contains only about 60 members.
+const FILLING_DIVISOR: usize = 20;
+/// Number of peers whose member lists are requested per probe period while the own list is incomplete.
+const MEMBER_LISTS_PER_PROBE: usize = 2;
 
-/// What waited in the socket while the process did not run for longer than a suspicion is out of date, and may declare
-/// down a peer that has come back since: so long takes reading it, in microseconds, and it is dropped.
-const BACKLOG_READ_TIME: Micros = 20_000;
+/// How long received datagrams are dropped, in microseconds, after the process did not run for longer than the
+/// suspicion time-out. Reading the datagrams that waited in the socket takes about as long. They are outdated and may
+/// declare down a peer that has returned since.
+const BACKLOG_DROP_TIME: Micros = 20_000;
 
-/// Times that an update of a member is retransmitted besides foca's 4 log10 N. As a zone or a region goes, up to half
-/// of those times are spent on peers that are gone too: of 11 at 660 some 5 are left, and one in 200 misses it.
+/// Number of transmissions of each membership update in addition to foca's 4 log10 N. When a zone or a region fails, up
+/// to half of foca's transmissions go to peers that have failed too. Of the 11 in a fleet of 660, about 5 remain, with
+/// which one peer in 200 would miss the update.
 pub const EXTRA_TRANSMISSIONS: u8 = 5;
 
-/// Mixed into the seed, so that the node draws other numbers than its parts.
+/// XORed with the seed, so that the node draws different random numbers from its components.
 const SEED_SALT: u64 = 0x6c6f_7374;
 
-/// The settings of a node: those of membership, its metadata, and whether to gossip summaries.
+/// The settings of a [`Node`].
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// Membership's settings.
+    /// The settings of membership and failure detection.
     pub swim: SwimSettings,
-    /// What this front end publishes about itself at its start.
+    /// The metadata that this front end publishes first.
     pub metadata: Metadata,
-    /// Peers asked to let us join; asked again when not counted alive.
+    /// The peers through which to join the fleet, also later whenever they are not counted alive.
     pub seeds: Vec<SocketAddr>,
-    /// Whether to publish summaries while a front end without averaging is heard.
+    /// Whether to publish load summaries while the fleet contains front ends without averaging.
     pub summaries: bool,
 }
 
-/// One front end's gossip.
+/// The gossip state of one front end.
 pub struct Node {
     members: Members,
     average: Average,
     byte_budget: ByteBudget,
     settings: NodeSettings,
     rng: SmallRng,
-    /// When a join by way of a lost peer is due.
-    lost_join_at: Micros,
-    /// When [`Node::tick`] was last wanted or run, whichever is later: it shows whether the process ran.
+    /// When the next attempt to rejoin through an unreachable peer is due.
+    next_rejoin_at: Micros,
+    /// When the next [`Node::tick`] was due after the last one. A much later call shows that the process did not run.
     expected_at: Option<Micros>,
-    /// Until when datagrams are dropped that waited while the process did not run.
-    backlog_until: Micros,
-    /// Members that came up since the last [`Node::publish`].
+    /// The time until which datagrams are dropped because they waited while the process did not run.
+    drop_backlog_until: Micros,
+    /// Number of members that joined since the last [`Node::publish`].
     joined: usize,
-    /// Members that left since the last [`Node::publish`].
+    /// Number of members that left since the last [`Node::publish`].
     left: usize,
-    /// Peers that were draining or leaving at the last [`Node::publish`].
+    /// Number of draining or leaving peers at the last [`Node::publish`].
     draining: usize,
+    /// The fleet's mean pressure at the last [`Node::publish`], in thousandths.
     pressure: u32,
+    /// The time of the last call that passed one.
     now: Micros,
 }
 
 impl Node {
-    /// The front end at `own` in its `incarnation`, with a seeded generator.
+    /// The front end with the gossip address `own` in this incarnation. `seed` seeds all its random numbers.
     pub fn new(own: SocketAddr, incarnation: u64, settings: NodeSettings, seed: u64) -> Node {
         let id = PeerId {
             addr: own,
@@ -84,9 +89,9 @@
             byte_budget: ByteBudget::default(),
             settings,
             rng: SmallRng::seed_from_u64(seed ^ SEED_SALT),
-            lost_join_at: 0,
+            next_rejoin_at: 0,
             expected_at: None,
-            backlog_until: 0,
+            drop_backlog_until: 0,
             joined: 0,
             left: 0,
             draining: 0,
@@ -95,10 +100,10 @@
         }
     }
 
-    /// Takes a datagram that came at `now`.
+    /// Processes a datagram received at `now`.
     pub fn handle_datagram(&mut self, now: Micros, bytes: &[u8]) {
         self.now = now;
-        if now < self.backlog_until {
+        if now < self.drop_backlog_until {
             return;
         }
         self.members.set_budget_low(self.byte_budget.is_low(now));
@@ -111,12 +116,12 @@
         }
     }
 
-    /// When [`Node::tick`] is wanted next.
+    /// When [`Node::tick`] must be called next.
     pub fn next_wakeup(&self) -> Micros {
         self.members.next_wakeup().min(self.average.next_wakeup())
     }
 
-    /// Runs what is due at `now`.
+    /// Runs everything that is due at `now`.
     pub fn tick(&mut self, now: Micros) {
         self.now = now;
         self.detect_stall(now);
@@ -129,19 +134,20 @@
         self.expected_at = Some(self.next_wakeup().max(now));
     }
 
-    /// A process that was stopped or starved for more than half a probe period must not take the others' silence in
-    /// that time for theirs.
+    /// Detects that the process was stopped or got no CPU time for more than half a probe period, in which the silence
+    /// of its peers must not count against them.
     fn detect_stall(&mut self, now: Micros) {
         let late = self.expected_at.map_or(0, |at| now.saturating_sub(at));
         if late > self.settings.swim.probe / 2 {
             self.members.stalled(now, late);
         }
         if late > self.settings.swim.suspect_for {
-            self.backlog_until = now + BACKLOG_READ_TIME;
+            self.drop_backlog_until = now + BACKLOG_DROP_TIME;
         }
     }
 
-    /// The averaging's neighbours follow a change of the members: when its turn comes, and not with each datagram.
+    /// Updates the neighbours of the averaging if members changed. Called once per turn of the averaging instead of for
+    /// each datagram.
     fn update_neighbours(&mut self, now: Micros) {
         if self.members.changed() {
             let ready = self.members.ready();
@@ -149,10 +155,10 @@
         }
     }
 
-    /// Changes what this front end publishes about itself, where `change` does.
+    /// Applies `change` to the metadata of this front end, and publishes them if they changed.
     ///
     /// # Errors
-    /// [`RecordError`] where the record would be beyond its bounds; the former one stays.
+    /// [`RecordError`] if the record would exceed its limits. The previous record stays published.
     pub fn update(
         &mut self,
         now: Micros,
@@ -164,13 +170,14 @@
         self.members.set_metadata(now, metadata)
     }
 
-    /// Notifies the fleet that this front end leaves; it takes part in nothing from here on.
+    /// Notifies the fleet that this front end leaves. It takes no further part in membership.
     pub fn leave(&mut self, now: Micros) {
         self.now = now;
         self.members.leave(now);
     }
 
-    /// Each probe period: publishes our load, looks for peers that are missing, and reports how the fleet is.
+    /// To be called once per probe period. Publishes this front end's load, tries to rejoin unreachable peers, and
+    /// returns the fleet's status.
     pub fn publish(&mut self, now: Micros, own: Summary) -> FleetStatus {
         self.now = now;
         self.average.set_pressure(own.pressure);
@@ -178,7 +185,7 @@
         let is_low = self.byte_budget.is_low(now);
         self.members.swim().set_reduced_gossip(is_low);
         self.fill_member_list(now);
-        self.rejoin_missing(now);
+        self.rejoin_unreachable(now);
         self.pressure = if mixed {
             self.members.swim().pressure(now, own.pressure)
         } else {
@@ -187,7 +194,8 @@
         self.status(now, mixed)
     }
 
-    /// Gossips our load summary while a front end without averaging is in the fleet; whether there is one.
+    /// Gossips this front end's load summary while the fleet contains a front end without averaging. Returns whether it
+    /// does.
     fn publish_summary(&mut self, now: Micros, own: Summary) -> bool {
         let swim = self.members.swim();
         let mixed = self.settings.summaries && swim.is_mixed(now);
@@ -203,19 +211,19 @@
         mixed
     }
 
-    /// Asks some peers for their member lists while many members are new to us.
+    /// Requests the member lists of some peers while many members are new.
     fn fill_member_list(&mut self, now: Micros) {
         let joined = std::mem::take(&mut self.joined);
-        if joined * FILLING_PART <= self.members.alive() {
+        if joined * FILLING_DIVISOR <= self.members.alive() {
             return;
         }
-        for _ in 0..LISTS_A_PROBE {
+        for _ in 0..MEMBER_LISTS_PER_PROBE {
             let chance = self.rng.random();
             self.members.swim().ask_for_members(now, chance);
         }
     }
 
-    /// The fleet as it stands.
+    /// The fleet's current status.
     fn status(&mut self, now: Micros, mixed: bool) -> FleetStatus {
         let by_lifecycle = self.members.directory().by_lifecycle();
         let view = self.members.view_digest();
@@ -240,7 +248,7 @@
         }
     }
 
-    /// Peers that stopped counting because they said so, since the last call.
+    /// Number of peers that announced since the last call that they drain or leave.
     fn departed(&mut self, by_lifecycle: &[usize; Lifecycle::ALL.len()]) -> usize {
         let draining =
             by_lifecycle[Lifecycle::Draining.index()] + by_lifecycle[Lifecycle::Leaving.index()];
@@ -249,51 +257,54 @@
         (draining + left).saturating_sub(before)
     }
 
-    /// Joins by way of all seeds while alone; else now and then by way of one seed or lost peer that is not counted
-    /// alive, so that parts of a fleet find each other again however long they were cut.
-    fn rejoin_missing(&mut self, now: Micros) {
+    /// Tries to join through all seeds while no peer is alive. From time to time also tries one seed or lost peer that
+    /// is not counted alive, so that the parts of a partitioned fleet find each other again however long the partition
+    /// lasted.
+    fn rejoin_unreachable(&mut self, now: Micros) {
         let is_alone = self.members.alive() == 0;
         if is_alone {
             for &seed in &self.settings.seeds {
                 self.members.swim().join(now, seed);
             }
         }
-        if now < self.lost_join_at {
+        if now < self.next_rejoin_at {
             return;
         }
-        let pause = self.lost_join_pause(is_alone);
-        // From half to one and a half of the pause, so that front ends cut at once do not join at once.
-        self.lost_join_at = now + pause / 2 + self.rng.random_range(0..=pause);
-        if let Some(addr) = self.pick_missing() {
+        let pause = self.rejoin_pause(is_alone);
+        // Between half the pause and one and a half, so that front ends that lost contact at the same time do not
+        // rejoin at the same time.
+        self.next_rejoin_at = now + pause / 2 + self.rng.random_range(0..=pause);
+        if let Some(addr) = self.pick_unreachable() {
             self.members.swim().join(now, addr);
         }
     }
 
-    /// The mean time between two joins by way of a lost peer.
-    fn lost_join_pause(&self, is_alone: bool) -> Micros {
+    /// The mean time between two attempts to rejoin through an unreachable peer.
+    fn rejoin_pause(&self, is_alone: bool) -> Micros {
         let probe = self.settings.swim.probe;
         if is_alone {
             return probe;
         }
         let size = self.members.alive() as Micros + 1;
-        probe * LOST_JOIN_PROBES.max(size / LOST_JOINS_A_PROBE)
+        probe * MIN_REJOIN_PROBES.max(size / FLEET_REJOINS_PER_PROBE)
     }
 
-    /// One of the seeds and lost peers that are not counted alive, at random.
-    fn pick_missing(&mut self) -> Option<SocketAddr> {
+    /// A random one of the seeds and lost peers that are not counted alive.
+    fn pick_unreachable(&mut self) -> Option<SocketAddr> {
         let directory = self.members.directory();
         let alive: BTreeSet<SocketAddr> = directory.alive().map(|id| id.addr).collect();
-        let mut missing: BTreeSet<SocketAddr> = directory.lost().collect();
+        let mut unreachable: BTreeSet<SocketAddr> = directory.lost().collect();
         let seeds = self.settings.seeds.iter();
-        missing.extend(seeds.filter(|addr| !alive.contains(addr)));
-        if missing.is_empty() {
+        unreachable.extend(seeds.filter(|addr| !alive.contains(addr)));
+        if unreachable.is_empty() {
             return None;
         }
-        let which = self.rng.random_range(0..missing.len());
-        missing.into_iter().nth(which)
+        let index = self.rng.random_range(0..unreachable.len());
+        unreachable.into_iter().nth(index)
     }
 
-    /// Datagrams to send, as far as the byte budget allows: the least dispensable first.
+    /// Removes and returns the datagrams to send, in the order of [`TrafficKind`](super::traffic::TrafficKind). Drops
+    /// those that the byte budget does not admit.
     pub fn outbox(&mut self) -> Vec<Outgoing> {
         let mut out = self.members.outbox();
         out.extend(self.average.outbox());
@@ -304,7 +315,7 @@
         out
     }
 
-    /// Changes of membership since the last call.
+    /// Removes and returns the changes of membership since the last call.
     pub fn events(&mut self) -> Vec<TimedPeerEvent> {
         let events = self.members.events();
         for timed in &events {
@@ -317,17 +328,17 @@
         events
     }
 
-    /// Peers counted alive.
+    /// Number of peers counted alive.
     pub fn alive(&self) -> usize {
         self.members.alive()
     }
 
-    /// Membership and records.
+    /// The membership and records of the fleet.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// The fleet's mean pressure in thousandths as it stands between two calls of [`Node::publish`].
+    /// The fleet's mean pressure in thousandths, as computed by the last [`Node::publish`].
     pub fn pressure(&self) -> u32 {
         self.pressure
     }
--- a/wrenseam/src/fleet/repair.rs
+++ b/wrenseam/src/fleet/repair.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy repair between two members: which parts of the views to compare, what the other's member digests call
-//! for, and how often to begin one. No I/O; docs/fleet-view.md weighs it against other ways.
+//! Anti-entropy repair between two members: which parts of their views to compare, what to do about the differences,
+//! and when to start a repair. No I/O; docs/fleet-view.md compares this with alternatives.
 use super::directory::{Directory, MergeAction};
 use super::identity::PeerId;
 use super::member_digest::{short_hash, Liveness, MemberDigest, PARTS};
@@ -10,37 +10,38 @@
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// Bytes of a hash on the wire.
+/// Size of a hash on the wire.
 const HASH_BYTES: usize = 4;
-/// Hashes that fit a datagram, beside the set of parts.
+/// Maximum number of hashes in a datagram, after the two bytes of the set of parts.
 const MAX_HASHES: usize = (MAX_BODY_BYTES - 2) / HASH_BYTES;
-/// Bytes of a member digest of an IPv6 member, the larger of the two.
+/// Maximum size of a member digest on the wire: that of a member with an IPv6 address.
 const MEMBER_DIGEST_BYTES: usize = 36;
-/// The part of a datagram that unmatched hashes take at the most.
+/// Maximum size of the unmatched hashes in a datagram, which leaves room for member digests.
 const UNMATCHED_BYTES: usize = MAX_BODY_BYTES / 3;
-/// Member digests that surely fit a datagram, beside unmatched hashes.
+/// Number of member digests that always fit a datagram together with unmatched hashes.
 const MAX_MEMBER_DIGESTS: usize = (MAX_BODY_BYTES - UNMATCHED_BYTES - 3) / MEMBER_DIGEST_BYTES;
 
-/// What another member's digests call for.
+/// The actions that follow from another member's digests.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct MergePlan {
-    /// Members alive that are not known, or not in this incarnation.
+    /// Live members to add: they are unknown here, or known in a smaller incarnation.
     pub add: Vec<PeerId>,
-    /// Members that said that they leave.
+    /// Members that announced that they leave.
     pub left: Vec<PeerId>,
-    /// Members alive here that the other counts as gone.
+    /// Members that are alive here but gone according to the other member.
     pub check_liveness: Vec<PeerId>,
-    /// Newer stamps of contents known here.
+    /// Digests with a newer stamp for record content that is known here.
     pub adopt_stamps: Vec<MemberDigest>,
-    /// Members whose record is wanted.
+    /// Members whose records to request.
     pub wanted: Vec<SocketAddr>,
-    /// What is known here and newer than what the other knows.
+    /// Digests of members of which more recent state is known here, to send back.
     pub newer: Vec<MemberDigest>,
-    /// A stamp that our own has to be larger than.
+    /// The stamp that this front end's next record must exceed to refute the other's digest of it. `None` if there is
+    /// nothing to refute.
     pub refute_above: Option<Stamp>,
 }
 
-/// Compares another member's digests with what is known here.
+/// Compares another member's digests with the directory.
 pub fn compare(directory: &Directory, member_digests: &[MemberDigest]) -> MergePlan {
     let mut plan = MergePlan::default();
     for member_digest in member_digests {
@@ -77,7 +78,8 @@
     }
 }
 
-/// The stamp that the owner's next has to be larger than: for one counted as gone, all of that incarnation.
+/// The stamp that the owner's next record must exceed. If the digest counts the owner as gone, that is the largest of
+/// its incarnation.
 fn refuted_stamp(remote: &MemberDigest) -> Stamp {
     let version = if remote.liveness == Liveness::Alive {
         remote.stamp.version
@@ -90,7 +92,7 @@
     }
 }
 
-/// The set of parts in which two views differ, a bit each.
+/// The parts in which two views differ, as a bit set.
 pub fn differing_parts(local: &[u32; PARTS], remote: &[u32; PARTS]) -> u16 {
     let mut differing = 0;
     for (part, (local, remote)) in local.iter().zip(remote).enumerate() {
@@ -101,16 +103,17 @@
     differing
 }
 
-/// The hashes of the members in some parts.
+/// The hashes of the members in some of the parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartHashes {
-    /// The parts, a bit each.
+    /// The parts, as a bit set.
     pub parts: u16,
-    /// The hashes of all members in them.
+    /// The hashes of the live members in these parts.
     pub hashes: Vec<u32>,
 }
 
-/// The hashes of so many of the differing parts, from a random one on, that they fit a datagram; at least one part.
+/// The hashes of the differing parts, from a random part on, as far as they fit a datagram. Covers at least one part,
+/// whose hashes are truncated if they do not fit.
 pub fn part_hashes(directory: &Directory, differing: u16, rng: &mut SmallRng) -> PartHashes {
     let start = rng.random_range(0..PARTS);
     let mut parts = 0u16;
@@ -121,29 +124,30 @@
             continue;
         }
         let in_part = directory.member_digests_in(bit);
-        let more: Vec<u32> = in_part
+        let part_hashes: Vec<u32> = in_part
             .map(|member_digest| short_hash(&member_digest))
             .collect();
-        if parts != 0 && hashes.len() + more.len() > MAX_HASHES {
+        if parts != 0 && hashes.len() + part_hashes.len() > MAX_HASHES {
             break;
         }
         parts |= bit;
-        hashes.extend(more);
+        hashes.extend(part_hashes);
     }
     hashes.truncate(MAX_HASHES);
     PartHashes { parts, hashes }
 }
 
-/// Where another member's hashes and what is known here do not match.
+/// The differences between another member's hashes and the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mismatches {
-    /// What is known here and is not among the other's hashes.
+    /// Digests known here whose hashes the other member did not send.
     pub member_digests: Vec<MemberDigest>,
-    /// The other's hashes that are of nothing known here.
+    /// Hashes that the other member sent and that match no digest known here.
     pub unmatched: Vec<u32>,
 }
 
-/// What in these parts does not match the other's hashes, as far as it fits a datagram.
+/// The differences in these parts between another member's hashes and the directory. If they do not fit a datagram, a
+/// random selection.
 pub fn mismatches(
     directory: &Directory,
     parts: u16,
@@ -164,13 +168,13 @@
     }
 }
 
-/// The digests of the members of these hashes, but for those that the other has named.
+/// The member digests with these hashes, except those of members that are also in `received`.
 pub fn member_digests_of(
     directory: &Directory,
     hashes: &[u32],
-    named: &[MemberDigest],
+    received: &[MemberDigest],
 ) -> Vec<MemberDigest> {
-    let named: BTreeSet<SocketAddr> = named
+    let received_owners: BTreeSet<SocketAddr> = received
         .iter()
         .map(|member_digest| member_digest.owner)
         .collect();
@@ -180,12 +184,12 @@
         .collect();
     let wanted = hashes.iter().filter_map(|hash| by_hash.get(hash));
     wanted
-        .filter(|member_digest| !named.contains(&member_digest.owner))
+        .filter(|member_digest| !received_owners.contains(&member_digest.owner))
         .copied()
         .collect()
 }
 
-/// Member digests in batches that each fit a datagram.
+/// Splits member digests into batches that each fit a datagram.
 pub fn datagram_batches(
     member_digests: &[MemberDigest],
 ) -> impl Iterator<Item = Vec<MemberDigest>> + '_ {
@@ -194,34 +198,37 @@
         .map(<[MemberDigest]>::to_vec)
 }
 
-/// Leaves `most` of these at random: what is left out is found by the next repair, and not by all the same.
-fn sample<T>(items: &mut Vec<T>, most: usize, rng: &mut SmallRng) {
-    if items.len() <= most {
+/// Reduces `items` to at most `count`, chosen at random. The next repair finds the others. As the choice is random,
+/// repairs with different members do not all omit the same ones.
+fn sample<T>(items: &mut Vec<T>, count: usize, rng: &mut SmallRng) {
+    if items.len() <= count {
         return;
     }
-    for index in 0..most {
+    for index in 0..count {
         let other = rng.random_range(index..items.len());
         items.swap(index, other);
     }
-    items.truncate(most);
+    items.truncate(count);
 }
 
-/// How many times as often a repair is begun while views differ.
+/// The factor by which repairs start more often while views differ.
 const DIFFERING_SPEEDUP: Micros = 4;
-/// Probe periods for which views count as differing after they were found to.
+/// Number of probe periods for which views count as differing after a difference was found.
 const DIFFERING_PROBES: Micros = 2;
 
-/// When the next repair is begun: each probe period while views agree, more often while they differ.
+/// Decides when to start the next repair: once per probe period on average while views agree, more often while they
+/// differ.
 #[derive(Debug)]
 pub struct RepairSchedule {
+    /// The probe period.
     probe: Micros,
     next_at: Micros,
-    /// Until when views count as differing.
+    /// The time until which views count as differing.
     differing_until: Micros,
 }
 
 impl RepairSchedule {
-    /// A schedule by the probe period, begun at a random time in the first.
+    /// A schedule for this probe period. The first repair is due at a random time within one probe period from time 0.
     pub fn new(probe: Micros, rng: &mut SmallRng) -> RepairSchedule {
         RepairSchedule {
             probe,
@@ -230,12 +237,13 @@
         }
     }
 
-    /// When [`RepairSchedule::take_due`] is wanted next.
+    /// When [`RepairSchedule::take_due`] must be called next.
     pub fn next_at(&self) -> Micros {
         self.next_at
     }
 
-    /// Whether a repair is to be begun now; if so, the one after it is set, out of step with those of others.
+    /// Whether to start a repair now. If so, schedules the next one after a random time, between half a period and one
+    /// and a half, so that the repairs of different members do not coincide.
     pub fn take_due(&mut self, now: Micros, rng: &mut SmallRng) -> bool {
         if now < self.next_at {
             return false;
@@ -249,7 +257,7 @@
         true
     }
 
-    /// A view was found to differ, or has just changed.
+    /// Makes repairs more frequent for a while, as another member's view differs or this front end's has just changed.
     pub fn speed_up(&mut self, now: Micros) {
         self.differing_until = now + DIFFERING_PROBES * self.probe;
         self.next_at = self.next_at.min(now + self.probe / DIFFERING_SPEEDUP);
--- a/wrenseam/src/gossip.rs
+++ b/wrenseam/src/gossip.rs
@@ -1,6 +1,7 @@
-//! The fleet's datagrams: one UDP socket on a coroutine that feeds [`crate::fleet::Node`] with what comes and the time,
-//! sends what it asks, hands it the core's summary each probe period, passes the fleet's status to the core, and
-//! publishes this front end's lifecycle. All decisions are in `crate::fleet`; this module only carries.
+//! I/O for the fleet's gossip. A coroutine with a UDP socket passes received datagrams and the time to
+//! [`crate::fleet::Node`] and sends its datagrams. Each probe period it passes the core's load summary to the node and
+//! the fleet's status to the core. It also publishes this front end's lifecycle. All decisions are made in
+//! `crate::fleet`.
 pub mod log_lines;
 
 use crate::clock::Clock;
@@ -22,53 +23,53 @@
 use std::time::{Duration, Instant};
 use wrenseam_policy::Micros;
 
-/// The most peers whose summaries are remembered: more than any fleet we run, and a bound on memory.
+/// Maximum number of peers whose summaries are kept, which bounds memory. Larger than any fleet in operation.
 const SUMMARY_CAPACITY: usize = 1024;
-/// Probe periods for which a summary counts after it came.
-const FRESH_PROBES: u64 = 3;
+/// Number of probe periods for which a received summary is fresh.
+const SUMMARY_FRESH_PROBES: u64 = 3;
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: u64 = 1000;
-/// The shortest wait for a datagram, in microseconds, so that a timer that is due does not make the loop spin.
-const SHORTEST_WAIT: Micros = 1000;
-/// How long a process that ends waits at the most for the fleet to be notified.
-const LEAVE_WITHIN: Duration = Duration::from_millis(300);
-/// How often it looks whether the fleet has been notified.
-const LEAVE_POLL: Duration = Duration::from_millis(5);
+/// Minimum wait for a datagram, in microseconds, so that a timer that is due does not make the loop spin.
+const MIN_WAIT: Micros = 1000;
+/// Maximum time that an exiting process waits until the fleet has been notified.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
+/// How often an exiting process checks whether the fleet has been notified.
+const LEAVE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// The offset basis and prime of FNV-1a, 32 bits wide.
 const FNV_OFFSET: u32 = 0x811c_9dc5;
 const FNV_PRIME: u32 = 0x0100_0193;
 
-/// Why gossip could not be started.
+/// Why gossip cannot be started.
 #[derive(Debug, thiserror::Error)]
 pub enum GossipError {
     /// The socket cannot be bound.
     #[error("gossip {listen}: {source}")]
     Bind {
-        /// The address in the fleet's file.
+        /// The address in the fleet's configuration file.
         listen: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The address that the socket is bound to is not known.
-    #[error("gossip: {0}")]
+    /// The local address of the socket cannot be read.
+    #[error("gossip: local address not available: {0}")]
     LocalAddress(#[source] std::io::Error),
     /// The coroutine cannot be started.
-    #[error("gossip: {0}")]
+    #[error("gossip: coroutine not started: {0}")]
     Spawn(#[source] std::io::Error),
 }
 
-/// A 32-bit id of the cluster (FNV-1a of its name), carried in every datagram.
+/// The cluster's id in the header of every datagram: the 32-bit FNV-1a hash of its name.
 pub fn cluster_id(name: &str) -> u32 {
     name.bytes().fold(FNV_OFFSET, |hash, byte| {
         (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME)
     })
 }
 
-/// Binds the gossip socket and starts its coroutine; the address it is bound to (peers get
-/// `advertise` instead, where it is set).
+/// Binds the gossip socket and starts its coroutine, with a stack of `stack` bytes. Returns the address to which the
+/// socket is bound. Peers get the configured `advertise` address instead, if there is one.
 ///
 /// # Errors
-/// The socket cannot be bound, or the coroutine not started.
+/// [`GossipError`] if the socket cannot be bound or the coroutine cannot be started.
 pub fn start(
     fleet: &FleetConfig,
     seed: u64,
@@ -82,7 +83,7 @@
     let own = fleet.advertise.unwrap_or(bound);
     let clock = Clock::start();
     let settings = node_settings(fleet, &shared);
-    // A later start at the same address wins over the incarnation before it: the clock's Unix microseconds.
+    // The incarnation is the Unix time in microseconds, so that a later start at the same address has a larger one.
     let node = Node::new(own, clock.now(), settings, seed);
     let gossip = Gossip {
         socket,
@@ -99,7 +100,7 @@
     Ok(bound)
 }
 
-/// The node's settings, by the fleet's file.
+/// The node's settings, from the fleet's configuration file.
 fn node_settings(fleet: &FleetConfig, shared: &ProcessState) -> NodeSettings {
     let probe = fleet.probe_ms * MICROS_PER_MS;
     NodeSettings {
@@ -109,7 +110,7 @@
             suspect_for: fleet.suspect_ms * MICROS_PER_MS,
             expected: fleet.expected,
             extra_transmissions: EXTRA_TRANSMISSIONS,
-            fresh_for: FRESH_PROBES * probe,
+            fresh_for: SUMMARY_FRESH_PROBES * probe,
             capacity: SUMMARY_CAPACITY,
         },
         metadata: Metadata {
@@ -131,17 +132,18 @@
     clock: Clock,
     /// The probe period.
     period: Micros,
+    /// When to exchange the load summary and the fleet's status with the core next.
     publish_at: Micros,
-    /// Datagrams dropped, as last logged.
+    /// The counts of dropped datagrams that were last logged.
     dropped: Dropped,
-    /// Whether front ends of an earlier version are in the fleet, as last logged.
+    /// Whether the fleet contained front ends of an earlier version when that was last logged.
     is_mixed: bool,
     core: CoreHandle,
     shared: Arc<ProcessState>,
 }
 
 impl Gossip {
-    /// Runs until the front end leaves or the core has ended.
+    /// Runs until this front end leaves the fleet or the core has ended.
     fn run(mut self) {
         let mut buffer = vec![0u8; MAX_DATAGRAM + 1];
         loop {
@@ -154,7 +156,7 @@
             }
             self.update_record(now, lifecycle);
             if now >= self.publish_at && self.publish(now).is_err() {
-                return; // the core has ended: so has the process
+                return; // the core has ended, so the process is exiting
             }
             self.send();
             self.log_events();
@@ -169,7 +171,7 @@
         self.shared.left.store(true, Ordering::Release);
     }
 
-    /// Keeps our record in step with what this front end does.
+    /// Publishes this front end's lifecycle and configuration digest if they changed.
     fn update_record(&mut self, now: Micros, lifecycle: Lifecycle) {
         let config_digest = self.shared.config_digest.load(Ordering::Acquire);
         let updated = self.node.update(now, |metadata| {
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Each probe period: gossips the core's summary and passes the fleet's status to the core.
+    /// Gossips the core's load summary and passes the fleet's status to the core. Called once per probe period.
     fn publish(&mut self, now: Micros) -> Result<(), CoreEnded> {
         self.publish_at = now + self.period;
         let summary = *self
@@ -195,7 +197,7 @@
         Ok(())
     }
 
-    /// Logs what has changed since the last status.
+    /// Logs dropped datagrams and mixed versions if they changed since they were last logged.
     fn log_status(&mut self, status: &FleetStatus) {
         if status.dropped != self.dropped {
             self.dropped = status.dropped;
@@ -209,7 +211,8 @@
 
     fn send(&mut self) {
         for Outgoing { to, bytes, .. } in self.node.outbox() {
-            // A peer that is gone answers with an ICMP error on a later call: nothing to do but go on.
+            // If a peer is gone, a later call returns its ICMP error, which needs no action: the failure detector
+            // notices.
             let _ = self.socket.send_to(&bytes, to);
         }
     }
@@ -229,16 +232,16 @@
         }
     }
 
-    /// Waits for a datagram until the next timer, and hands it to the node.
+    /// Waits for a datagram until the next timer is due, and passes it to the node.
     fn receive(&mut self, buffer: &mut [u8]) {
         let next = self.node.next_wakeup().min(self.publish_at);
         let wait = next
             .saturating_sub(self.clock.now())
-            .clamp(SHORTEST_WAIT, self.period.max(SHORTEST_WAIT));
+            .clamp(MIN_WAIT, self.period.max(MIN_WAIT));
         let _ = self
             .socket
             .set_read_timeout(Some(Duration::from_micros(wait)));
-        // An error is a wait that timed out, or the ICMP error of an earlier send to a peer that is gone.
+        // An error means that the wait timed out, or is the ICMP error of an earlier send to a peer that is gone.
         if let Ok((length, _)) = self.socket.recv_from(buffer) {
             let now = self.clock.now();
             self.node.handle_datagram(now, &buffer[..length]);
@@ -246,11 +249,11 @@
     }
 }
 
-/// Has the fleet notified that this process ends, and waits until that is sent; 0.3 s at the longest.
+/// Notifies the fleet that this front end leaves, and waits for at most 0.3 s until the notices are sent.
 pub fn leave(shared: &ProcessState) {
     shared.leaving.store(true, Ordering::Release);
     let since = Instant::now();
-    while !shared.left.load(Ordering::Acquire) && since.elapsed() < LEAVE_WITHIN {
-        std::thread::sleep(LEAVE_POLL);
+    while !shared.left.load(Ordering::Acquire) && since.elapsed() < LEAVE_TIMEOUT {
+        std::thread::sleep(LEAVE_POLL_INTERVAL);
     }
 }
--- a/wrenseam/src/gossip/log_lines.rs
+++ b/wrenseam/src/gossip/log_lines.rs
@@ -1,4 +1,4 @@
-//! The texts of the fleet's log lines, one function each. docs/oncall.md says what each means for the operator.
+//! The texts of the fleet's log lines, one function each. docs/oncall.md describes them for operators.
 use crate::fleet::record::RecordError;
 use crate::fleet::swim::Dropped;
 use std::net::SocketAddr;
@@ -13,27 +13,27 @@
     format!("fleet: peer {peer} down, {alive} alive")
 }
 
-/// A peer left after it said so; `alive` peers are counted alive now.
+/// A peer announced that it leaves, and left; `alive` peers are counted alive now.
 pub fn peer_left(peer: SocketAddr, alive: usize) -> String {
     format!("fleet: peer {peer} left, {alive} alive")
 }
 
-/// No peer is counted alive any more.
+/// No peer is counted alive any longer.
 pub fn isolated() -> String {
     "fleet: no peer alive; retry budget by this front end's share only".to_owned()
 }
 
-/// The peers had declared this front end down, and it came back.
+/// The peers declared this front end down, and it rejoined the fleet.
 pub fn rejoined() -> String {
     "fleet: declared down by peers, rejoined under a new incarnation".to_owned()
 }
 
-/// This front end's record is beyond its bounds; the former one stays published.
+/// This front end's record exceeds its limits. The previous record stays published.
 pub fn record_not_published(error: &RecordError) -> String {
     format!("fleet: member record not published: {error}")
 }
 
-/// Datagrams were dropped, counted by cause since the start.
+/// SWIM dropped further datagrams. The counts by cause are totals since the start of the process.
 pub fn datagrams_dropped(dropped: &Dropped) -> String {
     format!(
         "fleet: datagrams dropped: {} oversized, {} foreign, {} garbled",
@@ -41,7 +41,7 @@
     )
 }
 
-/// Front ends of a version without averaging came into the fleet, or the last of them has gone.
+/// A front end of a version without averaging joined the fleet, or the last of them left it.
 pub fn mixed_versions(is_mixed: bool) -> String {
     if is_mixed {
         "fleet: mixed versions: load summaries are gossiped for front ends without averaging"
--- a/wrenseam/tests/fleet_admission.rs
+++ b/wrenseam/tests/fleet_admission.rs
@@ -1,4 +1,4 @@
-//! Admission control by the fleet: the retry budget under a retry storm.
+//! Admission control by the fleet's retry budget, under a retry storm.
 use rstest::rstest;
 use wrenseam::config::FleetConfig;
 use wrenseam::core::FleetAdmission;
@@ -25,13 +25,14 @@
     }
 }
 
-/// A retry storm at one front end of a fleet of `peers + 1`: every request asks for five attempts.
+/// A retry storm at one front end of a fleet of `peers + 1`: each of 100 requests within 1 s asks for five attempts. The
+/// budget admits the first attempts, 10 more by the ratio, and this front end's share of the floor of 30.
 #[rstest]
 #[case::alone(0, 1, 100 + 10 + 30)]
 #[case::one_of_three(2, 1, 100 + 10 + 10)]
 #[case::one_of_thirty(29, 1, 100 + 10 + 1)]
-#[case::cut_off_but_expected_three(0, 3, 100 + 10 + 10)]
-fn a_storm_stays_within_the_budget(
+#[case::alone_where_three_are_expected(0, 3, 100 + 10 + 10)]
+fn a_retry_storm_stays_within_the_budget(
     #[case] peers: usize,
     #[case] expected: usize,
     #[case] want: u32,
--- a/wrenseam/tests/fleet_budget.rs
+++ b/wrenseam/tests/fleet_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget and the fleet size that divides its floor.
+//! The retry budget, and the estimate of the fleet's size by which its floor is divided.
 use rstest::rstest;
 use wrenseam::fleet::{BudgetUsage, FleetSize, RetryBudget};
 use wrenseam_policy::Micros;
@@ -6,11 +6,11 @@
 const SECOND: Micros = 1_000_000;
 
 #[rstest]
-#[case::no_floor_no_firsts(0.2, 0.0, 0, 0)]
-#[case::a_fifth_of_a_hundred(0.2, 0.0, 100, 20)]
-#[case::floor_alone_for_one(0.2, 1.0, 0, 10)]
+#[case::no_floor_and_no_first_attempts(0.2, 0.0, 0, 0)]
+#[case::a_fifth_of_100_first_attempts(0.2, 0.0, 100, 20)]
+#[case::only_the_floor(0.2, 1.0, 0, 10)]
 #[case::floor_and_ratio(0.1, 1.0, 50, 15)]
-fn extras_stop_at_the_bound(
+fn extra_attempts_are_limited(
     #[case] ratio: f64,
     #[case] floor: f64,
     #[case] first_attempts: u32,
@@ -36,7 +36,7 @@
 #[case(1, 30)]
 #[case(3, 10)]
 #[case(30, 1)]
-fn the_floor_is_divided_by_the_fleet(#[case] size: usize, #[case] want: usize) {
+fn the_floor_is_divided_by_the_fleet_size(#[case] size: usize, #[case] want: usize) {
     let mut budget = RetryBudget::new(0.0, 3.0, 10 * SECOND);
     assert_eq!(
         (0..100)
@@ -56,7 +56,7 @@
             .count(),
         5
     );
-    // Eleven seconds on, the first attempts of the start have left the window.
+    // After 11 s, the first attempts at time 0 have left the window of 10 s.
     assert!(!budget.admit_extra_attempt(11 * SECOND, 1));
     budget.record_first_attempt(11 * SECOND);
     budget.record_first_attempt(11 * SECOND);
@@ -74,11 +74,13 @@
 #[rstest]
 #[case::alone_from_the_start(1, &[(0, 0)], 1)]
 #[case::grows(1, &[(0, 2), (SECOND, 9)], 10)]
-#[case::cut_off_keeps_its_share_for_the_hold(1, &[(0, 9), (5 * SECOND, 0)], 10)]
-#[case::after_the_hold_alone(1, &[(0, 9), (61 * SECOND, 0)], 1)]
-#[case::expected_is_the_floor(3, &[(0, 9), (61 * SECOND, 0)], 3)]
-fn size_is_held(#[case] expected: usize, #[case] seen: &[(Micros, usize)], #[case] want: usize) {
+#[case::the_largest_size_is_held_after_contact_is_lost(1, &[(0, 9), (5 * SECOND, 0)], 10)]
+#[case::alone_after_the_hold(1, &[(0, 9), (61 * SECOND, 0)], 1)]
+#[case::never_below_the_expected_size(3, &[(0, 9), (61 * SECOND, 0)], 3)]
+fn size_is_held(#[case] expected: usize, #[case] updates: &[(Micros, usize)], #[case] want: usize) {
     let mut size = FleetSize::new(expected, 60 * SECOND);
-    seen.iter().for_each(|&(at, alive)| size.update(at, alive));
+    updates
+        .iter()
+        .for_each(|&(at, peers)| size.update(at, peers));
     assert_eq!(size.estimate(), want);
 }
--- a/wrenseam/tests/fleet_log_lines.rs
+++ b/wrenseam/tests/fleet_log_lines.rs
@@ -1,4 +1,4 @@
-//! The texts of the fleet's log lines, as docs/oncall.md lists them.
+//! The text of each log line of the fleet, as docs/oncall.md lists them for operators.
 use rstest::rstest;
 use std::net::SocketAddr;
 use wrenseam::fleet::record::RecordError;
--- a/wrenseam/tests/fleet_summary.rs
+++ b/wrenseam/tests/fleet_summary.rs
@@ -1,4 +1,4 @@
-//! Summaries: their bytes, their order, and what they make the mean.
+//! Load summaries: their encoding, which of them replaces which, and the mean pressure that they give.
 use rstest::rstest;
 use std::net::SocketAddr;
 use wrenseam::fleet::summary::{InsertOutcome, Summaries, Summary, SummaryError, SUMMARY_BYTES};
@@ -36,8 +36,8 @@
 #[rstest]
 #[case::short(&[0u8; 10][..], SummaryError::Length(10))]
 #[case::long(&[0u8; 70][..], SummaryError::Length(70))]
-#[case::not_ours(&[0u8; SUMMARY_BYTES][..], SummaryError::Magic)]
-fn garbage_is_rejected(#[case] bytes: &[u8], #[case] want: SummaryError) {
+#[case::wrong_magic(&[0u8; SUMMARY_BYTES][..], SummaryError::Magic)]
+fn invalid_bytes_are_rejected(#[case] bytes: &[u8], #[case] want: SummaryError) {
     assert_eq!(Summary::decode(bytes), Err(want));
 }
 
@@ -52,10 +52,10 @@
 }
 
 #[rstest]
-#[case::repeat(&[(1, 3), (1, 3)], &[InsertOutcome::Updated, InsertOutcome::Stale])]
+#[case::duplicate(&[(1, 3), (1, 3)], &[InsertOutcome::Updated, InsertOutcome::Stale])]
 #[case::out_of_order(&[(1, 5), (1, 4), (1, 6)], &[InsertOutcome::Updated, InsertOutcome::Stale, InsertOutcome::Updated])]
-#[case::ours(&[(0, 1)], &[InsertOutcome::Foreign])]
-fn order_and_repeats(#[case] inserts: &[(u16, u64)], #[case] want: &[InsertOutcome]) {
+#[case::own(&[(0, 1)], &[InsertOutcome::Foreign])]
+fn only_newer_summaries_are_stored(#[case] inserts: &[(u16, u64)], #[case] want: &[InsertOutcome]) {
     let mut summaries = Summaries::new(8, 1_000_000);
     let outcomes: Vec<InsertOutcome> = inserts
         .iter()
@@ -65,19 +65,19 @@
 }
 
 #[test]
-fn a_liar_moves_the_mean_by_its_share_and_stale_summaries_do_not_count() {
+fn one_wrong_summary_shifts_the_mean_by_its_share_and_stale_ones_do_not_count() {
     let mut summaries = Summaries::new(8, 1_000_000);
     for port in 1..=3 {
         summaries.insert(0, origin(7000), summary_of(7000 + port, 1, 2000));
     }
     assert_eq!(summaries.pressure(0, 2000), 2000);
     summaries.insert(0, origin(7000), summary_of(7004, 1, 0));
-    // Five front ends, one says zero: the mean falls by a fifth, no more.
+    // One of five front ends reports 0: the mean falls by only a fifth.
     assert_eq!(summaries.pressure(0, 2000), 1600);
     assert_eq!(
         summaries.pressure(2_000_000, 2000),
         2000,
-        "only our own is fresh"
+        "only the own pressure counts once all summaries are stale"
     );
 }
 
