--- a/wrenseam/examples/large_fleet.rs
+++ b/wrenseam/examples/large_fleet.rs
@@ -1,5 +1,6 @@
-//! What one process takes before a large fleet: stand-in workers on the platform's frames, stand-in peers that
-//! gossip, and v2 clients whose calls go to most workers. Prints a row of a table. Bounded: it ends by itself.
+//! Measures the resources that one front end process uses in a large fleet. Runs simulated workers that speak the frame
+//! protocol, peers that gossip, and KServe v2 clients whose calls reach most of the workers. Ends by itself after some
+//! seconds of calls and prints the result as a table. The arguments are the number of workers and the number of front ends:
 //! `cargo build --release && cargo run --release --example large_fleet -- 700 350`
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,18 +12,20 @@
 use wrenseam::queue::CoreHandle;
 use wrenseam::worker::frames::encode;
 
+/// Duration of the calls, in seconds.
 const SECONDS: u64 = 12;
 const CLIENTS: usize = 200;
 const CLASS: &str = "tile-render";
 
-fn thread(run: impl FnOnce() + Send + 'static) {
+fn spawn_thread(run: impl FnOnce() + Send + 'static) {
     std::thread::Builder::new()
         .stack_size(128 * 1024)
         .spawn(run)
         .expect("a thread");
 }
 
-/// Answers every call and order that comes on a connection, until it ends.
+/// Answers all calls (code 2) and load orders (code 6) on a worker connection until it is closed. A frame from a worker
+/// starts with the byte 127.
 fn serve(mut stream: TcpStream) {
     let mut head = [0u8; 16];
     while stream.read_exact(&mut head).is_ok() {
@@ -33,14 +36,14 @@
             return;
         }
         let id = u64::from_be_bytes(head[8..].try_into().expect("eight bytes"));
-        let told = if head[1] == 6 {
+        let answer_fields = if head[1] == 6 {
             "slots_up=1"
         } else {
             "detail=resident"
         };
         if matches!(head[1], 2 | 6) {
             std::thread::sleep(Duration::from_millis(5));
-            let mut answer = encode(200, id, told, &rest[fields..fields + body]);
+            let mut answer = encode(200, id, answer_fields, &rest[fields..fields + body]);
             answer[0] = 127;
             if stream.write_all(&answer).is_err() {
                 return;
@@ -49,27 +52,35 @@
     }
 }
 
-/// A worker; its address. `touched` counts the workers that were called.
-fn worker(touched: Arc<AtomicUsize>) -> SocketAddr {
+/// Starts a worker and returns its address. Its first connection increments `called_workers`.
+fn start_worker(called_workers: Arc<AtomicUsize>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    thread(move || {
+    spawn_thread(move || {
         for (n, stream) in listener.incoming().flatten().enumerate() {
-            touched.fetch_add(usize::from(n == 0), Ordering::Relaxed);
+            called_workers.fetch_add(usize::from(n == 0), Ordering::Relaxed);
             let _ = stream.set_nodelay(true);
-            thread(move || serve(stream));
+            spawn_thread(move || serve(stream));
         }
     });
     address
 }
 
-/// Calls of ever other functions on one kept connection, until the time is over.
-fn client(to: SocketAddr, seed: u64, until: Instant, answered: &AtomicUsize, served: &AtomicUsize) {
+/// Calls random functions on one persistent connection until the given time.
+fn run_client(
+    to: SocketAddr,
+    seed: u64,
+    until: Instant,
+    answered: &AtomicUsize,
+    served: &AtomicUsize,
+) {
     let Ok(mut stream) = TcpStream::connect(to) else {
         return;
     };
-    let Ok(read) = stream.try_clone() else { return };
-    let mut read = BufReader::new(read);
+    let Ok(reader) = stream.try_clone() else {
+        return;
+    };
+    let mut reader = BufReader::new(reader);
     let mut n = seed;
     while Instant::now() < until {
         n = n
@@ -86,49 +97,52 @@
         if stream.write_all(head.as_bytes()).is_err() {
             return;
         }
-        let (mut first, mut length) = (String::new(), 0);
-        if read.read_line(&mut first).is_err() || first.is_empty() {
+        let (mut status_line, mut length) = (String::new(), 0);
+        if reader.read_line(&mut status_line).is_err() || status_line.is_empty() {
             return;
         }
         loop {
             let mut line = String::new();
-            if read.read_line(&mut line).is_err() || line.trim().is_empty() {
+            if reader.read_line(&mut line).is_err() || line.trim().is_empty() {
                 break;
             }
-            if let Some(v) = line.to_ascii_lowercase().strip_prefix("content-length:") {
-                length = v.trim().parse().unwrap_or(0);
+            if let Some(value) = line.to_ascii_lowercase().strip_prefix("content-length:") {
+                length = value.trim().parse().unwrap_or(0);
             }
         }
         let mut rest = vec![0; length];
-        if read.read_exact(&mut rest).is_err() {
+        if reader.read_exact(&mut rest).is_err() {
             return;
         }
         answered.fetch_add(1, Ordering::Relaxed);
-        served.fetch_add(usize::from(first.contains(" 200 ")), Ordering::Relaxed);
+        served.fetch_add(
+            usize::from(status_line.contains(" 200 ")),
+            Ordering::Relaxed,
+        );
         std::thread::sleep(Duration::from_millis(150));
     }
 }
 
-#[allow(clippy::too_many_lines)] // a script: one measurement after another
+#[allow(clippy::too_many_lines)] // a script that sets up one measurement
 fn main() {
     let mut sizes = std::env::args()
         .skip(1)
-        .filter_map(|a| a.parse::<usize>().ok());
+        .filter_map(|argument| argument.parse::<usize>().ok());
     let (workers, peers) = (sizes.next().unwrap_or(700), sizes.next().unwrap_or(350));
-    let folder = std::env::temp_dir().join(format!("large-fleet-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let touched = Arc::new(AtomicUsize::new(0));
+    let directory = std::env::temp_dir().join(format!("large-fleet-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("directory created");
+    let called_workers = Arc::new(AtomicUsize::new(0));
     let instances: Vec<String> = (0..workers)
-        .map(|w| {
-            let at = worker(touched.clone());
+        .map(|worker| {
+            let address = start_worker(called_workers.clone());
             format!(
-                r#"{{"instanceId":"s-{w:08x}","hostPort":"{at}","zone":"hall-a","machineType":"std","cell":0,"lifecycle":"ready","weight":1,"startedAtMs":0}}"#
+                r#"{{"instanceId":"s-{worker:08x}","hostPort":"{address}","zone":"hall-a","machineType":"std","cell":0,"lifecycle":"ready","weight":1,"startedAtMs":0}}"#
             )
         })
         .collect();
     let write = |name: &str, text: String| {
-        std::fs::write(folder.join(name), text).expect("written");
-        folder.join(name)
+        std::fs::write(directory.join(name), text).expect("written");
+        directory.join(name)
     };
     let config = write(
         "config.json",
@@ -161,28 +175,28 @@
         .env("WRENSEAM_FLEET", &fleet)
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the program, built in release before");
-    let mut lines = BufReader::new(child.stderr.take().expect("its log"))
+        .expect("a release build of wrenseam");
+    let mut lines = BufReader::new(child.stderr.take().expect("piped stderr"))
         .lines()
         .map_while(Result::ok);
     let (mut front, mut gossip) = (None, None);
     while front.is_none() || gossip.is_none() {
-        let line = lines.next().expect("it listens");
-        let at = || {
+        let line = lines.next().expect("start lines with the addresses");
+        let address = || {
             line.rsplit_once(" listens on ")
-                .and_then(|(_, a)| a.parse::<SocketAddr>().ok())
+                .and_then(|(_, text)| text.parse::<SocketAddr>().ok())
         };
-        front = front.or(at().filter(|_| line.contains("KServe v2")));
-        gossip = gossip.or(at().filter(|_| line.contains("gossip")));
+        front = front.or(address().filter(|_| line.contains("KServe v2")));
+        gossip = gossip.or(address().filter(|_| line.contains("gossip")));
     }
-    let log = folder.join("log");
-    let mut log = std::fs::File::create(log).expect("a file");
-    thread(move || lines.for_each(|l| drop(writeln!(log, "{l}"))));
-    let (front, gossip) = (front.expect("heard"), gossip.expect("heard"));
+    let log = directory.join("log");
+    let mut log = std::fs::File::create(log).expect("log file created");
+    spawn_thread(move || lines.for_each(|line| drop(writeln!(log, "{line}"))));
+    let (front, gossip) = (front.expect("found above"), gossip.expect("found above"));
     may::config().set_workers(2);
-    let mut held = Vec::new(); // dropped at the end: the peers' cores, which only take their news
+    let mut status_receivers = Vec::new(); // kept until the end: a peer's gossip stops once its core's queue is closed
     for n in 1..peers {
-        let (core, news) = mpsc::channel();
+        let (core, statuses) = mpsc::channel();
         let mut file =
             wrenseam::config::FleetConfig::read(&fleet.display().to_string()).expect("read");
         file.seeds = vec![gossip];
@@ -194,27 +208,28 @@
             64 * 1024,
         )
         .expect("a peer");
-        held.push(news);
+        status_receivers.push(statuses);
     }
     let until = Instant::now() + Duration::from_secs(SECONDS);
     let (answered, served) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     for n in 0..CLIENTS {
-        let (a, s) = (answered.clone(), served.clone());
-        thread(move || client(front, n as u64 + 1, until, &a, &s));
+        let (answered, served) = (answered.clone(), served.clone());
+        spawn_thread(move || run_client(front, n as u64 + 1, until, &answered, &served));
     }
-    let own = format!("/proc/{}", child.id());
+    let proc_directory = format!("/proc/{}", child.id());
     let (mut memory, mut threads, mut descriptors) = (0, 0, 0);
     while Instant::now() < until {
-        let status = std::fs::read_to_string(format!("{own}/status")).unwrap_or_default();
-        let figure = |name: &str| {
-            let line = status.lines().find_map(|l| l.strip_prefix(name));
-            line.and_then(|l| l.split_whitespace().next()?.parse::<usize>().ok())
+        let status =
+            std::fs::read_to_string(format!("{proc_directory}/status")).unwrap_or_default();
+        let value_of = |name: &str| {
+            let line = status.lines().find_map(|line| line.strip_prefix(name));
+            line.and_then(|line| line.split_whitespace().next()?.parse::<usize>().ok())
                 .unwrap_or(0)
         };
-        memory = memory.max(figure("VmRSS:"));
-        threads = threads.max(figure("Threads:"));
-        descriptors =
-            descriptors.max(std::fs::read_dir(format!("{own}/fd")).map_or(0, Iterator::count));
+        memory = memory.max(value_of("VmRSS:"));
+        threads = threads.max(value_of("Threads:"));
+        descriptors = descriptors
+            .max(std::fs::read_dir(format!("{proc_directory}/fd")).map_or(0, Iterator::count));
         std::thread::sleep(Duration::from_millis(20));
     }
     let ended = child.try_wait().ok().flatten();
@@ -224,11 +239,11 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     println!(
         "| {workers} | {peers} | {CLIENTS} | {} | {} | {} | {:.0} | {threads} | {descriptors} | {} |",
-        touched.load(Ordering::Relaxed),
+        called_workers.load(Ordering::Relaxed),
         answered.load(Ordering::Relaxed),
         served.load(Ordering::Relaxed),
         memory as f64 / 1024.0,
         ended.map_or("no".to_owned(), |e| e.to_string()),
     );
-    let _ = std::fs::remove_dir_all(folder);
+    let _ = std::fs::remove_dir_all(directory);
 }
