--- a/wrenseam/examples/large_fleet.rs
+++ b/wrenseam/examples/large_fleet.rs
@@ -1,6 +1,6 @@
 //! Measures the resources that one front end process uses in a large fleet. Runs simulated workers that speak the frame
 //! protocol, peers that gossip, and KServe v2 clients whose calls reach most of the workers. Ends by itself after some
-//! seconds of calls and prints the result as a table. The arguments are the number of workers and the number of front ends:
+//! seconds of calls and prints the result as a table. The arguments are the numbers of workers and of front ends:
 //! `cargo build --release && cargo run --release --example large_fleet -- 700 350`
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/wrenseam/src/fleet/average.rs
+++ b/wrenseam/src/fleet/average.rs
@@ -163,7 +163,7 @@
         self.next_turn_at
     }
 
-    /// If the next turn is due: smooths the own pressure, resets silent edges and starts the turn's exchange.
+    /// If the next turn is due: smooths this front end's pressure, resets silent edges and sends a request.
     pub fn tick(&mut self, now: Micros) {
         if now < self.next_turn_at {
             return;
--- a/wrenseam/src/fleet/message.rs
+++ b/wrenseam/src/fleet/message.rs
@@ -26,9 +26,9 @@
 /// The content of one datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Envelope {
-    /// The sender, in the incarnation that it has now.
+    /// The sender's gossip address and incarnation.
     pub from: PeerId,
-    /// What the sender reports or asks for.
+    /// What the sender reports or requests.
     pub message: Message,
 }
 
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
     /// The checksum at the end does not match the bytes before it.
-    #[error("checksum does not match")]
+    #[error("checksum of the datagram does not match")]
     Checksum,
     /// The datagram ends too early, or has bytes left after its message.
     #[error("datagram is truncated or has trailing bytes")]
--- a/wrenseam/src/fleet/node.rs
+++ b/wrenseam/src/fleet/node.rs
@@ -14,20 +14,21 @@
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// Minimum mean time between two attempts to rejoin through an unreachable peer, in probe periods.
+/// Minimum mean time between two attempts to rejoin through an unreachable peer, in probe periods. A front end without
+/// live peers tries once per probe period instead.
 const MIN_REJOIN_PROBES: Micros = 5;
 /// Approximate number of rejoin attempts per probe period in the whole fleet. To keep to it, each front end's pause
 /// grows with the size of the fleet.
 const FLEET_REJOINS_PER_PROBE: Micros = 10;
-/// The member list counts as incomplete if more than one in this many members joined in the last probe period. A front
-/// end that starts then requests the lists of further peers, as one answer contains only about 60 members.
-const FILLING_DIVISOR: usize = 20;
+/// The member list counts as incomplete if more than one in this many members joined in the last probe period, as after
+/// the start of this front end. It then requests the lists of further peers, as one answer holds only about 60 members.
+const INCOMPLETE_LIST_DIVISOR: usize = 20;
 /// Number of peers whose member lists are requested per probe period while the own list is incomplete.
 const MEMBER_LISTS_PER_PROBE: usize = 2;
 
-/// How long received datagrams are dropped, in microseconds, after the process did not run for longer than the
-/// suspicion time-out. Reading the datagrams that waited in the socket takes about as long. They are outdated and may
-/// declare down a peer that has returned since.
+/// Time, in microseconds, for which received datagrams are dropped after the process did not run for longer than the
+/// suspicion time-out. The datagrams that waited in the socket are outdated and could declare down a peer that has
+/// returned since. Reading all of them takes this long.
 const BACKLOG_DROP_TIME: Micros = 20_000;
 
 /// Number of transmissions of each membership update in addition to foca's 4 log10 N. When a zone or a region fails, up
@@ -72,7 +73,7 @@
     draining: usize,
     /// The fleet's mean pressure at the last [`Node::publish`], in thousandths.
     pressure: u32,
-    /// The time of the last call that passed one.
+    /// The time that the last call passed.
     now: Micros,
 }
 
@@ -184,7 +185,7 @@
         let mixed = self.publish_summary(now, own);
         let is_low = self.byte_budget.is_low(now);
         self.members.swim().set_reduced_gossip(is_low);
-        self.fill_member_list(now);
+        self.complete_member_list(now);
         self.rejoin_unreachable(now);
         self.pressure = if mixed {
             self.members.swim().pressure(now, own.pressure)
@@ -212,9 +213,9 @@
     }
 
     /// Requests the member lists of some peers while many members are new.
-    fn fill_member_list(&mut self, now: Micros) {
+    fn complete_member_list(&mut self, now: Micros) {
         let joined = std::mem::take(&mut self.joined);
-        if joined * FILLING_DIVISOR <= self.members.alive() {
+        if joined * INCOMPLETE_LIST_DIVISOR <= self.members.alive() {
             return;
         }
         for _ in 0..MEMBER_LISTS_PER_PROBE {
@@ -306,13 +307,13 @@
     /// Removes and returns the datagrams to send, in the order of [`TrafficKind`](super::traffic::TrafficKind). Drops
     /// those that the byte budget does not admit.
     pub fn outbox(&mut self) -> Vec<Outgoing> {
-        let mut out = self.members.outbox();
-        out.extend(self.average.outbox());
-        out.sort_by_key(|outgoing| outgoing.kind.index());
+        let mut datagrams = self.members.outbox();
+        datagrams.extend(self.average.outbox());
+        datagrams.sort_by_key(|datagram| datagram.kind.index());
         let now = self.now;
         let byte_budget = &mut self.byte_budget;
-        out.retain(|outgoing| byte_budget.admit(now, outgoing.kind, outgoing.bytes.len()));
-        out
+        datagrams.retain(|datagram| byte_budget.admit(now, datagram.kind, datagram.bytes.len()));
+        datagrams
     }
 
     /// Removes and returns the changes of membership since the last call.
--- a/wrenseam/src/fleet/status.rs
+++ b/wrenseam/src/fleet/status.rs
@@ -33,7 +33,7 @@
     pub bytes_sent: [u64; TrafficKind::ALL.len()],
     /// Bytes not sent because they exceeded the byte budget, in the order of [`TrafficKind::ALL`].
     pub bytes_over_budget: [u64; TrafficKind::ALL.len()],
-    /// Counts of the datagrams that carry records.
+    /// Counts of repairs, of records merged or rejected, and of dropped datagrams of the record protocol.
     pub records: RecordCounts,
     /// Datagrams dropped by SWIM, by cause.
     pub dropped: Dropped,
--- a/wrenseam/src/fleet/summary.rs
+++ b/wrenseam/src/fleet/summary.rs
@@ -57,7 +57,7 @@
     /// The first bytes are not those of a summary.
     #[error("not a load summary")]
     Magic,
-    /// The checksum does not match.
+    /// The checksum at the end does not match the bytes before it.
     #[error("checksum of the load summary does not match")]
     Checksum,
     /// An unknown address family; 0 (none), 4 and 6 are valid.
@@ -246,9 +246,9 @@
             .map(|received| &received.summary)
     }
 
-    /// The fleet's mean pressure in thousandths, from this front end's `own` and the fresh summaries of its peers. Each
-    /// is limited to [`MAX_PRESSURE`], so that a peer that reports a wrong value can shift the mean of N front ends by
-    /// at most `MAX_PRESSURE / N`.
+    /// The fleet's mean pressure in thousandths, from this front end's pressure `own` and the fresh summaries of its
+    /// peers. Each is limited to [`MAX_PRESSURE`], so that a peer that reports a wrong value can shift the mean of N
+    /// front ends by at most `MAX_PRESSURE / N`.
     pub fn pressure(&self, now: Micros, own: u32) -> u32 {
         let mut sum = u64::from(own.min(MAX_PRESSURE));
         let mut front_ends = 1;
--- a/wrenseam/src/gossip.rs
+++ b/wrenseam/src/gossip.rs
@@ -1,6 +1,6 @@
 //! I/O for the fleet's gossip. A coroutine with a UDP socket passes received datagrams and the time to
-//! [`crate::fleet::Node`] and sends its datagrams. Each probe period it passes the core's load summary to the node and
-//! the fleet's status to the core. It also publishes this front end's lifecycle. All decisions are made in
+//! [`crate::fleet::Node`] and sends its datagrams. Each probe period the coroutine passes the core's load summary to
+//! the node and the fleet's status to the core. It also publishes this front end's lifecycle. All decisions are made in
 //! `crate::fleet`.
 pub mod log_lines;
 
@@ -35,8 +35,9 @@
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(300);
 /// How often an exiting process checks whether the fleet has been notified.
 const LEAVE_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The offset basis and prime of FNV-1a, 32 bits wide.
+/// The offset basis of the 32-bit FNV-1a hash.
 const FNV_OFFSET: u32 = 0x811c_9dc5;
+/// The prime of the 32-bit FNV-1a hash.
 const FNV_PRIME: u32 = 0x0100_0193;
 
 /// Why gossip cannot be started.
--- a/wrenseam/tests/fleet_summary.rs
+++ b/wrenseam/tests/fleet_summary.rs
@@ -77,7 +77,7 @@
     assert_eq!(
         summaries.pressure(2_000_000, 2000),
         2000,
-        "only the own pressure counts once all summaries are stale"
+        "only this front end's pressure counts once all summaries are stale"
     );
 }
 
