--- a/wrenseam/src/fleet/members/exchange.rs
+++ b/wrenseam/src/fleet/members/exchange.rs
@@ -3,7 +3,7 @@
 use crate::fleet::directory::MergeAction;
 use crate::fleet::identity::PeerId;
 use crate::fleet::member_digest::{Liveness, MemberDigest, PARTS};
-use crate::fleet::message::{records_in_messages, Envelope, Message, RECORDS_VERSION};
+use crate::fleet::message::{batch_records, Envelope, Message, RECORDS_VERSION};
 use crate::fleet::record::{Lifecycle, Record, Stamp};
 use crate::fleet::repair::{self, MergePlan, Mismatches, PartHashes};
 use crate::fleet::traffic::TrafficKind;
@@ -43,12 +43,12 @@
                     self.handle_record(now, record, is_update);
                 }
             }
-            Message::Wanted(owners) => self.send_records(from.addr, &owners),
+            Message::RecordRequest(owners) => self.send_records(from.addr, &owners),
             Message::AliveQuery {
-                about,
+                target,
                 gone,
                 origin,
-            } => self.answer_alive_query(now, from, about, gone, origin),
+            } => self.answer_alive_query(now, from, target, gone, origin),
             Message::AliveReply { record, origin } => {
                 self.handle_alive_reply(now, from, *record, origin)
             }
@@ -88,7 +88,7 @@
             return false;
         }
         let query = Message::AliveQuery {
-            about: PeerId {
+            target: PeerId {
                 addr: from.addr,
                 incarnation,
             },
@@ -101,17 +101,17 @@
 
     /// Answers the digests that begin a repair with the hashes of the members in some of the parts that differ.
     fn answer_digest(&mut self, now: Micros, from: PeerId, remote: &[u32; PARTS]) {
-        let differing = repair::differing(&self.directory.part_digests(), remote);
+        let differing = repair::differing_parts(&self.directory.part_digests(), remote);
         if differing == 0 {
             return;
         }
-        self.repair_schedule.views_differ(now);
+        self.repair_schedule.speed_up(now);
         if self.is_budget_low {
             return;
         }
         self.counts.repairs += 1;
         let PartHashes { parts, hashes } =
-            repair::hashes(&self.directory, differing, &mut self.rng);
+            repair::part_hashes(&self.directory, differing, &mut self.rng);
         let message = Message::Hashes { parts, hashes };
         self.send(from.addr, TrafficKind::RepairBegin, message);
     }
@@ -119,7 +119,7 @@
     /// Answers another member's hashes with the digests of our members that match none of them, and with its hashes
     /// that match none of ours.
     fn answer_hashes(&mut self, now: Micros, from: PeerId, parts: u16, remote: &[u32]) {
-        self.repair_schedule.views_differ(now);
+        self.repair_schedule.speed_up(now);
         let Mismatches {
             member_digests,
             unmatched,
@@ -149,14 +149,18 @@
         self.send_newer(from, &plan.newer);
         if !plan.wanted.is_empty() {
             let wanted = std::mem::take(&mut plan.wanted);
-            self.send(from.addr, TrafficKind::Repair, Message::Wanted(wanted));
+            self.send(
+                from.addr,
+                TrafficKind::Repair,
+                Message::RecordRequest(wanted),
+            );
         }
         self.apply_plan(now, &plan);
     }
 
     /// Sends digests that are newer here, and no others, so that the exchange of digests ends.
     fn send_newer(&mut self, from: PeerId, newer: &[MemberDigest]) {
-        for member_digests in repair::in_datagrams(newer) {
+        for member_digests in repair::datagram_batches(newer) {
             let message = Message::MemberDigests {
                 unmatched: Vec::new(),
                 member_digests,
@@ -209,7 +213,7 @@
             .iter()
             .filter_map(|&owner| self.directory.record(owner))
             .collect();
-        for message in records_in_messages(false, records) {
+        for message in batch_records(false, records) {
             self.send(to, TrafficKind::Repair, message);
         }
     }
@@ -266,7 +270,7 @@
         if about.addr != own.addr {
             if from.addr == origin && about.addr != origin {
                 let query = Message::AliveQuery {
-                    about,
+                    target: about,
                     gone,
                     origin,
                 };
--- a/wrenseam/tests/fleet_records.rs
+++ b/wrenseam/tests/fleet_records.rs
@@ -278,9 +278,9 @@
             is_update: true,
             records: vec![record(1, 5, 3, 1), record(2, 5, 3, 2)],
         },
-        Message::Wanted(vec![addr(1), "[fd00::7]:9".parse().expect("an address")]),
+        Message::RecordRequest(vec![addr(1), "[fd00::7]:9".parse().expect("an address")]),
         Message::AliveQuery {
-            about: id(1, 5),
+            target: id(1, 5),
             gone: true,
             origin: addr(2),
         },
@@ -364,11 +364,11 @@
 #[case::a_forged_record_at_the_largest_version(update(record(0, 5, u32::MAX, 9)), (6, 1))]
 #[case::a_record_of_a_larger_incarnation(update(record(0, 8, 2, 9)), (8, 3))]
 #[case::a_record_of_a_former_incarnation(update(record(0, 4, 9, 9)), (5, 1))]
-#[case::own_incarnation_gone(Message::AliveQuery { about: id(0, 5), gone: true, origin: addr(1) }, (6, 1))]
-#[case::a_larger_incarnation_gone(Message::AliveQuery { about: id(0, 9), gone: true, origin: addr(1) }, (10, 1))]
-#[case::a_larger_incarnation_alive(Message::AliveQuery { about: id(0, 9), gone: false, origin: addr(1) }, (10, 1))]
-#[case::own_incarnation_alive(Message::AliveQuery { about: id(0, 5), gone: false, origin: addr(1) }, (5, 1))]
-#[case::a_former_incarnation_gone(Message::AliveQuery { about: id(0, 4), gone: true, origin: addr(1) }, (5, 1))]
+#[case::own_incarnation_gone(Message::AliveQuery { target: id(0, 5), gone: true, origin: addr(1) }, (6, 1))]
+#[case::a_larger_incarnation_gone(Message::AliveQuery { target: id(0, 9), gone: true, origin: addr(1) }, (10, 1))]
+#[case::a_larger_incarnation_alive(Message::AliveQuery { target: id(0, 9), gone: false, origin: addr(1) }, (10, 1))]
+#[case::own_incarnation_alive(Message::AliveQuery { target: id(0, 5), gone: false, origin: addr(1) }, (5, 1))]
+#[case::a_former_incarnation_gone(Message::AliveQuery { target: id(0, 4), gone: true, origin: addr(1) }, (5, 1))]
 fn only_the_owner_changes_its_record(#[case] message: Message, #[case] want: (u64, u32)) {
     let mut members = members();
     deliver(&mut members, MS, id(1, 5), message);
@@ -468,13 +468,13 @@
     deliver(&mut members, MS, id(1, 5), update(record(1, 5, 1, 1)));
     let answers_sent = deliver(&mut members, 2 * MS, id(2, 5), member_digests(1, 5, Down));
     let query = Message::AliveQuery {
-        about: id(1, 5),
+        target: id(1, 5),
         gone: true,
         origin: addr(0),
     };
     assert!(answers_sent.contains(&(addr(1), query)), "{answers_sent:?}");
     let query_of_another = Message::AliveQuery {
-        about: id(1, 5),
+        target: id(1, 5),
         gone: false,
         origin: addr(2),
     };
@@ -488,7 +488,7 @@
     );
     let own = Box::new(members.directory().own().clone());
     let query_of_us = Message::AliveQuery {
-        about: id(0, 5),
+        target: id(0, 5),
         gone: false,
         origin: addr(2),
     };
