--- a/wrenseam/tests/broken_connections.rs
+++ b/wrenseam/tests/broken_connections.rs
@@ -2,7 +2,7 @@
 //! and nothing is written after the end.
 mod link;
 
-use link::{frame, outcome, request, say, transport, FIRST};
+use link::{frames_transport, next_outcome, read_id_and_code, request, send_answer, FIRST_ATTEMPT};
 use may::net::TcpStream as MayStream;
 use rstest::rstest;
 use std::io::{self, Read};
@@ -95,7 +95,7 @@
         is_let_go,
     }));
     transport.send(
-        FIRST,
+        FIRST_ATTEMPT,
         &request(9),
         AttemptLimits::with_timeout(LONG_TIMEOUT),
     );
@@ -138,7 +138,11 @@
         let_go,
         mut stream,
     } = held_call();
-    assert_eq!(frame(&mut stream), (9, CODE_CALL), "it has come completely");
+    assert_eq!(
+        read_id_and_code(&mut stream),
+        (9, CODE_CALL),
+        "it has come completely"
+    );
     is_written
         .recv_timeout(Duration::from_secs(20))
         .expect("written");
@@ -153,7 +157,7 @@
         );
     }
     let_go.send(()).expect("the write waits");
-    assert_eq!(outcome(&reports), (0, Outcome::Reset));
+    assert_eq!(next_outcome(&reports), (0, Outcome::Reset));
 }
 
 /// The end of a connection's writing waits for a write that is in progress, and no write follows it.
@@ -192,9 +196,12 @@
         let_go,
         mut stream,
     } = held_call();
-    assert_eq!(frame(&mut stream), (9, CODE_CALL));
+    assert_eq!(read_id_and_code(&mut stream), (9, CODE_CALL));
     is_written.recv().expect("written");
-    assert_eq!(transport.cancel(FIRST), CancelOutcome::PendingConfirmation);
+    assert_eq!(
+        transport.cancel(FIRST_ATTEMPT),
+        CancelOutcome::PendingConfirmation
+    );
     assert!(
         reports.try_recv().is_err(),
         "reported before the writer handled the cancellation"
@@ -206,10 +213,10 @@
         "reported before its write returned"
     );
     let_go.send(()).expect("the write waits");
-    assert_eq!(outcome(&reports), (0, Outcome::Cancelled));
-    assert_eq!(frame(&mut stream), (9, CODE_CANCEL));
+    assert_eq!(next_outcome(&reports), (0, Outcome::Cancelled));
+    assert_eq!(read_id_and_code(&mut stream), (9, CODE_CANCEL));
     assert_eq!(
-        transport.cancel(FIRST),
+        transport.cancel(FIRST_ATTEMPT),
         CancelOutcome::Unknown,
         "it has ended"
     );
@@ -224,14 +231,14 @@
         allowed: allowed.clone(),
     }));
     transport.send(
-        FIRST,
+        FIRST_ATTEMPT,
         &request(9),
         AttemptLimits::with_timeout(LONG_TIMEOUT),
     );
     let mut stream = listener.accept().expect("a connection").0;
     stream.read_exact(&mut [0; 30]).expect("the first bytes");
-    say(&mut stream, CODE_REJECTED, 9, "", b"");
-    assert_eq!(outcome(&reports), (0, Outcome::ConnectFailed));
+    send_answer(&mut stream, CODE_REJECTED, 9, "", b"");
+    assert_eq!(next_outcome(&reports), (0, Outcome::ConnectFailed));
     allowed.store(usize::MAX / 2, Ordering::Release);
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
@@ -248,14 +255,14 @@
 #[rstest]
 fn a_damaged_code_proves_nothing(#[values(202, 203, 205)] code: u8) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |_| {});
+    let (mut transport, reports) = frames_transport(listener.local_addr().expect("bound"), |_| {});
     transport.send(
-        FIRST,
+        FIRST_ATTEMPT,
         &request(9),
         AttemptLimits::with_timeout(LONG_TIMEOUT),
     );
     let mut stream = listener.accept().expect("a connection").0;
-    assert_eq!(frame(&mut stream), (9, CODE_CALL));
-    say(&mut stream, code, 9, "detail=resident", b"DONE");
-    assert_eq!(outcome(&reports), (0, Outcome::Reset));
+    assert_eq!(read_id_and_code(&mut stream), (9, CODE_CALL));
+    send_answer(&mut stream, code, 9, "detail=resident", b"DONE");
+    assert_eq!(next_outcome(&reports), (0, Outcome::Reset));
 }
--- a/wrenseam/tests/common/clients/mod.rs
+++ b/wrenseam/tests/common/clients/mod.rs
@@ -3,7 +3,7 @@
 pub(crate) mod v2;
 
 use super::support::http::{read_message, HttpMessage};
-use super::support::sockets::{connect, PATIENCE};
+use super::support::sockets::{connect, TEST_TIMEOUT};
 use super::{CallContent, Protocol, FUNCTION, QUIET};
 use fastcgi::{abort_request, fastcgi, fastcgi_answer, stdin_record, OVERLOADED};
 use std::io::{ErrorKind, Read, Write};
@@ -42,14 +42,14 @@
     last_request_id: u16,
 }
 
-/// Sends what means nothing, at full speed for as long as it is taken, at most `PATIENCE`.
+/// Sends what means nothing, at full speed for as long as it is taken, at most `TEST_TIMEOUT`.
 pub(crate) fn flood(protocol: Protocol, address: SocketAddr) {
     let mut stream = connect(address);
     let bytes = match protocol {
         Protocol::Platform => abort_request(STRAY_REQUEST_ID).repeat(8_000),
         Protocol::Kserve => b"\r\n".repeat(32_000),
     };
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     std::thread::spawn(
         move || {
             while Instant::now() < until && stream.write_all(&bytes).is_ok() {}
@@ -144,7 +144,9 @@
         self.stream.set_read_timeout(Some(QUIET)).expect("set");
         let got = self.stream.read(&mut [0; 64]);
         assert!(got.is_err(), "{context}: {got:?}");
-        self.stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        self.stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("set");
     }
 
     /// The next final answer; a rejection must say when to retry, and a v2 error must be an error object.
--- a/wrenseam/tests/common/harness.rs
+++ b/wrenseam/tests/common/harness.rs
@@ -6,7 +6,7 @@
 };
 use super::discovery::DiscoveryService;
 use super::program::{admin_command, create_run_folder, Program};
-use super::support::sockets::PATIENCE;
+use super::support::sockets::TEST_TIMEOUT;
 use super::workers::{start_worker, OrderControl, ReceivedCall, WorkerAnswer, WorkerContext};
 use super::Protocol;
 use std::cell::Cell;
@@ -162,7 +162,7 @@
             if endpoint_state(&response, worker).as_deref() == Some(state) {
                 return;
             }
-            assert!(since.elapsed() < PATIENCE, "{context}: {response}");
+            assert!(since.elapsed() < TEST_TIMEOUT, "{context}: {response}");
             std::thread::sleep(POLL_INTERVAL);
         }
     }
--- a/wrenseam/tests/common/scenario/interpreter.rs
+++ b/wrenseam/tests/common/scenario/interpreter.rs
@@ -2,7 +2,7 @@
 use super::super::clients::{flood, Client};
 use super::super::discovery::WatchStream;
 use super::super::harness::Harness;
-use super::super::support::sockets::{connect, PATIENCE};
+use super::super::support::sockets::{connect, TEST_TIMEOUT};
 use super::super::workers::ReceivedCall;
 use super::super::{CallContent, Protocol, QUIET};
 use super::step::{ClientStep, DiscoveryStep, ProgramStep, Step, WorkerStep};
@@ -107,7 +107,7 @@
     }
 
     fn expect_call(&mut self, expected: &CallContent, same_zone: bool) {
-        let received = self.harness.calls.recv_timeout(PATIENCE);
+        let received = self.harness.calls.recv_timeout(TEST_TIMEOUT);
         let call = received.expect(&self.context);
         assert_eq!(call.content, *expected, "{}", self.context);
         if same_zone {
@@ -125,7 +125,7 @@
         match step {
             DiscoveryStep::ExpectWatch { last_event_id } => {
                 let watches = &self.harness.discovery_service().watches;
-                let watch = watches.recv_timeout(PATIENCE).expect(&self.context);
+                let watch = watches.recv_timeout(TEST_TIMEOUT).expect(&self.context);
                 assert_eq!(watch.last_event_id, last_event_id, "{}", self.context);
                 self.last_watch = Some(watch);
             }
--- a/wrenseam/tests/common/workers/mod.rs
+++ b/wrenseam/tests/common/workers/mod.rs
@@ -5,7 +5,7 @@
 
 pub(crate) use orders::{OrderControl, OrderMode};
 
-use super::support::sockets::{listen, PATIENCE};
+use super::support::sockets::{listen, TEST_TIMEOUT};
 use super::{CallContent, Protocol};
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -85,7 +85,7 @@
             std::thread::sleep(POLL_INTERVAL);
         }
         let took = since.elapsed();
-        assert!(took < PATIENCE, "{context}: it was open for {took:?}");
+        assert!(took < TEST_TIMEOUT, "{context}: it was open for {took:?}");
     }
 
     /// Answers the call.
--- a/wrenseam/tests/discovery_outage.rs
+++ b/wrenseam/tests/discovery_outage.rs
@@ -3,7 +3,7 @@
 
 use platform::{
     cold_overload, late_arrivals, start_workers, wait_until, ClientSettings, Clients, Deployment,
-    DiscoveryService, EventLog, FrontEnd, FrontEndSettings, Notified, Outage, StandInWorker,
+    DiscoveryService, DrainLimits, EventLog, FrontEnd, FrontEndSettings, Outage, StandInWorker,
 };
 use rstest::rstest;
 use std::time::{Duration, Instant};
@@ -50,7 +50,7 @@
             let client = ClientSettings {
                 front_end: index,
                 address: front_end.address,
-                wait: Duration::from_millis(deployment.give_up_ms),
+                timeout: Duration::from_millis(deployment.give_up_ms),
                 pause: Duration::from_millis(40),
             };
             clients.add(CLIENTS_PER_FRONT_END, client);
@@ -76,7 +76,7 @@
         });
         wait_until("lists are confirmed", Duration::from_secs(10), || {
             let is_confirmed =
-                |front_end: &FrontEnd| front_end.figure("app.discovery.confirmed_ms_ago").is_some();
+                |front_end: &FrontEnd| front_end.metric("app.discovery.confirmed_ms_ago").is_some();
             self.front_ends.iter().all(is_confirmed)
         });
     }
@@ -125,8 +125,8 @@
     std::thread::sleep(MEASURED_PERIOD);
     let served = platform.clients.served_between(since, Instant::now());
     platform.clients.stop();
-    let notified = Notified::unheard(platform.deployment.drain_grace_ms);
-    let late = late_arrivals(&platform.workers, |_| notified, platform.start);
+    let limits = DrainLimits::without_notice(platform.deployment.drain_grace_ms);
+    let late = late_arrivals(&platform.workers, |_| limits, platform.start);
     assert!(late.is_empty(), "{} late: {late:#?}", late.len());
     assert!(
         served * 2 >= served_before,
@@ -145,7 +145,7 @@
     }
     platform.clients.stop();
     for front_end in &platform.front_ends {
-        let age = front_end.figure("app.discovery.confirmed_ms_ago");
+        let age = front_end.metric("app.discovery.confirmed_ms_ago");
         assert!(age.is_some_and(|age| age < NOTIFIED_AFTER_MS), "{age:?}");
     }
 }
@@ -164,8 +164,8 @@
     }
     std::thread::sleep(MEASURED_PERIOD);
     platform.clients.stop();
-    let notified = Notified::unheard(platform.deployment.drain_grace_ms);
-    let late = late_arrivals(&platform.workers, |_| notified, platform.start);
+    let limits = DrainLimits::without_notice(platform.deployment.drain_grace_ms);
+    let late = late_arrivals(&platform.workers, |_| limits, platform.start);
     assert!(late.is_empty(), "{} late: {late:#?}", late.len());
 }
 
@@ -194,6 +194,6 @@
         "calls in a second, allowed: {overload:?}"
     );
     for front_end in &platform.front_ends {
-        assert_eq!(front_end.figure("app.members_suspended"), Some(0));
+        assert_eq!(front_end.metric("app.members_suspended"), Some(0));
     }
 }
--- a/wrenseam/tests/golden_worker_protocols.rs
+++ b/wrenseam/tests/golden_worker_protocols.rs
@@ -1,7 +1,7 @@
 //! Golden bytes between the front end and its workers: binary frames and KServe v2, as transports write and read them.
 mod link;
 
-use link::{transport_of, Protocol, FIRST};
+use link::{transport_of, Protocol, FIRST_ATTEMPT};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -83,12 +83,12 @@
 
     fn send(&mut self, request: &Arc<Request>) {
         self.transport
-            .send(FIRST, request, AttemptLimits::with_timeout(BUDGET));
+            .send(FIRST_ATTEMPT, request, AttemptLimits::with_timeout(BUDGET));
     }
 
     fn attempt_report(&self) -> AttemptReport {
         match self.reports.recv_timeout(PATIENCE) {
-            Ok(Message::AttemptEnded { key, report }) if key == FIRST => report,
+            Ok(Message::AttemptEnded { key, report }) if key == FIRST_ATTEMPT => report,
             _ => panic!("the attempt has not ended"),
         }
     }
@@ -170,7 +170,7 @@
     link.send(&bytes_request(None, false));
     raw_frame(&mut worker);
     assert_eq!(
-        link.transport.cancel(FIRST),
+        link.transport.cancel(FIRST_ATTEMPT),
         CancelOutcome::PendingConfirmation
     );
     pinned(
--- a/wrenseam/tests/health_checks.rs
+++ b/wrenseam/tests/health_checks.rs
@@ -1,7 +1,7 @@
 //! Health checks of workers over binary frames: what is sent, and the result that each end of a check stands for.
 mod link;
 
-use link::{frame, outcome, request, say, transport, FIRST};
+use link::{frames_transport, next_outcome, read_id_and_code, request, send_answer, FIRST_ATTEMPT};
 use rstest::rstest;
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::Receiver;
@@ -33,7 +33,7 @@
 
 fn accept_check(listener: &TcpListener) -> (TcpStream, u64) {
     let mut stream = listener.accept().expect("a connection").0;
-    let (id, code) = frame(&mut stream);
+    let (id, code) = read_id_and_code(&mut stream);
     assert_eq!(code, CODE_HEALTH_CHECK);
     (stream, id)
 }
@@ -49,13 +49,13 @@
     #[values(false, true)] is_draining: bool,
 ) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |_| {});
+    let (mut transport, reports) = frames_transport(listener.local_addr().expect("bound"), |_| {});
     if is_draining {
         transport.drain();
     }
     transport.check_health(CHECK);
     let (mut stream, id) = accept_check(&listener);
-    say(&mut stream, code, id, "", b"");
+    send_answer(&mut stream, code, id, "", b"");
     assert_eq!(check_result(&reports), expected);
 }
 
@@ -63,7 +63,7 @@
 fn a_refused_connection_and_a_broken_one_are_distinguished() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    let (mut transport, reports) = transport(address, |_| {});
+    let (mut transport, reports) = frames_transport(address, |_| {});
     transport.check_health(CHECK);
     drop(accept_check(&listener));
     assert_eq!(check_result(&reports), HealthCheckResult::Unreachable);
@@ -75,9 +75,10 @@
 #[test]
 fn an_abandoned_check_leaves_its_connection_idle() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |limits| {
-        limits.worker_idle_timeout = Duration::ZERO;
-    });
+    let (mut transport, reports) =
+        frames_transport(listener.local_addr().expect("bound"), |limits| {
+            limits.worker_idle_timeout = Duration::ZERO;
+        });
     transport.check_health(CHECK);
     let (_stream, _) = accept_check(&listener);
     transport.sweep();
@@ -95,11 +96,11 @@
 #[test]
 fn a_health_response_to_a_call_ends_the_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |_| {});
+    let (mut transport, reports) = frames_transport(listener.local_addr().expect("bound"), |_| {});
     let limits = AttemptLimits::with_timeout(20_000_000);
-    transport.send(FIRST, &request(9), limits);
+    transport.send(FIRST_ATTEMPT, &request(9), limits);
     let mut stream = listener.accept().expect("a connection").0;
-    let (id, _) = frame(&mut stream);
-    say(&mut stream, 206, id, "", b"");
-    assert_eq!(outcome(&reports).1, Outcome::Reset);
+    let (id, _) = read_id_and_code(&mut stream);
+    send_answer(&mut stream, 206, id, "", b"");
+    assert_eq!(next_outcome(&reports).1, Outcome::Reset);
 }
--- a/wrenseam/tests/kserve_proofs.rs
+++ b/wrenseam/tests/kserve_proofs.rs
@@ -2,7 +2,7 @@
 //! be the answer to this call.
 mod link;
 
-use link::{outcome, request, transport_of, Protocol};
+use link::{next_outcome, request, transport_of, Protocol};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -154,7 +154,7 @@
     let mut call = next_call(&calls);
     call.answer(answer);
     call.stream.shutdown(Shutdown::Both).expect("open");
-    assert_eq!(outcome(&reports), (1, proves));
+    assert_eq!(next_outcome(&reports), (1, proves));
 }
 
 /// A worker that has answered its first call with the call's id, so that the connection is kept.
@@ -175,7 +175,7 @@
     );
     let mut first = next_call(&calls);
     first.answer(&served(Some(1)));
-    assert_eq!(outcome(&reports), (1, Outcome::Ok));
+    assert_eq!(next_outcome(&reports), (1, Outcome::Ok));
     Served {
         transport,
         reports,
@@ -197,7 +197,7 @@
     );
     let mut first = next_call(&calls);
     first.answer(REJECTED);
-    assert_eq!(outcome(&reports), (1, Outcome::Rejected));
+    assert_eq!(next_outcome(&reports), (1, Outcome::Rejected));
     transport.send(
         attempt(2),
         &request(2),
@@ -206,7 +206,7 @@
     let mut second = next_call(&calls);
     let _ = first.stream.write_all(REJECTED.as_bytes()); // the connection may be closed
     second.answer(&served(Some(2)));
-    assert_eq!(outcome(&reports), (2, Outcome::Ok));
+    assert_eq!(next_outcome(&reports), (2, Outcome::Ok));
     assert_ne!(
         first.connection, second.connection,
         "a connection of its own"
@@ -234,7 +234,7 @@
         "a kept connection is used again"
     );
     second.answer(&served(Some(1)));
-    assert_eq!(outcome(&reports), (2, Outcome::Reset));
+    assert_eq!(next_outcome(&reports), (2, Outcome::Reset));
 }
 
 /// Only an answer with the call's id keeps its connection in use: a duplicate of any other answer could not be told
@@ -255,7 +255,7 @@
     );
     let mut first = next_call(&calls);
     first.answer(&served(id));
-    assert_eq!(outcome(&reports), (1, Outcome::Ok));
+    assert_eq!(next_outcome(&reports), (1, Outcome::Ok));
     transport.send(
         attempt(2),
         &request(2),
@@ -284,7 +284,7 @@
         "a connection of its own"
     );
     ordered.answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
-    assert_eq!(outcome(&reports), (usize::MAX, Outcome::Ok));
+    assert_eq!(next_outcome(&reports), (usize::MAX, Outcome::Ok));
     transport.send(
         attempt(2),
         &request(2),
@@ -359,7 +359,7 @@
     transport.send(attempt(2), &call, AttemptLimits::with_timeout(LONG_TIMEOUT));
     let mut second = next_call(&calls);
     second.answer(&served(Some(2)));
-    assert_eq!(outcome(&reports), (2, Outcome::Ok));
+    assert_eq!(next_outcome(&reports), (2, Outcome::Ok));
     assert_ne!(
         first.connection, second.connection,
         "a connection of its own"
--- a/wrenseam/tests/link/mod.rs
+++ b/wrenseam/tests/link/mod.rs
@@ -30,7 +30,7 @@
 
 /// The first attempt of the first request.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub(crate) const FIRST: AttemptKey = AttemptKey {
+pub(crate) const FIRST_ATTEMPT: AttemptKey = AttemptKey {
     request: 1,
     attempt: 0,
 };
@@ -38,7 +38,7 @@
 /// A worker whose next connection comes up only once those that fill its queue are accepted: its listener, its
 /// address, and those that fill the queue.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub(crate) fn late_worker() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
+pub(crate) fn listener_with_full_backlog() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
     let socket =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -63,7 +63,7 @@
 
 /// A transport of frames with changed limits, and what it reports.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub(crate) fn transport(
+pub(crate) fn frames_transport(
     address: SocketAddr,
     change: impl FnOnce(&mut Limits),
 ) -> (Frames, mpsc::Receiver<Message>) {
@@ -112,21 +112,21 @@
 
 /// The id and the code of the next frame that the transport writes.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub(crate) fn frame(stream: &mut TcpStream) -> (u64, u8) {
+pub(crate) fn read_id_and_code(stream: &mut TcpStream) -> (u64, u8) {
     let frame = read_frame(stream).expect("a frame");
     (frame.id, frame.code)
 }
 
 /// Answers an exchange as the worker.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub(crate) fn say(stream: &mut TcpStream, code: u8, id: u64, fields: &str, body: &[u8]) {
+pub(crate) fn send_answer(stream: &mut TcpStream, code: u8, id: u64, fields: &str, body: &[u8]) {
     let answer = encode_answer(code, id, fields, body);
     stream.write_all(&answer).expect("answered");
 }
 
 /// The next end that is reported: the attempt's number, `usize::MAX` for an order, and the outcome.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub(crate) fn outcome(reports: &mpsc::Receiver<Message>) -> (usize, Outcome) {
+pub(crate) fn next_outcome(reports: &mpsc::Receiver<Message>) -> (usize, Outcome) {
     match reports.recv_timeout(REPORT_TIMEOUT) {
         Ok(Message::AttemptEnded { key, report }) => (key.attempt, report.outcome),
         Ok(Message::LoadOrderEnded { outcome, .. }) => (usize::MAX, outcome),
--- a/wrenseam/tests/platform/client.rs
+++ b/wrenseam/tests/platform/client.rs
@@ -41,7 +41,7 @@
     pub(crate) key: Option<String>,
     pub(crate) sent_at: Instant,
     pub(crate) ended_at: Instant,
-    pub(crate) wait: Duration,
+    pub(crate) timeout: Duration,
     pub(crate) outcome: RequestOutcome,
     /// Whether it was the first on its connection.
     pub(crate) is_first: bool,
@@ -54,7 +54,7 @@
 pub(crate) struct ClientSettings {
     pub(crate) front_end: usize,
     pub(crate) address: SocketAddr,
-    pub(crate) wait: Duration,
+    pub(crate) timeout: Duration,
     /// The mean pause between two requests.
     pub(crate) pause: Duration,
 }
@@ -158,8 +158,8 @@
                 return;
             }
             let sent_at = Instant::now();
-            let wait = self.settings.wait;
-            let outcome = read_outcome(&mut stream, sent_at + wait + LATE);
+            let timeout = self.settings.timeout;
+            let outcome = read_outcome(&mut stream, sent_at + timeout + LATE);
             let ended_at = Instant::now();
             self.records
                 .lock()
@@ -170,7 +170,7 @@
                     key,
                     sent_at,
                     ended_at,
-                    wait,
+                    timeout,
                     outcome,
                     is_first,
                     idle_since,
@@ -192,11 +192,11 @@
             "/v1/tile-render"
         };
         let call_id = format!("{id:016x}");
-        let wait = self.settings.wait.as_millis().to_string();
+        let timeout_ms = self.settings.timeout.as_millis().to_string();
         let mut params = vec![
             ("SCRIPT_NAME", class),
             ("HTTP_REQ_ID", &call_id),
-            ("HTTP_REQ_WAIT_MS", &wait),
+            ("HTTP_REQ_WAIT_MS", &timeout_ms),
             ("HTTP_REQ_OWNER", "acme"),
             ("HTTP_REQ_KEY", function),
             ("HTTP_X_MORE", "memory_mb:512;lanes:4;load_ms:640"),
--- a/wrenseam/tests/platform/front_end.rs
+++ b/wrenseam/tests/platform/front_end.rs
@@ -99,7 +99,7 @@
     }
 
     /// A figure of its telemetry.
-    pub(crate) fn figure(&self, name: &str) -> Option<u64> {
+    pub(crate) fn metric(&self, name: &str) -> Option<u64> {
         let telemetry = admin_command(self.admin, "telemetry\n");
         telemetry.lines().find_map(|line| {
             let value = line.strip_prefix(name)?.strip_prefix(':')?;
--- a/wrenseam/tests/platform/mod.rs
+++ b/wrenseam/tests/platform/mod.rs
@@ -17,7 +17,7 @@
     client::{ClientSettings, Clients, RequestOutcome, RequestRecord},
     discovery::{DiscoveryService, EventLog, Outage},
     front_end::{FrontEnd, FrontEndSettings},
-    rules::{cold_overload, late_arrivals, repeats, Notified},
+    rules::{cold_overload, forbidden_duplicates, late_arrivals, DrainLimits},
     settings::{Deployment, FUNCTIONS},
     worker::{Arrival, ArrivalKind, Drain, StandInWorker},
 };
--- a/wrenseam/tests/platform/rules.rs
+++ b/wrenseam/tests/platform/rules.rs
@@ -16,17 +16,17 @@
 
 /// When drains count as notified and how long work may still be sent then.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Notified {
+pub(crate) struct DrainLimits {
     /// After the drain.
-    pub(crate) after: Duration,
+    pub(crate) notified_after: Duration,
     pub(crate) grace: Duration,
 }
 
-impl Notified {
+impl DrainLimits {
     /// The protocol page's clock for what is never received.
-    pub(crate) fn unheard(grace_ms: u64) -> Notified {
-        Notified {
-            after: NOTIFIED_AFTER,
+    pub(crate) fn without_notice(grace_ms: u64) -> DrainLimits {
+        DrainLimits {
+            notified_after: NOTIFIED_AFTER,
             grace: Duration::from_millis(grace_ms),
         }
     }
@@ -35,15 +35,15 @@
 /// New work that came to a draining worker after its drain counted as notified and the grace was over.
 pub(crate) fn late_arrivals(
     workers: &[StandInWorker],
-    notified: impl Fn(&Drain) -> Notified,
+    limits_of: impl Fn(&Drain) -> DrainLimits,
     start: Instant,
 ) -> Vec<String> {
     let mut late = Vec::new();
     for worker in workers {
         let arrivals = worker.arrivals();
         for drain in worker.drains() {
-            let notified = notified(&drain);
-            let last = drain.began_at + notified.after + notified.grace + SLACK;
+            let limits = limits_of(&drain);
+            let last = drain.began_at + limits.notified_after + limits.grace + SLACK;
             let end = drain.ended_at.unwrap_or_else(Instant::now);
             for arrival in &arrivals {
                 if arrival.at > last && arrival.at < end {
@@ -67,7 +67,7 @@
 
 /// Calls with an idempotency key that more workers took than their effect allows: one where none may repeat, else those
 /// of one zone.
-pub(crate) fn repeats(workers: &[StandInWorker], effect: &str) -> Vec<String> {
+pub(crate) fn forbidden_duplicates(workers: &[StandInWorker], effect: &str) -> Vec<String> {
     let mut taken: BTreeMap<u64, Vec<&'static str>> = BTreeMap::new();
     for worker in workers {
         for arrival in worker.arrivals() {
--- a/wrenseam/tests/retry_window.rs
+++ b/wrenseam/tests/retry_window.rs
@@ -2,7 +2,10 @@
 //! duplicates only for a limited time, so the retry must not be written later, whatever delayed it.
 mod link;
 
-use link::{late_worker, outcome, request, transport, transport_of, Protocol, FIRST};
+use link::{
+    frames_transport, listener_with_full_backlog, next_outcome, request, transport_of, Protocol,
+    FIRST_ATTEMPT,
+};
 use rstest::rstest;
 use std::io::Read;
 use std::net::{TcpListener, TcpStream};
@@ -30,7 +33,7 @@
     #[values(Protocol::Frames, Protocol::Kserve)] protocol: Protocol,
     #[values(SHORT_WINDOW, LONG_TIMEOUT)] window: u64,
 ) {
-    let (listener, address, fillers) = late_worker();
+    let (listener, address, fillers) = listener_with_full_backlog();
     let (mut transport, reports) = transport_of(protocol, address, |limits| {
         limits.connect_timeout = Duration::from_secs(20);
     });
@@ -39,7 +42,7 @@
         write_deadline: Some(Instant::now() + Duration::from_micros(window)),
         start_deadline: None,
     };
-    transport.send(FIRST, &request(9), limits);
+    transport.send(FIRST_ATTEMPT, &request(9), limits);
     let since = Instant::now();
     while since.elapsed() <= Duration::from_micros(SHORT_WINDOW) {
         std::thread::yield_now();
@@ -52,7 +55,7 @@
         late.read_exact(&mut [0; HEADER_BYTES]).expect("written");
         return;
     }
-    assert_eq!(outcome(&reports), (0, Outcome::NotSent));
+    assert_eq!(next_outcome(&reports), (0, Outcome::NotSent));
     drop((transport, reports));
     late.set_read_timeout(Some(Duration::from_millis(300)))
         .expect("set");
@@ -67,7 +70,7 @@
     const RETRIES: u64 = 900;
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    let (mut transport, reports) = transport(address, |limits| {
+    let (mut transport, reports) = frames_transport(address, |limits| {
         limits.max_streams_per_connection = 1_000;
         limits.write_stall_timeout = Duration::from_secs(60);
     });
@@ -85,7 +88,7 @@
     }
     let mut stream = listener.accept().expect("a connection").0;
     // Nothing is read until all retries have ended, so that only the window can end them this soon.
-    let outcomes: Vec<Outcome> = (0..RETRIES).map(|_| outcome(&reports).1).collect();
+    let outcomes: Vec<Outcome> = (0..RETRIES).map(|_| next_outcome(&reports).1).collect();
     let may_have_run = outcomes
         .iter()
         .filter(|outcome| **outcome == Outcome::Reset)
--- a/wrenseam/tests/soak.rs
+++ b/wrenseam/tests/soak.rs
@@ -5,8 +5,8 @@
 mod platform;
 
 use platform::{
-    cold_overload, late_arrivals, repeats, start_workers, ClientSettings, Clients, Deployment,
-    DiscoveryService, Drain, EventLog, FrontEnd, FrontEndSettings, Notified, Outage,
+    cold_overload, forbidden_duplicates, late_arrivals, start_workers, ClientSettings, Clients,
+    Deployment, DiscoveryService, Drain, DrainLimits, EventLog, FrontEnd, FrontEndSettings, Outage,
     RequestOutcome, RequestRecord, StandInWorker,
 };
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -242,7 +242,7 @@
             let client = ClientSettings {
                 front_end: index,
                 address: front_end.address,
-                wait: Duration::from_millis(plan.deployment.give_up_ms),
+                timeout: Duration::from_millis(plan.deployment.give_up_ms),
                 pause: plan.pause,
             };
             clients.add(plan.clients, client);
@@ -384,17 +384,17 @@
     }
 
     /// When a drain counts as notified: at once while discovery is in reach of all, else by the page's clock.
-    fn notified(&self, drain: &Drain) -> Notified {
+    fn drain_limits(&self, drain: &Drain) -> DrainLimits {
         let grace_ms = self.plan.deployment.drain_grace_ms;
         let around = Duration::from_secs(5);
         let is_disturbed = |disturbance: &Disturbance| {
             drain.began_at + around > disturbance.start && drain.began_at < disturbance.end + around
         };
-        let mut notified = Notified::unheard(grace_ms);
+        let mut limits = DrainLimits::without_notice(grace_ms);
         if !self.disturbances.iter().any(is_disturbed) {
-            notified.after = Duration::ZERO;
+            limits.notified_after = Duration::ZERO;
         }
-        notified
+        limits
     }
 
     /// Requests that were taken and got no answer in time, though nothing excuses it.
@@ -416,7 +416,7 @@
                 record.outcome,
                 (record.sent_at - self.start).as_secs_f64(),
                 (record.ended_at - self.start).as_secs_f64(),
-                record.wait,
+                record.timeout,
                 record.is_first,
                 (record.idle_since - self.start).as_secs_f64()
             )
@@ -426,7 +426,7 @@
 
     /// Whether the process was killed under the request and may have left it, or was stopped when its time ran out.
     fn is_excused(&self, record: &RequestRecord) -> bool {
-        let deadline = record.sent_at + record.wait;
+        let deadline = record.sent_at + record.timeout;
         let was_stopped = self.frozen.iter().any(|(front_end, frozen)| {
             *front_end == record.front_end
                 && frozen.start < deadline
@@ -450,11 +450,11 @@
     /// What broke a rule.
     fn faults(&mut self) -> Vec<String> {
         let mut faults = Vec::new();
-        let notified = |drain: &Drain| self.notified(drain);
-        let late = late_arrivals(&self.workers, notified, self.start);
+        let limits_of = |drain: &Drain| self.drain_limits(drain);
+        let late = late_arrivals(&self.workers, limits_of, self.start);
         faults.extend(late.into_iter().map(|what| format!("drain: {what}")));
         faults.extend(
-            repeats(&self.workers, self.plan.deployment.effect)
+            forbidden_duplicates(&self.workers, self.plan.deployment.effect)
                 .into_iter()
                 .map(|what| format!("duplicate: {what}")),
         );
--- a/wrenseam/tests/start_deadline.rs
+++ b/wrenseam/tests/start_deadline.rs
@@ -2,7 +2,9 @@
 //! not written, as its worker may drain by then.
 mod link;
 
-use link::{late_worker, outcome, request, transport_of, Protocol, FIRST};
+use link::{
+    listener_with_full_backlog, next_outcome, request, transport_of, Protocol, FIRST_ATTEMPT,
+};
 use rstest::rstest;
 use std::io::Read;
 use std::net::TcpStream;
@@ -28,7 +30,7 @@
     #[values(NewWork::Attempt, NewWork::LoadOrder)] work: NewWork,
     #[values(SOON, CONNECT)] within: Duration,
 ) {
-    let (listener, address, fillers) = late_worker();
+    let (listener, address, fillers) = listener_with_full_backlog();
     let (mut transport, reports) = transport_of(protocol, address, |limits| {
         limits.connect_timeout = CONNECT;
     });
@@ -40,7 +42,7 @@
                 start_deadline,
                 ..AttemptLimits::with_timeout(ANSWER_TIMEOUT_MICROS)
             };
-            transport.send(FIRST, &request(9), limits);
+            transport.send(FIRST_ATTEMPT, &request(9), limits);
         }
         NewWork::LoadOrder => transport.order(1, 7, 1, start_deadline),
     }
@@ -57,7 +59,7 @@
         late.read_exact(&mut [0; 1]).expect("written");
         return;
     }
-    assert_eq!(outcome(&reports).1, Outcome::NotSent);
+    assert_eq!(next_outcome(&reports).1, Outcome::NotSent);
     drop((transport, reports));
     let read = late.read(&mut [0; 1]);
     assert!(!matches!(read, Ok(count) if count > 0), "it was written");
--- a/wrenseam/tests/support/sockets.rs
+++ b/wrenseam/tests/support/sockets.rs
@@ -5,13 +5,13 @@
 
 /// How long a test waits for what must come.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub(crate) const PATIENCE: Duration = Duration::from_secs(10);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Connects; a read that waits for longer than `PATIENCE` fails.
+/// Connects; a read that waits for longer than `TEST_TIMEOUT` fails.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("a connection");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("set");
     stream
 }
 
--- a/wrenseam/tests/transport.rs
+++ b/wrenseam/tests/transport.rs
@@ -1,7 +1,10 @@
 //! The transport of frames on real sockets: what it writes, and when its connections close.
 mod link;
 
-use link::{frame, late_worker, outcome, request, say, transport, FIRST};
+use link::{
+    frames_transport, listener_with_full_backlog, next_outcome, read_id_and_code, request,
+    send_answer, FIRST_ATTEMPT,
+};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -59,8 +62,8 @@
     #[case] waiting: Waiting,
     #[case] ended_by: EndedBy,
 ) {
-    let (listener, address, fillers) = late_worker();
-    let (mut transport, reports) = transport(address, |limits| {
+    let (listener, address, fillers) = listener_with_full_backlog();
+    let (mut transport, reports) = frames_transport(address, |limits| {
         limits.connect_timeout = Duration::from_secs(20);
     });
     let request = request(9);
@@ -72,7 +75,7 @@
         Waiting::Order => transport.order(1, 7, 1, None),
         Waiting::Attempt => {
             let limits = AttemptLimits::with_timeout(answer_timeout);
-            transport.send(FIRST, &request, limits);
+            transport.send(FIRST_ATTEMPT, &request, limits);
         }
     }
     match ended_by {
@@ -80,7 +83,7 @@
         EndedBy::ClientLeft => request.client_gone.store(true, Ordering::Release),
         EndedBy::Timeout => busy_wait(Duration::from_micros(answer_timeout)),
         EndedBy::Cancel => assert_eq!(
-            transport.cancel(FIRST),
+            transport.cancel(FIRST_ATTEMPT),
             CancelOutcome::NeverStarted,
             "no byte of it can have been written"
         ),
@@ -93,11 +96,11 @@
         // The next attempt is sent on that connection, and nothing before it.
         let limits = AttemptLimits::with_timeout(answer_timeout);
         transport.send(SECOND, &self::request(10), limits);
-        assert_eq!(frame(late), (10, CODE_CALL));
-        say(late, CODE_REJECTED, 10, "", b"");
-        assert_eq!(outcome(&reports), (1, Outcome::Rejected));
+        assert_eq!(read_id_and_code(late), (10, CODE_CALL));
+        send_answer(late, CODE_REJECTED, 10, "", b"");
+        assert_eq!(next_outcome(&reports), (1, Outcome::Rejected));
     } else {
-        assert_eq!(outcome(&reports).1, Outcome::NotSent);
+        assert_eq!(next_outcome(&reports).1, Outcome::NotSent);
     }
     drop((transport, fillers)); // closes every connection from this side
     for mut stream in accepted {
@@ -120,27 +123,31 @@
 #[test]
 fn a_late_answer_is_not_taken_for_that_of_the_next_attempt() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |_| {});
+    let (mut transport, reports) = frames_transport(listener.local_addr().expect("bound"), |_| {});
     let request = request(9);
-    transport.send(FIRST, &request, AttemptLimits::with_timeout(LONG_TIMEOUT));
+    transport.send(
+        FIRST_ATTEMPT,
+        &request,
+        AttemptLimits::with_timeout(LONG_TIMEOUT),
+    );
     let mut first = listener.accept().expect("a connection").0;
-    assert_eq!(frame(&mut first), (9, CODE_CALL));
+    assert_eq!(read_id_and_code(&mut first), (9, CODE_CALL));
     assert_eq!(
-        transport.cancel(FIRST),
+        transport.cancel(FIRST_ATTEMPT),
         CancelOutcome::PendingConfirmation,
         "it has been written"
     );
-    assert_eq!(frame(&mut first), (9, CODE_CANCEL), "cancelled");
+    assert_eq!(read_id_and_code(&mut first), (9, CODE_CANCEL), "cancelled");
     assert_eq!(
-        outcome(&reports),
+        next_outcome(&reports),
         (0, Outcome::Cancelled),
         "its worker has been notified"
     );
     transport.send(SECOND, &request, AttemptLimits::with_timeout(LONG_TIMEOUT));
     let mut second = listener.accept().expect("a connection of its own").0;
-    assert_eq!(frame(&mut second), (9, CODE_CALL));
-    say(&mut first, CODE_REJECTED, 9, "", b"");
-    say(&mut first, CODE_REJECTED, 9, "", b"");
+    assert_eq!(read_id_and_code(&mut second), (9, CODE_CALL));
+    send_answer(&mut first, CODE_REJECTED, 9, "", b"");
+    send_answer(&mut first, CODE_REJECTED, 9, "", b"");
     // Another call on the first connection shows that both answers have been read.
     transport.send(
         AttemptKey {
@@ -150,11 +157,11 @@
         &self::request(10),
         AttemptLimits::with_timeout(LONG_TIMEOUT),
     );
-    assert_eq!(frame(&mut first), (10, CODE_CALL));
-    say(&mut first, CODE_OK, 10, "", b"x");
-    assert_eq!(outcome(&reports), (7, Outcome::Ok));
-    say(&mut second, CODE_OK, 9, "", b"DONE");
-    assert_eq!(outcome(&reports), (1, Outcome::Ok));
+    assert_eq!(read_id_and_code(&mut first), (10, CODE_CALL));
+    send_answer(&mut first, CODE_OK, 10, "", b"x");
+    assert_eq!(next_outcome(&reports), (7, Outcome::Ok));
+    send_answer(&mut second, CODE_OK, 9, "", b"DONE");
+    assert_eq!(next_outcome(&reports), (1, Outcome::Ok));
     // No end was counted twice: both connections are idle, so they close at the sweep after a drain.
     transport.drain();
     transport.sweep();
@@ -167,7 +174,7 @@
 fn a_connection_idle_for_too_long_is_not_chosen() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let idle = Duration::from_secs(1);
-    let (mut transport, reports) = transport(listener.local_addr().expect("bound"), |l| {
+    let (mut transport, reports) = frames_transport(listener.local_addr().expect("bound"), |l| {
         l.worker_idle_timeout = idle
     });
     let call = |n| AttemptKey {
@@ -180,18 +187,18 @@
         AttemptLimits::with_timeout(LONG_TIMEOUT),
     );
     let mut first = listener.accept().expect("a connection").0;
-    frame(&mut first);
+    read_id_and_code(&mut first);
     std::thread::sleep(idle + idle / 4); // a long call is no idle time
-    say(&mut first, CODE_OK, 1, "", b"x");
-    assert_eq!(outcome(&reports).1, Outcome::Ok);
+    send_answer(&mut first, CODE_OK, 1, "", b"x");
+    assert_eq!(next_outcome(&reports).1, Outcome::Ok);
     transport.send(
         call(2),
         &request(2),
         AttemptLimits::with_timeout(LONG_TIMEOUT),
     );
-    assert_eq!(frame(&mut first), (2, CODE_CALL));
-    say(&mut first, CODE_OK, 2, "", b"x");
-    assert_eq!(outcome(&reports).1, Outcome::Ok);
+    assert_eq!(read_id_and_code(&mut first), (2, CODE_CALL));
+    send_answer(&mut first, CODE_OK, 2, "", b"x");
+    assert_eq!(next_outcome(&reports).1, Outcome::Ok);
     std::thread::sleep(idle + idle / 4);
     transport.send(
         call(3),
@@ -199,7 +206,7 @@
         AttemptLimits::with_timeout(LONG_TIMEOUT),
     );
     assert_eq!(
-        frame(&mut listener.accept().expect("another connection").0),
+        read_id_and_code(&mut listener.accept().expect("another connection").0),
         (3, CODE_CALL)
     );
 }
@@ -265,7 +272,7 @@
 fn stalled_transport() -> StalledTransport {
     let listener = listener_with_backlog(8);
     let address = listener.local_addr().expect("bound");
-    let (mut transport, reports) = transport(address, |limits| {
+    let (mut transport, reports) = frames_transport(address, |limits| {
         limits.max_streams_per_connection = 1_000;
         limits.write_check_interval = Duration::from_secs(1);
         limits.write_stall_timeout = STALL_LIMIT;
@@ -341,7 +348,7 @@
     } = stalled_transport();
     client_gone.store(true, Ordering::Release);
     for _ in 0..started {
-        let (_, code) = frame(&mut stream);
+        let (_, code) = read_id_and_code(&mut stream);
         assert_eq!(code, CODE_CALL, "what was started comes completely");
     }
     stream
@@ -354,7 +361,7 @@
     );
     // All others end at once, also those that did not fit into the ring.
     let not_sent = (started..STALLED_ATTEMPTS)
-        .filter(|_| outcome(&reports).1 == Outcome::NotSent)
+        .filter(|_| next_outcome(&reports).1 == Outcome::NotSent)
         .count();
     assert_eq!(not_sent as u64, STALLED_ATTEMPTS - started);
 }
@@ -378,7 +385,7 @@
 fn a_connection_whose_order_was_lost_closes_once_it_is_abandoned() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    let (mut transport, _reports) = transport(address, |_| {});
+    let (mut transport, _reports) = frames_transport(address, |_| {});
     transport.order(1, 7, 1, None);
     let (mut stream, _) = listener.accept().expect("a connection");
     stream.read_exact(&mut [0; 52]).expect("the order");
@@ -410,7 +417,7 @@
 fn the_connection_idle_longest_closes_and_reopens_when_it_is_needed() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    let (mut transport, reports) = transport(address, |_| {});
+    let (mut transport, reports) = frames_transport(address, |_| {});
     assert_eq!(
         (transport.connections(), transport.idle_since()),
         (usage(0, true), None)
--- a/wrenseam/tests/unresponsive.rs
+++ b/wrenseam/tests/unresponsive.rs
@@ -1,7 +1,7 @@
 //! When a connection counts as unresponsive: delays of our own scheduler must not count.
 mod link;
 
-use link::{frame, request, say, FIRST};
+use link::{read_id_and_code, request, send_answer, FIRST_ATTEMPT};
 use rstest::rstest;
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -70,7 +70,7 @@
         transport.check_keepalive();
     }
     worker.set_nonblocking(false).expect("set");
-    let (probe, code) = frame(worker);
+    let (probe, code) = read_id_and_code(worker);
     assert_eq!(code, CODE_LOAD_ORDER);
     probe
 }
@@ -108,11 +108,12 @@
     static SCHEDULER: Mutex<()> = Mutex::new(()); // all tests share one scheduler
     let _exclusive = SCHEDULER.lock().unwrap_or_else(PoisonError::into_inner);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (mut transport, reports) = link::transport(listener.local_addr().expect("bound"), |_| {});
+    let (mut transport, reports) =
+        link::frames_transport(listener.local_addr().expect("bound"), |_| {});
     let limits = AttemptLimits::with_timeout(ANSWER_TIMEOUT);
-    transport.send(FIRST, &request(CALL), limits);
+    transport.send(FIRST_ATTEMPT, &request(CALL), limits);
     let mut worker = listener.accept().expect("a connection").0;
-    assert_eq!(frame(&mut worker), (CALL, CODE_CALL));
+    assert_eq!(read_id_and_code(&mut worker), (CALL, CODE_CALL));
     if stall == Stall::BeforeProbeIsWritten {
         let resume = stall_scheduler();
         check_beyond_timeouts(&mut transport);
@@ -121,16 +122,16 @@
     let probe = receive_probe(&mut transport, &mut worker);
     if stall == Stall::BeforeAnswerIsRead {
         let resume = stall_scheduler();
-        say(&mut worker, CODE_OK, probe, "slots_up=1", b"");
+        send_answer(&mut worker, CODE_OK, probe, "slots_up=1", b"");
         check_beyond_timeouts(&mut transport);
         drop(resume);
     }
     if stall == Stall::BeforeProbeIsWritten {
-        say(&mut worker, CODE_OK, probe, "slots_up=1", b"");
+        send_answer(&mut worker, CODE_OK, probe, "slots_up=1", b"");
     }
     let is_answered = stall != Stall::NeverAndNoAnswer;
     if is_answered {
-        say(&mut worker, CODE_OK, CALL, "detail=resident", b"");
+        send_answer(&mut worker, CODE_OK, CALL, "detail=resident", b"");
     }
     assert_eq!(outcome_of_call(&mut transport, &reports, !is_answered), end);
 }
