--- a/wrenseam/tests/discovery_outage.rs
+++ b/wrenseam/tests/discovery_outage.rs
@@ -3,7 +3,7 @@
 
 use platform::{
     cold_overload, late_arrivals, start_workers, wait_until, ClientSettings, Clients, Deployment,
-    DiscoveryService, DrainLimits, EventLog, FrontEnd, FrontEndSettings, Outage, StandInWorker,
+    DiscoveryService, DrainLimits, EventLog, FrontEnd, FrontEndSettings, Outage, SimulatedWorker,
 };
 use rstest::rstest;
 use std::time::{Duration, Instant};
@@ -29,7 +29,7 @@
     deployment: Deployment,
     log: EventLog,
     discovery: DiscoveryService,
-    workers: Vec<StandInWorker>,
+    workers: Vec<SimulatedWorker>,
     front_ends: Vec<FrontEnd>,
     clients: Clients,
 }
@@ -82,14 +82,14 @@
     }
 
     /// The `count` workers that have received most requests and load orders.
-    fn busiest(&self, count: usize) -> Vec<StandInWorker> {
+    fn busiest(&self, count: usize) -> Vec<SimulatedWorker> {
         let mut workers = self.workers.clone();
         workers.sort_by_key(|worker| std::cmp::Reverse(worker.arrivals().len()));
         workers.truncate(count);
         workers
     }
 
-    fn drain(&self, workers: &[StandInWorker]) {
+    fn drain(&self, workers: &[SimulatedWorker]) {
         for worker in workers {
             worker.drain();
         }
--- a/wrenseam/tests/platform/mod.rs
+++ b/wrenseam/tests/platform/mod.rs
@@ -19,7 +19,7 @@
     front_end::{FrontEnd, FrontEndSettings},
     rules::{cold_overload, forbidden_duplicates, late_arrivals, DrainLimits},
     settings::{Deployment, FUNCTIONS},
-    worker::{Arrival, ArrivalKind, Drain, StandInWorker},
+    worker::{Arrival, ArrivalKind, Drain, SimulatedWorker},
 };
 
 use std::net::{IpAddr, Ipv4Addr};
@@ -30,9 +30,9 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Starts so many workers, and a log of events whose first lists them.
-pub(crate) fn start_workers(count: usize, work: Duration) -> (Vec<StandInWorker>, EventLog) {
-    let workers: Vec<StandInWorker> = (0..count)
-        .map(|number| StandInWorker::start(number, work))
+pub(crate) fn start_workers(count: usize, work: Duration) -> (Vec<SimulatedWorker>, EventLog) {
+    let workers: Vec<SimulatedWorker> = (0..count)
+        .map(|number| SimulatedWorker::start(number, work))
         .collect();
     let log = EventLog::default();
     let instances: Vec<String> = workers
--- a/wrenseam/tests/platform/rules.rs
+++ b/wrenseam/tests/platform/rules.rs
@@ -1,5 +1,5 @@
 //! The platform's rule on draining workers.
-use super::{ArrivalKind, Drain, StandInWorker};
+use super::{ArrivalKind, Drain, SimulatedWorker};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
@@ -34,7 +34,7 @@
 
 /// New work that came to a draining worker after its drain counted as notified and the grace was over.
 pub(crate) fn late_arrivals(
-    workers: &[StandInWorker],
+    workers: &[SimulatedWorker],
     limits_of: impl Fn(&Drain) -> DrainLimits,
     start: Instant,
 ) -> Vec<String> {
@@ -67,7 +67,7 @@
 
 /// Calls with an idempotency key that more workers took than their effect allows: one where none may repeat, else those
 /// of one zone.
-pub(crate) fn forbidden_duplicates(workers: &[StandInWorker], effect: &str) -> Vec<String> {
+pub(crate) fn forbidden_duplicates(workers: &[SimulatedWorker], effect: &str) -> Vec<String> {
     let mut taken: BTreeMap<u64, Vec<&'static str>> = BTreeMap::new();
     for worker in workers {
         for arrival in worker.arrivals() {
@@ -92,7 +92,7 @@
 /// cold workers allows in that second, where the first is beyond the second. `capacity_per_s` is what the worker can do
 /// once it is warm.
 pub(crate) fn cold_overload(
-    worker: &StandInWorker,
+    worker: &SimulatedWorker,
     notified_at: Instant,
     capacity_per_s: f64,
 ) -> Option<(usize, f64)> {
--- a/wrenseam/tests/platform/worker.rs
+++ b/wrenseam/tests/platform/worker.rs
@@ -48,7 +48,7 @@
 
 /// A worker at an address of its own.
 #[derive(Clone)]
-pub(crate) struct StandInWorker {
+pub(crate) struct SimulatedWorker {
     pub(crate) id: String,
     pub(crate) address: SocketAddr,
     pub(crate) zone: &'static str,
@@ -57,12 +57,12 @@
     state: Arc<Mutex<WorkerState>>,
 }
 
-impl StandInWorker {
+impl SimulatedWorker {
     /// Starts the worker of this number.
-    pub(crate) fn start(number: usize, work: Duration) -> StandInWorker {
+    pub(crate) fn start(number: usize, work: Duration) -> SimulatedWorker {
         let listener = TcpListener::bind((own_address(), 0)).expect("a port");
         let cell = number % 2;
-        let worker = StandInWorker {
+        let worker = SimulatedWorker {
             id: format!("s-{number:08x}"),
             address: listener.local_addr().expect("bound"),
             zone: ["hall-a", "hall-b"][cell],
@@ -80,7 +80,7 @@
 
     /// Its entry in the endpoint list.
     pub(crate) fn instance(&self, lifecycle: &str) -> String {
-        let StandInWorker {
+        let SimulatedWorker {
             id,
             address,
             zone,
--- a/wrenseam/tests/soak.rs
+++ b/wrenseam/tests/soak.rs
@@ -7,7 +7,7 @@
 use platform::{
     cold_overload, forbidden_duplicates, late_arrivals, start_workers, ClientSettings, Clients,
     Deployment, DiscoveryService, Drain, DrainLimits, EventLog, FrontEnd, FrontEndSettings, Outage,
-    RequestOutcome, RequestRecord, StandInWorker,
+    RequestOutcome, RequestRecord, SimulatedWorker,
 };
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -214,7 +214,7 @@
     discovery: [DiscoveryService; 2],
     /// Which of the two front ends follow.
     followed: usize,
-    workers: Vec<StandInWorker>,
+    workers: Vec<SimulatedWorker>,
     front_ends: Vec<FrontEnd>,
     /// When front ends that were terminated are killed.
     pending_kills: Vec<(Instant, ProcessEnd)>,
@@ -491,7 +491,7 @@
             records.len(),
             self.workers
                 .iter()
-                .map(StandInWorker::health_checks)
+                .map(SimulatedWorker::health_checks)
                 .sum::<usize>(),
             self.plan.deployment
         );
