--- a/wrenseam/tests/link/mod.rs
+++ b/wrenseam/tests/link/mod.rs
@@ -1,5 +1,5 @@
-//! The kit of the tests of transports: it builds a transport whose reports the test reads, and the test plays the
-//! worker's side of the connections.
+//! Helpers for tests of the worker transports. A test creates a transport, reads the messages that it sends to the core,
+//! and acts as the worker on its connections.
 #[path = "../support/mod.rs"]
 mod support;
 
@@ -19,14 +19,14 @@
 #[allow(unused_imports, reason = "each test binary uses its own part")]
 pub(crate) use wrenseam::model::TransportProtocol as Protocol;
 
-/// How long a test waits for a report.
+/// How long a test waits for a message from the transport.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(20);
-/// Longer than a busy machine takes for any connect that a test waits for.
+/// Connect timeout of the transports, longer than a connect takes on a busy machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(20);
-/// A connect that takes longer finds the queue of the listener full.
-const FULL_QUEUE_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long the client of a request waits, us.
-const CLIENT_TIMEOUT: u64 = 20_000_000;
+/// A connect that takes longer than this means that the listener's backlog is full.
+const FULL_BACKLOG_TIMEOUT: Duration = Duration::from_millis(200);
+/// Timeout of a request, in microseconds.
+const REQUEST_TIMEOUT_US: u64 = 20_000_000;
 
 /// The first attempt of the first request.
 #[allow(dead_code, reason = "each test binary uses its own part")]
@@ -35,8 +35,8 @@
     attempt: 0,
 };
 
-/// A worker whose next connection comes up only once those that fill its queue are accepted: its listener, its
-/// address, and those that fill the queue.
+/// A listener whose backlog is full, its address, and the connections that fill the backlog. The next connection is
+/// established only once the test accepts these.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) fn listener_with_full_backlog() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
     let socket =
@@ -47,21 +47,22 @@
     let listener = TcpListener::from(socket);
     let address = listener.local_addr().expect("bound");
     let mut fillers = Vec::new();
-    while let Ok(stream) = TcpStream::connect_timeout(&address, FULL_QUEUE_TIMEOUT) {
+    while let Ok(stream) = TcpStream::connect_timeout(&address, FULL_BACKLOG_TIMEOUT) {
         fillers.push(stream);
     }
     (listener, address, fillers)
 }
 
+/// The limits of a small deployment with a long connect timeout, as altered by `change`.
 fn limits(change: impl FnOnce(&mut Limits)) -> Arc<Limits> {
-    may::config().set_workers(1).set_worker_pin(false); // as the program has it
+    may::config().set_workers(1).set_worker_pin(false); // as in the program
     let mut limits = Limits::new(192, 1024, &Settings::default());
     limits.connect_timeout = CONNECT_TIMEOUT;
     change(&mut limits);
     Arc::new(limits)
 }
 
-/// A transport of frames with changed limits, and what it reports.
+/// A frames transport with limits altered by `change`, and the messages that it sends to the core.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) fn frames_transport(
     address: SocketAddr,
@@ -72,7 +73,7 @@
     (transport, reports)
 }
 
-/// A transport of either protocol with changed limits, and what it reports.
+/// A transport of the given protocol with limits altered by `change`, and the messages that it sends to the core.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) fn transport_of(
     protocol: Protocol,
@@ -88,7 +89,7 @@
     (transport, reports)
 }
 
-/// A call with a short body.
+/// A request with a short body and the given id on the wire.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) fn request(wire_id: u64) -> Arc<Request> {
     Arc::new(Request {
@@ -96,7 +97,7 @@
         class: "c".to_owned(),
         tenant: "t".to_owned(),
         function: 7,
-        timeout: CLIENT_TIMEOUT,
+        timeout: REQUEST_TIMEOUT_US,
         received_at: Instant::now(),
         idempotency_key: None,
         is_retry: false,
@@ -110,26 +111,27 @@
     })
 }
 
-/// The id and the code of the next frame that the transport writes.
+/// Reads the next frame that the transport wrote and returns its id and code.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) fn read_id_and_code(stream: &mut TcpStream) -> (u64, u8) {
     let frame = read_frame(stream).expect("a frame");
     (frame.id, frame.code)
 }
 
-/// Answers an exchange as the worker.
+/// Writes a worker's answer to the exchange `id`.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) fn send_answer(stream: &mut TcpStream, code: u8, id: u64, fields: &str, body: &[u8]) {
     let answer = encode_answer(code, id, fields, body);
-    stream.write_all(&answer).expect("answered");
+    stream.write_all(&answer).expect("written");
 }
 
-/// The next end that is reported: the attempt's number, `usize::MAX` for an order, and the outcome.
+/// Waits for the next message, which must be the end of an attempt or a load order. Returns the attempt's number
+/// (`usize::MAX` for a load order) and the outcome.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) fn next_outcome(reports: &mpsc::Receiver<Message>) -> (usize, Outcome) {
     match reports.recv_timeout(REPORT_TIMEOUT) {
         Ok(Message::AttemptEnded { key, report }) => (key.attempt, report.outcome),
         Ok(Message::LoadOrderEnded { outcome, .. }) => (usize::MAX, outcome),
-        _ => panic!("nothing ended"),
+        _ => panic!("no end of an attempt or load order was reported"),
     }
 }
--- a/wrenseam/tests/platform/client.rs
+++ b/wrenseam/tests/platform/client.rs
@@ -1,4 +1,5 @@
-//! Clients that call through front ends, each with one request open at a time on a connection that it keeps.
+//! Simulated clients that send requests to front ends over FastCGI. Each has one request open at a time and keeps its
+//! connection open between requests.
 use super::support::sockets::read_bytes;
 use super::FUNCTIONS;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -10,64 +11,77 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
+/// Types of FastCGI records.
 const BEGIN_REQUEST: u8 = 1;
 const END_REQUEST: u8 = 3;
 const PARAMS: u8 = 4;
 const STDIN: u8 = 5;
 const STDOUT: u8 = 6;
-const RESPONDER: [u8; 8] = [0, 1, 1, 0, 0, 0, 0, 0];
+/// Content of a `BEGIN_REQUEST` record: the role of a responder, with the connection kept open.
+const RESPONDER_KEEP_OPEN: [u8; 8] = [0, 1, 1, 0, 0, 0, 0, 0];
+/// Protocol status `FCGI_OVERLOADED` of an `END_REQUEST` record.
 const OVERLOADED: u8 = 2;
-/// An answer may come so long after its time; then it is lost.
-const LATE: Duration = Duration::from_millis(500);
+/// An answer that has not arrived this long after the request's timeout counts as lost.
+const ANSWER_SLACK: Duration = Duration::from_millis(500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestOutcome {
+    /// The worker's complete answer arrived.
     Served,
-    Refused,
+    /// The front end answered with `FCGI_OVERLOADED`, 429 or 503.
+    Rejected,
+    /// Any other answer.
     Failed,
-    /// No answer came in time.
+    /// No answer arrived in time.
     Unanswered,
-    /// The connection ended with no answer.
+    /// The connection ended without an answer.
     Closed,
 }
 
-/// A request that was sent whole.
+/// A request that a client sent completely.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestRecord {
     pub(crate) id: u64,
+    /// Index of the front end that it was sent to.
     pub(crate) front_end: usize,
+    /// Idempotency key, if the request has one.
     pub(crate) key: Option<String>,
     pub(crate) sent_at: Instant,
     pub(crate) ended_at: Instant,
+    /// Timeout stated in the request.
     pub(crate) timeout: Duration,
     pub(crate) outcome: RequestOutcome,
-    /// Whether it was the first on its connection.
+    /// Whether it was the first request on its connection.
     pub(crate) is_first: bool,
-    /// Since when the connection had carried nothing.
+    /// Since when its connection had been idle when it was sent.
     pub(crate) idle_since: Instant,
 }
 
-/// What clients do.
+/// The traffic of a client.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClientSettings {
+    /// Index of the front end that it sends to.
     pub(crate) front_end: usize,
     pub(crate) address: SocketAddr,
+    /// Timeout that it states in each request.
     pub(crate) timeout: Duration,
-    /// The mean pause between two requests.
+    /// Mean pause between two requests.
     pub(crate) pause: Duration,
 }
 
-/// Clients that run until they are stopped.
+/// Clients that send requests until they are stopped, each in a thread of its own.
 pub(crate) struct Clients {
     is_stopped: Arc<AtomicBool>,
     records: Arc<Mutex<Vec<RequestRecord>>>,
     threads: Vec<JoinHandle<()>>,
+    /// Seed of the client added last.
     seed: u64,
 }
 
 impl Clients {
+    /// No clients yet. The first one added gets the seed after `seed`, and so on.
     pub(crate) fn new(seed: u64) -> Clients {
         Clients {
             is_stopped: Arc::default(),
@@ -77,7 +91,7 @@
         }
     }
 
-    /// Adds so many clients of a front end.
+    /// Adds and starts `count` clients with these settings.
     pub(crate) fn add(&mut self, count: usize, settings: ClientSettings) {
         for _ in 0..count {
             self.seed += 1;
@@ -91,12 +105,12 @@
         }
     }
 
-    /// The requests that have ended.
+    /// The requests that have ended so far.
     pub(crate) fn records(&self) -> Vec<RequestRecord> {
         self.records.lock().expect("not poisoned").clone()
     }
 
-    /// How many were served between these times.
+    /// How many requests were served from `from` until before `to`.
     pub(crate) fn served_between(&self, from: Instant, to: Instant) -> usize {
         let records = self.records.lock().expect("not poisoned");
         let is_served = |record: &&RequestRecord| {
@@ -107,11 +121,11 @@
         records.iter().filter(is_served).count()
     }
 
-    /// Ends all clients once their requests have ended.
+    /// Stops all clients and waits for the end of their open requests.
     pub(crate) fn stop(&mut self) {
         self.is_stopped.store(true, Ordering::Release);
         for thread in self.threads.drain(..) {
-            thread.join().expect("a client that did not panic");
+            thread.join().expect("the client did not panic");
         }
     }
 }
@@ -129,7 +143,7 @@
             if let Ok(stream) = TcpStream::connect_timeout(&self.settings.address, CONNECT_TIMEOUT)
             {
                 let _ = stream.set_nodelay(true);
-                self.use_connection(stream);
+                self.send_requests(stream);
             }
             self.pause();
         }
@@ -139,14 +153,15 @@
         self.is_stopped.load(Ordering::Acquire)
     }
 
+    /// Sleeps for a random time, uniform from 0 to twice the mean pause.
     fn pause(&mut self) {
         let mean = self.settings.pause.as_secs_f64();
-        let part = f64::from(self.random.next_u32()) / 2f64.powi(31);
-        std::thread::sleep(Duration::from_secs_f64(mean * part));
+        let factor = f64::from(self.random.next_u32()) / 2f64.powi(31);
+        std::thread::sleep(Duration::from_secs_f64(mean * factor));
     }
 
-    /// Sends one request after the other until the connection ends.
-    fn use_connection(&mut self, mut stream: TcpStream) {
+    /// Sends one request after the other until the connection ends or an answer is lost.
+    fn send_requests(&mut self, mut stream: TcpStream) {
         let mut is_first = true;
         let mut idle_since = Instant::now();
         while !self.is_stopped() {
@@ -159,7 +174,7 @@
             }
             let sent_at = Instant::now();
             let timeout = self.settings.timeout;
-            let outcome = read_outcome(&mut stream, sent_at + timeout + LATE);
+            let outcome = read_outcome(&mut stream, sent_at + timeout + ANSWER_SLACK);
             let ended_at = Instant::now();
             self.records
                 .lock()
@@ -184,6 +199,8 @@
         }
     }
 
+    /// Encodes a request for a random function. With an idempotency key its class is `tile-order`, otherwise
+    /// `tile-render`.
     fn request(&mut self, id: u64, key: Option<&str>) -> Vec<u8> {
         let function = FUNCTIONS[self.random.next_u32() as usize % FUNCTIONS.len()];
         let class = if key.is_some() {
@@ -191,11 +208,11 @@
         } else {
             "/v1/tile-render"
         };
-        let call_id = format!("{id:016x}");
+        let request_id = format!("{id:016x}");
         let timeout_ms = self.settings.timeout.as_millis().to_string();
         let mut params = vec![
             ("SCRIPT_NAME", class),
-            ("HTTP_REQ_ID", &call_id),
+            ("HTTP_REQ_ID", &request_id),
             ("HTTP_REQ_WAIT_MS", &timeout_ms),
             ("HTTP_REQ_OWNER", "acme"),
             ("HTTP_REQ_KEY", function),
@@ -212,7 +229,7 @@
             })
             .collect();
         [
-            record(BEGIN_REQUEST, &RESPONDER),
+            record(BEGIN_REQUEST, &RESPONDER_KEEP_OPEN),
             record(PARAMS, &params),
             record(PARAMS, &[]),
             record(STDIN, b"tile"),
@@ -222,14 +239,14 @@
     }
 }
 
-/// One record of request 1 without padding.
+/// Encodes a FastCGI record of request 1 without padding.
 fn record(kind: u8, content: &[u8]) -> Vec<u8> {
     let [length_high, length_low] = (content.len() as u16).to_be_bytes();
     let header = [1, kind, 0, 1, length_high, length_low, 0, 0];
     [&header, content].concat()
 }
 
-/// Reads the answer, for no longer than until `deadline`.
+/// Reads the answer, until `deadline` at the latest, and classifies it or its absence.
 fn read_outcome(stream: &mut TcpStream, deadline: Instant) -> RequestOutcome {
     match read_answer(stream, deadline) {
         Ok(outcome) => outcome,
@@ -245,30 +262,33 @@
     }
 }
 
+/// Reads records up to the end of the request. An error of kind `WouldBlock` or `TimedOut` means that `deadline` has
+/// passed.
 fn read_answer(stream: &mut TcpStream, deadline: Instant) -> io::Result<RequestOutcome> {
     let mut stdout = Vec::new();
     loop {
-        let left = deadline.saturating_duration_since(Instant::now());
-        stream.set_read_timeout(Some(left.max(Duration::from_millis(1))))?;
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        stream.set_read_timeout(Some(remaining.max(Duration::from_millis(1))))?;
         let header = read_bytes(stream, 8)?;
         let length = usize::from(u16::from_be_bytes([header[4], header[5]]));
         let content = read_bytes(stream, length)?;
         stream.read_exact(&mut vec![0; header[6].into()])?;
         match header[1] {
             STDOUT => stdout.extend(content),
-            END_REQUEST => return Ok(outcome(&stdout, content[4])),
-            kind => panic!("record {kind}"),
+            END_REQUEST => return Ok(answer_outcome(&stdout, content[4])),
+            kind => panic!("unexpected FastCGI record type {kind}"),
         }
     }
 }
 
-fn outcome(stdout: &[u8], protocol_status: u8) -> RequestOutcome {
+/// Classifies a complete answer.
+fn answer_outcome(stdout: &[u8], protocol_status: u8) -> RequestOutcome {
     let text = String::from_utf8_lossy(stdout);
     if protocol_status == OVERLOADED
         || text.starts_with("Status: 503")
         || text.starts_with("Status: 429")
     {
-        RequestOutcome::Refused
+        RequestOutcome::Rejected
     } else if text.starts_with("Status: 200") && text.ends_with("DONE") {
         RequestOutcome::Served
     } else {
--- a/wrenseam/tests/platform/discovery.rs
+++ b/wrenseam/tests/platform/discovery.rs
@@ -1,6 +1,6 @@
-//! A stand-in discovery service of the platform's protocol that can be out of reach.
+//! A simulated discovery service that speaks the platform's protocol and can be made unreachable.
 use super::support::http::read_message;
-use super::{own_address, POLL_INTERVAL};
+use super::{unique_loopback_address, POLL_INTERVAL};
 use socket2::SockRef;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,16 +8,17 @@
 use std::time::{Duration, Instant};
 
 const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
+/// A comment of the event stream, which keeps the connection alive.
 const COMMENT: &[u8] = b": here\n\n";
-/// Time between two comments.
+/// Interval at which comments are sent.
 const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// All events so far, each as JSON; the first is number 1.
+/// All events published so far, as JSON. They are numbered from 1.
 #[derive(Clone, Default)]
 pub(crate) struct EventLog(Arc<Mutex<Vec<String>>>);
 
 impl EventLog {
-    /// Adds an event with these instances; the complete list, if it is the first.
+    /// Adds an event with these instances. The first event is a complete list, each later one lists changed instances.
     pub(crate) fn publish(&self, instances: &[String]) {
         let mut events = self.0.lock().expect("not poisoned");
         let number = events.len() + 1;
@@ -28,8 +29,8 @@
         ));
     }
 
-    /// The events so far, as a start configuration holds them.
-    pub(crate) fn known(&self) -> String {
+    /// The events so far, in the form of `known` in a configuration file.
+    pub(crate) fn to_known_events(&self) -> String {
         let events = self.0.lock().expect("not poisoned");
         format!(
             r#"{{"rev":{},"notices":[{}]}}"#,
@@ -38,66 +39,68 @@
         )
     }
 
-    /// The events after this number, as they go over the wire.
-    fn after(&self, number: usize) -> Vec<String> {
+    /// The events after event `number`, in the form of the event stream.
+    fn events_after(&self, number: usize) -> Vec<String> {
         let events = self.0.lock().expect("not poisoned");
-        let later = events.iter().enumerate().skip(number);
-        later
+        let later_events = events.iter().enumerate().skip(number);
+        later_events
             .map(|(index, event)| format!("id: {}\ndata: {event}\n\n", index + 1))
             .collect()
     }
 }
 
-/// How the service is out of reach.
+/// How the service is unreachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outage {
-    /// Connections are reset and no new one is accepted.
+    /// Open connections are reset, and new ones are refused.
     Refused,
-    /// Connections are accepted, and nothing is ever sent.
+    /// Open connections are reset. New ones are accepted, but nothing is sent on them.
     Silent,
-    /// Connections stay open and nothing more is sent; new ones are accepted, and nothing is sent there either.
+    /// Open connections stay open and new ones are accepted, but nothing is sent on any of them.
     Stalled,
-    /// Connections end in the middle of an event, and those that come after get the same.
+    /// Open connections and each new one are closed in the middle of an event.
     CutShort,
 }
 
 #[derive(Default)]
-struct Service {
+struct ServiceState {
+    /// `None` while the service is reachable.
     outage: Option<Outage>,
+    /// Open connections.
     streams: Vec<TcpStream>,
     restored_at: Option<Instant>,
 }
 
-/// A discovery service at an address of its own.
+/// A discovery service with its own IP address.
 pub(crate) struct DiscoveryService {
     pub(crate) address: SocketAddr,
     log: EventLog,
-    service: Arc<Mutex<Service>>,
+    state: Arc<Mutex<ServiceState>>,
 }
 
 impl DiscoveryService {
-    /// Starts a service that tells the events of this log.
+    /// Starts a service that sends the events of `log`, including those published later.
     pub(crate) fn start(log: &EventLog) -> DiscoveryService {
-        let listener = TcpListener::bind((own_address(), 0)).expect("a port");
+        let listener = TcpListener::bind((unique_loopback_address(), 0)).expect("a port");
         let address = listener.local_addr().expect("bound");
-        let service = Arc::<Mutex<Service>>::default();
+        let state = Arc::<Mutex<ServiceState>>::default();
         let discovery = DiscoveryService {
             address,
             log: log.clone(),
-            service,
+            state,
         };
         discovery.accept_on(listener);
         discovery
     }
 
-    /// Puts the service out of reach.
+    /// Makes the service unreachable.
     pub(crate) fn interrupt(&self, outage: Outage) {
-        let mut service = self.service.lock().expect("not poisoned");
-        service.outage = Some(outage);
-        let streams = std::mem::take(&mut service.streams);
+        let mut state = self.state.lock().expect("not poisoned");
+        state.outage = Some(outage);
+        let streams = std::mem::take(&mut state.streams);
         match outage {
-            Outage::Refused | Outage::Silent => streams.iter().for_each(reset_on_close),
-            Outage::Stalled => service.streams = streams,
+            Outage::Refused | Outage::Silent => streams.iter().for_each(reset),
+            Outage::Stalled => state.streams = streams,
             Outage::CutShort => {
                 for mut stream in streams {
                     let _ = stream.write_all(b"id: 9"); // it may have closed
@@ -106,33 +109,33 @@
         }
     }
 
-    /// Brings the service back.
+    /// Makes the service reachable again. Connections from the outage are reset.
     pub(crate) fn restore(&self) {
-        let mut service = self.service.lock().expect("not poisoned");
-        let was_refusing = service.outage == Some(Outage::Refused);
-        service.outage = None;
-        service.streams.iter().for_each(reset_on_close);
-        service.streams.clear();
-        service.restored_at = Some(Instant::now());
-        drop(service);
+        let mut state = self.state.lock().expect("not poisoned");
+        let was_refusing = state.outage == Some(Outage::Refused);
+        state.outage = None;
+        state.streams.iter().for_each(reset);
+        state.streams.clear();
+        state.restored_at = Some(Instant::now());
+        drop(state);
         if was_refusing {
             self.accept_on(TcpListener::bind(self.address).expect("the port is free"));
         }
     }
 
-    /// Accepts connections until the service refuses them.
+    /// Accepts connections, each in a thread of its own, until an outage in which they are refused.
     fn accept_on(&self, listener: TcpListener) {
         listener.set_nonblocking(true).expect("set");
-        let service = self.service.clone();
+        let state = self.state.clone();
         let log = self.log.clone();
         std::thread::spawn(move || loop {
-            if service.lock().expect("not poisoned").outage == Some(Outage::Refused) {
+            if state.lock().expect("not poisoned").outage == Some(Outage::Refused) {
                 return;
             }
             match listener.accept() {
                 Ok((stream, _)) => {
-                    let (service, log) = (service.clone(), log.clone());
-                    std::thread::spawn(move || serve(stream, &service, &log));
+                    let (state, log) = (state.clone(), log.clone());
+                    std::thread::spawn(move || serve(stream, &state, &log));
                 }
                 Err(_) => std::thread::sleep(POLL_INTERVAL),
             }
@@ -140,13 +143,14 @@
     }
 }
 
-fn reset_on_close(stream: &TcpStream) {
+/// Closes a connection with a reset.
+fn reset(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
     let _ = stream.shutdown(std::net::Shutdown::Both);
 }
 
-/// Serves one request until the connection ends or the service is out of reach.
-fn serve(mut stream: TcpStream, service: &Mutex<Service>, log: &EventLog) {
+/// Reads one request and sends events until the connection ends or an outage begins.
+fn serve(mut stream: TcpStream, state: &Mutex<ServiceState>, log: &EventLog) {
     let _ = stream.set_nonblocking(false);
     let Ok(request) = read_message(&mut stream) else {
         return;
@@ -154,15 +158,15 @@
     let last_event = request.header("Last-Event-ID").unwrap_or("0");
     let mut last_event: usize = last_event.parse().expect("a number");
     {
-        let mut service = service.lock().expect("not poisoned");
-        match service.outage {
+        let mut state = state.lock().expect("not poisoned");
+        match state.outage {
             Some(Outage::CutShort) => {
                 let _ = stream.write_all(STREAM_HEAD); // it may have closed
                 let _ = stream.write_all(b"id: 9");
                 return;
             }
-            Some(_) => return service.streams.push(stream),
-            None => service.streams.push(stream.try_clone().expect("cloned")),
+            Some(_) => return state.streams.push(stream),
+            None => state.streams.push(stream.try_clone().expect("cloned")),
         }
     }
     if stream.write_all(STREAM_HEAD).is_err() {
@@ -170,10 +174,10 @@
     }
     let mut commented_at = Instant::now();
     loop {
-        if service.lock().expect("not poisoned").outage.is_some() {
+        if state.lock().expect("not poisoned").outage.is_some() {
             return;
         }
-        let events = log.after(last_event);
+        let events = log.events_after(last_event);
         last_event += events.len();
         let mut bytes = events.concat().into_bytes();
         if commented_at.elapsed() >= COMMENT_INTERVAL {
--- a/wrenseam/tests/platform/front_end.rs
+++ b/wrenseam/tests/platform/front_end.rs
@@ -1,93 +1,96 @@
-//! A front end process on the platform: its configuration file, its signals and its restarts.
+//! A front end process on the simulated platform: its configuration file, its signals and its restarts.
 use super::program::{admin_command, create_run_folder, write_file, Program};
-use super::{own_address, Deployment, EventLog};
+use super::{unique_loopback_address, Deployment, EventLog};
 use std::ffi::OsStr;
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// What a front end is started with.
+/// The configuration of a front end.
 #[derive(Clone, Debug)]
 pub(crate) struct FrontEndSettings {
     pub(crate) deployment: Deployment,
+    /// Number of this front end in the deployment, from 0.
     pub(crate) index: usize,
+    /// Base of the seeds in the configuration, which differ for each front end and each start.
     pub(crate) seed: u64,
 }
 
-/// One front end, which keeps its name and address over restarts.
+/// A front end that keeps its name and addresses over restarts.
 pub(crate) struct FrontEnd {
     settings: FrontEndSettings,
     folder: PathBuf,
-    /// Where clients connect.
+    /// Address that clients connect to.
     pub(crate) address: SocketAddr,
-    admin: SocketAddr,
+    admin_address: SocketAddr,
     program: Program,
-    starts: u64,
+    /// Number of processes started so far.
+    start_count: u64,
 }
 
 impl FrontEnd {
-    /// Starts it with the events so far, following the service at this address.
+    /// Starts the process. Its configuration holds the events so far and the discovery service's address.
     pub(crate) fn start(
         settings: FrontEndSettings,
         log: &EventLog,
         discovery: SocketAddr,
     ) -> FrontEnd {
         let folder = create_run_folder("platform-");
-        let own = own_address();
-        let address = free_address(SocketAddr::new(own, 0));
-        let admin = free_address(SocketAddr::new(own, 0));
+        let ip = unique_loopback_address();
+        let address = free_address(SocketAddr::new(ip, 0));
+        let admin_address = free_address(SocketAddr::new(ip, 0));
         write_config(&settings, &folder, log, discovery, 0);
-        let program = launch(&settings, &folder, address, admin);
+        let program = launch(&settings, &folder, address, admin_address);
         FrontEnd {
             settings,
             folder,
             address,
-            admin,
+            admin_address,
             program,
-            starts: 1,
+            start_count: 1,
         }
     }
 
-    /// Starts the program again at the same address, after its end.
+    /// Starts a new process at the same addresses. The former one must have ended.
     pub(crate) fn restart(&mut self, log: &EventLog, discovery: SocketAddr) {
         let Self {
             settings, folder, ..
         } = self;
-        write_config(settings, folder, log, discovery, self.starts);
-        self.starts += 1;
-        self.program = launch(settings, folder, self.address, self.admin);
+        write_config(settings, folder, log, discovery, self.start_count);
+        self.start_count += 1;
+        self.program = launch(settings, folder, self.address, self.admin_address);
     }
 
-    /// Has it follow discovery at another address.
+    /// Writes a configuration with another address of the discovery service and has the process reload it.
     pub(crate) fn move_discovery(&self, log: &EventLog, discovery: SocketAddr) {
         let Self {
             settings, folder, ..
         } = self;
-        write_config(settings, folder, log, discovery, self.starts);
+        write_config(settings, folder, log, discovery, self.start_count);
         self.program.signal("-HUP");
     }
 
-    /// Begins a planned end.
+    /// Sends SIGTERM, on which the process drains and ends.
     pub(crate) fn terminate(&self) {
         self.program.signal("-TERM");
     }
 
-    /// Stops the process, or lets it go on.
+    /// Sends a signal, in the form of `kill`'s option (`-STOP`, `-CONT`).
     pub(crate) fn signal(&self, name: &str) {
         self.program.signal(name);
     }
 
-    /// Ends it at once.
+    /// Kills the process with SIGKILL.
     pub(crate) fn kill(&mut self) {
         self.program.kill();
     }
 
-    /// Whether the process has not ended.
+    /// Whether the process is still running.
     pub(crate) fn is_running(&mut self) -> bool {
         self.program.is_running()
     }
 
-    /// Waits for its end for this long at the most; whether it ended.
+    /// Waits for the end of the process, until `until` at the latest. Returns whether it ended.
     pub(crate) fn wait(&mut self, until: Instant) -> bool {
         while self.program.is_running() {
             if Instant::now() >= until {
@@ -98,9 +101,9 @@
         true
     }
 
-    /// A figure of its telemetry.
+    /// Requests the telemetry and returns the value of this metric, `None` if it is missing or not a whole number.
     pub(crate) fn metric(&self, name: &str) -> Option<u64> {
-        let telemetry = admin_command(self.admin, "telemetry\n");
+        let telemetry = admin_command(self.admin_address, "telemetry\n");
         telemetry.lines().find_map(|line| {
             let value = line.strip_prefix(name)?.strip_prefix(':')?;
             value.split('|').next()?.parse().ok()
@@ -108,22 +111,25 @@
     }
 }
 
-/// An address that is free now; the port is not drawn for clients, as nothing else uses the host address.
-fn free_address(wanted: SocketAddr) -> SocketAddr {
-    let listener = TcpListener::bind(wanted).expect("a port");
+/// A free port at an IP address. It stays free: the system gives it to no client, as nothing else uses this IP address.
+fn free_address(any_port: SocketAddr) -> SocketAddr {
+    let listener = TcpListener::bind(any_port).expect("a port");
     listener.local_addr().expect("bound")
 }
 
+/// Writes the configuration file of the process that is started after `start_count` others.
 fn write_config(
     settings: &FrontEndSettings,
     folder: &std::path::Path,
     log: &EventLog,
     discovery: SocketAddr,
-    starts: u64,
+    start_count: u64,
 ) {
     let index = settings.index;
-    let seed = settings.seed.wrapping_add(index as u64 * 1_000 + starts);
-    let known = log.known();
+    let seed = settings
+        .seed
+        .wrapping_add(index as u64 * 1_000 + start_count);
+    let known = log.to_known_events();
     let deployment = settings.deployment.settings(index);
     let text = format!(
         r#"{{"name":"n{index}","seed":"{seed:x}","limits":{{"memory_mb":192,"sockets":512}},"settings":{deployment},"board":"{discovery}","known":{known}}}"#
@@ -131,16 +137,17 @@
     write_file(folder.join("config.json"), &text);
 }
 
+/// Starts the program and waits until it listens for clients and for admin connections.
 fn launch(
     settings: &FrontEndSettings,
     folder: &std::path::Path,
     address: SocketAddr,
-    admin: SocketAddr,
+    admin_address: SocketAddr,
 ) -> Program {
-    let (listen, admin) = (address.to_string(), admin.to_string());
+    let (address, admin_address) = (address.to_string(), admin_address.to_string());
     let environment = [
-        ("NODE_LISTEN", OsStr::new(&listen)),
-        ("NODE_ADMIN", OsStr::new(&admin)),
+        ("NODE_LISTEN", OsStr::new(&address)),
+        ("NODE_ADMIN", OsStr::new(&admin_address)),
     ];
     let mut program = Program::start(folder, &folder.join("config.json"), &environment);
     program.next_listen_address();
--- a/wrenseam/tests/platform/mod.rs
+++ b/wrenseam/tests/platform/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of the platform round several front end processes: workers that drain, stop and come back, a discovery
-//! service that can be out of reach, clients that keep their connections, and the platform's rules.
+//! A simulated platform around several front end processes: workers that drain, stop and restart, a discovery service
+//! that can be made unreachable, clients that keep their connections open, and checks of the platform's rules.
 #![allow(dead_code, reason = "each test binary uses its own part")]
 mod client;
 mod discovery;
@@ -26,13 +26,13 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-/// Time between two looks at a condition.
+/// Interval at which a condition is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Starts so many workers, and a log of events whose first lists them.
-pub(crate) fn start_workers(count: usize, work: Duration) -> (Vec<SimulatedWorker>, EventLog) {
+/// Starts `count` workers that take `call_time` for a call. The first event of the returned log lists them all.
+pub(crate) fn start_workers(count: usize, call_time: Duration) -> (Vec<SimulatedWorker>, EventLog) {
     let workers: Vec<SimulatedWorker> = (0..count)
-        .map(|number| SimulatedWorker::start(number, work))
+        .map(|number| SimulatedWorker::start(number, call_time))
         .collect();
     let log = EventLog::default();
     let instances: Vec<String> = workers
@@ -43,7 +43,7 @@
     (workers, log)
 }
 
-/// Waits until a condition holds; fails the test if it does not within this time.
+/// Waits until `condition` holds. The test fails if that takes longer than `within`.
 pub(crate) fn wait_until(what: &str, within: Duration, condition: impl Fn() -> bool) {
     let since = Instant::now();
     while !condition() {
@@ -52,8 +52,9 @@
     }
 }
 
-/// A loopback address of its own: no client's port can be in the way when a listener comes back there.
-fn own_address() -> IpAddr {
+/// A loopback address that nothing else uses, so that no client connection can occupy the port of a listener that is
+/// closed and bound again.
+fn unique_loopback_address() -> IpAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id() as u16;
--- a/wrenseam/tests/platform/rules.rs
+++ b/wrenseam/tests/platform/rules.rs
@@ -1,29 +1,36 @@
-//! The platform's rule on draining workers.
+//! Checks of the platform's rules: no new work for draining workers, no forbidden duplicates of a call, and no overload
+//! of workers in slow start.
 use super::{ArrivalKind, Drain, SimulatedWorker};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// What discovery has to tell counts as notified so long after it happened, received or not.
+/// A change of the endpoint list counts as notified to the front ends so long after it happened, even if they did not
+/// receive it.
 pub(crate) const NOTIFIED_AFTER: Duration = Duration::from_secs(7);
-/// Each time limit on sockets is so much longer.
+/// Added to each time limit that is checked on sockets.
 const SLACK: Duration = Duration::from_millis(50);
 
-/// The rule on cold workers, as the deployment's settings give it.
-const COLD_FROM: f64 = 0.2;
-const FALL_MULTIPLE: f64 = 2.0;
+/// Fraction of its full capacity that a worker has when it starts: `cold-from` in `Deployment::settings`.
+const SLOW_START_INITIAL_SHARE: f64 = 0.2;
+/// A worker in slow start may not be sent more than this multiple of its capacity: `fall-multiple` in
+/// `Deployment::settings`.
+const OVERLOAD_MULTIPLE: f64 = 2.0;
+/// Time over which the calls to a worker in slow start are counted: `fall` in `Deployment::settings`.
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
-const WARM_WITHIN: Duration = Duration::from_secs(12);
+/// Time from a worker's start until it has its full capacity: `warm-within` in `Deployment::settings`.
+const SLOW_START_DURATION: Duration = Duration::from_secs(12);
 
-/// When drains count as notified and how long work may still be sent then.
+/// Until when new work may be sent to a draining worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DrainLimits {
-    /// After the drain.
+    /// Time from the start of the drain until it counts as notified to the front ends.
     pub(crate) notified_after: Duration,
+    /// Time after that in which new work may still arrive.
     pub(crate) grace: Duration,
 }
 
 impl DrainLimits {
-    /// The protocol page's clock for what is never received.
+    /// The limits for a drain whose notice no front end receives, as the protocol page states them.
     pub(crate) fn without_notice(grace_ms: u64) -> DrainLimits {
         DrainLimits {
             notified_after: NOTIFIED_AFTER,
@@ -32,7 +39,8 @@
     }
 }
 
-/// New work that came to a draining worker after its drain counted as notified and the grace was over.
+/// Describes the new work that arrived at draining workers after the limits of their drains. Times in the texts are in
+/// seconds since `start`.
 pub(crate) fn late_arrivals(
     workers: &[SimulatedWorker],
     limits_of: impl Fn(&Drain) -> DrainLimits,
@@ -43,13 +51,13 @@
         let arrivals = worker.arrivals();
         for drain in worker.drains() {
             let limits = limits_of(&drain);
-            let last = drain.began_at + limits.notified_after + limits.grace + SLACK;
+            let latest = drain.began_at + limits.notified_after + limits.grace + SLACK;
             let end = drain.ended_at.unwrap_or_else(Instant::now);
             for arrival in &arrivals {
-                if arrival.at > last && arrival.at < end {
+                if arrival.at > latest && arrival.at < end {
                     let what = match &arrival.kind {
                         ArrivalKind::Call { id, .. } => format!("call {id:016x}"),
-                        ArrivalKind::LoadOrder => "order to load".to_owned(),
+                        ArrivalKind::LoadOrder => "load order".to_owned(),
                     };
                     late.push(format!(
                         "{} at {:.3}: {what}, {:.3} after its drain at {:.3}",
@@ -65,15 +73,15 @@
     late
 }
 
-/// Calls with an idempotency key that more workers took than their effect allows: one where none may repeat, else those
-/// of one zone.
+/// Describes the calls with an idempotency key that more workers accepted than the class's `effect` in the settings
+/// allows. With `fragile` only one worker may accept a call; otherwise several may if they are in the same zone.
 pub(crate) fn forbidden_duplicates(workers: &[SimulatedWorker], effect: &str) -> Vec<String> {
-    let mut taken: BTreeMap<u64, Vec<&'static str>> = BTreeMap::new();
+    let mut accepted_in: BTreeMap<u64, Vec<&'static str>> = BTreeMap::new();
     for worker in workers {
         for arrival in worker.arrivals() {
             if let (ArrivalKind::Call { id, key: Some(_) }, true) = (arrival.kind, arrival.accepted)
             {
-                taken.entry(id).or_default().push(worker.zone);
+                accepted_in.entry(id).or_default().push(worker.zone);
             }
         }
     }
@@ -81,39 +89,42 @@
         "fragile" => zones.len() == 1,
         _ => zones.iter().all(|zone| *zone == zones[0]),
     };
-    taken
+    accepted_in
         .iter()
         .filter(|(_, zones)| !is_allowed(zones))
-        .map(|(id, zones)| format!("call {id:016x} taken in {zones:?}"))
+        .map(|(id, zones)| format!("call {id:016x} accepted by workers in the zones {zones:?}"))
         .collect()
 }
 
-/// The most calls that came in any second to a worker's last process, once its start counts as notified, and what the rule on
-/// cold workers allows in that second, where the first is beyond the second. `capacity_per_s` is what the worker can do
-/// once it is warm.
+/// Checks the calls to a worker's last process from `notified_at`, when its start counts as notified, to the end of its
+/// slow start. Of the windows with too many calls, returns the calls in the busiest and the number allowed in it; `None`
+/// if there is no such window. `capacity_per_s` is the worker's full capacity, in calls per second.
 pub(crate) fn cold_overload(
     worker: &SimulatedWorker,
     notified_at: Instant,
     capacity_per_s: f64,
 ) -> Option<(usize, f64)> {
-    let start = *worker.starts().last()?;
+    let started_at = *worker.starts().last()?;
     let arrivals = worker.arrivals();
-    let calls: Vec<Duration> = arrivals
+    let call_ages: Vec<Duration> = arrivals
         .iter()
         .filter(|arrival| arrival.at >= notified_at && arrival.kind != ArrivalKind::LoadOrder)
-        .map(|arrival| arrival.at - start)
-        .filter(|age| *age < WARM_WITHIN)
+        .map(|arrival| arrival.at - started_at)
+        .filter(|age| *age < SLOW_START_DURATION)
         .collect();
-    calls
+    call_ages
         .iter()
         .enumerate()
         .map(|(first, &begin)| {
             let end = begin + OVERLOAD_WINDOW;
-            let count = calls[first..].iter().filter(|age| **age < end).count();
-            let warm_part = end.as_secs_f64() / WARM_WITHIN.as_secs_f64();
-            let share = COLD_FROM + (1.0 - COLD_FROM) * warm_part.min(1.0);
-            let requests = FALL_MULTIPLE * share * capacity_per_s * OVERLOAD_WINDOW.as_secs_f64();
-            (count, requests + 3.0 * requests.sqrt() + 3.0)
+            let count = call_ages[first..].iter().filter(|age| **age < end).count();
+            let progress = end.as_secs_f64() / SLOW_START_DURATION.as_secs_f64();
+            let share =
+                SLOW_START_INITIAL_SHARE + (1.0 - SLOW_START_INITIAL_SHARE) * progress.min(1.0);
+            let expected =
+                OVERLOAD_MULTIPLE * share * capacity_per_s * OVERLOAD_WINDOW.as_secs_f64();
+            // Random arrivals vary: three standard deviations and three calls are allowed on top.
+            (count, expected + 3.0 * expected.sqrt() + 3.0)
         })
         .filter(|(count, allowed)| *count as f64 > *allowed)
         .max_by_key(|(count, _)| *count)
--- a/wrenseam/tests/platform/settings.rs
+++ b/wrenseam/tests/platform/settings.rs
@@ -1,6 +1,6 @@
-//! The settings of a deployment, as the platform's file has them.
+//! The settings of a simulated deployment, in the form of the platform's settings file.
 
-/// The functions that clients call.
+/// Keys of the functions that the clients call.
 pub(crate) const FUNCTIONS: [&str; 6] = [
     "7f3a9c21e0b4d655",
     "7f3a9c21e0b4d656",
@@ -10,22 +10,23 @@
     "7f3a9c21e0b4d65a",
 ];
 
-/// What differs from one deployment to another.
+/// The settings in which the tests' deployments differ.
 #[derive(Clone, Debug)]
 pub(crate) struct Deployment {
-    /// Front ends that share the workers, whether they run or not.
+    /// Number of front ends that the settings state. Tests may run fewer.
     pub(crate) front_ends: usize,
-    /// How long a front end may go on sending to a worker after it was told of its drain, ms.
+    /// Time that a front end may go on sending to a worker after the notice of its drain, in ms.
     pub(crate) drain_grace_ms: u64,
-    /// Whether front ends may check workers' health.
+    /// Whether front ends may send health checks to workers.
     pub(crate) health_checks: bool,
-    /// Whether workers load a function that they lack for a request.
+    /// Whether workers load a function on the first call to it.
     pub(crate) load_on_demand: bool,
-    /// The longest time that clients of any class wait, ms.
+    /// Longest time that the clients of any class wait for an answer, in ms.
     pub(crate) give_up_ms: u64,
-    /// What the second class's repeats may do.
+    /// `effect` of the class `tile-order`: `dedup` if the workers of a zone recognize repeats of an idempotency key,
+    /// `fragile` if a call must never be executed twice.
     pub(crate) effect: &'static str,
-    /// Requests a second that the tenant may send over all workers.
+    /// Requests per second that the tenant may send in total.
     pub(crate) quota_per_s: u64,
 }
 
@@ -44,7 +45,7 @@
 }
 
 impl Deployment {
-    /// The settings of the front end of this number.
+    /// The settings, in JSON, of the front end with this index.
     pub(crate) fn settings(&self, index: usize) -> String {
         let Deployment {
             front_ends,
--- a/wrenseam/tests/platform/worker.rs
+++ b/wrenseam/tests/platform/worker.rs
@@ -1,34 +1,36 @@
-//! Stand-in workers of the platform's protocol that drain, stop and come back, and note what comes to them.
+//! Simulated workers that speak the platform's binary frames. They drain, stop and restart, and record the work that
+//! arrives at them.
 use super::support::frames::{code, encode_answer, read_frame, Frame};
-use super::{own_address, POLL_INTERVAL};
+use super::{unique_loopback_address, POLL_INTERVAL};
 use socket2::SockRef;
 use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// What comes to a worker and counts for the platform's rules.
+/// New work, to which the platform's rules apply. Health checks and questions about loaded replicas are not among it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ArrivalKind {
-    /// A call with the id that its client gave, and its idempotency key.
+    /// A call with the id given by its client, and its idempotency key if it has one.
     Call { id: u64, key: Option<String> },
-    /// An order to load.
+    /// A load order.
     LoadOrder,
 }
 
-/// Something that came complete.
+/// A call or load order that arrived completely.
 #[derive(Clone, Debug)]
 pub(crate) struct Arrival {
     pub(crate) at: Instant,
     pub(crate) kind: ArrivalKind,
-    /// Whether the worker took it.
+    /// Whether the worker accepted it; a draining worker rejects it.
     pub(crate) accepted: bool,
 }
 
-/// A time in which a worker turned new work away.
+/// A period in which a worker rejected new work.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Drain {
     pub(crate) began_at: Instant,
+    /// When the worker stopped; `None` while it drains.
     pub(crate) ended_at: Option<Instant>,
 }
 
@@ -36,49 +38,53 @@
 struct WorkerState {
     is_running: bool,
     is_draining: bool,
-    /// Unix time of a late start, ms; 0: long ago.
+    /// Unix time of the last restart, in ms; 0 before the first, which means a start long ago.
     started_at_ms: u64,
+    /// All connections that the present process accepted.
     streams: Vec<TcpStream>,
     arrivals: Vec<Arrival>,
     drains: Vec<Drain>,
+    /// Number of health checks received.
     health_checks: usize,
-    /// When each process after the first started.
+    /// Start times of all processes but the first.
     starts: Vec<Instant>,
 }
 
-/// A worker at an address of its own.
+/// A worker with its own IP address.
 #[derive(Clone)]
 pub(crate) struct SimulatedWorker {
     pub(crate) id: String,
     pub(crate) address: SocketAddr,
     pub(crate) zone: &'static str,
     cell: usize,
-    work: Duration,
+    /// Time that a call takes.
+    call_time: Duration,
     state: Arc<Mutex<WorkerState>>,
 }
 
 impl SimulatedWorker {
-    /// Starts the worker of this number.
-    pub(crate) fn start(number: usize, work: Duration) -> SimulatedWorker {
-        let listener = TcpListener::bind((own_address(), 0)).expect("a port");
+    /// Starts the worker with this number, from which its id, zone and cell follow.
+    pub(crate) fn start(number: usize, call_time: Duration) -> SimulatedWorker {
+        let listener = TcpListener::bind((unique_loopback_address(), 0)).expect("a port");
         let cell = number % 2;
         let worker = SimulatedWorker {
             id: format!("s-{number:08x}"),
             address: listener.local_addr().expect("bound"),
             zone: ["hall-a", "hall-b"][cell],
             cell,
-            work,
+            call_time,
             state: Arc::default(),
         };
         worker.run_on(listener);
         worker
     }
 
-    fn state<T>(&self, read: impl FnOnce(&mut WorkerState) -> T) -> T {
-        read(&mut self.state.lock().expect("not poisoned"))
+    /// Runs `access` on the locked state.
+    fn with_state<T>(&self, access: impl FnOnce(&mut WorkerState) -> T) -> T {
+        access(&mut self.state.lock().expect("not poisoned"))
     }
 
-    /// Its entry in the endpoint list.
+    /// The worker's entry in the endpoint list, as JSON.
     pub(crate) fn instance(&self, lifecycle: &str) -> String {
         let SimulatedWorker {
             id,
@@ -87,16 +93,16 @@
             cell,
             ..
         } = self;
-        let started_at = self.state(|state| state.started_at_ms);
+        let started_at = self.with_state(|state| state.started_at_ms);
         format!(
             r#"{{"instanceId":"{id}","hostPort":"{address}","zone":"{zone}","machineType":"std","cell":{cell},"lifecycle":"{lifecycle}","weight":1,"startedAtMs":{started_at}}}"#
         )
     }
 
-    /// From now on new work is turned away.
+    /// Rejects new work from now on.
     pub(crate) fn drain(&self) {
         let began_at = Instant::now();
-        self.state(|state| {
+        self.with_state(|state| {
             state.is_draining = true;
             state.drains.push(Drain {
                 began_at,
@@ -105,9 +111,9 @@
         });
     }
 
-    /// The process ends: its connections are reset and no new one is accepted.
+    /// Ends the process: its connections are reset and no new ones are accepted.
     pub(crate) fn stop(&self) {
-        self.state(|state| {
+        self.with_state(|state| {
             state.is_running = false;
             state.is_draining = false;
             if let Some(drain) = state.drains.last_mut() {
@@ -120,42 +126,43 @@
         });
     }
 
-    /// A new process starts at the same address.
+    /// Starts a new process at the same address.
     pub(crate) fn restart(&self) {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
-        self.state(|state| {
+        self.with_state(|state| {
             state.started_at_ms = unix.expect("after 1970").as_millis() as u64;
             state.starts.push(Instant::now());
         });
         self.run_on(TcpListener::bind(self.address).expect("the port is free"));
     }
 
-    /// Calls and orders to load that came complete.
+    /// All calls and load orders that arrived completely.
     pub(crate) fn arrivals(&self) -> Vec<Arrival> {
-        self.state(|state| state.arrivals.clone())
+        self.with_state(|state| state.arrivals.clone())
     }
 
-    /// The times in which it turned new work away.
+    /// All periods in which the worker rejected new work.
     pub(crate) fn drains(&self) -> Vec<Drain> {
-        self.state(|state| state.drains.clone())
+        self.with_state(|state| state.drains.clone())
     }
 
-    /// Health checks that came.
+    /// Number of health checks received.
     pub(crate) fn health_checks(&self) -> usize {
-        self.state(|state| state.health_checks)
+        self.with_state(|state| state.health_checks)
     }
 
-    /// When each process after the first started.
+    /// Start times of all processes but the first.
     pub(crate) fn starts(&self) -> Vec<Instant> {
-        self.state(|state| state.starts.clone())
+        self.with_state(|state| state.starts.clone())
     }
 
+    /// Accepts connections in a thread of its own until the worker stops.
     fn run_on(&self, listener: TcpListener) {
         listener.set_nonblocking(true).expect("set");
-        self.state(|state| state.is_running = true);
+        self.with_state(|state| state.is_running = true);
         let worker = self.clone();
         std::thread::spawn(move || {
-            while worker.state(|state| state.is_running) {
+            while worker.with_state(|state| state.is_running) {
                 match listener.accept() {
                     Ok((stream, _)) => worker.accept(stream),
                     Err(_) => std::thread::sleep(POLL_INTERVAL),
@@ -164,17 +171,19 @@
         });
     }
 
+    /// Serves a connection in a thread of its own.
     fn accept(&self, stream: TcpStream) {
         let _ = stream.set_nonblocking(false);
         let _ = stream.set_nodelay(true);
-        let kept = stream.try_clone().expect("cloned");
-        self.state(|state| state.streams.push(kept));
+        let clone = stream.try_clone().expect("cloned");
+        self.with_state(|state| state.streams.push(clone));
         let worker = self.clone();
         std::thread::spawn(move || {
             let _ = worker.serve(stream); // the connection has ended
         });
     }
 
+    /// Answers frames until the connection ends.
     fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
         let answers = Arc::new(Mutex::new(stream.try_clone()?));
         loop {
@@ -191,8 +200,9 @@
         }
     }
 
-    fn note(&self, at: Instant, kind: ArrivalKind) -> bool {
-        self.state(|state| {
+    /// Records new work. Returns whether the worker accepts it.
+    fn record_arrival(&self, at: Instant, kind: ArrivalKind) -> bool {
+        self.with_state(|state| {
             let accepted = !state.is_draining;
             state.arrivals.push(Arrival { at, kind, accepted });
             accepted
@@ -204,12 +214,12 @@
             id: frame.id,
             key: frame.field("uniq").map(str::to_owned),
         };
-        if !self.note(at, kind) {
+        if !self.record_arrival(at, kind) {
             return write(answers, &encode_answer(code::REJECTED, frame.id, "", b""));
         }
-        let (id, work, answers) = (frame.id, self.work, answers.clone());
+        let (id, call_time, answers) = (frame.id, self.call_time, answers.clone());
         std::thread::spawn(move || {
-            std::thread::sleep(work);
+            std::thread::sleep(call_time);
             write(
                 &answers,
                 &encode_answer(code::OK, id, "detail=resident", b"DONE"),
@@ -217,17 +227,19 @@
         });
     }
 
-    /// A question how many replicas are loaded is answered by a draining worker too.
+    /// The answer to a load order, or to the question how many replicas are loaded (`slots_up=0`), which a draining worker
+    /// answers too.
     fn answer_order(&self, frame: &Frame, at: Instant) -> Vec<u8> {
         let is_question = frame.field("slots_up") == Some("0");
-        if is_question || self.note(at, ArrivalKind::LoadOrder) {
+        if is_question || self.record_arrival(at, ArrivalKind::LoadOrder) {
             return encode_answer(code::OK, frame.id, "slots_up=1", b"");
         }
         encode_answer(code::REJECTED, frame.id, "slots_up=0", b"")
     }
 
+    /// The answer to a health check.
     fn answer_check(&self, frame: &Frame) -> Vec<u8> {
-        let is_draining = self.state(|state| {
+        let is_draining = self.with_state(|state| {
             state.health_checks += 1;
             state.is_draining
         });
@@ -240,6 +252,7 @@
     }
 }
 
+/// Writes an answer; a closed connection is ignored.
 fn write(answers: &Mutex<TcpStream>, answer: &[u8]) {
-    let _ = answers.lock().expect("not poisoned").write_all(answer); // it may have ended
+    let _ = answers.lock().expect("not poisoned").write_all(answer);
 }
--- a/wrenseam/tests/support/frames.rs
+++ b/wrenseam/tests/support/frames.rs
@@ -1,51 +1,54 @@
-//! The platform's binary frames, coded from their specification and not by the program's own codec.
+//! The platform's binary frames, written from their specification without use of the program's own codec, so that an
+//! error in that codec shows.
 use super::sockets::read_bytes;
 use std::io::{self, Read};
 
-/// The codes of frames.
+/// Frame codes: below 200 those of requests to a worker, from 200 on those of its answers.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) mod code {
     /// A call to run a function.
     pub(crate) const CALL: u8 = 2;
-    /// A question whether the worker takes new work.
+    /// Asks whether the worker accepts new work.
     pub(crate) const HEALTH_CHECK: u8 = 4;
-    /// The same, answered with the load report.
+    /// Asks the same as `HEALTH_CHECK`, and for the worker's load report.
     pub(crate) const LOAD_CHECK: u8 = 5;
-    /// An order to load or unload replicas of a function, or a question how many are loaded.
+    /// Orders the worker to load or unload replicas of a function, or asks how many are loaded.
     pub(crate) const LOAD_ORDER: u8 = 6;
-    /// An answer: it ran.
+    /// The call or load order was executed.
     pub(crate) const OK: u8 = 200;
-    /// An answer: the function is not loaded here.
+    /// The call was not executed: the function is not loaded on this worker.
     pub(crate) const NOT_LOADED: u8 = 202;
-    /// An answer: no capacity is left.
+    /// The call or load order was not executed: the worker has no capacity for it or is draining.
     pub(crate) const REJECTED: u8 = 203;
-    /// An answer: it failed, and may have run.
+    /// The call failed, and may have been executed.
     pub(crate) const ERROR: u8 = 204;
-    /// An answer: it was not begun.
+    /// The execution of the call was not begun.
     pub(crate) const NOT_BEGUN: u8 = 205;
-    /// An answer to a health check: the worker takes new work.
+    /// Answer to a health check: the worker accepts new work.
     pub(crate) const ACCEPTING: u8 = 206;
-    /// An answer to a health check: the worker takes no new work.
+    /// Answer to a health check: the worker accepts no new work.
     pub(crate) const NOT_ACCEPTING: u8 = 207;
 }
 
+/// First byte of each frame that the program writes.
 const FROM_PROGRAM: u8 = 126;
+/// First byte of each frame that a worker writes.
 const FROM_WORKER: u8 = 127;
 const HEADER_LENGTH: usize = 16;
 const CHECKSUM_LENGTH: usize = 4;
 
-/// A frame that the program wrote.
+/// A frame written by the program.
 pub(crate) struct Frame {
     pub(crate) code: u8,
     pub(crate) id: u64,
-    /// `name=value,name=value`.
+    /// Name-value pairs in the form `name=value,name=value`.
     pub(crate) fields: String,
     #[allow(dead_code, reason = "each test binary uses its own part")]
     pub(crate) body: Vec<u8>,
 }
 
 impl Frame {
-    /// The value of a field.
+    /// The value of the field with this name, `None` if the frame lacks it.
     #[allow(dead_code, reason = "each test binary uses its own part")]
     pub(crate) fn field(&self, name: &str) -> Option<&str> {
         self.fields
@@ -54,7 +57,7 @@
     }
 }
 
-/// Reads the next frame that the program wrote; one with a wrong origin or checksum fails the test.
+/// Reads the next frame written by the program. A frame with a wrong first byte or checksum fails the test.
 pub(crate) fn read_frame(stream: &mut impl Read) -> io::Result<Frame> {
     let header = read_bytes(stream, HEADER_LENGTH)?;
     let fields_length = usize::from(u16::from_be_bytes([header[2], header[3]]));
@@ -62,7 +65,10 @@
     let id = u64::from_be_bytes(header[8..].try_into().expect("eight bytes"));
     let content = read_bytes(stream, fields_length + body_length)?;
     let checksum = read_bytes(stream, CHECKSUM_LENGTH)?;
-    assert_eq!(header[0], FROM_PROGRAM, "a frame of the program's");
+    assert_eq!(
+        header[0], FROM_PROGRAM,
+        "the first byte of a program's frame"
+    );
     assert_eq!(
         checksum,
         crc32fast::hash(&content).to_be_bytes(),
@@ -77,7 +83,7 @@
     })
 }
 
-/// A worker's frame as bytes.
+/// Encodes a frame from a worker.
 pub(crate) fn encode_answer(code: u8, id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
     let content = [fields.as_bytes(), body].concat();
     let mut frame = vec![FROM_WORKER, code];
--- a/wrenseam/tests/support/http.rs
+++ b/wrenseam/tests/support/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages whose length is given by `Content-Length`.
+//! HTTP/1.1 messages whose body length is given by `Content-Length`.
 use super::sockets::read_bytes;
 use std::io::{self, Read};
 
@@ -12,7 +12,7 @@
 }
 
 impl HttpMessage {
-    /// The value of a header, spelled as here.
+    /// The value of a header, `None` if it is missing. `name` must match in case.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.head
             .lines()
@@ -26,7 +26,7 @@
     }
 }
 
-/// Reads one message; without a `Content-Length` its body is empty.
+/// Reads one message. Without a `Content-Length` its body is empty.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) fn read_message(stream: &mut impl Read) -> io::Result<HttpMessage> {
     let mut head = Vec::new();
@@ -44,7 +44,7 @@
     Ok(message)
 }
 
-/// A response; each of the further headers ends with a line break.
+/// Encodes a response. `headers` are those besides `Content-Length`, each terminated by CRLF.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) fn response(status: &str, headers: &str, body: &str) -> Vec<u8> {
     let length = body.len();
--- a/wrenseam/tests/support/mod.rs
+++ b/wrenseam/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! The bytes that stand-in clients, workers and services exchange with the program, coded from the specifications.
-//! Nothing here decides what a stand-in does.
+//! Encoding and decoding of the bytes that simulated clients, workers and services exchange with the program, written
+//! from the specifications. How a simulated party behaves is decided by the modules that use these functions.
 pub(crate) mod frames;
 pub(crate) mod http;
 pub(crate) mod sockets;
--- a/wrenseam/tests/support/sockets.rs
+++ b/wrenseam/tests/support/sockets.rs
@@ -1,13 +1,13 @@
-//! Connections, listeners and reads whose failure is a failed test.
+//! Connecting, listening and reading in tests. A socket that cannot be set up fails the test.
 use std::io::{self, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// How long a test waits for what must come.
+/// How long a test waits for something that must happen.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Connects; a read that waits for longer than `TEST_TIMEOUT` fails.
+/// Connects to `address`. Reads on the connection fail after `TEST_TIMEOUT`.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("a connection");
@@ -15,20 +15,20 @@
     stream
 }
 
-/// Listens on a free port and hands over each connection, in the order in which they come.
+/// Listens on a free port and calls `on_accept` with each connection, in the order of their arrival. Returns the address.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub(crate) fn listen(mut accepted: impl FnMut(TcpStream) + Send + 'static) -> SocketAddr {
+pub(crate) fn listen(mut on_accept: impl FnMut(TcpStream) + Send + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            accepted(stream);
+            on_accept(stream);
         }
     });
     address
 }
 
-/// The next `length` bytes.
+/// Reads the next `length` bytes.
 pub(crate) fn read_bytes(stream: &mut impl Read, length: usize) -> io::Result<Vec<u8>> {
     let mut bytes = vec![0; length];
     stream.read_exact(&mut bytes)?;
