--- a/wrenseam/tests/link/mod.rs
+++ b/wrenseam/tests/link/mod.rs
@@ -53,7 +53,7 @@
     (listener, address, fillers)
 }
 
-/// The limits of a small deployment with a long connect timeout, as altered by `change`.
+/// The limits for 192 MB of memory and 1024 file descriptors, with a long connect timeout, as altered by `change`.
 fn limits(change: impl FnOnce(&mut Limits)) -> Arc<Limits> {
     may::config().set_workers(1).set_worker_pin(false); // as in the program
     let mut limits = Limits::new(192, 1024, &Settings::default());
--- a/wrenseam/tests/platform/discovery.rs
+++ b/wrenseam/tests/platform/discovery.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 const STREAM_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
-/// A comment of the event stream, which keeps the connection alive.
+/// A comment of the event stream, by which a front end sees that the connection is alive.
 const COMMENT: &[u8] = b": here\n\n";
 /// Interval at which comments are sent.
 const COMMENT_INTERVAL: Duration = Duration::from_secs(1);
--- a/wrenseam/tests/platform/worker.rs
+++ b/wrenseam/tests/platform/worker.rs
@@ -209,6 +209,7 @@
         })
     }
 
+    /// Records a call and answers it: at once with a rejection, or after the call time with a result.
     fn serve_call(&self, frame: &Frame, at: Instant, answers: &Arc<Mutex<TcpStream>>) {
         let kind = ArrivalKind::Call {
             id: frame.id,
@@ -252,7 +253,7 @@
     }
 }
 
-/// Writes an answer; a closed connection is ignored.
+/// Writes an answer. The error of a connection that has ended is ignored.
 fn write(answers: &Mutex<TcpStream>, answer: &[u8]) {
     let _ = answers.lock().expect("not poisoned").write_all(answer);
 }
--- a/wrenseam/tests/soak.rs
+++ b/wrenseam/tests/soak.rs
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Adds moves of discovery, and at most one signal or pause for each front end.
+    /// Adds moves of discovery, and for each front end at most one SIGTERM, SIGKILL or pause.
     fn add_signals(&mut self, random: &mut SeededRandom) {
         if random.one_in(2) {
             let mut at = random.duration_ms(1_000..12_000);
--- a/wrenseam/tests/standin/frames.rs
+++ b/wrenseam/tests/standin/frames.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Treats a call as drawn. Returns whether to go on reading from the connection.
+/// Draws the behaviour for a call and carries it out. Returns whether to go on reading from the connection.
 fn serve_call(
     worker: &FaultyWorker,
     id: u64,
--- a/wrenseam/tests/standin/kserve.rs
+++ b/wrenseam/tests/standin/kserve.rs
@@ -33,7 +33,7 @@
     rest.get(..ID_DIGITS).expect("an id of full length")
 }
 
-/// Treats a call as drawn. Returns whether to go on reading from the connection.
+/// Draws the behaviour for a call and carries it out. Returns whether to go on reading from the connection.
 fn serve_call(
     worker: &FaultyWorker,
     id: &str,
--- a/wrenseam/tests/standin/ledger.rs
+++ b/wrenseam/tests/standin/ledger.rs
@@ -15,7 +15,7 @@
 }
 
 impl Arrival {
-    /// Whether the call counts as executed: the worker did not answer that it was not.
+    /// Whether the call may have been executed: true unless the worker answered that it was not.
     pub(crate) fn may_have_run(&self) -> bool {
         !self.behaviour.reports_not_run()
     }
