--- a/wrenseam/tests/platform/front_end.rs
+++ b/wrenseam/tests/platform/front_end.rs
@@ -117,8 +117,8 @@
     listener.local_addr().expect("bound")
 }
 
-/// Writes the configuration file. Its seed depends on the front end's index and on `start_count`, the number of processes
-/// started so far.
+/// Writes the configuration file. Its seed depends on the front end's index and on `start_count`, the number of
+/// processes started so far.
 fn write_config(
     settings: &FrontEndSettings,
     folder: &std::path::Path,
--- a/wrenseam/tests/soak.rs
+++ b/wrenseam/tests/soak.rs
@@ -1,7 +1,7 @@
 //! A seeded soak test: clients send requests to front end processes all the time while the discovery service is
 //! unreachable or moves, workers drain, crash and restart, and front ends are paused, restarted and killed as early as
-//! the platform may do so. Guards against breaches of the platform's rules that only a combination of these causes: work
-//! sent to draining workers, forbidden duplicates, overload of workers in slow start, lost requests, and crashes.
+//! the platform may do so. Guards against breaches of the platform's rules that only a combination of these causes:
+//! work sent to draining workers, forbidden duplicates, overload of workers in slow start, lost requests, and crashes.
 //!
 //! Command of the long run: `SOAK_SEEDS=1..61 cargo test -p wrenseam --test soak -- --ignored --nocapture`.
 mod platform;
@@ -310,8 +310,8 @@
         self.clients.stop();
     }
 
-    /// Waits until `at`. Meanwhile restarts the terminated front ends that have ended, and kills and restarts those that
-    /// are due.
+    /// Waits until `at`. Meanwhile restarts the terminated front ends that have ended, and kills and restarts those
+    /// whose kill is due.
     fn wait_until(&mut self, at: Instant) {
         while Instant::now() < at {
             let front_ends = &mut self.front_ends;
