--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -5,14 +5,14 @@
 use crate::state::State;
 use crate::types::{Micros, RequestId, SECOND};
 
-/// Requests beyond a tenant's quota are shed when the estimated wait for an answer exceeds this multiple of the mean
-/// latency objective.
+/// Requests of a tenant beyond its quota are shed when the estimated wait for an answer exceeds this multiple of the
+/// mean latency objective.
 const SHED_OVER_QUOTA: f64 = 0.6;
-/// Threshold of the class with the lowest priority weight per service time, as a multiple of the mean latency
-/// objective.
+/// Requests of the class with the lowest priority weight per service time are shed when the estimated wait for an
+/// answer exceeds this multiple of the mean latency objective.
 const SHED_LOWEST_PRIORITY: f64 = 0.8;
-/// Threshold of the class with the highest priority weight per service time, as a multiple of the mean latency
-/// objective.
+/// Requests of the class with the highest priority weight per service time are shed when the estimated wait for an
+/// answer exceeds this multiple of the mean latency objective.
 const SHED_HIGHEST_PRIORITY: f64 = 1.3;
 /// Maximum of the estimated wait of new requests, as a multiple of the time that answers take now.
 const MAX_WAIT_MULTIPLE: f64 = 2.0;
@@ -20,7 +20,7 @@
 const EQUAL_WEIGHT_FACTOR: f64 = 1.2;
 /// Ticks after the start before the rate of answers is known well enough to shed load.
 const WARM_UP_TICKS: u32 = 100;
-/// Minimum of the rate of answers, per second: it is a divisor.
+/// Lower bound of the rate of answers, per second, where it is a divisor.
 const MIN_SERVED_RATE: f64 = 0.1;
 
 /// The properties of a new request that admission depends on.
@@ -85,9 +85,10 @@
     }
 
     /// Whether, in a large fleet, the client is likely to give up before an answer: it waits for less than the mean
-    /// time that answers of its class take. Requests of a function that were in time all the same are still sent while
-    /// they are, and a few others are sent as trials. In a small fleet each front end sees for itself whether workers
-    /// are overloaded; where they are not, an attempt that is too late does no harm to other requests.
+    /// time that answers of its class take. Such requests are still sent while recent ones of their function were
+    /// answered in time, and a few others are sent as trials. Not applied in a small fleet: there each front end sees
+    /// for itself whether workers are overloaded, and where they are not, an attempt that is too late does no harm to
+    /// other requests.
     pub(crate) fn is_deadline_unreachable(
         &mut self,
         id: RequestId,
--- a/policy/src/answer_times.rs
+++ b/policy/src/answer_times.rs
@@ -6,9 +6,10 @@
 use crate::types::{Micros, SECOND};
 use crate::worker_health::{MAX_TRIAL_DOUBLINGS, TRIAL_INTERVAL};
 
-/// Answers from which on the mean is used: the times vary so widely that a mean of fewer is often wrong by half.
+/// Minimum number of answers for the mean to be used: the times vary so widely that a mean of fewer is often wrong by
+/// half.
 const MIN_ANSWERS: u32 = 5;
-/// Answers that the running mean covers at most.
+/// Maximum number of answers that the running mean covers.
 pub(crate) const MAX_ANSWERS: u32 = 20;
 /// The mean is not used when the last answer is older than this: whatever made answers slow may be over.
 const LIFETIME: Micros = 8 * SECOND;
@@ -46,7 +47,7 @@
 
     /// Whether a request whose client waits for less than the mean may be sent now, as a trial; if so, the trial counts
     /// as sent. Trials detect that a function is faster than its class or that answers are fast again. Each
-    /// unsuccessful one in a row delays the next further.
+    /// unsuccessful trial in a row doubles the time until the next, within a limit.
     pub(crate) fn try_trial(&mut self, now: Micros) -> bool {
         if now < self.next_trial {
             return false;
--- a/policy/src/controller.rs
+++ b/policy/src/controller.rs
@@ -9,7 +9,7 @@
 use crate::survey::Survey;
 use crate::types::{FunctionId, Micros};
 
-/// Without any event, timers included, for longer than this, the front end's process was stalled.
+/// If no event, timers included, came for longer than this, the front end's process was stalled.
 const STALL_THRESHOLD: Micros = 2 * SURVEY_INTERVAL;
 /// Upper bound of the clock: durations can be added to it without overflow.
 const MAX_TIME: Micros = u64::MAX / 4;
--- a/policy/src/dispatch.rs
+++ b/policy/src/dispatch.rs
@@ -4,7 +4,7 @@
 use crate::placement::Placement;
 use crate::request::{Attempt, AttemptState};
 use crate::retry::retry_window;
-use crate::state::{State, DEFAULT_DURATION};
+use crate::state::{State, MIN_ASSUMED_LOAD_TIME};
 use crate::types::{Micros, RequestId, MILLISECOND};
 use crate::worker::OpenAttempt;
 use crate::worker_health::TRIAL_INTERVAL;
@@ -64,9 +64,9 @@
         let load_time = if is_known {
             0.0
         } else {
-            called.load_time.max(DEFAULT_DURATION as f64)
+            called.load_time.max(MIN_ASSUMED_LOAD_TIME as f64)
         };
-        let expected = called.service_time.max(MIN_EXPECTED_TIME) + load_time;
+        let expected_time = called.service_time.max(MIN_EXPECTED_TIME) + load_time;
         let own_in_flight = self
             .replica_mut(function, worker)
             .attempt_sent(loads_function);
@@ -81,7 +81,7 @@
             worker,
             placement,
             sent_at: now,
-            expected,
+            expected_time,
             loads_function,
             own_in_flight,
             state: AttemptState::Open,
@@ -115,8 +115,8 @@
     pub(crate) fn request_cancelled(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         if let Some(request) = self.requests.get(id) {
             let arrived_at = request.arrived_at;
-            self.functions[request.function].forget_uncounted_request(arrived_at);
-            self.load_budget.uncount_request(arrived_at);
+            self.functions[request.function].remove_uncounted_request(arrived_at);
+            self.load_budget.remove_request(arrived_at);
         }
         self.close(id, actions);
     }
--- a/policy/src/eligibility.rs
+++ b/policy/src/eligibility.rs
@@ -1,5 +1,5 @@
-//! Which workers may be sent a request: by rules 2, 3 and 4, by ejection, and by what happened to the request and
-//! others like it at the worker before.
+//! Which workers may be sent a request: by rules 2, 3 and 4 (listed in the crate's documentation), by ejection, and by
+//! what happened to the request and others like it at the worker before.
 use crate::index::{FunctionIndex, WorkerIndex};
 use crate::placement::Placement;
 use crate::request::Request;
@@ -8,8 +8,9 @@
 use crate::state::State;
 use crate::types::Micros;
 
-/// A worker is overloaded when its load exceeds the mean of all workers' requests in flight, times `mean_multiple`, by
-/// more than `extra_requests`.
+/// A worker is overloaded if `in_flight * score > mean_in_flight * mean_multiple + extra_requests`, where `in_flight`
+/// is its estimated number of requests in flight, `score` its health score, and `mean_in_flight` the mean number of
+/// requests in flight at all workers.
 struct OverloadBound {
     mean_multiple: f64,
     extra_requests: f64,
@@ -56,8 +57,8 @@
         self.zones.is_down(self.workers[worker].endpoint.zone)
     }
 
-    /// Whether a worker has clearly more requests in flight than the mean, weighted with its health score. Guards
-    /// against piling up requests on a worker that other front ends fill or that is slow.
+    /// Whether a worker has more requests in flight, weighted with its health score, than its [`OverloadBound`] allows.
+    /// Guards against piling up requests on a worker that other front ends fill or that is slow.
     pub(crate) fn is_overloaded(&self, index: WorkerIndex, now: Micros) -> bool {
         let bound = if self.is_small_shared_fleet() {
             OVERLOADED_IN_SMALL_FLEET
--- a/policy/src/estimator.rs
+++ b/policy/src/estimator.rs
@@ -25,11 +25,11 @@
 const ANSWER_WEIGHT: f64 = 0.05;
 /// Weight of a new answer in the running mean of its class's service time.
 const CLASS_SERVICE_WEIGHT: f64 = 0.05;
-/// Mean requests in flight per worker, of all front ends, below which nothing is rejected: about one per core. Also the
+/// Mean requests in flight per worker, of all front ends, below which no request is shed: about one per core. Also the
 /// assumed mean while there is no recent load report.
 pub(crate) const MODERATE_LOAD: f64 = 4.0;
-/// Time after its arrival for which a request counts as queued, in multiples of its class's latency objective.
-const QUEUED_OBJECTIVES: Micros = 2;
+/// Time after its arrival for which a request counts as queued, as a multiple of its class's latency objective.
+const QUEUED_OBJECTIVE_MULTIPLE: Micros = 2;
 /// Standard deviations by which a tenant's traffic must exceed its share of the quotas: chance alone makes it vary.
 const QUOTA_DEVIATIONS: f64 = 2.0;
 
@@ -91,7 +91,8 @@
     class_service_times: Vec<f64>,
     /// Running mean of the time from sending an attempt to its answer where no load was needed, in microseconds.
     answer_time: f64,
-    /// Service time of the executed requests per microsecond and worker at full capacity, in microseconds.
+    /// Cores that this front end's requests keep busy at a worker of full capacity: service time of the requests that
+    /// were executed per unit of time.
     work_rate: f64,
     /// Service time of the requests executed since the last survey, in microseconds.
     work_since_survey: f64,
@@ -108,7 +109,8 @@
 }
 
 impl Estimator {
-    /// The first estimate of a class's service time derives from its latency objective, up to `max_objective`.
+    /// The first estimate of a class's service time is a quarter of its latency objective; an objective longer than
+    /// `max_objective` counts as that.
     pub(crate) fn new(settings: &Settings, max_objective: Micros) -> Self {
         let initial = |objective: Micros| objective.min(max_objective) as f64 / 4.0;
         Estimator {
@@ -313,5 +315,5 @@
 
 /// The time until which a request counts as queued.
 pub(crate) fn queued_until(arrived_at: Micros, latency_objective: Micros) -> Micros {
-    arrived_at + QUEUED_OBJECTIVES * latency_objective
+    arrived_at + QUEUED_OBJECTIVE_MULTIPLE * latency_objective
 }
--- a/policy/src/function.rs
+++ b/policy/src/function.rs
@@ -9,20 +9,22 @@
 
 /// Time constant of the exponentially decaying rate of calls.
 pub(crate) const CALL_RATE_TIME_CONSTANT: Micros = 8 * crate::types::SECOND;
-/// Maximum requests of a function not served yet that are kept to count for the load budget later: about as many as
-/// arrive for one function within the budget's window.
+/// Maximum number of requests of a function that are kept until a worker has served it, when they are counted for the
+/// load budget: about as many as arrive for one function within the budget's window.
 const MAX_UNCOUNTED_REQUESTS: usize = 64;
-/// A speculative request that was not answered in time outweighs this many that were: two in three must be in time.
+/// Subtracted from a function's speculation score for a speculative request that was not answered in time. One that was
+/// adds 1, so the score stays above 0 only while more than two in three are in time.
 const FAILED_SPECULATION_WEIGHT: u32 = 2;
 /// Weight of a new answer in the running mean of a function's spread.
 const SPREAD_WEIGHT: f64 = 0.3;
 /// Maximum number of workers that the requests of a function are spread over.
 const MAX_SPREAD: f64 = 8.0;
-/// Slots for each request in flight: a request that finds all slots of a replica taken has to wait or has another
-/// replica loaded, and this many make that rare.
-const FREE_SLOTS_PER_REQUEST: f64 = 3.0;
-/// Replicas beyond the first for each request in flight; a request in flight is about one core's work.
-pub(crate) const REPLICAS_PER_REQUEST: f64 = 0.6;
+/// Replica slots that the spread provides for each request in flight: a request that finds all slots of a replica taken
+/// has to wait or has another replica loaded, and this many make that rare.
+const SLOTS_PER_REQUEST: f64 = 3.0;
+/// Replicas of a function that are provided for each of its requests in flight, in addition to a first one; a request
+/// in flight keeps about one core busy.
+pub(crate) const EXTRA_REPLICAS_PER_REQUEST: f64 = 0.6;
 
 /// Consecutive errors of load orders and polls for a function that was never served here.
 #[derive(Clone, Copy, Debug, Default)]
@@ -50,14 +52,15 @@
     /// Replica state at each worker of which something is known.
     pub(crate) replicas: BTreeMap<WorkerIndex, ReplicaState>,
     pub(crate) periodic: PeriodicCalls,
-    /// Speculative requests that were answered in time, less a multiple of those that were not.
-    speculative_successes: u32,
+    /// Above 0 while most recent speculative requests were answered in time: each of these adds 1, up to
+    /// [`MAX_ANSWERS`], and each other subtracts [`FAILED_SPECULATION_WEIGHT`], down to 0.
+    speculation_score: u32,
     /// Exponentially decaying number of calls.
     recent_calls: f64,
     last_call: Micros,
-    /// Whether a worker has served it, so that workers are known to be able to load it.
-    known_to_load: bool,
-    /// Arrival times of its requests while it was not known to load; they count for the load budget once it is.
+    /// Whether a worker has served a request of it, so that workers are known to be able to load it.
+    has_been_served: bool,
+    /// Arrival times of its requests before a worker served it; they count for the load budget once one has.
     uncounted_requests: VecDeque<Micros>,
     order_errors: OrderErrors,
     /// Number of workers that its requests are spread over in a large fleet; 0 if not known.
@@ -80,8 +83,8 @@
         self.last_call
     }
 
-    pub(crate) fn is_known_to_load(&self) -> bool {
-        self.known_to_load
+    pub(crate) fn has_been_served(&self) -> bool {
+        self.has_been_served
     }
 
     /// Records that a request of the function arrived.
@@ -102,8 +105,8 @@
         rate * duration
     }
 
-    /// Records a request that arrived before any worker served the function.
-    pub(crate) fn note_uncounted_request(&mut self, now: Micros) {
+    /// Records a request that arrived before any worker served the function: it does not count for the load budget yet.
+    pub(crate) fn add_uncounted_request(&mut self, now: Micros) {
         self.uncounted_requests.push_back(now);
         if self.uncounted_requests.len() > MAX_UNCOUNTED_REQUESTS {
             self.uncounted_requests.pop_front();
@@ -111,14 +114,14 @@
     }
 
     /// Removes a request that arrived at this time and that its client cancelled.
-    pub(crate) fn forget_uncounted_request(&mut self, arrived_at: Micros) {
+    pub(crate) fn remove_uncounted_request(&mut self, arrived_at: Micros) {
         self.uncounted_requests.retain(|&at| at != arrived_at);
     }
 
     /// Records that a worker served the function. Returns the arrival times of its requests that have not been counted
     /// for the load budget.
     pub(crate) fn served(&mut self) -> VecDeque<Micros> {
-        self.known_to_load = true;
+        self.has_been_served = true;
         std::mem::take(&mut self.uncounted_requests)
     }
 
@@ -142,16 +145,16 @@
 
     /// Whether its recent speculative requests were answered in time although answers of its class take longer.
     pub(crate) fn is_faster_than_its_class(&self) -> bool {
-        self.speculative_successes > 0
+        self.speculation_score > 0
     }
 
     /// Records the end of a speculative request: one that was sent although answers of its class take longer than its
     /// client waits.
     pub(crate) fn speculation_ended(&mut self, in_time: bool) {
-        self.speculative_successes = if in_time {
-            (self.speculative_successes + 1).min(MAX_ANSWERS)
+        self.speculation_score = if in_time {
+            (self.speculation_score + 1).min(MAX_ANSWERS)
         } else {
-            self.speculative_successes
+            self.speculation_score
                 .saturating_sub(FAILED_SPECULATION_WEIGHT)
         };
     }
@@ -160,12 +163,12 @@
         self.spread
     }
 
-    /// Adjusts the spread by the requests of the function that were at a worker when one arrived: the deeper the queue,
-    /// the more workers are used.
+    /// Adjusts the spread by the number of the function's requests that a further one found at a worker: the deeper the
+    /// queue, the more workers are used.
     pub(crate) fn adjust_spread(&mut self, queue_depth: f64) {
         let spread = self.spread.max(1.0);
-        let free_slots = FREE_SLOTS_PER_REQUEST / f64::from(self.concurrency);
-        let workers_per_request = REPLICAS_PER_REQUEST.max(free_slots);
+        let workers_for_slots = SLOTS_PER_REQUEST / f64::from(self.concurrency);
+        let workers_per_request = EXTRA_REPLICAS_PER_REQUEST.max(workers_for_slots);
         let wanted = (1.0 + workers_per_request * queue_depth * spread).min(MAX_SPREAD);
         self.spread = spread + SPREAD_WEIGHT * (wanted - spread);
     }
--- a/policy/src/keep_alive.rs
+++ b/policy/src/keep_alive.rs
@@ -1,5 +1,5 @@
-//! Keeping replicas loaded between requests: the last replica of a function in use is renewed before the worker unloads
-//! it, and for a function that is called by a timer a replica is prefetched before the next call.
+//! Keeping replicas loaded between requests: of each function in use, the replica that would be unloaded last is
+//! renewed before that, and for a function that is called by a timer a replica is prefetched before the next call.
 use crate::action::Action;
 use crate::index::{FunctionIndex, WorkerIndex};
 use crate::load_budget::LoadPurpose;
@@ -10,8 +10,8 @@
 
 /// A replica is renewed after this fraction of its keep-alive time, so that the order arrives before it is unloaded.
 const RENEW_AFTER_FRACTION: f64 = 0.75;
-/// The last replica of a function is renewed for this many keep-alive times after its last request: many timers call
-/// within that time.
+/// A replica of a function is renewed for this many keep-alive times after the function's last request: many timers
+/// call within that time.
 const RENEW_FOR_KEEP_ALIVES: f64 = 2.0;
 /// A replica is prefetched this multiple of the function's load time before the next call by a timer.
 const PREFETCH_LOAD_TIMES: f64 = 1.5;
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Whether no request of the function is in flight or waiting at this front end, and no first replica is on its
-    /// way.
+    /// Whether no request of the function is in flight or waiting at this front end, and no first replica is being
+    /// loaded.
     fn is_inactive(&self, index: FunctionIndex) -> bool {
         let function = &self.functions[index];
         let is_inactive =
@@ -91,7 +91,7 @@
         let function = &self.functions[index];
         let due = function.periodic.next_due();
         let lead = (PREFETCH_LOAD_TIMES * function.load_time) as Micros + PREFETCH_MARGIN;
-        // Nothing calls the function until then, and other functions' replicas would be unloaded for its idle ones.
+        // No call is expected until then, and other functions' replicas would be unloaded to keep its idle ones.
         if function.periodic.confidence() == Confidence::Confirmed
             && now > function.last_call() + FIRING_QUIET_TIME
             && now + 2 * lead < due
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -60,6 +60,16 @@
 //! assert!(matches!(&actions[0], Action::Send { id: 1, worker, .. } if worker == "w1"));
 //! ```
 //!
+//! # Rules
+//!
+//! The policy must never break five rules, which the modules cite by number:
+//!
+//! 1. Each request gets exactly one final answer, before its client gives up.
+//! 2. An attempt that may have been executed is repeated only as far as the idempotency of the request's class allows.
+//! 3. A worker gets no new work once this front end has been notified that the worker is draining.
+//! 4. Workers in slow start are not sent more than their capacity allows, by all front ends together.
+//! 5. Load orders stay within the load budget of the settings.
+//!
 //! # Layers
 //!
 //! Modules import only from layers above their own in this list.
--- a/policy/src/load_budget.rs
+++ b/policy/src/load_budget.rs
@@ -58,7 +58,7 @@
 
     /// Removes a request that arrived at this time and was cancelled by its client: it does not count for the budget,
     /// and some clients cancel hundreds of requests at once.
-    pub(crate) fn uncount_request(&mut self, arrived_at: Micros) {
+    pub(crate) fn remove_request(&mut self, arrived_at: Micros) {
         if let Some(position) = self.requests.iter().rposition(|&time| time == arrived_at) {
             self.requests.remove(position);
         }
--- a/policy/src/load_limiter.rs
+++ b/policy/src/load_limiter.rs
@@ -6,14 +6,14 @@
 
 /// The limit never falls below this.
 const MIN_LIMIT: f64 = 1.0;
-/// Smallest value of the maximum that a front end's limit can rise to.
+/// Lower bound of [`LoadLimiter::max_limit`], the value that a front end's limit never exceeds.
 const SMALLEST_MAX_LIMIT: f64 = 8.0;
-/// Largest value of the maximum that a front end's limit can rise to.
+/// Upper bound of [`LoadLimiter::max_limit`], the value that a front end's limit never exceeds.
 const LARGEST_MAX_LIMIT: f64 = 16.0;
-/// Sum of the maximum limits of all front ends, as far as the bounds of each allow.
+/// Sum of [`LoadLimiter::max_limit`] over all front ends, unless the bounds of each change it.
 const FLEET_MAX_LIMIT: f64 = 40.0;
 /// Added to the limit after a load that took about its usual time.
-const INCREASE_AFTER_GOOD_LOAD: f64 = 0.25;
+const INCREASE_AFTER_NORMAL_LOAD: f64 = 0.25;
 /// The limit is multiplied by this after a load that was slow while loads were slow at nearly all workers.
 const FACTOR_AFTER_SLOW_LOAD: f64 = 0.7;
 /// The limit is multiplied by this after a load that failed soon after another.
@@ -63,14 +63,15 @@
         f64::from(self.in_flight) + 1.0 <= self.limit / 2.0
     }
 
-    /// Whether the number of loads in flight is below the limit, if only by a fraction.
+    /// Whether the number of loads in flight is below the limit. As the limit may be fractional, this can be true where
+    /// [`LoadLimiter::admits`] is false.
     pub(crate) fn is_below_limit(&self) -> bool {
         f64::from(self.in_flight) < self.limit
     }
 
     /// A load took about its usual time.
-    pub(crate) fn good_load(&mut self) {
-        self.limit += INCREASE_AFTER_GOOD_LOAD;
+    pub(crate) fn normal_load(&mut self) {
+        self.limit += INCREASE_AFTER_NORMAL_LOAD;
         self.clamp();
     }
 
--- a/policy/src/load_orders.rs
+++ b/policy/src/load_orders.rs
@@ -137,7 +137,7 @@
         // For a function that was never served here an error is no sign of a problem of the store or the worker: the
         // function may be unknown.
         let may_be_unknown =
-            result.outcome == Outcome::Error && !self.functions[function].is_known_to_load();
+            result.outcome == Outcome::Error && !self.functions[function].has_been_served();
         self.functions[function].order_ended(may_be_unknown, now);
         if has_restarted {
             self.invalidate_replicas(worker);
@@ -178,7 +178,8 @@
     }
 
     /// Handles the end of an order to load. Protects the store that all workers load from: loads that are slow
-    /// everywhere, or two that fail within a short time, lower the limit on loads in flight; good ones raise it slowly.
+    /// everywhere, or two that fail within a short time, lower the limit on loads in flight; loads that take their
+    /// usual time raise it slowly.
     fn load_ended(
         &mut self,
         now: Micros,
@@ -218,7 +219,7 @@
         let is_slow = load_time > SLOW_LOAD_MULTIPLE * usual;
         self.workers[worker].last_load = LastLoad::new(now, load_time / usual);
         if !is_slow {
-            self.load_limiter.good_load();
+            self.load_limiter.normal_load();
         } else if self.are_loads_slow_everywhere(now) {
             self.load_limiter.slow_load();
         }
--- a/policy/src/outlier_detection.rs
+++ b/policy/src/outlier_detection.rs
@@ -1,6 +1,7 @@
-//! Outlier detection: one running score for each worker, of how its attempts did relative to what was expected. Slow
-//! answers, errors, time-outs, resets and silence raise it, whatever their cause. Workers whose score exceeds a
-//! multiple of the median are ejected until trial requests or polls show that they do as expected again.
+//! Outlier detection: each worker has a health score, a running mean of samples. A served attempt gives a sample: its
+//! time as a multiple of the time that was expected, so 1 is as expected and more is worse. Errors, time-outs, failed
+//! connections and silence count as a fixed bad sample, whatever their cause. Workers whose score exceeds a multiple of
+//! the median are ejected until trial requests or polls show that they perform as expected again.
 use crate::action::Action;
 use crate::dispatch::MIN_EXPECTED_TIME;
 use crate::estimator::MIN_REPORT_DECAY_TIME;
@@ -15,9 +16,10 @@
 
 /// Weight of a new sample in running means: they cover about the last ten samples.
 pub(crate) const SAMPLE_WEIGHT: f64 = 0.1;
-/// Sample of a failed attempt, and outside of a large fleet the largest sample of one slow answer. A sample is a ratio
-/// of the time taken to the time expected.
+/// The sample that a failed attempt gives.
 const FAILED_SAMPLE: f64 = 5.0;
+/// Largest sample of one slow answer outside of a large fleet: that of a failed attempt.
+const MAX_SAMPLE: f64 = FAILED_SAMPLE;
 /// Largest sample of one slow answer in a large fleet, where a front end may get no second answer from the worker for
 /// seconds.
 const MAX_SAMPLE_IN_LARGE_FLEET: f64 = 12.0;
@@ -28,15 +30,15 @@
 pub(crate) const SILENT_MULTIPLE: f64 = 9.0;
 /// Minimum of the expected time that [`SILENT_MULTIPLE`] applies to, in microseconds.
 const MIN_SILENCE_BASE: f64 = 50.0 * MILLISECOND as f64;
-/// A sample weighs more where this front end seldom sends requests to each worker, up to this factor.
+/// Largest factor by which a sample weighs more where this front end seldom sends requests to each worker.
 const MAX_WEIGHT_FACTOR: f64 = 2.5;
 
-/// How an attempt ended, as outlier detection uses it.
-pub(crate) struct AttemptSample {
+/// The end of an attempt, with what outlier detection needs of it.
+pub(crate) struct AttemptEnd {
     pub(crate) outcome: Outcome,
     pub(crate) elapsed: Micros,
-    /// Whether the worker loaded the function for this attempt.
-    pub(crate) loaded: bool,
+    /// Whether the worker had to load the function for this attempt.
+    pub(crate) needed_load: bool,
 }
 
 impl State {
@@ -45,7 +47,7 @@
         if self.is_large_fleet() {
             MAX_SAMPLE_IN_LARGE_FLEET
         } else {
-            FAILED_SAMPLE
+            MAX_SAMPLE
         }
     }
 
@@ -55,16 +57,16 @@
         now: Micros,
         function: FunctionIndex,
         attempt: &Attempt,
-        sample: &AttemptSample,
+        end: &AttemptEnd,
     ) {
-        self.record_zone_outcome(attempt.worker, sample.outcome, now, sample.elapsed);
-        let score = self.health_sample(now, function, attempt, sample);
+        self.record_zone_outcome(attempt.worker, end.outcome, now, end.elapsed);
+        let sample = self.health_sample(now, function, attempt, end);
         // After a stall of this front end's process, late answers say nothing about the workers.
         let was_stalled = now < self.resumed_at + TICK;
-        let score = score.filter(|_| !was_stalled);
+        let sample = sample.filter(|_| !was_stalled);
         let weight_factor = self.estimator.report_decay_time() / MIN_REPORT_DECAY_TIME;
         let weight = 2.0 * SAMPLE_WEIGHT * weight_factor.clamp(1.0, MAX_WEIGHT_FACTOR);
-        self.workers[attempt.worker].health.record(score, weight);
+        self.workers[attempt.worker].health.record(sample, weight);
     }
 
     /// Updates the health of the worker's zone with an outcome.
@@ -100,30 +102,30 @@
         }
     }
 
-    /// The sample for the worker's score: 1 is as expected, more is worse; `None` where the outcome says nothing about
-    /// the worker.
+    /// The sample that an attempt gives for the worker's score: 1 is as expected, more is worse; `None` where the
+    /// outcome says nothing about the worker.
     fn health_sample(
         &mut self,
         now: Micros,
         function: FunctionIndex,
         attempt: &Attempt,
-        sample: &AttemptSample,
+        end: &AttemptEnd,
     ) -> Option<f64> {
         let worker = attempt.worker;
-        match sample.outcome {
-            Outcome::Ok => self.served_sample(now, function, attempt, sample),
+        match end.outcome {
+            Outcome::Ok => self.served_sample(now, function, attempt, end),
             // If no worker has served the function yet, the request itself may be the cause of the error.
-            Outcome::Error if !self.functions[function].is_known_to_load() => None,
+            Outcome::Error if !self.functions[function].has_been_served() => None,
             Outcome::Error if !attempt.is_cancelling() => {
                 self.workers[worker].health.answered_error(now);
                 Some(FAILED_SAMPLE)
             }
             Outcome::Timeout if !attempt.is_cancelling() => Some(FAILED_SAMPLE),
             // Guards against a worker that loses answers: the attempt took at least this long before it was cancelled.
-            Outcome::Cancelled if !sample.loaded || self.is_large_fleet() => {
-                let elapsed = sample.elapsed as f64;
-                let overdue = elapsed > attempt.expected;
-                overdue.then(|| (elapsed / attempt.expected).min(self.max_sample()))
+            Outcome::Cancelled if !end.needed_load || self.is_large_fleet() => {
+                let elapsed = end.elapsed as f64;
+                let overdue = elapsed > attempt.expected_time;
+                overdue.then(|| (elapsed / attempt.expected_time).min(self.max_sample()))
             }
             Outcome::ConnectFailed => {
                 self.connect_failed(worker, now);
@@ -146,31 +148,31 @@
         now: Micros,
         function: FunctionIndex,
         attempt: &Attempt,
-        sample: &AttemptSample,
+        end: &AttemptEnd,
     ) -> Option<f64> {
         self.workers[attempt.worker].health.served(now);
         let class = self.functions[function].class;
-        let mut score = None;
-        if !sample.loaded {
+        let mut sample = None;
+        if !end.needed_load {
             // The attempt was expected to load the function, but a replica was there: compare without a load.
             let expected = if attempt.loads_function {
                 self.functions[function].service_time
             } else {
-                attempt.expected
+                attempt.expected_time
             };
             let expected = expected.max(MIN_EXPECTED_TIME);
-            let elapsed = sample.elapsed as f64;
+            let elapsed = end.elapsed as f64;
             let ratio = (elapsed / expected).min(self.max_sample());
-            score = Some(ratio);
+            sample = Some(ratio);
             self.estimate_load_by_answer(attempt.worker, now, ratio);
             self.answer_times[class].record(now, elapsed);
-            let bounded = elapsed.min(expected * FAILED_SAMPLE);
+            let bounded = elapsed.min(expected * MAX_SAMPLE);
             let service_time = &mut self.functions[function].service_time;
             *service_time += SAMPLE_WEIGHT * (bounded - *service_time);
             self.estimator.record_answer(class, elapsed, bounded);
         }
         self.estimator.count_work(class);
-        score
+        sample
     }
 
     /// Where workers report no load, estimates the requests that one has in flight from the time that its answer took.
@@ -180,7 +182,7 @@
         }
         let worker = &mut self.workers[worker];
         let before = worker.load_report.map_or(1.0, |report| report.in_flight);
-        worker.report_load(now, (before + ratio.min(FAILED_SAMPLE)) / 2.0);
+        worker.report_load(now, (before + ratio.min(MAX_SAMPLE)) / 2.0);
     }
 
     /// A connection was refused or not established: the worker is ejected until it answers. What is known of its
@@ -245,10 +247,9 @@
         let Some(oldest) = worker.open_attempts.first() else {
             return false;
         };
-        let expected = self
-            .requests
-            .get(oldest.request)
-            .map_or(0.0, |request| request.attempts[oldest.attempt].expected);
+        let expected = self.requests.get(oldest.request).map_or(0.0, |request| {
+            request.attempts[oldest.attempt].expected_time
+        });
         let since = oldest
             .sent_at
             .max(worker.health.last_answer())
@@ -256,8 +257,8 @@
         now.saturating_sub(since) as f64 > SILENT_MULTIPLE * expected.max(MIN_SILENCE_BASE)
     }
 
-    /// Polls the workers whose connection failed or broke, about a function last known to be loaded there. An answer
-    /// ends their ejection. In a zone that is down only one worker is polled per interval.
+    /// Polls the workers whose connection failed or broke, if possible about a function that was loaded there. An
+    /// answer ends their ejection. In a zone that is down only one worker is polled per interval.
     pub(crate) fn poll_unreachable_workers(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if !self.settings.load_orders {
             return;
@@ -280,7 +281,7 @@
     }
 
     /// Time until a worker is polled again. In a large fleet polls back off exponentially with jitter, so that a
-    /// hundred front ends do not all poll a worker at the same time that is gone or has just come back.
+    /// hundred front ends do not all poll at the same time a worker that is gone or has just come back.
     fn poll_interval(&mut self, worker: WorkerIndex) -> Micros {
         if !self.is_large_fleet() {
             return TRIAL_INTERVAL;
@@ -290,8 +291,9 @@
         interval / 2 + self.random.below(interval)
     }
 
-    /// The function to poll a worker about: with no order pending there, preferably one believed to be loaded there,
-    /// then the one called last. The candidates are the functions known at the worker and the one called last anywhere.
+    /// The function to poll a worker about, out of those with a replica state there and the one that was called last of
+    /// all. Functions with an order pending at the worker are left out. Functions assumed to be loaded there are
+    /// preferred, and among equals the one that was called last; `None` if no function is left.
     fn function_to_poll_about(&self, worker: WorkerIndex, now: Micros) -> Option<FunctionIndex> {
         let has_no_order = |function: &FunctionIndex| {
             self.functions
--- a/policy/src/polling.rs
+++ b/policy/src/polling.rs
@@ -7,24 +7,27 @@
 use crate::state::State;
 use crate::types::{Micros, RequestId, MILLISECOND, SECOND};
 
-/// Number of workers that are polled: the first of the function's rendezvous order, where other front ends load it too.
+/// Maximum number of workers that are polled about a function where front ends share the workers: the first in its
+/// rendezvous order, where other front ends load it too.
 pub(crate) const POLLED_WORKERS: usize = 6;
 /// Time that a lost request waits for the answers to polls.
 const ANSWER_WAIT: Micros = 60 * MILLISECOND;
-/// Minimum time between two polls of a worker about a function: a load ordered by another front end takes most of it.
+/// Minimum time between two lookups, by polls or requests, of a function at a worker: a load that another front end
+/// ordered takes most of it.
 pub(crate) const POLL_INTERVAL: Micros = 4 * SECOND;
-/// Workers, from the first of the rendezvous order, that a request tries before a load is ordered: other front ends
-/// order their loads there. Two of at most six attempts, so that enough are left for when the load has ended.
+/// Maximum number of workers that a request tries before a load is ordered: the first in the rendezvous order, where
+/// other front ends order their loads. Each costs the request an attempt; where `max_attempts` is six, four are left
+/// for when the load has ended.
 const MAX_TRIED_WORKERS: usize = 2;
 
-/// The next step for a request whose function is known to be loaded nowhere.
+/// The next step for a request whose function is not known to be loaded anywhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LookupStep {
     /// Send the request to this worker: its answer shows whether the function is loaded there.
     TryAt(WorkerIndex),
     /// Wait: the answer to another request in flight will show where the function is loaded.
     AwaitOther,
-    /// Poll: requests are not used to find out in these settings.
+    /// Poll: with these settings, requests are not sent to find out where the function is loaded.
     Poll,
     /// Order a load: the function is loaded at none of the workers where other front ends would load it.
     Load,
@@ -72,7 +75,7 @@
     ) -> Option<LookupStep> {
         let replica = self.replica_mut(function, worker);
         let has_own_request = replica.own_in_flight() > 0;
-        match replica.last_poll() {
+        match replica.last_lookup() {
             // The request there has waited for longer than a "not loaded" answer takes: the worker is loading the
             // function for it or has it in a queue.
             Some(last) if has_own_request && now >= last + ANSWER_WAIT => {
@@ -82,7 +85,7 @@
             Some(last) if now < last + POLL_INTERVAL => None,
             _ if replica.is_load_ordered() => None,
             _ => {
-                replica.polled(now);
+                replica.lookup_sent(now);
                 Some(LookupStep::TryAt(worker))
             }
         }
@@ -133,12 +136,12 @@
             None => {}
         }
         let is_due = replica
-            .last_poll()
+            .last_lookup()
             .is_none_or(|last| now >= last + POLL_INTERVAL);
         if !has_budget || replica.is_loaded(now) || !is_due {
             return false;
         }
-        replica.polled(now);
+        replica.lookup_sent(now);
         self.poll_budget.spend();
         self.poll(function, worker, now, actions);
         true
--- a/policy/src/readiness_lease.rs
+++ b/policy/src/readiness_lease.rs
@@ -30,7 +30,7 @@
 const REPORTED_AFTER_TAKE_OVER: Micros = 2 * SECOND;
 /// Leases are extended by the drain grace divided by this; the rest of the grace is for requests already being sent.
 const GRACE_DIVISOR: Micros = 2;
-/// A longer drain grace in the settings counts as this one.
+/// Upper bound of the drain grace: a longer one in the settings is reduced to this.
 const MAX_GRACE: Micros = SECOND;
 /// A worker is sent a health check at the latest this long before its lease ends.
 const CHECK_LEAD: Micros = 300 * MILLISECOND;
@@ -128,7 +128,8 @@
 struct Lease {
     /// The time at which the worker was known to take new work.
     confirmed_at: Micros,
-    /// From this time on a drain that began after `confirmed_at` may count as reported. The grace is not included.
+    /// The earliest time at which a drain that began after `confirmed_at` can count as reported to this front end. The
+    /// drain grace is not included.
     ends_at: Micros,
 }
 
@@ -166,7 +167,8 @@
     suspended: Option<SuspendReason>,
     /// Health checks that the worker rejected in a row.
     rejected_checks: u32,
-    /// Answers to what was sent up to this time do not renew the lease: the worker took no new work then.
+    /// When the worker last took no new work; 0 if never. An answer to something sent until then does not renew its
+    /// lease.
     not_accepting_at: Micros,
     may_have_restarted: bool,
     /// When the worker last refused a connection; `None` once a review has suspended it for that.
@@ -182,7 +184,7 @@
         self.last_used_at > 0 && now < self.last_used_at + IN_USE_FOR
     }
 
-    /// Resets the state of the loss of contact: discovery has reported all events up to `at`.
+    /// Resets what was recorded since contact with discovery was lost: discovery has reported all events up to `at`.
     fn contact_regained(&mut self, at: Micros) {
         *self = WorkerRecord {
             last_used_at: self.last_used_at,
@@ -210,7 +212,8 @@
 }
 
 impl ReadinessLeases {
-    /// Starts with no workers. Leases apply once a discovery service was contacted, interrupted or is watched.
+    /// Starts with no workers. Leases apply from the first call of [`ReadinessLeases::watch_started`],
+    /// [`ReadinessLeases::list_confirmed`] or [`ReadinessLeases::interrupted`] on.
     pub fn new(settings: &Settings, seed: u64) -> ReadinessLeases {
         ReadinessLeases {
             list_lease: Lease::default(),
@@ -233,7 +236,7 @@
         }
     }
 
-    /// Takes over a worker's entry in the endpoint list; one that is not ready is forgotten and has no lease.
+    /// Applies a worker's entry in the endpoint list. A worker that is not ready is forgotten and has no lease.
     pub fn listed(&mut self, worker: &str, is_ready: bool) {
         if !is_ready {
             self.workers.remove(worker);
--- a/policy/src/rejections.rs
+++ b/policy/src/rejections.rs
@@ -16,17 +16,19 @@
     /// avoided for longer: this front end sends it such requests less often, and a short pause would end in between.
     fn pauses(self) -> (Micros, Micros) {
         match self {
-            RejectedScope::All => (FULL_PAUSE, SELECTIVE_PAUSE),
+            RejectedScope::All => (FULL_PAUSE, MAX_FULL_PAUSE),
             RejectedScope::TenantAndClass { .. } => (SELECTIVE_PAUSE, MAX_SELECTIVE_PAUSE),
         }
     }
 }
 
-/// First pause of a worker that is full, and pause of loads at a worker that rejected one.
+/// First pause of a worker that is full, and pause of load orders to a worker that rejected one.
 pub(crate) const FULL_PAUSE: Micros = SECOND / 5;
-/// First pause of a tenant and class, and longest pause of a worker that is full.
+/// Longest pause of a worker that is full.
+const MAX_FULL_PAUSE: Micros = 5 * SECOND;
+/// First pause of requests of one tenant and class.
 const SELECTIVE_PAUSE: Micros = 5 * SECOND;
-/// Longest pause of a tenant and class.
+/// Longest pause of requests of one tenant and class.
 const MAX_SELECTIVE_PAUSE: Micros = 20 * SECOND;
 
 #[derive(Clone, Copy, Debug, Default)]
--- a/policy/src/replica.rs
+++ b/policy/src/replica.rs
@@ -45,7 +45,7 @@
     own_in_flight: u32,
     others: QueueReport,
     order: Option<PendingOrder>,
-    last_poll: Option<Micros>,
+    last_lookup: Option<Micros>,
     /// Attempts in flight for which the worker is expected to load the function.
     loading_attempts: u32,
     /// Whether its idle replicas were chosen to be replaced by another function's, in the order of least recent loss.
@@ -69,8 +69,8 @@
         self.order
     }
 
-    pub(crate) fn last_poll(&self) -> Option<Micros> {
-        self.last_poll
+    pub(crate) fn last_lookup(&self) -> Option<Micros> {
+        self.last_lookup
     }
 
     /// Whether a replica is assumed to be loaded.
@@ -101,7 +101,7 @@
     }
 
     /// Whether attempts are in flight for which the worker is expected to load the function.
-    pub(crate) fn is_loaded_by_attempts(&self) -> bool {
+    pub(crate) fn is_loading_for_attempts(&self) -> bool {
         self.loading_attempts > 0
     }
 
@@ -123,7 +123,7 @@
     pub(crate) fn invalidate(&mut self) {
         self.count = 0;
         self.expires_at = 0;
-        self.last_poll = None;
+        self.last_lookup = None;
     }
 
     /// Records that the function is not loaded there, or that its idle replicas are being unloaded.
@@ -178,9 +178,9 @@
         self.order = Some(PendingOrder::Poll { since: now });
     }
 
-    /// Records that the worker was polled, by an order or by a request.
-    pub(crate) fn polled(&mut self, now: Micros) {
-        self.last_poll = Some(now);
+    /// Records that a poll or a request was sent to find out whether the function is loaded there.
+    pub(crate) fn lookup_sent(&mut self, now: Micros) {
+        self.last_lookup = Some(now);
     }
 
     /// Records that the pending order ended, and returns it; `None` if none was pending.
--- a/policy/src/replication.rs
+++ b/policy/src/replication.rs
@@ -4,7 +4,7 @@
 //! A loss is a request that finds no free replica. A virtual loss is drawn at random when a request arrives, so that
 //! replicas are added before they run out.
 use crate::action::Action;
-use crate::function::REPLICAS_PER_REQUEST;
+use crate::function::EXTRA_REPLICAS_PER_REQUEST;
 use crate::index::{FunctionIndex, WorkerIndex};
 use crate::load_budget::LoadPurpose;
 use crate::request::Request;
@@ -24,8 +24,9 @@
 const USABLE_MEMORY_SHARE: f64 = 0.65;
 
 impl State {
-    /// Draws whether an arrival is a virtual loss of the design: with probability (min z*/z*) 1(Z <= z*) q(Z), while
-    /// theta >= 1, D > 0, z* >= 1.
+    /// Draws whether an arrival is a virtual loss by the design (docs/design.md): with probability (min z*/z*) 1(Z <=
+    /// z*) q(Z), where theta >= 1, D > 0 and z* >= 1. D workers have the function loaded, and Z of them have a free
+    /// replica.
     pub(crate) fn draw_virtual_loss(&mut self, index: FunctionIndex, now: Micros) -> bool {
         let theta = self.estimator.theta();
         let load = self.function_load(&self.functions[index], now);
@@ -49,8 +50,9 @@
         }
     }
 
-    /// Responds to a loss with one more replica, unless loads are at their limit or one is already being loaded. `lost`
-    /// is the request that was lost; `None` for a virtual loss. Returns whether a load was ordered.
+    /// Responds to a loss by ordering one more replica, unless a limit or budget on loads is reached, there are enough
+    /// replicas, or one is being loaded already and no request waits. `lost` is the request that was lost; `None` for a
+    /// virtual loss. Returns whether a load was ordered.
     pub(crate) fn add_replica(
         &mut self,
         index: FunctionIndex,
@@ -81,8 +83,8 @@
         now: Micros,
         lost: Option<RequestId>,
     ) -> bool {
-        let is_ahead = lost.is_none();
-        let is_admitted = if is_ahead {
+        let is_virtual = lost.is_none();
+        let is_admitted = if is_virtual {
             self.load_limiter.admits_proactive()
         } else {
             self.load_limiter.admits()
@@ -91,16 +93,16 @@
         let is_pending = function
             .replicas
             .values()
-            .any(|replica| replica.is_load_ordered() || replica.is_loaded_by_attempts());
-        let answers_loss = !is_pending || !function.waiting.is_empty();
+            .any(|replica| replica.is_load_ordered() || replica.is_loading_for_attempts());
+        let is_needed = !is_pending || !function.waiting.is_empty();
         if !self.settings.load_orders
             || !is_admitted
             || self.has_enough_replicas(index, now)
-            || !answers_loss
+            || !is_needed
         {
             return false;
         }
-        let purpose = if is_ahead {
+        let purpose = if is_virtual {
             LoadPurpose::Proactive
         } else {
             LoadPurpose::Needed
@@ -118,7 +120,7 @@
         let function = &self.functions[index];
         let loaded = self.function_load(function, now).loaded as f64;
         let in_flight = self.fleet_calls(index, function.service_time);
-        loaded >= 1.0 + (REPLICAS_PER_REQUEST * in_flight).round()
+        loaded >= 1.0 + (EXTRA_REPLICAS_PER_REQUEST * in_flight).round()
     }
 
     /// The worker for a new replica: a random one at which the least recently lost function has an idle replica, else a
@@ -233,8 +235,9 @@
         })
     }
 
-    /// The choice of the design. An idle replica that was chosen for replacement before is not chosen again until its
-    /// function is used there, as if it had been evicted.
+    /// The worker for a new replica by the design (docs/design.md): a random candidate at which the least recently lost
+    /// function has an idle replica; if no function has one, any random candidate. An idle replica that was chosen for
+    /// replacement before is not chosen again until its function is used there, as if it had been evicted.
     fn least_recently_lost_candidate(
         &mut self,
         index: FunctionIndex,
--- a/policy/src/request.rs
+++ b/policy/src/request.rs
@@ -13,7 +13,7 @@
     pub(crate) placement: Placement,
     pub(crate) sent_at: Micros,
     /// Expected time from sending it to its answer, in microseconds.
-    pub(crate) expected: f64,
+    pub(crate) expected_time: f64,
     /// Whether the worker is expected to load the function for it.
     pub(crate) loads_function: bool,
     /// This front end's requests in flight for the function at the worker when it was sent, including itself.
@@ -72,7 +72,7 @@
     pub(crate) deadline: Micros,
     /// Whether the client marked it as a retry.
     pub(crate) is_retry: bool,
-    /// Whether it found no free replica before, which is a loss.
+    /// Whether it has found no free replica at least once. That is a loss, which counts once per request.
     pub(crate) lost: bool,
     /// Whether it has its final answer.
     pub(crate) closed: bool,
@@ -112,7 +112,8 @@
             .any(|attempt| attempt.worker == worker && attempt.may_have_executed())
     }
 
-    /// Ends an open attempt. Returns its state before; `None` if there is no such attempt or it has ended already.
+    /// Ends an open attempt. Returns the attempt as it was before; `None` if there is no such attempt or it has ended
+    /// already.
     pub(crate) fn end_attempt(&mut self, number: usize, outcome: Outcome) -> Option<Attempt> {
         let attempt = self.attempts.get_mut(number)?;
         if !attempt.is_open() {
--- a/policy/src/request_lifecycle.rs
+++ b/policy/src/request_lifecycle.rs
@@ -4,7 +4,7 @@
 use crate::event::{AttemptResult, NewRequest, Outcome};
 use crate::function::Function;
 use crate::index::FunctionIndex;
-use crate::outlier_detection::AttemptSample;
+use crate::outlier_detection::AttemptEnd;
 use crate::request::{Attempt, Request};
 use crate::state::{State, MAX_DURATION};
 use crate::types::{Micros, RequestId, MILLISECOND};
@@ -115,12 +115,13 @@
                 replica.extend(lifetime);
             }
         }
-        // Protects the load budget: only the usual clients' requests count for it, so requests of a function that is
-        // not known to load do not count yet.
-        if function.is_known_to_load() {
+        // Rule 5 lets the load budget grow only with the requests of the regular clients, not with those of unknown
+        // tenants. A request for a function that no worker has served may be one of the latter, so it does not count
+        // before the function is served.
+        if function.has_been_served() {
             self.load_budget.count_request(now);
         } else {
-            function.note_uncounted_request(now);
+            function.add_uncounted_request(now);
         }
         index
     }
@@ -198,15 +199,15 @@
             self.estimator.load_report_received();
         }
         if is_current_process {
-            let sample = AttemptSample {
+            let end = AttemptEnd {
                 outcome: result.outcome,
                 elapsed: result.elapsed,
-                loaded: match result.replica_loaded {
+                needed_load: match result.replica_loaded {
                     Some(was_loaded) => !was_loaded,
                     None => attempt.loads_function,
                 },
             };
-            self.record_attempt_end(now, function, attempt, &sample);
+            self.record_attempt_end(now, function, attempt, &end);
         }
     }
 
--- a/policy/src/routing.rs
+++ b/policy/src/routing.rs
@@ -15,7 +15,8 @@
 const MAX_WAITING_SHARE: f64 = 0.45;
 /// Number of attempts rejected or not delivered after which no further worker is tried.
 const MAX_REJECTED_ATTEMPTS: usize = 3;
-/// Number of errors after which requests of a function that was never served here are given up.
+/// Number of errors, of attempts or of load orders, after which requests for a function that no worker has served are
+/// given up.
 const MAX_ERRORS_OF_UNKNOWN_FUNCTION: u32 = 2;
 /// Steps per request in flight in which estimated loads are compared: smaller differences count as ties.
 const LOAD_STEPS_PER_REQUEST: f64 = 16.0;
@@ -29,20 +30,20 @@
         if request.has_open_attempt() {
             return;
         }
-        if self.is_exhausted(request, now) {
+        if self.must_give_up(request, now) {
             return self.finish(id, actions);
         }
         let function = request.function;
-        let is_fresh_loss = !(request.lost || request.is_retry);
+        let would_be_new_loss = !(request.lost || request.is_retry);
         if let Some(worker) = self.pick_worker(id, now) {
-            if is_fresh_loss {
+            if would_be_new_loss {
                 self.handle_inferred_loss(function, id, now, actions);
             }
             return self.send(now, id, worker, actions);
         }
-        self.record_loss(function, id, is_fresh_loss, now);
+        self.record_loss(function, id, would_be_new_loss, now);
         if let Some(worker) = self.least_loaded_worker(id, now) {
-            if is_fresh_loss {
+            if would_be_new_loss {
                 self.add_replica(function, now, Some(id), actions);
             }
             return self.send(now, id, worker, actions);
@@ -65,16 +66,16 @@
         }
     }
 
-    /// Whether no further attempt may be made.
-    fn is_exhausted(&self, request: &Request, now: Micros) -> bool {
+    /// Whether the request gets its final answer now because no further attempt may be made.
+    fn must_give_up(&self, request: &Request, now: Micros) -> bool {
         let idempotency = self.class(request.class).idempotency;
         let must_not_repeat =
             request.may_have_executed() && idempotency == Idempotency::NotIdempotent;
         // Protects workers from requests for a function that none of them has: each would answer with an error.
         let is_unknown = request.errors >= MAX_ERRORS_OF_UNKNOWN_FUNCTION
-            && !self.functions[request.function].is_known_to_load();
-        // The deadline is checked since an attempt's time-out may come just before the deadline's timer: no client
-        // would wait for a further attempt.
+            && !self.functions[request.function].has_been_served();
+        // The deadline is checked here too, since an attempt's time-out may come just before the deadline's timer, and
+        // no client would wait for a further attempt.
         now >= request.deadline
             || request.rejected_attempts() >= MAX_REJECTED_ATTEMPTS
             || request.attempts.len() as u32 >= self.settings.max_attempts
@@ -82,7 +83,7 @@
             || is_unknown
     }
 
-    /// A uniformly random worker among those with a free replica and, in a large fleet, the common workers.
+    /// A uniformly random worker among those with a free replica and, in a large fleet, the [`State::common_workers`].
     fn pick_worker(&mut self, id: RequestId, now: Micros) -> Option<WorkerIndex> {
         let request = self.requests.get(id)?;
         let function = request.function;
@@ -97,8 +98,8 @@
     }
 
     /// Exception to the design while several front ends share the workers: other front ends' requests occupy replicas
-    /// too, but are not seen here. If the expected requests of all front ends exceed the slots of all known replicas,
-    /// the request counts as lost although a replica looks free.
+    /// too, but are not visible to this one. If the expected requests of all front ends exceed the slots of all known
+    /// replicas, the request counts as lost although a replica looks free.
     fn handle_inferred_loss(
         &mut self,
         function: FunctionIndex,
@@ -116,10 +117,10 @@
         }
     }
 
-    /// Records a loss. A request that its client marked as a retry does not count as a new one: the client's first
-    /// request was counted.
-    fn record_loss(&mut self, function: FunctionIndex, id: RequestId, is_fresh: bool, now: Micros) {
-        if is_fresh {
+    /// Records that a request found no free replica; `is_new` if that counts as a loss of its function. A request that
+    /// was lost before, or that its client marked as a retry, does not count again.
+    fn record_loss(&mut self, function: FunctionIndex, id: RequestId, is_new: bool, now: Micros) {
+        if is_new {
             self.functions[function].last_loss = now;
         }
         if let Some(request) = self.requests.get_mut(id) {
@@ -154,9 +155,14 @@
     /// Exception to the design in a large fleet: each front end sees too few requests of a function to know where it is
     /// loaded, and polls by a hundred front ends cost more than they tell. All front ends prefer workers in the same
     /// order, so the first usable ones are where other front ends send their requests; this front end sends its own
-    /// there too, and the answers report whether a replica is loaded. Returns those of the first `most` usable workers
-    /// at which no replica is known yet and this front end's requests do not fill one.
-    fn common_workers(&mut self, id: RequestId, now: Micros, most: usize) -> Vec<WorkerIndex> {
+    /// there too, and the answers report whether a replica is loaded. Returns those of the first `max_workers` usable
+    /// workers at which no replica is known yet and this front end's requests do not fill one.
+    fn common_workers(
+        &mut self,
+        id: RequestId,
+        now: Micros,
+        max_workers: usize,
+    ) -> Vec<WorkerIndex> {
         if !self.is_large_fleet() || !self.settings.load_on_demand {
             return Vec::new();
         }
@@ -182,7 +188,7 @@
         preferred
             .into_iter()
             .filter(|&worker| is_eligible(worker))
-            .take(most)
+            .take(max_workers)
             .filter(|&worker| takes_first_requests(worker))
             .collect()
     }
--- a/policy/src/settings.rs
+++ b/policy/src/settings.rs
@@ -72,7 +72,7 @@
     pub over_quota_weight: f64,
     /// Memory of each machine kind, in MB.
     pub kind_memory_mb: Vec<f64>,
-    /// Minimum time for which an idle replica stays loaded.
+    /// A worker keeps an idle replica loaded for at least this long before it unloads it.
     pub keep_alive: Micros,
     /// Whether a worker loads a missing function for a request; otherwise it answers that the function is not loaded.
     pub load_on_demand: bool,
--- a/policy/src/slow_start.rs
+++ b/policy/src/slow_start.rs
@@ -17,18 +17,20 @@
 
 /// Fraction of the allowance that is used: workers differ in size, and the smallest of a kind must not be overloaded.
 const SAFETY_MARGIN: f64 = 0.7;
-/// Minimum of a sender's bucket size and of its refill in a window, as a fraction of its share of the allowance:
-/// requests come in bursts, and workers must get some even where all are in slow start and the allowance for one is
-/// below one request.
+/// Lower bound of a sender's bucket size and of its refill per window, as a fraction of the requests that each sender
+/// may send in a window: requests come in bursts, and workers must get some even where all are in slow start and the
+/// allowance for one is below one request.
 const MIN_SENDER_FRACTION: f64 = 0.125;
 /// Maximum weight of a class's requests against the mean: guards against a single outlier among the service times.
 const MAX_REQUEST_WEIGHT: f64 = 2.0;
 /// Overload windows for which a front end stays a sender: long enough to fill the bucket and to send some requests.
 const WINDOWS_PER_TURN: u64 = 2;
-/// Requests of the allowance for each sender: half of them may be in its bucket, half are its refill in a window.
+/// The number of senders is the allowance, in requests, divided by this: in a window each may then send about one
+/// request from its bucket and one from the refill.
 const REQUESTS_PER_SENDER: f64 = 2.0;
-/// Requests of the allowance for each sender where the front end's index is not stated: each front end then draws its
-/// rank at random, so the number of senders varies, and half as many on average leave a margin for that.
+/// The divisor of the allowance that gives the number of senders where the front end's index is not stated. Each front
+/// end then draws its rank at random, so the number of those that send varies; half as many on average, each sending as
+/// much, leave a margin for that.
 const REQUESTS_PER_RANDOM_SENDER: f64 = 4.0;
 /// Bounds the loop over past turns; there are fewer within slow start unless the settings are extreme.
 const MAX_COUNTED_TURNS: u64 = 1_000;
--- a/policy/src/state.rs
+++ b/policy/src/state.rs
@@ -23,9 +23,10 @@
 pub(crate) const TICK: Micros = 20 * MILLISECOND;
 /// Upper bound of durations in settings and requests, so that an extreme value cannot overflow the clock.
 pub(crate) const MAX_DURATION: Micros = 3_600 * SECOND;
-/// Shortest load time that is assumed for a function that is not loaded, and longest latency objective from which a
-/// class's first service time is estimated.
-pub(crate) const DEFAULT_DURATION: Micros = SECOND;
+/// Shortest load time that is assumed for a function that is not loaded.
+pub(crate) const MIN_ASSUMED_LOAD_TIME: Micros = SECOND;
+/// Longest latency objective from which the first service time of a class is estimated; a longer one counts as this.
+const MAX_INITIAL_OBJECTIVE: Micros = SECOND;
 /// Keep-alive of an idle replica if the settings state none.
 const DEFAULT_KEEP_ALIVE: Micros = 5 * SECOND;
 /// Fraction of the stated keep-alive for which an idle replica is assumed to stay; the rest covers network latency and
@@ -33,10 +34,11 @@
 const KEEP_ALIVE_FRACTION: f64 = 0.9;
 /// Upper bound, in keep-alives, on how long other front ends' requests are assumed to keep a replica loaded.
 const MAX_KEEP_ALIVES: f64 = 4.0;
-/// Requests to a replica within a keep-alive that count for one keep-alive of its assumed lifetime.
+/// The number of requests that a replica gets within a keep-alive, divided by this, is its assumed lifetime in
+/// keep-alives (at least one).
 const REQUESTS_PER_KEEP_ALIVE: f64 = 4.0;
-/// Largest number of front ends at which each one still sees enough of the workers' load and of the functions' replicas
-/// by itself.
+/// Largest number of front ends that is a small fleet, in which each one still sees enough of the workers' load and of
+/// the functions' replicas by itself.
 const MAX_SMALL_FLEET: u32 = 16;
 /// Hedged requests that are allowed at the start, before any request has arrived.
 const INITIAL_HEDGES: f64 = 5.0;
@@ -86,7 +88,7 @@
             requests: RequestTable::default(),
             zones: ZoneHealth::default(),
             slow_start: SlowStart::new(&settings),
-            estimator: Estimator::new(&settings, DEFAULT_DURATION),
+            estimator: Estimator::new(&settings, MAX_INITIAL_OBJECTIVE),
             load_budget: LoadBudget::new(&settings),
             load_limiter: LoadLimiter::new(settings.front_ends),
             hedge_budget: TokenBucket::new(INITIAL_HEDGES, HEDGES_PER_REQUEST, MAX_SAVED_HEDGES),
@@ -243,7 +245,8 @@
         self.slow_start.capacity_share(started_at, now)
     }
 
-    /// Weight of a request in the slow-start accounts: the mean service time of its class relative to all classes.
+    /// The tokens that a request of this class takes from a slow-start token bucket: the mean service time of its class
+    /// relative to the mean of all classes.
     pub(crate) fn request_weight(&self, class: usize) -> f64 {
         let known = self.estimator.known_class_service_times();
         let most_expensive = known.iter().copied().fold(0.0, f64::max);
--- a/policy/src/survey.rs
+++ b/policy/src/survey.rs
@@ -14,9 +14,9 @@
 const FORGET_AFTER_KEEP_ALIVES: Micros = 4;
 /// Minimum time between two log lines about ejected workers and the load limit.
 const LOG_INTERVAL: Micros = 10 * SECOND;
-/// The line is logged when more than one in this number of workers is ejected.
+/// The log line is written when more than one in this number of workers is ejected.
 const LOGGED_EJECTED_DIVISOR: usize = 10;
-/// The line is also logged when the concurrency limit on loads is below this.
+/// The log line about ejected workers is also written when the concurrency limit on loads is below this.
 const LOGGED_LOAD_LIMIT: f64 = 2.0;
 
 /// When the survey last ran, and when it last logged; 0 if never.
@@ -70,7 +70,7 @@
 }
 
 impl State {
-    /// The present sample for the estimates; `elapsed` is the time since the last one.
+    /// Measures what the estimates are updated with; `elapsed` is the time since the last survey.
     fn sample(&self, now: Micros, elapsed: Micros) -> FleetSample {
         let ready_workers = self.workers.ready();
         let ready = || ready_workers.iter().map(|&index| &self.workers[index]);
@@ -113,8 +113,8 @@
         self.estimator.set_least_z_star(least);
     }
 
-    /// Number of requests whose last attempt is in flight and does not wait for a load, except those that arrived too
-    /// long ago.
+    /// Number of requests without a final answer whose last attempt is in flight and does not wait for a load, except
+    /// those that arrived too long ago.
     fn queued_requests(&self, now: Micros) -> usize {
         self.requests
             .iter()
@@ -132,19 +132,21 @@
     }
 
     /// Updates the token buckets of the workers in slow start. Where the tenants' quotas are stated, all front ends
-    /// compute the same allowance from them. Otherwise a worker counts as having one core, so that a fleet whose
-    /// workers are all in slow start gets requests at all. In a small fleet it counts as having the cores that all
-    /// front ends keep busy at a worker, estimated from this one's work, if they are more than one.
+    /// compute the same allowance from them. Otherwise a worker's capacity is estimated in cores. In a small fleet
+    /// these are the cores that all front ends together keep busy at a worker, extrapolated from this front end's work,
+    /// but at least one, so that a fleet whose workers are all in slow start gets requests at all. In a large fleet it
+    /// is one core.
     fn refresh_slow_start_buckets(&mut self, now: Micros) {
         let service_times = self.estimator.known_class_service_times();
         let classes = service_times.len();
         let mean_service_time = service_times.iter().sum::<f64>() / classes.max(1) as f64;
-        let observing_front_ends = if self.is_large_fleet() {
+        // The work of all front ends as a multiple of this one's; 0 where it cannot be extrapolated.
+        let extrapolation_factor = if self.is_large_fleet() {
             0.0
         } else {
             f64::from(self.settings.front_ends.max(1))
         };
-        let cores = (self.estimator.work_rate() * observing_front_ends).max(1.0);
+        let cores = (self.estimator.work_rate() * extrapolation_factor).max(1.0);
         let observed = cores * SECOND as f64 / mean_service_time.max(1.0);
         let capacity = self
             .slow_start
--- a/policy/src/virtual_loss.rs
+++ b/policy/src/virtual_loss.rs
@@ -1,9 +1,8 @@
-//! The formula for the probability of a virtual loss. docs/design.md explains it and its variables. No I/O and no
-//! state.
+//! The formula for the probability of a virtual loss, as pure functions. docs/design.md explains it and its variables.
 
-/// A smaller share of busy workers counts as this.
+/// Lower bound of the share of busy workers in the formula.
 const MIN_BUSY: f64 = 0.05;
-/// A larger share of busy workers counts as this.
+/// Upper bound of the share of busy workers in the formula.
 const MAX_BUSY: f64 = 0.95;
 
 /// The paper's effective theta, rho/(1 - rho) (d - 1)/d, where rho is the share of busy workers (`busy`, between 0 and
--- a/policy/src/worker.rs
+++ b/policy/src/worker.rs
@@ -22,7 +22,7 @@
     pub(crate) attempt: usize,
 }
 
-/// The requests in flight at a worker, by its own report or estimated from its answers.
+/// The requests in flight at a worker, by its own report, or estimated from its answers where it sends none.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadReport {
     pub(crate) received_at: Micros,
--- a/policy/src/worker_health.rs
+++ b/policy/src/worker_health.rs
@@ -5,14 +5,15 @@
 const ERROR_WEIGHT: f64 = 0.3;
 /// Error rate beyond which a worker counts as failing: two errors in a row exceed it, one does not.
 const FAILING_ERROR_RATE: f64 = 0.45;
-/// Minimum time between trials (trial requests and polls) of an ejected worker.
+/// Minimum time between two trials: of an ejected worker, by a request or a poll, and of a class whose answers take
+/// longer than clients wait, by a request.
 pub(crate) const TRIAL_INTERVAL: Micros = SECOND;
-/// The trial interval doubles with each unsuccessful trial in a row, at most this many times.
+/// [`TRIAL_INTERVAL`] doubles with each unsuccessful trial in a row, at most this many times.
 pub(crate) const MAX_TRIAL_DOUBLINGS: u32 = 3;
 /// A worker whose connection failed or broke is first polled after this time.
 const POLL_AFTER_BREAK: Micros = TRIAL_INTERVAL / 4;
-/// A worker is an outlier beyond this multiple of the median score: more than machine kinds differ, and more than a few
-/// lost answers add.
+/// A worker whose score exceeds this multiple of the median score is an outlier. Differences between machine kinds, or
+/// a few lost answers, do not raise a score that far.
 pub(crate) const OUTLIER_MULTIPLE: f64 = 3.5;
 /// Score of a worker whose attempts take as long as expected.
 const EXPECTED_SCORE: f64 = 1.0;
@@ -22,7 +23,7 @@
 pub(crate) struct WorkerHealth {
     /// When the worker last served a request; at first the time at which it was listed.
     last_answer: Micros,
-    /// Running mean of the attempts' results relative to what was expected; 1 is as expected, more is worse.
+    /// Running mean of the samples of its attempts (see `outlier_detection`): 1 is as expected, more is worse.
     score: f64,
     /// Whether a connection was refused or not established, and the worker has neither served a request nor answered an
     /// order since.
@@ -127,8 +128,9 @@
         self.last_reset
     }
 
-    /// The worker answered an order: it is reachable. If a connection had failed or broken, the score is lowered to
-    /// [`OUTLIER_MULTIPLE`], so that what the connection alone added to it does not keep the worker ejected.
+    /// The worker answered an order: it is reachable. If a connection had failed or broken, the score is lowered to at
+    /// most [`OUTLIER_MULTIPLE`], at which no worker is an outlier: otherwise the samples of that failure alone could
+    /// keep the worker ejected.
     pub(crate) fn answered_order(&mut self) {
         self.unanswered_polls = 0;
         if self.is_unconfirmed() {
--- a/policy/src/zone_health.rs
+++ b/policy/src/zone_health.rs
@@ -9,14 +9,14 @@
 use crate::types::{Micros, MILLISECOND, SECOND};
 use std::collections::BTreeMap;
 
-/// A connection failure that took less time than this is a refusal by a running machine. It takes longer to give up a
-/// connection attempt that is not accepted, or a connection that is unresponsive.
+/// A connection failure after less time than this is a refusal by a running machine. A machine that is down or cut off
+/// refuses nothing: the connection times out, which takes longer.
 const UNRESPONSIVE_AFTER: Micros = 120 * MILLISECOND;
 /// How long an unresponsive worker counts against its zone.
 const UNRESPONSIVE_LIFETIME: Micros = 4 * SECOND;
-/// With no answer from any other zone for this long, this front end may be cut off itself.
+/// A zone is not considered down if no other zone has answered for this long: this front end may be cut off itself.
 const OTHER_ZONES_ANSWER_WITHIN: Micros = SECOND;
-/// Unresponsive workers for which a zone counts as down; a single one may have stopped alone.
+/// Minimum number of unresponsive workers for a zone to be considered down; a single one may have stopped alone.
 const MIN_UNRESPONSIVE_WORKERS: usize = 2;
 
 #[derive(Debug, Default)]
