--- a/wrenseam/tests/admin_endpoint.rs
+++ b/wrenseam/tests/admin_endpoint.rs
@@ -2,18 +2,18 @@
 //! send no valid line.
 mod common;
 
-use common::{connect, fastcgi, fastcgi_answer, Harness, Protocol};
+use common::{connect, fastcgi_request, read_fastcgi_answer, Harness, Protocol};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
 /// The head of the response to a health check over FastCGI.
 fn health(harness: &Harness) -> String {
-    let mut stream = connect(harness.front);
+    let mut stream = connect(harness.fastcgi_front);
     stream
-        .write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""))
+        .write_all(&fastcgi_request(1, &[("SCRIPT_NAME", "/healthz")], b""))
         .expect("written");
-    fastcgi_answer(&mut stream).expect("an answer").head
+    read_fastcgi_answer(&mut stream).expect("an answer").head
 }
 
 /// Commands that are sent in this order, each with the beginning of its reply.
@@ -52,10 +52,10 @@
 #[test]
 fn a_drain_closes_idle_client_connections() {
     let harness = Harness::new(Protocol::Platform);
-    let mut idle = connect(harness.front);
-    idle.write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""))
+    let mut idle = connect(harness.fastcgi_front);
+    idle.write_all(&fastcgi_request(1, &[("SCRIPT_NAME", "/healthz")], b""))
         .expect("written");
-    fastcgi_answer(&mut idle).expect("an answer");
+    read_fastcgi_answer(&mut idle).expect("an answer");
     assert!(harness.admin_command("evacuate\n").starts_with("YES"));
     let drained_at = Instant::now();
     idle.set_read_timeout(Some(Duration::from_secs(3)))
--- a/wrenseam/tests/closing.rs
+++ b/wrenseam/tests/closing.rs
@@ -1,7 +1,7 @@
 //! Listeners and connections that close while connections or input are still arriving.
 mod common;
 
-use common::{connect, fastcgi, fastcgi_answer, Harness, Protocol, FUNCTION};
+use common::{connect, fastcgi_request, read_fastcgi_answer, Harness, Protocol, FUNCTION};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::atomic::Ordering;
@@ -57,15 +57,15 @@
 #[test]
 fn input_after_the_close_causes_no_reset() {
     let harness = Harness::new(Protocol::Platform);
-    let mut stream = connect(harness.front);
-    let mut bytes = fastcgi(
+    let mut stream = connect(harness.fastcgi_front);
+    let mut bytes = fastcgi_request(
         1,
         &[("SCRIPT_NAME", "/healthz"), ("HTTP_REQ_KEY", FUNCTION)],
         b"",
     );
     bytes[10] = 0; // flags of BEGIN_REQUEST: the connection is not kept
     stream.write_all(&bytes).expect("written");
-    let head = fastcgi_answer(&mut stream).expect("an answer").head;
+    let head = read_fastcgi_answer(&mut stream).expect("an answer").head;
     assert!(head.starts_with("Status: 200"), "{head}");
     assert_eq!(stream.read(&mut [0; 8]).expect("closed without a reset"), 0);
     for _ in 0..2 {
@@ -79,11 +79,11 @@
 #[test]
 fn a_planned_shutdown_closes_kept_connections_in_order() {
     let mut harness = Harness::new(Protocol::Platform);
-    let mut kept = connect(harness.front);
-    kept.write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""))
+    let mut kept = connect(harness.fastcgi_front);
+    kept.write_all(&fastcgi_request(1, &[("SCRIPT_NAME", "/healthz")], b""))
         .expect("written");
-    fastcgi_answer(&mut kept).expect("an answer");
-    let mut open = connect(harness.front);
+    read_fastcgi_answer(&mut kept).expect("an answer");
+    let mut open = connect(harness.fastcgi_front);
     let params = [
         ("SCRIPT_NAME", "/v1/tile-render"),
         ("HTTP_REQ_ID", "00000000000000aa"),
@@ -91,10 +91,11 @@
         ("HTTP_REQ_WAIT_MS", "2500"),
         ("HTTP_REQ_KEY", FUNCTION),
     ];
-    open.write_all(&fastcgi(1, &params, b"x")).expect("written");
+    open.write_all(&fastcgi_request(1, &params, b"x"))
+        .expect("written");
     assert!(harness.terminate());
     assert_eq!(kept.read(&mut [0; 8]).expect("closed without a reset"), 0);
-    let head = fastcgi_answer(&mut open)
+    let head = read_fastcgi_answer(&mut open)
         .expect("an answer before the end")
         .head;
     assert!(head.starts_with("Status: 5"), "{head}");
--- a/wrenseam/tests/common/clients/fastcgi.rs
+++ b/wrenseam/tests/common/clients/fastcgi.rs
@@ -30,7 +30,7 @@
 
 /// One record without padding.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub(crate) fn record(kind: u8, id: u16, content: &[u8]) -> Vec<u8> {
+pub(crate) fn fastcgi_record(kind: u8, id: u16, content: &[u8]) -> Vec<u8> {
     let [id_high, id_low] = id.to_be_bytes();
     let [length_high, length_low] = (content.len() as u16).to_be_bytes();
     let header = [1, kind, id_high, id_low, length_high, length_low, 0, 0];
@@ -39,24 +39,24 @@
 
 /// The record that cancels a request.
 pub(crate) fn abort_request(id: u16) -> Vec<u8> {
-    record(ABORT_REQUEST, id, &[])
+    fastcgi_record(ABORT_REQUEST, id, &[])
 }
 
 /// A record with a piece of a request's body.
 pub(crate) fn stdin_record(id: u16, piece: &[u8]) -> Vec<u8> {
-    record(STDIN, id, piece)
+    fastcgi_record(STDIN, id, piece)
 }
 
 /// A whole request with these parameters, none of which is longer than 127 bytes.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub(crate) fn fastcgi(id: u16, params: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+pub(crate) fn fastcgi_request(id: u16, params: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let params: Vec<u8> = params
         .iter()
         .flat_map(|(name, value)| encode_param(name, value))
         .collect();
-    let mut request = record(BEGIN_REQUEST, id, &RESPONDER);
-    request.extend(record(PARAMS, id, &params));
-    request.extend(record(PARAMS, id, &[]));
+    let mut request = fastcgi_record(BEGIN_REQUEST, id, &RESPONDER);
+    request.extend(fastcgi_record(PARAMS, id, &params));
+    request.extend(fastcgi_record(PARAMS, id, &[]));
     for piece in body.chunks(PIECE) {
         request.extend(stdin_record(id, piece));
     }
@@ -86,12 +86,12 @@
     if let Some(key) = &content.idempotency_key {
         params.push(("HTTP_REQ_TOKEN", key));
     }
-    fastcgi(id as u16, &params, content.body.as_bytes())
+    fastcgi_request(id as u16, &params, content.body.as_bytes())
 }
 
 /// Reads one answer; a record of a kind that none of it has fails the test.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub(crate) fn fastcgi_answer(stream: &mut impl Read) -> io::Result<FastCgiAnswer> {
+pub(crate) fn read_fastcgi_answer(stream: &mut impl Read) -> io::Result<FastCgiAnswer> {
     let mut stdout = Vec::new();
     loop {
         let header = read_bytes(stream, 8)?;
--- a/wrenseam/tests/common/clients/mod.rs
+++ b/wrenseam/tests/common/clients/mod.rs
@@ -5,7 +5,7 @@
 use super::support::http::{read_message, HttpMessage};
 use super::support::sockets::{connect, TEST_TIMEOUT};
 use super::{CallContent, Protocol, FUNCTION, QUIET};
-use fastcgi::{abort_request, fastcgi, fastcgi_answer, stdin_record, OVERLOADED};
+use fastcgi::{abort_request, fastcgi_request, read_fastcgi_answer, stdin_record, OVERLOADED};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -59,7 +59,7 @@
 
 /// The response to an HTTP GET, up to the end of the connection.
 #[allow(dead_code, reason = "each test binary uses its own part")]
-pub(crate) fn get(address: SocketAddr, path: &str) -> String {
+pub(crate) fn http_get(address: SocketAddr, path: &str) -> String {
     let mut stream = connect(address);
     let request = format!("GET {path} HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).expect("written");
@@ -92,7 +92,9 @@
     /// Sends a request but for its last bytes.
     pub(crate) fn send_part(&mut self) {
         let bytes = match self.protocol {
-            Protocol::Platform => fastcgi(1, &[("SCRIPT_NAME", "/v1/tile-render")], b"half"),
+            Protocol::Platform => {
+                fastcgi_request(1, &[("SCRIPT_NAME", "/v1/tile-render")], b"half")
+            }
             Protocol::Kserve => {
                 format!("POST /v2/models/{FUNCTION}/infer HTTP/1.1\r\nHost: t\r\n").into_bytes()
             }
@@ -150,15 +152,15 @@
     }
 
     /// The next final answer; a rejection must say when to retry, and a v2 error must be an error object.
-    pub(crate) fn answer(&mut self, context: &str) -> ClientAnswer {
+    pub(crate) fn read_answer(&mut self, context: &str) -> ClientAnswer {
         match self.protocol {
-            Protocol::Platform => self.fastcgi_answer(context),
-            Protocol::Kserve => self.v2_answer(context),
+            Protocol::Platform => self.read_fastcgi_answer(context),
+            Protocol::Kserve => self.read_v2_answer(context),
         }
     }
 
-    fn fastcgi_answer(&mut self, context: &str) -> ClientAnswer {
-        let answer = fastcgi_answer(&mut self.stream).expect(context);
+    fn read_fastcgi_answer(&mut self, context: &str) -> ClientAnswer {
+        let answer = read_fastcgi_answer(&mut self.stream).expect(context);
         if answer.head.contains(" 200 ") {
             return ClientAnswer::Served(v2::text_of(&answer.body));
         }
@@ -171,7 +173,7 @@
         ClientAnswer::Rejected
     }
 
-    fn v2_answer(&mut self, context: &str) -> ClientAnswer {
+    fn read_v2_answer(&mut self, context: &str) -> ClientAnswer {
         let HttpMessage { head, body } = read_message(&mut self.stream).expect(context);
         if head.contains(" 200 ") {
             return ClientAnswer::Served(v2::text_of(&body));
--- a/wrenseam/tests/common/config.rs
+++ b/wrenseam/tests/common/config.rs
@@ -1,5 +1,5 @@
 //! The configuration files of a program between stand-in workers and discovery services.
-use super::program::{write_file, SETTINGS};
+use super::program::{write_file, POLICY_SETTINGS};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -73,7 +73,7 @@
 /// The program's configuration, with a place for the address of a discovery service.
 pub(crate) fn config_template(instances: &str) -> String {
     format!(
-        r#"{{"name":"t","seed":"2a","admin":"127.0.0.1:0","limits":{{"memory_mb":192,"sockets":256}},"settings":{SETTINGS},
+        r#"{{"name":"t","seed":"2a","admin":"127.0.0.1:0","limits":{{"memory_mb":192,"sockets":256}},"settings":{POLICY_SETTINGS},
                 "board":"{DISCOVERY_PLACEHOLDER}","known":{{"rev":1,"notices":[{{"rev":1,"pool":{{"reset":true,"instances":[{instances}]}}}}]}}}}"#
     )
 }
--- a/wrenseam/tests/common/fleet.rs
+++ b/wrenseam/tests/common/fleet.rs
@@ -1,6 +1,6 @@
 //! Several processes of the program that gossip on loopback; there are no workers.
 use super::program::{
-    admin_command, create_folder, create_run_folder, write_file, Program, SETTINGS,
+    admin_command, create_folder, create_run_folder, write_file, Program, POLICY_SETTINGS,
 };
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -79,7 +79,7 @@
 
     fn write_config(&self, index: usize) -> PathBuf {
         let text = format!(
-            r#"{{"name":"f{index}","seed":"{index:x}","admin":"127.0.0.1:0","limits":{{"memory_mb":192,"sockets":256}},"settings":{SETTINGS},"known":{{"rev":0,"notices":[]}}}}"#
+            r#"{{"name":"f{index}","seed":"{index:x}","admin":"127.0.0.1:0","limits":{{"memory_mb":192,"sockets":256}},"settings":{POLICY_SETTINGS},"known":{{"rev":0,"notices":[]}}}}"#
         );
         write_file(self.folder.join(format!("config-{index}.json")), &text)
     }
@@ -97,7 +97,7 @@
     }
 
     /// Whether a process still runs.
-    pub(crate) fn running(&mut self, index: usize) -> bool {
+    pub(crate) fn is_running(&mut self, index: usize) -> bool {
         self.nodes[index].program.is_running()
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Waits until a process counts so many peers alive; how long that took.
-    pub(crate) fn until_peers(&self, index: usize, peers: u64, within: Duration) -> Duration {
+    pub(crate) fn wait_for_peers(&self, index: usize, peers: u64, within: Duration) -> Duration {
         let since = Instant::now();
         loop {
             let counted = self.figure(index, "app.fleet.peers");
--- a/wrenseam/tests/common/harness.rs
+++ b/wrenseam/tests/common/harness.rs
@@ -1,5 +1,5 @@
 //! The program between stand-in workers and discovery services, and what it listens on.
-use super::clients::get;
+use super::clients::http_get;
 use super::config::{
     changed, config_template, endpoints, instances, write_kserve_files, zone_index, ConfigFile,
     WORKERS,
@@ -24,11 +24,11 @@
 pub(crate) struct Harness {
     program: Program,
     /// Where FastCGI clients connect.
-    pub(crate) front: SocketAddr,
+    pub(crate) fastcgi_front: SocketAddr,
     /// Where KServe v2 clients connect.
-    pub(crate) kserve: SocketAddr,
+    pub(crate) kserve_front: SocketAddr,
     /// The administration API, over HTTP.
-    pub(crate) admin: SocketAddr,
+    pub(crate) admin_api: SocketAddr,
     /// The admin endpoint, which reads command lines.
     #[allow(dead_code, reason = "each test binary uses its own part")]
     pub(crate) admin_endpoint: SocketAddr,
@@ -45,11 +45,11 @@
 impl Harness {
     /// Starts the program with workers of this protocol.
     pub(crate) fn new(workers: Protocol) -> Harness {
-        Harness::with(workers, &[])
+        Harness::with_config_changes(workers, &[])
     }
 
     /// Starts it with a configuration in which each first text is replaced by the second.
-    pub(crate) fn with(workers: Protocol, changes: &[(&str, &str)]) -> Harness {
+    pub(crate) fn with_config_changes(workers: Protocol, changes: &[(&str, &str)]) -> Harness {
         let folder = create_run_folder("");
         let (received, calls) = channel();
         let orders = Arc::<OrderControl>::default();
@@ -71,9 +71,9 @@
         let environment = [("WRENSEAM_KSERVE", kserve_config.as_os_str())];
         let mut program = Program::start(&folder, &config.path, &environment);
         let harness = Harness {
-            front: program.next_listen_address(),
-            kserve: program.next_listen_address(),
-            admin: program.next_listen_address(),
+            fastcgi_front: program.next_listen_address(),
+            kserve_front: program.next_listen_address(),
+            admin_api: program.next_listen_address(),
             admin_endpoint: program.next_listen_address(),
             program,
             calls,
@@ -87,7 +87,7 @@
 
     fn wait_until_started(mut self) -> Harness {
         self.program.forward_log("program".to_owned());
-        while !get(self.admin, "/healthz").starts_with("HTTP/1.1 200") {
+        while !http_get(self.admin_api, "/healthz").starts_with("HTTP/1.1 200") {
             std::thread::sleep(POLL_INTERVAL);
         }
         self
@@ -158,7 +158,7 @@
     pub(crate) fn wait_for_endpoint(&self, worker: &str, state: &str, context: &str) {
         let since = Instant::now();
         loop {
-            let response = get(self.admin, "/v1/state");
+            let response = http_get(self.admin_api, "/v1/state");
             if endpoint_state(&response, worker).as_deref() == Some(state) {
                 return;
             }
--- a/wrenseam/tests/common/mod.rs
+++ b/wrenseam/tests/common/mod.rs
@@ -14,12 +14,12 @@
 #[allow(unused_imports, reason = "each test binary uses its own part")]
 pub(crate) use {
     clients::{
-        fastcgi::{fastcgi, fastcgi_answer, record},
-        get,
+        fastcgi::{fastcgi_record, fastcgi_request, read_fastcgi_answer},
+        http_get,
     },
     fleet::Fleet,
     harness::Harness,
-    program::{admin_command, SETTINGS},
+    program::{admin_command, POLICY_SETTINGS},
     support::sockets::connect,
 };
 
--- a/wrenseam/tests/common/program.rs
+++ b/wrenseam/tests/common/program.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// The policy's settings in the configuration of each test.
-pub(crate) const SETTINGS: &str = r#"{"balancers":1,"classes":[
+pub(crate) const POLICY_SETTINGS: &str = r#"{"balancers":1,"classes":[
  {"effect":"retryable","goal-time":400,"key-scope":"all","memory-span":5000,"name":"tile-render","worth":1},
  {"effect":"dedup","goal-time":400,"key-scope":"zone","memory-span":5000,"name":"tile-order","worth":3}],
  "failure-domains":["hall-a","hall-b"],"flavors":["std"],"tenants":[{"name":"acme","portion":1,"quota-per-s":70}],
--- a/wrenseam/tests/common/scenario/interpreter.rs
+++ b/wrenseam/tests/common/scenario/interpreter.rs
@@ -28,8 +28,8 @@
     /// Begins a scenario with a client connected to one front.
     pub(crate) fn new(harness: &'h Harness, front: Protocol) -> Interpreter<'h> {
         let front_address = match front {
-            Protocol::Platform => harness.front,
-            Protocol::Kserve => harness.kserve,
+            Protocol::Platform => harness.fastcgi_front,
+            Protocol::Kserve => harness.kserve_front,
         };
         Interpreter {
             harness,
@@ -76,7 +76,7 @@
             ClientStep::Close => self.client.close(),
             ClientStep::Abort => self.client.abort(),
             ClientStep::ExpectAnswer(expected) => {
-                let answer = self.client.answer(&self.context);
+                let answer = self.client.read_answer(&self.context);
                 assert_eq!(answer, expected, "{}", self.context);
                 self.transcript.push(format!("client {answer:?}"));
             }
--- a/wrenseam/tests/descriptors.rs
+++ b/wrenseam/tests/descriptors.rs
@@ -3,7 +3,7 @@
 //! limit from its configuration.
 mod common;
 
-use common::{connect, fastcgi, fastcgi_answer, Harness, Protocol, FUNCTION};
+use common::{connect, fastcgi_request, read_fastcgi_answer, Harness, Protocol, FUNCTION};
 use rstest::rstest;
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -51,10 +51,10 @@
         ("HTTP_REQ_WAIT_MS", "2000"),
         ("HTTP_REQ_KEY", FUNCTION),
     ];
-    let mut stream = connect(harness.front);
-    let sent = stream.write_all(&fastcgi(1, &params, b"x")).is_ok();
+    let mut stream = connect(harness.fastcgi_front);
+    let sent = stream.write_all(&fastcgi_request(1, &params, b"x")).is_ok();
     sent && harness.answer_next_call("tile-render")
-        && fastcgi_answer(&mut stream).is_ok_and(|a| a.head.contains(" 200 "))
+        && read_fastcgi_answer(&mut stream).is_ok_and(|a| a.head.contains(" 200 "))
 }
 
 #[rstest]
@@ -80,7 +80,7 @@
         .as_socket()
         .expect("an address");
     let limit = format!(r#""sockets":{sockets}"#);
-    let harness = Harness::with(
+    let harness = Harness::with_config_changes(
         Protocol::Platform,
         &[
             (r#""sockets":256"#, &limit),
@@ -89,7 +89,7 @@
     );
     let (stop, opened): (Arc<AtomicBool>, Arc<AtomicUsize>) = Default::default();
     for _ in 0..2 {
-        open_connections(harness.front, sockets, stop.clone(), opened.clone());
+        open_connections(harness.fastcgi_front, sockets, stop.clone(), opened.clone());
     }
     let mut peak = 0;
     while opened.load(Ordering::Acquire) < 6 * sockets || peak < sockets * 6 / 10 {
--- a/wrenseam/tests/eviction.rs
+++ b/wrenseam/tests/eviction.rs
@@ -3,7 +3,7 @@
 //! answer, as the client would send it again and it would run twice.
 mod common;
 
-use common::{connect, fastcgi, fastcgi_answer, Harness, Protocol, FUNCTION};
+use common::{connect, fastcgi_request, read_fastcgi_answer, Harness, Protocol, FUNCTION};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -31,7 +31,7 @@
                 ("HTTP_REQ_WAIT_MS", &wait),
                 ("HTTP_REQ_KEY", FUNCTION),
             ];
-            fastcgi(id, &params, b"x")
+            fastcgi_request(id, &params, b"x")
         }
         Protocol::Kserve => {
             let body = format!(
@@ -48,7 +48,7 @@
 /// Whether the connection delivers a response.
 fn receives_response(front: Protocol, stream: &mut TcpStream) -> bool {
     match front {
-        Protocol::Platform => fastcgi_answer(stream).is_ok(),
+        Protocol::Platform => read_fastcgi_answer(stream).is_ok(),
         Protocol::Kserve => {
             let mut start = [0; 12];
             let has_status =
@@ -82,14 +82,14 @@
     #[values(Protocol::Platform, Protocol::Kserve)] front: Protocol,
 ) {
     let unsafe_class = (r#""effect":"retryable""#, r#""effect":"fragile""#);
-    let harness = Harness::with(
+    let harness = Harness::with_config_changes(
         Protocol::Platform,
         &[(r#""sockets":256"#, r#""sockets":64"#), unsafe_class],
     );
     let address = if front == Protocol::Platform {
-        harness.front
+        harness.fastcgi_front
     } else {
-        harness.kserve
+        harness.kserve_front
     };
     let mut connections: Vec<TcpStream> = (0..MAX_CONNECTIONS)
         .map(|n| connect_with_valid_request(front, address, n as u16 + 1))
--- a/wrenseam/tests/fleet.rs
+++ b/wrenseam/tests/fleet.rs
@@ -16,7 +16,7 @@
 fn all_processes_find_each_other(#[case] count: usize) {
     let fleet = Fleet::new(count);
     for i in 0..count {
-        fleet.until_peers(i, count as u64 - 1, JOIN_TIMEOUT);
+        fleet.wait_for_peers(i, count as u64 - 1, JOIN_TIMEOUT);
     }
 }
 
@@ -26,17 +26,17 @@
 fn killed_process_is_declared_down_and_rejoins(#[case] victim: usize) {
     let mut fleet = Fleet::new(3);
     (0..3).for_each(|i| {
-        fleet.until_peers(i, 2, JOIN_TIMEOUT);
+        fleet.wait_for_peers(i, 2, JOIN_TIMEOUT);
     });
     fleet.kill(victim);
     for i in (0..3).filter(|&i| i != victim) {
-        let took = fleet.until_peers(i, 1, DOWN_TIMEOUT);
+        let took = fleet.wait_for_peers(i, 1, DOWN_TIMEOUT);
         eprintln!("f{i} declared f{victim} down after {} ms", took.as_millis());
     }
     let seed = (victim + 1) % 3;
     fleet.restart(victim, seed);
     for i in 0..3 {
-        fleet.until_peers(i, 2, JOIN_TIMEOUT);
+        fleet.wait_for_peers(i, 2, JOIN_TIMEOUT);
     }
 }
 
@@ -48,7 +48,7 @@
 fn invalid_datagrams_end_no_process(#[case] bytes: Vec<u8>) {
     let mut fleet = Fleet::new(3);
     (0..3).for_each(|i| {
-        fleet.until_peers(i, 2, JOIN_TIMEOUT);
+        fleet.wait_for_peers(i, 2, JOIN_TIMEOUT);
     });
     let socket = UdpSocket::bind("127.0.0.1:0").expect("bind a UDP socket");
     for _ in 0..200 {
@@ -61,7 +61,7 @@
     // Lets some probe periods pass, so that the counts of peers show an effect if there is one.
     std::thread::sleep(Duration::from_millis(500));
     for i in 0..3 {
-        assert!(fleet.running(i), "process f{i} ended");
-        fleet.until_peers(i, 2, JOIN_TIMEOUT);
+        assert!(fleet.is_running(i), "process f{i} ended");
+        fleet.wait_for_peers(i, 2, JOIN_TIMEOUT);
     }
 }
--- a/wrenseam/tests/golden_admin.rs
+++ b/wrenseam/tests/golden_admin.rs
@@ -3,7 +3,7 @@
 //! for byte.
 mod common;
 
-use common::{connect, get, Fleet, Harness, Protocol};
+use common::{connect, http_get, Fleet, Harness, Protocol};
 use rstest::rstest;
 use std::io::{Read, Write};
 use wrenseam::config;
@@ -214,7 +214,7 @@
          app.members_unavailable:1|g\n\
          END\n",
     );
-    let state = get(harness.admin, "/v1/state");
+    let state = http_get(harness.admin_api, "/v1/state");
     let (head, body) = state.split_once("\r\n\r\n").expect("a body");
     assert_golden(
         &mask_numbers_after(head, "Content-Length: "),
@@ -288,7 +288,7 @@
 #[test]
 fn state_of_v2_workers_keeps_its_text() {
     let harness = Harness::new(Protocol::Kserve);
-    let state = get(harness.admin, "/v1/state");
+    let state = http_get(harness.admin_api, "/v1/state");
     let body = state.split_once("\r\n\r\n").expect("a body").1;
     assert_golden(&with_endpoints_sorted(&mask_numbers_after(body, "127.0.0.1:")), "{\"endpoints\":[{\"address\":\"127.0.0.1:N\",\"name\":\"127.0.0.1:N\",\"speech\":\"kserve\",\"state\":\"ready\",\"zone\":\"hall-a\"},{\"address\":\"127.0.0.1:N\",\"name\":\"127.0.0.1:N\",\"speech\":\"kserve\",\"state\":\"ready\",\"zone\":\"hall-a\"},{\"address\":\"127.0.0.1:N\",\"name\":\"127.0.0.1:N\",\"speech\":\"kserve\",\"state\":\"ready\",\"zone\":\"hall-b\"},{\"address\":\"127.0.0.1:N\",\"name\":\"127.0.0.1:N\",\"speech\":\"kserve\",\"state\":\"ready\",\"zone\":\"hall-b\"}],\"open_requests\":0,\"tenants\":[{\"asked\":0,\"failed\":0,\"name\":\"acme\",\"quota_per_s\":70.0,\"refused\":0,\"served\":0,\"withdrawn\":0},{\"asked\":0,\"failed\":0,\"name\":\"(unknown)\",\"quota_per_s\":0.0,\"refused\":0,\"served\":0,\"withdrawn\":0}]}");
 }
@@ -314,7 +314,7 @@
 )]
 fn administration_responses_keep_their_bytes(#[case] path: &str, #[case] golden: &str) {
     let harness = Harness::new(Protocol::Platform);
-    assert_golden(&get(harness.admin, path), golden);
+    assert_golden(&http_get(harness.admin_api, path), golden);
 }
 
 #[test]
@@ -322,7 +322,7 @@
     let harness = Harness::new(Protocol::Platform);
     assert_eq!(harness.admin_command("evacuate\n"), "YES draining\n");
     assert_golden(
-        &get(harness.admin, "/healthz"),
+        &http_get(harness.admin_api, "/healthz"),
         "HTTP/1.1 503 Service Unavailable\r\n\
          Content-Type: application/json\r\n\
          Content-Length: 15\r\n\
@@ -336,7 +336,7 @@
 #[test]
 fn administration_is_read_only() {
     let harness = Harness::new(Protocol::Platform);
-    let mut stream = connect(harness.admin);
+    let mut stream = connect(harness.admin_api);
     stream
         .write_all(b"DELETE /v1/state HTTP/1.1\r\nConnection: close\r\n\r\n")
         .expect("written");
--- a/wrenseam/tests/golden_fronts.rs
+++ b/wrenseam/tests/golden_fronts.rs
@@ -1,7 +1,7 @@
 //! Golden bytes of the responses to clients: FastCGI records, and the heads and bodies of KServe v2 responses.
 mod common;
 
-use common::{connect, fastcgi, get, record, Harness, Protocol, FUNCTION};
+use common::{connect, fastcgi_record, fastcgi_request, http_get, Harness, Protocol, FUNCTION};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -63,9 +63,9 @@
 
 /// Sends a FastCGI request, runs the steps of `workers`, and returns the raw bytes of the response.
 fn fastcgi_exchange(harness: &Harness, params: &[(&str, &str)], workers: &str) -> Vec<u8> {
-    let mut stream = connect(harness.front);
+    let mut stream = connect(harness.fastcgi_front);
     stream
-        .write_all(&fastcgi(0x0102, params, b"one"))
+        .write_all(&fastcgi_request(0x0102, params, b"one"))
         .expect("written");
     harness.run_scenario(Protocol::Platform, workers);
     raw_response(&mut stream)
@@ -115,12 +115,12 @@
 #[test]
 fn fastcgi_rejection_in_a_shutdown_keeps_its_bytes() {
     let harness = Harness::new(Protocol::Platform);
-    let mut stream = connect(harness.front);
-    let open = fastcgi(1, &request_params("/v1/tile-render", None), b"one");
+    let mut stream = connect(harness.fastcgi_front);
+    let open = fastcgi_request(1, &request_params("/v1/tile-render", None), b"one");
     stream.write_all(&open).expect("written");
     harness.run_scenario(Protocol::Platform, "worker expect tile-render - one");
     harness.signal("-TERM");
-    let keyless = fastcgi(0x0102, &request_params("/v1/tile-order", None), b"one");
+    let keyless = fastcgi_request(0x0102, &request_params("/v1/tile-order", None), b"one");
     let since = Instant::now();
     loop {
         stream.write_all(&keyless).expect("written");
@@ -141,8 +141,8 @@
 #[test]
 fn fastcgi_overload_and_unknown_roles_keep_their_bytes() {
     let harness = Harness::new(Protocol::Platform);
-    let mut stream = connect(harness.front);
-    let begin = |id, role| record(BEGIN_REQUEST, id, &[0, role, 1, 0, 0, 0, 0, 0]);
+    let mut stream = connect(harness.fastcgi_front);
+    let begin = |id, role| fastcgi_record(BEGIN_REQUEST, id, &[0, role, 1, 0, 0, 0, 0, 0]);
     stream.write_all(&begin(0x0201, 2)).expect("written");
     assert_golden(
         &raw_response(&mut stream),
@@ -160,7 +160,7 @@
 #[test]
 fn fastcgi_management_records_keep_their_bytes() {
     let harness = Harness::new(Protocol::Platform);
-    let mut stream = connect(harness.front);
+    let mut stream = connect(harness.fastcgi_front);
     let names = [
         "FCGI_MAX_CONNS",
         "FCGI_MAX_REQS",
@@ -172,11 +172,11 @@
         .flat_map(|name| [&[name.len() as u8, 0], name.as_bytes()].concat())
         .collect();
     stream
-        .write_all(&record(GET_VALUES, 0, &asked))
+        .write_all(&fastcgi_record(GET_VALUES, 0, &asked))
         .expect("written");
     assert_golden(&raw_record(&mut stream), b"\x01\n\x00\x00\x007\x00\x00\x0e\x02FCGI_MAX_CONNS92\r\x04FCGI_MAX_REQS2944\x0f\x01FCGI_MPXS_CONNS1");
     stream
-        .write_all(&record(UNKNOWN_RECORD_TYPE, 0, &[]))
+        .write_all(&fastcgi_record(UNKNOWN_RECORD_TYPE, 0, &[]))
         .expect("written");
     assert_golden(
         &raw_record(&mut stream),
@@ -283,7 +283,7 @@
     #[case] golden: &[u8],
 ) {
     let harness = Harness::new(workers);
-    let response = http_exchange(harness.kserve, &infer_request(&body), || {
+    let response = http_exchange(harness.kserve_front, &infer_request(&body), || {
         harness.run_scenario(Protocol::Platform, steps);
     });
     assert_golden(&response, golden);
@@ -372,7 +372,10 @@
         assert_eq!(harness.admin_command("evacuate\n"), "YES draining\n");
     }
     for (path, golden) in paths {
-        assert_golden(get(harness.kserve, path).as_bytes(), golden.as_bytes());
+        assert_golden(
+            http_get(harness.kserve_front, path).as_bytes(),
+            golden.as_bytes(),
+        );
     }
 }
 
@@ -410,7 +413,7 @@
 ) {
     let harness = Harness::new(Protocol::Platform);
     assert_golden(
-        &http_exchange(harness.kserve, request.as_bytes(), || ()),
+        &http_exchange(harness.kserve_front, request.as_bytes(), || ()),
         golden,
     );
 }
--- a/wrenseam/tests/golden_handover.rs
+++ b/wrenseam/tests/golden_handover.rs
@@ -3,7 +3,7 @@
 //! during a replacement.
 mod common;
 
-use common::{get, Harness, Protocol};
+use common::{http_get, Harness, Protocol};
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -175,10 +175,10 @@
     );
     assert_eq!(read(&path), own);
     let since = Instant::now();
-    let mut state = get(successor.admin, "/v1/state");
+    let mut state = http_get(successor.admin, "/v1/state");
     while !state.contains(r#""name":"w0""#) {
         assert!(since.elapsed() < WAIT_TIMEOUT, "{state}");
-        state = get(successor.admin, "/v1/state");
+        state = http_get(successor.admin, "/v1/state");
     }
     let draining = state.matches(r#""state":"draining""#).count();
     assert_eq!(draining, excluded_workers().len(), "{state}");
--- a/wrenseam/tests/large_list.rs
+++ b/wrenseam/tests/large_list.rs
@@ -2,7 +2,7 @@
 //! Both are printed: `cargo test --release -p wrenseam --test large_list -- --nocapture --test-threads 1`.
 mod common;
 
-use common::{connect, fastcgi, fastcgi_answer};
+use common::{connect, fastcgi_request, read_fastcgi_answer};
 use rstest::rstest;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -62,7 +62,7 @@
             .join(format!("list-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let config = folder.join("config.json");
-        let settings = common::SETTINGS;
+        let settings = common::POLICY_SETTINGS;
         let content = format!(
             r#"{{"name":"t","seed":"2a","admin":"127.0.0.1:0","limits":{{"memory_mb":{memory_mb},"sockets":1024}},"settings":{settings},"board":"{discovery}","known":{{"rev":0,"notices":[{known}]}}}}"#
         );
@@ -96,11 +96,11 @@
     /// Waits until the FastCGI front reports readiness; the program must have this many workers then.
     fn wait_until_ready(&self, workers: usize) {
         let since = Instant::now();
-        let health = fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b"");
+        let health = fastcgi_request(1, &[("SCRIPT_NAME", "/healthz")], b"");
         loop {
             let mut stream: TcpStream = connect(self.2);
             stream.write_all(&health).expect("written");
-            if fastcgi_answer(&mut stream).is_ok_and(|a| a.head.contains(" 200 ")) {
+            if read_fastcgi_answer(&mut stream).is_ok_and(|a| a.head.contains(" 200 ")) {
                 break;
             }
             assert!(
--- a/wrenseam/tests/leaving.rs
+++ b/wrenseam/tests/leaving.rs
@@ -3,7 +3,7 @@
 //! connection itself can notice it.
 mod common;
 
-use common::{connect, fastcgi, record, Harness, Protocol, FUNCTION};
+use common::{connect, fastcgi_record, fastcgi_request, Harness, Protocol, FUNCTION};
 use rstest::rstest;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -80,7 +80,7 @@
     /// Makes the client leave as `how` says, and waits until the connection's state shows it.
     fn leave(mut self, how: &str) -> Arc<Request> {
         let input = match how {
-            "aborts" => record(2, 1, &[]),
+            "aborts" => fastcgi_record(2, 1, &[]),
             "sends a request and closes" => request_bytes(V2),
             _ => Vec::new(),
         };
@@ -118,7 +118,7 @@
         ("HTTP_REQ_KEY", FUNCTION),
     ];
     if front == Platform {
-        return fastcgi(1, &params, b"x");
+        return fastcgi_request(1, &params, b"x");
     }
     let body =
         r#"{"parameters":{"class":"tile-render","tenant":"acme","wait_ms":20000},"inputs":[]}"#;
@@ -323,7 +323,7 @@
         how => (format!("client {how}\nwait 100"), "worker expect nothing"),
     };
     eprintln!("request waits {name}");
-    Harness::with(Platform, &[(from, to)]).run_scenario(
+    Harness::with_config_changes(Platform, &[(from, to)]).run_scenario(
         front,
         &format!("{}\n{then}", lines.replace("LEAVE", &leave)),
     );
--- a/wrenseam/tests/program.rs
+++ b/wrenseam/tests/program.rs
@@ -1,7 +1,10 @@
 //! The program at its edges: unusual input, idle connections, health, administration and graceful shutdown.
 mod common;
 
-use common::{connect, fastcgi, fastcgi_answer, get, record, Harness, Protocol, FUNCTION};
+use common::{
+    connect, fastcgi_record, fastcgi_request, http_get, read_fastcgi_answer, Harness, Protocol,
+    FUNCTION,
+};
 use rstest::rstest;
 use std::io::{Read, Write};
 
@@ -20,36 +23,36 @@
 fn with(name: &'static str, value: &'static str) -> Vec<u8> {
     let mut params: Params = params("900").into_iter().filter(|p| p.0 != name).collect();
     params.push((name, value));
-    fastcgi(1, &params, b"")
+    fastcgi_request(1, &params, b"")
 }
 
 /// What cannot be served is answered, and the connection stays usable.
 #[rstest]
-#[case::body_too_long(fastcgi(1, &params("900"), &[7; 17_000]), "Status: 400", 0)]
-#[case::timeout_is_no_number(fastcgi(1, &params("soon"), b""), "Status: 400", 0)]
+#[case::body_too_long(fastcgi_request(1, &params("900"), &[7; 17_000]), "Status: 400", 0)]
+#[case::timeout_is_no_number(fastcgi_request(1, &params("soon"), b""), "Status: 400", 0)]
 // Numbers that are out of range must not reach the clock or the policy.
-#[case::infinite_timeout(fastcgi(1, &params("inf"), b""), "Status: 400", 0)]
-#[case::huge_timeout(fastcgi(1, &params("1e300"), b""), "Status: 400", 0)]
-#[case::negative_timeout(fastcgi(1, &params("-5"), b""), "Status: 400", 0)]
+#[case::infinite_timeout(fastcgi_request(1, &params("inf"), b""), "Status: 400", 0)]
+#[case::huge_timeout(fastcgi_request(1, &params("1e300"), b""), "Status: 400", 0)]
+#[case::negative_timeout(fastcgi_request(1, &params("-5"), b""), "Status: 400", 0)]
 #[case::memory_is_no_number(with("HTTP_X_MORE", "memory_mb:NaN;lanes:2"), "Status: 400", 0)]
 #[case::negative_memory(with("HTTP_X_MORE", "memory_mb:-1"), "Status: 400", 0)]
 #[case::huge_concurrency(with("HTTP_X_MORE", "lanes:1e9"), "Status: 400", 0)]
 #[case::load_time_is_no_number(with("HTTP_X_MORE", "load_ms:soon"), "Status: 400", 0)]
 #[case::unknown_tenant(with("HTTP_REQ_OWNER", "nobody"), "Status: 500", 0)]
 #[case::unknown_class(with("SCRIPT_NAME", "/v1/other"), "Status: 500", 0)]
-#[case::no_parameters(fastcgi(1, &[], b""), "Status: 400", 0)]
-#[case::unknown_role(record(1, 1, &[0, 2, 1, 0, 0, 0, 0, 0]), "", 3)]
-#[case::health(fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""), "Status: 200", 0)]
+#[case::no_parameters(fastcgi_request(1, &[], b""), "Status: 400", 0)]
+#[case::unknown_role(fastcgi_record(1, 1, &[0, 2, 1, 0, 0, 0, 0, 0]), "", 3)]
+#[case::health(fastcgi_request(1, &[("SCRIPT_NAME", "/healthz")], b""), "Status: 200", 0)]
 fn unusual_fastcgi_requests_are_answered(
     #[case] bytes: Vec<u8>,
     #[case] head: &str,
     #[case] status: u8,
 ) {
     let harness = Harness::new(Protocol::Platform);
-    let mut stream = connect(harness.front);
+    let mut stream = connect(harness.fastcgi_front);
     for _ in 0..2 {
         stream.write_all(&bytes).expect("written");
-        let answer = fastcgi_answer(&mut stream).expect("an answer");
+        let answer = read_fastcgi_answer(&mut stream).expect("an answer");
         assert!(
             answer.head.starts_with(head) && answer.protocol_status == status,
             "{answer:?}"
@@ -60,11 +63,11 @@
 /// A violation of the protocol ends its connection, and no other.
 #[rstest]
 #[case::not_fastcgi(b"GET / HTTP/1.1\r\n\r\n".to_vec())]
-#[case::begun_twice([record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0]), record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0])].concat())]
-#[case::begin_cut_short(record(1, 1, &[0, 1]))]
+#[case::begun_twice([fastcgi_record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0]), fastcgi_record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0])].concat())]
+#[case::begin_cut_short(fastcgi_record(1, 1, &[0, 1]))]
 fn protocol_violations_end_the_connection(#[case] bytes: Vec<u8>) {
     let harness = Harness::new(Protocol::Platform);
-    let mut stream = connect(harness.front);
+    let mut stream = connect(harness.fastcgi_front);
     stream.write_all(&bytes).expect("written");
     assert_eq!(stream.read(&mut [0; 64]).unwrap_or(0), 0);
     harness.run_scenario(Protocol::Platform, SERVED);
@@ -89,7 +92,7 @@
 )]
 fn invalid_http_is_answered(#[case] bytes: &str, #[case] status: &str) {
     let harness = Harness::new(Protocol::Kserve);
-    let mut stream = connect(harness.kserve);
+    let mut stream = connect(harness.kserve_front);
     stream.write_all(bytes.as_bytes()).expect("written");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
@@ -119,19 +122,19 @@
 fn an_open_request_keeps_its_id() {
     let harness = Harness::new(Protocol::Platform);
     harness.run_scenario(Protocol::Platform, SERVED);
-    let mut stream = connect(harness.front);
+    let mut stream = connect(harness.fastcgi_front);
     for (id, body) in [(1, b"first"), (2, b"other")] {
         stream
-            .write_all(&fastcgi(id, &params("5000"), body))
+            .write_all(&fastcgi_request(id, &params("5000"), body))
             .expect("written");
     }
-    let head = fastcgi_answer(&mut stream).expect("an answer").head;
+    let head = read_fastcgi_answer(&mut stream).expect("an answer").head;
     assert!(head.starts_with("Status: 500"), "{head}");
     harness.run_scenario(
         Protocol::Platform,
         "worker expect tile-render - first\nworker send ok DONE",
     );
-    let answer = fastcgi_answer(&mut stream).expect("an answer");
+    let answer = read_fastcgi_answer(&mut stream).expect("an answer");
     let (head, body) = (answer.head, answer.body);
     assert!(head.starts_with("Status: 200") && body == b"DONE", "{head}");
 }
@@ -156,13 +159,13 @@
         ),
         ("/v2/models/7f3a9c21e0b4d655", r#""platform":"wrenseam""#),
     ] {
-        let answer = get(harness.kserve, path);
+        let answer = http_get(harness.kserve_front, path);
         assert!(
             answer.starts_with("HTTP/1.1 200") && answer.contains(expected),
             "{path}: {answer}"
         );
     }
-    let state = get(harness.admin, "/v1/state");
+    let state = http_get(harness.admin_api, "/v1/state");
     assert!(
         state.contains(r#""asked":1"#) && state.contains(r#""speech":"kserve""#),
         "{state}"
@@ -174,12 +177,12 @@
 fn graceful_shutdown_answers_accepted_requests() {
     let mut harness = Harness::new(Protocol::Platform);
     harness.run_scenario(Protocol::Platform, SERVED);
-    let mut stream = connect(harness.front);
+    let mut stream = connect(harness.fastcgi_front);
     stream
-        .write_all(&fastcgi(1, &params("1200"), b"open"))
+        .write_all(&fastcgi_request(1, &params("1200"), b"open"))
         .expect("written");
     assert!(harness.terminate());
-    let head = fastcgi_answer(&mut stream)
+    let head = read_fastcgi_answer(&mut stream)
         .expect("an answer before the end")
         .head;
     assert!(head.starts_with("Status: 5"), "{head}");
@@ -190,14 +193,16 @@
 fn an_aborted_request_gets_no_answer() {
     let harness = Harness::new(Protocol::Platform);
     harness.run_scenario(Protocol::Platform, SERVED);
-    let mut stream = connect(harness.front);
+    let mut stream = connect(harness.fastcgi_front);
     stream
-        .write_all(&fastcgi(1, &params("60000"), b"given up"))
+        .write_all(&fastcgi_request(1, &params("60000"), b"given up"))
         .expect("written");
-    stream.write_all(&record(2, 1, &[])).expect("written");
     stream
-        .write_all(&fastcgi(1, &[("SCRIPT_NAME", "/healthz")], b""))
+        .write_all(&fastcgi_record(2, 1, &[]))
         .expect("written");
-    let head = fastcgi_answer(&mut stream).expect("an answer").head;
+    stream
+        .write_all(&fastcgi_request(1, &[("SCRIPT_NAME", "/healthz")], b""))
+        .expect("written");
+    let head = read_fastcgi_answer(&mut stream).expect("an answer").head;
     assert!(head.starts_with("Status: 200"), "{head}");
 }
