--- a/wrenseam/tests/common/clients/fastcgi.rs
+++ b/wrenseam/tests/common/clients/fastcgi.rs
@@ -1,9 +1,10 @@
-//! FastCGI records as a web server writes and reads them.
+//! FastCGI as a web server speaks it: encodes requests and reads answers.
 use super::super::support::sockets::read_bytes;
 use super::super::FUNCTION;
 use super::ClientRequest;
 use std::io::{self, Read};
 
+// Record types.
 const BEGIN_REQUEST: u8 = 1;
 const ABORT_REQUEST: u8 = 2;
 const END_REQUEST: u8 = 3;
@@ -11,24 +12,25 @@
 const STDIN: u8 = 5;
 const STDOUT: u8 = 6;
 
-/// The responder's role, on a connection that is kept.
+/// Body of a BEGIN_REQUEST record: responder role, the connection stays open after the answer.
 const RESPONDER: [u8; 8] = [0, 1, 1, 0, 0, 0, 0, 0];
-/// Protocol status of a request that is rejected because the program is overloaded.
+/// Protocol status FCGI_OVERLOADED: the request is rejected because the front end is overloaded.
 pub(crate) const OVERLOADED: u8 = 2;
-/// Bytes of a body that go into one record.
-const PIECE: usize = 8_000;
+/// Largest content of a STDIN record of a request.
+const STDIN_CONTENT_BYTES: usize = 8_000;
 
-/// An answer read to its END_REQUEST.
+/// An answer, complete up to its END_REQUEST record.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 #[derive(Debug)]
 pub(crate) struct FastCgiAnswer {
-    /// The headers, without the empty line that ends them.
+    /// Headers, without the empty line that ends them.
     pub(crate) head: String,
     pub(crate) body: Vec<u8>,
+    /// Protocol status of the END_REQUEST record; 0 is FCGI_REQUEST_COMPLETE.
     pub(crate) protocol_status: u8,
 }
 
-/// One record without padding.
+/// Encodes a record without padding; `kind` is its type.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) fn fastcgi_record(kind: u8, id: u16, content: &[u8]) -> Vec<u8> {
     let [id_high, id_low] = id.to_be_bytes();
@@ -37,17 +39,18 @@
     [&header, content].concat()
 }
 
-/// The record that cancels a request.
+/// Encodes the record that cancels a request.
 pub(crate) fn abort_request(id: u16) -> Vec<u8> {
     fastcgi_record(ABORT_REQUEST, id, &[])
 }
 
-/// A record with a piece of a request's body.
+/// Encodes a record with a piece of a request body; an empty piece ends the body.
 pub(crate) fn stdin_record(id: u16, piece: &[u8]) -> Vec<u8> {
     fastcgi_record(STDIN, id, piece)
 }
 
-/// A whole request with these parameters, none of which is longer than 127 bytes.
+/// Encodes a complete request. Names and values of parameters must not exceed 127 bytes, the largest length that
+/// FastCGI encodes in one byte.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) fn fastcgi_request(id: u16, params: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let params: Vec<u8> = params
@@ -57,7 +60,7 @@
     let mut request = fastcgi_record(BEGIN_REQUEST, id, &RESPONDER);
     request.extend(fastcgi_record(PARAMS, id, &params));
     request.extend(fastcgi_record(PARAMS, id, &[]));
-    for piece in body.chunks(PIECE) {
+    for piece in body.chunks(STDIN_CONTENT_BYTES) {
         request.extend(stdin_record(id, piece));
     }
     request.extend(stdin_record(id, &[]));
@@ -69,7 +72,7 @@
     [&lengths, name.as_bytes(), value.as_bytes()].concat()
 }
 
-/// A call as a whole request; its FastCGI id is the end of the call's.
+/// Encodes a call as a complete request. Its FastCGI id is the lower 16 bits of the call's id.
 pub(crate) fn call(id: u64, request: &ClientRequest) -> Vec<u8> {
     let content = &request.content;
     let script_name = format!("/v1/{}", content.class);
@@ -89,7 +92,7 @@
     fastcgi_request(id as u16, &params, content.body.as_bytes())
 }
 
-/// Reads one answer; a record of a kind that none of it has fails the test.
+/// Reads one answer. Fails the test on a record that is neither STDOUT nor END_REQUEST.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) fn read_fastcgi_answer(stream: &mut impl Read) -> io::Result<FastCgiAnswer> {
     let mut stdout = Vec::new();
@@ -101,7 +104,7 @@
         match header[1] {
             STDOUT => stdout.extend(content),
             END_REQUEST => return Ok(parse_answer(&stdout, content[4])),
-            kind => panic!("record {kind}"),
+            kind => panic!("unexpected record of type {kind} in an answer"),
         }
     }
 }
--- a/wrenseam/tests/common/clients/v2.rs
+++ b/wrenseam/tests/common/clients/v2.rs
@@ -1,11 +1,11 @@
-//! KServe v2 calls, and the texts that v2 bodies carry.
+//! KServe v2: encodes calls, and extracts the text from bodies.
 use super::super::FUNCTION;
 use super::ClientRequest;
 use base64::{engine::general_purpose::STANDARD, Engine};
 use miniserde::json::Object;
 use wrenseam_policy::json::{as_text, list, nested_object, object, parse, text};
 
-/// A call as a whole HTTP request.
+/// Encodes a call as a complete HTTP request.
 pub(crate) fn call(id: u64, request: &ClientRequest) -> Vec<u8> {
     let content = &request.content;
     let (class, text, timeout) = (&content.class, &content.body, request.timeout_ms);
@@ -21,7 +21,7 @@
         .into_bytes()
 }
 
-/// The text that a body carries: that of the first tensor of a v2 body, else the bytes as they are.
+/// Text of a body: the data of the first tensor, or the body itself if it is not a v2 body with a tensor.
 pub(crate) fn text_of(body: &[u8]) -> String {
     let plain = String::from_utf8_lossy(body).into_owned();
     let Ok(json) = parse(&plain) else {
@@ -33,6 +33,7 @@
     }
 }
 
+/// First input of a request body, or first output of an answer body.
 fn first_tensor(body: &Object) -> Option<&Object> {
     let name = if body.contains_key("inputs") {
         "inputs"
@@ -42,13 +43,14 @@
     list(body, name).first().and_then(object)
 }
 
+/// First data element of a tensor, decoded if its content type is base64.
 fn tensor_text(tensor: &Object) -> String {
     let data = list(tensor, "data").first().and_then(as_text);
-    let data = data.expect("a tensor's data");
+    let data = data.expect("the tensor has data");
     let content_type = nested_object(tensor, "parameters").and_then(|p| text(p, "content_type"));
     if content_type == Some("base64") {
-        let decoded = STANDARD.decode(data).expect("base64");
-        String::from_utf8(decoded).expect("text")
+        let decoded = STANDARD.decode(data).expect("valid base64");
+        String::from_utf8(decoded).expect("UTF-8 text")
     } else {
         data.to_owned()
     }
--- a/wrenseam/tests/common/config.rs
+++ b/wrenseam/tests/common/config.rs
@@ -1,22 +1,24 @@
-//! The configuration files of a program between stand-in workers and discovery services.
+//! Configuration files of a front end with stand-in workers and discovery services.
 use super::program::{write_file, POLICY_SETTINGS};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Workers of a test: the first half in one zone, the second in the other.
-pub(crate) const WORKERS: usize = 4;
+/// Number of workers of a test: the first half is in the first zone, the second half in the second zone.
+pub(crate) const WORKER_COUNT: usize = 4;
+/// Names of the zones.
 const ZONES: [&str; 2] = ["hall-a", "hall-b"];
-/// Stands in the configuration where the address of a discovery service is to come.
+/// Placeholder in the configuration template for the address of the discovery service.
 const DISCOVERY_PLACEHOLDER: &str = "BOARD";
 
-/// The program's configuration file, in which the discovery service can be exchanged.
+/// The front end's configuration file. It can be rewritten with the address of another discovery service.
 pub(crate) struct ConfigFile {
     pub(crate) path: PathBuf,
+    /// Text of the file, with `DISCOVERY_PLACEHOLDER` for the discovery service's address.
     template: String,
 }
 
 impl ConfigFile {
-    /// Writes the file, with the address of a discovery service in the template's place for it.
+    /// Writes the template into a new file in `folder`, with `discovery` in place of its placeholder.
     pub(crate) fn create(folder: &Path, template: String, discovery: SocketAddr) -> ConfigFile {
         let config = ConfigFile {
             path: folder.join("config.json"),
@@ -26,7 +28,7 @@
         config
     }
 
-    /// Writes the file anew, with the address of another discovery service.
+    /// Overwrites the file with the template, with `discovery` in place of its placeholder.
     pub(crate) fn write(&self, discovery: SocketAddr) {
         let text = self
             .template
@@ -34,19 +36,19 @@
         write_file(self.path.clone(), &text);
     }
 
-    /// Leaves a file that is no JSON.
+    /// Overwrites the file with invalid JSON.
     pub(crate) fn corrupt(&self) {
         write_file(self.path.clone(), "{");
     }
 }
 
-/// The zone of a worker, as an index of `ZONES`.
+/// Index into `ZONES` of a worker's zone.
 pub(crate) fn zone_index(worker: usize) -> usize {
-    worker * ZONES.len() / WORKERS
+    worker * ZONES.len() / WORKER_COUNT
 }
 
-/// The workers as a discovery service lists them.
-pub(crate) fn instances(addresses: &[SocketAddr]) -> String {
+/// The workers in the JSON format of the discovery service, separated by commas.
+pub(crate) fn instances_json(addresses: &[SocketAddr]) -> String {
     let instance = |(worker, address): (usize, &SocketAddr)| {
         let cell = zone_index(worker);
         let zone = ZONES[cell];
@@ -58,8 +60,8 @@
     instances.join(",")
 }
 
-/// The workers as a file of v2 endpoints lists them.
-pub(crate) fn endpoints(addresses: &[SocketAddr]) -> String {
+/// The workers in the JSON format of the KServe v2 endpoint list, separated by commas.
+pub(crate) fn endpoints_json(addresses: &[SocketAddr]) -> String {
     let locality = |(worker, address): (usize, &SocketAddr)| {
         let (zone, port) = (ZONES[zone_index(worker)], address.port());
         format!(
@@ -70,7 +72,8 @@
     localities.join(",")
 }
 
-/// The program's configuration, with a place for the address of a discovery service.
+/// Text of the front end's configuration, with `DISCOVERY_PLACEHOLDER` for the discovery service's address. `instances`
+/// are the workers known at the start, as `instances_json` gives them.
 pub(crate) fn config_template(instances: &str) -> String {
     format!(
         r#"{{"name":"t","seed":"2a","admin":"127.0.0.1:0","limits":{{"memory_mb":192,"sockets":256}},"settings":{POLICY_SETTINGS},
@@ -78,15 +81,16 @@
     )
 }
 
-/// A text in which each first text, which must be there, is replaced once by the second.
-pub(crate) fn changed(text: String, changes: &[(&str, &str)]) -> String {
+/// Replaces the first occurrence of each `from` by its `to`; fails the test if a `from` does not occur.
+pub(crate) fn replace_each(text: String, changes: &[(&str, &str)]) -> String {
     changes.iter().fold(text, |text, (from, to)| {
-        assert!(text.contains(from), "{from}");
+        assert!(text.contains(from), "not in the configuration: {from}");
         text.replacen(from, to, 1)
     })
 }
 
-/// Writes the configuration of the v2 front and the endpoints that it names; the configuration's path.
+/// Writes the configuration of the KServe v2 front and the endpoint list that it names. Returns the path of the
+/// configuration.
 pub(crate) fn write_kserve_files(folder: &Path, endpoints: &str) -> PathBuf {
     let resources =
         format!(r#"{{"resources":[{{"cluster_name":"tile-workers","endpoints":[{endpoints}]}}]}}"#);
--- a/wrenseam/tests/common/fleet.rs
+++ b/wrenseam/tests/common/fleet.rs
@@ -1,4 +1,4 @@
-//! Several processes of the program that gossip on loopback; there are no workers.
+//! Runs several front end processes that form a fleet by gossip over loopback. They have no workers.
 use super::program::{
     admin_command, create_folder, create_run_folder, write_file, Program, POLICY_SETTINGS,
 };
@@ -6,25 +6,29 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at the telemetry of a process.
+/// Interval at which the telemetry of a front end is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The processes, in the order of their first start.
+/// A fleet of front end processes.
 pub(crate) struct Fleet {
+    /// The front ends, in the order of their first start.
     pub(crate) nodes: Vec<Node>,
+    /// Directory of the configuration files.
     folder: PathBuf,
 }
 
-/// One process of a fleet.
+/// One front end process of a fleet.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) struct Node {
     program: Program,
+    /// Address of the admin endpoint, which accepts command lines over TCP.
     pub(crate) admin_endpoint: SocketAddr,
+    /// UDP address of the gossip protocol.
     pub(crate) gossip: SocketAddr,
 }
 
 impl Node {
-    /// Sends a command line to the admin endpoint; the reply.
+    /// Sends a command line to the admin endpoint and returns the reply.
     pub(crate) fn admin_command(&self, line: &str) -> String {
         admin_command(self.admin_endpoint, line)
     }
@@ -32,7 +36,7 @@
 
 #[allow(dead_code, reason = "each test binary uses its own part")]
 impl Fleet {
-    /// Starts `count` processes; each after the first joins by way of the first.
+    /// Starts `count` front ends. The first is the seed of all others.
     pub(crate) fn new(count: usize) -> Fleet {
         let mut fleet = Fleet {
             nodes: Vec::new(),
@@ -47,6 +51,7 @@
         fleet
     }
 
+    /// Starts the front end with this index on a gossip address, with at most one seed.
     fn start(&self, index: usize, gossip: SocketAddr, seed: Option<SocketAddr>) -> Node {
         let fleet_file = self.write_fleet_file(index, gossip, seed);
         let config = self.write_config(index);
@@ -84,44 +89,45 @@
         write_file(self.folder.join(format!("config-{index}.json")), &text)
     }
 
-    /// Ends a process at once, as a crash would.
+    /// Kills a front end without a shutdown, as a crash would.
     pub(crate) fn kill(&mut self, index: usize) {
         self.nodes[index].program.kill();
     }
 
-    /// Starts a process again at its gossip address; it joins by way of another.
+    /// Starts a killed front end again at its former gossip address, with another front end as its seed.
     pub(crate) fn restart(&mut self, index: usize, seed_index: usize) {
         let gossip = self.nodes[index].gossip;
         let seed = self.nodes[seed_index].gossip;
         self.nodes[index] = self.start(index, gossip, Some(seed));
     }
 
-    /// Whether a process still runs.
+    /// Whether the process of a front end has not exited.
     pub(crate) fn is_running(&mut self, index: usize) -> bool {
         self.nodes[index].program.is_running()
     }
 
-    /// A figure of a process's telemetry, by its name.
-    pub(crate) fn figure(&self, index: usize, name: &str) -> Option<u64> {
+    /// Value of a metric in a front end's telemetry; `None` if the metric is absent.
+    pub(crate) fn metric(&self, index: usize, name: &str) -> Option<u64> {
         let telemetry = self.nodes[index].admin_command("telemetry\n");
-        let figure = telemetry
+        let value_and_kind = telemetry
             .lines()
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(':'))?;
-        let (number, _kind) = figure.split_once('|')?;
+        let (number, _kind) = value_and_kind.split_once('|')?;
         number.parse().ok()
     }
 
-    /// Waits until a process counts so many peers alive; how long that took.
+    /// Waits until a front end counts exactly `peers` live peers, and returns how long that took. Fails the test if it
+    /// takes longer than `within`.
     pub(crate) fn wait_for_peers(&self, index: usize, peers: u64, within: Duration) -> Duration {
-        let since = Instant::now();
+        let started_at = Instant::now();
         loop {
-            let counted = self.figure(index, "app.fleet.peers");
+            let counted = self.metric(index, "app.fleet.peers");
             if counted == Some(peers) {
-                return since.elapsed();
+                return started_at.elapsed();
             }
             assert!(
-                since.elapsed() < within,
-                "f{index} counts {counted:?} peers, not {peers}"
+                started_at.elapsed() < within,
+                "f{index} counts {counted:?} peers instead of {peers} after {within:?}"
             );
             std::thread::sleep(POLL_INTERVAL);
         }
--- a/wrenseam/tests/common/harness.rs
+++ b/wrenseam/tests/common/harness.rs
@@ -1,8 +1,8 @@
-//! The program between stand-in workers and discovery services, and what it listens on.
+//! Runs one front end process with stand-in workers and discovery services.
 use super::clients::http_get;
 use super::config::{
-    changed, config_template, endpoints, instances, write_kserve_files, zone_index, ConfigFile,
-    WORKERS,
+    config_template, endpoints_json, instances_json, replace_each, write_kserve_files, zone_index,
+    ConfigFile, WORKER_COUNT,
 };
 use super::discovery::DiscoveryService;
 use super::program::{admin_command, create_run_folder, Program};
@@ -17,55 +17,57 @@
 use std::time::{Duration, Instant};
 use wrenseam_policy::json::{list, object, parse, text};
 
-/// Time between two looks at what the administration API shows.
+/// Interval at which the administration API is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The running program with four stand-in workers in two zones, and two discovery services of which it follows one.
+/// A running front end with four stand-in workers in two zones and two stand-in discovery services. Its configuration
+/// names one of the two services at a time.
 pub(crate) struct Harness {
     program: Program,
-    /// Where FastCGI clients connect.
+    /// Address of the FastCGI front.
     pub(crate) fastcgi_front: SocketAddr,
-    /// Where KServe v2 clients connect.
+    /// Address of the KServe v2 front.
     pub(crate) kserve_front: SocketAddr,
-    /// The administration API, over HTTP.
+    /// Address of the administration API, which is served over HTTP.
     pub(crate) admin_api: SocketAddr,
-    /// The admin endpoint, which reads command lines.
+    /// Address of the admin endpoint, which accepts command lines over TCP.
     #[allow(dead_code, reason = "each test binary uses its own part")]
     pub(crate) admin_endpoint: SocketAddr,
-    /// Calls that came to any worker.
+    /// Calls received by any worker, in order of arrival.
     pub(super) calls: Receiver<ReceivedCall>,
+    /// How the workers answer load orders and queries.
     pub(super) orders: Arc<OrderControl>,
     discovery_services: [DiscoveryService; 2],
-    /// Index of the service that the configuration names.
+    /// Index of the discovery service that the configuration names; a reload switches it.
     configured_service: Cell<usize>,
     config: ConfigFile,
 }
 
 #[allow(dead_code, reason = "each test binary uses its own part")]
 impl Harness {
-    /// Starts the program with workers of this protocol.
+    /// Starts the front end and four workers that speak `workers`, and waits until it is healthy.
     pub(crate) fn new(workers: Protocol) -> Harness {
         Harness::with_config_changes(workers, &[])
     }
 
-    /// Starts it with a configuration in which each first text is replaced by the second.
+    /// Like `new`, with each `(from, to)` of `changes` replaced once in the text of the configuration.
     pub(crate) fn with_config_changes(workers: Protocol, changes: &[(&str, &str)]) -> Harness {
         let folder = create_run_folder("");
-        let (received, calls) = channel();
+        let (call_sender, calls) = channel();
         let orders = Arc::<OrderControl>::default();
         let context = WorkerContext {
-            calls: received,
+            calls: call_sender,
             orders: orders.clone(),
         };
-        let addresses: Vec<SocketAddr> = (0..WORKERS)
+        let addresses: Vec<SocketAddr> = (0..WORKER_COUNT)
             .map(|worker| start_worker(workers, zone_index(worker), context.clone()))
             .collect();
         let discovery_services = [DiscoveryService::start(), DiscoveryService::start()];
         let (instances, endpoints) = match workers {
-            Protocol::Platform => (instances(&addresses), String::new()),
-            Protocol::Kserve => (String::new(), endpoints(&addresses)),
+            Protocol::Platform => (instances_json(&addresses), String::new()),
+            Protocol::Kserve => (String::new(), endpoints_json(&addresses)),
         };
-        let template = changed(config_template(&instances), changes);
+        let template = replace_each(config_template(&instances), changes);
         let config = ConfigFile::create(&folder, template, discovery_services[0].address);
         let kserve_config = write_kserve_files(&folder, &endpoints);
         let environment = [("WRENSEAM_KSERVE", kserve_config.as_os_str())];
@@ -93,28 +95,28 @@
         self
     }
 
-    /// Sends SIGTERM and waits for the program's end; whether it ended well.
+    /// Sends SIGTERM and waits until the process exits. Returns whether it exited with status 0.
     pub(crate) fn terminate(&mut self) -> bool {
         self.signal("-TERM");
         self.program.wait()
     }
 
-    /// Sends a command line to the admin endpoint; the reply.
+    /// Sends a command line to the admin endpoint and returns the reply.
     pub(crate) fn admin_command(&self, line: &str) -> String {
         admin_command(self.admin_endpoint, line)
     }
 
-    /// The id of the program's process.
+    /// Process id of the front end.
     pub(crate) fn pid(&self) -> u32 {
         self.program.pid()
     }
 
-    /// Sends the program a signal, named as `kill` wants it.
+    /// Sends a signal to the front end; `name` is an option of `kill`, such as `-TERM`.
     pub(crate) fn signal(&self, name: &str) {
         self.program.signal(name);
     }
 
-    /// Names the other discovery service in the configuration, and has it read again.
+    /// Writes a configuration that names the other discovery service, and reloads it with SIGHUP.
     pub(super) fn reload_with_other_service(&self) {
         self.configured_service
             .set(1 - self.configured_service.get());
@@ -122,7 +124,7 @@
         self.signal("-HUP");
     }
 
-    /// Has the program read a configuration that is no JSON.
+    /// Replaces the configuration by invalid JSON, and reloads it with SIGHUP.
     pub(super) fn reload_corrupt(&self) {
         self.config.corrupt();
         self.signal("-HUP");
@@ -133,7 +135,8 @@
         &self.discovery_services[self.configured_service.get()]
     }
 
-    /// Answers the next call, of this class, at any worker; false if none comes within a second.
+    /// Answers the next call that any worker receives, with success; the call must be of this class. Returns false if
+    /// no call arrives within 1 s.
     pub(crate) fn answer_next_call(&self, class: &str) -> bool {
         let Ok(call) = self.calls.recv_timeout(Duration::from_secs(1)) else {
             return false;
@@ -143,36 +146,42 @@
         true
     }
 
-    /// The ids of the calls that came to any worker since they were last asked for.
+    /// Frame ids of the calls that the workers received since the previous read of their calls; 0 for a KServe v2 call.
     pub(crate) fn received_call_ids(&self) -> Vec<u64> {
         self.calls.try_iter().map(|call| call.id).collect()
     }
 
-    /// The folder of the program's files, which is its TMPDIR too.
+    /// Directory of the front end's configuration, which is also its `TMPDIR`.
     pub(crate) fn folder(&self) -> PathBuf {
         let folder = self.config.path.parent();
-        folder.expect("a folder").to_path_buf()
+        folder
+            .expect("the configuration is in a directory")
+            .to_path_buf()
     }
 
-    /// Waits until the administration API shows this state of a worker, or that it is `absent`.
+    /// Waits until the administration API reports `state` for a worker; the state `absent` stands for no entry.
+    /// `context` is shown if the test fails.
     pub(crate) fn wait_for_endpoint(&self, worker: &str, state: &str, context: &str) {
-        let since = Instant::now();
+        let started_at = Instant::now();
         loop {
             let response = http_get(self.admin_api, "/v1/state");
             if endpoint_state(&response, worker).as_deref() == Some(state) {
                 return;
             }
-            assert!(since.elapsed() < TEST_TIMEOUT, "{context}: {response}");
+            assert!(
+                started_at.elapsed() < TEST_TIMEOUT,
+                "{context}: {worker} is not {state}: {response}"
+            );
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
 
-/// The state of a worker in an answer of the administration API; `absent` without an entry.
+/// State of a worker in the response to `GET /v1/state`: `absent` if it has no entry, `None` if the entry has no state.
 fn endpoint_state(response: &str, worker: &str) -> Option<String> {
-    let (_, body) = response.split_once("\r\n\r\n").expect("a body");
-    let json = parse(body).expect("JSON");
-    let endpoints = list(object(&json).expect("an object"), "endpoints");
+    let (_, body) = response.split_once("\r\n\r\n").expect("response body");
+    let json = parse(body).expect("JSON body");
+    let endpoints = list(object(&json).expect("JSON object"), "endpoints");
     let entry = endpoints
         .iter()
         .filter_map(object)
--- a/wrenseam/tests/common/mod.rs
+++ b/wrenseam/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The kit of the tests that run the whole program: it starts the program between stand-in clients, workers and
-//! discovery services that are written from the specifications, and runs scenarios on them.
+//! Shared by the end-to-end tests: starts the front end as a process, with stand-in clients, workers and discovery
+//! services that are coded from the specifications, and runs test scenarios against it.
 mod clients;
 mod config;
 mod discovery;
@@ -25,25 +25,28 @@
 
 use std::time::Duration;
 
-/// The function that all calls ask for.
+/// Id of the function that all requests name.
 pub(crate) const FUNCTION: &str = "7f3a9c21e0b4d655";
 
-/// How long nothing must come where nothing is expected.
-const QUIET: Duration = Duration::from_millis(300);
+/// How long a step that expects nothing waits for unexpected input.
+const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
-/// The two families of protocols, on the side of the clients and on that of the workers.
+/// The protocols of a front and its clients, or of a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Protocol {
-    /// The platform's own: FastCGI from clients, binary frames to workers.
+    /// The platform's own protocols: FastCGI from clients, binary frames to workers.
     Platform,
     /// KServe v2 over HTTP/1.1 on both sides.
     Kserve,
 }
 
-/// What a call asks for, as its client or its worker sees it.
+/// The parts of a request that must reach the worker as the client sent them.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct CallContent {
+    /// Request class.
     class: String,
+    /// `None` if the client sent no idempotency key.
     idempotency_key: Option<String>,
+    /// Request body as text; of a KServe v2 body, the data of its first tensor.
     body: String,
 }
--- a/wrenseam/tests/common/program.rs
+++ b/wrenseam/tests/common/program.rs
@@ -1,4 +1,4 @@
-//! The program as a process: its environment, its log, its signals and its end.
+//! Runs the front end as a process: its environment, log, signals and exit.
 use super::support::sockets::connect;
 use std::ffi::OsStr;
 use std::io::{BufRead, BufReader, Lines, Read, Write};
@@ -7,7 +7,7 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The policy's settings in the configuration of each test.
+/// Policy settings in the configuration of each test.
 pub(crate) const POLICY_SETTINGS: &str = r#"{"balancers":1,"classes":[
  {"effect":"retryable","goal-time":400,"key-scope":"all","memory-span":5000,"name":"tile-render","worth":1},
  {"effect":"dedup","goal-time":400,"key-scope":"zone","memory-span":5000,"name":"tile-order","worth":3}],
@@ -18,18 +18,18 @@
  "probes":true,"retry-after":true,"second-copies":false,"streams-per-conn":100},"rules":{"cold-from":0.2,"fall":1000,
  "fall-multiple":2,"warm-within":17000}}"#;
 
-/// A variable of the program's environment.
+/// An environment variable: name and value.
 pub(crate) type Variable<'a> = (&'a str, &'a OsStr);
 
-/// A process of the program. It is killed when this is dropped.
+/// A front end process. It is killed on drop.
 pub(crate) struct Program {
     child: Child,
-    /// The log, until the rest of it is forwarded.
+    /// Lines of the log; `None` once `forward_log` reads them.
     log: Option<Lines<BufReader<ChildStderr>>>,
 }
 
 impl Program {
-    /// Starts the program on a free port, with its temporary files in `folder`.
+    /// Starts the front end with its FastCGI front on a free port and `folder` as its `TMPDIR`.
     pub(crate) fn start(folder: &Path, config: &Path, environment: &[Variable]) -> Program {
         let mut child = Command::new(env!("CARGO_BIN_EXE_wrenseam"))
             .env("NODE_CONFIG", config)
@@ -38,28 +38,32 @@
             .envs(environment.iter().copied())
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the program starts");
-        let log = BufReader::new(child.stderr.take().expect("piped")).lines();
+            .expect("start the front end");
+        let log = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
         Program {
             child,
             log: Some(log),
         }
     }
 
-    /// The next address on which the log says that the program listens.
+    /// Reads the log up to the next start line that reports a listening address, and returns that address.
     pub(crate) fn next_listen_address(&mut self) -> SocketAddr {
-        let log = self.log.as_mut().expect("a log that is not forwarded yet");
+        let log = self.log.as_mut().expect("the log is not forwarded yet");
         loop {
-            let line = log.next().expect("a line of the log").expect("text");
+            let line = log
+                .next()
+                .expect("the log has not ended")
+                .expect("UTF-8 text");
             if let Some((_, address)) = line.split_once(" listens on ") {
-                return address.parse().expect("an address");
+                return address.parse().expect("a socket address");
             }
         }
     }
 
-    /// Reads the rest of the log, so that it cannot fill up, and shows it with a failed test.
+    /// Copies the rest of the log to the test's output, each line prefixed with `label`. The pipe is read all the time,
+    /// so that it cannot fill up and block the front end.
     pub(crate) fn forward_log(&mut self, label: String) {
-        let log = self.log.take().expect("a log that is not forwarded yet");
+        let log = self.log.take().expect("the log is not forwarded yet");
         std::thread::spawn(move || {
             for line in log.map_while(Result::ok) {
                 eprintln!("  {label}: {line}");
@@ -67,32 +71,32 @@
         });
     }
 
-    /// The id of the process.
+    /// Process id.
     pub(crate) fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal, named as `kill` wants it.
+    /// Sends a signal; `name` is an option of `kill`, such as `-TERM`.
     pub(crate) fn signal(&self, name: &str) {
         let pid = self.pid().to_string();
         let status = Command::new("kill").args([name, &pid]).status();
-        assert!(status.expect("kill runs").success());
+        assert!(status.expect("run kill").success());
     }
 
-    /// Waits for the end of the process; whether it ended well.
+    /// Waits until the process exits. Returns whether it exited with status 0.
     pub(crate) fn wait(&mut self) -> bool {
-        self.child.wait().expect("it ends").success()
+        self.child.wait().expect("wait for the process").success()
     }
 
-    /// Ends the process at once, as a crash would.
+    /// Kills the process without a shutdown, as a crash would.
     pub(crate) fn kill(&mut self) {
-        let _ = self.child.kill(); // it may have ended already
+        let _ = self.child.kill(); // the process may have exited already
         let _ = self.child.wait();
     }
 
-    /// Whether the process has not ended.
+    /// Whether the process has not exited.
     pub(crate) fn is_running(&mut self) -> bool {
-        self.child.try_wait().expect("asked").is_none()
+        self.child.try_wait().expect("query the process").is_none()
     }
 }
 
@@ -102,7 +106,7 @@
     }
 }
 
-/// A folder of their own for the files of this run.
+/// Creates a directory whose name no other run of a test uses.
 pub(crate) fn create_run_folder(prefix: &str) -> PathBuf {
     static RUNS: AtomicU64 = AtomicU64::new(0);
     let run = RUNS.fetch_add(1, Ordering::Relaxed);
@@ -110,24 +114,24 @@
     create_folder(&Path::new(env!("CARGO_TARGET_TMPDIR")).join(name))
 }
 
-/// Creates a folder, which may be there already.
+/// Creates a directory unless it exists, and returns its path.
 pub(crate) fn create_folder(path: &Path) -> PathBuf {
-    std::fs::create_dir_all(path).expect("a folder for the files");
+    std::fs::create_dir_all(path).expect("create a directory");
     path.to_path_buf()
 }
 
-/// Writes a file; its path.
+/// Writes a file and returns its path.
 pub(crate) fn write_file(path: PathBuf, text: &str) -> PathBuf {
-    std::fs::write(&path, text).expect("written");
+    std::fs::write(&path, text).expect("write a file");
     path
 }
 
-/// Sends a command line to an admin endpoint; what came back until the connection ended.
+/// Sends a command line to an admin endpoint. Returns what it sent back until the connection ended.
 #[allow(dead_code, reason = "each test binary uses its own part")]
 pub(crate) fn admin_command(address: SocketAddr, line: &str) -> String {
     let mut stream = connect(address);
-    stream.write_all(line.as_bytes()).expect("written");
+    stream.write_all(line.as_bytes()).expect("send the command");
     let mut reply = String::new();
-    let _ = stream.read_to_string(&mut reply); // it may be reset
+    let _ = stream.read_to_string(&mut reply); // the connection may be reset after the reply
     reply
 }
--- a/wrenseam/tests/common/scenario/interpreter.rs
+++ b/wrenseam/tests/common/scenario/interpreter.rs
@@ -4,28 +4,31 @@
 use super::super::harness::Harness;
 use super::super::support::sockets::{connect, TEST_TIMEOUT};
 use super::super::workers::ReceivedCall;
-use super::super::{CallContent, Protocol, QUIET};
+use super::super::{CallContent, Protocol, QUIET_PERIOD};
 use super::step::{ClientStep, DiscoveryStep, ProgramStep, Step, WorkerStep};
 use std::net::{SocketAddr, TcpStream};
 
-/// A scenario that is being run.
+/// State of a running scenario.
 pub(crate) struct Interpreter<'h> {
     harness: &'h Harness,
+    /// Protocol of the front that the client uses.
     front: Protocol,
     front_address: SocketAddr,
     client: Client,
-    /// Connections that stay open and say nothing.
+    /// Client connections that stay open without sending anything.
     silent_connections: Vec<TcpStream>,
+    /// The call that the last `worker expect` step received.
     last_call: Option<ReceivedCall>,
+    /// The watch that the last `discovery expect` step received.
     last_watch: Option<WatchStream>,
-    /// The answers and calls that came, in their order.
+    /// Answers that the client received and calls that workers received, in the order of the steps.
     transcript: Vec<String>,
-    /// The step that is being executed, for the text of a failure.
+    /// Front and text of the current step, shown if it fails.
     context: String,
 }
 
 impl<'h> Interpreter<'h> {
-    /// Begins a scenario with a client connected to one front.
+    /// Connects the client to the front of this protocol.
     pub(crate) fn new(harness: &'h Harness, front: Protocol) -> Interpreter<'h> {
         let front_address = match front {
             Protocol::Platform => harness.fastcgi_front,
@@ -44,12 +47,12 @@
         }
     }
 
-    /// What clients and workers saw.
+    /// Answers that the client received and calls that workers received, in the order of the steps.
     pub(crate) fn into_transcript(self) -> Vec<String> {
         self.transcript
     }
 
-    /// Executes a step; the context is shown if it fails.
+    /// Executes a step; `context` is shown if it fails.
     pub(crate) fn execute(&mut self, step: Step, context: String) {
         self.context = context;
         match step {
@@ -96,8 +99,8 @@
         match step {
             WorkerStep::ExpectCall { content, same_zone } => self.expect_call(&content, same_zone),
             WorkerStep::ExpectNothing => {
-                let call = self.harness.calls.recv_timeout(QUIET);
-                assert!(call.is_err(), "{}: a call came", self.context);
+                let call = self.harness.calls.recv_timeout(QUIET_PERIOD);
+                assert!(call.is_err(), "{}: a worker received a call", self.context);
             }
             WorkerStep::ExpectClosed => self.last_call().expect_closed(&self.context),
             WorkerStep::Answer(answer) => self.last_call().answer(&answer),
--- a/wrenseam/tests/common/scenario/step.rs
+++ b/wrenseam/tests/common/scenario/step.rs
@@ -1,53 +1,64 @@
-//! The steps of a scenario, and their text.
+//! The steps of a scenario, parsed from their text. The list of steps is in the module above.
 use super::super::clients::{ClientAnswer, ClientRequest};
 use super::super::workers::{OrderMode, WorkerAnswer};
 use super::super::CallContent;
 use std::time::Duration;
 
-/// Stands for a call without an idempotency key.
+/// Word in a step for a call without an idempotency key.
 const NO_KEY: &str = "-";
 
 /// One step of a scenario.
 pub(crate) enum Step {
     Client(ClientStep),
     Worker(WorkerStep),
+    /// Sets how all workers answer load orders and queries.
     Orders(OrderMode),
     Discovery(DiscoveryStep),
-    ExpectEndpoint { worker: String, state: String },
+    /// Waits until the administration API reports this state of a worker.
+    ExpectEndpoint {
+        worker: String,
+        state: String,
+    },
     Program(ProgramStep),
     Wait(Duration),
 }
 
-/// What the client does or sees.
+/// An action of the client, or what it must receive.
 pub(crate) enum ClientStep {
     Send(ClientRequest),
+    /// Sends a request that ends early.
     SendPart,
+    /// Sends a request without end.
     SendEndless,
-    /// Opens so many connections that stay silent, and then a new one of its own.
+    /// Opens this many connections that send nothing, and reconnects the client after them.
     Open(usize),
+    /// Sends input without effect on a further connection.
     Flood,
     Close,
+    /// Cancels the last request.
     Abort,
     ExpectAnswer(ClientAnswer),
     ExpectNothing,
     ExpectClosed,
 }
 
-/// What workers do or see; but for calls it concerns the last call.
+/// An action of the workers, or what they must receive. `ExpectCall` and `ExpectNothing` concern all workers, the
+/// others the connection of the last call.
 pub(crate) enum WorkerStep {
     ExpectCall {
         content: CallContent,
-        /// Whether it must come to the zone of the call before it.
+        /// Whether the call must arrive at a worker in the zone of the previous call.
         same_zone: bool,
     },
     ExpectNothing,
     ExpectClosed,
     Answer(WorkerAnswer),
+    /// Ignores further frames.
     Silence,
     Close,
 }
 
-/// What the discovery service does or sees; but for watches it concerns the last watch.
+/// An action of the discovery service, or the watch that it must receive. All but `ExpectWatch` concern the last watch.
 pub(crate) enum DiscoveryStep {
     ExpectWatch {
         last_event_id: String,
@@ -61,7 +72,7 @@
     Close,
 }
 
-/// What is done to the program.
+/// An action on the front end process.
 pub(crate) enum ProgramStep {
     ReloadWithOtherService,
     ReloadCorrupt,
@@ -69,10 +80,10 @@
 }
 
 impl Step {
-    /// Reads a step; a line that is none fails the test.
+    /// Parses a line; fails the test if it is not a step.
     pub(crate) fn parse(line: &str) -> Step {
         let words: Vec<&str> = line.split_whitespace().collect();
-        Step::from_words(&words).unwrap_or_else(|| panic!("no such step: {line}"))
+        Step::from_words(&words).unwrap_or_else(|| panic!("not a step of a scenario: {line}"))
     }
 
     fn from_words(words: &[&str]) -> Option<Step> {
--- a/wrenseam/tests/common/workers/frames.rs
+++ b/wrenseam/tests/common/workers/frames.rs
@@ -1,4 +1,4 @@
-//! The workers that speak the platform's binary frames.
+//! Stand-in worker that speaks the platform's binary frames.
 use super::super::clients::v2::text_of;
 use super::super::support::frames::{code, encode_answer, read_frame, Frame};
 use super::super::{CallContent, Protocol, FUNCTION};
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// Serves a connection until one side ends it.
+/// Serves a connection until either side closes it.
 pub(crate) fn serve(mut stream: TcpStream, zone: usize, context: &WorkerContext) -> io::Result<()> {
     let silenced = Arc::new(AtomicBool::new(false));
     loop {
@@ -30,14 +30,15 @@
                     protocol: Protocol::Platform,
                     stream: stream.try_clone()?,
                     silenced: silenced.clone(),
-                }); // the test may have ended
+                }); // fails once the test has ended
             }
             _ => {}
         }
     }
 }
 
-/// Answers an order; calls behind one that is held back come through.
+/// Answers a load order or query. While the mode holds back orders, the answer waits on a thread of its own, so that
+/// calls on the same connection are still received.
 fn answer_order(frame: &Frame, mut stream: TcpStream, orders: &Arc<OrderControl>) {
     let order = match frame.field("slots_up") {
         Some("0") => Order::Query,
@@ -45,8 +46,8 @@
     };
     let (id, control) = (frame.id, orders.clone());
     let mut answer = move || {
-        let fields = format!("slots_up={}", control.wait_for_replicas(order));
-        let _ = stream.write_all(&encode_answer(code::OK, id, &fields, &[])); // it may have closed
+        let fields = format!("slots_up={}", control.wait_for_answer(order));
+        let _ = stream.write_all(&encode_answer(code::OK, id, &fields, &[])); // the connection may be closed
     };
     if orders.holds_back() {
         std::thread::spawn(answer);
@@ -58,13 +59,16 @@
 fn call_content(frame: &Frame) -> CallContent {
     assert_eq!(frame.field("path"), Some(FUNCTION));
     CallContent {
-        class: frame.field("queue").expect("a class").to_owned(),
+        class: frame
+            .field("queue")
+            .expect("the call has a class")
+            .to_owned(),
         idempotency_key: frame.field("uniq").map(str::to_owned),
         body: text_of(&frame.body),
     }
 }
 
-/// An answer to a call as bytes.
+/// Encodes the answer to a call.
 pub(crate) fn encode_call_answer(id: u64, answer: &WorkerAnswer) -> Vec<u8> {
     let answer_code = match answer {
         WorkerAnswer::NotLoaded => code::NOT_LOADED,
