--- a/wrenseam/tests/golden_worker_protocols.rs
+++ b/wrenseam/tests/golden_worker_protocols.rs
@@ -1,4 +1,5 @@
-//! Golden bytes between the front end and its workers: binary frames and KServe v2, as transports write and read them.
+//! Golden bytes of the worker protocols: the transports must write and read binary frames and KServe v2 messages
+//! exactly as recorded here.
 mod link;
 
 use link::{transport_of, Protocol, FIRST_ATTEMPT};
@@ -15,22 +16,25 @@
 use wrenseam::worker::{AttemptLimits, CancelOutcome, Transport};
 use wrenseam_policy::Outcome;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long a test waits for bytes or for a report of the transport.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// Id of the call on the wire.
 const WIRE_ID: u64 = 0x0123_4567_89ab_cdef;
+/// Id of the function that calls and orders name.
 const FUNCTION: u64 = 0x7f3a_9c21_e0b4_d655;
-/// The budget is told in milliseconds; what is below one is cut off.
-const BUDGET: u64 = 5_000_999;
+/// Answer timeout of a call, us. The wire carries it in whole milliseconds, rounded down: 5000.
+const ANSWER_TIMEOUT: u64 = 5_000_999;
 
-fn hex(bytes: &[u8]) -> String {
+fn encode_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn unhex(text: &str) -> Vec<u8> {
-    let digits = |at| u8::from_str_radix(&text[at..at + 2], 16).expect("hex digits");
+fn decode_hex(text: &str) -> Vec<u8> {
+    let digits = |at| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
-fn request(token: Option<&str>, retry: bool, payload: Payload) -> Arc<Request> {
+fn request(idempotency_key: Option<&str>, is_retry: bool, payload: Payload) -> Arc<Request> {
     Arc::new(Request {
         wire_id: WIRE_ID,
         class: "tile-order".to_owned(),
@@ -38,8 +42,8 @@
         function: FUNCTION,
         timeout: 20_000_000,
         received_at: Instant::now(),
-        idempotency_key: token.map(str::to_owned),
-        is_retry: retry,
+        idempotency_key: idempotency_key.map(str::to_owned),
+        is_retry,
         memory_mb: 512.0,
         concurrency: 4,
         load_time: 640_000,
@@ -50,22 +54,24 @@
     })
 }
 
-fn bytes_request(token: Option<&str>, retry: bool) -> Arc<Request> {
-    request(token, retry, Payload::Bytes(b"body".to_vec()))
+fn bytes_request(idempotency_key: Option<&str>, is_retry: bool) -> Arc<Request> {
+    request(idempotency_key, is_retry, Payload::Bytes(b"body".to_vec()))
 }
 
-/// A worker that the test plays, and the transport to it.
+/// A transport under test and the listener of its worker, whose side of the connections the test takes.
 struct Link {
     transport: Box<dyn Transport>,
+    /// Reports of the transport on ended attempts and load orders.
     reports: mpsc::Receiver<Message>,
     listener: TcpListener,
+    /// Address of the worker.
     address: SocketAddr,
 }
 
 impl Link {
     fn new(protocol: Protocol) -> Link {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("listen on a free port");
+        let address = listener.local_addr().expect("address of the listener");
         let (transport, reports) = transport_of(protocol, address, |_| ());
         Link {
             transport,
@@ -75,44 +81,57 @@
         }
     }
 
+    /// Accepts the next connection of the transport.
     fn accept(&self) -> TcpStream {
-        let stream = self.listener.accept().expect("a connection").0;
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        let stream = self.listener.accept().expect("accept a connection").0;
+        stream
+            .set_read_timeout(Some(TIMEOUT))
+            .expect("set the read timeout");
         stream
     }
 
+    /// Has the transport send a call as the first attempt.
     fn send(&mut self, request: &Arc<Request>) {
-        self.transport
-            .send(FIRST_ATTEMPT, request, AttemptLimits::with_timeout(BUDGET));
+        self.transport.send(
+            FIRST_ATTEMPT,
+            request,
+            AttemptLimits::with_timeout(ANSWER_TIMEOUT),
+        );
     }
 
+    /// Waits for the report of the attempt.
     fn attempt_report(&self) -> AttemptReport {
-        match self.reports.recv_timeout(PATIENCE) {
+        match self.reports.recv_timeout(TIMEOUT) {
             Ok(Message::AttemptEnded { key, report }) if key == FIRST_ATTEMPT => report,
-            _ => panic!("the attempt has not ended"),
+            _ => panic!("no report that the attempt ended"),
         }
     }
 
+    /// Waits for the report of a load order or query: its number, outcome and number of loaded replicas.
     fn order_report(&self) -> (u64, Outcome, u32) {
-        match self.reports.recv_timeout(PATIENCE) {
+        match self.reports.recv_timeout(TIMEOUT) {
             Ok(Message::LoadOrderEnded {
                 order,
                 outcome,
                 replicas,
             }) => (order, outcome, replicas),
-            _ => panic!("the order has not ended"),
+            _ => panic!("no report that the load order ended"),
         }
     }
 }
 
-/// The next frame as it stands on the wire.
-fn raw_frame(stream: &mut TcpStream) -> Vec<u8> {
+/// Reads the next frame and returns its bytes.
+fn read_raw_frame(stream: &mut TcpStream) -> Vec<u8> {
     let mut bytes = vec![0; 16];
-    stream.read_exact(&mut bytes).expect("a header");
+    stream
+        .read_exact(&mut bytes)
+        .expect("read the header of a frame");
     let fields = usize::from(u16::from_be_bytes([bytes[2], bytes[3]]));
-    let body = u32::from_be_bytes(bytes[4..8].try_into().expect("four")) as usize;
+    let body = u32::from_be_bytes(bytes[4..8].try_into().expect("four bytes")) as usize;
     bytes.resize(16 + fields + body + 4, 0);
-    stream.read_exact(&mut bytes[16..]).expect("the rest of it");
+    stream
+        .read_exact(&mut bytes[16..])
+        .expect("read the rest of a frame");
     bytes
 }
 
@@ -130,7 +149,7 @@
     "7e02000300000002ffffffffffffffff613d6200ff0660795f"
 )]
 fn frames_keep_their_bytes(#[case] frame: Vec<u8>, #[case] golden: &str) {
-    pinned(&frame, golden);
+    assert_golden(&frame, golden);
 }
 
 #[rstest]
@@ -138,63 +157,65 @@
          6234643635352c6275646765743d35303030626f647938fc0bab")]
 #[case::with_idempotency_key(bytes_request(Some("key-1"), true), "7e02003d000000040123456789abcdef71756575653d74696c652d6f726465722c706174683d37663361396332316530\
          6234643635352c6275646765743d353030302c756e69713d6b65792d31626f64798268f2e1")]
-#[case::of_json(request(None, false, Payload::Json(b"{\"a\":1}".to_vec())), "7e020032000000070123456789abcdef71756575653d74696c652d6f726465722c706174683d37663361396332316530\
+#[case::json_body(request(None, false, Payload::Json(b"{\"a\":1}".to_vec())), "7e020032000000070123456789abcdef71756575653d74696c652d6f726465722c706174683d37663361396332316530\
          6234643635352c6275646765743d353030307b2261223a317d29eaa15e")]
 fn calls_are_written_as_frames(#[case] request: Arc<Request>, #[case] golden: &str) {
     let mut link = Link::new(Protocol::Frames);
     link.send(&request);
-    pinned(&raw_frame(&mut link.accept()), golden);
+    assert_golden(&read_raw_frame(&mut link.accept()), golden);
 }
 
-/// An order to load, a question how many replicas stand, an order to unload, a health check, a call and its cancellation.
+/// In this order: a load order, a query for the number of loaded replicas, an order to unload, a health check, a call
+/// and its cancellation.
 #[test]
 fn orders_and_cancellations_are_written_as_frames() {
     let mut link = Link::new(Protocol::Frames);
     link.transport.order(1, FUNCTION, 3, None);
     let mut worker = link.accept();
-    pinned(&raw_frame(&mut worker), "7e06002000000000fffffffffffffffe706174683d376633613963323165306234643635352c736c6f74735f75703d33\
+    assert_golden(&read_raw_frame(&mut worker), "7e06002000000000fffffffffffffffe706174683d376633613963323165306234643635352c736c6f74735f75703d33\
          e105316e");
     link.transport.order(2, FUNCTION, 0, None);
-    pinned(&raw_frame(&mut worker), "7e06002000000000fffffffffffffffd706174683d376633613963323165306234643635352c736c6f74735f75703d30\
+    assert_golden(&read_raw_frame(&mut worker), "7e06002000000000fffffffffffffffd706174683d376633613963323165306234643635352c736c6f74735f75703d30\
          780c60d4");
     link.transport.unload(FUNCTION);
-    pinned(
-        &raw_frame(&mut worker),
+    assert_golden(
+        &read_raw_frame(&mut worker),
         "7e080000000000007f3a9c21e0b4d65500000000",
     );
     link.transport.check_health(3);
-    pinned(
-        &raw_frame(&mut worker),
+    assert_golden(
+        &read_raw_frame(&mut worker),
         "7e04000000000000fffffffffffffffc00000000",
     );
     link.send(&bytes_request(None, false));
-    raw_frame(&mut worker);
+    read_raw_frame(&mut worker);
     assert_eq!(
         link.transport.cancel(FIRST_ATTEMPT),
         CancelOutcome::PendingConfirmation
     );
-    pinned(
-        &raw_frame(&mut worker),
+    assert_golden(
+        &read_raw_frame(&mut worker),
         "7e030000000000000123456789abcdef00000000",
     );
 }
 
 fn report(
     outcome: Outcome,
-    warm: Option<bool>,
+    replica_loaded: Option<bool>,
     queue_depth: Option<u32>,
     body: Option<&[u8]>,
 ) -> AttemptReport {
     let payload = body.map(|body| Payload::Bytes(body.to_vec()));
     AttemptReport {
         outcome,
-        replica_loaded: warm,
+        replica_loaded,
         queue_depth,
         payload,
     }
 }
 
-/// Each kind of answer as a worker writes it, and what the transport reports of it.
+/// Answers to a call as frames, one of each code and each value of `detail`, and the report that the transport makes of
+/// each.
 #[rstest]
 #[case::served_resident(
     "7fc80019000000040123456789abcdef64657461696c3d7265736964656e742c636f6d70616e793d37444f4e456cc398\
@@ -209,11 +230,11 @@
     "7fc80015000000010123456789abcdef636f6d70616e793d302c64657461696c3d726f646578fb3f113c",
     report(Outcome::Ok, Some(false), Some(0), Some(b"x"))
 )]
-#[case::miss(
+#[case::not_loaded(
     "7fca0000000000000123456789abcdef00000000",
     report(Outcome::NotLoaded, None, None, None)
 )]
-#[case::full(
+#[case::rejected(
     "7fcb0009000000000123456789abcdef636f6d70616e793d397a097698",
     report(Outcome::Rejected, None, Some(9), None)
 )]
@@ -221,7 +242,7 @@
     "7fcc0009000000030123456789abcdef636f6d70616e793d39776879d9bb0016",
     report(Outcome::Error, None, None, None)
 )]
-#[case::moot(
+#[case::not_begun(
     "7fcd0000000000000123456789abcdef00000000",
     report(Outcome::NotSent, None, None, None)
 )]
@@ -229,8 +250,10 @@
     let mut link = Link::new(Protocol::Frames);
     link.send(&bytes_request(None, false));
     let mut worker = link.accept();
-    raw_frame(&mut worker);
-    worker.write_all(&unhex(golden)).expect("written");
+    read_raw_frame(&mut worker);
+    worker
+        .write_all(&decode_hex(golden))
+        .expect("send an answer");
     assert_eq!(link.attempt_report(), expected);
 }
 
@@ -239,9 +262,11 @@
     let mut link = Link::new(Protocol::Frames);
     link.transport.order(1, FUNCTION, 3, None);
     let mut worker = link.accept();
-    raw_frame(&mut worker);
+    read_raw_frame(&mut worker);
     let golden = "7fc8000a00000000fffffffffffffffe736c6f74735f75703d32c89564c7";
-    worker.write_all(&unhex(golden)).expect("written");
+    worker
+        .write_all(&decode_hex(golden))
+        .expect("send an answer");
     assert_eq!(link.order_report(), (1, Outcome::Ok, 2));
 }
 
@@ -250,8 +275,10 @@
     let golden = "7fc80019000000040123456789abcdef64657461696c3d7265736964656e742c636f6d70616e793d37444f4e456cc398\
          69";
     let mut ring = Ring::new(256);
-    ring.push(&unhex(golden));
-    let frame = Decoder::default().next(&mut ring, 64).expect("sound");
+    ring.push(&decode_hex(golden));
+    let frame = Decoder::default()
+        .next(&mut ring, 64)
+        .expect("a valid frame");
     let fields = "detail=resident,company=7".to_owned();
     assert_eq!(
         frame,
@@ -264,21 +291,31 @@
     );
 }
 
-/// The next HTTP request as it stands on the wire, the worker's own address masked.
-fn raw_http(stream: &mut TcpStream, address: SocketAddr) -> String {
+/// Reads the next HTTP request and returns its text, with the worker's address replaced by `ADDRESS`.
+fn read_raw_request(stream: &mut TcpStream, address: SocketAddr) -> String {
     let mut bytes = Vec::new();
     while !bytes.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
-        stream.read_exact(&mut byte).expect("a head");
+        stream
+            .read_exact(&mut byte)
+            .expect("read the head of a request");
         bytes.extend(byte);
     }
-    let head = String::from_utf8(bytes).expect("text");
+    let head = String::from_utf8(bytes).expect("UTF-8 text");
     let length = head
         .lines()
         .find_map(|line| line.strip_prefix("Content-Length: "));
-    let mut body = vec![0; length.expect("told").parse().expect("a number")];
-    stream.read_exact(&mut body).expect("the body");
-    let body = String::from_utf8(body).expect("text");
+    let mut body = vec![
+        0;
+        length
+            .expect("a Content-Length header")
+            .parse()
+            .expect("a number")
+    ];
+    stream
+        .read_exact(&mut body)
+        .expect("read the body of a request");
+    let body = String::from_utf8(body).expect("UTF-8 text");
     format!("{}{body}", head.replace(&address.to_string(), "ADDRESS"))
 }
 
@@ -297,7 +334,7 @@
          X-Budget-Ms: 5000\r\n\
          \r\n\
          {\"id\":\"0123456789abcdef\",\"inputs\":[{\"data\":[\"Ym9keQ==\"],\"datatype\":\"BYTES\",\"name\":\"body\",\"parameters\":{\"content_type\":\"base64\"},\"shape\":[1]}],\"parameters\":{\"class\":\"tile-order\",\"retry\":true,\"tenant\":\"acme\",\"token\":\"key-1\",\"wait_ms\":5000}}")]
-#[case::of_json(request(None, false, Payload::Json(b"{\"a\":1}".to_vec())), "POST /v2/models/7f3a9c21e0b4d655/infer HTTP/1.1\r\n\
+#[case::json_body(request(None, false, Payload::Json(b"{\"a\":1}".to_vec())), "POST /v2/models/7f3a9c21e0b4d655/infer HTTP/1.1\r\n\
          Host: ADDRESS\r\n\
          Content-Type: application/json\r\n\
          Content-Length: 7\r\n\
@@ -307,7 +344,7 @@
 fn calls_are_written_as_v2_requests(#[case] request: Arc<Request>, #[case] golden: &str) {
     let mut link = Link::new(Protocol::Kserve);
     link.send(&request);
-    pinned_text(&raw_http(&mut link.accept(), link.address), golden);
+    assert_golden_text(&read_raw_request(&mut link.accept(), link.address), golden);
 }
 
 #[rstest]
@@ -321,7 +358,7 @@
          \r\n\
          {\"parameters\":{\"slots_up\":3}}"
 )]
-#[case::question(
+#[case::query(
     0,
     "POST /v2/repository/index HTTP/1.1\r\n\
          Host: ADDRESS\r\n\
@@ -334,15 +371,15 @@
 fn orders_are_written_as_v2_requests(#[case] replicas: u32, #[case] golden: &str) {
     let mut link = Link::new(Protocol::Kserve);
     link.transport.order(1, FUNCTION, replicas, None);
-    pinned_text(&raw_http(&mut link.accept(), link.address), golden);
+    assert_golden_text(&read_raw_request(&mut link.accept(), link.address), golden);
 }
 
 #[test]
 fn unloads_are_written_as_v2_requests() {
     let mut link = Link::new(Protocol::Kserve);
     link.transport.unload(FUNCTION);
-    pinned_text(
-        &raw_http(&mut link.accept(), link.address),
+    assert_golden_text(
+        &read_raw_request(&mut link.accept(), link.address),
         "POST /v2/repository/models/7f3a9c21e0b4d655/unload HTTP/1.1\r\n\
          Host: ADDRESS\r\n\
          Content-Type: application/json\r\n\
@@ -353,10 +390,12 @@
     );
 }
 
+/// Body of a success answer with text data that states `detail` and `company`.
 const SERVED: &str = r#"{"id":"0123456789abcdef","parameters":{"detail":"booted","company":4},"outputs":[{"name":"body","shape":[1],"datatype":"BYTES","data":["DONE"]}]}"#;
+/// Body of a success answer with base64 data that states neither `detail` nor `company`.
 const SERVED_BASE64: &str = r#"{"outputs":[{"name":"body","datatype":"BYTES","parameters":{"content_type":"base64"},"data":["AP8="]}]}"#;
 
-/// Each kind of v2 answer of a worker, and what the transport reports of it.
+/// Answers to a call as KServe v2 responses, and the report that the transport makes of each.
 #[rstest]
 #[case::served(
     "200 OK",
@@ -370,26 +409,26 @@
     SERVED_BASE64,
     report(Outcome::Ok, None, None, Some(b"\x00\xff"))
 )]
-#[case::served_nothing_readable("200 OK", "", "{}", report(Outcome::Error, None, None, None))]
-#[case::miss(
+#[case::success_without_outputs("200 OK", "", "{}", report(Outcome::Error, None, None, None))]
+#[case::not_loaded(
     "404 Not Found",
     "",
     "{}",
     report(Outcome::NotLoaded, None, None, None)
 )]
-#[case::full_429(
+#[case::rejected_429(
     "429 Too Many Requests",
     "",
     "{}",
     report(Outcome::Rejected, None, None, None)
 )]
-#[case::full_503(
+#[case::rejected_503_with_retry_after(
     "503 Service Unavailable",
     "Retry-After: 1\r\n",
     "{}",
     report(Outcome::Rejected, None, None, None)
 )]
-#[case::error_503(
+#[case::error_503_without_retry_after(
     "503 Service Unavailable",
     "",
     "{}",
@@ -410,24 +449,24 @@
     let mut link = Link::new(Protocol::Kserve);
     link.send(&bytes_request(None, false));
     let mut worker = link.accept();
-    raw_http(&mut worker, link.address);
-    say_http(&mut worker, status, headers, body);
+    read_raw_request(&mut worker, link.address);
+    write_response(&mut worker, status, headers, body);
     assert_eq!(link.attempt_report(), expected);
 }
 
-fn say_http(worker: &mut TcpStream, status: &str, headers: &str, body: &str) {
+fn write_response(worker: &mut TcpStream, status: &str, headers: &str, body: &str) {
     let length = body.len();
     write!(
         worker,
         "HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}"
     )
-    .expect("written");
+    .expect("send an answer");
 }
 
 #[rstest]
 #[case::load(3, r#"{"parameters":{"slots_up":2}}"#, (1, Outcome::Ok, 2))]
-#[case::load_of_unstated_replicas(3, "{}", (1, Outcome::Ok, 3))]
-#[case::question(
+#[case::load_without_stated_replicas(3, "{}", (1, Outcome::Ok, 3))]
+#[case::query(
     0,
     r#"[{"name":"7f3a9c21e0b4d655","state":"READY","parameters":{"slots_up":2}},{"name":"7f3a9c21e0b4d655","state":"READY"},{"name":"7f3a9c21e0b4d655","state":"UNAVAILABLE"},{"name":"0000000000000001","state":"READY"}]"#,
     (1, Outcome::Ok, 3)
@@ -440,20 +479,20 @@
     let mut link = Link::new(Protocol::Kserve);
     link.transport.order(1, FUNCTION, replicas, None);
     let mut worker = link.accept();
-    raw_http(&mut worker, link.address);
-    say_http(&mut worker, "200 OK", "", body);
+    read_raw_request(&mut worker, link.address);
+    write_response(&mut worker, "200 OK", "", body);
     assert_eq!(link.order_report(), expected);
 }
 
 #[test]
-fn answers_of_bytes_are_wrapped_as_one_tensor() {
-    pinned_text(&String::from_utf8(wrap_answer(b"\x00\xffA")).expect("text"), "{\"outputs\":[{\"data\":[\"AP9B\"],\"datatype\":\"BYTES\",\"name\":\"body\",\"parameters\":{\"content_type\":\"base64\"},\"shape\":[1]}]}");
+fn byte_answers_are_wrapped_as_one_tensor() {
+    assert_golden_text(&String::from_utf8(wrap_answer(b"\x00\xffA")).expect("UTF-8 text"), "{\"outputs\":[{\"data\":[\"AP9B\"],\"datatype\":\"BYTES\",\"name\":\"body\",\"parameters\":{\"content_type\":\"base64\"},\"shape\":[1]}]}");
 }
 
-fn pinned(bytes: &[u8], golden: &str) {
-    assert_eq!(hex(bytes), golden);
+fn assert_golden(bytes: &[u8], golden: &str) {
+    assert_eq!(encode_hex(bytes), golden);
 }
 
-fn pinned_text(text: &str, golden: &str) {
+fn assert_golden_text(text: &str, golden: &str) {
     assert_eq!(text, golden);
 }
--- a/wrenseam/tests/program.rs
+++ b/wrenseam/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program at its edges: unusual input, idle connections, health, administration and graceful shutdown.
+//! End-to-end tests of unusual client input, idle connections, health and state reports, and graceful shutdown.
 mod common;
 
 use common::{
@@ -10,57 +10,64 @@
 
 type Params = Vec<(&'static str, &'static str)>;
 
-fn params(wait: &'static str) -> Params {
+/// Parameters of a valid call whose client waits for `timeout_ms`.
+fn params(timeout_ms: &'static str) -> Params {
     vec![
         ("SCRIPT_NAME", "/v1/tile-render"),
         ("HTTP_REQ_ID", "00000000000000aa"),
         ("HTTP_REQ_OWNER", "acme"),
-        ("HTTP_REQ_WAIT_MS", wait),
+        ("HTTP_REQ_WAIT_MS", timeout_ms),
         ("HTTP_REQ_KEY", FUNCTION),
     ]
 }
 
-fn with(name: &'static str, value: &'static str) -> Vec<u8> {
+/// A call that is valid apart from one parameter, which is replaced or added.
+fn request_with_param(name: &'static str, value: &'static str) -> Vec<u8> {
     let mut params: Params = params("900").into_iter().filter(|p| p.0 != name).collect();
     params.push((name, value));
     fastcgi_request(1, &params, b"")
 }
 
-/// What cannot be served is answered, and the connection stays usable.
+/// A request that cannot be served gets an error answer, and the connection stays usable: each request is sent twice on
+/// one connection. A health check is answered by the front end itself.
 #[rstest]
 #[case::body_too_long(fastcgi_request(1, &params("900"), &[7; 17_000]), "Status: 400", 0)]
 #[case::timeout_is_no_number(fastcgi_request(1, &params("soon"), b""), "Status: 400", 0)]
-// Numbers that are out of range must not reach the clock or the policy.
+// Numbers out of range must be rejected before they reach the clock or the policy.
 #[case::infinite_timeout(fastcgi_request(1, &params("inf"), b""), "Status: 400", 0)]
 #[case::huge_timeout(fastcgi_request(1, &params("1e300"), b""), "Status: 400", 0)]
 #[case::negative_timeout(fastcgi_request(1, &params("-5"), b""), "Status: 400", 0)]
-#[case::memory_is_no_number(with("HTTP_X_MORE", "memory_mb:NaN;lanes:2"), "Status: 400", 0)]
-#[case::negative_memory(with("HTTP_X_MORE", "memory_mb:-1"), "Status: 400", 0)]
-#[case::huge_concurrency(with("HTTP_X_MORE", "lanes:1e9"), "Status: 400", 0)]
-#[case::load_time_is_no_number(with("HTTP_X_MORE", "load_ms:soon"), "Status: 400", 0)]
-#[case::unknown_tenant(with("HTTP_REQ_OWNER", "nobody"), "Status: 500", 0)]
-#[case::unknown_class(with("SCRIPT_NAME", "/v1/other"), "Status: 500", 0)]
+#[case::memory_is_no_number(
+    request_with_param("HTTP_X_MORE", "memory_mb:NaN;lanes:2"),
+    "Status: 400",
+    0
+)]
+#[case::negative_memory(request_with_param("HTTP_X_MORE", "memory_mb:-1"), "Status: 400", 0)]
+#[case::huge_concurrency(request_with_param("HTTP_X_MORE", "lanes:1e9"), "Status: 400", 0)]
+#[case::load_time_is_no_number(request_with_param("HTTP_X_MORE", "load_ms:soon"), "Status: 400", 0)]
+#[case::unknown_tenant(request_with_param("HTTP_REQ_OWNER", "nobody"), "Status: 500", 0)]
+#[case::unknown_class(request_with_param("SCRIPT_NAME", "/v1/other"), "Status: 500", 0)]
 #[case::no_parameters(fastcgi_request(1, &[], b""), "Status: 400", 0)]
 #[case::unknown_role(fastcgi_record(1, 1, &[0, 2, 1, 0, 0, 0, 0, 0]), "", 3)]
 #[case::health(fastcgi_request(1, &[("SCRIPT_NAME", "/healthz")], b""), "Status: 200", 0)]
 fn unusual_fastcgi_requests_are_answered(
     #[case] bytes: Vec<u8>,
-    #[case] head: &str,
-    #[case] status: u8,
+    #[case] head_start: &str,
+    #[case] protocol_status: u8,
 ) {
     let harness = Harness::new(Protocol::Platform);
     let mut stream = connect(harness.fastcgi_front);
     for _ in 0..2 {
-        stream.write_all(&bytes).expect("written");
-        let answer = read_fastcgi_answer(&mut stream).expect("an answer");
+        stream.write_all(&bytes).expect("send a request");
+        let answer = read_fastcgi_answer(&mut stream).expect("read an answer");
         assert!(
-            answer.head.starts_with(head) && answer.protocol_status == status,
+            answer.head.starts_with(head_start) && answer.protocol_status == protocol_status,
             "{answer:?}"
         );
     }
 }
 
-/// A violation of the protocol ends its connection, and no other.
+/// A violation of the FastCGI protocol ends its connection without an answer. Requests on other connections are served.
 #[rstest]
 #[case::not_fastcgi(b"GET / HTTP/1.1\r\n\r\n".to_vec())]
 #[case::begun_twice([fastcgi_record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0]), fastcgi_record(1, 1, &[0, 1, 1, 0, 0, 0, 0, 0])].concat())]
@@ -68,12 +75,13 @@
 fn protocol_violations_end_the_connection(#[case] bytes: Vec<u8>) {
     let harness = Harness::new(Protocol::Platform);
     let mut stream = connect(harness.fastcgi_front);
-    stream.write_all(&bytes).expect("written");
+    stream.write_all(&bytes).expect("send a request");
     assert_eq!(stream.read(&mut [0; 64]).unwrap_or(0), 0);
-    harness.run_scenario(Protocol::Platform, SERVED);
+    harness.run_scenario(Protocol::Platform, SERVED_REQUEST);
 }
 
-/// The same for HTTP: an error object, then the end of the connection.
+/// An invalid or unsupported HTTP request is answered with an error object, and its connection is closed. Requests on
+/// other connections are served.
 #[rstest]
 #[case::garbage("\u{1}\r\n\r\n", "400")]
 #[case::too_long(
@@ -93,23 +101,24 @@
 fn invalid_http_is_answered(#[case] bytes: &str, #[case] status: &str) {
     let harness = Harness::new(Protocol::Kserve);
     let mut stream = connect(harness.kserve_front);
-    stream.write_all(bytes.as_bytes()).expect("written");
+    stream.write_all(bytes.as_bytes()).expect("send a request");
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
+    stream.read_to_string(&mut answer).expect("read an answer");
     assert!(
         answer.starts_with(&format!("HTTP/1.1 {status} ")) && answer.contains(r#"{"error":""#),
         "{answer}"
     );
-    harness.run_scenario(Protocol::Kserve, SERVED);
+    harness.run_scenario(Protocol::Kserve, SERVED_REQUEST);
 }
 
-/// A client that sends no complete request is answered or disconnected, and must not keep others out.
+/// A client that sends no complete request is disconnected, after an error answer if its request is too long. Idle
+/// clients must not keep others out: 130 silent connections exceed the 92 that the configured limit of sockets allows.
 #[rstest]
 #[case::silent("client expect closed")]
 #[case::unfinished_request("client send part\nclient expect closed")]
 #[case::endless_request("client send endless\nclient expect failed\nclient expect closed")]
-#[case::idle_after_a_request(&format!("{SERVED}\nclient expect closed"))]
-#[case::many_silent_connections(&format!("client open 130\n{SERVED}"))]
+#[case::idle_after_a_request(&format!("{SERVED_REQUEST}\nclient expect closed"))]
+#[case::many_silent_connections(&format!("client open 130\n{SERVED_REQUEST}"))]
 fn idle_and_unfinished_connections_are_closed(
     #[values(Protocol::Platform, Protocol::Kserve)] front: Protocol,
     #[case] scenario: &str,
@@ -117,29 +126,32 @@
     Harness::new(Protocol::Platform).run_scenario(front, scenario);
 }
 
-/// A second request under the id of an open one is failed, and the open one is served.
+/// A second request with the request id (`HTTP_REQ_ID`) of an open request fails, and the open request is served.
 #[test]
 fn an_open_request_keeps_its_id() {
     let harness = Harness::new(Protocol::Platform);
-    harness.run_scenario(Protocol::Platform, SERVED);
+    harness.run_scenario(Protocol::Platform, SERVED_REQUEST);
     let mut stream = connect(harness.fastcgi_front);
     for (id, body) in [(1, b"first"), (2, b"other")] {
         stream
             .write_all(&fastcgi_request(id, &params("5000"), body))
-            .expect("written");
+            .expect("send a request");
     }
-    let head = read_fastcgi_answer(&mut stream).expect("an answer").head;
+    let head = read_fastcgi_answer(&mut stream)
+        .expect("read an answer")
+        .head;
     assert!(head.starts_with("Status: 500"), "{head}");
     harness.run_scenario(
         Protocol::Platform,
         "worker expect tile-render - first\nworker send ok DONE",
     );
-    let answer = read_fastcgi_answer(&mut stream).expect("an answer");
+    let answer = read_fastcgi_answer(&mut stream).expect("read an answer");
     let (head, body) = (answer.head, answer.body);
     assert!(head.starts_with("Status: 200") && body == b"DONE", "{head}");
 }
 
-const SERVED: &str = "
+/// Scenario of one request that is served.
+const SERVED_REQUEST: &str = "
     client send tile-render - x 3000
     worker expect tile-render - x
     worker send ok DONE
@@ -148,7 +160,7 @@
 #[test]
 fn health_metadata_and_state_are_reported() {
     let harness = Harness::new(Protocol::Kserve);
-    harness.run_scenario(Protocol::Platform, SERVED);
+    harness.run_scenario(Protocol::Platform, SERVED_REQUEST);
     for (path, expected) in [
         ("/v2/health/live", r#"{"live":true}"#),
         ("/v2/health/ready", r#"{"ready":true}"#),
@@ -172,37 +184,41 @@
     );
 }
 
-/// A request that is open at SIGTERM, and one that comes just after it, are answered before the end.
+/// A request sent just before SIGTERM is answered before the process exits, here with an error: no worker answers the
+/// call within the 1.2 s that its client waits.
 #[test]
 fn graceful_shutdown_answers_accepted_requests() {
     let mut harness = Harness::new(Protocol::Platform);
-    harness.run_scenario(Protocol::Platform, SERVED);
+    harness.run_scenario(Protocol::Platform, SERVED_REQUEST);
     let mut stream = connect(harness.fastcgi_front);
     stream
         .write_all(&fastcgi_request(1, &params("1200"), b"open"))
-        .expect("written");
+        .expect("send a request");
     assert!(harness.terminate());
     let head = read_fastcgi_answer(&mut stream)
-        .expect("an answer before the end")
+        .expect("read an answer before the connection ends")
         .head;
     assert!(head.starts_with("Status: 5"), "{head}");
 }
 
-/// A request that its client cancelled has no answer, and its id can be used anew.
+/// A request that its client aborted gets no answer, and its FastCGI id can be reused: the next answer on the
+/// connection is that of the second request.
 #[test]
 fn an_aborted_request_gets_no_answer() {
     let harness = Harness::new(Protocol::Platform);
-    harness.run_scenario(Protocol::Platform, SERVED);
+    harness.run_scenario(Protocol::Platform, SERVED_REQUEST);
     let mut stream = connect(harness.fastcgi_front);
     stream
         .write_all(&fastcgi_request(1, &params("60000"), b"given up"))
-        .expect("written");
+        .expect("send a request");
     stream
         .write_all(&fastcgi_record(2, 1, &[]))
-        .expect("written");
+        .expect("send a request");
     stream
         .write_all(&fastcgi_request(1, &[("SCRIPT_NAME", "/healthz")], b""))
-        .expect("written");
-    let head = read_fastcgi_answer(&mut stream).expect("an answer").head;
+        .expect("send a request");
+    let head = read_fastcgi_answer(&mut stream)
+        .expect("read an answer")
+        .head;
     assert!(head.starts_with("Status: 200"), "{head}");
 }
