--- a/wrenseam/tests/common/harness.rs
+++ b/wrenseam/tests/common/harness.rs
@@ -87,6 +87,7 @@
         harness.wait_until_started()
     }
 
+    /// Forwards the log, and waits until the health check of the administration API succeeds.
     fn wait_until_started(mut self) -> Harness {
         self.program.forward_log("program".to_owned());
         while !http_get(self.admin_api, "/healthz").starts_with("HTTP/1.1 200") {
--- a/wrenseam/tests/common/mod.rs
+++ b/wrenseam/tests/common/mod.rs
@@ -31,12 +31,12 @@
 /// How long a step that expects nothing waits for unexpected input.
 const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
-/// The protocols of a front and its clients, or of a worker.
+/// Protocol family. Selects the front that a client connects to, or the protocol of the workers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Protocol {
     /// The platform's own protocols: FastCGI from clients, binary frames to workers.
     Platform,
-    /// KServe v2 over HTTP/1.1 on both sides.
+    /// KServe v2 over HTTP/1.1, from clients and to workers.
     Kserve,
 }
 
--- a/wrenseam/tests/common/program.rs
+++ b/wrenseam/tests/common/program.rs
@@ -106,7 +106,7 @@
     }
 }
 
-/// Creates a directory whose name no other run of a test uses.
+/// Creates a directory for the files of one test run, named by the test's process id and a counter.
 pub(crate) fn create_run_folder(prefix: &str) -> PathBuf {
     static RUNS: AtomicU64 = AtomicU64::new(0);
     let run = RUNS.fetch_add(1, Ordering::Relaxed);
--- a/wrenseam/tests/common/scenario/step.rs
+++ b/wrenseam/tests/common/scenario/step.rs
@@ -1,4 +1,4 @@
-//! The steps of a scenario, parsed from their text. The list of steps is in the module above.
+//! The steps of a scenario, parsed from their text. The documentation of the `scenario` module lists them.
 use super::super::clients::{ClientAnswer, ClientRequest};
 use super::super::workers::{OrderMode, WorkerAnswer};
 use super::super::CallContent;
