--- a/scalelab/src/policy_scaling.rs
+++ b/scalelab/src/policy_scaling.rs
@@ -1,5 +1,6 @@
-//! The decision policy alone: processor time, memory and actions against workers, functions, requests, front ends,
-//! endpoint list changes, zones and the keep-alive time of idle replicas.
+//! Experiments on the decision policy alone: how the time spent in it, its memory and its actions scale with the
+//! numbers of workers, functions, requests, front ends, endpoint list changes and zones, with the keep-alive time of idle replicas,
+//! and with the time since the start.
 use crate::simulated_front_end::{HandlingTimes, Scenario, SimulatedFrontEnd, SEC};
 use crate::{Column, Experiment, ExperimentError, Sweep};
 
@@ -7,40 +8,40 @@
 pub const EXPERIMENTS: &[Experiment] = &[
     Experiment {
         name: "module-workers",
-        about: "The module at one front end against the workers listed, for two popularities of functions.",
+        about: "The policy of one front end against the workers listed, for two popularity distributions of the functions.",
         sizes: &[1_000, 2_000, 4_000, 7_000, 10_000],
         bound: 20_000,
         run: |sizes, seed| {
-            let heavy = Scenario { popularity_exponent: 1.0, popularity_offset: 0.0, ..base(seed) };
+            let zipf = Scenario { popularity_exponent: 1.0, popularity_offset: 0.0, ..base(seed) };
             Ok(vec![
-                sweep(PLAYS, "workers", sizes, &base(seed), |s, n| s.workers = n as usize),
-                sweep(PLAYS, "workers, calls spread as 1/rank", sizes, &heavy, |s, n| s.workers = n as usize),
+                sweep(RUNS, "workers", sizes, &base(seed), |s, n| s.workers = n as usize),
+                sweep(RUNS, "workers, calls spread as 1/rank", sizes, &zipf, |s, n| s.workers = n as usize),
             ])
         },
     },
     Experiment {
         name: "module-functions",
-        about: "The module at one front end against the functions that clients call.",
+        about: "The policy of one front end against the functions that clients call.",
         sizes: &[1_000, 2_000, 4_000, 8_000, 16_000],
         bound: 64_000,
         run: |sizes, seed| {
-            let even = Scenario { popularity_exponent: 0.0, popularity_offset: 0.0, ..base(seed) };
+            let uniform = Scenario { popularity_exponent: 0.0, popularity_offset: 0.0, ..base(seed) };
             Ok(vec![
-                sweep(PLAYS, "functions", sizes, &base(seed), |s, n| s.functions = n as usize),
-                sweep(PLAYS, "functions, all called alike", sizes, &even, |s, n| s.functions = n as usize),
+                sweep(RUNS, "functions", sizes, &base(seed), |s, n| s.functions = n as usize),
+                sweep(RUNS, "functions, all called alike", sizes, &uniform, |s, n| s.functions = n as usize),
             ])
         },
     },
     Experiment {
         name: "module-calls",
-        about: "The module against the calls a second of its front end.",
+        about: "The policy against the requests per second at its front end.",
         sizes: &[19, 38, 76, 152, 304],
         bound: 2_000,
-        run: |sizes, seed| Ok(vec![sweep(PLAYS, "calls/s", sizes, &base(seed), |s, n| s.requests_per_s = n as f64)]),
+        run: |sizes, seed| Ok(vec![sweep(RUNS, "calls/s", sizes, &base(seed), |s, n| s.requests_per_s = n as f64)]),
     },
     Experiment {
         name: "module-fleet",
-        about: "The module against the front ends that share the workers, 152 calls a second each.",
+        about: "The policy against the front ends that share the workers, at 152 requests per second each.",
         sizes: &[30, 100, 330, 660, 1_024],
         bound: 4_096,
         run: |sizes, seed| {
@@ -48,51 +49,51 @@
                 s.front_ends = n as u32;
                 s.quota_per_s = QUOTA_HEADROOM * s.requests_per_s * n as f64;
             };
-            Ok(vec![sweep(PLAYS, "front ends", sizes, &base(seed), vary)])
+            Ok(vec![sweep(RUNS, "front ends", sizes, &base(seed), vary)])
         },
     },
     Experiment {
         name: "module-changes",
         about:
-            "The module against changes of the list a minute: a worker goes, the next time a new one comes.",
+            "The policy against endpoint list changes per minute: a worker leaves, at the next change a new one joins.",
         sizes: &[2, 6, 20, 60, 240],
         bound: 3_000,
         run: |sizes, seed| {
             let vary = |s: &mut Scenario, n| s.endpoint_changes_per_s = n as f64 / 60.0;
-            Ok(vec![sweep(PLAYS, "list changes/min", sizes, &base(seed), vary)])
+            Ok(vec![sweep(RUNS, "list changes/min", sizes, &base(seed), vary)])
         },
     },
     Experiment {
         name: "module-zones",
-        about: "The module against the zones that its workers stand in.",
+        about: "The policy against the number of zones that the workers are in.",
         sizes: &[1, 2, 4, 7],
         bound: 64,
-        run: |sizes, seed| Ok(vec![sweep(PLAYS, "zones", sizes, &base(seed), |s, n| s.zones = n as usize)]),
+        run: |sizes, seed| Ok(vec![sweep(RUNS, "zones", sizes, &base(seed), |s, n| s.zones = n as usize)]),
     },
     Experiment {
         name: "module-keep",
-        about: "The module against the seconds for which an idle copy is kept (`keep`).",
+        about: "The policy against the seconds for which an idle replica is kept (setting `keep`).",
         sizes: &[5, 10, 20, 40],
         bound: 600,
         run: |sizes, seed| {
-            let heavy = Scenario { popularity_exponent: 1.0, popularity_offset: 0.0, ..base(seed) };
+            let zipf = Scenario { popularity_exponent: 1.0, popularity_offset: 0.0, ..base(seed) };
             let vary = |s: &mut Scenario, n| s.keep_alive = n * SEC;
             Ok(vec![
-                sweep(PLAYS, "keep, s", sizes, &base(seed), vary),
-                sweep(PLAYS, "keep, s, calls spread as 1/rank", sizes, &heavy, vary),
+                sweep(RUNS, "keep, s", sizes, &base(seed), vary),
+                sweep(RUNS, "keep, s, calls spread as 1/rank", sizes, &zipf, vary),
             ])
         },
     },
     Experiment {
         name: "module-hour",
-        about: "What the module holds after so many minutes, with 1 list change in 10 s.",
+        about: "Memory that the policy holds after a number of minutes, with one endpoint list change every 10 s.",
         sizes: &[1, 2, 5, 10, 20, 40, 60],
         bound: 240,
-        run: hour,
+        run: long_run,
     },
 ];
 
-/// What is held while one thing is varied: the size to plan with.
+/// The base scenario, of which each experiment varies one parameter: the planned size of a deployment.
 pub fn base(seed: u64) -> Scenario {
     Scenario {
         seed,
@@ -100,7 +101,7 @@
     }
 }
 
-/// The scenario in words, for a title.
+/// A one-line description of the scenario, for the title of a sweep.
 pub fn describe(scenario: &Scenario) -> String {
     let absence = if scenario.load_on_demand {
         "loads"
@@ -121,18 +122,18 @@
     )
 }
 
-/// Quota of the tenants, as a multiple of the requests that come.
+/// Quota of all tenants together, as a multiple of the rate at which requests arrive.
 const QUOTA_HEADROOM: f64 = 1.2;
-/// Seconds that are measured once what is forgotten has come to its level.
+/// Seconds measured after the warm-up where the endpoint list does not change.
 const MEASURED_S: u64 = 20;
-/// The same where the endpoint list changes, as changes are seldom.
+/// Seconds measured after the warm-up where the endpoint list changes: more than without, as changes are infrequent.
 const MEASURED_WITH_CHANGES_S: u64 = 120;
-/// Plays of one scenario: times are their median.
-const PLAYS: usize = 3;
-/// Endpoint list changes a second in the experiment over an hour.
-const HOUR_CHANGES_PER_S: f64 = 0.1;
+/// Runs of each scenario, of which the one with the median time per request is reported.
+const RUNS: usize = 3;
+/// Endpoint list changes per second in the `module-hour` experiment.
+const LONG_RUN_CHANGES_PER_S: f64 = 0.1;
 
-/// Columns of exact figures, then of measured ones.
+/// The columns of a table: first the figures that are the same in every run, then the measured times.
 pub(crate) fn columns(exact: &[&'static str], measured: &[&'static str]) -> Vec<Column> {
     let column = |exact| move |&name: &&'static str| Column { name, exact };
     exact
@@ -142,9 +143,10 @@
         .collect()
 }
 
-/// Varies one thing of a scenario; times are the median of this many plays, one at the least.
+/// Varies one parameter of a scenario. Each row has the figures of the run with the median time, of `runs` runs (at
+/// least one).
 pub fn sweep(
-    plays: usize,
+    runs: usize,
     what: &'static str,
     sizes: &[u64],
     held: &Scenario,
@@ -153,7 +155,7 @@
     let row = |&size: &u64| {
         let mut scenario = held.clone();
         vary(&mut scenario, size);
-        (size, median_row(plays, &scenario))
+        (size, median_row(runs, &scenario))
     };
     Sweep {
         title: format!("{what}: {}", describe(held)),
@@ -174,9 +176,11 @@
     }
 }
 
-/// The figures of the play with the median time, beside the least and the most time.
-fn median_row(plays: usize, scenario: &Scenario) -> Vec<f64> {
-    let mut results: Vec<SteadyState> = (0..plays.max(1)).map(|_| play(scenario)).collect();
+/// The figures of the run with the median time per request, and the shortest and longest time of all runs.
+fn median_row(runs: usize, scenario: &Scenario) -> Vec<f64> {
+    let mut results: Vec<SteadyState> = (0..runs.max(1))
+        .map(|_| measure_steady_state(scenario))
+        .collect();
     results.sort_by(|a, b| a.us_per_request.total_cmp(&b.us_per_request));
     let least = results[0].us_per_request;
     let most = results[results.len() - 1].us_per_request;
@@ -200,35 +204,35 @@
 /// Figures that are the same in every run of a scenario and seed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExactFigures {
-    /// Megabytes that the policy holds at the end.
+    /// Heap memory that the policy holds at the end, in megabytes.
     pub held_mb: f64,
-    /// Heap allocations for each request.
+    /// Heap allocations within the policy per request.
     pub allocations_per_request: f64,
-    /// Kilobytes allocated for each request.
+    /// Kilobytes allocated within the policy per request.
     pub allocated_kb_per_request: f64,
-    /// Functions called since the start.
+    /// Distinct functions called since the start.
     pub functions_called: f64,
-    /// Load orders a second.
+    /// Load orders sent per second.
     pub load_orders_per_s: f64,
-    /// Queries a second.
+    /// Queries whether a worker has a function loaded, sent per second.
     pub queries_per_s: f64,
-    /// Requests rejected or failed a second.
+    /// Requests rejected or failed per second.
     pub not_served_per_s: f64,
 }
 
-/// What a play measured once the policy's state had come to its level.
+/// What one run measured after the warm-up.
 #[derive(Clone, Debug)]
 pub struct SteadyState {
-    /// Counts and bytes.
+    /// Counts and bytes, the same in every run.
     pub exact: ExactFigures,
-    /// Microseconds within the policy for each request.
+    /// Time within the policy per request, in microseconds.
     pub us_per_request: f64,
-    /// Microseconds within the policy's timers a second.
+    /// Time within the policy's timer handling per second, in microseconds.
     pub timer_us_per_s: f64,
 }
 
-/// Plays a scenario until the policy's state has come to its level, then measures.
-pub fn play(scenario: &Scenario) -> SteadyState {
+/// Runs a scenario until the policy is in steady state (four keep-alive times and a second), then measures.
+pub fn measure_steady_state(scenario: &Scenario) -> SteadyState {
     let mut front_end = SimulatedFrontEnd::new(scenario);
     front_end.run(4 * scenario.keep_alive + SEC);
     let before = front_end.counts.clone();
@@ -260,34 +264,34 @@
     }
 }
 
-fn hour(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
+fn long_run(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let base = Scenario {
-        endpoint_changes_per_s: HOUR_CHANGES_PER_S,
+        endpoint_changes_per_s: LONG_RUN_CHANGES_PER_S,
         ..base(seed)
     };
-    let by_rank = Scenario {
+    let zipf = Scenario {
         popularity_exponent: 1.0,
         popularity_offset: 0.0,
         ..base
     };
     Ok(vec![
-        over_minutes(sizes, &base),
-        over_minutes(sizes, &by_rank),
+        long_run_sweep(sizes, &base),
+        long_run_sweep(sizes, &zipf),
     ])
 }
 
-/// One front end, measured after each of these minutes; what is counted for a request and a second is since the row
-/// before.
-fn over_minutes(minutes: &[u64], scenario: &Scenario) -> Sweep {
+/// Runs one front end and measures it after each of these numbers of minutes. Figures per request and per second are
+/// over the time since the row before.
+fn long_run_sweep(minutes: &[u64], scenario: &Scenario) -> Sweep {
     let mut front_end = SimulatedFrontEnd::new(scenario);
-    let mut played = 0;
+    let mut elapsed_minutes = 0;
     let mut rows = Vec::new();
     for &minute in minutes {
         let before = front_end.counts.clone();
         front_end.handling_times = HandlingTimes::default();
-        let seconds = (minute - played) * 60;
+        let seconds = (minute - elapsed_minutes) * 60;
         front_end.run(seconds * SEC);
-        played = minute;
+        elapsed_minutes = minute;
         let counts = &front_end.counts;
         let requests = (counts.requests - before.requests).max(1) as f64;
         let allocated_kb = (counts.allocated_bytes - before.allocated_bytes) as f64 / 1e3;
--- a/scalelab/src/simulated_front_end/measurements.rs
+++ b/scalelab/src/simulated_front_end/measurements.rs
@@ -1,6 +1,6 @@
-//! What a simulated front end measures of its policy.
+//! Counters and timings of a simulated front end's policy.
 
-/// What the policy was given, and what it asked for: the same in every run of a scenario and seed.
+/// Counts of the policy's inputs, of its actions and of its memory: the same in every run of a scenario and seed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PolicyCounts {
     /// Client requests that arrived.
@@ -25,7 +25,7 @@
     pub first_rejected: u64,
     /// Requests failed.
     pub failed: u64,
-    /// Attempts that found the function not loaded.
+    /// Attempts that reached a worker where the function was not loaded, whether or not that started a load.
     pub loads_begun: u64,
     /// Attempts sent to a worker that could not be reached.
     pub unreachable: u64,
@@ -33,7 +33,7 @@
     pub allocations: u64,
     /// Bytes allocated within the policy.
     pub allocated_bytes: u64,
-    /// Bytes that the policy holds now.
+    /// Heap bytes that the policy holds now.
     pub held_bytes: i64,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Time within the policy by kind of event, in nanoseconds.
+/// Wall-clock time spent in the policy by kind of event, in nanoseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HandlingTimes {
     /// New requests.
@@ -57,12 +57,12 @@
     pub endpoint_updates: u64,
     /// Results of load orders.
     pub load_results: u64,
-    /// The longest that one event took.
+    /// The longest time that a single event took.
     pub longest: u64,
 }
 
 impl HandlingTimes {
-    /// Time within the policy over all kinds of event.
+    /// Time spent in the policy over all kinds of event, in nanoseconds.
     pub fn total(&self) -> u64 {
         self.requests
             + self.attempt_results
@@ -84,7 +84,7 @@
 /// An entry of the log of what a front end sent.
 #[derive(Clone, Copy, Debug)]
 pub struct SentRecord {
-    /// Simulated time.
+    /// When it was sent, in simulated time.
     pub at: wrenseam_policy::Micros,
     /// The worker, by index.
     pub worker: usize,
--- a/scalelab/src/simulated_front_end/mod.rs
+++ b/scalelab/src/simulated_front_end/mod.rs
@@ -1,5 +1,5 @@
-//! A front end without sockets: the decision policy on simulated time, before simulated workers. All that it counts
-//! is the same in every run of a scenario and seed; only what the clock measures is not.
+//! A front end without sockets: the decision policy on simulated time, with simulated workers. All of its counts are the
+//! same in every run of a scenario and seed; only the times taken with the machine's clock differ.
 mod measurements;
 mod popularity;
 mod scenario;
@@ -26,65 +26,71 @@
 pub const MS: Micros = 1_000;
 /// A second, in simulated microseconds.
 pub const SEC: Micros = 1_000_000;
-/// Requests start here, so that a worker's start time of 0 is long ago.
+/// Simulated time at which front ends start: late enough that workers with start time 0 are past slow start.
 pub const START_TIME: Micros = 1_000 * SEC;
-/// A connection to an unreachable worker counts as failed after this.
+/// Time until a connection attempt to an unreachable worker fails.
 const CONNECT_TIMEOUT: Micros = 250 * MS;
-/// Time that a client waits for its answer.
+/// Time that a client waits for a response.
 const REQUEST_TIMEOUT: Micros = 4 * SEC;
-/// Memory of one replica, in megabytes.
+/// Memory that one replica needs, in megabytes.
 const REPLICA_MEMORY_MB: f64 = 500.0;
-/// Requests that one replica works on at a time.
+/// Requests that one replica serves concurrently.
 const REPLICA_CONCURRENCY: u32 = 4;
-/// Classes and tenants that requests are spread over.
+/// Classes that requests are spread over, evenly.
 const CLASSES: u64 = 2;
+/// Tenants that requests are spread over, evenly.
 const TENANTS: usize = 5;
-/// Requests in flight that each answer of a worker reports.
+/// Requests in flight that simulated workers report with each attempt's result.
 const REPORTED_IN_FLIGHT: f64 = 2.0;
 
-/// A request that has no answer yet.
+/// A request that has no response yet.
 struct PendingRequest {
     function: usize,
     arrived_at: Micros,
     /// Whether it is the first for its function at this front end.
     first: bool,
+    /// Attempts sent so far, which is also the number of the next attempt.
     attempts: usize,
 }
 
-/// One front end.
+/// A simulated front end with its policy.
 pub struct SimulatedFrontEnd {
-    /// What it plays.
+    /// The scenario that is simulated.
     pub scenario: Scenario,
     /// Simulated time, in microseconds.
     pub now: Micros,
-    /// What the policy was given and asked for.
+    /// Counts since the start.
     pub counts: PolicyCounts,
-    /// Time within the policy.
+    /// Time spent in the policy. Experiments reset it where a measurement begins.
     pub handling_times: HandlingTimes,
-    /// Time from arrival to the attempt that was served, of first requests for a function.
+    /// Times from arrival to the start of the attempt that was served, of each first request for a function.
     pub first_waits: Vec<Micros>,
-    /// What was sent to whom, where it is to be recorded.
+    /// Messages sent to workers; `None` where they are not recorded.
     pub sent_log: Option<Vec<SentRecord>>,
     controller: Controller,
     popularity: Rc<FunctionPopularity>,
     rng: Pcg64Mcg,
     scheduled: BTreeMap<ScheduleKey, ScheduledEvent>,
     last_serial: u64,
-    /// Reused buffers: of the policy's actions, and of the same without heap data.
+    /// Reused buffer of the policy's actions.
     actions: Vec<Action>,
+    /// Reused buffer of the actions to perform, converted to a form without heap data.
     pending_actions: Vec<PolicyAction>,
+    /// Requests that have no response yet.
     pending_requests: BTreeMap<RequestId, PendingRequest>,
+    /// Where the end of each attempt in flight is in `scheduled`.
     attempt_ends: BTreeMap<AttemptKey, ScheduleKey>,
-    /// Until when a replica that this front end caused stays, by function and worker.
+    /// When each replica that this front end's requests or load orders loaded is unloaded, by function and worker.
     loaded_until: BTreeMap<(usize, usize), Micros>,
     functions_called: BTreeSet<usize>,
     /// The workers of the endpoint list.
     listed: Vec<usize>,
+    /// Index of the next new worker that joins the list.
     next_worker: usize,
     unreachable: BTreeSet<usize>,
-    /// Workers that came back with nothing loaded: other front ends keep no replica there.
+    /// Workers that lost their replicas when they were disconnected: there the other front ends keep none loaded either.
     restarted: BTreeSet<usize>,
-    /// The worker that left at the last change of the list and has no successor yet.
+    /// The worker that left at the last change of the list; the next change replaces it and sets this to `None`.
     departed: Option<usize>,
 }
 
@@ -96,7 +102,7 @@
     usize::from_str_radix(&name[2..], 16).expect("a name made by worker_name")
 }
 
-/// The policy of the front end of this index, and the bytes that it holds.
+/// A new policy for the front end of this index, and the heap bytes that it holds.
 fn new_controller(scenario: &Scenario, index: u32, seed: u64) -> (Controller, i64) {
     let mut controller = None;
     let allocated = measure(|| {
@@ -111,13 +117,13 @@
 }
 
 impl SimulatedFrontEnd {
-    /// A front end that has just started and has read the whole endpoint list.
+    /// A front end of index 0 that has just started and has read the whole endpoint list.
     pub fn new(scenario: &Scenario) -> SimulatedFrontEnd {
         let popularity = Rc::new(FunctionPopularity::new(scenario));
         SimulatedFrontEnd::with_index(scenario, &popularity, 0, START_TIME)
     }
 
-    /// The same for the front end of this index, started at this time.
+    /// A front end of this index that has started at simulated time `now` and has read the whole endpoint list.
     pub fn with_index(
         scenario: &Scenario,
         popularity: &Rc<FunctionPopularity>,
@@ -152,7 +158,7 @@
             held_bytes,
             ..PolicyCounts::default()
         };
-        // The buffers never grow: their growth would count as the policy's.
+        // Large enough never to grow: an allocation for the buffer would be counted as the policy's.
         let buffer_capacity = 256 + 4 * scenario.workers;
         SimulatedFrontEnd {
             scenario: scenario.clone(),
@@ -185,12 +191,12 @@
         &self.listed
     }
 
-    /// Functions that this front end has called.
+    /// Number of distinct functions that this front end has had requests for.
     pub fn functions_called(&self) -> usize {
         self.functions_called.len()
     }
 
-    /// Gives the policy an update of the endpoint list: these workers, as the whole list or as a change.
+    /// Passes an update of the endpoint list to the policy: these workers, as the complete list or as a change to it.
     pub fn update_endpoints(
         &mut self,
         complete: bool,
@@ -206,7 +212,7 @@
         });
     }
 
-    /// Lets simulated time pass.
+    /// Runs the simulation for this much simulated time.
     pub fn run(&mut self, duration: Micros) {
         let end = self.now + duration;
         while let Some(entry) = self.scheduled.first_entry() {
@@ -230,12 +236,12 @@
         }
     }
 
-    /// A uniform number from 0 to 1.
+    /// Draws a uniform number from 0 to 1.
     fn uniform(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Time until the next request: requests arrive as a Poisson process.
+    /// Draws the time until the next request: requests arrive as a Poisson process.
     fn request_interval(&mut self) -> Micros {
         let rate = self.scenario.requests_per_s;
         (-(1.0 - self.uniform()).ln() / rate * SEC as f64) as Micros
@@ -284,7 +290,7 @@
         self.handle(|| Event::Request(request));
     }
 
-    /// A worker leaves the list; at the next change a new one joins it.
+    /// Changes the endpoint list: in turn, a random worker leaves it, and a new worker joins it.
     fn change_endpoint(&mut self) {
         self.schedule_endpoint_change();
         if self.departed.take().is_some() {
@@ -338,8 +344,8 @@
         });
     }
 
-    /// Gives the policy an event and performs its actions. What it allocates and frees is counted, together with the
-    /// event that is made for it and the actions that are let go.
+    /// Passes an event to the policy and performs the actions that it returns. Allocations are counted within the policy
+    /// only; the bytes held also count the event, which the policy takes over, and the actions, which are dropped here.
     fn handle(&mut self, make_event: impl FnOnce() -> Event) {
         let mut nanoseconds = 0;
         let mut within_policy = AllocationInfo::default();
@@ -414,7 +420,7 @@
     }
 }
 
-/// The time that an event of this kind adds to.
+/// The field of `times` for this kind of event.
 fn time_of_kind<'a>(times: &'a mut HandlingTimes, event: &Event) -> &'a mut u64 {
     match event {
         Event::Request(_) => &mut times.requests,
--- a/scalelab/src/simulated_front_end/popularity.rs
+++ b/scalelab/src/simulated_front_end/popularity.rs
@@ -5,7 +5,7 @@
 pub struct FunctionPopularity(Vec<f64>);
 
 impl FunctionPopularity {
-    /// The distribution that a scenario asks for.
+    /// The distribution that the scenario's exponent and offset define.
     pub fn new(scenario: &Scenario) -> FunctionPopularity {
         let weight = |rank: usize| {
             (rank as f64 + 1.0 + scenario.popularity_offset).powf(-scenario.popularity_exponent)
@@ -22,13 +22,13 @@
         FunctionPopularity(cumulative)
     }
 
-    /// The function that a uniform number from 0 to 1 selects.
+    /// The function that a uniform random number from 0 to 1 selects.
     pub(super) fn draw(&self, uniform: f64) -> usize {
         let function = self.0.partition_point(|&sum| sum <= uniform);
         function.min(self.0.len() - 1)
     }
 
-    /// The part of all requests that this function has.
+    /// The share of all requests that are for this function, from 0 to 1.
     pub fn share(&self, function: usize) -> f64 {
         let before = match function {
             0 => 0.0,
--- a/scalelab/src/simulated_front_end/scenario.rs
+++ b/scalelab/src/simulated_front_end/scenario.rs
@@ -1,13 +1,13 @@
-//! What a simulated front end plays: the size of the fleet, the traffic and the settings that experiments vary.
+//! The parameters of a simulation: the size of the fleet, the traffic and the settings that experiments vary.
 use super::{worker_name, CONNECT_TIMEOUT, MS, SEC, TENANTS};
 use wrenseam_policy::{
     ClassSettings, Endpoint, Idempotency, KeyScope, Micros, Settings, TenantSettings, WorkerState,
 };
 
-/// Workers that share a cell.
+/// Workers in each cell (consecutive indices).
 const WORKERS_PER_CELL: usize = 6;
 
-/// What experiments vary, one at a time.
+/// The parameters of a simulation, of which an experiment varies one at a time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
     /// Front ends that share the workers.
@@ -16,25 +16,27 @@
     pub workers: usize,
     /// Functions that clients call.
     pub functions: usize,
-    /// Requests a second at this front end; each of the others has as many.
+    /// Requests per second at this front end; each of the others gets as many.
     pub requests_per_s: f64,
     /// Zones that the workers are spread over.
     pub zones: usize,
-    /// Endpoint list changes a second: a worker leaves, and at the next change a new one joins.
+    /// Endpoint list changes per second: a worker leaves, and at the next change a new one joins.
     pub endpoint_changes_per_s: f64,
-    /// The weight of the n-th function is (n + `popularity_offset`) to the power of minus this.
+    /// Exponent of the functions' popularity: the weight of the n-th function, from 1, is
+    /// (n + `popularity_offset`)^-`popularity_exponent`. 0 gives all functions the same weight.
     pub popularity_exponent: f64,
-    /// Added to the rank of each function.
+    /// Added to the rank of each function; larger values flatten the distribution at the most popular functions.
     pub popularity_offset: f64,
-    /// How long an idle replica stays loaded.
+    /// Time that an idle replica stays loaded.
     pub keep_alive: Micros,
-    /// How long a replica takes to load.
+    /// Time that a replica takes to load.
     pub load_time: Micros,
-    /// Workers load a function for a request; else they answer that it is not loaded and only orders load.
+    /// Whether a worker loads a missing function for a request; if not, it answers that the function is not loaded, and
+    /// only load orders load it.
     pub load_on_demand: bool,
-    /// Requests a second that the tenants' quotas allow together, over all front ends.
+    /// Requests per second that the quotas of all tenants together allow, over all front ends.
     pub quota_per_s: f64,
-    /// Whether the other front ends' requests keep replicas loaded; else only this front end's requests do.
+    /// Whether requests of the other front ends keep replicas loaded; if not, only this front end's requests do.
     pub other_replicas_loaded: bool,
     /// Seed of all random numbers.
     pub seed: u64,
@@ -62,7 +64,7 @@
 }
 
 impl Scenario {
-    /// The settings of the policy.
+    /// The settings of the policy of front end 0.
     pub fn settings(&self) -> Settings {
         let class = |idempotency, latency_objective| ClassSettings {
             idempotency,
@@ -113,7 +115,7 @@
         }
     }
 
-    /// An entry of the endpoint list.
+    /// The endpoint list entry of the worker of this index.
     pub fn endpoint(&self, index: usize, state: WorkerState, started_at: Micros) -> Endpoint {
         Endpoint {
             worker: worker_name(index),
--- a/scalelab/src/simulated_front_end/schedule.rs
+++ b/scalelab/src/simulated_front_end/schedule.rs
@@ -1,11 +1,12 @@
-//! What is scheduled on simulated time, and what the policy asked for, without heap data.
+//! The events scheduled on simulated time, and the policy's actions converted to a form without heap data.
 use super::worker_index;
 use wrenseam_policy::{Action, FunctionId, Micros, Outcome, RequestId};
 
-/// Position in the schedule: the time, and a serial number that keeps the order among events of one time.
+/// Position in the schedule: the time, and a serial number that keeps events of the same time in the order in which they
+/// were scheduled.
 pub(super) type ScheduleKey = (Micros, u64);
 
-/// An attempt, by its request and its number within it.
+/// An attempt: its request, and its number within the request, from 0.
 pub(super) type AttemptKey = (RequestId, usize);
 
 /// The end of an attempt.
@@ -19,17 +20,18 @@
     pub(super) replica_loaded: Option<bool>,
 }
 
-/// The answer to a load order, or to a query (an order of no replicas).
+/// The response to a load order, or to a query (a load order for 0 replicas).
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadOrderEnd {
     pub(super) worker: usize,
     pub(super) function: FunctionId,
+    /// Replicas that the worker has loaded; 0 if the function is not loaded.
     pub(super) replicas: u32,
     pub(super) outcome: Outcome,
     pub(super) sent_at: Micros,
 }
 
-/// What happens at a scheduled time.
+/// An event that is scheduled.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ScheduledEvent {
     /// A timer of the policy, with its token.
@@ -68,6 +70,7 @@
         worker: usize,
         function: FunctionId,
     },
+    /// Watching the endpoint list and writing log lines, which the simulation leaves out.
     Ignored,
 }
 
--- a/scalelab/src/simulated_front_end/simulated_workers.rs
+++ b/scalelab/src/simulated_front_end/simulated_workers.rs
@@ -1,17 +1,18 @@
-//! The workers that a simulated front end sends to: what they have loaded and when they answer.
+//! The simulated workers of a simulated front end: which functions they have loaded and when they respond.
 use super::measurements::{SentMessage, SentRecord};
 use super::schedule::{AttemptEnd, LoadOrderEnd, ScheduledEvent};
 use super::{SimulatedFrontEnd, CONNECT_TIMEOUT, MS, SEC};
 use wrenseam_policy::{FunctionId, Micros, Outcome, RequestId};
 
-/// Time of a message to a worker and its answer together.
+/// Round-trip time between the front end and a worker.
 const ROUND_TRIP: Micros = MS;
-/// Shortest time of a request's work, in milliseconds, and how far above it the time is drawn.
+/// Shortest service time of a request, in milliseconds.
 const MIN_SERVICE_MS: f64 = 25.0;
+/// Width of the interval above the shortest service time from which it is drawn uniformly, in milliseconds.
 const SERVICE_RANGE_MS: f64 = 50.0;
 
 impl SimulatedFrontEnd {
-    /// The workers that cannot be reached from now on; they lose what they have loaded.
+    /// Makes these workers unreachable from now on; they lose all loaded replicas.
     pub fn disconnect_workers(&mut self, workers: &[usize]) {
         self.unreachable.extend(workers);
         self.restarted.extend(workers);
@@ -19,15 +20,16 @@
             .retain(|(_, worker), _| !workers.contains(worker));
     }
 
-    /// The workers that can be reached again, with nothing loaded.
+    /// Makes these workers reachable again, with nothing loaded.
     pub fn reconnect_workers(&mut self, workers: &[usize]) {
         for worker in workers {
             self.unreachable.remove(worker);
         }
     }
 
-    /// Whether the function is loaded there: by this front end, or by requests of the others, which prefer the same
-    /// workers.
+    /// Whether the worker has the function loaded, because of this front end or of the others, which prefer the same
+    /// workers. The latter is drawn at random, with the probability that at least one of their requests for the function
+    /// arrived within the last keep-alive time.
     fn replica_loaded(&mut self, function: usize, worker: usize) -> bool {
         let until = self.loaded_until.get(&(function, worker));
         if until.is_some_and(|&until| until > self.now) {
@@ -45,6 +47,7 @@
         self.uniform() < 1.0 - (-peer_requests).exp()
     }
 
+    /// Sends an order for `wanted` replicas, or a query if `wanted` is 0, and schedules its end.
     pub(super) fn send_load_order(&mut self, worker: usize, function: FunctionId, wanted: u32) {
         self.record_sent(worker, SentMessage::LoadOrder);
         if wanted > 0 {
@@ -75,6 +78,7 @@
         self.schedule(delay, ScheduledEvent::LoadOrderEnd(end));
     }
 
+    /// Sends the next attempt of a request and schedules its end.
     pub(super) fn send_attempt(&mut self, request: RequestId, worker: usize) {
         self.counts.attempts += 1;
         self.record_sent(worker, SentMessage::Attempt);
--- a/scalelab/src/slow_start_senders.rs
+++ b/scalelab/src/slow_start_senders.rs
@@ -1,5 +1,5 @@
-//! Slow start and the load budget: what many front ends that share nothing send together to workers that warm up, and
-//! what one of them rejects.
+//! Experiments on slow start and the load budget: how much many front ends that share no state send together to workers
+//! in slow start, and how a front end that has just started serves the first request for each function.
 use crate::disruptions::first_zone;
 use crate::policy_scaling::{base, columns, describe};
 use crate::simulated_front_end::{
@@ -13,42 +13,42 @@
 pub const EXPERIMENTS: &[Experiment] = &[
     Experiment {
         name: "seats-pressed",
-        about: "Front ends before one cold worker, each with far more calls than it bears.",
+        about: "Front ends of one worker in slow start, each with far more requests than the worker can serve.",
         sizes: &[30, 100, 300, 660, 1_024],
         bound: 1_024,
-        run: |sizes, seed| Ok(vec![pressed(sizes, seed)]),
+        run: |sizes, seed| Ok(vec![overloaded_worker(sizes, seed)]),
     },
     Experiment {
         name: "seats-zone",
-        about: "Front ends before 98 workers with 10 calls/s each together, a seventh of which come back cold.",
+        about: "Front ends of 98 workers, with 10 requests/s per worker over all front ends; a seventh of the workers restart with nothing loaded.",
         sizes: &[30, 100, 300, 660, 1_024],
         bound: 1_024,
-        run: |sizes, seed| Ok(vec![returned(sizes, seed)]),
+        run: |sizes, seed| Ok(vec![restarted_zone(sizes, seed)]),
     },
     Experiment {
         name: "ration",
-        about: "First calls at a front end that has just started, where workers answer with a miss and only orders load, against its calls a second.",
+        about: "First requests per function at a front end that has just started, where workers do not load on demand and only load orders do, against its requests per second.",
         sizes: &[10, 19, 38, 76, 152, 304],
         bound: 1_000,
         run: |sizes, seed| {
             let miss = Scenario { load_on_demand: false, workers: 2_000, ..base(seed) };
-            let even = Scenario { popularity_exponent: 0.0, popularity_offset: 0.0, ..miss };
-            let alone = Scenario { other_replicas_loaded: false, ..even };
+            let uniform = Scenario { popularity_exponent: 0.0, popularity_offset: 0.0, ..miss };
+            let nothing_loaded = Scenario { other_replicas_loaded: false, ..uniform };
             let vary = |s: &mut Scenario, n| s.requests_per_s = n as f64;
             Ok(vec![
                 first_requests("calls/s", sizes, &miss, vary, RATE_RUN),
-                first_requests("calls/s, all functions called alike", sizes, &even, vary, RATE_RUN),
-                first_requests("calls/s, all called alike and nothing stands anywhere", sizes, &alone, vary, RATE_RUN),
+                first_requests("calls/s, all functions called alike", sizes, &uniform, vary, RATE_RUN),
+                first_requests("calls/s, all called alike and nothing stands anywhere", sizes, &nothing_loaded, vary, RATE_RUN),
             ])
         },
     },
     Experiment {
         name: "cold-start",
-        about: "Time until a first call's attempt, where workers load for it and where only orders load, against the time of a load in ms.",
+        about: "Time until the served attempt of a function's first request, where workers load on demand and where only load orders do, against the load time in ms.",
         sizes: &[55, 110, 220, 440],
         bound: 4_000,
         run: |sizes, seed| {
-            let alone = Scenario {
+            let load_orders_only = Scenario {
                 load_on_demand: false,
                 other_replicas_loaded: false,
                 workers: 2_000,
@@ -57,35 +57,37 @@
                 popularity_offset: 0.0,
                 ..base(seed)
             };
-            let loads = Scenario { load_on_demand: true, ..alone };
+            let on_demand = Scenario { load_on_demand: true, ..load_orders_only };
             let vary = |s: &mut Scenario, n| s.load_time = n * MS;
             Ok(vec![
-                first_requests("load, ms", sizes, &loads, vary, REACHABLE_RUN),
-                first_requests("load, ms; one of seven zones is silent", sizes, &loads, vary, SILENT_ZONE_RUN),
-                first_requests("load, ms", sizes, &alone, vary, REACHABLE_RUN),
-                first_requests("load, ms; one of seven zones is silent", sizes, &alone, vary, SILENT_ZONE_RUN),
+                first_requests("load, ms", sizes, &on_demand, vary, REACHABLE_RUN),
+                first_requests("load, ms; one of seven zones is silent", sizes, &on_demand, vary, SILENT_ZONE_RUN),
+                first_requests("load, ms", sizes, &load_orders_only, vary, REACHABLE_RUN),
+                first_requests("load, ms; one of seven zones is silent", sizes, &load_orders_only, vary, SILENT_ZONE_RUN),
             ])
         },
     },
 ];
 
-/// Requests a second that the quotas allow for each worker.
-const CAPACITY: f64 = 12.0;
-/// Seconds that are played after the start.
-const SHOWN: u64 = 30;
-/// Seconds until the warm workers' rate is measured, and over which it is.
-const BEFORE_USUAL_S: u64 = 20;
-const USUAL_S: u64 = 10;
-/// Part of the usual rate at which a worker counts as warm.
+/// Requests per second that a warm worker can serve, and that the tenants' quotas allow for each worker.
+const CAPACITY_PER_S: f64 = 12.0;
+/// Seconds simulated after the workers' start or restart.
+const SIMULATED_S: u64 = 30;
+/// Seconds before the rate of attempts at the zone's warm workers is measured.
+const WARM_UP_S: u64 = 20;
+/// Seconds over which that rate is measured, before the zone restarts.
+const BASELINE_S: u64 = 10;
+/// Fraction of the rate of a warm worker at which a restarted worker counts as warm.
 const WARM_RATE: f64 = 0.9;
-/// Workers of which a zone comes back.
+/// Workers in all zones, where one zone restarts.
 const ZONED_WORKERS: usize = 98;
-/// Requests a second at one front end before one worker, and for each of the zoned workers.
+/// Requests per second: of each front end in `seats-pressed`, and for each worker over all front ends in `seats-zone`.
 const REQUESTS_PER_S: f64 = 10.0;
 
-/// How first requests are measured.
+/// How a run that measures first requests is set up.
 #[derive(Clone, Copy)]
 struct FirstRequestRun {
+    /// Length of the run.
     seconds: u64,
     /// Whether one zone cannot be reached.
     silent_zone: bool,
@@ -104,7 +106,8 @@
     ..REACHABLE_RUN
 };
 
-/// Times of the attempts sent to these workers since they started, in order.
+/// Times of all attempts that the front ends' logs have for these workers, sorted, in microseconds after `started`. Takes
+/// the logs.
 fn attempt_times(
     front_ends: &mut [SimulatedFrontEnd],
     workers: &[usize],
@@ -122,36 +125,38 @@
     times
 }
 
-/// The most attempts in any span of the overload window, as a part of what slow start allows at the span's end.
-fn worst_span(scenario: &Scenario, times: &[Micros]) -> f64 {
+/// The highest ratio, over all overload windows within slow start, of the attempts in the window to the attempts that
+/// slow start allows at the window's end.
+fn worst_window(scenario: &Scenario, times: &[Micros]) -> f64 {
     let settings = scenario.settings();
-    let span_s = settings.overload_window as f64 / SEC as f64;
-    let mut span_begin = 0;
+    let window_s = settings.overload_window as f64 / SEC as f64;
+    let mut window_begin = 0;
     let mut worst = 0.0f64;
     for (position, &time) in times.iter().enumerate() {
         if time >= settings.slow_start_duration {
             break;
         }
-        while times[span_begin] + settings.overload_window <= time {
-            span_begin += 1;
+        while times[window_begin] + settings.overload_window <= time {
+            window_begin += 1;
         }
         let progress = time as f64 / settings.slow_start_duration as f64;
         let share = settings.slow_start_initial_share
             + (1.0 - settings.slow_start_initial_share) * progress;
-        let allowed = settings.overload_multiple * share * CAPACITY * span_s;
-        worst = worst.max((position - span_begin + 1) as f64 / allowed);
+        let allowed = settings.overload_multiple * share * CAPACITY_PER_S * window_s;
+        worst = worst.max((position - window_begin + 1) as f64 / allowed);
     }
     worst
 }
 
-/// The first second after which two seconds held as many attempts as this rate; [`SHOWN`] if none.
+/// Seconds until the attempts of two consecutive seconds first reach this rate (per second); [`SIMULATED_S`] if they
+/// never do.
 fn seconds_until(times: &[Micros], rate: f64) -> f64 {
     let reached = |second: &u64| {
         let span = second * SEC..(second + 2) * SEC;
         let attempts = times.iter().filter(|&time| span.contains(time)).count();
         attempts as f64 >= 2.0 * rate
     };
-    (0..SHOWN - 1).find(reached).unwrap_or(SHOWN) as f64
+    (0..SIMULATED_S - 1).find(reached).unwrap_or(SIMULATED_S) as f64
 }
 
 fn start_front_ends(scenario: &Scenario) -> Vec<SimulatedFrontEnd> {
@@ -161,10 +166,10 @@
         .collect()
 }
 
-fn pressed(sizes: &[u64], seed: u64) -> Sweep {
+fn overloaded_worker(sizes: &[u64], seed: u64) -> Sweep {
     Sweep {
         title: format!(
-            "seats: one cold worker that can do {CAPACITY} calls/s when warm, 10 calls/s from each front end"
+            "seats: one cold worker that can do {CAPACITY_PER_S} calls/s when warm, 10 calls/s from each front end"
         ),
         varied: "front ends",
         columns: columns(
@@ -175,38 +180,38 @@
             ],
             &[],
         ),
-        rows: sizes.iter().map(|&size| (size, pressed_row(size, seed))).collect(),
+        rows: sizes.iter().map(|&size| (size, overloaded_worker_row(size, seed))).collect(),
     }
 }
 
-/// One worker that has just started, with far more requests than it can do.
-fn pressed_row(front_ends: u64, seed: u64) -> Vec<f64> {
+/// One worker that has just started and gets far more requests than it can serve.
+fn overloaded_worker_row(front_ends: u64, seed: u64) -> Vec<f64> {
     let scenario = Scenario {
         front_ends: front_ends as u32,
         workers: 1,
         functions: 160,
         requests_per_s: REQUESTS_PER_S,
-        quota_per_s: CAPACITY,
+        quota_per_s: CAPACITY_PER_S,
         ..base(seed)
     };
     let mut front_ends = start_front_ends(&scenario);
     for front_end in &mut front_ends {
         front_end.update_endpoints(false, &[0], WorkerState::Ready, START_TIME);
         front_end.sent_log = Some(Vec::new());
-        front_end.run(SHOWN * SEC);
+        front_end.run(SIMULATED_S * SEC);
     }
     let times = attempt_times(&mut front_ends, &[0], START_TIME);
     let slow_start = scenario.settings().slow_start_duration;
     let attempts = times.iter().filter(|&&time| time < slow_start).count() as f64;
-    let mean_rate = attempts / (slow_start / SEC) as f64 / CAPACITY;
+    let mean_rate = attempts / (slow_start / SEC) as f64 / CAPACITY_PER_S;
     vec![
-        worst_span(&scenario, &times),
+        worst_window(&scenario, &times),
         mean_rate,
-        seconds_until(&times, WARM_RATE * CAPACITY),
+        seconds_until(&times, WARM_RATE * CAPACITY_PER_S),
     ]
 }
 
-fn returned(sizes: &[u64], seed: u64) -> Sweep {
+fn restarted_zone(sizes: &[u64], seed: u64) -> Sweep {
     Sweep {
         title: "seats: 14 of 98 workers come back cold, 10 calls/s a worker over all front ends, warm within 12 s".into(),
         varied: "front ends",
@@ -220,62 +225,62 @@
             ],
             &[],
         ),
-        rows: sizes.iter().map(|&size| (size, returned_row(size, seed))).collect(),
+        rows: sizes.iter().map(|&size| (size, restarted_zone_row(size, seed))).collect(),
     }
 }
 
-/// A zone that comes back with nothing loaded.
-fn returned_row(front_ends: u64, seed: u64) -> Vec<f64> {
+/// The workers of one zone restart with nothing loaded.
+fn restarted_zone_row(front_ends: u64, seed: u64) -> Vec<f64> {
     let scenario = Scenario {
         front_ends: front_ends as u32,
         workers: ZONED_WORKERS,
         functions: 160,
         popularity_offset: 20.0,
         requests_per_s: REQUESTS_PER_S * ZONED_WORKERS as f64 / front_ends as f64,
-        quota_per_s: CAPACITY * ZONED_WORKERS as f64,
+        quota_per_s: CAPACITY_PER_S * ZONED_WORKERS as f64,
         ..base(seed)
     };
     let zone = first_zone(&scenario);
     let mut front_ends = start_front_ends(&scenario);
     for front_end in &mut front_ends {
-        front_end.run(BEFORE_USUAL_S * SEC);
+        front_end.run(WARM_UP_S * SEC);
         front_end.sent_log = Some(Vec::new());
-        front_end.run(USUAL_S * SEC);
+        front_end.run(BASELINE_S * SEC);
     }
-    let usual = attempt_times(&mut front_ends, &zone, START_TIME + BEFORE_USUAL_S * SEC);
-    let usual_rate = usual.len() as f64 / USUAL_S as f64;
-    let started = START_TIME + (BEFORE_USUAL_S + USUAL_S) * SEC;
+    let baseline_attempts = attempt_times(&mut front_ends, &zone, START_TIME + WARM_UP_S * SEC);
+    let baseline_rate = baseline_attempts.len() as f64 / BASELINE_S as f64;
+    let started = START_TIME + (WARM_UP_S + BASELINE_S) * SEC;
     let mut not_served = 0;
     for front_end in &mut front_ends {
-        not_served += return_zone(front_end, &zone, started);
+        not_served += restart_zone(front_end, &zone, started);
     }
     let times = attempt_times(&mut front_ends, &zone, started);
     let slow_start = scenario.settings().slow_start_duration;
     let slow_start_s = slow_start / SEC;
-    let warming = times.iter().filter(|&&time| time < slow_start).count();
-    let warming_rate = warming as f64 / slow_start_s as f64;
-    let later_rate = (times.len() - warming) as f64 / (SHOWN - slow_start_s) as f64;
+    let in_slow_start = times.iter().filter(|&&time| time < slow_start).count();
+    let slow_start_rate = in_slow_start as f64 / slow_start_s as f64;
+    let later_rate = (times.len() - in_slow_start) as f64 / (SIMULATED_S - slow_start_s) as f64;
     vec![
-        usual_rate,
-        warming_rate / usual_rate,
-        later_rate / usual_rate,
-        seconds_until(&times, WARM_RATE * usual_rate),
+        baseline_rate,
+        slow_start_rate / baseline_rate,
+        later_rate / baseline_rate,
+        seconds_until(&times, WARM_RATE * baseline_rate),
         not_served as f64,
     ]
 }
 
-/// Restarts the zone's workers and plays on; the requests that were rejected or failed.
-fn return_zone(front_end: &mut SimulatedFrontEnd, zone: &[usize], started: Micros) -> u64 {
+/// Restarts the zone's workers and runs on. Returns the number of requests rejected or failed from then on.
+fn restart_zone(front_end: &mut SimulatedFrontEnd, zone: &[usize], started: Micros) -> u64 {
     front_end.disconnect_workers(zone);
     front_end.reconnect_workers(zone);
     front_end.update_endpoints(false, zone, WorkerState::Ready, started);
     front_end.sent_log = Some(Vec::new());
     let before = front_end.counts.not_served();
-    front_end.run(SHOWN * SEC);
+    front_end.run(SIMULATED_S * SEC);
     front_end.counts.not_served() - before
 }
 
-/// First requests of a front end that has just started.
+/// Measures the first requests per function of a front end that has just started, varying one parameter.
 fn first_requests(
     what: &'static str,
     sizes: &[u64],
