--- a/scalelab/src/harness/discovery_service.rs
+++ b/scalelab/src/harness/discovery_service.rs
@@ -1,4 +1,4 @@
-//! A stand-in discovery service: a watch stream of endpoint events over HTTP.
+//! A simulated discovery service: a watch stream of endpoint events over HTTP.
 use super::{failed, lock, spawn_thread, WatchEvent};
 use crate::ExperimentError;
 use std::io::{BufRead, BufReader, Write};
@@ -7,12 +7,12 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-/// A watcher that nothing is sent to gets a comment line this often.
+/// Interval at which a watcher is sent a comment line while there are no events for it.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A discovery service that counts what its watchers read.
+/// A discovery service that counts its watches and what it sends on them.
 pub struct DiscoveryService {
-    /// Where watchers connect.
+    /// The address at which it serves watches.
     pub address: SocketAddr,
     state: Arc<ServiceState>,
 }
@@ -24,20 +24,22 @@
     bytes_sent: AtomicU64,
     events_sent: AtomicU64,
     watches: AtomicU64,
-    /// Watches that were ended at once, while the service was down.
+    /// Watches that were closed at once because the service was down.
     rejected: AtomicU64,
 }
 
 #[derive(Default)]
 struct EventFeed {
-    /// What a watcher that is behind is sent.
+    /// The events in order of revision; a watcher is sent those after its last revision.
     events: Vec<Arc<WatchEvent>>,
-    /// Raised when all connections are to end.
+    /// Number of interruptions so far; a connection closes when it differs from the number at its start.
     interruptions: u64,
+    /// Whether new watches are closed at once.
     down: bool,
 }
 
 impl EventFeed {
+    /// The events with a higher revision than this.
     fn after(&self, revision: u64) -> Vec<Arc<WatchEvent>> {
         let later = self.events.iter().filter(|event| event.revision > revision);
         later.cloned().collect()
@@ -45,10 +47,10 @@
 }
 
 impl DiscoveryService {
-    /// Starts it with these events to send.
+    /// Starts a service that sends these events to each new watcher.
     ///
     /// # Errors
-    /// No port or thread can be had.
+    /// The listener or the thread cannot be created.
     pub fn start(events: Vec<WatchEvent>) -> Result<DiscoveryService, ExperimentError> {
         let listener = TcpListener::bind("127.0.0.1:0").map_err(failed)?;
         let address = listener.local_addr().map_err(failed)?;
@@ -64,14 +66,14 @@
         Ok(DiscoveryService { address, state })
     }
 
-    /// Sends one more event.
+    /// Adds an event and sends it to all watchers.
     pub fn publish(&self, event: WatchEvent) {
         lock(&self.state.feed).events.push(Arc::new(event));
         self.state.changed.notify_all();
     }
 
-    /// Ends all connections and takes none until [`DiscoveryService::restore`]; from then on a watcher that is behind
-    /// is sent these events instead.
+    /// Takes the service down: closes all connections, and new ones at once, until [`DiscoveryService::restore`]. The
+    /// given events replace those that watchers are sent.
     pub fn interrupt(&self, events: Vec<WatchEvent>) {
         let mut feed = lock(&self.state.feed);
         feed.events = events.into_iter().map(Arc::new).collect();
@@ -80,33 +82,34 @@
         self.state.changed.notify_all();
     }
 
-    /// Takes connections again.
+    /// Brings the service up again after [`DiscoveryService::interrupt`].
     pub fn restore(&self) {
         lock(&self.state.feed).down = false;
     }
 
-    /// Bytes of events sent so far, to all watchers together.
+    /// Bytes of events sent so far, over all watchers.
     pub fn bytes(&self) -> u64 {
         self.state.bytes_sent.load(Ordering::Relaxed)
     }
 
-    /// Events sent so far.
+    /// Events sent so far, over all watchers.
     pub fn events(&self) -> u64 {
         self.state.events_sent.load(Ordering::Relaxed)
     }
 
-    /// Watches that were ended at once, as the service was down.
+    /// Watches that were closed at once because the service was down.
     pub fn rejected(&self) -> u64 {
         self.state.rejected.load(Ordering::Relaxed)
     }
 
-    /// Watches that were served.
+    /// Watches that were accepted and served.
     pub fn watches(&self) -> u64 {
         self.state.watches.load(Ordering::Relaxed)
     }
 }
 
-/// Reads a request's head; the number of the last event that the watcher has.
+/// Reads the head of a request. Returns the revision of the last event that the watcher has, 0 if it names none; `None`
+/// if the connection ended before the end of the head.
 fn last_event_id(stream: &TcpStream) -> std::io::Result<Option<u64>> {
     let mut last = 0;
     let mut head = BufReader::new(stream.try_clone()?);
@@ -148,7 +151,8 @@
         stream.shutdown(Shutdown::Both)
     }
 
-    /// The events after this one, none after a heartbeat interval; `None` once the stream is to end.
+    /// Waits for events after this revision, at most for a heartbeat interval. Returns them, an empty list if none
+    /// came, or `None` if the service was interrupted.
     fn wait_for_events(&self, interruptions: u64, revision: u64) -> Option<Vec<Arc<WatchEvent>>> {
         let mut feed = lock(&self.feed);
         if feed.interruptions == interruptions && feed.after(revision).is_empty() {
--- a/scalelab/src/harness/front_end_options.rs
+++ b/scalelab/src/harness/front_end_options.rs
@@ -1,24 +1,24 @@
-//! How a front end process is configured.
+//! The configuration of a front end process.
 use super::watch_events::{WatchEvent, ZONES};
 use super::{CLASS, FRONT_ENDS};
 use std::net::SocketAddr;
 
-/// Limit of descriptors unless an experiment names another.
+/// Limit of file descriptors unless an experiment sets another.
 const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
 
 /// The configuration of one front end process, as far as experiments vary it.
 pub struct FrontEndOptions {
-    /// The watch events that its configuration contains.
+    /// The watch events that its configuration file contains, so that it starts with an endpoint list.
     pub known_events: Vec<WatchEvent>,
-    /// The discovery service.
+    /// Address of the discovery service; `None` runs without one.
     pub discovery: Option<SocketAddr>,
     /// Front ends that share the workers.
     pub front_ends: usize,
-    /// Which of these front ends this is.
+    /// Index of this front end among them, from 0.
     pub index: usize,
-    /// Its limit of descriptors.
+    /// Its limit of file descriptors.
     pub max_descriptors: usize,
-    /// The text of its fleet configuration file, where gossip is on.
+    /// Content of its fleet configuration file; `None` runs without gossip.
     pub fleet: Option<String>,
     /// Seed of its random numbers.
     pub seed: u64,
@@ -39,7 +39,7 @@
 }
 
 impl FrontEndOptions {
-    /// The configuration file.
+    /// The content of the configuration file.
     pub(super) fn config(&self) -> String {
         let rev = self.known_events.last().map_or(0, |event| event.revision);
         let notices: Vec<&str> = self
--- a/scalelab/src/harness/front_end_process.rs
+++ b/scalelab/src/harness/front_end_process.rs
@@ -1,4 +1,4 @@
-//! The program as a child process that ends with its parent.
+//! A front end as a child process, which ends with its parent.
 use super::{failed, wait_until, FrontEndOptions, ResourceUsage};
 use crate::ExperimentError;
 use std::fs::{self, File};
@@ -10,42 +10,45 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// How often the log of a process that starts is read: short, as the time of a start is measured.
+/// Interval at which the log of a starting process is read: short, as the time of the start is measured.
 const LOG_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// How often a process that starts is asked whether it is ready.
+/// Interval at which a starting process is asked whether it is ready.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How often the log is read for a text that is to come.
+/// Interval at which the log is read while waiting for a text.
 const LOG_TEXT_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Longest wait for an answer of the admin endpoints.
+/// Longest wait for data from an admin endpoint.
 const ADMIN_READ_TIMEOUT: Duration = Duration::from_secs(5);
 /// Any free port on loopback.
 const ANY_PORT: &str = "127.0.0.1:0";
+/// Name of the file that gets the process's standard error.
 const LOG_FILE: &str = "log";
+/// Content of the configuration file of the v2 listener and the read-only admin endpoint.
 const KSERVE_CONFIG: &str = r#"{"listen":"127.0.0.1:0","admin":"127.0.0.1:0"}"#;
 
-/// One front end: a process that ends with this value, and with its parent should that be killed.
+/// A front end process. It is killed when this value is dropped, and also when its parent is killed.
 pub struct FrontEndProcess {
     child: Child,
+    /// Its configuration and log files; removed on drop.
     folder: PathBuf,
     /// Bytes of its log read so far.
     log_offset: usize,
     /// When it was started.
     pub started_at: Instant,
-    /// Where v2 clients connect.
+    /// Address of its v2 listener.
     pub kserve: SocketAddr,
-    /// The read-only admin endpoint.
+    /// Address of its read-only admin endpoint.
     pub admin: SocketAddr,
-    /// Its gossip socket, where gossip is on.
+    /// Address of its gossip socket; `None` without gossip.
     pub gossip: Option<SocketAddr>,
-    /// The operators' admin endpoint, where gossip is on.
+    /// Address of its admin endpoint for operators; `None` without gossip.
     pub operator_address: Option<SocketAddr>,
 }
 
-/// The program: `wrenseam` beside this one, or where tests find it.
+/// Path of the `wrenseam` executable: in the directory of this executable, or one level up, where it is for tests.
 ///
 /// # Errors
-/// It is not there: the text says how it is built.
-pub fn binary() -> Result<PathBuf, ExperimentError> {
+/// There is none: the message says how to build it.
+pub fn front_end_executable() -> Result<PathBuf, ExperimentError> {
     let own = std::env::current_exe().map_err(failed)?;
     let beside = own
         .ancestors()
@@ -54,12 +57,12 @@
         .map(|folder| folder.join("wrenseam"))
         .find(|path| path.is_file());
     beside.ok_or(ExperimentError::Failed(
-        "no program `wrenseam` beside this one: build it by `cargo build --release -p wrenseam`"
+        "executable `wrenseam` not found next to this one: build it with `cargo build --release -p wrenseam`"
             .to_owned(),
     ))
 }
 
-/// A folder of its own under the system's, for the files of one process.
+/// Creates a folder in the system's temporary folder for the files of one process.
 fn create_folder() -> Result<PathBuf, ExperimentError> {
     static FOLDERS: AtomicU64 = AtomicU64::new(0);
     let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
@@ -74,12 +77,12 @@
     Ok(path)
 }
 
-/// The command that starts a front end with its files in this folder.
+/// Writes the configuration files to this folder and returns the command that starts the front end.
 fn command(folder: &Path, options: &FrontEndOptions) -> Result<Command, ExperimentError> {
     let config = write_file(folder, "config.json", &options.config())?;
     let kserve = write_file(folder, "kserve.json", KSERVE_CONFIG)?;
     let log = File::create(folder.join(LOG_FILE)).map_err(failed)?;
-    let mut command = Command::new(binary()?);
+    let mut command = Command::new(front_end_executable()?);
     command
         .env("NODE_CONFIG", config)
         .env("NODE_LISTEN", ANY_PORT)
@@ -93,7 +96,7 @@
             .env("WRENSEAM_FLEET", write_file(folder, "fleet.json", fleet)?)
             .env("NODE_ADMIN", ANY_PORT);
     }
-    // SAFETY: between fork and exec only prctl is called, which is safe to call there.
+    // SAFETY: the closure runs between fork and exec and only calls prctl, which is async-signal-safe.
     unsafe {
         command.pre_exec(|| {
             nix::sys::prctl::set_pdeathsig(nix::sys::signal::SIGKILL).map_err(std::io::Error::from)
@@ -102,7 +105,7 @@
     Ok(command)
 }
 
-/// The address on the log line that contains `text`.
+/// The address at the end of the log line that contains `text`.
 fn logged_address(log: &str, text: &str) -> Option<SocketAddr> {
     let line = log.lines().find(|line| line.contains(text))?;
     let (_, address) = line.rsplit_once(" listens on ")?;
@@ -110,10 +113,11 @@
 }
 
 impl FrontEndProcess {
-    /// Starts it and does not wait: where it listens is known after [`FrontEndProcess::wait_for_listeners`].
+    /// Starts a process and does not wait for it: its addresses are known after
+    /// [`FrontEndProcess::wait_for_listeners`].
     ///
     /// # Errors
-    /// Its files cannot be written, or it cannot be started.
+    /// Its files cannot be written, or the process cannot be started.
     pub fn spawn(options: &FrontEndOptions) -> Result<FrontEndProcess, ExperimentError> {
         let folder = create_folder()?;
         let mut command = command(&folder, options)?;
@@ -132,13 +136,13 @@
         })
     }
 
-    /// Waits until it listens everywhere.
+    /// Waits until the process listens on all addresses, and reads them from its log.
     ///
     /// # Errors
     /// It does not within [`super::WAIT_TIMEOUT`].
     pub fn wait_for_listeners(&mut self) -> Result<(), ExperimentError> {
         let path = self.folder.join(LOG_FILE);
-        wait_until("a front end listens", LOG_POLL_INTERVAL, || {
+        wait_until("the front end to listen", LOG_POLL_INTERVAL, || {
             let log = fs::read_to_string(&path).unwrap_or_default();
             let kserve = logged_address(&log, "KServe v2 listens");
             let admin = logged_address(&log, "administration listens");
@@ -153,25 +157,26 @@
         })
     }
 
-    /// Starts it and waits until it takes clients.
+    /// Starts a process and waits until it is ready for clients.
     ///
     /// # Errors
-    /// It cannot be started or does not come up.
+    /// It cannot be started, or is not ready within [`super::WAIT_TIMEOUT`].
     pub fn start(options: &FrontEndOptions) -> Result<FrontEndProcess, ExperimentError> {
         let mut process = FrontEndProcess::spawn(options)?;
         process.wait_for_listeners()?;
-        wait_until("a front end is ready", READY_POLL_INTERVAL, || {
+        wait_until("the front end to be ready", READY_POLL_INTERVAL, || {
             process.is_ready()
         })?;
         Ok(process)
     }
 
-    /// Whether it takes clients now.
+    /// Whether it is ready for clients.
     pub fn is_ready(&self) -> bool {
-        ready(self.admin)
+        is_ready(self.admin)
     }
 
-    /// A gauge of its telemetry, where the operators' endpoint is on.
+    /// Reads a gauge of its telemetry; `None` without the operators' endpoint, without a response, or for an unknown
+    /// gauge.
     pub fn gauge(&self, name: &str) -> Option<u64> {
         let mut stream = TcpStream::connect(self.operator_address?).ok()?;
         stream.set_read_timeout(Some(ADMIN_READ_TIMEOUT)).ok()?;
@@ -184,15 +189,15 @@
         value.split('|').next()?.parse().ok()
     }
 
-    /// What it has used.
+    /// Reads its resource usage.
     ///
     /// # Errors
-    /// It has ended.
+    /// The process has ended.
     pub fn usage(&self) -> Result<ResourceUsage, ExperimentError> {
         ResourceUsage::read(self.id())
     }
 
-    /// The complete lines of its log that were not read here before.
+    /// The complete lines of its log since the previous call.
     pub fn new_log_lines(&mut self) -> String {
         let log = fs::read(self.folder.join(LOG_FILE)).unwrap_or_default();
         let end = log
@@ -204,14 +209,16 @@
         String::from_utf8_lossy(&log[start..end]).into_owned()
     }
 
-    /// Waits until its log contains this text, from where it was last read.
+    /// Waits until the part of its log that [`FrontEndProcess::new_log_lines`] has not returned yet contains this text.
     ///
     /// # Errors
     /// It does not within [`super::WAIT_TIMEOUT`].
     pub fn wait_for_log(&mut self, text: &str) -> Result<(), ExperimentError> {
-        wait_until(text, LOG_TEXT_POLL_INTERVAL, || {
-            self.new_log_lines().contains(text)
-        })
+        wait_until(
+            &format!("the log line {text:?}"),
+            LOG_TEXT_POLL_INTERVAL,
+            || self.new_log_lines().contains(text),
+        )
     }
 
     /// Its process id.
@@ -222,14 +229,14 @@
 
 impl Drop for FrontEndProcess {
     fn drop(&mut self) {
-        let _ = self.child.kill(); // it may have ended already
+        let _ = self.child.kill(); // fails if it has ended already
         let _ = self.child.wait();
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Whether the admin endpoint at this address says that clients are taken.
-pub fn ready(admin: SocketAddr) -> bool {
+/// Whether the read-only admin endpoint at this address reports that its front end is ready for clients.
+pub fn is_ready(admin: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(admin) else {
         return false;
     };
--- a/scalelab/src/harness/inference_client.rs
+++ b/scalelab/src/harness/inference_client.rs
@@ -5,24 +5,25 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Longest wait for an answer.
+/// Longest wait for data of a response.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// Odd, so that request numbers give different ids that look random (2^64 divided by the golden ratio).
+/// Multiplier that turns request numbers into ids that look random: 2^64 divided by the golden ratio. It is odd, so
+/// that different numbers give different ids.
 const ID_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// Requests numbered so far: each has an id of its own.
+/// Number of the latest request of all clients in this process; each request has an id of its own.
 static REQUESTS: AtomicU64 = AtomicU64::new(0);
 
-/// A persistent connection of a v2 client.
+/// A v2 client with one persistent connection.
 pub struct InferenceClient {
     stream: TcpStream,
 }
 
 impl InferenceClient {
-    /// Connects to the v2 listener.
+    /// Connects to the v2 listener at this address.
     ///
     /// # Errors
-    /// No connection comes up.
+    /// The connection cannot be established.
     pub fn connect(to: SocketAddr) -> std::io::Result<InferenceClient> {
         let stream = TcpStream::connect(to)?;
         stream.set_nodelay(true)?;
@@ -30,11 +31,12 @@
         Ok(InferenceClient { stream })
     }
 
-    /// Calls a function that takes so long to load; the answer's status.
+    /// Sends an inference request for a function and returns the status code of the response. The request states `load`
+    /// as the function's load time.
     ///
     /// # Errors
-    /// The connection ends before a whole answer.
-    pub fn call(&mut self, function: u64, load: Duration) -> std::io::Result<u16> {
+    /// The connection fails, or times out, before a complete response has been received, or the status is invalid.
+    pub fn infer(&mut self, function: u64, load: Duration) -> std::io::Result<u16> {
         let number = REQUESTS.fetch_add(1, Ordering::Relaxed) + 1;
         let id = number.wrapping_mul(ID_MULTIPLIER);
         let body = format!(
@@ -49,7 +51,7 @@
         self.read_status()
     }
 
-    /// Reads a whole answer.
+    /// Reads a complete response and returns its status code.
     fn read_status(&mut self) -> std::io::Result<u16> {
         let mut received = Vec::new();
         let mut chunk = [0u8; 1024];
--- a/scalelab/src/harness/mod.rs
+++ b/scalelab/src/harness/mod.rs
@@ -1,5 +1,5 @@
-//! A harness for experiments on real processes: front ends as child processes, a stand-in discovery service, v2
-//! clients, and what a process uses as the kernel counts it.
+//! A harness for experiments on real processes: front ends as child processes, a simulated discovery service, v2
+//! clients, and the resource usage of processes.
 mod discovery_service;
 mod front_end_options;
 mod front_end_process;
@@ -9,7 +9,7 @@
 
 pub use discovery_service::DiscoveryService;
 pub use front_end_options::FrontEndOptions;
-pub use front_end_process::{binary, ready, FrontEndProcess};
+pub use front_end_process::{front_end_executable, is_ready, FrontEndProcess};
 pub use inference_client::InferenceClient;
 pub use resource_usage::ResourceUsage;
 pub use watch_events::{endpoint_json, unreachable_address, unreachable_endpoints, WatchEvent};
@@ -19,16 +19,17 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Front ends of the size to plan with, in the configuration of every process.
+/// Number of front ends in the configuration of each process, unless an experiment sets another: a deployment of the
+/// planned size.
 pub const FRONT_ENDS: usize = 660;
-/// Longest wait for anything.
+/// Longest wait for a condition, in experiments and their tests.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
-/// The class of all requests.
+/// The request class of all requests.
 pub const CLASS: &str = "tile-render";
-/// Small, as an experiment may run some hundred threads.
+/// Stack size of each thread: small, as an experiment may run some hundred threads.
 const THREAD_STACK_BYTES: usize = 128 * 1024;
 
-/// Locks a mutex, also where a thread panicked while it held the lock.
+/// Locks a mutex, even if a thread panicked while it held the lock.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
@@ -40,7 +41,7 @@
 /// Starts a thread with a small stack.
 ///
 /// # Errors
-/// The system has no thread to give.
+/// The thread cannot be created.
 pub fn spawn_thread(
     run: impl FnOnce() + Send + 'static,
 ) -> Result<JoinHandle<()>, ExperimentError> {
@@ -50,12 +51,12 @@
         .map_err(failed)
 }
 
-/// Waits until `done`, polling at this interval.
+/// Waits until `done` returns true, polling at this interval. `condition` names what is waited for in the error.
 ///
 /// # Errors
-/// It is not so within [`WAIT_TIMEOUT`].
+/// `done` does not return true within [`WAIT_TIMEOUT`].
 pub fn wait_until(
-    what: &str,
+    condition: &str,
     poll_interval: Duration,
     mut done: impl FnMut() -> bool,
 ) -> Result<(), ExperimentError> {
@@ -63,7 +64,7 @@
     while !done() {
         if started.elapsed() > WAIT_TIMEOUT {
             return Err(ExperimentError::Failed(format!(
-                "{what}: not within {WAIT_TIMEOUT:?}"
+                "timed out after {WAIT_TIMEOUT:?} waiting for {condition}"
             )));
         }
         std::thread::sleep(poll_interval);
--- a/scalelab/src/harness/resource_usage.rs
+++ b/scalelab/src/harness/resource_usage.rs
@@ -1,48 +1,48 @@
-//! What a process uses, as the kernel counts it.
+//! The resource usage of a process, read from /proc.
 use crate::ExperimentError;
 use std::fs;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Name of the thread that runs the program's core.
+/// Name of the front end's thread that runs its core.
 const CORE_THREAD: &str = "core";
 
-/// What a process has used so far, and holds now.
+/// The resource usage of a process: totals since its start, and what it holds now.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceUsage {
     /// When it was measured.
     pub measured_at: Instant,
-    /// Processor time of all its threads.
+    /// Processor time of all threads that run now, since their start.
     pub cpu_time: Duration,
-    /// Processor time of the core's thread alone.
+    /// Processor time of the core thread alone.
     pub core_thread_cpu_time: Duration,
-    /// Resident memory now, KiB.
+    /// Resident memory now, in KiB.
     pub resident_kib: u64,
-    /// The most resident memory so far, KiB.
+    /// Peak resident memory since the start, in KiB.
     pub peak_resident_kib: u64,
-    /// Open descriptors.
+    /// Open file descriptors now.
     pub descriptors: usize,
 }
 
-/// Processor time of one thread.
+/// Processor time of one thread, since its start.
 struct ThreadTime {
     is_core: bool,
     nanoseconds: u64,
 }
 
 impl ResourceUsage {
-    /// Reads what the process of this id has used.
+    /// Reads the usage of the process with this id.
     ///
     /// # Errors
-    /// It has ended.
+    /// The process has ended.
     pub(super) fn read(process: u32) -> Result<ResourceUsage, ExperimentError> {
         let folder = Path::new("/proc").join(process.to_string());
         let status = fs::read_to_string(folder.join("status")).map_err(super::failed)?;
-        let figure = |name: &str| {
+        let status_field = |name: &str| {
             let line = status.lines().find_map(|line| line.strip_prefix(name));
             line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok())
                 .ok_or_else(|| {
-                    ExperimentError::Failed("a front end has ended by itself".to_owned())
+                    ExperimentError::Failed("a front end process ended unexpectedly".to_owned())
                 })
         };
         let threads: Vec<ThreadTime> = fs::read_dir(folder.join("task"))
@@ -57,18 +57,18 @@
             measured_at: Instant::now(),
             cpu_time: Duration::from_nanos(all),
             core_thread_cpu_time: Duration::from_nanos(core),
-            resident_kib: figure("VmRSS:")?,
-            peak_resident_kib: figure("VmHWM:")?,
+            resident_kib: status_field("VmRSS:")?,
+            peak_resident_kib: status_field("VmHWM:")?,
             descriptors: fs::read_dir(folder.join("fd")).map_or(0, Iterator::count),
         })
     }
 
-    /// Share of one core, in percent, since `before`.
+    /// Processor time of all threads since `before`, in percent of one processor core.
     pub fn cpu_percent(&self, before: &ResourceUsage) -> f64 {
         self.percent_of_core(before, self.cpu_time - before.cpu_time)
     }
 
-    /// The same of the core's thread alone.
+    /// Processor time of the core thread alone since `before`, in percent of one processor core.
     pub fn core_thread_percent(&self, before: &ResourceUsage) -> f64 {
         self.percent_of_core(
             before,
@@ -83,7 +83,7 @@
 }
 
 impl ThreadTime {
-    /// Reads a thread's folder; `None` where the thread has ended.
+    /// Reads a thread's folder in /proc; `None` if the thread has ended.
     fn read(folder: &Path) -> Option<ThreadTime> {
         let name = fs::read_to_string(folder.join("comm")).ok()?;
         let statistics = fs::read_to_string(folder.join("schedstat")).ok()?;
--- a/scalelab/src/harness/watch_events.rs
+++ b/scalelab/src/harness/watch_events.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists and watch events, as the discovery service writes them.
+//! Endpoint lists and watch events in the discovery service's JSON format.
 
 /// Zones that endpoints are spread over.
 pub(super) const ZONES: [&str; 7] = [
@@ -10,9 +10,9 @@
 /// A numbered event of the watch stream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WatchEvent {
-    /// Its number in the stream.
+    /// Its revision, which is its number in the stream.
     pub revision: u64,
-    /// Its JSON text.
+    /// Its content, in JSON.
     pub body: String,
 }
 
@@ -35,7 +35,8 @@
         WatchEvent { revision, body }
     }
 
-    /// The list in events of at most `max_endpoints` each, numbered from 1; the first replaces the whole list.
+    /// Splits the list into events of at most `max_endpoints` endpoints each, with revisions from 1; the first event
+    /// replaces the whole list.
     pub fn split(endpoints: &[String], max_endpoints: usize) -> Vec<WatchEvent> {
         let event =
             |(revision, part): (u64, &[String])| WatchEvent::new(revision, revision == 1, part);
@@ -46,7 +47,7 @@
     }
 }
 
-/// An endpoint, as the discovery service writes it.
+/// An endpoint list entry in JSON. Its zone and cell follow from the id.
 pub fn endpoint_json(id: u64, address: &str, lifecycle: &str) -> String {
     format!(
         r#"{{"instanceId":"s-{id:08x}","hostPort":"{address}","zone":"{}","machineType":"std","cell":{},"lifecycle":"{lifecycle}","weight":4,"startedAtMs":0}}"#,
@@ -55,7 +56,7 @@
     )
 }
 
-/// The address of a worker at which nobody listens, by its position in the list.
+/// A loopback address at which nothing listens, for the worker at this position in the list.
 pub fn unreachable_address(position: u64) -> String {
     format!(
         "127.{}.{}.{}:8443",
@@ -65,7 +66,7 @@
     )
 }
 
-/// Endpoints at which nobody listens, for front ends that are not called.
+/// An endpoint list of workers at which nothing listens, for front ends that get no requests.
 pub fn unreachable_endpoints(workers: u64) -> Vec<String> {
     (0..workers)
         .map(|worker| endpoint_json(worker, &unreachable_address(worker), "ready"))
--- a/scalelab/src/process_experiments/cold_start.rs
+++ b/scalelab/src/process_experiments/cold_start.rs
@@ -1,4 +1,4 @@
-//! What a request pays whose function is loaded nowhere, on the wire.
+//! The time that a request takes whose function no worker has loaded, measured with a real process.
 use super::{measured, ms, quantile};
 use crate::harness::{
     lock, spawn_thread, FrontEndOptions, FrontEndProcess, InferenceClient, WatchEvent,
@@ -8,35 +8,39 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// Requests of one row, and how many are in flight at a time.
-const CALLS: u64 = 300;
-const CALLERS: u64 = 4;
+/// Requests of one row.
+const REQUESTS: u64 = 300;
+/// Clients that send these requests, each with one request in flight.
+const CLIENTS: u64 = 4;
+/// Workers in the endpoint list.
 const WORKERS: u64 = 1_000;
-/// Time of the work itself.
+/// Time that a worker takes to serve a request once the function is loaded.
 const SERVICE_TIME: Duration = Duration::from_millis(5);
-/// What the process is given to become idle after its start.
+/// Time for the process to become idle after its start.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// The parts of a cold start, ms.
+/// The response time of a cold start and its parts, in milliseconds.
 struct ColdStart {
+    /// From sending the request until the client has the response.
     total: f64,
-    /// From the client to the worker.
+    /// From the client to the worker: until the load order or, without one, the request has been received.
     outbound: f64,
-    /// Whether that took a new connection.
+    /// Whether it was received on a new connection.
     new_connection: bool,
-    /// From the answer to a load order until the request came.
+    /// From the end of the load until the request was received; 0 without a load order.
     between: f64,
-    /// From the worker to the client.
+    /// From the worker's response until the client has it.
     inbound: f64,
 }
 
 impl ColdStart {
+    /// The total without the load and the service time.
     fn front_end_part(&self) -> f64 {
         self.outbound + self.between + self.inbound
     }
 }
 
-pub(super) fn cold(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
+pub(super) fn cold_start(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut rows = Vec::new();
     for &load_ms in sizes {
         let served = measure(Duration::from_millis(load_ms), seed)?;
@@ -44,7 +48,7 @@
     }
     Ok(vec![Sweep {
         title: format!(
-            "A cold start on the wire: {CALLS} calls of new functions, {CALLERS} at a time, call 5 ms"
+            "A cold start on the wire: {REQUESTS} calls of new functions, {CLIENTS} at a time, call 5 ms"
         ),
         varied: "load, ms",
         columns: vec![
@@ -63,34 +67,34 @@
     }])
 }
 
-/// Calls new functions whose load takes this long; those that were served.
+/// Sends requests for new functions that take this long to load. Returns the cold starts that were served.
 fn measure(load: Duration, seed: u64) -> Result<Vec<ColdStart>, ExperimentError> {
     let times = ServiceTimes {
         load,
-        call: SERVICE_TIME,
+        request: SERVICE_TIME,
     };
     let workers = SimulatedWorkers::start(WORKERS, times)?;
     let process = FrontEndProcess::start(&FrontEndOptions {
-        known_events: vec![WatchEvent::complete(1, &workers.list)],
+        known_events: vec![WatchEvent::complete(1, &workers.endpoints)],
         seed,
         ..FrontEndOptions::default()
     })?;
     std::thread::sleep(SETTLE_TIME);
     let (sender, cold_starts) = mpsc::channel();
-    for caller in 0..CALLERS {
+    for client_index in 0..CLIENTS {
         let (counts, sender, address) = (workers.counts.clone(), sender.clone(), process.kserve);
         spawn_thread(move || {
             let Ok(mut client) = InferenceClient::connect(address) else {
                 return;
             };
-            for call in 0..CALLS / CALLERS {
-                let function = (caller << 32 | call) + 1 + (seed << 40);
+            for request in 0..REQUESTS / CLIENTS {
+                let function = (client_index << 32 | request) + 1 + (seed << 40);
                 let sent_at = Instant::now();
-                let status = client.call(function, load);
+                let status = client.infer(function, load);
                 let answered_at = Instant::now();
-                let seen = lock(&counts.first_requests).get(&function).copied();
-                if let (Ok(200), Some(seen)) = (status, seen) {
-                    let _ = sender.send(parts(&seen, load, sent_at, answered_at));
+                let observed = lock(&counts.first_requests).get(&function).copied();
+                if let (Ok(200), Some(observed)) = (status, observed) {
+                    let _ = sender.send(parts(&observed, load, sent_at, answered_at));
                 }
             }
         })?;
@@ -99,26 +103,32 @@
     Ok(cold_starts.iter().collect())
 }
 
-fn parts(seen: &FirstRequest, load: Duration, sent_at: Instant, answered_at: Instant) -> ColdStart {
+/// The parts of a cold start, from the times that the client and the worker observed.
+fn parts(
+    observed: &FirstRequest,
+    load: Duration,
+    sent_at: Instant,
+    answered_at: Instant,
+) -> ColdStart {
     let mut between = 0.0;
-    if seen.ordered {
-        between = ms(seen.called_at - seen.received_at) - load.as_millis() as f64;
+    if observed.load_ordered {
+        between = ms(observed.request_received_at - observed.received_at) - load.as_millis() as f64;
     }
     ColdStart {
         total: ms(answered_at - sent_at),
-        outbound: ms(seen.received_at.saturating_duration_since(sent_at)),
-        new_connection: seen.new_connection,
+        outbound: ms(observed.received_at.saturating_duration_since(sent_at)),
+        new_connection: observed.new_connection,
         between,
-        inbound: ms(answered_at.saturating_duration_since(seen.answered_at)),
+        inbound: ms(answered_at.saturating_duration_since(observed.answered_at)),
     }
 }
 
 fn figures(served: &[ColdStart]) -> Vec<f64> {
-    let quantile_of = |part: f64, figure: fn(&ColdStart) -> f64| {
-        let mut values: Vec<f64> = served.iter().map(figure).collect();
+    let quantile_of = |part: f64, time: fn(&ColdStart) -> f64| {
+        let mut values: Vec<f64> = served.iter().map(time).collect();
         quantile(&mut values, part)
     };
-    let outbound = |new_connection: bool| {
+    let outbound_median = |new_connection: bool| {
         let starts = served
             .iter()
             .filter(|start| start.new_connection == new_connection);
@@ -131,11 +141,11 @@
         quantile_of(0.99, |start| start.total),
         quantile_of(0.5, ColdStart::front_end_part),
         quantile_of(0.99, ColdStart::front_end_part),
-        outbound(true),
-        outbound(false),
+        outbound_median(true),
+        outbound_median(false),
         quantile_of(0.5, |start| start.between),
         quantile_of(0.5, |start| start.inbound),
         100.0 * new_connections as f64 / served.len().max(1) as f64,
-        (CALLS - served.len() as u64) as f64,
+        (REQUESTS - served.len() as u64) as f64,
     ]
 }
--- a/scalelab/src/process_experiments/endpoint_changes.rs
+++ b/scalelab/src/process_experiments/endpoint_changes.rs
@@ -1,4 +1,4 @@
-//! What endpoint changes cost a process that nobody calls.
+//! The resource usage of a process without requests while endpoints change.
 use super::{
     exact, measured, mib, replacement_event, sleep_until, wait_for_endpoints, DEFAULT_WORKERS,
     MAX_ENDPOINTS_PER_EVENT, MEASURED_TIME, SETTLE_TIME,
@@ -9,7 +9,7 @@
 use crate::{ExperimentError, Sweep};
 use std::time::Instant;
 
-pub(super) fn changes(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
+pub(super) fn endpoint_changes(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut sweeps = Vec::new();
     for workers in [1_000, DEFAULT_WORKERS] {
         let mut rows = Vec::new();
@@ -34,7 +34,7 @@
     Ok(sweeps)
 }
 
-/// One row: `rate` workers replaced a second.
+/// One row: `rate` workers are replaced per second.
 fn row(workers: u64, rate: u64, seed: u64) -> Result<Vec<f64>, ExperimentError> {
     let endpoints = unreachable_endpoints(workers);
     let discovery =
--- a/scalelab/src/process_experiments/fleet.rs
+++ b/scalelab/src/process_experiments/fleet.rs
@@ -1,4 +1,5 @@
-//! What processes that gossip send each other, counted by a relay before each.
+//! The traffic and resource usage of a fleet of processes that gossip. A relay in front of each process counts the
+//! datagrams that are sent to it.
 use super::{measured, mib, quantile, usages, MEASURED_TIME};
 use crate::harness::{
     lock, spawn_thread, unreachable_endpoints, wait_until, FrontEndOptions, FrontEndProcess,
@@ -10,22 +11,23 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Workers in the list of each process.
+/// Workers in the endpoint list of each process.
 const WORKERS: u64 = 100;
-/// How often a process is asked whom it counts alive.
+/// Interval at which a process is asked how many peers it counts as alive.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// What the fleet is given to become quiet once all have joined.
+/// Time for the gossip traffic to reach its steady state after all processes have joined.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
+/// Size of the receive buffer: more than any UDP datagram.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
 
-/// Datagrams and their bytes.
+/// A number of datagrams and the sum of their sizes.
 #[derive(Clone, Copy, Default)]
 struct Traffic {
     datagrams: u64,
     bytes: u64,
 }
 
-/// Counts datagrams to one process on their way.
+/// Forwards datagrams to one process and counts them.
 struct Relay {
     address: SocketAddr,
     state: Arc<RelayState>,
@@ -33,6 +35,7 @@
 
 #[derive(Default)]
 struct RelayState {
+    /// The process's gossip address; datagrams are dropped until it is known.
     target: Mutex<Option<SocketAddr>>,
     datagrams: AtomicU64,
     bytes: AtomicU64,
@@ -64,7 +67,7 @@
             self.datagrams.fetch_add(1, Ordering::Relaxed);
             self.bytes.fetch_add(length as u64, Ordering::Relaxed);
             if let Some(target) = *lock(&self.target) {
-                let _ = socket.send_to(&buffer[..length], target); // one that has ended takes none
+                let _ = socket.send_to(&buffer[..length], target); // fails if the process has ended
             }
         }
     }
@@ -116,45 +119,49 @@
     let counts_all =
         |process: &FrontEndProcess| process.gauge("app.fleet.peers") == Some(count - 1);
     for process in &processes {
-        wait_until("all count all", POLL_INTERVAL, || counts_all(process))?;
+        wait_until(
+            "every process to count all others as alive",
+            POLL_INTERVAL,
+            || counts_all(process),
+        )?;
     }
-    let joined = spawned_at.elapsed();
+    let join_time = spawned_at.elapsed();
     std::thread::sleep(SETTLE_TIME);
     let traffic_before = total_traffic(&relays);
     let before = usages(&processes)?;
     std::thread::sleep(MEASURED_TIME);
     let traffic = total_traffic(&relays);
     let after = usages(&processes)?;
-    let missing = processes
+    let processes_missing_a_peer = processes
         .iter()
         .filter(|process| !counts_all(process))
         .count();
     let elapsed = (after[0].measured_at - before[0].measured_at).as_secs_f64();
-    let each_second = |sent: u64| sent as f64 / (elapsed * count as f64);
+    let per_second_and_process = |sent: u64| sent as f64 / (elapsed * count as f64);
     let usage_pairs = before.iter().zip(&after);
     let mut cpu: Vec<f64> = usage_pairs
         .map(|(before, after)| after.cpu_percent(before))
         .collect();
     let mut memory: Vec<f64> = after.iter().map(|usage| mib(usage.resident_kib)).collect();
     Ok(vec![
-        each_second(traffic.datagrams - traffic_before.datagrams),
-        each_second(traffic.bytes - traffic_before.bytes),
+        per_second_and_process(traffic.datagrams - traffic_before.datagrams),
+        per_second_and_process(traffic.bytes - traffic_before.bytes),
         quantile(&mut cpu, 0.5),
         quantile(&mut cpu, 1.0),
         quantile(&mut memory, 0.5),
         quantile(&mut memory, 1.0),
-        joined.as_secs_f64(),
-        missing as f64,
+        join_time.as_secs_f64(),
+        processes_missing_a_peer as f64,
     ])
 }
 
-/// Starts a process behind each relay; all join by the first.
+/// Starts a process behind each relay. The first relay's address is the seed by which all others join.
 fn spawn_fleet(relays: &[Relay], seed: u64) -> Result<Vec<FrontEndProcess>, ExperimentError> {
     let list = WatchEvent::complete(1, &unreachable_endpoints(WORKERS));
-    let first = format!(r#""{}""#, relays[0].address);
+    let seed_address = format!(r#""{}""#, relays[0].address);
     let mut processes = Vec::new();
     for (index, relay) in relays.iter().enumerate() {
-        let seeds = if index == 0 { "" } else { &first };
+        let seeds = if index == 0 { "" } else { &seed_address };
         let fleet = format!(
             r#"{{"listen":"127.0.0.1:0","advertise":"{}","seeds":[{}],"cluster":"scale","expected":{processes}}}"#,
             relay.address,
--- a/scalelab/src/process_experiments/idle.rs
+++ b/scalelab/src/process_experiments/idle.rs
@@ -1,4 +1,4 @@
-//! What a process uses that nobody calls, against the workers in its list.
+//! The resource usage of a process without requests, against the number of workers in its endpoint list.
 use super::{
     exact, measured, mib, ms, wait_for_endpoints, MAX_ENDPOINTS_PER_EVENT, MEASURED_TIME,
     SETTLE_TIME,
@@ -39,7 +39,7 @@
     })?;
     wait_for_endpoints(&mut process, workers)?;
     let list_time = process.started_at.elapsed();
-    let started = process.usage()?;
+    let usage_with_list = process.usage()?;
     std::thread::sleep(SETTLE_TIME);
     let before = process.usage()?;
     std::thread::sleep(MEASURED_TIME);
@@ -50,6 +50,6 @@
         mib(after.resident_kib),
         discovery.bytes() as f64,
         ms(list_time),
-        ms(started.cpu_time),
+        ms(usage_with_list.cpu_time),
     ])
 }
--- a/scalelab/src/process_experiments/mod.rs
+++ b/scalelab/src/process_experiments/mod.rs
@@ -1,5 +1,5 @@
-//! Experiments on real processes on loopback: an idle process, endpoint changes, a list read again, starts, a fleet that
-//! gossips, cold starts.
+//! Experiments on real processes on loopback: an idle process, endpoint changes, reading the endpoint list again,
+//! reconnecting, starting at once, gossip, and cold starts. Column names call the discovery service the board.
 mod cold_start;
 mod endpoint_changes;
 mod fleet;
@@ -14,79 +14,79 @@
     endpoint_json, unreachable_address, wait_until, FrontEndProcess, ResourceUsage, WatchEvent,
 };
 use crate::{Column, Experiment, ExperimentError};
-use cold_start::cold;
-use endpoint_changes::changes;
+use cold_start::cold_start;
+use endpoint_changes::endpoint_changes;
 use fleet::fleet;
 use idle::idle;
-use reconnect::redial;
-use resync::anew;
-use simultaneous_start::restart;
+use reconnect::reconnect;
+use resync::resync;
+use simultaneous_start::simultaneous_start;
 use std::time::{Duration, Instant};
 
 /// The experiments of this file.
 pub const EXPERIMENTS: &[Experiment] = &[
     Experiment {
         name: "idle",
-        about: "One process that nobody calls, against the workers its board has told (in events of 4,000).",
+        about: "One process without requests, against the workers that the discovery service lists (4,000 per event).",
         sizes: &[500, 1_000, 2_000, 4_000, 10_000],
         bound: 20_000,
         run: idle,
     },
     Experiment {
         name: "changes",
-        about: "One process that nobody calls, against the instances replaced a second, before 1,000 and 4,000 workers.",
+        about: "One process without requests, against the workers replaced per second, with 1,000 and 4,000 workers listed.",
         sizes: &[1, 5, 20, 80],
         bound: 200,
-        run: changes,
+        run: endpoint_changes,
     },
     Experiment {
         name: "anew",
-        about: "One process whose board was cut and tells the whole list anew, against the workers in it.",
+        about: "One process that reads the whole endpoint list again after its discovery service was interrupted, against the workers in it.",
         sizes: &[1_000, 2_000, 4_000, 10_000, 20_000],
-        bound: 20_000, // one event of the board is at most a 64th of the memory limit: 3 MiB
-        run: anew,
+        bound: 20_000, // the list is one watch event, of which the limit is a 64th of the memory limit: 3 MiB
+        run: resync,
     },
     Experiment {
         name: "redial",
-        about: "Processes whose board was cut and that all read it anew while it changes, 4,000 workers, against their number.",
+        about: "Processes that all reconnect after their discovery service was interrupted, while its list of 4,000 workers changes, against their number.",
         sizes: &[1, 10, 30, 79],
         bound: 100,
-        run: redial,
+        run: reconnect,
     },
     Experiment {
         name: "restart",
-        about: "Processes started at once before one board of 4,000 workers, against their number.",
+        about: "Processes started at once with one discovery service that lists 4,000 workers, against their number.",
         sizes: &[1, 10, 30, 79],
         bound: 100,
-        run: restart,
+        run: simultaneous_start,
     },
     Experiment {
         name: "fleet",
-        about: "Real processes that gossip (a probe each 0.5 s, 100 workers listed), against their number.",
+        about: "Real processes that gossip (a probe every 0.5 s, 100 workers listed), against their number.",
         sizes: &[10, 30, 60, 120],
-        bound: 200, // some 10 MB each, and half of the machine at the most
+        bound: 200, // some 10 MB each; together at most half of the machine's memory
         run: fleet,
     },
     Experiment {
         name: "cold",
-        about: "300 calls, each of a function loaded nowhere, against the time in ms that its load takes; 1,000 workers.",
+        about: "300 requests, each for a function that no worker has loaded, against the load time in ms; 1,000 workers.",
         sizes: &[50, 100, 200, 400],
         bound: 2_000,
-        run: cold,
+        run: cold_start,
     },
 ];
 
-/// Endpoints in one watch event: 4,000 take 0.57 MB, and 1 MiB is the most.
+/// Endpoints in one watch event: 4,000 take 0.57 MB, and a process accepts events of 1 MiB at any memory limit.
 pub const MAX_ENDPOINTS_PER_EVENT: usize = 4_000;
-/// What processor time is taken over.
+/// Length of a measurement.
 const MEASURED_TIME: Duration = Duration::from_secs(10);
-/// What a process that has just read its list is given to become idle.
+/// Time for a process that has just read the endpoint list to become idle before the measurement.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
-/// The list of the experiments that vary something else, in workers.
+/// Workers in the endpoint list of experiments that vary something else.
 const DEFAULT_WORKERS: u64 = 4_000;
-/// Added to a worker's id by each replacement, so that ids stay different.
+/// Added to a worker's id at each replacement; above the number of workers in any list, so that ids stay unique.
 const REPLACEMENT_ID_STEP: u64 = 0x10_0000;
-/// Ids of the workers that mark the end of a list.
+/// Id of marker endpoint 0; above the ids of all other workers.
 const FIRST_MARKER_ID: u64 = 0xF000_0000;
 
 fn measured(name: &'static str) -> Column {
@@ -105,7 +105,7 @@
     time.as_secs_f64() * 1000.0
 }
 
-/// The value below which this part of the values lies; sorts them; 0 of none.
+/// The quantile `part`, from 0 to 1, of the values, which it sorts; 0 if there are none.
 pub fn quantile(values: &mut [f64], part: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let last = values.len().saturating_sub(1);
@@ -113,33 +113,37 @@
     values.get(position).copied().unwrap_or(0.0)
 }
 
-/// Waits until a process has taken this many endpoints.
+/// Waits until the process has logged this many endpoint updates since its log was last read.
 fn wait_for_endpoints(
     process: &mut FrontEndProcess,
     endpoints: u64,
 ) -> Result<(), ExperimentError> {
     let mut seen = 0;
-    wait_until("the whole list is taken", Duration::from_millis(10), || {
-        let lines = process.new_log_lines();
-        seen += lines
-            .lines()
-            .filter(|line| line.starts_with("endpoint "))
-            .count() as u64;
-        seen >= endpoints
-    })
+    wait_until(
+        "all endpoints to be logged",
+        Duration::from_millis(10),
+        || {
+            let lines = process.new_log_lines();
+            seen += lines
+                .lines()
+                .filter(|line| line.starts_with("endpoint "))
+                .count() as u64;
+            seen >= endpoints
+        },
+    )
 }
 
 fn sleep_until(due: Instant) {
     std::thread::sleep(due.saturating_duration_since(Instant::now()));
 }
 
-/// What each process has used.
+/// The resource usage of each process.
 fn usages(processes: &[FrontEndProcess]) -> Result<Vec<ResourceUsage>, ExperimentError> {
     processes.iter().map(FrontEndProcess::usage).collect()
 }
 
-/// The event in which a worker of a list of `workers` gives way to a new one at its address; `replacement` counts
-/// these events from 0.
+/// An event that replaces one worker of a list of `workers` by a new one at the same address. `replacement` numbers
+/// these events from 0 and determines the worker: each in turn.
 fn replacement_event(revision: u64, replacement: u64, workers: u64) -> WatchEvent {
     let round = replacement / workers;
     let position = replacement % workers;
@@ -152,9 +156,11 @@
     WatchEvent::change(revision, &endpoints)
 }
 
-/// A worker whose line in a log shows that the last event sent has been taken.
+/// An endpoint that an experiment adds with its last event: its log line shows that a process has handled that event.
 struct MarkerEndpoint {
+    /// Its entry for the endpoint list, in JSON.
     endpoint: String,
+    /// What the process logs when it adds the endpoint.
     log_line: String,
 }
 
--- a/scalelab/src/process_experiments/reconnect.rs
+++ b/scalelab/src/process_experiments/reconnect.rs
@@ -1,4 +1,5 @@
-//! What many processes pay that reconnect to one discovery service while endpoints change.
+//! The traffic, delay and processor time of many processes that reconnect to one discovery service while endpoints
+//! change.
 use super::{
     measured, ms, quantile, replacement_event, sleep_until, usages, wait_for_endpoints,
     MarkerEndpoint, DEFAULT_WORKERS, REPLACEMENT_ID_STEP,
@@ -10,21 +11,25 @@
 use crate::{ExperimentError, Sweep};
 use std::time::{Duration, Instant};
 
-/// Changes that the processes miss while the service is down; revision 1 is the list.
+/// Endpoint changes that the processes miss while the service is down. They follow the whole list, which is revision 1.
 const MISSED_CHANGES: u64 = 5;
-/// Changes while the processes reconnect, and the time between them.
+/// Endpoint changes while the processes reconnect.
 const LATER_CHANGES: u64 = 10;
+/// Time between these changes.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(100);
-/// The later changes replace workers from here on, which the missed ones did not.
+/// Position of the first worker that the later changes replace: above those that the missed changes replaced.
 const FIRST_LATER_REPLACEMENT: u64 = 100;
+/// Interval at which the discovery service's counters are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// A process has noticed that its service is gone once it was rejected so often.
+/// Rejected watches per process, on average, after which all processes count as having lost the service.
 const REJECTIONS_EACH: u64 = 3;
 
-/// What the service sends once it is back.
+/// What the service sends to reconnecting processes once it is up again.
 #[derive(Clone, Copy, PartialEq)]
 enum Resync {
+    /// The changes that they missed.
     MissedChanges,
+    /// The whole list with the missed changes applied.
     WholeList,
 }
 
@@ -36,7 +41,7 @@
         }
     }
 
-    /// The events that the processes missed, or the list that comes of them.
+    /// The events for this kind of resync. `endpoints` is the list before the missed changes.
     fn events(self, mut endpoints: Vec<String>) -> Vec<WatchEvent> {
         if self == Resync::MissedChanges {
             let change = |n| replacement_event(2 + n, n, DEFAULT_WORKERS);
@@ -50,7 +55,7 @@
     }
 }
 
-pub(super) fn redial(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
+pub(super) fn reconnect(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut sweeps = Vec::new();
     for resync in [Resync::MissedChanges, Resync::WholeList] {
         let mut rows = Vec::new();
@@ -78,17 +83,19 @@
     let list = WatchEvent::complete(1, &endpoints);
     let discovery = DiscoveryService::start(vec![list.clone()])?;
     let mut processes = start_processes(count, &discovery, &list, seed)?;
-    wait_until("all hang on the board", POLL_INTERVAL, || {
+    wait_until("a watch from every process", POLL_INTERVAL, || {
         discovery.watches() >= count
     })?;
     discovery.interrupt(resync.events(endpoints));
-    wait_until("all have lost their board", POLL_INTERVAL, || {
-        discovery.rejected() > REJECTIONS_EACH * count
-    })?;
+    wait_until(
+        "all processes to lose the discovery service",
+        POLL_INTERVAL,
+        || discovery.rejected() > REJECTIONS_EACH * count,
+    )?;
     let before = usages(&processes)?;
     let bytes = discovery.bytes();
     let watches = discovery.watches();
-    let time = restore_and_change(&discovery, &mut processes)?;
+    let elapsed = restore_and_change(&discovery, &mut processes)?;
     let mut cpu_times = Vec::new();
     for (after, before) in usages(&processes)?.iter().zip(&before) {
         cpu_times.push(ms(after.cpu_time - before.cpu_time));
@@ -97,13 +104,13 @@
     Ok(vec![
         each(discovery.bytes() - bytes),
         each(discovery.watches() - watches),
-        ms(time) - ms(CHANGE_INTERVAL) * LATER_CHANGES as f64,
+        ms(elapsed) - ms(CHANGE_INTERVAL) * LATER_CHANGES as f64,
         quantile(&mut cpu_times, 0.5),
         quantile(&mut cpu_times, 1.0),
     ])
 }
 
-/// Starts processes whose configuration contains the list, and waits until all have taken it.
+/// Starts processes whose configuration contains the list, and waits until all have read it.
 fn start_processes(
     count: u64,
     discovery: &DiscoveryService,
@@ -129,7 +136,8 @@
     Ok(processes)
 }
 
-/// Restores the service, sends the later changes and waits until all processes have the last; how long that took.
+/// Restores the service, sends the later changes and waits until all processes have handled the last. Returns the time
+/// since the service was restored.
 fn restore_and_change(
     discovery: &DiscoveryService,
     processes: &mut [FrontEndProcess],
--- a/scalelab/src/process_experiments/resync.rs
+++ b/scalelab/src/process_experiments/resync.rs
@@ -1,4 +1,4 @@
-//! What a process pays to read the whole endpoint list again after its discovery service was interrupted.
+//! The cost of reading the whole endpoint list again after the discovery service was interrupted.
 use super::{exact, measured, ms, wait_for_endpoints, MarkerEndpoint};
 use crate::harness::{
     unreachable_endpoints, wait_until, DiscoveryService, FrontEndOptions, FrontEndProcess,
@@ -7,24 +7,24 @@
 use crate::{ExperimentError, Sweep};
 use std::time::{Duration, Instant};
 
-/// Cost of reading the whole list again.
+/// What one process needed to read the whole list again.
 #[derive(Clone, Copy, Debug)]
 pub struct ResyncCost {
-    /// Bytes of watch events.
+    /// Bytes of watch events that it was sent.
     pub bytes: u64,
-    /// Watches that the process opened.
+    /// Watches that it opened.
     pub watches: u64,
-    /// Time until it had the list.
+    /// Time from the service's restoration until it had the list.
     pub time: Duration,
-    /// Processor time until it had the list.
+    /// Processor time that it used until it had the list.
     pub cpu_time: Duration,
 }
 
-/// Interrupts the discovery service of one process and has it send the whole list with one worker more, after this
-/// many events that the process missed.
+/// Interrupts the discovery service of one process and then has it send the whole list with one worker more. The
+/// event's revision is `missed` above the last one that the process has read.
 ///
 /// # Errors
-/// The process does not come up, or never has the list.
+/// The process cannot be started, does not become ready, or does not read the list in time.
 pub fn measure_resync(workers: u64, missed: u64, seed: u64) -> Result<ResyncCost, ExperimentError> {
     let mut endpoints = unreachable_endpoints(workers);
     let discovery = DiscoveryService::start(vec![WatchEvent::complete(1, &endpoints)])?;
@@ -38,7 +38,7 @@
     endpoints.push(marker.endpoint);
     discovery.interrupt(vec![WatchEvent::complete(1 + missed, &endpoints)]);
     wait_until(
-        "the process has lost its board",
+        "the process to lose the discovery service",
         Duration::from_millis(5),
         || discovery.rejected() > 1,
     )?;
@@ -58,11 +58,11 @@
     })
 }
 
-pub(super) fn anew(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
+pub(super) fn resync(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut rows = Vec::new();
     for &workers in sizes {
         let mut row = Vec::new();
-        // One event missed, or five, so that the numbers show a gap.
+        // After one missed event the revisions have no gap, after five they have one.
         for missed in [1, 5] {
             let cost = measure_resync(workers, missed, seed)?;
             row.extend([
--- a/scalelab/src/process_experiments/simultaneous_start.rs
+++ b/scalelab/src/process_experiments/simultaneous_start.rs
@@ -1,4 +1,4 @@
-//! What processes pay that start at once.
+//! The time and resource usage of processes that start at once.
 use super::{measured, mib, ms, quantile, DEFAULT_WORKERS};
 use crate::harness::{
     spawn_thread, unreachable_endpoints, wait_until, DiscoveryService, FrontEndOptions,
@@ -8,13 +8,16 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// How often a process is asked whether it is ready: seldom, as all share the processors with what is measured.
+/// Interval at which a process is asked whether it is ready: long, as the polling uses the same processors as the
+/// processes that are measured.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Where the processes find their list.
+/// Where the processes get the endpoint list from.
 #[derive(Clone, Copy, PartialEq)]
 enum ListSource {
+    /// From the discovery service only.
     Discovery,
+    /// From their configuration files; the discovery service has nothing newer.
     Configuration,
 }
 
@@ -31,14 +34,16 @@
     }
 }
 
-/// A process that has come up. It runs on until all have.
+/// A process that has become ready. It is kept running until all have.
 struct StartedProcess {
+    /// Time from its start until it was ready.
     ready_ms: f64,
+    /// Its usage when it was ready.
     usage: ResourceUsage,
     _process: FrontEndProcess,
 }
 
-pub(super) fn restart(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
+pub(super) fn simultaneous_start(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut sweeps = Vec::new();
     for source in [ListSource::Discovery, ListSource::Configuration] {
         let mut rows = Vec::new();
@@ -96,7 +101,7 @@
     ])
 }
 
-/// Waits for each process in a thread of its own, so that the time of each is its own.
+/// Waits for each process in a thread of its own, so that waiting for one does not delay the time taken of another.
 fn wait_for_all(processes: Vec<FrontEndProcess>) -> Result<Vec<StartedProcess>, ExperimentError> {
     let (sender, started) = mpsc::channel();
     for process in processes {
@@ -111,7 +116,9 @@
 
 fn wait_until_ready(mut process: FrontEndProcess) -> Result<StartedProcess, ExperimentError> {
     process.wait_for_listeners()?;
-    wait_until("ready", READY_POLL_INTERVAL, || process.is_ready())?;
+    wait_until("the front end to be ready", READY_POLL_INTERVAL, || {
+        process.is_ready()
+    })?;
     Ok(StartedProcess {
         ready_ms: ms(process.started_at.elapsed()),
         usage: process.usage()?,
--- a/scalelab/src/simulated_workers/frame.rs
+++ b/scalelab/src/simulated_workers/frame.rs
@@ -1,24 +1,27 @@
-//! Frames of the platform, as far as the workers read and write them.
+//! The part of the platform's frame format that the simulated workers read and write.
 use super::Connection;
 use wrenseam::worker::frames::encode;
 
-/// Bytes of a frame before its fields.
+/// Bytes of a frame's header, before its fields.
 const HEADER_BYTES: usize = 16;
-/// Bytes of a frame after its body.
+/// Bytes of a frame's checksum, after its body.
 const CHECKSUM_BYTES: usize = 4;
-/// Kinds of frames that a front end sends.
+/// Kind of a frame with an inference request.
 pub(super) const REQUEST_FRAME: u8 = 2;
+/// Kind of a frame with a load order or a query.
 pub(super) const LOAD_FRAME: u8 = 6;
+/// Kind of a frame with an unload order.
 pub(super) const UNLOAD_FRAME: u8 = 8;
-/// Kind of an answer, and the first byte of frames that workers send.
-const ANSWER_FRAME: u8 = 200;
-const WORKER_MARK: u8 = 127;
+/// Kind of a frame with a worker's response.
+const RESPONSE_FRAME: u8 = 200;
+/// First byte of each frame that a worker sends.
+const WORKER_FIRST_BYTE: u8 = 127;
 
-/// A complete frame, and where it came from.
+/// A complete frame, with the connection and the worker that received it.
 pub(super) struct Frame {
     pub(super) connection: u64,
     pub(super) worker: usize,
-    /// Whether it is the first of its connection.
+    /// Whether it is the first frame of its connection.
     pub(super) first: bool,
     pub(super) kind: u8,
     pub(super) id: u64,
@@ -27,7 +30,7 @@
 }
 
 impl Frame {
-    /// Takes a complete frame off the bytes received.
+    /// Removes a frame from the bytes received on a connection; `None` if none is complete.
     pub(super) fn take(token: u64, connection: &mut Connection) -> Option<Frame> {
         let head = *connection.received.first_chunk::<HEADER_BYTES>()?;
         let fields_length = usize::from(u16::from_be_bytes([head[2], head[3]]));
@@ -54,20 +57,21 @@
         fields.find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
     }
 
+    /// The function: the field `path`, in hex, or the frame's id if that field is missing.
     pub(super) fn function(&self) -> u64 {
         let path = self.field("path");
         path.and_then(|path| u64::from_str_radix(path, 16).ok())
             .unwrap_or(self.id)
     }
 
-    /// Replicas that a load order asks for.
+    /// Replicas that a load order asks for; 0 makes it a query. `None` if the field is missing.
     pub(super) fn replicas(&self) -> Option<u32> {
         self.field("slots_up")?.parse().ok()
     }
 }
 
-pub(super) fn answer(id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
-    let mut bytes = encode(ANSWER_FRAME, id, fields, body);
-    bytes[0] = WORKER_MARK;
+pub(super) fn response(id: u64, fields: &str, body: &[u8]) -> Vec<u8> {
+    let mut bytes = encode(RESPONSE_FRAME, id, fields, body);
+    bytes[0] = WORKER_FIRST_BYTE;
     bytes
 }
--- a/scalelab/src/simulated_workers/mod.rs
+++ b/scalelab/src/simulated_workers/mod.rs
@@ -1,10 +1,10 @@
-//! Simulated workers on the platform's frames: thousands of listeners and their connections on one thread, each worker
-//! with what it has loaded. They end when [`SimulatedWorkers`] is dropped.
+//! Simulated workers that speak the platform's frame protocol. One thread serves the listeners and connections of
+//! thousands of workers and keeps track of what each has loaded. It stops when [`SimulatedWorkers`] is dropped.
 mod frame;
 
 use crate::harness::{endpoint_json, lock, spawn_thread};
 use crate::ExperimentError;
-use frame::{answer, Frame, LOAD_FRAME, REQUEST_FRAME, UNLOAD_FRAME};
+use frame::{response, Frame, LOAD_FRAME, REQUEST_FRAME, UNLOAD_FRAME};
 use nix::sys::epoll::{Epoll, EpollCreateFlags, EpollEvent, EpollFlags, EpollTimeout};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
@@ -15,85 +15,85 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How often the thread looks whether it is to end.
+/// Longest time between two checks whether the thread is to stop.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Events taken from the kernel at a time.
+/// Events that one wait takes from epoll at most.
 const EVENTS_PER_WAIT: usize = 256;
-/// How long the workers' work takes.
+/// How long the workers take to load a function and to serve a request.
 #[derive(Clone, Copy)]
 pub struct ServiceTimes {
-    /// A load of a function.
+    /// Time to load a function.
     pub load: Duration,
-    /// A request, once the function is loaded.
-    pub call: Duration,
+    /// Time to serve a request once the function is loaded.
+    pub request: Duration,
 }
 
-/// What a worker saw of a function's first request.
+/// What a worker observed of the first request for a function.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstRequest {
-    /// When its first load order or request had come as a whole.
+    /// When the first load order or request for the function had been received completely.
     pub received_at: Instant,
-    /// When its request had come as a whole.
-    pub called_at: Instant,
-    /// When its answer was written.
+    /// When the request had been received completely.
+    pub request_received_at: Instant,
+    /// When the response to the request was written.
     pub answered_at: Instant,
-    /// Whether that was the first frame of its connection.
+    /// Whether that first load order or request was the first frame of its connection.
     pub new_connection: bool,
-    /// Whether a load order came before the request.
-    pub ordered: bool,
+    /// Whether a load order was received before the request.
+    pub load_ordered: bool,
 }
 
-/// What all workers saw.
+/// Counters over all workers.
 #[derive(Default)]
 pub struct WorkerCounts {
     /// Connections accepted so far.
-    pub accepts: AtomicU64,
-    /// Connections that are open now.
-    pub standing: AtomicU64,
+    pub accepted_connections: AtomicU64,
+    /// Connections open now.
+    pub open_connections: AtomicU64,
     /// Requests received.
-    pub calls: AtomicU64,
+    pub requests: AtomicU64,
     /// Load orders received.
-    pub orders: AtomicU64,
-    /// Queries (orders of no replicas) received.
-    pub questions: AtomicU64,
-    /// Workers that received a request.
-    pub called: Mutex<HashSet<usize>>,
+    pub load_orders: AtomicU64,
+    /// Queries (load orders for 0 replicas) received.
+    pub queries: AtomicU64,
+    /// Workers that received a request. An experiment clears this where its measurement begins.
+    pub workers_called: Mutex<HashSet<usize>>,
     /// Workers that received any frame.
-    pub reached: Mutex<HashSet<usize>>,
-    /// What was seen of each function's first request.
+    pub workers_reached: Mutex<HashSet<usize>>,
+    /// What was observed of the first request for each function.
     pub first_requests: Mutex<HashMap<u64, FirstRequest>>,
 }
 
-/// The counters of [`WorkerCounts`] at one time.
+/// The monotonic counters of [`WorkerCounts`] at one time.
 #[derive(Clone, Copy, Debug)]
 pub struct CountsSnapshot {
     /// Connections accepted.
-    pub accepts: u64,
+    pub accepted_connections: u64,
     /// Requests received.
-    pub calls: u64,
+    pub requests: u64,
     /// Load orders received.
-    pub orders: u64,
+    pub load_orders: u64,
     /// Queries received.
-    pub questions: u64,
+    pub queries: u64,
 }
 
 impl WorkerCounts {
     /// The counters now.
     pub fn snapshot(&self) -> CountsSnapshot {
         CountsSnapshot {
-            accepts: self.accepts.load(Ordering::Relaxed),
-            calls: self.calls.load(Ordering::Relaxed),
-            orders: self.orders.load(Ordering::Relaxed),
-            questions: self.questions.load(Ordering::Relaxed),
+            accepted_connections: self.accepted_connections.load(Ordering::Relaxed),
+            requests: self.requests.load(Ordering::Relaxed),
+            load_orders: self.load_orders.load(Ordering::Relaxed),
+            queries: self.queries.load(Ordering::Relaxed),
         }
     }
 }
 
-/// The workers; they end with this value.
+/// Simulated workers on loopback; they stop when this value is dropped.
 pub struct SimulatedWorkers {
-    /// The endpoint list that contains them.
-    pub list: Vec<String>,
-    /// What they saw.
+    /// Their entries for the endpoint list, in JSON.
+    pub endpoints: Vec<String>,
+    /// Their counters.
     pub counts: Arc<WorkerCounts>,
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
@@ -104,19 +104,19 @@
 }
 
 impl SimulatedWorkers {
-    /// Starts this many workers.
+    /// Starts this many workers, each with a listener on a free port.
     ///
     /// # Errors
-    /// No port or thread can be had.
+    /// A listener, the epoll instance or the thread cannot be created.
     pub fn start(count: u64, times: ServiceTimes) -> Result<SimulatedWorkers, ExperimentError> {
         let epoll = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC).map_err(failed)?;
-        let mut list = Vec::new();
+        let mut endpoints = Vec::new();
         let mut workers = Vec::new();
         for id in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0").map_err(failed)?;
             listener.set_nonblocking(true).map_err(failed)?;
             let address = listener.local_addr().map_err(failed)?;
-            list.push(endpoint_json(id, &address.to_string(), "ready"));
+            endpoints.push(endpoint_json(id, &address.to_string(), "ready"));
             let event = EpollEvent::new(EpollFlags::EPOLLIN, id);
             epoll.add(&listener, event).map_err(failed)?;
             workers.push(Worker {
@@ -139,7 +139,7 @@
         let stopped = stop.clone();
         let thread = spawn_thread(move || event_loop.run(&stopped))?;
         Ok(SimulatedWorkers {
-            list,
+            endpoints,
             counts,
             stop,
             thread: Some(thread),
@@ -151,32 +151,35 @@
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
-            let _ = thread.join(); // it may have panicked, which has been printed
+            let _ = thread.join(); // an error means that it panicked, which has been printed
         }
     }
 }
 
 struct Worker {
     listener: TcpListener,
-    /// When each function that it holds is loaded.
+    /// Time at which each function is or will be loaded. Functions that are not here are not loaded.
     loaded_at: HashMap<u64, Instant>,
 }
 
-/// A connection, and what came of a frame that is not complete.
+/// A connection from a front end.
 struct Connection {
     stream: TcpStream,
     worker: usize,
+    /// Bytes received that do not make a complete frame yet.
     received: Vec<u8>,
-    /// Whether no complete frame has come yet.
+    /// Whether no complete frame has been received yet.
     new: bool,
 }
 
-/// An answer that waits for its time.
+/// A response that is sent at a later time.
 struct ScheduledReply {
     connection: u64,
     bytes: Vec<u8>,
     function: u64,
-    seen: FirstRequest,
+    /// What is recorded of the first request for the function.
+    observed: FirstRequest,
+    /// Whether it responds to a request; otherwise to a load order.
     is_request: bool,
 }
 
@@ -184,10 +187,12 @@
     epoll: Epoll,
     workers: Vec<Worker>,
     connections: HashMap<u64, Connection>,
-    /// Token of the latest connection; the workers' listeners have those from 0.
+    /// Epoll token of the latest connection. Lower tokens, from 0, belong to the workers' listeners.
     last_token: u64,
     times: ServiceTimes,
+    /// When each scheduled reply is due, and its number, earliest first.
     due: BinaryHeap<Reverse<(Instant, u64)>>,
+    /// Scheduled replies by number.
     replies: BTreeMap<u64, ScheduledReply>,
     counts: Arc<WorkerCounts>,
 }
@@ -196,7 +201,8 @@
     fn run(&mut self, stop: &AtomicBool) {
         let mut events = vec![EpollEvent::empty(); EVENTS_PER_WAIT];
         while !stop.load(Ordering::Relaxed) {
-            let count = self.epoll.wait(&mut events, self.timeout()).unwrap_or(0); // a signal came
+            // A wait that a signal interrupts has no events.
+            let count = self.epoll.wait(&mut events, self.timeout()).unwrap_or(0);
             for token in events[..count].iter().map(EpollEvent::data) {
                 if (token as usize) < self.workers.len() {
                     self.accept(token as usize);
@@ -208,7 +214,8 @@
         }
     }
 
-    /// Time until the next reply is due, rounded up to whole milliseconds, as the kernel counts.
+    /// Time until the next reply is due, at most the interval of checks whether to stop, rounded up to epoll's unit of
+    /// a millisecond.
     fn timeout(&self) -> EpollTimeout {
         let mut wait = STOP_POLL_INTERVAL;
         if let Some(Reverse((at, _))) = self.due.peek() {
@@ -238,8 +245,10 @@
             if !ready || self.epoll.add(&stream, event).is_err() {
                 continue;
             }
-            self.counts.accepts.fetch_add(1, Ordering::Relaxed);
-            self.counts.standing.fetch_add(1, Ordering::Relaxed);
+            self.counts
+                .accepted_connections
+                .fetch_add(1, Ordering::Relaxed);
+            self.counts.open_connections.fetch_add(1, Ordering::Relaxed);
             let connection = Connection {
                 stream,
                 worker,
@@ -252,7 +261,8 @@
 
     fn close(&mut self, token: u64) {
         if self.connections.remove(&token).is_some() {
-            self.counts.standing.fetch_sub(1, Ordering::Relaxed); // closing takes it out of the epoll set
+            // Closing the socket also removes it from the epoll set.
+            self.counts.open_connections.fetch_sub(1, Ordering::Relaxed);
         }
     }
 
@@ -279,16 +289,16 @@
 
     /// Handles a request, a load order, a query or an unload order.
     fn handle(&mut self, frame: &Frame) {
-        lock(&self.counts.reached).insert(frame.worker);
+        lock(&self.counts.workers_reached).insert(frame.worker);
         match (frame.kind, frame.replicas()) {
             (REQUEST_FRAME, _) => {
-                self.counts.calls.fetch_add(1, Ordering::Relaxed);
-                lock(&self.counts.called).insert(frame.worker);
+                self.counts.requests.fetch_add(1, Ordering::Relaxed);
+                lock(&self.counts.workers_called).insert(frame.worker);
                 self.schedule_reply(frame);
             }
             (LOAD_FRAME, Some(0)) => self.answer_query(frame),
             (LOAD_FRAME, _) => {
-                self.counts.orders.fetch_add(1, Ordering::Relaxed);
+                self.counts.load_orders.fetch_add(1, Ordering::Relaxed);
                 self.schedule_reply(frame);
             }
             (UNLOAD_FRAME, _) => {
@@ -300,14 +310,15 @@
     }
 
     fn answer_query(&mut self, frame: &Frame) {
-        self.counts.questions.fetch_add(1, Ordering::Relaxed);
+        self.counts.queries.fetch_add(1, Ordering::Relaxed);
         let loaded_at = self.workers[frame.worker].loaded_at.get(&frame.function());
         let loaded = loaded_at.is_some_and(|&at| at <= Instant::now());
-        let bytes = answer(frame.id, &format!("slots_up={}", u8::from(loaded)), &[]);
+        let bytes = response(frame.id, &format!("slots_up={}", u8::from(loaded)), &[]);
         self.write(frame.connection, &bytes);
     }
 
-    /// Loads the function if need be, and schedules the reply for when it is loaded and the request is done.
+    /// Starts to load the function unless it is loaded or loading, and schedules the reply for when it is loaded and,
+    /// for a request, served.
     fn schedule_reply(&mut self, frame: &Frame) {
         let now = Instant::now();
         let function = frame.function();
@@ -323,21 +334,21 @@
         };
         let is_request = frame.kind == REQUEST_FRAME;
         let mut due = loaded.max(now);
-        let mut bytes = answer(frame.id, "slots_up=1", &[]);
+        let mut bytes = response(frame.id, "slots_up=1", &[]);
         if is_request {
-            due += self.times.call;
-            bytes = answer(frame.id, detail, &frame.body);
+            due += self.times.request;
+            bytes = response(frame.id, detail, &frame.body);
         }
         let reply = ScheduledReply {
             connection: frame.connection,
             bytes,
             function,
-            seen: FirstRequest {
+            observed: FirstRequest {
                 received_at: now,
-                called_at: now,
+                request_received_at: now,
                 answered_at: now,
                 new_connection: frame.first,
-                ordered: !is_request,
+                load_ordered: !is_request,
             },
             is_request,
         };
@@ -349,21 +360,22 @@
 
     fn send(&mut self, reply: ScheduledReply) {
         let now = Instant::now();
-        let seen = FirstRequest {
+        let observed = FirstRequest {
             answered_at: now,
-            ..reply.seen
+            ..reply.observed
         };
         let mut all = lock(&self.counts.first_requests);
-        let first = all.entry(reply.function).or_insert(seen);
-        if reply.is_request && first.ordered {
-            first.called_at = seen.called_at;
+        let first = all.entry(reply.function).or_insert(observed);
+        if reply.is_request && first.load_ordered {
+            first.request_received_at = observed.request_received_at;
             first.answered_at = now;
         }
         drop(all);
         self.write(reply.connection, &reply.bytes);
     }
 
-    /// Writes a frame. Frames here are small: what the kernel does not take at once shows a peer that does not read.
+    /// Writes a frame. Frames are small, so one that does not fit into the socket's send buffer means that the peer has
+    /// stopped reading: the connection is closed.
     fn write(&mut self, token: u64, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&token) else {
             return;
--- a/scalelab/src/worker_connections/clients.rs
+++ b/scalelab/src/worker_connections/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that call functions at Poisson times, each on a connection of its own.
+//! Clients that send requests as Poisson processes, each on a connection of its own.
 use super::{CLIENTS, SERVICE_TIMES};
 use crate::harness::{self, InferenceClient};
 use crate::ExperimentError;
@@ -9,10 +9,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How often a client that waits looks whether it is to end.
+/// Longest time between two checks of a waiting client whether it is to stop.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Sums of the shares, so that a uniform number from 0 to 1 draws a function.
+/// Cumulative shares of the functions, from which a uniform random number from 0 to 1 selects a function.
 fn cumulative(shares: &[f64]) -> Vec<f64> {
     let mut total = 0.0;
     let mut sums = Vec::with_capacity(shares.len());
@@ -23,16 +23,20 @@
     sums
 }
 
-/// What all clients share.
+/// State shared by all clients.
 pub(super) struct Clients {
+    /// The front end's v2 listener.
     address: SocketAddr,
+    /// Rate of each client.
     requests_per_s: f64,
     cumulative_shares: Vec<f64>,
     pub(super) stop: AtomicBool,
+    /// Requests answered with status 200.
     pub(super) served: AtomicU64,
+    /// Requests that failed or were answered with another status.
     pub(super) not_served: AtomicU64,
-    /// Times of those served, ms.
-    pub(super) times: Mutex<Vec<f64>>,
+    /// Response times of the requests served, in milliseconds.
+    pub(super) response_times_ms: Mutex<Vec<f64>>,
 }
 
 fn uniform(random: &mut Pcg64) -> f64 {
@@ -42,18 +46,18 @@
 impl Clients {
     pub(super) fn start(
         address: SocketAddr,
-        rate: u64,
+        requests_per_s: u64,
         shares: &[f64],
         seed: u64,
     ) -> Result<Arc<Clients>, ExperimentError> {
         let clients = Arc::new(Clients {
             address,
-            requests_per_s: rate as f64 / CLIENTS as f64,
+            requests_per_s: requests_per_s as f64 / CLIENTS as f64,
             cumulative_shares: cumulative(shares),
             stop: AtomicBool::new(false),
             served: AtomicU64::new(0),
             not_served: AtomicU64::new(0),
-            times: Mutex::default(),
+            response_times_ms: Mutex::default(),
         });
         for client in 0..CLIENTS {
             let clients = clients.clone();
@@ -62,7 +66,7 @@
         Ok(clients)
     }
 
-    /// One client: requests at seeded Poisson times until all are to stop.
+    /// Runs one client until all are to stop. Its request times and functions are drawn from the seed.
     fn run(&self, seed: u64) {
         let mut random = Pcg64::seed_from_u64(seed);
         let mut connection = None;
@@ -77,10 +81,11 @@
             let sums = &self.cumulative_shares;
             let function = sums.partition_point(|&sum| sum < drawn) as u64 + 1;
             let sent_at = Instant::now();
-            let status = self.call(&mut connection, function);
+            let status = self.send_request(&mut connection, function);
             if matches!(status, Ok(200)) {
                 self.served.fetch_add(1, Ordering::Relaxed);
-                harness::lock(&self.times).push(sent_at.elapsed().as_secs_f64() * 1000.0);
+                harness::lock(&self.response_times_ms)
+                    .push(sent_at.elapsed().as_secs_f64() * 1000.0);
                 continue;
             }
             self.not_served.fetch_add(1, Ordering::Relaxed);
@@ -90,7 +95,7 @@
         }
     }
 
-    /// Waits until a request is due; false: the clients are to stop.
+    /// Waits until a request is due. Returns false if the clients are to stop.
     fn wait(&self, due: Instant) -> bool {
         while let Some(wait) = due.checked_duration_since(Instant::now()) {
             std::thread::sleep(wait.min(STOP_POLL_INTERVAL));
@@ -101,19 +106,20 @@
         !self.stop.load(Ordering::Relaxed)
     }
 
-    /// Sends a request. A connection that was closed while idle is made again, as the protocol's clients do.
-    fn call(
+    /// Sends a request and returns the status. If the connection fails, as when the front end closed it while it was
+    /// idle, the request is sent once more on a new one, as real clients of the protocol do.
+    fn send_request(
         &self,
         connection: &mut Option<InferenceClient>,
         function: u64,
     ) -> std::io::Result<u16> {
         if let Some(client) = connection {
-            if let Ok(status) = client.call(function, SERVICE_TIMES.load) {
+            if let Ok(status) = client.infer(function, SERVICE_TIMES.load) {
                 return Ok(status);
             }
         }
         let mut client = InferenceClient::connect(self.address)?;
-        let status = client.call(function, SERVICE_TIMES.load);
+        let status = client.infer(function, SERVICE_TIMES.load);
         *connection = Some(client);
         status
     }
--- a/scalelab/src/worker_connections/mod.rs
+++ b/scalelab/src/worker_connections/mod.rs
@@ -1,9 +1,9 @@
-//! Connections to workers: how many are open, and which share of requests opens one. Measured at one process beside a
-//! model.
+//! Experiments on connections to workers: how many are open, and which share of the requests opens one, measured at one
+//! front end process and compared with a model.
 mod clients;
 mod model;
 
-pub use model::{model, ModelledConnections};
+pub use model::{model_connections, ModelledConnections};
 
 use crate::harness::{self, FrontEndOptions, FrontEndProcess, ResourceUsage, WatchEvent};
 use crate::process_experiments::quantile;
@@ -19,70 +19,77 @@
 pub const EXPERIMENTS: &[Experiment] = &[
     Experiment {
         name: "links-workers",
-        about: "152 calls/s over 16,000 functions at one process, against the workers listed; 1,024 descriptors, then 16,384.",
+        about: "152 requests/s over 16,000 functions at one process, against the workers listed; limits of 1,024 and of 16,384 descriptors.",
         sizes: &[1_000, 2_000, 4_000, 10_000],
-        bound: 10_000, // each worker's listener is a descriptor here, and so is what connects to it
+        bound: 10_000, // each worker takes descriptors of this process: its listener and its connections
         run: by_workers,
     },
     Experiment {
         name: "links-calls",
-        about: "4,000 workers and 16,000 functions at one process with 1,024 descriptors, against calls/s; even, then by Zipf.",
+        about: "4,000 workers and 16,000 functions at one process with a limit of 1,024 descriptors, against requests/s; functions called uniformly, then by Zipf.",
         sizes: &[20, 40, 80, 152],
         bound: 400,
-        run: by_calls,
+        run: by_request_rate,
     },
 ];
 
-/// Calls a second of one front end at the size to plan with, and functions.
-const CALLS: u64 = 152;
+/// Requests per second at one front end of a deployment of the planned size.
+const REQUESTS_PER_S: u64 = 152;
+/// Functions that the clients call.
 const FUNCTIONS: u64 = 16_000;
-/// Client connections, each with its own part of the calls.
+/// Clients, each with a connection and an equal part of the requests.
 const CLIENTS: u64 = 64;
-/// How long a worker connection stays that is not used: 15 s less a fifth, and half a sweep of 1 s.
+/// Mean time until an idle worker connection is closed: the idle timeout of 15 s less a fifth, and half of the interval
+/// of 1 s at which connections are checked.
 const CONNECTION_IDLE_S: f64 = 12.5;
-/// What the connections are given to come to their level, and then what is counted.
+/// Time before the measurement, in which the number of connections reaches its steady state.
 const WARM_UP_TIME: Duration = Duration::from_secs(14);
+/// Length of the measurement.
 const MEASURED_TIME: Duration = Duration::from_secs(12);
-/// Exponent at which the middle of 16,000 functions is called once in a minute, of 100,000 calls/s in all.
+/// Zipf exponent at which the median of 16,000 functions is called once a minute where all front ends together get
+/// 100,000 requests/s.
 const ZIPF_EXPONENT: f64 = 1.65;
 
 const KIB_PER_MIB: f64 = 1024.0;
-/// How often connections and descriptors are counted.
+/// Interval at which connections and descriptors are sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 const SERVICE_TIMES: ServiceTimes = ServiceTimes {
     load: Duration::from_millis(100),
-    call: Duration::from_millis(5),
+    request: Duration::from_millis(5),
 };
 
-/// How requests are spread over functions.
+/// How requests are distributed over the functions.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Spread {
-    /// All alike.
-    Even,
-    /// By Zipf: the middle one is called once a minute by the whole fleet.
+pub enum RequestDistribution {
+    /// All functions have the same share.
+    Uniform,
+    /// Zipf: the whole fleet calls the median function once a minute.
     Zipf,
 }
 
-/// Connections that the pool keeps open beside the experiment's clients.
-pub fn most(max_descriptors: usize) -> f64 {
+/// Worker connections that the pool keeps open at most under this limit of descriptors, beside the connections of the
+/// experiment's clients.
+pub fn max_worker_connections(max_descriptors: usize) -> f64 {
     PoolLimit::new(max_descriptors, RESERVED_DESCRIPTORS).max_connections(CLIENTS as usize) as f64
 }
 
-/// The functions' parts of all requests, by rank.
-pub fn shares(spread: Spread) -> Vec<f64> {
-    let weight = |rank: u64| match spread {
-        Spread::Even => 1.0,
-        Spread::Zipf => (rank as f64).powf(-ZIPF_EXPONENT),
+/// The functions' shares of all requests, by rank; their sum is 1.
+pub fn shares(distribution: RequestDistribution) -> Vec<f64> {
+    let weight = |rank: u64| match distribution {
+        RequestDistribution::Uniform => 1.0,
+        RequestDistribution::Zipf => (rank as f64).powf(-ZIPF_EXPONENT),
     };
     let weights: Vec<f64> = (1..=FUNCTIONS).map(weight).collect();
     let total: f64 = weights.iter().sum();
     weights.into_iter().map(|weight| weight / total).collect()
 }
 
-/// What was sampled while the row's time passed.
+/// What was sampled during the measurement.
 #[derive(Default)]
 struct Samples {
+    /// The most descriptors that the front end process had open.
     most_descriptors: usize,
+    /// Mean number of open worker connections.
     mean_connections: f64,
 }
 
@@ -97,7 +104,7 @@
     while started.elapsed() < MEASURED_TIME {
         let descriptors = process.usage()?.descriptors;
         samples.most_descriptors = samples.most_descriptors.max(descriptors);
-        connections += workers.counts.standing.load(Ordering::Relaxed);
+        connections += workers.counts.open_connections.load(Ordering::Relaxed);
         count += 1;
         std::thread::sleep(SAMPLE_INTERVAL);
     }
@@ -105,33 +112,33 @@
     Ok(samples)
 }
 
-/// What one row varies.
+/// The parameters of one row.
 #[derive(Clone, Copy)]
-struct Load {
+struct RowParameters {
     workers: u64,
     requests_per_s: u64,
     max_descriptors: usize,
-    spread: Spread,
+    distribution: RequestDistribution,
 }
 
-/// One row: the model beside one process, of which the time after the warm-up counts.
-fn row(load: Load, seed: u64) -> Result<Vec<f64>, ExperimentError> {
-    let workers = SimulatedWorkers::start(load.workers, SERVICE_TIMES)?;
+/// One row: the figures of one process, measured after the warm-up, and those of the model.
+fn row(parameters: RowParameters, seed: u64) -> Result<Vec<f64>, ExperimentError> {
+    let workers = SimulatedWorkers::start(parameters.workers, SERVICE_TIMES)?;
     let process = FrontEndProcess::start(&FrontEndOptions {
-        known_events: vec![WatchEvent::complete(1, &workers.list)],
-        max_descriptors: load.max_descriptors,
+        known_events: vec![WatchEvent::complete(1, &workers.endpoints)],
+        max_descriptors: parameters.max_descriptors,
         seed,
         ..FrontEndOptions::default()
     })?;
-    let shares = shares(load.spread);
-    let modelled = model(
-        load.workers as f64,
-        load.requests_per_s as f64,
+    let shares = shares(parameters.distribution);
+    let modelled = model_connections(
+        parameters.workers as f64,
+        parameters.requests_per_s as f64,
         CONNECTION_IDLE_S,
         &shares,
-        most(load.max_descriptors),
+        max_worker_connections(parameters.max_descriptors),
     );
-    let clients = Clients::start(process.kserve, load.requests_per_s, &shares, seed)?;
+    let clients = Clients::start(process.kserve, parameters.requests_per_s, &shares, seed)?;
     std::thread::sleep(WARM_UP_TIME);
     let measured = measure(&process, &workers, &clients);
     clients.stop.store(true, Ordering::Relaxed);
@@ -159,16 +166,16 @@
     let counts_before = workers.counts.snapshot();
     let served_before = clients.served.load(Ordering::Relaxed);
     let not_served_before = clients.not_served.load(Ordering::Relaxed);
-    harness::lock(&clients.times).clear();
-    harness::lock(&workers.counts.called).clear();
+    harness::lock(&clients.response_times_ms).clear();
+    harness::lock(&workers.counts.workers_called).clear();
     let usage_before = process.usage()?;
     let samples = sample(process, workers)?;
     let usage = process.usage()?;
     let counts = workers.counts.snapshot();
     let served = clients.served.load(Ordering::Relaxed) - served_before;
     let not_served = clients.not_served.load(Ordering::Relaxed) - not_served_before;
-    let workers_called = harness::lock(&workers.counts.called).len();
-    let p99_ms = quantile(&mut harness::lock(&clients.times), 0.99);
+    let workers_called = harness::lock(&workers.counts.workers_called).len();
+    let p99_ms = quantile(&mut harness::lock(&clients.response_times_ms), 0.99);
     Ok(Measured {
         samples,
         counts_before,
@@ -184,21 +191,22 @@
 
 impl Measured {
     fn row(&self, modelled: ModelledConnections) -> Vec<f64> {
-        let accepts = (self.counts.accepts - self.counts_before.accepts) as f64;
-        let calls = (self.counts.calls - self.counts_before.calls) as f64;
-        let orders = self.counts.orders - self.counts_before.orders;
-        let queries = self.counts.questions - self.counts_before.questions;
+        let accepted =
+            (self.counts.accepted_connections - self.counts_before.accepted_connections) as f64;
+        let requests = (self.counts.requests - self.counts_before.requests) as f64;
+        let load_orders = self.counts.load_orders - self.counts_before.load_orders;
+        let queries = self.counts.queries - self.counts_before.queries;
         let seconds = MEASURED_TIME.as_secs_f64();
         let answered = (self.served + self.not_served).max(1) as f64;
         vec![
             self.samples.most_descriptors as f64,
             self.samples.mean_connections,
             modelled.open,
-            100.0 * accepts / calls.max(1.0),
+            100.0 * accepted / requests.max(1.0),
             100.0 * modelled.opening_share,
             self.workers_called as f64,
-            calls / seconds,
-            (orders + queries) as f64 / seconds,
+            requests / seconds,
+            (load_orders + queries) as f64 / seconds,
             100.0 * self.served as f64 / answered,
             self.p99_ms,
             self.usage.cpu_percent(&self.usage_before),
@@ -230,12 +238,12 @@
 fn sweep(
     title: String,
     varied: &'static str,
-    loads: impl Iterator<Item = (u64, Load)>,
+    row_parameters: impl Iterator<Item = (u64, RowParameters)>,
     seed: u64,
 ) -> Result<Sweep, ExperimentError> {
     let mut rows = Vec::new();
-    for (size, load) in loads {
-        rows.push((size, row(load, seed)?));
+    for (size, parameters) in row_parameters {
+        rows.push((size, row(parameters, seed)?));
     }
     Ok(Sweep {
         title,
@@ -249,37 +257,37 @@
     let mut sweeps = Vec::new();
     for max_descriptors in [1_024, 16_384] {
         let title = format!(
-            "Connections at {CALLS} calls/s, {FUNCTIONS} functions evenly, {max_descriptors} descriptors"
+            "Connections at {REQUESTS_PER_S} calls/s, {FUNCTIONS} functions evenly, {max_descriptors} descriptors"
         );
-        let load = |&workers: &u64| Load {
+        let parameters = |&workers: &u64| RowParameters {
             workers,
-            requests_per_s: CALLS,
+            requests_per_s: REQUESTS_PER_S,
             max_descriptors,
-            spread: Spread::Even,
+            distribution: RequestDistribution::Uniform,
         };
-        let loads = sizes.iter().map(|size| (*size, load(size)));
-        sweeps.push(sweep(title, "workers", loads, seed)?);
+        let rows = sizes.iter().map(|size| (*size, parameters(size)));
+        sweeps.push(sweep(title, "workers", rows, seed)?);
     }
     Ok(sweeps)
 }
 
-fn by_calls(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
+fn by_request_rate(sizes: &[u64], seed: u64) -> Result<Vec<Sweep>, ExperimentError> {
     let mut sweeps = Vec::new();
-    for (spread, description) in [
-        (Spread::Even, "evenly"),
-        (Spread::Zipf, "by Zipf with exponent 1.65"),
+    for (distribution, description) in [
+        (RequestDistribution::Uniform, "evenly"),
+        (RequestDistribution::Zipf, "by Zipf with exponent 1.65"),
     ] {
         let title = format!(
             "Connections before 4,000 workers, {FUNCTIONS} functions {description}, 1,024 descriptors"
         );
-        let load = |&requests_per_s: &u64| Load {
+        let parameters = |&requests_per_s: &u64| RowParameters {
             workers: 4_000,
             requests_per_s,
             max_descriptors: 1_024,
-            spread,
+            distribution,
         };
-        let loads = sizes.iter().map(|size| (*size, load(size)));
-        sweeps.push(sweep(title, "calls a second", loads, seed)?);
+        let rows = sizes.iter().map(|size| (*size, parameters(size)));
+        sweeps.push(sweep(title, "calls a second", rows, seed)?);
     }
     Ok(sweeps)
 }
--- a/scalelab/tests/policy_scaling.rs
+++ b/scalelab/tests/policy_scaling.rs
@@ -44,7 +44,8 @@
     );
 }
 
-/// Each limit has a margin of a tenth over the present slope: a change may make a slope flatter, but not steeper than its limit.
+/// Each limit has a margin of a tenth over the present slope: a change may make a slope flatter, but not steeper than
+/// its limit.
 #[rstest]
 #[case::held_by_workers("MB held", 0.00147, |s: &mut Scenario, n| s.workers = n as usize, &[100, 200, 400, 800])]
 #[case::allocated_by_workers("KB allocated/call", 0.0356, |s: &mut Scenario, n| s.workers = n as usize, &[100, 200, 400, 800])]
@@ -68,8 +69,8 @@
     );
 }
 
-/// The front ends share no state about a worker in slow start, but together, however many they are, they must not send it
-/// more than slow start allows.
+/// The front ends share no state about a worker in slow start, but together, however many they are, they must not send
+/// it more than slow start allows.
 #[test]
 fn attempts_of_all_front_ends_stay_within_slow_start() {
     let experiment = slow_start_senders::EXPERIMENTS
--- a/scalelab/tests/processes.rs
+++ b/scalelab/tests/processes.rs
@@ -1,23 +1,25 @@
-//! What real processes do that is the same every run, at small sizes; and that experiments end as they should.
+//! Experiments on real processes at small sizes: what is the same in every run, the bounds on sizes, and that no
+//! process is left behind.
 use rstest::rstest;
 use scalelab::harness::{
     lock, unreachable_endpoints, wait_until, DiscoveryService, FrontEndOptions, FrontEndProcess,
     InferenceClient, WatchEvent,
 };
 use scalelab::simulated_workers::{ServiceTimes, SimulatedWorkers};
-use scalelab::worker_connections::{self, Spread};
+use scalelab::worker_connections::{self, RequestDistribution};
 use scalelab::{experiments, process_experiments, ExperimentError};
 use std::process::{Command, Stdio};
 use std::sync::atomic::Ordering;
 use std::sync::Once;
 use std::time::Duration;
 
-const SOON: Duration = Duration::from_millis(5);
+/// Interval at which a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Builds the program that the tests start, should it not stand or be old.
-fn built() {
-    static BUILT: Once = Once::new();
-    BUILT.call_once(|| {
+/// Builds the front end's executable, which the tests start, unless it is up to date.
+fn build_front_end() {
+    static BUILD: Once = Once::new();
+    BUILD.call_once(|| {
         let mut cargo = Command::new(env!("CARGO"));
         cargo.args([
             "build",
@@ -32,113 +34,121 @@
         }
         assert!(
             cargo.status().expect("cargo runs").success(),
-            "the program is built"
+            "the front end is built"
         );
     });
 }
 
-/// The list's bytes at a start: about 150 an endpoint, read once.
+/// A process that starts reads the endpoint list once: about 150 bytes per endpoint.
 #[rstest]
 #[case::few(20, 3_050)]
 #[case::more(80, 12_014)]
 fn a_start_reads_the_list_once(#[case] count: u64, #[case] bytes: u64) {
-    built();
+    build_front_end();
     let discovery =
         DiscoveryService::start(vec![WatchEvent::complete(1, &unreachable_endpoints(count))])
-            .expect("a board");
-    let told = FrontEndOptions {
+            .expect("the discovery service starts");
+    let options = FrontEndOptions {
         discovery: Some(discovery.address),
         ..FrontEndOptions::default()
     };
-    let _program = FrontEndProcess::start(&told).expect("it starts");
+    let _process = FrontEndProcess::start(&options).expect("the front end starts");
     assert_eq!(
         (discovery.bytes(), discovery.events(), discovery.watches()),
         (bytes, 1, 1)
     );
 }
 
-/// A gap in the numbers has the whole list read twice, as what lies between might have been lost on its way: this is what
-/// it costs today. A whole list leaves nothing to be missed, so one call would do.
+/// After a gap in the revisions, a process reads the whole list twice, as events in between may have been lost. The
+/// second read is not needed where the event after the gap is itself a whole list; the test records the present cost.
 #[rstest]
-#[case::nothing_between(1, 1)]
+#[case::no_gap(1, 1)]
 #[case::a_gap(5, 2)]
-fn a_whole_list_is_read_again_where_revisions_show_a_gap(#[case] missed: u64, #[case] calls: u64) {
-    built();
-    let told = process_experiments::measure_resync(20, missed, 1).expect("it has the list");
+fn a_whole_list_is_read_again_where_revisions_show_a_gap(
+    #[case] missed: u64,
+    #[case] watches: u64,
+) {
+    build_front_end();
+    let cost =
+        process_experiments::measure_resync(20, missed, 1).expect("the process reads the list");
     assert_eq!(
-        (told.watches, told.bytes),
-        (calls, calls * 3_200),
-        "{told:?}"
+        (cost.watches, cost.bytes),
+        (watches, watches * 3_200),
+        "{cost:?}"
     );
 }
 
-/// One connection for each worker that a call or a question reaches, however often, within the idle time.
+/// Within the idle timeout, one connection is opened to each worker that gets a request or a query, however many it
+/// gets.
 #[test]
-fn calls_in_turn_open_a_connection_for_each_worker_they_reach() {
-    built();
-    let simulated = SimulatedWorkers::start(
+fn requests_in_turn_open_one_connection_per_worker_reached() {
+    build_front_end();
+    let workers = SimulatedWorkers::start(
         40,
         ServiceTimes {
             load: Duration::ZERO,
-            call: Duration::ZERO,
+            request: Duration::ZERO,
         },
     )
-    .expect("workers");
-    let (tally, told) = (
-        &simulated.counts,
+    .expect("the workers start");
+    let (counts, options) = (
+        &workers.counts,
         FrontEndOptions {
-            known_events: vec![WatchEvent::complete(1, &simulated.list)],
+            known_events: vec![WatchEvent::complete(1, &workers.endpoints)],
             ..FrontEndOptions::default()
         },
     );
-    let program = FrontEndProcess::start(&told).expect("it starts");
-    let mut caller = InferenceClient::connect(program.kserve).expect("a connection");
-    let mut call = |function| caller.call(function, Duration::ZERO).ok();
-    assert!((1..=30).chain(1..=30).all(|f| call(f) == Some(200)));
-    let reached = || lock(&tally.reached).len() as u64;
-    let accepts = || tally.accepts.load(Ordering::Relaxed);
-    // What was asked of a worker may still be on its way there.
-    wait_until("each connection has carried something", SOON, || {
-        accepts() == reached()
+    let process = FrontEndProcess::start(&options).expect("the front end starts");
+    let mut client = InferenceClient::connect(process.kserve).expect("a connection");
+    let mut infer = |function| client.infer(function, Duration::ZERO).ok();
+    assert!((1..=30).chain(1..=30).all(|f| infer(f) == Some(200)));
+    let reached = || lock(&counts.workers_reached).len() as u64;
+    let accepted = || counts.accepted_connections.load(Ordering::Relaxed);
+    // A query may still be on its way to a worker after all responses have been received.
+    wait_until("a frame on each connection", POLL_INTERVAL, || {
+        accepted() == reached()
     })
-    .expect("one a worker");
-    let (called, calls) = (
-        lock(&tally.called).len(),
-        tally.calls.load(Ordering::Relaxed),
+    .expect("one connection per worker");
+    let (workers_called, requests) = (
+        lock(&counts.workers_called).len(),
+        counts.requests.load(Ordering::Relaxed),
+    );
+    assert!(
+        (10..=30).contains(&workers_called),
+        "30 functions are spread over 40 workers, each at one of them: {workers_called} called"
     );
     assert!(
-        (10..=30).contains(&called),
-        "30 functions have places of their own among 40 workers: {called}"
+        requests == 60 && reached() >= workers_called as u64,
+        "{requests} requests"
     );
-    assert!(calls == 60 && reached() >= called as u64, "{calls} calls");
 }
 
 #[rstest]
-#[case::plenty(Spread::Even, f64::INFINITY, 1_444.08, 0.5674)]
-#[case::few_functions_have_most_calls(Spread::Zipf, f64::INFINITY, 132.0, 0.0411)]
-#[case::bounded(Spread::Even, 396.0, 396.0, 0.901)]
-fn the_model_of_connections_follows_the_worked_numbers(
-    #[case] spread: Spread,
-    #[case] most: f64,
-    #[case] standing: f64,
-    #[case] paid: f64,
+#[case::no_limit(RequestDistribution::Uniform, f64::INFINITY, 1_444.08, 0.5674)]
+#[case::few_functions_have_most_requests(RequestDistribution::Zipf, f64::INFINITY, 132.0, 0.0411)]
+#[case::connection_limit(RequestDistribution::Uniform, 396.0, 396.0, 0.901)]
+fn the_model_of_connections_gives_the_expected_figures(
+    #[case] distribution: RequestDistribution,
+    #[case] max_connections: f64,
+    #[case] open: f64,
+    #[case] opening_share: f64,
 ) {
-    let modelled = worker_connections::model(
+    let modelled = worker_connections::model_connections(
         4_000.0,
         152.0,
         12.5,
-        &worker_connections::shares(spread),
-        most,
+        &worker_connections::shares(distribution),
+        max_connections,
     );
     assert!(
-        (modelled.open - standing).abs() < 0.1 && (modelled.opening_share - paid).abs() < 1e-4,
+        (modelled.open - open).abs() < 0.1 && (modelled.opening_share - opening_share).abs() < 1e-4,
         "{modelled:?}"
     );
 }
 
-/// Every experiment of real processes refuses what is beyond its bound.
+/// Each experiment on real processes rejects sizes beyond its bound, so that none overloads the machine.
 #[test]
-fn sizes_beyond_the_bound_are_refused() {
+fn sizes_beyond_the_bound_are_rejected() {
     let names = [
         "idle",
         "changes",
@@ -152,42 +162,45 @@
     ];
     for name in names {
         let all = experiments();
-        let one = all.iter().find(|e| e.name == name).expect("it is there");
-        let beyond = one.sizes(&[1, 2, 3, one.bound + 1]);
+        let experiment = all
+            .iter()
+            .find(|e| e.name == name)
+            .expect("the experiment exists");
+        let sizes = experiment.sizes(&[1, 2, 3, experiment.bound + 1]);
         assert_eq!(
-            beyond,
+            sizes,
             Err(ExperimentError::SizeOutOfBounds {
-                asked: one.bound + 1,
-                bound: one.bound
+                asked: experiment.bound + 1,
+                bound: experiment.bound
             }),
             "{name}"
         );
     }
-    let words = ["run", "fleet", "--sizes", "1,2,3,100000"];
-    let out = Command::new(env!("CARGO_BIN_EXE_scalelab"))
-        .args(words)
+    let args = ["run", "fleet", "--sizes", "1,2,3,100000"];
+    let output = Command::new(env!("CARGO_BIN_EXE_scalelab"))
+        .args(args)
         .output()
-        .expect("runs");
-    assert_eq!(out.status.code(), Some(2));
+        .expect("scalelab starts");
+    assert_eq!(output.status.code(), Some(2));
     assert!(
-        String::from_utf8_lossy(&out.stderr).contains("size 100000 is not within"),
-        "{out:?}"
+        String::from_utf8_lossy(&output.stderr).contains("size 100000 is not within"),
+        "{output:?}"
     );
 }
 
-/// Processes that were started end with who started them, also where that one is killed.
+/// A front end process ends with the process that started it, even if that one is killed and cannot clean up.
 #[test]
 fn processes_end_with_their_parent() {
-    built();
-    let mut lab = Command::new(env!("CARGO_BIN_EXE_scalelab"))
+    build_front_end();
+    let mut scalelab = Command::new(env!("CARGO_BIN_EXE_scalelab"))
         .args(["run", "idle", "--sizes", "1,2,3,4"])
         .stdout(Stdio::null())
         .spawn()
-        .expect("it starts");
-    let id = lab.id();
+        .expect("scalelab starts");
+    let id = scalelab.id();
     let mut child = String::new();
-    wait_until("it has started a process", SOON, || {
-        let all = std::fs::read_dir("/proc").expect("proc").flatten();
+    wait_until("scalelab to start a front end", POLL_INTERVAL, || {
+        let entries = std::fs::read_dir("/proc").expect("proc").flatten();
         let stat =
             |name: &str| std::fs::read_to_string(format!("/proc/{name}/stat")).unwrap_or_default();
         let parent = |text: &str| {
@@ -198,22 +211,22 @@
                 .parse::<u32>()
                 .ok()
         };
-        let of =
+        let is_front_end =
             |name: &String| parent(&stat(name)) == Some(id) && stat(name).contains("(wrenseam)");
-        child = all
+        child = entries
             .filter_map(|e| e.file_name().into_string().ok())
-            .find(of)
+            .find(is_front_end)
             .unwrap_or_default();
         !child.is_empty()
     })
-    .expect("a process");
-    lab.kill().expect("killed");
-    lab.wait().expect("ended");
-    wait_until("the process has ended", SOON, || {
+    .expect("a front end process");
+    scalelab.kill().expect("scalelab is killed");
+    scalelab.wait().expect("scalelab ends");
+    wait_until("the front end to end", POLL_INTERVAL, || {
         let stat = std::fs::read_to_string(format!("/proc/{child}/stat")).unwrap_or_default();
         stat.is_empty() || stat.contains(") Z ")
     })
-    .expect("no process is left");
-    // What a killed lab leaves behind.
+    .expect("the front end ends");
+    // A killed scalelab leaves its temporary folder behind.
     let _ = std::fs::remove_dir_all(std::env::temp_dir().join(format!("scalelab-{id}-0")));
 }
