--- a/scalelab/src/policy_scaling.rs
+++ b/scalelab/src/policy_scaling.rs
@@ -1,6 +1,7 @@
 //! Experiments on the decision policy alone: how the time spent in it, its memory and its actions scale with the
-//! numbers of workers, functions, requests, front ends, endpoint list changes and zones, with the keep-alive time of idle replicas,
-//! and with the time since the start.
+//! numbers of workers, functions, requests, front ends, endpoint list changes and zones, with the keep-alive time of
+//! idle replicas, and with the time since the start. In titles and column names a call is a request, an order is a load
+//! order, a question is a query whether a worker has a function loaded, and refused means rejected.
 use crate::simulated_front_end::{HandlingTimes, Scenario, SimulatedFrontEnd, SEC};
 use crate::{Column, Experiment, ExperimentError, Sweep};
 
@@ -147,19 +148,19 @@
 /// least one).
 pub fn sweep(
     runs: usize,
-    what: &'static str,
+    varied: &'static str,
     sizes: &[u64],
-    held: &Scenario,
+    base_scenario: &Scenario,
     vary: impl Fn(&mut Scenario, u64),
 ) -> Sweep {
     let row = |&size: &u64| {
-        let mut scenario = held.clone();
+        let mut scenario = base_scenario.clone();
         vary(&mut scenario, size);
         (size, median_row(runs, &scenario))
     };
     Sweep {
-        title: format!("{what}: {}", describe(held)),
-        varied: what,
+        title: format!("{varied}: {}", describe(base_scenario)),
+        varied,
         columns: columns(
             &[
                 "MB held",
--- a/scalelab/src/process_experiments/mod.rs
+++ b/scalelab/src/process_experiments/mod.rs
@@ -1,5 +1,6 @@
 //! Experiments on real processes on loopback: an idle process, endpoint changes, reading the endpoint list again,
-//! reconnecting, starting at once, gossip, and cold starts. Column names call the discovery service the board.
+//! reconnecting, starting at once, gossip, and cold starts. In titles and column names the board is the discovery
+//! service, a call is a request (of the board: a watch), and an order is a load order.
 mod cold_start;
 mod endpoint_changes;
 mod fleet;
--- a/scalelab/src/slow_start_senders.rs
+++ b/scalelab/src/slow_start_senders.rs
@@ -1,5 +1,6 @@
 //! Experiments on slow start and the load budget: how much many front ends that share no state send together to workers
-//! in slow start, and how a front end that has just started serves the first request for each function.
+//! in slow start, and how a front end that has just started serves the first request for each function. Titles and
+//! column names have the same words as those of [`crate::policy_scaling`].
 use crate::disruptions::first_zone;
 use crate::policy_scaling::{base, columns, describe};
 use crate::simulated_front_end::{
@@ -93,21 +94,24 @@
     silent_zone: bool,
 }
 
+/// The runs of `ration`.
 const RATE_RUN: FirstRequestRun = FirstRequestRun {
     seconds: 60,
     silent_zone: false,
 };
+/// The runs of `cold-start` in which all workers can be reached.
 const REACHABLE_RUN: FirstRequestRun = FirstRequestRun {
     seconds: 1_200,
     silent_zone: false,
 };
+/// The runs of `cold-start` in which one zone cannot be reached.
 const SILENT_ZONE_RUN: FirstRequestRun = FirstRequestRun {
     silent_zone: true,
     ..REACHABLE_RUN
 };
 
-/// Times of all attempts that the front ends' logs have for these workers, sorted, in microseconds after `started`. Takes
-/// the logs.
+/// Times of all attempts that the front ends' logs have for these workers, sorted, in microseconds after `started`.
+/// Takes the logs.
 fn attempt_times(
     front_ends: &mut [SimulatedFrontEnd],
     workers: &[usize],
@@ -282,24 +286,24 @@
 
 /// Measures the first requests per function of a front end that has just started, varying one parameter.
 fn first_requests(
-    what: &'static str,
+    varied: &'static str,
     sizes: &[u64],
-    held: &Scenario,
+    base_scenario: &Scenario,
     vary: impl Fn(&mut Scenario, u64),
     run: FirstRequestRun,
 ) -> Sweep {
     let row = |&size: &u64| {
-        let mut scenario = held.clone();
+        let mut scenario = base_scenario.clone();
         vary(&mut scenario, size);
         (size, first_requests_row(&scenario, run))
     };
     Sweep {
         title: format!(
-            "{what}, the first {seconds} s: {}",
-            describe(held),
+            "{varied}, the first {seconds} s: {}",
+            describe(base_scenario),
             seconds = run.seconds
         ),
-        varied: what,
+        varied,
         columns: columns(
             &[
                 "first calls",
--- a/scalelab/src/worker_connections/mod.rs
+++ b/scalelab/src/worker_connections/mod.rs
@@ -1,5 +1,5 @@
 //! Experiments on connections to workers: how many are open, and which share of the requests opens one, measured at one
-//! front end process and compared with a model.
+//! front end process and compared with a model, whose figures are in the columns `worked out`.
 mod clients;
 mod model;
 
--- a/scalelab/tests/processes.rs
+++ b/scalelab/tests/processes.rs
@@ -81,7 +81,7 @@
 /// Within the idle timeout, one connection is opened to each worker that gets a request or a query, however many it
 /// gets.
 #[test]
-fn requests_in_turn_open_one_connection_per_worker_reached() {
+fn sequential_requests_open_one_connection_per_worker() {
     build_front_end();
     let workers = SimulatedWorkers::start(
         40,
