--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -85,10 +85,10 @@
     }
 
     /// Whether, in a large fleet, the client is likely to give up before an answer: it waits for less than the mean
-    /// time that answers of its class take. Such requests are still sent while recent ones of their function were
-    /// answered in time, and a few others are sent as trials. Not applied in a small fleet: there each front end sees
-    /// for itself whether workers are overloaded, and where they are not, an attempt that is too late does no harm to
-    /// other requests.
+    /// time that answers of its class take. False all the same while the function's recent requests of this kind were
+    /// answered in time (it is faster than its class), and for a few others, which are sent as trials. In a small fleet
+    /// it is always false: there each front end sees for itself whether workers are overloaded, and where they are not,
+    /// an attempt that is too late does no harm to other requests.
     pub(crate) fn is_deadline_unreachable(
         &mut self,
         id: RequestId,
--- a/policy/src/controller.rs
+++ b/policy/src/controller.rs
@@ -85,10 +85,10 @@
             self.state.resumed_at = now;
         }
         self.last_event = now;
-        self.dispatch(now, event, actions);
+        self.handle_event(now, event, actions);
     }
 
-    fn dispatch(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+    fn handle_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         let state = &mut self.state;
         match event {
             Event::EndpointUpdate {
--- a/policy/src/estimator.rs
+++ b/policy/src/estimator.rs
@@ -84,7 +84,7 @@
     /// Share of the ready workers that have an open attempt of this front end.
     busy_share: f64,
     /// Mean number of replicas that fit into a worker's memory.
-    instances_per_worker: f64,
+    replicas_per_worker: f64,
     /// The smallest z* of all functions.
     least_z_star: f64,
     /// Service time of each class, in microseconds; the last class stands for unknown classes.
@@ -181,7 +181,7 @@
 
     /// The theta of docs/design.md for the current load.
     pub(crate) fn theta(&self) -> f64 {
-        theta(self.busy_share, self.instances_per_worker)
+        theta(self.busy_share, self.replicas_per_worker)
     }
 
     /// Counts a request of a tenant. Returns the tenant, or `None` if the settings do not name it.
@@ -290,7 +290,7 @@
     fn update_replication(&mut self, sample: &FleetSample, settings: &Settings) {
         let kinds = &settings.kind_memory_mb;
         let worker_mb = kinds.iter().sum::<f64>() / kinds.len().max(1) as f64;
-        self.instances_per_worker = worker_mb / sample.mean_replica_mb.max(1.0);
+        self.replicas_per_worker = worker_mb / sample.mean_replica_mb.max(1.0);
     }
 
     /// With many requests the backlog is the current count; with few it is a mean over time.
--- a/policy/src/function.rs
+++ b/policy/src/function.rs
@@ -13,7 +13,7 @@
 /// load budget: about as many as arrive for one function within the budget's window.
 const MAX_UNCOUNTED_REQUESTS: usize = 64;
 /// Subtracted from a function's speculation score for a speculative request that was not answered in time. One that was
-/// adds 1, so the score stays above 0 only while more than two in three are in time.
+/// adds 1, so the score stays above 0 only while more than about two in three are in time.
 const FAILED_SPECULATION_WEIGHT: u32 = 2;
 /// Weight of a new answer in the running mean of a function's spread.
 const SPREAD_WEIGHT: f64 = 0.3;
@@ -52,8 +52,8 @@
     /// Replica state at each worker of which something is known.
     pub(crate) replicas: BTreeMap<WorkerIndex, ReplicaState>,
     pub(crate) periodic: PeriodicCalls,
-    /// Above 0 while most recent speculative requests were answered in time: each of these adds 1, up to
-    /// [`MAX_ANSWERS`], and each other subtracts [`FAILED_SPECULATION_WEIGHT`], down to 0.
+    /// Above 0 while more than about two in three of the recent speculative requests were answered in time: each that
+    /// was adds 1, up to [`MAX_ANSWERS`], and each other subtracts [`FAILED_SPECULATION_WEIGHT`], down to 0.
     speculation_score: u32,
     /// Exponentially decaying number of calls.
     recent_calls: f64,
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -64,11 +64,12 @@
 //!
 //! The policy must never break five rules, which the modules cite by number:
 //!
-//! 1. Each request gets exactly one final answer, before its client gives up.
+//! 1. Each request gets exactly one final answer, before its client gives up; one that its client cancelled gets none.
 //! 2. An attempt that may have been executed is repeated only as far as the idempotency of the request's class allows.
 //! 3. A worker gets no new work once this front end has been notified that the worker is draining.
-//! 4. Workers in slow start are not sent more than their capacity allows, by all front ends together.
-//! 5. Load orders stay within the load budget of the settings.
+//! 4. In any `overload_window`, all front ends together send a worker in slow start no more than `overload_multiple`
+//!    times its capacity.
+//! 5. Load orders stay within the load budget: a number per window, plus some for each request that counts in it.
 //!
 //! # Layers
 //!
--- a/policy/src/load_orders.rs
+++ b/policy/src/load_orders.rs
@@ -166,13 +166,13 @@
         if !answered || !self.workers[worker].is_ready() {
             return;
         }
-        let certain = if order.is_load() {
+        let certain_for = if order.is_load() {
             lifetime
         } else {
             lifetime / 2
         };
         if let Some(replica) = self.functions[function].replicas.get_mut(&worker) {
-            replica.confirm(result.replicas, now + certain, lifetime);
+            replica.confirm(result.replicas, now + certain_for, lifetime);
         }
         self.workers[worker].health.answered_order();
     }
--- a/policy/src/outlier_detection.rs
+++ b/policy/src/outlier_detection.rs
@@ -1,7 +1,8 @@
-//! Outlier detection: each worker has a health score, a running mean of samples. A served attempt gives a sample: its
-//! time as a multiple of the time that was expected, so 1 is as expected and more is worse. Errors, time-outs, failed
-//! connections and silence count as a fixed bad sample, whatever their cause. Workers whose score exceeds a multiple of
-//! the median are ejected until trial requests or polls show that they perform as expected again.
+//! Outlier detection: each worker has a health score, a running mean of samples. An attempt that was served, or
+//! cancelled when overdue, gives a sample: its time as a multiple of the time that was expected, so 1 is as expected
+//! and more is worse. Errors, timeouts and connections that failed or broke give a fixed bad sample, whatever their
+//! cause; silence raises the score at once. Workers whose score exceeds a multiple of the median are ejected until
+//! trial requests or polls show that they perform as expected again.
 use crate::action::Action;
 use crate::dispatch::MIN_EXPECTED_TIME;
 use crate::estimator::MIN_REPORT_DECAY_TIME;
@@ -18,7 +19,8 @@
 pub(crate) const SAMPLE_WEIGHT: f64 = 0.1;
 /// The sample that a failed attempt gives.
 const FAILED_SAMPLE: f64 = 5.0;
-/// Largest sample of one slow answer outside of a large fleet: that of a failed attempt.
+/// Largest sample of one slow answer outside of a large fleet: that of a failed attempt. In any fleet, the effect of
+/// one answer on service times and on the estimated load of a worker is bounded in the same way.
 const MAX_SAMPLE: f64 = FAILED_SAMPLE;
 /// Largest sample of one slow answer in a large fleet, where a front end may get no second answer from the worker for
 /// seconds.
@@ -224,13 +226,13 @@
     /// unreachable.
     pub(crate) fn compare_workers(&mut self, now: Micros, elapsed: Micros) -> usize {
         let time_constant = RECOVERY_TIME_CONSTANT.max(self.estimator.report_decay_time());
-        let part = (elapsed as f64 / time_constant).min(1.0);
+        let recovered_fraction = (elapsed as f64 / time_constant).min(1.0);
         let median = self.estimator.median_health_score();
         let mut ejected = 0;
         for index in self.workers.ready().iter().copied() {
             let is_silent = self.is_silent(&self.workers[index], now);
             let health = &mut self.workers[index].health;
-            health.recover(part);
+            health.recover(recovered_fraction);
             health.compare(median);
             if is_silent {
                 health.raise_score(FAILED_SAMPLE * median);
@@ -281,7 +283,7 @@
     }
 
     /// Time until a worker is polled again. In a large fleet polls back off exponentially with jitter, so that a
-    /// hundred front ends do not all poll at the same time a worker that is gone or has just come back.
+    /// hundred front ends do not poll a worker that is gone or has just come back all at the same time.
     fn poll_interval(&mut self, worker: WorkerIndex) -> Micros {
         if !self.is_large_fleet() {
             return TRIAL_INTERVAL;
--- a/policy/src/polling.rs
+++ b/policy/src/polling.rs
@@ -8,13 +8,14 @@
 use crate::types::{Micros, RequestId, MILLISECOND, SECOND};
 
 /// Maximum number of workers that are polled about a function where front ends share the workers: the first in its
-/// rendezvous order, where other front ends load it too.
-pub(crate) const POLLED_WORKERS: usize = 6;
+/// rendezvous order, where other front ends load it too. In a large fleet a request that finds no replica may be sent
+/// to one of as many workers instead.
+pub(crate) const MAX_POLLED_WORKERS: usize = 6;
 /// Time that a lost request waits for the answers to polls.
 const ANSWER_WAIT: Micros = 60 * MILLISECOND;
 /// Minimum time between two lookups, by polls or requests, of a function at a worker: a load that another front end
 /// ordered takes most of it.
-pub(crate) const POLL_INTERVAL: Micros = 4 * SECOND;
+pub(crate) const LOOKUP_INTERVAL: Micros = 4 * SECOND;
 /// Maximum number of workers that a request tries before a load is ordered: the first in the rendezvous order, where
 /// other front ends order their loads. Each costs the request an attempt; where `max_attempts` is six, four are left
 /// for when the load has ended.
@@ -82,7 +83,7 @@
                 Some(LookupStep::TryAt(worker))
             }
             Some(_) if has_own_request => Some(LookupStep::AwaitOther),
-            Some(last) if now < last + POLL_INTERVAL => None,
+            Some(last) if now < last + LOOKUP_INTERVAL => None,
             _ if replica.is_load_ordered() => None,
             _ => {
                 replica.lookup_sent(now);
@@ -103,7 +104,7 @@
             return false;
         }
         let max_workers = if self.is_shared() {
-            POLLED_WORKERS
+            MAX_POLLED_WORKERS
         } else {
             usize::MAX
         };
@@ -137,7 +138,7 @@
         }
         let is_due = replica
             .last_lookup()
-            .is_none_or(|last| now >= last + POLL_INTERVAL);
+            .is_none_or(|last| now >= last + LOOKUP_INTERVAL);
         if !has_budget || replica.is_loaded(now) || !is_due {
             return false;
         }
--- a/policy/src/readiness_lease.rs
+++ b/policy/src/readiness_lease.rs
@@ -40,13 +40,13 @@
 const CHECK_TIMEOUT: Micros = 400 * MILLISECOND;
 /// A worker that does not take new work is checked again after this time.
 const RECHECK_INTERVAL: Micros = SECOND;
-/// Most health checks that one review sends.
+/// Maximum number of health checks that one review sends.
 const MAX_CHECKS_PER_REVIEW: usize = 20;
 /// A worker counts as in use for this long after it was last sent new work.
 const IN_USE_FOR: Micros = 10 * SECOND;
-/// Further workers are monitored while fewer than this many monitored ones are usable.
+/// While fewer monitored workers than this are usable, further ones are monitored.
 const MIN_MONITORED: usize = 16;
-/// Most workers that are monitored by health checks at a time.
+/// Maximum number of workers that are monitored by health checks at a time.
 const MAX_MONITORED: usize = 256;
 /// A worker that was unconfirmed for this long beyond the length of a lease may have restarted.
 const MIN_RESTART_TIME: Micros = SECOND;
@@ -167,7 +167,7 @@
     suspended: Option<SuspendReason>,
     /// Health checks that the worker rejected in a row.
     rejected_checks: u32,
-    /// When the worker last took no new work; 0 if never. An answer to something sent until then does not renew its
+    /// When the worker last took no new work; 0 if never. An answer to what was sent up to then does not renew its
     /// lease.
     not_accepting_at: Micros,
     may_have_restarted: bool,
--- a/policy/src/replication.rs
+++ b/policy/src/replication.rs
@@ -24,8 +24,8 @@
 const USABLE_MEMORY_SHARE: f64 = 0.65;
 
 impl State {
-    /// Draws whether an arrival is a virtual loss by the design (docs/design.md): with probability (min z*/z*) 1(Z <=
-    /// z*) q(Z), where theta >= 1, D > 0 and z* >= 1. D workers have the function loaded, and Z of them have a free
+    /// Draws whether an arrival is a virtual loss by the design (docs/design.md). Where theta >= 1, D > 0 and z* >= 1,
+    /// the probability is (min z*/z*) 1(Z <= z*) q(Z): D workers have the function loaded, and Z of them have a free
     /// replica.
     pub(crate) fn draw_virtual_loss(&mut self, index: FunctionIndex, now: Micros) -> bool {
         let theta = self.estimator.theta();
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -6,7 +6,7 @@
 use crate::types::{Micros, MILLISECOND};
 
 /// A retry must start at least this long before workers forget its idempotency key: the time that the policy is given
-/// may lag behind by one interval of the housekeeping, 20 ms.
+/// may lag behind the actual time by one interval of the housekeeping, 20 ms.
 const KEY_MARGIN: Micros = 20 * MILLISECOND;
 
 /// How long from `now` a further attempt may be started: 0 if none may be. `None` means without limit: no attempt can
--- a/policy/src/routing.rs
+++ b/policy/src/routing.rs
@@ -4,7 +4,7 @@
 //! protect against.
 use crate::action::Action;
 use crate::index::{FunctionIndex, WorkerIndex};
-use crate::polling::{LookupStep, POLLED_WORKERS, POLL_INTERVAL};
+use crate::polling::{LookupStep, LOOKUP_INTERVAL, MAX_POLLED_WORKERS};
 use crate::request::Request;
 use crate::settings::Idempotency;
 use crate::state::State;
@@ -48,7 +48,7 @@
             }
             return self.send(now, id, worker, actions);
         }
-        if let Some(&worker) = self.common_workers(id, now, POLLED_WORKERS).first() {
+        if let Some(&worker) = self.common_workers(id, now, MAX_POLLED_WORKERS).first() {
             return self.send(now, id, worker, actions);
         }
         self.wait_for_replica(now, id, actions);
@@ -74,7 +74,7 @@
         // Protects workers from requests for a function that none of them has: each would answer with an error.
         let is_unknown = request.errors >= MAX_ERRORS_OF_UNKNOWN_FUNCTION
             && !self.functions[request.function].has_been_served();
-        // The deadline is checked here too, since an attempt's time-out may come just before the deadline's timer, and
+        // The deadline is checked here too, since an attempt's timeout may come just before the deadline's timer, and
         // no client would wait for a further attempt.
         now >= request.deadline
             || request.rejected_attempts() >= MAX_REJECTED_ATTEMPTS
@@ -236,7 +236,7 @@
     /// Protects workers and the load budget from requests for functions that no worker knows: orders to load them fail
     /// at once.
     fn are_load_orders_failing(&self, function: FunctionIndex, now: Micros) -> bool {
-        self.functions[function].orders_fail(MAX_ERRORS_OF_UNKNOWN_FUNCTION, now, POLL_INTERVAL)
+        self.functions[function].orders_fail(MAX_ERRORS_OF_UNKNOWN_FUNCTION, now, LOOKUP_INTERVAL)
     }
 
     /// Orders one more replica if those being loaded do not suffice for the waiting requests.
--- a/policy/src/slow_start.rs
+++ b/policy/src/slow_start.rs
@@ -68,7 +68,7 @@
     front_ends: u32,
     /// Refill of each sender's bucket, in requests per microsecond.
     refill_rate: f64,
-    /// Most that a sender's bucket holds, in requests.
+    /// Maximum that a sender's bucket holds, in requests.
     bucket_size: f64,
 }
 
@@ -259,7 +259,7 @@
     updated_at: Micros,
     /// Tokens gained per microsecond; 0 while this front end is not a sender.
     refill_rate: f64,
-    /// Most tokens that the bucket holds; 0 while this front end is not a sender.
+    /// Maximum number of tokens that the bucket holds; 0 while this front end is not a sender.
     size: f64,
     /// This front end's rank in the worker's order of senders; `None` until it is first needed.
     rank: Option<u32>,
--- a/policy/src/survey.rs
+++ b/policy/src/survey.rs
@@ -14,7 +14,7 @@
 const FORGET_AFTER_KEEP_ALIVES: Micros = 4;
 /// Minimum time between two log lines about ejected workers and the load limit.
 const LOG_INTERVAL: Micros = 10 * SECOND;
-/// The log line is written when more than one in this number of workers is ejected.
+/// The log line about ejected workers is written when more than one in this number of workers is ejected.
 const LOGGED_EJECTED_DIVISOR: usize = 10;
 /// The log line about ejected workers is also written when the concurrency limit on loads is below this.
 const LOGGED_LOAD_LIMIT: f64 = 2.0;
--- a/policy/src/token_bucket.rs
+++ b/policy/src/token_bucket.rs
@@ -5,7 +5,7 @@
 pub(crate) struct TokenBucket {
     tokens: f64,
     earned_per_request: f64,
-    /// Most tokens that the bucket holds.
+    /// Maximum number of tokens that the bucket holds.
     capacity: f64,
 }
 
--- a/policy/src/virtual_loss.rs
+++ b/policy/src/virtual_loss.rs
@@ -1,15 +1,15 @@
 //! The formula for the probability of a virtual loss, as pure functions. docs/design.md explains it and its variables.
 
 /// Lower bound of the share of busy workers in the formula.
-const MIN_BUSY: f64 = 0.05;
+const MIN_BUSY_SHARE: f64 = 0.05;
 /// Upper bound of the share of busy workers in the formula.
-const MAX_BUSY: f64 = 0.95;
+const MAX_BUSY_SHARE: f64 = 0.95;
 
-/// The paper's effective theta, rho/(1 - rho) (d - 1)/d, where rho is the share of busy workers (`busy`, between 0 and
-/// 1) and d the number of replicas that fit into a worker's memory (`instances`).
-pub fn theta(busy: f64, instances: f64) -> f64 {
-    let rho = busy.clamp(MIN_BUSY, MAX_BUSY);
-    rho / (1.0 - rho) * (instances - 1.0).max(0.0) / instances.max(1.0)
+/// The paper's effective theta, rho/(1 - rho) (d - 1)/d, where rho is the share of busy workers (`busy_share`, between
+/// 0 and 1) and d the number of replicas that fit into a worker's memory (`replicas_per_worker`).
+pub fn theta(busy_share: f64, replicas_per_worker: f64) -> f64 {
+    let rho = busy_share.clamp(MIN_BUSY_SHARE, MAX_BUSY_SHARE);
+    rho / (1.0 - rho) * (replicas_per_worker - 1.0).max(0.0) / replicas_per_worker.max(1.0)
 }
 
 /// Whether the function can have virtual losses at all: only while theta and z* are at least 1 and the function is
--- a/policy/src/worker.rs
+++ b/policy/src/worker.rs
@@ -120,7 +120,7 @@
     by_id: BTreeMap<WorkerId, WorkerIndex>,
     /// Workers that are ready; shared, so that callers can iterate over it while they change workers.
     ready: Arc<Vec<WorkerIndex>>,
-    /// Most workers that were ever listed at a time.
+    /// Maximum number of workers that were ever listed at a time.
     max_listed: usize,
 }
 
--- a/policy/src/worker_health.rs
+++ b/policy/src/worker_health.rs
@@ -164,8 +164,8 @@
     }
 
     /// Moves the score towards the expected one by this fraction of the difference.
-    pub(crate) fn recover(&mut self, part: f64) {
-        self.score += part * (EXPECTED_SCORE - self.score);
+    pub(crate) fn recover(&mut self, fraction: f64) {
+        self.score += fraction * (EXPECTED_SCORE - self.score);
     }
 
     /// Raises the score to at least `score`.
