--- a/scalelab/src/disruptions.rs
+++ b/scalelab/src/disruptions.rs
@@ -1,5 +1,5 @@
-//! What comes at once: front ends that start, a zone that is lost and comes back with nothing loaded, an endpoint list
-//! that is read again.
+//! Experiments with changes that happen all at once: front ends start, a zone is lost and returns with nothing loaded,
+//! or a complete endpoint list arrives.
 use crate::policy_scaling::{base, columns, describe};
 use crate::simulated_front_end::{
     FunctionPopularity, HandlingTimes, Scenario, SentMessage, SentRecord, SimulatedFrontEnd, SEC,
@@ -14,54 +14,58 @@
 pub const EXPERIMENTS: &[Experiment] = &[
     Experiment {
         name: "burst-starts",
-        about: "Front ends of a fleet of 660 that start at once, then a second apart: their first 10 s.",
+        about: "First 10 s of front ends in a fleet of 660 that start all at once, or one second apart.",
         sizes: &[10, 20, 40, 79],
         bound: 660,
         run: |sizes, seed| Ok(starts(sizes, seed)),
     },
     Experiment {
         name: "burst-zone",
-        about: "A seventh of the workers falls silent, is told gone after 5 s and back, cold, after 25 s, against the workers.",
+        about: "By number of workers: a seventh stops answering, leaves the list after 5 s, returns cold after 25 s.",
         sizes: &[1_400, 2_800, 5_600, 10_000],
         bound: 20_000,
         run: |sizes, seed| Ok(vec![zone(sizes, seed)]),
     },
     Experiment {
         name: "burst-list",
-        about: "The whole list read first, anew, anew between single changes, and anew with a tenth of the workers replaced.",
+        about: "By number of workers: the first list, the same again, one after each change, one with a tenth replaced.",
         sizes: &[1_000, 2_000, 4_000, 7_000, 10_000],
         bound: 20_000,
         run: |sizes, seed| Ok(vec![list(sizes, seed)]),
     },
 ];
 
-/// Seconds of a front end that has just started.
+/// Seconds that each started front end runs.
 const START_S: u64 = 10;
-/// Seconds until what a front end keeps has come to its level.
+/// Seconds that a front end runs before a disruption, until the amount of state that it keeps is stationary.
 const WARM_UP_S: u64 = 41;
-/// Seconds played before a zone is lost, and until its loss is in the endpoint list.
+/// Seconds measured before a zone is lost.
 const BEFORE_LOSS_S: u64 = 5;
+/// Seconds for which the lost zone's workers do not answer but are still in the endpoint list.
 const SILENT_S: u64 = 5;
-/// Seconds that the zone is not in the endpoint list, and that are played once it is back.
+/// Seconds for which the lost zone is not in the endpoint list.
 const ABSENT_S: u64 = 20;
+/// Seconds measured after the zone has returned.
 const RECOVERY_S: u64 = 20;
-/// Changes between which the list is read again.
+/// Number of single changes that are each followed by a complete list.
 const CHANGES: usize = 10;
-/// Seconds played after a part of the list was replaced.
+/// Seconds measured after a tenth of the workers was replaced.
 const AFTER_REPLACEMENT_S: u64 = 5;
-/// Indices of the workers that join: above those of all lists.
+/// Index of the first worker that joins by a single change; above the indices of all initial workers.
 const FIRST_JOINED_WORKER: usize = 1_000_000;
+/// Index of the first worker that replaces another; above the indices of all workers that join by single changes.
 const FIRST_REPLACING_WORKER: usize = 2_000_000;
 
-/// A second, a worker and a kind of message.
+/// Key of the counts of messages: second, worker and kind of message.
 type MessageSlot = (u64, usize, SentMessage);
 
-/// Front ends that start a fixed time apart.
+/// Results for front ends that start a fixed time apart.
 struct StartSeries {
     /// Seconds between the starts.
     seconds_apart: u64,
-    /// Messages by second, worker and kind.
+    /// Number of messages by second, worker and kind.
     messages: BTreeMap<MessageSlot, u64>,
+    /// Rows of the table: number of started front ends and their values.
     rows: Vec<(u64, Vec<f64>)>,
 }
 
@@ -74,7 +78,7 @@
         }
     }
 
-    /// Adds what the front end of this index sent.
+    /// Adds the messages that the front end of this index sent; `index` determines when it started.
     fn add(&mut self, index: u64, log: &[SentRecord]) {
         for sent in log {
             let second = (sent.at - START_TIME) / SEC + index * self.seconds_apart;
@@ -83,15 +87,15 @@
         }
     }
 
-    /// The most messages of this kind that one worker had in one second.
-    fn most(&self, message: SentMessage) -> f64 {
+    /// The largest number of messages of this kind that any worker received in one second.
+    fn peak(&self, message: SentMessage) -> f64 {
         let slots = self.messages.iter();
         let counts = slots.filter(|(slot, _)| slot.2 == message);
         counts.map(|(_, &count)| count).max().unwrap_or(0) as f64
     }
 }
 
-/// Sums over the front ends that have started so far.
+/// Sums over the front ends that have started so far. Times are those that the policy took, in nanoseconds.
 #[derive(Default)]
 struct StartTotals {
     attempts: u64,
@@ -102,8 +106,9 @@
     other_handling_ns: u64,
 }
 
-/// Starts as many front ends as the largest size, each by itself, and adds up what the first of them did: all at once,
-/// and each a second after the one before.
+/// Simulates as many front ends as the largest size, one after another and independently, and sums up the results of
+/// the first ones at each size. The first table counts them as started all at once, the second as started one second
+/// apart.
 fn starts(sizes: &[u64], seed: u64) -> Vec<Sweep> {
     let scenario = base(seed);
     let popularity = Rc::new(FunctionPopularity::new(&scenario));
@@ -141,15 +146,15 @@
     }
 
     fn row(&self, started: u64, series: &StartSeries) -> Vec<f64> {
-        let each = |total: u64| total as f64 / started as f64;
+        let mean = |total: u64| total as f64 / started as f64;
         vec![
-            each(self.attempts),
-            each(self.first_requests),
-            each(self.load_orders_and_queries),
-            each(self.loads_begun),
-            series.most(SentMessage::Attempt),
-            series.most(SentMessage::LoadOrder),
-            each(self.first_list_ns) / 1e6,
+            mean(self.attempts),
+            mean(self.first_requests),
+            mean(self.load_orders_and_queries),
+            mean(self.loads_begun),
+            series.peak(SentMessage::Attempt),
+            series.peak(SentMessage::LoadOrder),
+            mean(self.first_list_ns) / 1e6,
             self.other_handling_ns as f64 / 1e3 / self.attempts.max(1) as f64,
         ]
     }
@@ -178,23 +183,27 @@
     }
 }
 
-/// What a front end did in one phase.
+/// Measurements of a front end during one phase of an experiment.
 struct Phase {
+    /// Attempts sent to a worker that could not be reached.
     unreachable: u64,
     loads_begun: u64,
     load_orders: u64,
     queries: u64,
+    /// Requests rejected or failed.
     not_served: u64,
+    /// Time that the policy took per request, in microseconds, without the update at the beginning of the phase.
     us_per_request: f64,
-    /// Time of the endpoint update at the phase's begin.
+    /// Time that the policy took for the endpoint update at the beginning of the phase, in milliseconds; 0 if there was
+    /// none.
     list_ms: f64,
-    /// Longest time of any other event.
+    /// Longest time that the policy took for any other event, in milliseconds.
     longest_ms: f64,
 }
 
 impl Phase {
-    /// Begins a phase by `change` and plays this many seconds.
-    fn play(
+    /// Applies `change`, then runs the front end for this many simulated seconds and measures it.
+    fn run(
         front_end: &mut SimulatedFrontEnd,
         seconds: u64,
         change: impl FnOnce(&mut SimulatedFrontEnd),
@@ -258,43 +267,44 @@
     }
 }
 
-/// The workers of one zone.
+/// The workers of the first zone.
 pub(crate) fn first_zone(scenario: &Scenario) -> Vec<usize> {
     let in_zone = |worker: &usize| worker.is_multiple_of(scenario.zones);
     (0..scenario.workers).filter(in_zone).collect()
 }
 
-/// One zone falls silent, leaves the list and comes back with nothing loaded.
+/// The workers of one zone stop answering, leave the endpoint list, and return with nothing loaded. Returns the row of
+/// this number of workers.
 fn lose_zone(scenario: &Scenario) -> Vec<f64> {
     let mut front_end = SimulatedFrontEnd::new(scenario);
     front_end.run(WARM_UP_S * SEC);
     let lost = first_zone(scenario);
-    let usual = Phase::play(&mut front_end, BEFORE_LOSS_S, |_| {});
-    let silent = Phase::play(&mut front_end, SILENT_S, |front_end| {
+    let before = Phase::run(&mut front_end, BEFORE_LOSS_S, |_| {});
+    let silent = Phase::run(&mut front_end, SILENT_S, |front_end| {
         front_end.disconnect_workers(&lost);
     });
-    let gone = Phase::play(&mut front_end, ABSENT_S, |front_end| {
+    let absent = Phase::run(&mut front_end, ABSENT_S, |front_end| {
         front_end.update_endpoints(false, &lost, WorkerState::Gone, 0);
     });
-    let back = Phase::play(&mut front_end, RECOVERY_S, |front_end| {
+    let returned = Phase::run(&mut front_end, RECOVERY_S, |front_end| {
         front_end.reconnect_workers(&lost);
         front_end.update_endpoints(false, &lost, WorkerState::Ready, front_end.now);
     });
     let per_second = |orders: u64, seconds: u64| orders as f64 / seconds as f64;
     vec![
         silent.unreachable as f64,
-        (silent.not_served + gone.not_served + back.not_served) as f64,
+        (silent.not_served + absent.not_served + returned.not_served) as f64,
         silent.queries as f64,
-        (silent.loads_begun + gone.loads_begun + back.loads_begun) as f64,
-        per_second(usual.load_orders, BEFORE_LOSS_S),
-        per_second(silent.load_orders + gone.load_orders, SILENT_S + ABSENT_S),
-        per_second(back.load_orders, RECOVERY_S),
-        usual.us_per_request,
+        (silent.loads_begun + absent.loads_begun + returned.loads_begun) as f64,
+        per_second(before.load_orders, BEFORE_LOSS_S),
+        per_second(silent.load_orders + absent.load_orders, SILENT_S + ABSENT_S),
+        per_second(returned.load_orders, RECOVERY_S),
+        before.us_per_request,
         silent.us_per_request,
-        back.us_per_request,
-        gone.list_ms,
-        back.list_ms,
-        back.longest_ms,
+        returned.us_per_request,
+        absent.list_ms,
+        returned.list_ms,
+        returned.longest_ms,
     ]
 }
 
@@ -326,21 +336,22 @@
     }
 }
 
-/// Time of one endpoint update, ms.
+/// Gives the front end an endpoint update, and returns the time that the policy took for it, in milliseconds.
 fn update_ms(front_end: &mut SimulatedFrontEnd, complete: bool, workers: &[usize]) -> f64 {
     front_end.handling_times = HandlingTimes::default();
     front_end.update_endpoints(complete, workers, WorkerState::Ready, 0);
     front_end.handling_times.endpoint_updates as f64 / 1e6
 }
 
-/// The list read first, read again, read again between single changes, and with a tenth of the workers replaced.
+/// Times the first complete list, the same list again, single changes that are each followed by a complete list, and a
+/// complete list in which a tenth of the workers is replaced. Returns the row of this number of workers.
 fn read_lists(scenario: &Scenario) -> Vec<f64> {
     let mut front_end = SimulatedFrontEnd::new(scenario);
     let first_ms = front_end.handling_times.endpoint_updates as f64 / 1e6;
     let held_mb = front_end.counts.held_bytes as f64 / 1e6;
     front_end.run(WARM_UP_S * SEC);
     let mut workers = front_end.workers().to_vec();
-    let again_ms = update_ms(&mut front_end, true, &workers);
+    let repeated_ms = update_ms(&mut front_end, true, &workers);
     let mut changes_ms = 0.0;
     for change in 0..CHANGES {
         let joined = FIRST_JOINED_WORKER + change;
@@ -363,7 +374,7 @@
         held_mb,
         allocated_bytes / 1e3 / requests,
         first_ms,
-        again_ms,
+        repeated_ms,
         changes_ms,
         replaced_ms,
         front_end.handling_times.total() as f64 / 1e3 / requests,
--- a/scalelab/src/experiment.rs
+++ b/scalelab/src/experiment.rs
@@ -1,60 +1,60 @@
-//! What an experiment is: the thing varied, the sizes it may be asked for, and the table it leaves.
+//! The definition of an experiment, its range of sizes, and the tables that it produces.
 use crate::Fit;
 
-/// One experiment.
+/// A scale test that varies one parameter, the size.
 pub struct Experiment {
-    /// Its name on the command line.
+    /// Name on the command line.
     pub name: &'static str,
-    /// What is varied and what is held, in a sentence.
+    /// One sentence for `scalelab list`: what is varied and what is fixed.
     pub about: &'static str,
-    /// The sizes it runs at unless others are named.
+    /// Sizes to run at unless others are given.
     pub sizes: &'static [u64],
-    /// Largest size it may be asked for: what memory and time of half a machine bear.
+    /// Largest size that may be given: up to it, half of a machine has enough memory and time for the experiment.
     pub bound: u64,
-    /// Runs at the sizes, with the seed; one sweep for each thing that was varied.
+    /// Runs the experiment at these sizes with this seed, and returns its tables.
     pub run: fn(&[u64], u64) -> Result<Vec<Sweep>, ExperimentError>,
 }
 
-/// Why an experiment did not run.
+/// Why an experiment did not run to its end.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ExperimentError {
-    /// A size of 0, or beyond the experiment's bound.
-    #[error("size {asked} is not within 1 to {bound}, this test's bound")]
+    /// A size is 0 or above the experiment's bound.
+    #[error("size {asked} is out of range: this experiment runs at sizes from 1 to {bound}")]
     SizeOutOfBounds {
-        /// The size that was asked for.
+        /// The size that was given.
         asked: u64,
-        /// The largest size that the experiment runs at.
+        /// [`Experiment::bound`].
         bound: u64,
     },
-    /// A slope needs more sizes than were given.
-    #[error("{given} sizes given, a slope needs {least} different ones")]
+    /// Fewer different sizes were given than a fit needs.
+    #[error("{given} different sizes given, at least {least} are needed to fit a slope")]
     TooFewSizes {
-        /// Different sizes that were given.
+        /// Number of different sizes that were given.
         given: usize,
-        /// Different sizes that a slope needs.
+        /// [`MIN_SIZES`].
         least: usize,
     },
-    /// No experiment of this name.
-    #[error("no experiment is named {0}; `scalelab list` names them")]
+    /// There is no experiment of this name.
+    #[error("no experiment is named {0}; `scalelab list` lists them")]
     UnknownExperiment(String),
-    /// A process, socket or file failed.
+    /// The experiment failed, for example on a process, socket or file.
     #[error("{0}")]
     Failed(String),
 }
 
-/// Fewest sizes of a slope.
+/// Minimum number of different sizes from which a slope is fitted.
 pub const MIN_SIZES: usize = 4;
 
 impl Experiment {
-    /// The sizes to run at, sorted, each once: those named, or its own.
+    /// The sizes to run at, sorted and without duplicates: `requested`, or the experiment's defaults if that is empty.
     ///
     /// # Errors
-    /// A size out of bounds, or fewer than [`MIN_SIZES`] different ones.
-    pub fn sizes(&self, named: &[u64]) -> Result<Vec<u64>, ExperimentError> {
-        let mut sizes = if named.is_empty() {
+    /// A size is 0 or above the bound, or there are fewer than [`MIN_SIZES`] different ones.
+    pub fn sizes(&self, requested: &[u64]) -> Result<Vec<u64>, ExperimentError> {
+        let mut sizes = if requested.is_empty() {
             self.sizes.to_vec()
         } else {
-            named.to_vec()
+            requested.to_vec()
         };
         sizes.sort_unstable();
         sizes.dedup();
@@ -74,43 +74,43 @@
     }
 }
 
-/// A figure measured at each size.
+/// A value measured at each size.
 #[derive(Clone, Debug)]
 pub struct Column {
-    /// What it is, with its unit: `bytes/s each`.
+    /// Heading, with the unit, as in `bytes/s each`.
     pub name: &'static str,
-    /// Whether it is the same every run (counts and bytes), so that CI may check it.
+    /// Whether the values are the same in every run, as counts and bytes are, so that CI can check them.
     pub exact: bool,
 }
 
-/// The table of one thing varied.
+/// The table of an experiment that varied one parameter.
 #[derive(Clone, Debug)]
 pub struct Sweep {
-    /// A title, and the base point: what was held.
+    /// Title, with the parameters that were fixed.
     pub title: String,
-    /// What was varied, as the first column's head.
+    /// The varied parameter; the first column's heading.
     pub varied: &'static str,
-    /// What was measured.
+    /// The measured columns.
     pub columns: Vec<Column>,
-    /// A size and its figures, in the order of the columns.
+    /// Each size with its values, in the order of the columns.
     pub rows: Vec<(u64, Vec<f64>)>,
 }
 
 impl Sweep {
-    /// The points of a column.
+    /// The points (size, value) of a column.
     pub fn points(&self, column: usize) -> Vec<(f64, f64)> {
         self.rows
             .iter()
-            .map(|(x, ys)| (*x as f64, ys[column]))
+            .map(|(size, values)| (*size as f64, values[column]))
             .collect()
     }
 
-    /// The fit of a column; `None` as in [`Fit::of`].
+    /// The linear fit of a column; `None` as for [`Fit::of`].
     pub fn fit(&self, column: usize) -> Option<Fit> {
         Fit::of(&self.points(column))
     }
 
-    /// The table, and a line for each column's fit with its spread.
+    /// The table in Markdown, followed by a table of the fits with one row per column.
     pub fn markdown(&self) -> String {
         let mut text = format!("### {}\n\n| {} |", self.title, self.varied);
         for column in &self.columns {
@@ -118,45 +118,46 @@
         }
         text += "\n| --- |";
         text += &" --- |".repeat(self.columns.len());
-        for (size, figures) in &self.rows {
+        for (size, values) in &self.rows {
             text += &format!("\n| {size} |");
-            for value in figures {
-                text += &format!(" {} |", figure(*value));
+            for value in values {
+                text += &format!(" {} |", format_value(*value));
             }
         }
         text += "\n\n| fit | slope | ± | at 0 | r2 | largest residual | exponent |\n| --- | --- | --- | --- | --- | --- | --- |\n";
         for (position, column) in self.columns.iter().enumerate() {
             if let Some(fit) = self.fit(position) {
-                text += &fit_line(column, &fit);
+                text += &fit_row(column, &fit);
             }
         }
         text
     }
 }
 
-fn fit_line(column: &Column, fit: &Fit) -> String {
-    let suffix = if column.exact { " (exact)" } else { "" };
+/// The row of one column in the table of fits.
+fn fit_row(column: &Column, fit: &Fit) -> String {
+    let exact_suffix = if column.exact { " (exact)" } else { "" };
     let exponent = fit
         .exponent
         .map_or("-".to_owned(), |exponent| format!("{exponent:.2}"));
     format!(
-        "| {}{suffix} | {} | {} | {} | {:.3} | {:.1}% | {exponent} |\n",
+        "| {}{exact_suffix} | {} | {} | {} | {:.3} | {:.1}% | {exponent} |\n",
         column.name,
-        figure(fit.slope),
-        figure(fit.slope_error),
-        figure(fit.intercept),
+        format_value(fit.slope),
+        format_value(fit.slope_error),
+        format_value(fit.intercept),
         fit.r2,
         fit.residual * 100.0,
     )
 }
 
-/// Three or four digits that count, plain.
-pub fn figure(y: f64) -> String {
-    match y.abs() {
-        a if a == 0.0 || a >= 1000.0 => format!("{y:.0}"),
-        a if a >= 100.0 => format!("{y:.1}"),
-        a if a >= 1.0 => format!("{y:.2}"),
-        a if a >= 0.01 => format!("{y:.4}"),
-        _ => format!("{y:.2e}"),
+/// Formats a value with three to four significant digits; values from 1000 up are rounded to integers.
+pub fn format_value(value: f64) -> String {
+    match value.abs() {
+        magnitude if magnitude == 0.0 || magnitude >= 1000.0 => format!("{value:.0}"),
+        magnitude if magnitude >= 100.0 => format!("{value:.1}"),
+        magnitude if magnitude >= 1.0 => format!("{value:.2}"),
+        magnitude if magnitude >= 0.01 => format!("{value:.4}"),
+        _ => format!("{value:.2e}"),
     }
 }
--- a/scalelab/src/gossip_experiments.rs
+++ b/scalelab/src/gossip_experiments.rs
@@ -128,7 +128,7 @@
     Ok(row)
 }
 
-/// The traffic columns: what each front end sent and received per second, and its processor time per second.
+/// The traffic columns: what each front end sent and received per second, and how long its state machine ran.
 fn traffic_figures(traffic: &TrafficCounts, front_ends: usize) -> Vec<f64> {
     let per_second_each = |total: u64| total as f64 / MEASURED_S as f64 / front_ends as f64;
     let both = per_second_each(traffic.sent + traffic.received);
--- a/scalelab/src/lib.rs
+++ b/scalelab/src/lib.rs
@@ -1,5 +1,6 @@
-//! Scale tests: each experiment varies one thing, measures at several sizes, and gives slopes with their spread.
-//! Simulated front ends (state machines on simulated time) share this process where real ones would not fit.
+//! Scale tests. Each experiment varies one parameter, measures at several sizes, and fits slopes with their standard
+//! errors. Where a machine cannot run enough front end processes, their state machines run in this process on simulated
+//! time.
 pub mod chart;
 pub mod disruptions;
 pub mod experiment;
@@ -18,7 +19,7 @@
 pub use experiment::{Column, Experiment, ExperimentError, Sweep};
 pub use fit::Fit;
 
-/// All experiments, by the file that holds them.
+/// All experiments, grouped by the module that defines them.
 pub fn experiments() -> Vec<&'static Experiment> {
     [
         gossip_experiments::EXPERIMENTS,
--- a/scalelab/src/main.rs
+++ b/scalelab/src/main.rs
@@ -1,17 +1,17 @@
-//! scalelab: runs scale tests and prints their tables and fits. See docs/scale.md.
+//! scalelab: runs scale tests and prints their tables and linear fits. See docs/scale.md.
 use clap::{Parser, Subcommand};
 use scalelab::{chart, experiments, ExperimentError};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Exit status of an experiment that did not run.
-const EXIT_FAULT: u8 = 2;
+/// Exit status if an experiment is unknown or failed.
+const EXIT_FAILURE: u8 = 2;
 
 #[derive(Parser)]
 #[command(
     name = "scalelab",
     version,
-    about = "Scale tests: slopes with their spread, one thing varied at a time"
+    about = "Scale tests: vary one parameter at a time and fit slopes with their standard errors"
 )]
 struct Cli {
     #[command(subcommand)]
@@ -20,17 +20,17 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// Names the experiments, their sizes and bounds.
+    /// Lists the experiments with their sizes and largest allowed size.
     List,
-    /// Runs one experiment; prints its tables and fits.
+    /// Runs one experiment and prints its tables and linear fits.
     Run {
         name: String,
-        /// Sizes to run at, four or more, instead of the experiment's own.
+        /// Sizes to run at, at least four different ones, instead of the experiment's defaults.
         #[arg(long, value_delimiter = ',')]
         sizes: Vec<u64>,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// A folder for the charts, one SVG a sweep.
+        /// Directory to write charts to, one SVG file per table.
         #[arg(long)]
         charts: Option<PathBuf>,
     },
@@ -51,8 +51,8 @@
     let sweeps = (experiment.run)(&sizes, seed)?;
     for (number, sweep) in (1..).zip(&sweeps) {
         println!("{}", sweep.markdown());
-        if let Some(folder) = &charts {
-            let path = folder.join(format!("{name}-{number}.svg"));
+        if let Some(directory) = &charts {
+            let path = directory.join(format!("{name}-{number}.svg"));
             chart::draw(sweep, &path)
                 .map_err(|error| ExperimentError::Failed(format!("{}: {error}", path.display())))?;
         }
@@ -65,7 +65,7 @@
         Action::List => {
             for experiment in experiments() {
                 println!(
-                    "{}: {} Sizes {:?}, {} at the most.",
+                    "{}: {} Sizes {:?}, at most {}.",
                     experiment.name, experiment.about, experiment.sizes, experiment.bound
                 );
             }
@@ -82,7 +82,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("scalelab: {error}");
-            ExitCode::from(EXIT_FAULT)
+            ExitCode::from(EXIT_FAILURE)
         }
     }
 }
--- a/scalelab/src/traffic_counts.rs
+++ b/scalelab/src/traffic_counts.rs
@@ -1,41 +1,42 @@
-//! What the simulated front ends sent and received, by kind.
+//! Counts the gossip traffic of simulated front ends by kind.
 use std::time::Duration;
 use wrenseam::fleet::identity::AVERAGE_VERSION;
 use wrenseam::fleet::message::RECORDS_VERSION;
 
-/// What was sent and received since the tally was taken.
+/// Traffic of all front ends since the counts were last reset.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TrafficCounts {
     /// Datagrams sent.
     pub datagrams: u64,
-    /// Bytes sent, without those of IP and UDP.
+    /// Bytes sent, without IP and UDP headers.
     pub sent: u64,
-    /// Bytes that came.
+    /// Bytes received, without IP and UDP headers.
     pub received: u64,
-    /// Of the bytes sent: SWIM's own (probes, their answers, joins).
+    /// Bytes sent for the SWIM protocol itself: headers, probes, their acknowledgements, joins.
     pub swim: u64,
-    /// Of the bytes sent: news and lists of members on SWIM's datagrams.
+    /// Bytes sent for membership updates and member lists in SWIM datagrams.
     pub members: u64,
-    /// Of the bytes sent: summaries.
+    /// Bytes sent for load summaries in SWIM datagrams.
     pub summaries: u64,
-    /// Of the bytes sent: exchanges of the averaging.
+    /// Bytes sent for exchanges of the averaging.
     pub average: u64,
-    /// Of the bytes sent: records, and what repairs them.
+    /// Bytes sent for member records and their repair.
     pub records: u64,
-    /// Time in the state machines.
+    /// Wall-clock time spent in the front ends' state machines.
     pub busy: Duration,
 }
 
-/// Position of the protocol's version in a datagram.
+/// Offset of the protocol version in a datagram.
 const VERSION_AT: usize = 2;
-/// Bytes of a summary at the end of a SWIM datagram, and how it begins.
+/// Bytes of a load summary at the end of a SWIM datagram, with its two-byte length.
 const SUMMARY_BYTES: usize = 66;
-const SUMMARY_HEAD: [u8; 4] = [0, 64, b'w', b'S'];
-/// Bytes of the program's own header before SWIM's.
-const OWN_HEADER_BYTES: usize = 7;
+/// First bytes of a load summary in a SWIM datagram: its length of 64 and its magic.
+const SUMMARY_PREFIX: [u8; 4] = [0, 64, b'w', b'S'];
+/// Bytes of the program's header, which precedes that of foca in a SWIM datagram.
+const PROGRAM_HEADER_BYTES: usize = 7;
 
 impl TrafficCounts {
-    /// Counts a datagram sent.
+    /// Counts a sent datagram.
     pub fn add(&mut self, bytes: &[u8]) {
         let length = bytes.len() as u64;
         self.datagrams += 1;
@@ -47,10 +48,10 @@
         }
     }
 
-    /// Counts a SWIM datagram: its own part, then news of members, then summaries.
+    /// Counts a sent SWIM datagram, which consists of a header, membership updates, and load summaries, in this order.
     fn add_swim(&mut self, bytes: &[u8]) {
         let mut end = bytes.len();
-        while end >= SUMMARY_BYTES && bytes[end - SUMMARY_BYTES..].starts_with(&SUMMARY_HEAD) {
+        while end >= SUMMARY_BYTES && bytes[end - SUMMARY_BYTES..].starts_with(&SUMMARY_PREFIX) {
             end -= SUMMARY_BYTES;
         }
         let header = swim_header(bytes).unwrap_or(end).min(end);
@@ -60,13 +61,14 @@
     }
 }
 
-/// Reads a datagram's fields one after another.
+/// Reads the fields of a datagram in order.
 struct Reader<'a> {
     bytes: &'a [u8],
     position: usize,
 }
 
 impl Reader<'_> {
+    /// Reads a variable-length integer of 7 bits per byte. `None` at the end of the datagram.
     fn varint(&mut self) -> Option<u64> {
         let mut value = 0;
         let mut shift = 0;
@@ -81,7 +83,7 @@
         }
     }
 
-    /// A peer: the kind of its address, the address, its port and its incarnation.
+    /// Skips a peer: the kind of its address, the address, its port and its incarnation.
     fn skip_peer(&mut self) -> Option<()> {
         let address_bytes = if self.varint()? == 0 { 4 } else { 16 };
         self.position += address_bytes;
@@ -91,11 +93,12 @@
     }
 }
 
-/// Bytes of a SWIM datagram before its news of members: our header, both peers, incarnation and message.
+/// Number of bytes before the membership updates of a SWIM datagram: the program's header, sender, incarnation,
+/// receiver and message. `None` if the datagram is truncated.
 fn swim_header(bytes: &[u8]) -> Option<usize> {
     let mut reader = Reader {
         bytes,
-        position: OWN_HEADER_BYTES,
+        position: PROGRAM_HEADER_BYTES,
     };
     reader.skip_peer()?;
     reader.varint()?;
