--- a/scalelab/src/gossip_network/accuracy.rs
+++ b/scalelab/src/gossip_network/accuracy.rs
@@ -14,10 +14,10 @@
     pub rms: f64,
 }
 
-/// True state of the front ends on one side of a partition.
+/// True state of the running front ends on one side of a partition.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetTruth {
-    /// Their mean pressure, in thousandths of capacity.
+    /// Mean of their pressures, in thousandths of capacity.
     pub mean_pressure: f64,
     /// Number of running front ends.
     pub running: usize,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The true state of both sides of a partition.
+    /// The true state of sides 0 and 1, the only ones for which errors can be computed.
     fn truths(&self) -> [FleetTruth; 2] {
         [self.truth(0), self.truth(1)]
     }
--- a/scalelab/tests/gossip.rs
+++ b/scalelab/tests/gossip.rs
@@ -103,8 +103,8 @@
 }
 
 /// Loads are redrawn every half second within 15%, the random fluctuation of about a hundred requests in flight, or
-/// within 60%. The true mean itself fluctuates by 1% and 3%. The root mean square is taken over 100 front ends and 10
-/// s.
+/// within 60%. The true mean itself fluctuates by 1% and 3%. The root mean square is taken over 10 s and all front
+/// ends.
 #[rstest]
 #[case::random_fluctuation(75, 0.05, 0.02)]
 #[case::large_fluctuation(300, 0.25, 0.06)]
@@ -168,11 +168,11 @@
     last_zone(&network)
         .into_iter()
         .for_each(|index| network.start(index, 0));
-    let back = network.run_until_stable(10 * SEC, |network| {
+    let recovered = network.run_until_stable(10 * SEC, |network| {
         network.size_error() <= 0.05 && network.mean_error().worst <= 0.05
     });
     assert!(
-        back.is_some(),
+        recovered.is_some(),
         "error of the mean: {:?}, of the size: {}",
         network.mean_error(),
         network.size_error()
@@ -231,8 +231,8 @@
     );
 }
 
-/// When two regions rejoin, updates of many members are disseminated at once. Traffic per front end must not exceed 36
-/// KB in any second, while the limit for other times is 22 KB/s.
+/// When two regions rejoin, updates of many members are disseminated at once. Traffic per front end must then not
+/// exceed 36 KB in any second; at other times the limit is 22 KB/s.
 #[test]
 fn updates_of_many_members_are_spread_over_time() {
     let mut network = settled(98, GossipProtocol::BoundedView, 12);
@@ -273,11 +273,11 @@
         network.run(network.now + interval_s * SEC);
     }
     network.run(network.now + down_s * SEC);
-    let back = network.run_until_stable(10 * SEC, |network| {
+    let recovered = network.run_until_stable(10 * SEC, |network| {
         network.size_error() == 0.0 && network.mean_error().worst <= 0.05
     });
     assert!(
-        back.is_some(),
+        recovered.is_some(),
         "error of the mean: {:?}, of the size: {}",
         network.mean_error(),
         network.size_error()
--- a/scalelab/tests/gossip_convergence.rs
+++ b/scalelab/tests/gossip_convergence.rs
@@ -21,6 +21,7 @@
     Leave(usize),
     Restart(usize),
     RestartWithClockSetBack(usize),
+    /// Puts the front end at `index` on side `(index + offset) % sides`.
     Partition {
         offset: usize,
         sides: u8,
@@ -116,6 +117,7 @@
             .count()
     }
 
+    /// Runs for `duration` microseconds, and checks the down reports every 50 ms.
     fn run(&mut self, duration: u64) {
         let end = self.network.now + duration;
         while self.network.now < end {
@@ -125,12 +127,12 @@
                 }
             }
             self.network.run((self.network.now + 50 * MS).min(end));
-            self.check_downs();
+            self.check_down_reports();
         }
     }
 
     /// Asserts that no front end was declared down unless it is in a fault of its own or recently was.
-    fn check_downs(&mut self) {
+    fn check_down_reports(&mut self) {
         for report in &self.network.down_reports[self.checked..] {
             let since_fault = report.at.saturating_sub(self.last_fault_at[report.peer]);
             let excused = self.in_fault(report.peer)
@@ -146,6 +148,8 @@
         self.checked = self.network.down_reports.len();
     }
 
+    /// Applies a step, unless too few front ends would keep running unimpaired or it does not apply to the front end's
+    /// state.
     fn apply(&mut self, step: &Step) {
         let front_ends = self.size();
         let may_impair = (self.impaired() + 1) * 4 <= front_ends;
@@ -269,13 +273,13 @@
         seed in any::<u64>(),
         steps in prop::collection::vec((0u64..3000, step()), 3..14),
     ) {
-        let mut run = ScheduleRun::new(front_ends, seed);
+        let mut schedule_run = ScheduleRun::new(front_ends, seed);
         for (gap_ms, step) in &steps {
-            run.apply(step);
-            run.run(gap_ms * MS);
+            schedule_run.apply(step);
+            schedule_run.run(gap_ms * MS);
         }
-        run.end_faults();
-        if let Err(error) = run.run_until_converged(CONVERGENCE_LIMIT) {
+        schedule_run.end_faults();
+        if let Err(error) = schedule_run.run_until_converged(CONVERGENCE_LIMIT) {
             prop_assert!(false, "{} s after the last fault: {}", CONVERGENCE_LIMIT / SEC, error);
         }
     }
--- a/scalelab/tests/gossip_convergence_time.rs
+++ b/scalelab/tests/gossip_convergence_time.rs
@@ -20,7 +20,7 @@
     network
 }
 
-/// Runs until all views are equal and correct and returns the time that duration, in microseconds. Panics after
+/// Runs until all views are equal and correct and returns how long that took, in microseconds. Panics after
 /// `timeout` microseconds.
 fn run_until_converged(network: &mut SimulatedNetwork, timeout: u64) -> u64 {
     let duration = network.run_until_stable(timeout, |network| network.disagreement(0).is_none());
@@ -59,15 +59,15 @@
 }
 
 #[rstest]
-fn a_draining_front_end_stops_counting_within_a_second(#[values(1, 2, 3)] seed: u64) {
+fn all_front_ends_know_within_a_second_that_one_drains(#[values(1, 2, 3)] seed: u64) {
     let mut network = settled(12, seed);
     network.update(5, |metadata| metadata.lifecycle = Lifecycle::Draining);
-    let counted = network.run_until_stable(SEC, |network| {
+    let known_to_all = network.run_until_stable(SEC, |network| {
         (0..12).filter(|&index| index != 5).all(|index| {
             network.peers[index].status.by_lifecycle[Lifecycle::Draining as usize] == 1
         })
     });
-    assert!(counted.is_some());
+    assert!(known_to_all.is_some());
     assert!((0..12)
         .filter(|&index| index != 5)
         .all(|index| network.peers[index].status.ready() == 10));
@@ -78,7 +78,7 @@
 #[case::a_hundred(100, 3 * SEC)]
 fn a_change_of_a_record_is_known_to_all(
     #[case] front_ends: usize,
-    #[case] within: u64,
+    #[case] timeout: u64,
     #[values(1, 2, 3)] seed: u64,
     #[values(0.0, 0.05)] loss: f64,
 ) {
@@ -93,7 +93,7 @@
             },
         );
     });
-    run_until_converged(&mut network, within);
+    run_until_converged(&mut network, timeout);
 }
 
 /// A partition into halves for 80 s, with a restart on each side. After it has healed, all views become equal and
@@ -142,8 +142,11 @@
     (0..crashed).for_each(|crash| network.kill(3 * crash));
     network.down_reports.clear();
     let duration = run_until_converged(&mut network, 6 * SEC);
-    let dead: Vec<usize> = (0..crashed).map(|crash| 3 * crash).collect();
-    assert_eq!(falsely_declared_down(&network, &dead), BTreeSet::new());
+    let crashed_indices: Vec<usize> = (0..crashed).map(|crash| 3 * crash).collect();
+    assert_eq!(
+        falsely_declared_down(&network, &crashed_indices),
+        BTreeSet::new()
+    );
     eprintln!(
         "{crashed} of 40 crashed: all views equal after {} ms",
         duration / MS
