--- a/scalelab/src/gossip_network/gossip_node.rs
+++ b/scalelab/src/gossip_network/gossip_node.rs
@@ -73,15 +73,15 @@
 
     pub(super) fn events(&mut self) -> Vec<TimedPeerEvent> {
         match self {
-            GossipNode::BoundedView(node) => node.events(),
-            GossipNode::Summaries(swim) => swim.events(),
+            GossipNode::BoundedView(node) => node.take_events(),
+            GossipNode::Summaries(swim) => swim.take_events(),
         }
     }
 
     pub(super) fn outbox(&mut self) -> Vec<Outgoing> {
         match self {
-            GossipNode::BoundedView(node) => node.outbox(),
-            GossipNode::Summaries(swim) => swim.outbox(),
+            GossipNode::BoundedView(node) => node.take_outbox(),
+            GossipNode::Summaries(swim) => swim.take_outbox(),
         }
     }
 }
--- a/wrenseam/src/core/attempts.rs
+++ b/wrenseam/src/core/attempts.rs
@@ -26,7 +26,7 @@
         let Some(request) = self.requests.request(id).cloned() else {
             return;
         };
-        let answer_timeout = self.effective_timeout(now, &request, timeout);
+        let response_timeout = self.effective_timeout(now, &request, timeout);
         let admitted = self.admit_attempt(now, id);
         let Some(key) = self.requests.start_attempt(id, worker.clone(), now) else {
             return;
@@ -34,7 +34,7 @@
         // The front sets this flag before the core receives the message that the client has gone.
         let client_gone = request.client_gone.load(Ordering::Acquire);
         let start_deadline = self.lease_end(&worker);
-        let startable = admitted && answer_timeout > 0 && !client_gone;
+        let startable = admitted && response_timeout > 0 && !client_gone;
         match self.workers.ready_transport(&worker) {
             // No connection is free. Reported as a rejection by the worker, so that the policy avoids it for a while.
             Some(_) if !has_connection => {
@@ -42,7 +42,7 @@
             }
             Some(transport) if startable => {
                 let limits = AttemptLimits {
-                    answer_timeout,
+                    response_timeout,
                     write_deadline,
                     start_deadline,
                 };
@@ -50,7 +50,7 @@
                 self.leases.used(&worker, now);
                 self.requests.mark_handed_over(key);
                 self.request_counters.record_attempt_sent();
-                let timeout_at = now.saturating_add(answer_timeout);
+                let timeout_at = now.saturating_add(response_timeout);
                 self.timers.set(timeout_at, TimerEvent::AttemptTimeout(key));
             }
             _ => self.finish_attempt(key, Outcome::NotSent),
--- a/wrenseam/src/core/endpoints.rs
+++ b/wrenseam/src/core/endpoints.rs
@@ -87,11 +87,11 @@
             .client_connections
             .load(Ordering::Acquire);
         self.workers
-            .ensure_connection_available(worker, self.connection_pool(), clients)
+            .ensure_connection_available(worker, self.pool_limit(), clients)
     }
 
     /// The limit on connections to workers, from the process's limit on descriptors.
-    pub(super) fn connection_pool(&self) -> PoolLimit {
+    pub(super) fn pool_limit(&self) -> PoolLimit {
         PoolLimit::new(self.limits.descriptors, RESERVED_DESCRIPTORS)
     }
 }
--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -64,7 +64,7 @@
     /// The last number given to a request, load order or health check. The ids that clients send cannot serve as
     /// numbers, as they are not unique over time.
     last_number: u64,
-    last_liveness_check: Micros,
+    last_keepalive_check: Micros,
     requests: RequestTable,
     load_orders: LoadOrders,
     workers: WorkerTable,
@@ -110,7 +110,7 @@
             reports,
             process_state,
             last_number: 0,
-            last_liveness_check: 0,
+            last_keepalive_check: 0,
             requests: RequestTable::default(),
             load_orders: LoadOrders::default(),
             workers: WorkerTable::default(),
@@ -168,7 +168,7 @@
             .set(now + IDLE_SWEEP_PERIOD, TimerEvent::IdleSweep);
         self.timers.set(
             now + self.limits.keepalive_check_interval,
-            TimerEvent::LivenessCheck,
+            TimerEvent::KeepaliveCheck,
         );
         self.timers
             .set(now + LEASE_REVIEW_PERIOD, TimerEvent::LeaseReview);
--- a/wrenseam/src/core/tables/workers.rs
+++ b/wrenseam/src/core/tables/workers.rs
@@ -143,7 +143,7 @@
     }
 
     /// Probes the connections on which answers are overdue, and closes those that do not respond.
-    pub fn check_liveness(&mut self) {
+    pub fn check_keepalive(&mut self) {
         for worker in self.0.values_mut() {
             for transport in worker.transports_mut() {
                 transport.check_keepalive();
@@ -177,20 +177,25 @@
     pub fn ensure_connection_available(
         &mut self,
         worker: &str,
-        pool: PoolLimit,
+        pool_limit: PoolLimit,
         clients: usize,
     ) -> bool {
         let needs_connection = self
             .0
             .get(worker)
             .is_some_and(|worker| worker.transport.connections().next_attempt_opens);
-        !needs_connection || self.trim_idle_connections(1, pool, clients)
+        !needs_connection || self.trim_idle_connections(1, pool_limit, clients)
     }
 
     /// Closes the connections that have been idle longest until `more` may be opened, with `clients` client connections
     /// open. Returns false if too few are idle for that.
-    pub fn trim_idle_connections(&mut self, more: usize, pool: PoolLimit, clients: usize) -> bool {
-        let excess = pool.excess(ConnectionCounts {
+    pub fn trim_idle_connections(
+        &mut self,
+        more: usize,
+        pool_limit: PoolLimit,
+        clients: usize,
+    ) -> bool {
+        let excess = pool_limit.excess(ConnectionCounts {
             open: self.connections(),
             additional: more,
             clients,
--- a/wrenseam/src/core/timer_events.rs
+++ b/wrenseam/src/core/timer_events.rs
@@ -15,7 +15,7 @@
             TimerEvent::AttemptTimeout(key) => self.time_out_attempt(key),
             TimerEvent::LoadOrderTimeout(order) => self.time_out_load_order(order),
             TimerEvent::RequestDeadline(id) => self.finish_request(id, Answer::Failed),
-            TimerEvent::LivenessCheck => self.check_liveness(),
+            TimerEvent::KeepaliveCheck => self.check_keepalive(),
             TimerEvent::LeaseReview => self.review_leases_periodically(),
             TimerEvent::IdleSweep => self.sweep_idle(),
         }
@@ -39,20 +39,20 @@
     ///
     /// Both are skipped if this thread itself was delayed: data that workers sent in the meantime has not been read
     /// yet, so the probe would close connections that do respond.
-    fn check_liveness(&mut self) {
+    fn check_keepalive(&mut self) {
         let now = self.clock.now();
         let period = self.limits.keepalive_check_interval;
-        if now < self.last_liveness_check + 2 * period {
-            self.workers.check_liveness();
+        if now < self.last_keepalive_check + 2 * period {
+            self.workers.check_keepalive();
             let clients = self
                 .process_state
                 .client_connections
                 .load(Ordering::Acquire);
             self.workers
-                .trim_idle_connections(0, self.connection_pool(), clients);
+                .trim_idle_connections(0, self.pool_limit(), clients);
         }
-        self.last_liveness_check = now;
-        self.timers.set(now + period, TimerEvent::LivenessCheck);
+        self.last_keepalive_check = now;
+        self.timers.set(now + period, TimerEvent::KeepaliveCheck);
     }
 
     /// Closes idle connections and removes the records of workers that are gone. Workers are replaced all the time, so
--- a/wrenseam/src/core/timers.rs
+++ b/wrenseam/src/core/timers.rs
@@ -20,7 +20,7 @@
     /// The last moment at which the request of this number can be answered in time for its client.
     RequestDeadline(u64),
     /// Connections to workers are to be probed.
-    LivenessCheck,
+    KeepaliveCheck,
     /// Readiness leases are to be reviewed.
     LeaseReview,
     /// Idle connections are to be closed and workers that are gone removed.
--- a/wrenseam/src/fleet/average.rs
+++ b/wrenseam/src/fleet/average.rs
@@ -269,7 +269,7 @@
     }
 
     /// Removes and returns the datagrams to send.
-    pub fn outbox(&mut self) -> Vec<Outgoing> {
+    pub fn take_outbox(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outbox)
     }
 
--- a/wrenseam/src/fleet/members.rs
+++ b/wrenseam/src/fleet/members.rs
@@ -78,7 +78,7 @@
     has_left: bool,
     outbox: Vec<Outgoing>,
     events: Vec<TimedPeerEvent>,
-    /// Whether members or records may have changed since [`Members::changed`] was last called.
+    /// Whether members or records may have changed since [`Members::take_changed`] was last called.
     changed: bool,
     /// Whether the byte budget is too low for a complete repair: no repair is begun or answered, and no rumor
     /// forwarded.
@@ -162,9 +162,9 @@
     }
 
     /// Whether members, or their records, may have changed since the last call.
-    pub fn changed(&mut self) -> bool {
+    pub fn take_changed(&mut self) -> bool {
         let own_change = std::mem::take(&mut self.changed);
-        let swim_change = self.swim.changed();
+        let swim_change = self.swim.take_changed();
         own_change || swim_change
     }
 
@@ -174,14 +174,14 @@
     }
 
     /// Takes the datagrams to send.
-    pub fn outbox(&mut self) -> Vec<Outgoing> {
-        let mut out = self.swim.outbox();
+    pub fn take_outbox(&mut self) -> Vec<Outgoing> {
+        let mut out = self.swim.take_outbox();
         out.append(&mut self.outbox);
         out
     }
 
     /// Takes the changes of membership since the last call.
-    pub fn events(&mut self) -> Vec<TimedPeerEvent> {
+    pub fn take_events(&mut self) -> Vec<TimedPeerEvent> {
         std::mem::take(&mut self.events)
     }
 
@@ -290,7 +290,7 @@
     /// Applies the changes of membership to the directory, republishes our record if our incarnation was raised, and
     /// updates the view's digest.
     fn sync_directory(&mut self, now: Micros) {
-        for timed in self.swim.events() {
+        for timed in self.swim.take_events() {
             self.apply_event(now, timed);
         }
         let incarnation = self.swim.own().incarnation;
--- a/wrenseam/src/fleet/node.rs
+++ b/wrenseam/src/fleet/node.rs
@@ -153,7 +153,7 @@
     /// Updates the neighbours of the averaging if members changed. Called once per turn of the averaging instead of for
     /// each datagram.
     fn update_neighbours(&mut self, now: Micros) {
-        if self.members.changed() {
+        if self.members.take_changed() {
             let ready = self.members.ready();
             self.average.set_members(now, ready.into_iter());
         }
@@ -309,9 +309,9 @@
 
     /// Removes and returns the datagrams to send, in the order of [`TrafficKind`](super::traffic::TrafficKind). Drops
     /// those that the byte budget does not admit.
-    pub fn outbox(&mut self) -> Vec<Outgoing> {
-        let mut datagrams = self.members.outbox();
-        datagrams.extend(self.average.outbox());
+    pub fn take_outbox(&mut self) -> Vec<Outgoing> {
+        let mut datagrams = self.members.take_outbox();
+        datagrams.extend(self.average.take_outbox());
         datagrams.sort_by_key(|datagram| datagram.kind.index());
         let now = self.now;
         let byte_budget = &mut self.byte_budget;
@@ -320,8 +320,8 @@
     }
 
     /// Removes and returns the changes of membership since the last call.
-    pub fn events(&mut self) -> Vec<TimedPeerEvent> {
-        let events = self.members.events();
+    pub fn take_events(&mut self) -> Vec<TimedPeerEvent> {
+        let events = self.members.take_events();
         for timed in &events {
             match timed.event {
                 PeerEvent::Up(_) => self.joined += 1,
--- a/wrenseam/src/fleet/summary.rs
+++ b/wrenseam/src/fleet/summary.rs
@@ -174,7 +174,7 @@
 #[derive(Clone, Debug)]
 pub struct Summaries {
     capacity: usize,
-    fresh_for: Micros,
+    ttl: Micros,
     by_origin: BTreeMap<SocketAddr, ReceivedSummary>,
 }
 
@@ -190,12 +190,12 @@
 }
 
 impl Summaries {
-    /// An empty table for up to `capacity` peers, at least 1. A summary is fresh for `fresh_for` microseconds after it
+    /// An empty table for up to `capacity` peers, at least 1. A summary is fresh for `ttl` microseconds after it
     /// was received.
-    pub fn new(capacity: usize, fresh_for: Micros) -> Self {
+    pub fn new(capacity: usize, ttl: Micros) -> Self {
         Summaries {
             capacity: capacity.max(1),
-            fresh_for,
+            ttl,
             by_origin: BTreeMap::new(),
         }
     }
@@ -242,7 +242,7 @@
     pub fn fresh(&self, now: Micros) -> impl Iterator<Item = &Summary> {
         self.by_origin
             .values()
-            .filter(move |received| now.saturating_sub(received.received_at) <= self.fresh_for)
+            .filter(move |received| now.saturating_sub(received.received_at) <= self.ttl)
             .map(|received| &received.summary)
     }
 
--- a/wrenseam/src/fleet/swim.rs
+++ b/wrenseam/src/fleet/swim.rs
@@ -284,7 +284,7 @@
     }
 
     /// Whether the live peers may have changed since the last call.
-    pub fn changed(&mut self) -> bool {
+    pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.runtime.changed)
     }
 
@@ -331,12 +331,12 @@
     }
 
     /// Takes the datagrams to send.
-    pub fn outbox(&mut self) -> Vec<Outgoing> {
+    pub fn take_outbox(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.runtime.outbox)
     }
 
     /// Takes the changes of membership since the last call, and drops the summaries of the peers that went down.
-    pub fn events(&mut self) -> Vec<TimedPeerEvent> {
+    pub fn take_events(&mut self) -> Vec<TimedPeerEvent> {
         let events = std::mem::take(&mut self.runtime.events);
         for timed in &events {
             if let PeerEvent::Down(id) = timed.event {
--- a/wrenseam/src/fleet/swim/runtime.rs
+++ b/wrenseam/src/fleet/swim/runtime.rs
@@ -24,7 +24,7 @@
     pub(super) outbox: Vec<Outgoing>,
     pub(super) timers: Timers,
     pub(super) events: Vec<TimedPeerEvent>,
-    /// Whether the live peers may have changed since [`super::Swim::changed`] was last called.
+    /// Whether the live peers may have changed since [`super::Swim::take_changed`] was last called.
     pub(super) changed: bool,
     /// Whether foca found that the peers declared this front end down.
     pub(super) defunct: bool,
--- a/wrenseam/src/front/kserve/answers.rs
+++ b/wrenseam/src/front/kserve/answers.rs
@@ -2,7 +2,7 @@
 use crate::front::connection::{ConnectionClient, ConnectionError, ResponseChannel};
 use crate::http::{response, Status};
 use crate::model::{Answer, Client, Payload};
-use crate::worker::kserve::wrap_answer;
+use crate::worker::kserve::wrap_response;
 use may::sync::Mutex;
 use miniserde::json::{self, Object, Value};
 use std::collections::VecDeque;
@@ -39,7 +39,7 @@
     match payload {
         Payload::Json(body) => body,
         Payload::Bytes(body) if is_json_object(&body) => body,
-        Payload::Bytes(body) => wrap_answer(&body),
+        Payload::Bytes(body) => wrap_response(&body),
     }
 }
 
--- a/wrenseam/src/gossip.rs
+++ b/wrenseam/src/gossip.rs
@@ -211,7 +211,7 @@
     }
 
     fn send(&mut self) {
-        for Outgoing { to, bytes, .. } in self.node.outbox() {
+        for Outgoing { to, bytes, .. } in self.node.take_outbox() {
             // If a peer is gone, a later call returns its ICMP error, which needs no action: the failure detector
             // notices.
             let _ = self.socket.send_to(&bytes, to);
@@ -220,7 +220,7 @@
 
     /// Logs changes of membership.
     fn log_events(&mut self) {
-        for TimedPeerEvent { event, .. } in self.node.events() {
+        for TimedPeerEvent { event, .. } in self.node.take_events() {
             let alive = self.node.alive();
             match event {
                 PeerEvent::Up(peer) => log_limited!("{}", log_lines::peer_up(peer.addr, alive)),
--- a/wrenseam/src/worker/dispatch.rs
+++ b/wrenseam/src/worker/dispatch.rs
@@ -137,11 +137,11 @@
 
     /// The dispatch of an attempt of this request, sent at `now`.
     pub fn for_attempt(request: &Request, limits: AttemptLimits, now: Instant) -> Arc<Dispatch> {
-        let answer_deadline = now + Duration::from_micros(limits.answer_timeout);
+        let response_deadline = now + Duration::from_micros(limits.response_timeout);
         let start_deadline = [limits.write_deadline, limits.start_deadline]
             .into_iter()
             .flatten()
-            .fold(answer_deadline, Instant::min);
+            .fold(response_deadline, Instant::min);
         Arc::new(Dispatch {
             state: AtomicDispatchState::new(DispatchState::Waiting),
             client_gone: request.client_gone.clone(),
--- a/wrenseam/src/worker/frames/codec.rs
+++ b/wrenseam/src/worker/frames/codec.rs
@@ -1,4 +1,4 @@
-//! Encodes frames of the platform's protocol, and decodes answers from a stream of bytes. No sockets.
+//! Encodes frames of the platform's protocol, and decodes responses from a stream of bytes. No sockets.
 //!
 //! A frame is a header of 16 bytes (magic byte, code, length of the fields, length of the body, id; big endian), the
 //! fields as `name=value,name=value`, the body, and a CRC-32 of fields and body.
@@ -31,7 +31,7 @@
 /// Bytes of a frame without fields and body.
 pub(super) const EMPTY_FRAME_BYTES: usize = HEADER_BYTES + CHECKSUM_BYTES;
 
-/// Why a stream of answers cannot be decoded any further. Nothing that follows on it can be trusted.
+/// Why a stream of responses cannot be decoded any further. Nothing that follows on it can be trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
     /// A frame begins with this byte instead of a worker's magic byte.
@@ -43,13 +43,13 @@
     /// The fields or the body were corrupted.
     #[error("checksum mismatch")]
     Checksum,
-    /// The code is not one of an answer, or not one of an answer to this kind of exchange.
+    /// The code is not one of a response, or not one of a response to this kind of exchange.
     #[error("unknown code {0}")]
     UnknownCode(u8),
-    /// The code says that nothing ran, but the answer has a body.
+    /// The code says that nothing ran, but the response has a body.
     #[error("unexpected body with code {0}")]
     UnexpectedBody(u8),
-    /// The answer belongs to a frame that has not been written completely.
+    /// The response belongs to a frame that has not been written completely.
     #[error("answer to an incomplete call")]
     IncompleteCall,
     /// A panic poisoned the lock of the exchange table.
@@ -71,7 +71,7 @@
     frame
 }
 
-/// A complete answer from a worker.
+/// A complete response from a worker.
 #[derive(Debug, PartialEq)]
 pub struct Frame {
     /// The code, which states the outcome or the worker's health.
@@ -85,7 +85,7 @@
 }
 
 impl Frame {
-    /// The value of a field; `None` if the answer has no such field.
+    /// The value of a field; `None` if the response has no such field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields
             .split(',')
@@ -94,13 +94,13 @@
             .map(|(_, value)| value)
     }
 
-    /// The value of a field; `None` if the answer has no such field or it is not a number.
+    /// The value of a field; `None` if the response has no such field or it is not a number.
     pub(super) fn number(&self, name: &str) -> Option<u32> {
         self.field(name)?.parse().ok()
     }
 }
 
-/// The header of an answer.
+/// The header of a response.
 struct Header {
     code: u8,
     id: u64,
@@ -188,35 +188,35 @@
     })
 }
 
-/// The meaning of an answer's code.
+/// The meaning of a response's code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum AnswerCode {
+pub(super) enum ResponseCode {
     /// How a call or a load order ended.
     Outcome(Outcome),
     /// Whether the worker accepts new work.
     Health(HealthCheckResult),
 }
 
-impl AnswerCode {
-    pub(super) fn parse(code: u8) -> Result<AnswerCode, FrameError> {
+impl ResponseCode {
+    pub(super) fn parse(code: u8) -> Result<ResponseCode, FrameError> {
         match code {
-            200 => Ok(AnswerCode::Outcome(Outcome::Ok)),
-            202 => Ok(AnswerCode::Outcome(Outcome::NotLoaded)),
-            203 => Ok(AnswerCode::Outcome(Outcome::Rejected)),
-            204 => Ok(AnswerCode::Outcome(Outcome::Error)),
-            205 => Ok(AnswerCode::Outcome(Outcome::NotSent)),
-            206 => Ok(AnswerCode::Health(HealthCheckResult::Accepting)),
-            207 => Ok(AnswerCode::Health(HealthCheckResult::NotAccepting)),
+            200 => Ok(ResponseCode::Outcome(Outcome::Ok)),
+            202 => Ok(ResponseCode::Outcome(Outcome::NotLoaded)),
+            203 => Ok(ResponseCode::Outcome(Outcome::Rejected)),
+            204 => Ok(ResponseCode::Outcome(Outcome::Error)),
+            205 => Ok(ResponseCode::Outcome(Outcome::NotSent)),
+            206 => Ok(ResponseCode::Health(HealthCheckResult::Accepting)),
+            207 => Ok(ResponseCode::Health(HealthCheckResult::NotAccepting)),
             _ => Err(FrameError::UnknownCode(code)),
         }
     }
 }
 
-/// Encodes a call. The worker is told how long its answer is awaited.
+/// Encodes a call. The worker is told how long its response is awaited.
 pub(super) fn call(request: &Request, limits: AttemptLimits) -> Vec<u8> {
     let class = &request.class;
     let function = request.function;
-    let budget_ms = (limits.answer_timeout / MICROS_PER_MILLI).max(1);
+    let budget_ms = (limits.response_timeout / MICROS_PER_MILLI).max(1);
     let mut fields = format!("queue={class},path={function:016x},budget={budget_ms}");
     if let Some(idempotency_key) = &request.idempotency_key {
         fields.push_str(",uniq=");
--- a/wrenseam/src/worker/frames/connection.rs
+++ b/wrenseam/src/worker/frames/connection.rs
@@ -76,12 +76,12 @@
         self.writer_has_probe.store(has_probe, Ordering::Release);
     }
 
-    /// When an answer was last read; `None` if none was.
-    pub(super) fn last_answer_at(&self) -> Option<Instant> {
-        self.table.lock().ok()?.last_answer_at
+    /// When a response was last read; `None` if none was.
+    pub(super) fn last_response_at(&self) -> Option<Instant> {
+        self.table.lock().ok()?.last_response_at
     }
 
-    /// Reports that an exchange of this connection ended without an answer.
+    /// Reports that an exchange of this connection ended without a response.
     pub(super) fn report_end(&self, reports: &CoreHandle, kind: ExchangeKind, outcome: Outcome) {
         self.count_ended();
         match kind {
--- a/wrenseam/src/worker/frames/exchange.rs
+++ b/wrenseam/src/worker/frames/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges: a frame that is sent and the answer that is awaited to it.
+//! Exchanges: a frame that is sent and the response that is awaited to it.
 use super::super::dispatch::Dispatch;
 use super::codec::EMPTY_FRAME_BYTES;
 use super::keepalive::OldestExchange;
@@ -46,7 +46,7 @@
     Open(NewExchange),
     /// The cancellation of an exchange, sent only if the exchange has been written.
     Cancel(ExchangeKind),
-    /// A frame that gets no answer.
+    /// A frame that gets no response.
     OneWay(Vec<u8>),
 }
 
@@ -69,7 +69,7 @@
     CloseIfSilentSince(Instant),
 }
 
-/// An exchange whose frame is in the ring or whose answer is awaited.
+/// An exchange whose frame is in the ring or whose response is awaited.
 pub(super) struct Exchange {
     pub(super) kind: ExchangeKind,
     /// Position in the stream right after its frame.
@@ -85,8 +85,8 @@
     pub(super) open: BTreeMap<u64, Exchange>,
     /// Whether the connection has ended: no further exchange is opened.
     pub(super) closed: bool,
-    /// When an answer was last read; `None` if none was.
-    pub(super) last_answer_at: Option<Instant>,
+    /// When a response was last read; `None` if none was.
+    pub(super) last_response_at: Option<Instant>,
 }
 
 impl ExchangeTable {
@@ -100,11 +100,11 @@
             })
     }
 
-    /// Whether an exchange other than a check was opened since the last answer.
-    pub(super) fn opened_since_answer(&self) -> bool {
+    /// Whether an exchange other than a check was opened since the last response.
+    pub(super) fn opened_since_response(&self) -> bool {
         self.without_checks().any(|exchange| {
-            self.last_answer_at
-                .is_none_or(|answer_at| exchange.opened_at > answer_at)
+            self.last_response_at
+                .is_none_or(|response_at| exchange.opened_at > response_at)
         })
     }
 
--- a/wrenseam/src/worker/frames/handle.rs
+++ b/wrenseam/src/worker/frames/handle.rs
@@ -51,11 +51,11 @@
         !self.state.is_closed() && self.state.open_exchanges() == 0
     }
 
-    /// Since when the connection has been quiet: when it was last chosen, or when an answer was last read if that was
+    /// Since when the connection has been quiet: when it was last chosen, or when a response was last read if that was
     /// later.
     pub(super) fn quiet_since(&self) -> Instant {
-        match self.state.last_answer_at() {
-            Some(answer_at) => answer_at.max(self.last_used_at),
+        match self.state.last_response_at() {
+            Some(response_at) => response_at.max(self.last_used_at),
             None => self.last_used_at,
         }
     }
@@ -126,9 +126,9 @@
         let observation = Observation {
             now,
             observed,
-            last_answer_at: table.last_answer_at,
+            last_response_at: table.last_response_at,
             oldest: table.oldest(),
-            opened_since_answer: table.opened_since_answer(),
+            opened_since_response: table.opened_since_response(),
             writer_has_probe: self.state.writer_has_probe(),
         };
         drop(table);
--- a/wrenseam/src/worker/frames/keepalive.rs
+++ b/wrenseam/src/worker/frames/keepalive.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 use wrenseam_policy::FunctionId;
 
-/// The oldest exchange whose answer is awaited.
+/// The oldest exchange whose response is awaited.
 #[derive(Clone, Copy)]
 pub(super) struct OldestExchange {
     pub(super) opened_at: Instant,
@@ -16,12 +16,12 @@
     pub(super) now: Instant,
     /// How much of the time since the previous check counts as silence of the worker.
     pub(super) observed: Duration,
-    /// When an answer was last read; `None` if none was.
-    pub(super) last_answer_at: Option<Instant>,
+    /// When a response was last read; `None` if none was.
+    pub(super) last_response_at: Option<Instant>,
     /// The oldest open exchange, probes and health checks aside.
     pub(super) oldest: Option<OldestExchange>,
-    /// Whether an exchange, other than a probe or health check, was opened since the last answer.
-    pub(super) opened_since_answer: bool,
+    /// Whether an exchange, other than a probe or health check, was opened since the last response.
+    pub(super) opened_since_response: bool,
     /// Whether the writer has received the last probe.
     pub(super) writer_has_probe: bool,
 }
@@ -62,7 +62,7 @@
         seen: &Observation,
         limits: &Limits,
     ) -> KeepaliveAction {
-        if seen.last_answer_at.is_some_and(|at| at >= sent_at) {
+        if seen.last_response_at.is_some_and(|at| at >= sent_at) {
             self.probe_sent_at = None;
             return KeepaliveAction::None;
         }
@@ -79,13 +79,13 @@
         let Some(oldest) = seen.oldest else {
             return KeepaliveAction::None;
         };
-        let quiet_since = match seen.last_answer_at {
-            Some(answer_at) => answer_at.max(oldest.opened_at),
+        let quiet_since = match seen.last_response_at {
+            Some(response_at) => response_at.max(oldest.opened_at),
             None => oldest.opened_at,
         };
         let quiet = seen.now.saturating_duration_since(quiet_since);
         let age = seen.now.saturating_duration_since(oldest.opened_at);
-        if !probe_due(seen.opened_since_answer, quiet, age, limits) {
+        if !probe_due(seen.opened_since_response, quiet, age, limits) {
             return KeepaliveAction::None;
         }
         self.probe_sent_at = Some(seen.now);
@@ -95,15 +95,15 @@
 }
 
 /// Whether a connection that has been quiet for `quiet` is probed. `oldest_age` is the age of its oldest open exchange,
-/// and `opened_since_answer` tells whether an exchange was opened since the last answer. If none was, as while a
+/// and `opened_since_response` tells whether an exchange was opened since the last response. If none was, as while a
 /// replica loads, probes become less frequent with that age.
 pub fn probe_due(
-    opened_since_answer: bool,
+    opened_since_response: bool,
     quiet: Duration,
     oldest_age: Duration,
     limits: &Limits,
 ) -> bool {
-    let backoff = if opened_since_answer {
+    let backoff = if opened_since_response {
         Duration::ZERO
     } else {
         oldest_age * limits.keepalive_repeat_percent / 100
--- a/wrenseam/src/worker/frames/mod.rs
+++ b/wrenseam/src/worker/frames/mod.rs
@@ -74,8 +74,8 @@
     }
 
     /// Returns a connection with capacity for another exchange, a new one if there is none. A connection on which `id`
-    /// is still reserved is not chosen: a late or duplicate answer to the earlier exchange with this id would be taken
-    /// for the answer to the new one.
+    /// is still reserved is not chosen: a late or duplicate response to the earlier exchange with this id would be
+    /// taken for the response to the new one.
     fn connection_for(&mut self, id: Option<u64>) -> &mut ConnectionHandle {
         let limits = &self.limits;
         let found = self.connections.iter().position(|connection| {
@@ -141,7 +141,7 @@
         let id = request.wire_id;
         let frame = codec::call(request, limits);
         let dispatch = Dispatch::for_attempt(request, limits, Instant::now());
-        // The client may reuse the id while it waits, and answers to the id may come a little later still.
+        // The client may reuse the id while it waits, and responses to the id may come a little later still.
         let reserved_until = request.received_at
             + Duration::from_micros(request.timeout)
             + self.limits.late_response_grace;
--- a/wrenseam/src/worker/frames/outgoing.rs
+++ b/wrenseam/src/worker/frames/outgoing.rs
@@ -169,7 +169,7 @@
             return Err(WriteError::Poisoned);
         };
         if table.closed || table.open.contains_key(&exchange.id) {
-            // Answers to two exchanges with one id could not be told apart, so the later exchange is not sent.
+            // Responses to two exchanges with one id could not be told apart, so the later exchange is not sent.
             drop(table);
             self.end_unwritten(&exchange, Outcome::ConnectFailed);
             return Ok(());
@@ -193,7 +193,8 @@
         Ok(())
     }
 
-    /// Adds a frame that gets no answer to the ring. The attempt that it `cancels` has ended once the frame is written.
+    /// Adds a frame that gets no response to the ring. The attempt that it `cancels` has ended once the frame is
+    /// written.
     fn push_one_way(&mut self, frame: &[u8], cancels: Option<AttemptKey>) {
         self.queue.push(QueuedFrame {
             len: frame.len(),
@@ -204,7 +205,7 @@
     }
 
     /// Cancels an exchange. Only for an attempt is the worker notified: a load order is carried out whether or not its
-    /// answer is awaited.
+    /// response is awaited.
     fn cancel(&mut self, kind: ExchangeKind) {
         let withdrawn = self.withdraw(kind);
         let ExchangeKind::Attempt(key) = kind else {
--- a/wrenseam/src/worker/frames/reader.rs
+++ b/wrenseam/src/worker/frames/reader.rs
@@ -1,7 +1,7 @@
-//! The reading side of one connection to a worker: reads answers and matches them to exchanges.
+//! The reading side of one connection to a worker: reads responses and matches them to exchanges.
 use super::super::socket::has_no_unread_input;
 use super::super::{log_lines, replica_loaded};
-use super::codec::{AnswerCode, Decoder, Frame, FrameError};
+use super::codec::{Decoder, Frame, FrameError, ResponseCode};
 use super::connection::ConnectionState;
 use super::exchange::{Exchange, ExchangeKind};
 use crate::limits::Limits;
@@ -35,7 +35,7 @@
 }
 
 /// The reading coroutine of one connection.
-pub(super) struct AnswerReader {
+pub(super) struct ResponseReader {
     stream: TcpStream,
     ring: Ring,
     decoder: Decoder,
@@ -44,14 +44,14 @@
     limits: Arc<Limits>,
 }
 
-impl AnswerReader {
+impl ResponseReader {
     pub(super) fn new(
         stream: TcpStream,
         state: Arc<ConnectionState>,
         reports: CoreHandle,
         limits: Arc<Limits>,
     ) -> Self {
-        AnswerReader {
+        ResponseReader {
             stream,
             ring: Ring::new(limits.worker_ring_bytes),
             decoder: Decoder::default(),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Reads answers until the connection ends, then ends everything that is open on it.
+    /// Reads responses until the connection ends, then ends everything that is open on it.
     pub(super) fn run(mut self, address: SocketAddr) {
         if let Err(reason) = self.read_and_shut_down() {
             log_limited!("{}", log_lines::connection_closed(address, &reason));
@@ -73,24 +73,24 @@
     fn read_and_shut_down(&mut self) -> Result<(), ReadError> {
         self.stream
             .set_read_timeout(Some(self.limits.response_stall_timeout))?;
-        let end = self.read_answers();
+        let end = self.read_responses();
         let _ = self.stream.shutdown(Shutdown::Both); // makes the writer's next write fail
         end
     }
 
-    fn read_answers(&mut self) -> Result<(), ReadError> {
+    fn read_responses(&mut self) -> Result<(), ReadError> {
         loop {
             let read_started_at = Instant::now();
             let received = receive(&mut self.ring, &mut self.stream);
             match received.map_err(ReadError::Receive)? {
                 ReadOutcome::Closed => return Ok(()),
-                ReadOutcome::Data => self.handle_answers()?,
+                ReadOutcome::Data => self.handle_responses()?,
                 ReadOutcome::NotReady => self.check_incomplete_frame(read_started_at)?,
             }
         }
     }
 
-    /// Guards against an answer whose rest never comes. Only a read that waited counts, and only if no input is unread
+    /// Guards against a response whose rest never comes. Only a read that waited counts, and only if no input is unread
     /// now: input that came while the process was stopped is still unread.
     fn check_incomplete_frame(&self, read_started_at: Instant) -> Result<(), ReadError> {
         let has_waited = read_started_at.elapsed() >= self.limits.response_stall_timeout / 2;
@@ -102,26 +102,26 @@
 
     /// Handles the frames that are complete. After an invalid frame the reader cannot tell where the next one begins,
     /// so nothing more is read.
-    fn handle_answers(&mut self) -> Result<(), FrameError> {
+    fn handle_responses(&mut self) -> Result<(), FrameError> {
         while let Some(frame) = self
             .decoder
             .next(&mut self.ring, self.limits.max_response_bytes)?
         {
-            let answer = AnswerCode::parse(frame.code)?;
-            // Guards against a corrupted code, which the checksum does not cover: an answer that proves that nothing
+            let code = ResponseCode::parse(frame.code)?;
+            // Guards against a corrupted code, which the checksum does not cover: a response that proves that nothing
             // ran has no body.
-            let never_ran = match answer {
-                AnswerCode::Outcome(outcome) => outcome.proves_not_executed(),
-                AnswerCode::Health(_) => true,
+            let never_ran = match code {
+                ResponseCode::Outcome(outcome) => outcome.proves_not_executed(),
+                ResponseCode::Health(_) => true,
             };
             if never_ran && !frame.body.is_empty() {
                 return Err(FrameError::UnexpectedBody(frame.code));
             }
-            // A late answer to an exchange that has already ended is dropped.
-            if let Some(exchange) = self.take_exchange(&frame, answer)? {
+            // A late response to an exchange that has already ended is dropped.
+            if let Some(exchange) = self.take_exchange(&frame, code)? {
                 exchange.dispatch.end();
                 self.state.count_ended();
-                self.report_answer(exchange.kind, answer, frame);
+                self.report_response(exchange.kind, code, frame);
             }
         }
         Ok(())
@@ -131,17 +131,17 @@
     fn take_exchange(
         &self,
         frame: &Frame,
-        answer: AnswerCode,
+        code: ResponseCode,
     ) -> Result<Option<Exchange>, FrameError> {
         let mut table = self.state.table.lock().map_err(|_| FrameError::Poisoned)?;
-        table.last_answer_at = Some(Instant::now());
-        // Guards against an answer to a frame that is not completely written: the rest would still be sent, and the
+        table.last_response_at = Some(Instant::now());
+        // Guards against a response to a frame that is not completely written: the rest would still be sent, and the
         // call might run.
         if let Some(exchange) = table.open.get(&frame.id) {
             if exchange.frame_end > self.state.progress.bytes() {
                 return Err(FrameError::IncompleteCall);
             }
-            let is_health = matches!(answer, AnswerCode::Health(_));
+            let is_health = matches!(code, ResponseCode::Health(_));
             if is_health && !exchange.kind.is_check() {
                 return Err(FrameError::UnknownCode(frame.code));
             }
@@ -149,31 +149,31 @@
         Ok(table.open.remove(&frame.id))
     }
 
-    fn report_answer(&self, kind: ExchangeKind, answer: AnswerCode, frame: Frame) {
-        match (kind, answer) {
+    fn report_response(&self, kind: ExchangeKind, code: ResponseCode, frame: Frame) {
+        match (kind, code) {
             (ExchangeKind::Probe, _) => {}
-            (ExchangeKind::HealthCheck(check), AnswerCode::Health(result)) => {
+            (ExchangeKind::HealthCheck(check), ResponseCode::Health(result)) => {
                 self.reports.health_check_ended(check, result);
             }
-            (ExchangeKind::HealthCheck(check), AnswerCode::Outcome(_)) => {
+            (ExchangeKind::HealthCheck(check), ResponseCode::Outcome(_)) => {
                 let result = HealthCheckResult::NotAccepting;
                 self.reports.health_check_ended(check, result);
             }
-            (ExchangeKind::Order(order), AnswerCode::Outcome(outcome)) => {
+            (ExchangeKind::Order(order), ResponseCode::Outcome(outcome)) => {
                 let replicas = frame.number("slots_up").unwrap_or(0);
                 self.reports.load_order_ended(order, outcome, replicas);
             }
-            (ExchangeKind::Attempt(key), AnswerCode::Outcome(outcome)) => {
+            (ExchangeKind::Attempt(key), ResponseCode::Outcome(outcome)) => {
                 self.reports
                     .attempt_ended(key, attempt_report(outcome, frame));
             }
-            // Cannot occur: `take_exchange` rejects such an answer.
-            (ExchangeKind::Order(_) | ExchangeKind::Attempt(_), AnswerCode::Health(_)) => {}
+            // Cannot occur: `take_exchange` rejects such a response.
+            (ExchangeKind::Order(_) | ExchangeKind::Attempt(_), ResponseCode::Health(_)) => {}
         }
     }
 }
 
-/// The report on an attempt that an answer makes.
+/// The report on an attempt that a response makes.
 fn attempt_report(outcome: Outcome, frame: Frame) -> AttemptReport {
     let replica_loaded = replica_loaded(frame.field("detail"));
     let queue_depth = match outcome {
--- a/wrenseam/src/worker/frames/send_queue.rs
+++ b/wrenseam/src/worker/frames/send_queue.rs
@@ -11,7 +11,7 @@
 pub struct QueuedFrame {
     /// Length in bytes.
     pub len: usize,
-    /// The id of the exchange that it opens; `None` for a frame that gets no answer.
+    /// The id of the exchange that it opens; `None` for a frame that gets no response.
     pub id: Option<u64>,
     /// Whether it is not written once its worker drains.
     pub withheld_on_drain: bool,
@@ -47,7 +47,7 @@
     pub at: usize,
     /// Number of bytes.
     pub len: usize,
-    /// The exchange that the frame would have opened; `None` for a frame that gets no answer.
+    /// The exchange that the frame would have opened; `None` for a frame that gets no response.
     pub id: Option<u64>,
     /// Whether this cut ends the exchange. If not, whoever reclaimed it accounts for its end.
     pub ends_exchange: bool,
--- a/wrenseam/src/worker/frames/writer.rs
+++ b/wrenseam/src/worker/frames/writer.rs
@@ -5,7 +5,7 @@
 use super::connection::ConnectionState;
 use super::exchange::Command;
 use super::outgoing::Outgoing;
-use super::reader::AnswerReader;
+use super::reader::ResponseReader;
 use super::send_queue::ClaimScope;
 use crate::limits::Limits;
 use crate::net::{sleep, spawn, ErrorAction, SystemCalls};
@@ -103,7 +103,7 @@
 
     fn start_reader(&self, stream: &TcpStream) -> io::Result<()> {
         let address = self.address;
-        let reader = AnswerReader::new(
+        let reader = ResponseReader::new(
             stream.try_clone()?,
             self.state.clone(),
             self.reports.clone(),
@@ -208,8 +208,8 @@
     /// Whether nothing has been received since `asked_at`. Unread input counts as received: it may have come while the
     /// process was stopped.
     fn is_silent_since(&self, asked_at: Instant, stream: &TcpStream) -> bool {
-        let last_answer_at = self.state.last_answer_at();
-        last_answer_at.is_none_or(|at| at < asked_at) && has_no_unread_input(stream)
+        let last_response_at = self.state.last_response_at();
+        last_response_at.is_none_or(|at| at < asked_at) && has_no_unread_input(stream)
     }
 }
 
--- a/wrenseam/src/worker/kserve/connection.rs
+++ b/wrenseam/src/worker/kserve/connection.rs
@@ -3,9 +3,11 @@
 use super::super::dispatch::{StartResult, CLIENT_INPUT_WAIT};
 use super::super::log_lines;
 use super::super::socket::{has_no_unread_input, stalled_write_pause};
-use super::answer::{Answer, AnswerReader};
 use super::exchange::{Call, Exchange, ExchangeKind, Order, WorkerConnections};
-use super::messages::{answer_owner, attempt_report, load_report, AnswerOwner, LoadReport, Reply};
+use super::messages::{
+    attempt_report, load_report, response_owner, LoadReport, Response, ResponseOwner,
+};
+use super::response::{ReceivedResponse, ResponseReader};
 use crate::limits::Limits;
 use crate::model::AttemptReport;
 use crate::net::{resume_on_scheduler, sleep, ErrorAction, SystemCalls};
@@ -73,17 +75,17 @@
         }
     }
 
-    fn report_call(&self, call: &Call, end: Result<Reply, Outcome>) {
+    fn report_call(&self, call: &Call, end: Result<Response, Outcome>) {
         let report = match end {
-            Ok(reply) => attempt_report(reply, call.is_wrapped),
+            Ok(response) => attempt_report(response, call.is_wrapped),
             Err(outcome) => AttemptReport::without_payload(outcome),
         };
         self.reports.attempt_ended(call.key, report);
     }
 
-    fn report_order(&self, order: &Order, end: Result<Reply, Outcome>) {
+    fn report_order(&self, order: &Order, end: Result<Response, Outcome>) {
         let report = match end {
-            Ok(reply) => load_report(&reply, order),
+            Ok(response) => load_report(&response, order),
             Err(outcome) => LoadReport {
                 outcome,
                 replicas: 0,
@@ -93,47 +95,47 @@
             .load_order_ended(order.number, report.outcome, report.replicas);
     }
 
-    /// Sends the request and reads the complete answer. On failure, returns the outcome that follows from how far the
+    /// Sends the request and reads the complete response. On failure, returns the outcome that follows from how far the
     /// exchange came.
-    fn send_and_receive(&mut self, exchange: &Exchange) -> Result<Reply, Outcome> {
+    fn send_and_receive(&mut self, exchange: &Exchange) -> Result<Response, Outcome> {
         if self.is_withheld(exchange) {
             return Err(Outcome::NotSent);
         }
         let mut stream = match &exchange.kind {
             ExchangeKind::Call(_) => self.started_stream(exchange)?,
-            // Answers to these carry no id. After a duplicate answer, each later one on the connection would be taken
-            // for the answer to the wrong exchange.
+            // Responses to these carry no id. After a duplicate response, each later one on the connection would be
+            // taken for the response to the wrong exchange.
             ExchangeKind::Order(_) | ExchangeKind::Unload => self.new_started_stream(exchange)?,
         };
         self.write(&stream, exchange)?;
-        let answer = AnswerReader::new(&self.limits)
+        let received = ResponseReader::new(&self.limits)
             .read(&mut stream, exchange)
             .map_err(|reason| {
                 if !exchange.is_cancelled() {
-                    log_limited!("{}", log_lines::answer_lost(self.address, &reason));
+                    log_limited!("{}", log_lines::response_lost(self.address, &reason));
                 }
-                // The request was completely written and no complete answer came: it may have run.
+                // The request was completely written and no complete response came: it may have run.
                 Outcome::Reset
             })?;
         let owner = match &exchange.kind {
-            ExchangeKind::Call(call) => answer_owner(&answer.reply, call.wire_id),
-            ExchangeKind::Order(_) | ExchangeKind::Unload => AnswerOwner::Unstated,
+            ExchangeKind::Call(call) => response_owner(&received.response, call.wire_id),
+            ExchangeKind::Order(_) | ExchangeKind::Unload => ResponseOwner::Unstated,
         };
-        if owner == AnswerOwner::OtherCall {
-            log_limited!("{}", log_lines::answer_mismatched(self.address));
+        if owner == ResponseOwner::OtherCall {
+            log_limited!("{}", log_lines::response_mismatched(self.address));
             return Err(Outcome::Reset); // whether this call has run is unknown
         }
-        if owner == AnswerOwner::ThisCall {
-            self.keep_reusable(stream, &answer);
+        if owner == ResponseOwner::ThisCall {
+            self.keep_reusable(stream, &received);
         }
-        Ok(answer.reply)
+        Ok(received.response)
     }
 
-    /// Keeps the connection for the next call, if it can carry another. The caller makes sure that the answer names its
-    /// call: otherwise a late duplicate would be taken for the answer to the next call, whose own answer would go to
-    /// the call after it, and a rejection among them would prove of the wrong call that it never ran.
-    fn keep_reusable(&mut self, stream: TcpStream, answer: &Answer) {
-        if answer.is_reusable && answer.reply.status == 200 {
+    /// Keeps the connection for the next call, if it can carry another. The caller makes sure that the response names
+    /// its call: otherwise a late duplicate would be taken for the response to the next call, whose own response would
+    /// go to the call after it, and a rejection among them would prove of the wrong call that it never ran.
+    fn keep_reusable(&mut self, stream: TcpStream, received: &ReceivedResponse) {
+        if received.is_reusable && received.response.status == 200 {
             self.idle = Some(IdleStream {
                 stream,
                 since: Instant::now(),
@@ -171,7 +173,7 @@
                     self.idle = Some(idle);
                     return Err(Outcome::NotSent);
                 }
-                // Input that came while the exchange waited to be started is no answer to it.
+                // Input that came while the exchange waited to be started is no response to it.
                 if idle.is_usable(&self.limits) {
                     return Ok(idle.stream);
                 }
--- a/wrenseam/src/worker/kserve/exchange.rs
+++ b/wrenseam/src/worker/kserve/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges: a request to a v2 worker and the answer that is awaited to it.
+//! Exchanges: a request to a v2 worker and the response that is awaited to it.
 use super::super::dispatch::Dispatch;
 use crate::model::AttemptKey;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -11,7 +11,7 @@
     pub(super) key: AttemptKey,
     /// The id that the worker sees.
     pub(super) wire_id: u64,
-    /// Whether it carries a body of the platform's protocol, so that the answer must be unwrapped.
+    /// Whether it carries a body of the platform's protocol, so that the response must be unwrapped.
     pub(super) is_wrapped: bool,
 }
 
@@ -27,7 +27,7 @@
 pub(super) enum ExchangeKind {
     Call(Call),
     Order(Order),
-    /// An order to unload idle replicas, whose answer is ignored.
+    /// An order to unload idle replicas, whose response is ignored.
     Unload,
 }
 
@@ -44,8 +44,8 @@
     pub(super) drain_epoch: u64,
     /// Whether it is not started once the worker drains.
     pub(super) withheld_on_drain: bool,
-    /// If no answer has come by then, the connection closes, so that a silent worker does not keep it.
-    pub(super) answer_deadline: Instant,
+    /// If no response has come by then, the connection closes, so that a silent worker does not keep it.
+    pub(super) response_deadline: Instant,
 }
 
 impl Exchange {
--- a/wrenseam/src/worker/kserve/messages.rs
+++ b/wrenseam/src/worker/kserve/messages.rs
@@ -1,4 +1,4 @@
-//! KServe v2 messages as JSON, and what answers say about calls and load orders. No sockets.
+//! KServe v2 messages as JSON, and what responses say about calls and load orders. No sockets.
 use super::super::{replica_loaded, MICROS_PER_MILLI};
 use super::exchange::Order;
 use crate::model::{AttemptReport, Payload, Request};
@@ -7,7 +7,7 @@
 use wrenseam_policy::json::{as_text, list, nested_object, object, parse, text, unsigned};
 use wrenseam_policy::{FunctionId, Micros, Outcome};
 
-/// Larger numbers in an answer count as this.
+/// Larger numbers in a response count as this.
 const MAX_STATED_NUMBER: u64 = 1 << 16;
 
 /// Number of hexadecimal digits in an id that a front end chose.
@@ -49,8 +49,8 @@
     ])
 }
 
-/// The body of a v2 answer whose output tensor carries these bytes.
-pub fn wrap_answer(bytes: &[u8]) -> Vec<u8> {
+/// The body of a v2 response whose output tensor carries these bytes.
+pub fn wrap_response(bytes: &[u8]) -> Vec<u8> {
     json::to_string(&json_object(vec![(
         "outputs",
         json_array(vec![tensor(bytes)]),
@@ -77,9 +77,9 @@
     json::to_string(&call).into_bytes()
 }
 
-/// The bytes of the first output tensor of a v2 answer; `None` if there is none or its base64 is invalid.
-pub fn unwrap_answer(answer: &Object) -> Option<Vec<u8>> {
-    let output = list(answer, "outputs").first().and_then(object)?;
+/// The bytes of the first output tensor of a v2 response; `None` if there is none or its base64 is invalid.
+pub fn unwrap_response(fields: &Object) -> Option<Vec<u8>> {
+    let output = list(fields, "outputs").first().and_then(object)?;
     let data = list(output, "data").first().and_then(as_text)?;
     let content_type =
         nested_object(output, "parameters").and_then(|parameters| text(parameters, "content_type"));
@@ -96,8 +96,8 @@
     json::to_string(&json_object(vec![("parameters", parameters)]))
 }
 
-/// A complete answer: the parts that the outcome depends on.
-pub(super) struct Reply {
+/// A complete response: the parts that the outcome depends on.
+pub(super) struct Response {
     pub(super) status: u16,
     pub(super) body: Vec<u8>,
     /// Whether it has a Retry-After header.
@@ -109,42 +109,42 @@
     parse(text).ok()
 }
 
-/// The outcome that an answer proves. 404 (the worker lacks the model), 429 (it has too many calls) and 503 with
+/// The outcome that a response proves. 404 (the worker lacks the model), 429 (it has too many calls) and 503 with
 /// Retry-After (it accepts no calls for a while) prove that nothing has run. A 503 without Retry-After may come from a
-/// proxy that had passed the call on and lost the answer.
-fn outcome(reply: &Reply) -> Outcome {
-    match reply.status {
+/// proxy that had passed the call on and lost the response.
+fn outcome(response: &Response) -> Outcome {
+    match response.status {
         200 => Outcome::Ok,
         404 => Outcome::NotLoaded,
         429 => Outcome::Rejected,
-        503 if reply.has_retry_after => Outcome::Rejected,
+        503 if response.has_retry_after => Outcome::Rejected,
         _ => Outcome::Error,
     }
 }
 
-/// Which call an answer names.
+/// Which call a response names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum AnswerOwner {
+pub(super) enum ResponseOwner {
     /// The call that was sent last.
     ThisCall,
     /// Another call, which the connection carried earlier.
     OtherCall,
-    /// None: the answer carries no valid id.
+    /// None: the response carries no valid id.
     Unstated,
 }
 
-/// Which call an answer names, relative to the call with this id.
-pub(super) fn answer_owner(reply: &Reply, wire_id: u64) -> AnswerOwner {
-    let body = parse_body(&reply.body);
+/// Which call a response names, relative to the call with this id.
+pub(super) fn response_owner(response: &Response, wire_id: u64) -> ResponseOwner {
+    let body = parse_body(&response.body);
     let id = body
         .as_ref()
         .and_then(object)
-        .and_then(|answer| text(answer, "id"))
+        .and_then(|fields| text(fields, "id"))
         .and_then(parse_id);
     match id {
-        Some(id) if id == wire_id => AnswerOwner::ThisCall,
-        Some(_) => AnswerOwner::OtherCall,
-        None => AnswerOwner::Unstated,
+        Some(id) if id == wire_id => ResponseOwner::ThisCall,
+        Some(_) => ResponseOwner::OtherCall,
+        None => ResponseOwner::Unstated,
     }
 }
 
@@ -157,28 +157,28 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-/// A number that an answer states, reduced to at most `MAX_STATED_NUMBER`.
-fn stated_number(answer: &Object, name: &str) -> Option<u32> {
-    let number = unsigned(answer, name)?;
+/// A number that a response states, reduced to at most `MAX_STATED_NUMBER`.
+fn stated_number(fields: &Object, name: &str) -> Option<u32> {
+    let number = unsigned(fields, name)?;
     Some(number.min(MAX_STATED_NUMBER) as u32)
 }
 
-/// The report on an attempt that an answer makes. `is_wrapped` tells that the answer carries a body of the platform's
-/// protocol.
-pub(super) fn attempt_report(reply: Reply, is_wrapped: bool) -> AttemptReport {
-    let body = parse_body(&reply.body);
-    let answer = body.as_ref().and_then(object);
-    let parameters = answer.and_then(|answer| nested_object(answer, "parameters"));
+/// The report on an attempt that a response makes. `is_wrapped` tells that the response carries a body of the
+/// platform's protocol.
+pub(super) fn attempt_report(response: Response, is_wrapped: bool) -> AttemptReport {
+    let body = parse_body(&response.body);
+    let fields = body.as_ref().and_then(object);
+    let parameters = fields.and_then(|fields| nested_object(fields, "parameters"));
     let detail = parameters.and_then(|parameters| text(parameters, "detail"));
     let queue_depth = parameters.and_then(|parameters| stated_number(parameters, "company"));
-    let mut outcome = outcome(&reply);
+    let mut outcome = outcome(&response);
     let payload = match outcome {
-        Outcome::Ok if is_wrapped => answer.and_then(unwrap_answer).map(Payload::Bytes),
-        Outcome::Ok => answer.is_some().then_some(Payload::Json(reply.body)),
+        Outcome::Ok if is_wrapped => fields.and_then(unwrap_response).map(Payload::Bytes),
+        Outcome::Ok => fields.is_some().then_some(Payload::Json(response.body)),
         _ => None,
     };
     if outcome == Outcome::Ok && payload.is_none() {
-        outcome = Outcome::Error; // the call ran, but its answer cannot be forwarded
+        outcome = Outcome::Error; // the call ran, but its response cannot be forwarded
     }
     AttemptReport {
         outcome,
@@ -188,7 +188,7 @@
     }
 }
 
-/// What the answer to a load order says.
+/// What the response to a load order says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LoadReport {
     /// How the order ended.
@@ -197,10 +197,10 @@
     pub(super) replicas: u32,
 }
 
-/// Evaluates the answer to a load order, or to the query how many replicas are loaded.
-pub(super) fn load_report(reply: &Reply, order: &Order) -> LoadReport {
-    let body = parse_body(&reply.body);
-    let outcome = outcome(reply);
+/// Evaluates the response to a load order, or to the query how many replicas are loaded.
+pub(super) fn load_report(response: &Response, order: &Order) -> LoadReport {
+    let body = parse_body(&response.body);
+    let outcome = outcome(response);
     if order.replicas > 0 {
         order_report(outcome, body.as_ref(), order.replicas)
     } else {
@@ -208,12 +208,12 @@
     }
 }
 
-/// Evaluates the answer to an order to hold replicas. If it succeeded without stating how many there are, the ordered
+/// Evaluates the response to an order to hold replicas. If it succeeded without stating how many there are, the ordered
 /// number counts.
 fn order_report(outcome: Outcome, body: Option<&Value>, ordered: u32) -> LoadReport {
     let stated = body
         .and_then(object)
-        .and_then(|answer| nested_object(answer, "parameters"))
+        .and_then(|fields| nested_object(fields, "parameters"))
         .and_then(|parameters| stated_number(parameters, "slots_up"));
     let unstated = match outcome {
         Outcome::Ok => ordered,
@@ -228,7 +228,7 @@
     }
 }
 
-/// Evaluates the answer to the query which models are ready. A model that does not state its number of replicas
+/// Evaluates the response to the query which models are ready. A model that does not state its number of replicas
 /// counts as one.
 fn index_report(outcome: Outcome, body: Option<&Value>, function: FunctionId) -> LoadReport {
     let Some(Value::Array(models)) = body else {
--- a/wrenseam/src/worker/kserve/mod.rs
+++ b/wrenseam/src/worker/kserve/mod.rs
@@ -1,12 +1,12 @@
 //! The transport over KServe v2 (HTTP/1.1): each connection carries one exchange at a time. Load orders, queries for
 //! loaded models and orders to unload use the model repository extension.
-mod answer;
 mod connection;
 mod exchange;
 mod messages;
+mod response;
 
-pub use answer::AnswerError;
-pub use messages::{unwrap_answer, wrap_answer};
+pub use messages::{unwrap_response, wrap_response};
+pub use response::ResponseError;
 
 use super::dispatch::Dispatch;
 use super::{log_lines, order_start_deadline, MICROS_PER_MILLI};
@@ -44,7 +44,7 @@
     kind: ExchangeKind,
     request: Vec<u8>,
     withheld_on_drain: bool,
-    answer_timeout: Micros,
+    response_timeout: Micros,
     dispatch: Arc<Dispatch>,
 }
 
@@ -94,7 +94,7 @@
             kind,
             request,
             withheld_on_drain,
-            answer_timeout: self.limits.load_order_timeout,
+            response_timeout: self.limits.load_order_timeout,
             dispatch: Dispatch::new(Arc::default(), start_deadline),
         });
     }
@@ -111,7 +111,7 @@
             });
         }
         let drain_epoch = self.shared.drain_epoch();
-        let answer_deadline = Instant::now() + Duration::from_micros(exchange.answer_timeout);
+        let response_deadline = Instant::now() + Duration::from_micros(exchange.response_timeout);
         let open_exchanges = self.shared.count_opened();
         // If no connection takes it, the core's timer ends it.
         let _ = self.exchanges.send(Exchange {
@@ -121,7 +121,7 @@
             cancelled,
             drain_epoch,
             withheld_on_drain: exchange.withheld_on_drain,
-            answer_deadline,
+            response_deadline,
         });
         let connections = self.shared.connections();
         if open_exchanges > connections && connections < self.limits.max_v2_connections_per_worker {
@@ -167,7 +167,7 @@
 
 impl Transport for Kserve {
     fn send(&mut self, key: AttemptKey, request: &Arc<Request>, limits: AttemptLimits) {
-        let budget = limits.answer_timeout;
+        let budget = limits.response_timeout;
         let path = format!("/v2/models/{:016x}/infer", request.function);
         let is_wrapped = matches!(request.payload, Payload::Bytes(_));
         let bytes = match &request.payload {
@@ -182,7 +182,7 @@
             }),
             request: bytes,
             withheld_on_drain: true,
-            answer_timeout: budget,
+            response_timeout: budget,
             dispatch: Dispatch::for_attempt(request, limits, Instant::now()),
         });
     }
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Does nothing: each exchange closes its connection at its own deadline, see `Exchange::answer_deadline`.
+    /// Does nothing: each exchange closes its connection at its own deadline, see `Exchange::response_deadline`.
     fn abandon_order(&mut self, _order: u64) {}
 
     fn is_idle(&self) -> bool {
--- a/wrenseam/src/worker/kserve/answer.rs
+++ b/wrenseam/src/worker/kserve/response.rs
@@ -1,6 +1,6 @@
-//! Reads one HTTP answer of a v2 worker.
+//! Reads one HTTP response of a v2 worker.
 use super::exchange::Exchange;
-use super::messages::Reply;
+use super::messages::Response;
 use crate::http::{ChunkedDecoder, DecodedByte, Head, HeadError, InvalidChunkSize};
 use crate::limits::Limits;
 use crate::net::{receive, ReadOutcome};
@@ -12,13 +12,13 @@
 /// The bytes that end the head of an HTTP message.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Answers with a lower status are interim, such as 100 Continue: the actual answer follows.
+/// Responses with a lower status are interim, such as 100 Continue: the actual response follows.
 const FIRST_FINAL_STATUS: u16 = 200;
 
-/// Why no complete answer was read.
+/// Why no complete response was read.
 #[derive(Debug, thiserror::Error)]
-pub enum AnswerError {
-    /// The worker closed the connection before the answer was complete.
+pub enum ResponseError {
+    /// The worker closed the connection before the response was complete.
     #[error("connection closed early")]
     ClosedEarly,
     /// The head states neither a length nor chunked coding, so the end of the body cannot be found.
@@ -30,10 +30,10 @@
     /// The head exceeds the limit.
     #[error("head too long")]
     HeadTooLong,
-    /// The answer has begun, and no more of it came within `Limits::frame_stall`.
+    /// The response has begun, and no more of it came within `Limits::frame_stall`.
     #[error("incomplete answer")]
     Incomplete,
-    /// The exchange was cancelled, or its answer deadline passed.
+    /// The exchange was cancelled, or its response deadline passed.
     #[error("timed out")]
     TimedOut,
     /// The head is not valid HTTP.
@@ -47,15 +47,15 @@
     Receive(#[source] io::Error),
 }
 
-/// A complete answer.
-pub(super) struct Answer {
-    pub(super) reply: Reply,
+/// A complete response.
+pub(super) struct ReceivedResponse {
+    pub(super) response: Response,
     /// Whether the connection can carry another exchange.
     pub(super) is_reusable: bool,
 }
 
-/// Reads one answer from a connection.
-pub(super) struct AnswerReader<'a> {
+/// Reads one response from a connection.
+pub(super) struct ResponseReader<'a> {
     limits: &'a Limits,
     ring: Ring,
     /// The bytes of a head that is still incomplete.
@@ -65,9 +65,9 @@
     chunks: ChunkedDecoder,
 }
 
-impl<'a> AnswerReader<'a> {
+impl<'a> ResponseReader<'a> {
     pub(super) fn new(limits: &'a Limits) -> Self {
-        AnswerReader {
+        ResponseReader {
             limits,
             ring: Ring::new(limits.client_ring_bytes),
             head_bytes: Vec::new(),
@@ -77,35 +77,35 @@
         }
     }
 
-    /// Reads the answer to an exchange.
+    /// Reads the response to an exchange.
     ///
     /// # Errors
     ///
-    /// No complete answer was read. The connection must not be used again.
+    /// No complete response was read. The connection must not be used again.
     pub(super) fn read(
         mut self,
         stream: &mut TcpStream,
         exchange: &Exchange,
-    ) -> Result<Answer, AnswerError> {
+    ) -> Result<ReceivedResponse, ResponseError> {
         let mut last_received_at = Instant::now();
         loop {
-            if let Some(answer) = self.take_complete()? {
-                return Ok(answer);
+            if let Some(received) = self.take_complete()? {
+                return Ok(received);
             }
             self.parse_head()?;
             if self.can_decode_more() {
                 continue;
             }
-            match receive(&mut self.ring, stream).map_err(AnswerError::Receive)? {
-                ReadOutcome::Closed => return Err(AnswerError::ClosedEarly),
+            match receive(&mut self.ring, stream).map_err(ResponseError::Receive)? {
+                ReadOutcome::Closed => return Err(ResponseError::ClosedEarly),
                 ReadOutcome::Data => last_received_at = Instant::now(),
                 ReadOutcome::NotReady => self.check_waiting(last_received_at, exchange)?,
             }
         }
     }
 
-    /// The answer; `None` while the head or the body is incomplete.
-    fn take_complete(&mut self) -> Result<Option<Answer>, AnswerError> {
+    /// The response; `None` while the head or the body is incomplete.
+    fn take_complete(&mut self) -> Result<Option<ReceivedResponse>, ResponseError> {
         let Some(head) = &self.head else {
             return Ok(None);
         };
@@ -117,25 +117,28 @@
             None if head.chunked => {
                 decode_chunks(&mut self.chunks, &mut self.ring, &mut self.body)?
             }
-            None => return Err(AnswerError::NoLength),
+            None => return Err(ResponseError::NoLength),
         };
         if is_complete {
             let is_reusable = !head.close && !head.chunked && self.ring.is_empty();
-            let reply = Reply {
+            let response = Response {
                 status: head.status,
                 body: std::mem::take(&mut self.body),
                 has_retry_after: head.retry_after,
             };
-            return Ok(Some(Answer { reply, is_reusable }));
+            return Ok(Some(ReceivedResponse {
+                response,
+                is_reusable,
+            }));
         }
         if self.body.len() > self.limits.max_response_bytes {
-            return Err(AnswerError::TooLong);
+            return Err(ResponseError::TooLong);
         }
         Ok(None)
     }
 
-    /// Parses the head as far as it has come. Interim answers are skipped.
-    fn parse_head(&mut self) -> Result<(), AnswerError> {
+    /// Parses the head as far as it has come. Interim responses are skipped.
+    fn parse_head(&mut self) -> Result<(), ResponseError> {
         while self.head.is_none() && self.ring.take(1, &mut self.head_bytes) > 0 {
             if self.head_bytes.ends_with(HEAD_END) {
                 let head = Head::response(&self.head_bytes)?;
@@ -143,14 +146,14 @@
                     .length
                     .is_some_and(|length| length > self.limits.max_response_bytes)
                 {
-                    return Err(AnswerError::TooLong);
+                    return Err(ResponseError::TooLong);
                 }
                 self.head_bytes.clear();
                 if head.status >= FIRST_FINAL_STATUS {
                     self.head = Some(head);
                 }
             } else if self.head_bytes.len() > self.limits.max_head_bytes {
-                return Err(AnswerError::HeadTooLong);
+                return Err(ResponseError::HeadTooLong);
             }
         }
         Ok(())
@@ -168,15 +171,15 @@
         &self,
         last_received_at: Instant,
         exchange: &Exchange,
-    ) -> Result<(), AnswerError> {
-        // Guards against an answer whose rest never comes, as with frames.
+    ) -> Result<(), ResponseError> {
+        // Guards against a response whose rest never comes, as with frames.
         let has_begun = self.head.is_some() || !self.head_bytes.is_empty();
         if has_begun && last_received_at.elapsed() > self.limits.response_stall_timeout {
-            return Err(AnswerError::Incomplete);
+            return Err(ResponseError::Incomplete);
         }
         // The connection closes on this error, which is how a worker learns of a cancellation.
-        if exchange.is_cancelled() || Instant::now() > exchange.answer_deadline {
-            return Err(AnswerError::TimedOut);
+        if exchange.is_cancelled() || Instant::now() > exchange.response_deadline {
+            return Err(ResponseError::TimedOut);
         }
         Ok(())
     }
@@ -187,7 +190,7 @@
     chunks: &mut ChunkedDecoder,
     ring: &mut Ring,
     body: &mut Vec<u8>,
-) -> Result<bool, AnswerError> {
+) -> Result<bool, ResponseError> {
     let mut bytes = Vec::new();
     ring.take(usize::MAX, &mut bytes);
     for byte in bytes {
--- a/wrenseam/src/worker/log_lines.rs
+++ b/wrenseam/src/worker/log_lines.rs
@@ -40,13 +40,13 @@
     fmt::from_fn(move |formatter| write!(formatter, "worker {address}: not connected: {reason}"))
 }
 
-/// The answer of a v2 worker is invalid or did not arrive completely.
-pub fn answer_lost(address: SocketAddr, reason: &dyn Display) -> impl Display + '_ {
+/// The response of a v2 worker is invalid or did not arrive completely.
+pub fn response_lost(address: SocketAddr, reason: &dyn Display) -> impl Display + '_ {
     fmt::from_fn(move |formatter| write!(formatter, "worker {address}: answer lost: {reason}"))
 }
 
-/// The answer of a v2 worker carries the id of another call.
-pub fn answer_mismatched(address: SocketAddr) -> impl Display {
+/// The response of a v2 worker carries the id of another call.
+pub fn response_mismatched(address: SocketAddr) -> impl Display {
     fmt::from_fn(move |formatter| {
         write!(
             formatter,
--- a/wrenseam/src/worker/mod.rs
+++ b/wrenseam/src/worker/mod.rs
@@ -33,8 +33,8 @@
 /// The time limits of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptLimits {
-    /// How long to wait for the answer.
-    pub answer_timeout: Micros,
+    /// How long to wait for the response.
+    pub response_timeout: Micros,
     /// Set for a retry of an attempt that may have run: it must be completely written by then, as the worker recognises
     /// duplicates only for a limited time. `None` for all others.
     pub write_deadline: Option<Instant>,
@@ -45,9 +45,9 @@
 
 impl AttemptLimits {
     /// Limits of an attempt that only its timeout bounds.
-    pub fn with_timeout(answer_timeout: Micros) -> Self {
+    pub fn with_timeout(response_timeout: Micros) -> Self {
         AttemptLimits {
-            answer_timeout,
+            response_timeout,
             write_deadline: None,
             start_deadline: None,
         }
@@ -69,7 +69,7 @@
     fn send(&mut self, key: AttemptKey, request: &Arc<Request>, limits: AttemptLimits);
     /// Cancels an attempt. If it has not been started, nothing of it is written.
     fn cancel(&mut self, key: AttemptKey) -> CancelOutcome;
-    /// Stops waiting for the answer to a load order. The worker is not notified and carries out the order.
+    /// Stops waiting for the response to a load order. The worker is not notified and carries out the order.
     fn abandon_order(&mut self, order: u64);
     /// Whether no connection is left, or nothing is open on those that close by themselves.
     fn is_idle(&self) -> bool;
@@ -84,13 +84,13 @@
     );
     /// Asks the worker whether it accepts new work. Sent whatever state the worker is in.
     fn check_health(&mut self, check: u64);
-    /// Stops waiting for the answer to a health check.
+    /// Stops waiting for the response to a health check.
     fn abandon_health_check(&mut self, check: u64);
     /// Tells the worker to unload idle replicas of a function.
     fn unload(&mut self, function: FunctionId);
     /// The worker is draining or gone: attempts and load orders of which no byte is written yet are not written.
     fn drain(&mut self);
-    /// Probes connections on which answers are overdue, and closes those that do not answer a probe. Called every
+    /// Probes connections on which responses are overdue, and closes those that do not answer a probe. Called every
     /// `Limits::link_check`.
     fn check_keepalive(&mut self);
     /// Closes connections whose idle timeout has passed.
@@ -136,8 +136,8 @@
     latest.map_or(deadline, |latest| latest.min(deadline))
 }
 
-/// Whether the replica was loaded before the attempt arrived, from the `detail` of the worker's answer. `None` if the
-/// answer does not say.
+/// Whether the replica was loaded before the attempt arrived, from the `detail` of the worker's response. `None` if the
+/// response does not say.
 fn replica_loaded(detail: Option<&str>) -> Option<bool> {
     match detail {
         Some("resident") => Some(true),
--- a/wrenseam/tests/core_tables.rs
+++ b/wrenseam/tests/core_tables.rs
@@ -175,7 +175,7 @@
         Duration::from_millis(500),
         "no timer is set"
     );
-    timers.set(2_000_000, TimerEvent::LivenessCheck);
+    timers.set(2_000_000, TimerEvent::KeepaliveCheck);
     assert_eq!(timers.wait(0), Duration::from_millis(500));
     assert_eq!(timers.wait(1_990_000), Duration::from_millis(10));
     assert_eq!(timers.overdue(1_990_000), 0);
--- a/wrenseam/tests/fleet_average.rs
+++ b/wrenseam/tests/fleet_average.rs
@@ -124,7 +124,11 @@
                 .iter_mut()
                 .for_each(|average| average.tick(self.now));
             loop {
-                let outgoing: Vec<_> = self.averages.iter_mut().flat_map(Average::outbox).collect();
+                let outgoing: Vec<_> = self
+                    .averages
+                    .iter_mut()
+                    .flat_map(Average::take_outbox)
+                    .collect();
                 if outgoing.is_empty() {
                     break;
                 }
@@ -241,7 +245,7 @@
         (
             counted,
             network.pressures(),
-            network.averages[to].outbox().len()
+            network.averages[to].take_outbox().len()
         ),
         (want, vec![500, 500], 0)
     );
@@ -277,7 +281,7 @@
         ..last
     };
     network.averages[to].handle_datagram(network.now, &extreme.encode(&HEADER));
-    let reply = Exchange::decode(&network.averages[to].outbox()[0].bytes).expect("a reply");
+    let reply = Exchange::decode(&network.averages[to].take_outbox()[0].bytes).expect("a reply");
     assert!(reply.flow.unsigned_abs() <= MAX_FLOW * 1000, "{reply:?}");
     assert!(
         (0..=max_estimate as i32 * 1000).contains(&reply.estimate),
--- a/wrenseam/tests/fleet_records.rs
+++ b/wrenseam/tests/fleet_records.rs
@@ -345,7 +345,7 @@
 }
 
 fn answers(members: &mut Members) -> Vec<(SocketAddr, Message)> {
-    let out = members.outbox().into_iter();
+    let out = members.take_outbox().into_iter();
     out.filter_map(|out| Some((out.to, Envelope::decode(&out.bytes).ok()?.message)))
         .collect()
 }
@@ -407,7 +407,7 @@
         .map(|member_digest| (member_digest.stamp.incarnation, member_digest.liveness));
     assert_eq!(known, want);
     let downs = members
-        .events()
+        .take_events()
         .into_iter()
         .filter(|timed| matches!(timed.event, PeerEvent::Down(_)));
     assert_eq!(downs.count(), 0);
@@ -589,7 +589,7 @@
         }
         members.handle_datagram(n * MS, &bytes);
         members.tick(n * MS);
-        members.outbox();
+        members.take_outbox();
     }
     assert!(members.directory().alive().count() < 1_024);
 }
--- a/wrenseam/tests/fleet_swim.rs
+++ b/wrenseam/tests/fleet_swim.rs
@@ -66,7 +66,7 @@
             for i in 0..self.swims.len() {
                 let has_crashed = self.crashed.contains(&i) && now >= self.crash_at;
                 if has_crashed {
-                    self.swims[i].outbox();
+                    self.swims[i].take_outbox();
                     continue;
                 }
                 if now % (200 * MS) == 0 {
@@ -77,7 +77,7 @@
                     self.swims[i].publish(now, summary);
                 }
                 self.swims[i].tick(now);
-                for out in self.swims[i].outbox() {
+                for out in self.swims[i].take_outbox() {
                     let (to, bytes) = ((out.to.port() - 7000) as usize, out.bytes);
                     let copies = if self.rng.random::<f64>() < self.duplicates {
                         2
@@ -91,7 +91,7 @@
                         }
                     }
                 }
-                let events = self.swims[i].events().into_iter();
+                let events = self.swims[i].take_events().into_iter();
                 events_seen.extend(events.map(|timed| (timed.at, i, timed.event)));
             }
             let (due, later): (Vec<_>, Vec<_>) =
--- a/wrenseam/tests/golden_fleet.rs
+++ b/wrenseam/tests/golden_fleet.rs
@@ -329,7 +329,7 @@
 }
 
 fn only_datagram(swim: &mut Swim) -> Vec<u8> {
-    let mut datagrams = swim.outbox();
+    let mut datagrams = swim.take_outbox();
     assert_eq!(datagrams.len(), 1);
     datagrams.remove(0).bytes
 }
--- a/wrenseam/tests/golden_worker_protocols.rs
+++ b/wrenseam/tests/golden_worker_protocols.rs
@@ -11,7 +11,7 @@
 use wrenseam::queue::Message;
 use wrenseam::ring::Ring;
 use wrenseam::worker::frames::{encode, Decoder, Frame};
-use wrenseam::worker::kserve::wrap_answer;
+use wrenseam::worker::kserve::wrap_response;
 use wrenseam::worker::{AttemptLimits, CancelOutcome, Transport};
 use wrenseam_policy::Outcome;
 
@@ -447,7 +447,7 @@
 
 #[test]
 fn answers_of_bytes_are_wrapped_as_one_tensor() {
-    pinned_text(&String::from_utf8(wrap_answer(b"\x00\xffA")).expect("text"), "{\"outputs\":[{\"data\":[\"AP9B\"],\"datatype\":\"BYTES\",\"name\":\"body\",\"parameters\":{\"content_type\":\"base64\"},\"shape\":[1]}]}");
+    pinned_text(&String::from_utf8(wrap_response(b"\x00\xffA")).expect("text"), "{\"outputs\":[{\"data\":[\"AP9B\"],\"datatype\":\"BYTES\",\"name\":\"body\",\"parameters\":{\"content_type\":\"base64\"},\"shape\":[1]}]}");
 }
 
 fn pinned(bytes: &[u8], golden: &str) {
--- a/wrenseam/tests/retry_window.rs
+++ b/wrenseam/tests/retry_window.rs
@@ -38,7 +38,7 @@
         limits.connect_timeout = Duration::from_secs(20);
     });
     let limits = AttemptLimits {
-        answer_timeout: LONG_TIMEOUT,
+        response_timeout: LONG_TIMEOUT,
         write_deadline: Some(Instant::now() + Duration::from_micros(window)),
         start_deadline: None,
     };
@@ -75,7 +75,7 @@
         limits.write_stall_timeout = Duration::from_secs(60);
     });
     let limits = AttemptLimits {
-        answer_timeout: 60_000_000,
+        response_timeout: 60_000_000,
         write_deadline: Some(Instant::now() + Duration::from_millis(500)),
         start_deadline: None,
     };
--- a/wrenseam/tests/transport.rs
+++ b/wrenseam/tests/transport.rs
@@ -67,21 +67,21 @@
         limits.connect_timeout = Duration::from_secs(20);
     });
     let request = request(9);
-    let answer_timeout = match ended_by {
+    let response_timeout = match ended_by {
         EndedBy::Timeout => 1_000,
         _ => LONG_TIMEOUT,
     };
     match waiting {
         Waiting::Order => transport.order(1, 7, 1, None),
         Waiting::Attempt => {
-            let limits = AttemptLimits::with_timeout(answer_timeout);
+            let limits = AttemptLimits::with_timeout(response_timeout);
             transport.send(FIRST_ATTEMPT, &request, limits);
         }
     }
     match ended_by {
         EndedBy::Drain => transport.drain(),
         EndedBy::ClientLeft => request.client_gone.store(true, Ordering::Release),
-        EndedBy::Timeout => busy_wait(Duration::from_micros(answer_timeout)),
+        EndedBy::Timeout => busy_wait(Duration::from_micros(response_timeout)),
         EndedBy::Cancel => assert_eq!(
             transport.cancel(FIRST_ATTEMPT),
             CancelOutcome::NeverStarted,
@@ -94,7 +94,7 @@
     let late = accepted.last_mut().expect("the delayed connection");
     if ended_by == EndedBy::Cancel {
         // The next attempt is sent on that connection, and nothing before it.
-        let limits = AttemptLimits::with_timeout(answer_timeout);
+        let limits = AttemptLimits::with_timeout(response_timeout);
         transport.send(SECOND, &self::request(10), limits);
         assert_eq!(read_id_and_code(late), (10, CODE_CALL));
         send_answer(late, CODE_REJECTED, 10, "", b"");
--- a/wrenseam/tests/worker_log_lines.rs
+++ b/wrenseam/tests/worker_log_lines.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use wrenseam::http::HeadError;
 use wrenseam::worker::frames::{FrameError, ReadError, WriteError};
-use wrenseam::worker::kserve::AnswerError;
+use wrenseam::worker::kserve::ResponseError;
 use wrenseam::worker::log_lines;
 
 fn address() -> SocketAddr {
@@ -19,8 +19,8 @@
         log_lines::connection_closed(address(), &"reset").to_string(),
         log_lines::keepalive_timed_out(address()).to_string(),
         log_lines::not_connected(address(), &"timeout").to_string(),
-        log_lines::answer_lost(address(), &"reset").to_string(),
-        log_lines::answer_mismatched(address()).to_string(),
+        log_lines::response_lost(address(), &"reset").to_string(),
+        log_lines::response_mismatched(address()).to_string(),
     ];
     assert_eq!(
         lines,
@@ -67,14 +67,20 @@
 }
 
 #[rstest]
-#[case(AnswerError::ClosedEarly, "connection closed early")]
-#[case(AnswerError::NoLength, "answer without length")]
-#[case(AnswerError::TooLong, "answer too long")]
-#[case(AnswerError::HeadTooLong, "head too long")]
-#[case(AnswerError::Incomplete, "incomplete answer")]
-#[case(AnswerError::TimedOut, "timed out")]
-#[case(AnswerError::InvalidHead(HeadError::ConflictingLengths), "two lengths")]
-#[case(AnswerError::Receive(io::Error::other("reset")), "reset")]
-fn an_answer_error_says_why_the_answer_was_lost(#[case] error: AnswerError, #[case] text: &str) {
+#[case(ResponseError::ClosedEarly, "connection closed early")]
+#[case(ResponseError::NoLength, "answer without length")]
+#[case(ResponseError::TooLong, "answer too long")]
+#[case(ResponseError::HeadTooLong, "head too long")]
+#[case(ResponseError::Incomplete, "incomplete answer")]
+#[case(ResponseError::TimedOut, "timed out")]
+#[case(
+    ResponseError::InvalidHead(HeadError::ConflictingLengths),
+    "two lengths"
+)]
+#[case(ResponseError::Receive(io::Error::other("reset")), "reset")]
+fn a_response_error_says_why_the_response_was_lost(
+    #[case] error: ResponseError,
+    #[case] text: &str,
+) {
     assert_eq!(error.to_string(), text);
 }
