--- a/wrenseam/src/clock.rs
+++ b/wrenseam/src/clock.rs
@@ -2,8 +2,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use wrenseam_policy::Micros;
 
-/// A clock that never goes back. It gives Unix time, as workers' start times are Unix times, but it does not follow
-/// steps of the wall clock after its start.
+/// A clock that never goes back. It gives Unix time, as workers' start times are Unix times, but it ignores adjustments
+/// of the system clock after its start.
 #[derive(Clone, Copy)]
 pub struct Clock {
     /// Unix time at the start of the clock.
--- a/wrenseam/src/core/attempts.rs
+++ b/wrenseam/src/core/attempts.rs
@@ -9,7 +9,7 @@
 use wrenseam_policy::{AttemptResult, Event, Micros, Outcome};
 
 impl Core {
-    /// Sends an attempt. If it cannot be handed to a transport it ends at once, with an outcome that states that it
+    /// Sends an attempt. If it cannot be handed to a transport it ends at once, with an outcome that proves that it
     /// never ran.
     ///
     /// `timeout` 0 means that the attempt may use all of the request's remaining time. If the attempt is a retry of one
@@ -97,8 +97,8 @@
         self.remove_if_finished(key.request);
     }
 
-    /// Ends an attempt without an answer while an action is carried out. The policy handles the end after the remaining
-    /// actions.
+    /// Ends an attempt without a response while an action is carried out. The policy handles the end after the
+    /// remaining actions.
     fn finish_attempt(&mut self, key: AttemptKey, outcome: Outcome) {
         self.end_attempt(key, AttemptReport::without_payload(outcome));
         self.remove_if_finished(key.request);
--- a/wrenseam/src/core/counters.rs
+++ b/wrenseam/src/core/counters.rs
@@ -62,12 +62,12 @@
         self.attempts_sent += 1;
     }
 
-    /// Takes back the count of an attempt that turned out not to have been written completely.
+    /// Reduces the count by an attempt that was handed to a transport but was not written completely.
     pub fn record_attempt_not_sent(&mut self) {
         self.attempts_sent = self.attempts_sent.saturating_sub(1);
     }
 
-    /// The reply to `telemetry`: one metric per line, then `END`. `discovery` and `fleet` are `None` where the front end
+    /// The reply to `telemetry`: one metric per line, then `END`. `discovery` and `fleet` are `None` if the front end
     /// has no discovery service or no fleet.
     pub fn telemetry(
         &self,
--- a/wrenseam/src/core/discovery_contact.rs
+++ b/wrenseam/src/core/discovery_contact.rs
@@ -27,7 +27,7 @@
     /// How often contact was interrupted since the start of this process.
     pub interruptions: u64,
     /// Workers that are listed as ready but suspended: while contact was lost, their readiness leases ended, they
-    /// turned away a health check or they refused a connection.
+    /// answered a health check that they accept no new work, or they refused a connection.
     pub suspended: usize,
     /// Health checks sent to workers since the start of this process.
     pub health_checks: u64,
--- a/wrenseam/src/core/fleet_admission.rs
+++ b/wrenseam/src/core/fleet_admission.rs
@@ -7,7 +7,7 @@
 use std::fmt::Write;
 use wrenseam_policy::{Micros, Settings};
 
-/// How long the largest fleet size is still assumed after peers become unreachable, in microseconds.
+/// How long the largest fleet size is still assumed after peers have become unreachable, in microseconds.
 const FLEET_SIZE_HOLD: Micros = 60_000_000;
 
 /// XORed with the seed, so that the shedder's random numbers differ from those that the policy draws from the same
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes the fleet's status from gossip, which sets its size and the pressure that the shedder follows.
+    /// Applies the fleet's status from gossip: its size limits the retry budget, and its pressure the shedding.
     pub fn update(&mut self, now: Micros, status: FleetStatus) {
         self.status = status;
         self.fleet_size.remove_departed(status.departed);
@@ -141,9 +141,9 @@
             let count = status.by_lifecycle[lifecycle as usize];
             let _ = writeln!(text, "app.fleet.peers_{name}:{count}|g");
         }
-        let stood_ms = status.view_unchanged_for / 1000;
+        let unchanged_ms = status.view_unchanged_for / 1000;
         let _ = writeln!(text, "app.fleet.view_digest:{}|g", status.view_digest);
-        let _ = writeln!(text, "app.fleet.view_stood_ms:{stood_ms}|g");
+        let _ = writeln!(text, "app.fleet.view_stood_ms:{unchanged_ms}|g");
         let _ = writeln!(
             text,
             "app.fleet.doubt_factor:{}|g",
@@ -155,9 +155,9 @@
         for kind in TrafficKind::ALL {
             let name = kind.name();
             let sent = self.status.bytes_sent[kind as usize];
-            let held_back = self.status.bytes_over_budget[kind as usize];
+            let over_budget = self.status.bytes_over_budget[kind as usize];
             let _ = writeln!(text, "app.fleet.bytes_{name}:{sent}|c");
-            let _ = writeln!(text, "app.fleet.held_back_{name}:{held_back}|c");
+            let _ = writeln!(text, "app.fleet.held_back_{name}:{over_budget}|c");
         }
     }
 
--- a/wrenseam/src/core/load_orders.rs
+++ b/wrenseam/src/core/load_orders.rs
@@ -9,7 +9,7 @@
     /// Orders a worker to hold at least this many replicas of a function. 0 is a poll, which only asks how many it
     /// holds.
     ///
-    /// Only a ready worker gets an order to load, whatever the policy decided. A poll goes to a draining worker too.
+    /// An order to load is sent only to a worker that is still ready. A poll is also sent to a draining worker.
     pub(super) fn order_load(&mut self, worker: WorkerId, function: FunctionId, replicas: u32) {
         let now = self.clock.now();
         let number = self.next_number();
@@ -22,7 +22,7 @@
             0 => self.workers.transport(&worker),
             _ => self.workers.ready_transport(&worker),
         };
-        // The end of an order that cannot be sent also goes through the core's queue, like a worker's answer.
+        // The end of an order that cannot be sent also goes through the core's queue, like a worker's response.
         match transport {
             Some(transport) if has_connection => {
                 transport.order(number, function, replicas, start_deadline);
@@ -48,8 +48,8 @@
         );
     }
 
-    /// Ends an order that got no answer. Its connection stops waiting for one, as it would otherwise never count as
-    /// idle.
+    /// Ends an order that got no response in time. Its connection stops waiting for one, as it would otherwise never
+    /// count as idle.
     pub(super) fn time_out_load_order(&mut self, number: u64) {
         if let Some(order) = self.load_orders.get(number) {
             self.workers.abandon_load_order(&order.worker, number);
--- a/wrenseam/src/core/log_lines.rs
+++ b/wrenseam/src/core/log_lines.rs
@@ -1,5 +1,5 @@
-//! The texts of the core's log lines. docs/oncall.md lists them with what operators do about each. Some lines contain the
-//! name of an enum variant, so renaming such a variant changes the text.
+//! The texts of the core's log lines. docs/oncall.md lists them with what operators do about each. Some lines contain
+//! the name of an enum variant, so renaming such a variant changes the text.
 use crate::model::{Endpoint, RequestEnd};
 use std::fmt::{Display, Formatter, Result};
 use wrenseam_policy::readiness_lease::{Interruption, SuspendReason};
@@ -69,7 +69,7 @@
     LoadOrderFailed {
         /// The function whose replicas were ordered.
         function: FunctionId,
-        /// The worker that was ordered.
+        /// The worker that the order was sent to.
         worker: &'a str,
         /// How it ended.
         outcome: Outcome,
--- a/wrenseam/src/core/messages.rs
+++ b/wrenseam/src/core/messages.rs
@@ -56,7 +56,7 @@
         self.apply_changes(changes);
     }
 
-    /// Takes the fleet's status from gossip and publishes this front end's load summary for gossip to send.
+    /// Applies the fleet's status from gossip and publishes this front end's load summary for gossip to send.
     fn update_fleet(&mut self, status: FleetStatus) {
         let now = self.clock.now();
         let Some(fleet_admission) = self.fleet_admission.as_mut() else {
--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -74,7 +74,7 @@
     health_checks: HealthChecks,
     leases_reviewed_at: Micros,
     timers: Timers,
-    /// Events that the policy is still to handle, oldest first.
+    /// Events that the policy has not handled yet, oldest first.
     events: VecDeque<Event>,
     request_counters: RequestCounters,
     tenant_counters: TenantCounters,
@@ -174,8 +174,8 @@
             .set(now + LEASE_REVIEW_PERIOD, TimerEvent::LeaseReview);
     }
 
-    /// Handles a message and up to [`MESSAGE_BATCH`] more that are already queued. No timer runs in between, so an
-    /// answer that has already arrived takes precedence over its timeout.
+    /// Handles a message and up to [`MESSAGE_BATCH`] more that are already queued. No timer runs in between, so a
+    /// response that is already queued takes precedence over its timeout.
     fn handle_batch(&mut self, first: Message) {
         self.review_overdue_leases();
         self.handle_message(first);
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Logs that timers are late. When answers came late, this line tells a machine without free processor time from a
+    /// Logs that timers are late. The line shows that late answers are due to a shortage of processor time and not to a
     /// fault of the program.
     fn report_overdue_timers(&self) {
         let overdue = self.timers.overdue(self.clock.now());
--- a/wrenseam/src/core/requests.rs
+++ b/wrenseam/src/core/requests.rs
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Ends a request without an answer. The policy then cancels its attempts.
+    /// Ends a cancelled request without an answer. The policy then cancels its attempts.
     fn end_cancelled(&mut self, id: u64) {
         if self.requests.close(id).is_some() {
             self.events.push_back(Event::RequestCancelled { id });
--- a/wrenseam/src/core/tables/workers.rs
+++ b/wrenseam/src/core/tables/workers.rs
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The transport of a worker, whatever the worker's state.
+    /// The transport of a worker in any state.
     pub fn transport(&mut self, worker: &str) -> Option<&mut dyn Transport> {
         let worker = self.0.get_mut(worker)?;
         Some(worker.transport.as_mut())
@@ -117,7 +117,7 @@
             .map_or(CancelOutcome::Unknown, |worker| worker.cancel(key))
     }
 
-    /// Stops waiting for the answer to a load order, on whichever transport it was sent.
+    /// Stops waiting for the response to a load order, on whichever transport it was sent.
     pub fn abandon_load_order(&mut self, worker: &str, order: u64) {
         if let Some(worker) = self.0.get_mut(worker) {
             for transport in worker.transports_mut() {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Stops waiting for the answer to a health check, on whichever transport it was sent.
+    /// Stops waiting for the response to a health check, on whichever transport it was sent.
     pub fn abandon_health_check(&mut self, worker: &str, check: u64) {
         if let Some(worker) = self.0.get_mut(worker) {
             for transport in worker.transports_mut() {
@@ -142,7 +142,8 @@
         }
     }
 
-    /// Probes the connections on which answers are overdue, and closes those that do not respond.
+    /// Makes the keepalive check: probes the connections on which responses are overdue, and closes those on which a
+    /// probe is not answered.
     pub fn check_keepalive(&mut self) {
         for worker in self.0.values_mut() {
             for transport in worker.transports_mut() {
--- a/wrenseam/src/core/timer_events.rs
+++ b/wrenseam/src/core/timer_events.rs
@@ -7,8 +7,8 @@
 use wrenseam_policy::{Event, Outcome};
 
 impl Core {
-    /// Handles one timer. Timers are never cancelled, so the attempt, order or request of this one may have ended
-    /// already.
+    /// Handles one timer. Timers are never cancelled, so the attempt, load order or request that it was set for may
+    /// have ended already.
     pub(super) fn handle_timer(&mut self, event: TimerEvent) {
         match event {
             TimerEvent::Policy(token) => self.events.push_back(Event::Timer { token }),
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Ends an attempt whose worker sent no answer in time, so that a request does not wait for a worker that failed
+    /// Ends an attempt whose worker did not respond in time, so that a request does not wait for a worker that failed
     /// without closing its connection.
     fn time_out_attempt(&mut self, key: AttemptKey) {
         let Some(attempt) = self.requests.open_attempt(key) else {
@@ -35,10 +35,10 @@
         self.handle_attempt_end(key, AttemptReport::without_payload(outcome));
     }
 
-    /// Probes the connections to workers, and closes idle ones where clients need the descriptors.
+    /// Makes the keepalive check of the connections to workers, and closes idle ones if clients need their descriptors.
     ///
-    /// Both are skipped if this thread itself was delayed: data that workers sent in the meantime has not been read
-    /// yet, so the probe would close connections that do respond.
+    /// Both are skipped if this thread itself was delayed: what workers sent in the meantime has not been read yet, so
+    /// the check would close connections whose workers do respond.
     fn check_keepalive(&mut self) {
         let now = self.clock.now();
         let period = self.limits.keepalive_check_interval;
--- a/wrenseam/src/core/timers.rs
+++ b/wrenseam/src/core/timers.rs
@@ -17,13 +17,13 @@
     AttemptTimeout(AttemptKey),
     /// The load order of this number has reached its timeout.
     LoadOrderTimeout(u64),
-    /// The last moment at which the request of this number can be answered in time for its client.
+    /// The request of this number has reached the last time at which an answer still reaches its client in time.
     RequestDeadline(u64),
-    /// Connections to workers are to be probed.
+    /// The next keepalive check of the connections to workers is due.
     KeepaliveCheck,
-    /// Readiness leases are to be reviewed.
+    /// The next review of the readiness leases is due.
     LeaseReview,
-    /// Idle connections are to be closed and workers that are gone removed.
+    /// The next sweep is due, which closes idle connections and removes workers that are gone.
     IdleSweep,
 }
 
--- a/wrenseam/src/gossip.rs
+++ b/wrenseam/src/gossip.rs
@@ -25,8 +25,8 @@
 
 /// Maximum number of peers whose summaries are kept, which bounds memory. Larger than any fleet in operation.
 const SUMMARY_CAPACITY: usize = 1024;
-/// Number of probe periods for which a received summary is fresh.
-const SUMMARY_FRESH_PROBES: u64 = 3;
+/// How long a received summary is valid, in probe periods.
+const SUMMARY_TTL_PROBES: u64 = 3;
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: u64 = 1000;
 /// Minimum wait for a datagram, in microseconds, so that a timer that is due does not make the loop spin.
@@ -75,7 +75,7 @@
     fleet: &FleetConfig,
     seed: u64,
     core: CoreHandle,
-    shared: Arc<ProcessState>,
+    process_state: Arc<ProcessState>,
     stack: usize,
 ) -> Result<SocketAddr, GossipError> {
     let listen = fleet.listen;
@@ -83,7 +83,7 @@
     let bound = socket.local_addr().map_err(GossipError::LocalAddress)?;
     let own = fleet.advertise.unwrap_or(bound);
     let clock = Clock::start();
-    let settings = node_settings(fleet, &shared);
+    let settings = node_settings(fleet, &process_state);
     // The incarnation is the Unix time in microseconds, so that a later start at the same address has a larger one.
     let node = Node::new(own, clock.now(), settings, seed);
     let gossip = Gossip {
@@ -95,14 +95,14 @@
         dropped: DropCounts::default(),
         is_mixed: false,
         core,
-        shared,
+        process_state,
     };
     crate::net::spawn(stack, move || gossip.run()).map_err(GossipError::Spawn)?;
     Ok(bound)
 }
 
 /// The node's settings, from the fleet's configuration file.
-fn node_settings(fleet: &FleetConfig, shared: &ProcessState) -> NodeSettings {
+fn node_settings(fleet: &FleetConfig, process_state: &ProcessState) -> NodeSettings {
     let probe = fleet.probe_ms * MICROS_PER_MS;
     NodeSettings {
         swim: SwimSettings {
@@ -111,14 +111,14 @@
             suspicion_timeout: fleet.suspect_ms * MICROS_PER_MS,
             expected_members: fleet.expected,
             extra_transmissions: EXTRA_TRANSMISSIONS,
-            summary_ttl: SUMMARY_FRESH_PROBES * probe,
+            summary_ttl: SUMMARY_TTL_PROBES * probe,
             max_summaries: SUMMARY_CAPACITY,
         },
         metadata: Metadata {
-            lifecycle: shared.lifecycle(),
+            lifecycle: process_state.lifecycle(),
             zone: fleet.zone.clone(),
             program: env!("CARGO_PKG_VERSION").to_owned(),
-            config_digest: shared.config_digest.load(Ordering::Acquire),
+            config_digest: process_state.config_digest.load(Ordering::Acquire),
             entries: BTreeMap::new(),
         },
         seeds: fleet.seeds.clone(),
@@ -140,7 +140,7 @@
     /// Whether the fleet contained front ends of an earlier version when that was last logged.
     is_mixed: bool,
     core: CoreHandle,
-    shared: Arc<ProcessState>,
+    process_state: Arc<ProcessState>,
 }
 
 impl Gossip {
@@ -150,7 +150,7 @@
         loop {
             let now = self.clock.now();
             self.node.tick(now);
-            let lifecycle = self.shared.lifecycle();
+            let lifecycle = self.process_state.lifecycle();
             if lifecycle == Lifecycle::Leaving {
                 self.leave(now);
                 return;
@@ -169,12 +169,12 @@
     fn leave(&mut self, now: Micros) {
         self.node.leave(now);
         self.send();
-        self.shared.left.store(true, Ordering::Release);
+        self.process_state.left.store(true, Ordering::Release);
     }
 
     /// Publishes this front end's lifecycle and configuration digest if they changed.
     fn update_record(&mut self, now: Micros, lifecycle: Lifecycle) {
-        let config_digest = self.shared.config_digest.load(Ordering::Acquire);
+        let config_digest = self.process_state.config_digest.load(Ordering::Acquire);
         let updated = self.node.update(now, |metadata| {
             metadata.lifecycle = lifecycle;
             metadata.config_digest = config_digest;
@@ -188,7 +188,7 @@
     fn publish(&mut self, now: Micros) -> Result<(), CoreEnded> {
         self.publish_at = now + self.period;
         let summary = *self
-            .shared
+            .process_state
             .summary
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
@@ -251,10 +251,10 @@
 }
 
 /// Notifies the fleet that this front end leaves, and waits for at most 0.3 s until the notices are sent.
-pub fn leave(shared: &ProcessState) {
-    shared.leaving.store(true, Ordering::Release);
+pub fn leave(process_state: &ProcessState) {
+    process_state.leaving.store(true, Ordering::Release);
     let since = Instant::now();
-    while !shared.left.load(Ordering::Acquire) && since.elapsed() < LEAVE_TIMEOUT {
+    while !process_state.left.load(Ordering::Acquire) && since.elapsed() < LEAVE_TIMEOUT {
         std::thread::sleep(LEAVE_POLL_INTERVAL);
     }
 }
--- a/wrenseam/src/lib.rs
+++ b/wrenseam/src/lib.rs
@@ -1,5 +1,5 @@
 //! The front end: fronts parse client protocols, the core runs the policy, and transports send attempts to workers.
-//! docs/architecture.md follows a request through all of them.
+//! docs/architecture.md describes the path of a request through them.
 #![deny(unsafe_code)] // `front::close` has the only exception and states the reason
 #![warn(missing_docs)]
 
--- a/wrenseam/src/log.rs
+++ b/wrenseam/src/log.rs
@@ -25,9 +25,8 @@
         }
     }
 
-    /// Writes the line to standard error, unless the limit of its kind for this second is reached. A client or
-    /// worker may cause lines at a high rate, and the program would block if the log is read more slowly than it is
-    /// written.
+    /// Writes the line to standard error, unless the limit of its kind for this second is reached. A client or worker
+    /// may cause lines at a high rate, and a write blocks the program while the reader of the log falls behind.
     pub fn write(&self, text: Arguments) {
         let second = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -60,7 +59,7 @@
 }
 
 /// Writes a log line that a client, a worker or the discovery service can cause, limited in rate for each place of use;
-/// see [`RateLimitedLine`](crate::log::RateLimitedLine). Takes the arguments of `format!`.
+/// see [`RateLimitedLine`](crate::log::RateLimitedLine). The arguments are those of `format!`.
 #[macro_export]
 macro_rules! log_limited {
     ($($text:tt)*) => {{
--- a/wrenseam/src/memory_budget.rs
+++ b/wrenseam/src/memory_budget.rs
@@ -1,4 +1,4 @@
-//! The limit on the memory that the bodies and unsent answers of all requests take together.
+//! The limit on the total memory for request bodies and unsent responses.
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
--- a/wrenseam/src/model/attempt.rs
+++ b/wrenseam/src/model/attempt.rs
@@ -20,12 +20,12 @@
     pub replica_loaded: Option<bool>,
     /// Requests for the same function in the worker's queue; `None` if the worker did not report it.
     pub queue_depth: Option<u32>,
-    /// The body of the worker's answer, if the outcome is `Ok`.
+    /// The body of the worker's response, if the outcome is `Ok`.
     pub payload: Option<Payload>,
 }
 
 impl AttemptReport {
-    /// The report of an attempt that ended without a body and without figures of its worker.
+    /// The report of an attempt that ended without a body and without data about its worker.
     pub fn without_payload(outcome: Outcome) -> Self {
         AttemptReport {
             outcome,
--- a/wrenseam/src/model/request.rs
+++ b/wrenseam/src/model/request.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 use wrenseam_policy::{FunctionId, Micros};
 
-/// The body of a request or an answer, opaque to the core. The variant names the protocol that it came from, by which
-/// the KServe v2 front and transport decide whether to wrap it in JSON.
+/// The body of a request or an answer, which the core does not interpret. The variant states the protocol in which it
+/// was received, by which the KServe v2 front and transport decide whether to wrap it in JSON.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Payload {
     /// Raw bytes, from FastCGI or from the platform's binary frames.
@@ -60,7 +60,8 @@
     pub client_probe: Option<Arc<dyn ClientProbe>>,
 }
 
-/// The state of a client connection, taken from the socket, as the connection's reader may not have run yet.
+/// The state of a client connection, determined from the socket itself, as the connection's reader may not have run
+/// yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientState {
     /// Connected, and everything that the client sent has been read.
--- a/wrenseam/src/process_state.rs
+++ b/wrenseam/src/process_state.rs
@@ -1,4 +1,5 @@
-//! State that the parts of the process share in memory, without messages: flags, counts and the load summary.
+//! State that the core, the fronts, gossip and the shutdown share in memory instead of by messages: flags, counts and
+//! the load summary.
 use crate::fleet::{Lifecycle, Summary};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
--- a/wrenseam/src/queue.rs
+++ b/wrenseam/src/queue.rs
@@ -54,7 +54,7 @@
         order: u64,
         /// How it ended.
         outcome: Outcome,
-        /// The number of replicas that the worker holds, by its answer.
+        /// The number of replicas that the worker holds, as its response states; 0 if there was none.
         replicas: u32,
     },
     /// A health check ended.
--- a/wrenseam/src/ring.rs
+++ b/wrenseam/src/ring.rs
@@ -15,7 +15,7 @@
 }
 
 impl Ring {
-    /// Bytes that a ring can hold before it grows: enough for a typical request or answer.
+    /// Bytes that a ring can hold before it grows: enough for a typical request or response.
     pub const INITIAL_CAPACITY: usize = 2 * 1024;
 
     /// An empty ring that may hold up to `limit` bytes, but at least 1.
--- a/wrenseam/src/server.rs
+++ b/wrenseam/src/server.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// Configures the coroutine scheduler. A front end runs on one processor core, on which more scheduler threads would
-/// only take turns.
+/// Configures the coroutine scheduler. A front end runs on one processor core, where more scheduler threads would
+/// not run in parallel.
 fn configure_coroutines(limits: &Limits) {
     may::config()
         .set_workers(1)
@@ -152,12 +152,12 @@
                 .endpoint_update(TransportProtocol::Frames, update.complete, update.endpoints);
         }
         let address = Arc::new(DiscoveryAddress::new(self.config.discovery_service));
-        let followed = address.clone();
+        let service = address.clone();
         let seed = self.config.seed;
         let limits = self.limits.clone();
         let core = self.core.clone();
         spawn(self.limits.coroutine_stack_bytes, move || {
-            client::follow(&followed, watch.state, seed, &limits.discovery, &core);
+            client::follow(&service, watch.state, seed, &limits.discovery, &core);
         })
         .map_err(StartError::Discovery)?;
         Ok(address)
@@ -237,7 +237,7 @@
         })
     }
 
-    /// Starts the admin endpoint, and the watch of the files that the processes of this front end share.
+    /// Starts the admin endpoint, and the polling of the files that the processes of this front end share.
     fn start_admin_endpoint(
         &self,
         active_process: Option<ActiveProcess>,
@@ -252,8 +252,8 @@
         let accept = move || admin::accept(&listener, &context);
         spawn(self.limits.coroutine_stack_bytes, accept).map_err(failed)?;
         let context = self.listener_context.clone();
-        let watch = move || admin::poll_handover_files(&context, active_process);
-        spawn(self.limits.coroutine_stack_bytes, watch).map_err(StartError::Exclusions)
+        let poll = move || admin::poll_handover_files(&context, active_process);
+        spawn(self.limits.coroutine_stack_bytes, poll).map_err(StartError::Exclusions)
     }
 
     /// Serves until a signal ends the process, and then shuts down. The fleet is notified last.
--- a/wrenseam/src/start_error.rs
+++ b/wrenseam/src/start_error.rs
@@ -34,7 +34,7 @@
         /// Why the address could not be bound or the accepting coroutine not started.
         source: io::Error,
     },
-    /// The coroutine that watches the files with the exclusions and the active process.
+    /// The coroutine that polls the files with the exclusions and the active process.
     #[error("exclusions: {0}")]
     Exclusions(#[source] io::Error),
 }
