--- a/wrenseam/src/discovery/address.rs
+++ b/wrenseam/src/discovery/address.rs
@@ -2,7 +2,7 @@
 use may::sync::Mutex;
 use std::net::SocketAddr;
 
-/// The discovery service's address, shared by the coroutine that follows the service and the code that reloads the
+/// The discovery service's address, shared by the coroutine that receives its events and the code that reloads the
 /// configuration.
 pub struct DiscoveryAddress(Mutex<Option<SocketAddr>>);
 
--- a/wrenseam/src/discovery/client.rs
+++ b/wrenseam/src/discovery/client.rs
@@ -1,5 +1,4 @@
-//! The connection to the discovery service: connects, reads events and passes their changes to
-//! the core.
+//! The connection to the discovery service: connects, reads events and passes their changes to the core.
 use crate::discovery::address::DiscoveryAddress;
 use crate::discovery::backoff::ReconnectBackoff;
 use crate::discovery::event_stream::{EventStreamError, EventStreamResponse, StreamItem};
@@ -47,8 +46,8 @@
     Watch(#[from] WatchError),
 }
 
-/// Follows the discovery service and never returns. Whenever a request ends, a new one asks for the events after the
-/// last one received.
+/// Receives the discovery service's events and never returns. Whenever a request ends, a new one asks for the events
+/// after the last one received.
 pub fn follow(
     service: &DiscoveryAddress,
     state: WatchState,
@@ -93,7 +92,8 @@
     last_received_at: Instant,
     last_event_at: Instant,
     has_received: bool,
-    /// Whether a comment has arrived so late after the request that all pending events came before it.
+    /// Whether a comment has arrived at least [`DiscoveryLimits::settle_time`] after the request, and therefore after
+    /// all pending events.
     has_settled: bool,
     /// Whether `DiscoveryContact::Confirmed` has been reported for this request.
     is_confirmed: bool,
@@ -180,8 +180,8 @@
             .discovery_contact(DiscoveryContact::Interrupted { at, cause });
     }
 
-    /// Reports, once for each request, that everything that had happened when it was made has been received, provided
-    /// that no event is incomplete.
+    /// Reports, once for each request, that every change up to the time of the request has been received, provided that
+    /// no event is incomplete.
     fn confirm_if_settled(&mut self, connection: &mut Connection) {
         let is_settled = connection.has_settled && self.state.is_complete();
         if is_settled && !std::mem::replace(&mut connection.is_confirmed, true) {
--- a/wrenseam/src/discovery/etcd.rs
+++ b/wrenseam/src/discovery/etcd.rs
@@ -1,4 +1,4 @@
-//! Follows the endpoints under a key prefix of an etcd v3 registry: takes the bodies of range and watch responses, as
+//! Tracks the endpoints under a key prefix of an etcd v3 registry: takes the bodies of range and watch responses, as
 //! etcd's JSON gateway sends them, and returns endpoint updates. No I/O and no clock: time is an argument. See
 //! docs/registry.md.
 use crate::discovery::event::parse_instance;
@@ -61,7 +61,7 @@
     endpoint: Endpoint,
 }
 
-/// Follows one prefix: holds its last known revision, its cluster and the last valid endpoint of each key.
+/// Tracks one key prefix: holds its last known revision, its cluster and the last valid endpoint of each key.
 pub struct EtcdFollower {
     prefix: String,
     revision: i64,
@@ -192,7 +192,7 @@
         Ok(revision)
     }
 
-    /// Takes over the header of a range that does not continue the known state, as after a restore of the registry.
+    /// Adopts the header of a range that does not continue the known state, as after a restore of the registry.
     fn adopt_header(&mut self, body: &Object) -> i64 {
         let header = nested_object(body, "header");
         self.cluster = header
@@ -214,7 +214,7 @@
             let endpoint = self.keys.get(&key)?.endpoint.clone();
             return Some(KeyEndpoint { key, endpoint });
         };
-        // A key that was deleted and created again stands for a new process: its start time is now, unless the value
+        // A key that was deleted and created again belongs to a new process: its start time is now, unless the value
         // states one.
         let created_again = self
             .keys
--- a/wrenseam/src/discovery/event_stream.rs
+++ b/wrenseam/src/discovery/event_stream.rs
@@ -35,10 +35,10 @@
 }
 
 impl EventStreamParser {
-    /// Takes the next byte.
+    /// Parses the next byte.
     ///
-    /// Unlike in the HTML standard, an event without an id does not inherit the one before: it would be taken for a
-    /// repetition of that event.
+    /// Unlike in the HTML standard, an event without an id does not inherit the one before: it would be
+    /// treated as a repetition of that event.
     pub fn push(&mut self, byte: u8) -> StreamItem {
         if byte != b'\n' {
             self.line.push(byte);
@@ -56,7 +56,7 @@
         if line.starts_with(':') {
             return StreamItem::Comment;
         }
-        self.take_field(line);
+        self.store_field(line);
         StreamItem::Incomplete
     }
 
@@ -75,7 +75,7 @@
     }
 
     /// Stores the value of `id` and `data`; all other fields are ignored.
-    fn take_field(&mut self, mut line: String) {
+    fn store_field(&mut self, mut line: String) {
         if let Some(value) = line.strip_prefix("id:") {
             self.id = Some(without_leading_space(value).to_owned());
             return;
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Takes the next byte.
+    /// Parses the next byte.
     ///
     /// # Errors
     ///
--- a/wrenseam/src/discovery/membership.rs
+++ b/wrenseam/src/discovery/membership.rs
@@ -66,8 +66,8 @@
             .collect()
     }
 
-    /// Endpoints whose address a new worker has taken over, as gone. The list may report their end only after the new
-    /// worker, and that end would then be taken for the new worker's.
+    /// Returns, as gone, the endpoints whose address a new worker has taken over. The list may report their end only
+    /// after the new worker, to which that end would then be attributed.
     fn displaced_by_new_workers(
         &self,
         source: TransportProtocol,
@@ -84,7 +84,7 @@
             .collect()
     }
 
-    /// Endpoints of a source that are missing from its new complete list, as gone.
+    /// Returns, as gone, the endpoints of a source that are missing from its new complete list.
     fn missing_from(&self, source: TransportProtocol, endpoints: &[Endpoint]) -> Vec<Endpoint> {
         let named: HashSet<&str> = endpoints
             .iter()
@@ -125,9 +125,9 @@
     /// The change that results from an endpoint's listing, if any: it is published as draining while it is excluded or
     /// suspended.
     fn publish(&mut self, mut endpoint: Endpoint) -> Option<Change> {
-        let is_withheld =
+        let gets_no_work =
             self.excluded.contains(&endpoint.id) || self.suspended.contains(&endpoint.id);
-        if is_withheld && endpoint.state == WorkerState::Ready {
+        if gets_no_work && endpoint.state == WorkerState::Ready {
             endpoint.state = WorkerState::Draining;
         }
         let published = self.published.get(&endpoint.id);
@@ -139,8 +139,8 @@
         Some(Change { endpoint, action })
     }
 
-    /// Excludes an endpoint, whatever state the lists give it, until it is included again. Excluding it twice changes
-    /// nothing.
+    /// Excludes an endpoint, in any state that the lists give it, until it is included again. Excluding it twice
+    /// changes nothing.
     ///
     /// # Errors
     ///
--- a/wrenseam/src/discovery/mod.rs
+++ b/wrenseam/src/discovery/mod.rs
@@ -1,9 +1,9 @@
-//! Where the endpoint lists come from, and who the endpoints are over all sources.
+//! The sources of endpoint lists, and the merging of their endpoints.
 //!
 //! - [`client`] holds the connection to the discovery service, at the address in [`address`] and at the times that
 //!   [`backoff`] gives.
 //! - [`event_stream`] parses its response, [`event`] the JSON in it, and [`watch`] decides what each event changes.
-//! - [`xds`] reads endpoints of KServe v2 workers; [`etcd`] follows a key prefix of an etcd v3 registry.
+//! - [`xds`] reads endpoints of KServe v2 workers; [`etcd`] tracks a key prefix of an etcd v3 registry.
 //! - [`membership`] merges all sources into one list.
 pub mod address;
 pub mod backoff;
--- a/wrenseam/src/discovery/watch.rs
+++ b/wrenseam/src/discovery/watch.rs
@@ -184,7 +184,7 @@
         self.incomplete.is_empty() && !self.needs_complete_list
     }
 
-    /// Begins a request. Returns the number of the event after which the service is to continue: the last one, or the
+    /// Begins a request. Returns the number of the event after which the service must continue: the last one, or the
     /// one before the first incomplete one.
     pub fn begin_request(&mut self) -> u64 {
         self.request = RequestProgress::default();
--- a/wrenseam/src/fleet/average.rs
+++ b/wrenseam/src/fleet/average.rs
@@ -1,12 +1,12 @@
 //! The fleet's mean pressure, computed by Flow Updating (Jesus, Baquero and Almeida's fault-tolerant averaging). No
 //! I/O: the caller passes received datagrams and the time, and collects the datagrams to send.
 //!
-//! Each front end has edges to a bounded number of peers, whatever the size of the fleet. These are its neighbours on
-//! [`RINGS`] rings, each of which holds all members in a different order, by hash. Each edge has a flow: the pressure
-//! that was transferred over it. A front end's estimate of the mean is its own pressure minus the sum of its flows. An
-//! exchange over an edge sets the estimates at both ends to their mean. Datagrams carry the total flow and not its
-//! change, so lost and duplicated datagrams only delay convergence and do not change the mean. When an edge ends, both
-//! sides discard its flow.
+//! Each front end has edges to a bounded number of peers, independent of the size of the fleet. These are its
+//! neighbours on [`RINGS`] rings, each of which holds all members in a different order, by hash. Each edge has a flow:
+//! the pressure that was transferred over it. A front end's estimate of the mean is its own pressure minus the sum of
+//! its flows. An exchange over an edge sets the estimates at both ends to their mean. Datagrams carry the total flow
+//! and not its change, so lost and duplicated datagrams only delay convergence and do not change the mean. When an edge
+//! ends, both sides discard its flow.
 mod edge;
 mod exchange;
 mod neighbours;
--- a/wrenseam/src/fleet/budget.rs
+++ b/wrenseam/src/fleet/budget.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
-    /// Extra attempts per second that the whole fleet may make whatever the number of first attempts.
+    /// Extra attempts per second that the whole fleet may make regardless of the number of first attempts.
     floor_per_s: f64,
     /// The time that each bucket covers.
     width: Micros,
--- a/wrenseam/src/fleet/detector.rs
+++ b/wrenseam/src/fleet/detector.rs
@@ -161,7 +161,7 @@
         self.suspicions.values().map(|suspicion| suspicion.id)
     }
 
-    /// Decides what becomes of the suspicion of `id`, which has reached its timeout.
+    /// Decides the outcome of the suspicion of `id`, which has reached its timeout.
     pub fn resolve_suspicion(&mut self, now: Micros, id: PeerId) -> SuspicionOutcome {
         let suspicion = self.suspicions.get(&id.addr).copied();
         let Some(suspicion) = suspicion.filter(|suspicion| suspicion.id == id) else {
--- a/wrenseam/src/fleet/directory.rs
+++ b/wrenseam/src/fleet/directory.rs
@@ -15,8 +15,9 @@
 use std::net::SocketAddr;
 use wrenseam_policy::Micros;
 
-/// How long the tombstone of a gone member is kept, in microseconds: one day. A front end that missed the member's end
-/// for as long has dropped its view (see `Swim::restart`), so that it cannot report the member as alive again.
+/// How long the tombstone of a gone member is kept, in microseconds: one day. A front end that did not learn of the
+/// member's end for that long has dropped its view (see `Swim::restart`), so that it cannot report the member as alive
+/// again.
 pub const TOMBSTONE_TTL: Micros = 86_400_000_000;
 /// The most tombstones kept; when there are more, the oldest are removed.
 pub const MAX_TOMBSTONES: usize = 1024;
@@ -108,7 +109,7 @@
         self.update_member(id.addr, |member| member.mark_alive(id.incarnation, now));
     }
 
-    /// Records that a live member has taken the larger incarnation `id`.
+    /// Records that a live member has adopted the larger incarnation `id`.
     pub fn update_incarnation(&mut self, id: PeerId) {
         self.update_member(id.addr, |member| {
             member.incarnation = member.incarnation.max(id.incarnation);
--- a/wrenseam/src/fleet/directory/merge.rs
+++ b/wrenseam/src/fleet/directory/merge.rs
@@ -17,7 +17,7 @@
     AddMember,
     /// Fetch the record, which is a newer one of an incarnation known here.
     FetchRecord,
-    /// Take the stamp, which is a newer one of the content known here.
+    /// Adopt the stamp, which is a newer one for the record content known here.
     AdoptStamp,
     /// Query the member, which is alive here but gone for the other member.
     CheckLiveness,
@@ -88,8 +88,8 @@
         remote.checksum != 0 && replica.is_some_and(|replica| replica.checksum == remote.checksum)
     }
 
-    /// Takes a digest's stamp for the record known here, if it is newer. The caller has checked that the content is the
-    /// same.
+    /// Applies a digest's stamp to the record known here, if it is newer. The caller has checked that the content is
+    /// the same.
     pub fn adopt_stamp(&mut self, remote: &MemberDigest) {
         let stamp = remote.stamp;
         self.update_member(remote.owner, |member| {
--- a/wrenseam/src/fleet/identity.rs
+++ b/wrenseam/src/fleet/identity.rs
@@ -17,11 +17,13 @@
 /// a larger one.
 pub const MAX_INCARNATION: u64 = u64::MAX / 2;
 
-/// Address families on the wire.
+/// Wire value of the address family of IPv4.
 const FAMILY_V4: u8 = 4;
+/// Wire value of the address family of IPv6.
 const FAMILY_V6: u8 = 6;
-/// The offset basis and the prime of the 64-bit FNV-1a hash.
+/// The offset basis of the 64-bit FNV-1a hash.
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+/// The prime of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
 /// The identity of a front end in the fleet: its gossip address, and an incarnation that tells successive processes at
--- a/wrenseam/src/fleet/liveness_check.rs
+++ b/wrenseam/src/fleet/liveness_check.rs
@@ -31,7 +31,7 @@
         /// Whether an earlier query had no reply: the query also goes through relays, which may still reach the member.
         is_retry: bool,
     },
-    /// Declare the member down, if nothing speaks against it: its time to answer is over.
+    /// Declare the member down, unless there is evidence that it is alive: its reply timeout has passed.
     Expired {
         /// The member, and the incarnation that is checked.
         id: PeerId,
--- a/wrenseam/src/fleet/members.rs
+++ b/wrenseam/src/fleet/members.rs
@@ -68,7 +68,7 @@
     probe_period: Micros,
     /// How long no datagram may arrive before this front end considers itself cut off.
     isolation_timeout: Micros,
-    /// Silence counts from here on at the earliest: when this front end last had no live peer, or the process stalled.
+    /// The earliest time from which silence counts: when this front end last had no live peer, or the process stalled.
     silence_counts_from: Micros,
     /// When the next round of rumors is due.
     next_rumor_at: Micros,
@@ -173,14 +173,14 @@
         self.view_digest
     }
 
-    /// Takes the datagrams to send.
+    /// Removes and returns the datagrams to send.
     pub fn take_outbox(&mut self) -> Vec<Outgoing> {
         let mut out = self.swim.take_outbox();
         out.append(&mut self.outbox);
         out
     }
 
-    /// Takes the changes of membership since the last call.
+    /// Removes and returns the changes of membership since the last call.
     pub fn take_events(&mut self) -> Vec<TimedPeerEvent> {
         std::mem::take(&mut self.events)
     }
@@ -205,8 +205,8 @@
         Ok(())
     }
 
-    /// Publishes our record with this metadata under a stamp larger than `above` and than our present one; a larger
-    /// incarnation is also taken by membership.
+    /// Publishes our record with this metadata under a stamp larger than `above` and than our present one; membership
+    /// also adopts a larger incarnation.
     fn publish_own(&mut self, now: Micros, metadata: Metadata, above: Stamp) {
         let Some(stamp) = above.max(self.directory.own().stamp).next() else {
             return;
@@ -337,7 +337,7 @@
         self.events.push(TimedPeerEvent { at, event });
     }
 
-    /// Queues a message to another member. One that is too large, or that is to ourselves, is dropped.
+    /// Queues a message to another member. A message that is too large or addressed to this front end is dropped.
     fn send(&mut self, to: SocketAddr, kind: TrafficKind, message: Message) {
         let from = self.swim.own();
         if to == from.addr {
--- a/wrenseam/src/fleet/members/exchange.rs
+++ b/wrenseam/src/fleet/members/exchange.rs
@@ -57,7 +57,7 @@
     }
 
     /// Checks the sender of a record datagram and adds it as a live member if it, or its incarnation, is new. Returns
-    /// false if the datagram is to be dropped: the sender has our own address, or its incarnation is outdated or
+    /// false if the datagram must be dropped: the sender has our own address, or its incarnation is outdated or
     /// counted as gone, of which it is notified.
     fn accept_sender(&mut self, now: Micros, from: PeerId) -> bool {
         if from.addr == self.directory.own().owner {
@@ -75,7 +75,7 @@
         true
     }
 
-    /// Notifies a sender whose incarnation is outdated or counted as gone, so that it takes a larger one. Returns
+    /// Notifies a sender whose incarnation is outdated or counted as gone, so that it adopts a larger one. Returns
     /// whether that was so.
     fn notify_outdated_sender(&mut self, from: PeerId) -> bool {
         let Some(known) = self.directory.member_digest(from.addr) else {
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Refutes what another member knows about us but we did not publish: republishes our record under a larger stamp.
+    /// Refutes information about this front end that it did not publish: republishes our record under a larger stamp.
     fn refute(&mut self, now: Micros, above: Stamp) {
         self.counts.refuted += 1;
         self.republish_own(now, above);
@@ -256,32 +256,32 @@
     }
 
     /// Answers an alive query about ourselves, and forwards one about another member if it came from its origin: a
-    /// query takes one relay at most. If the query has a larger incarnation of ours, or counts ours as gone, our
-    /// incarnation is raised first.
+    /// query passes through one relay at most. If the query has a larger incarnation of ours, or counts ours as gone,
+    /// our incarnation is raised first.
     fn answer_alive_query(
         &mut self,
         now: Micros,
         from: PeerId,
-        about: PeerId,
+        target: PeerId,
         gone: bool,
         origin: SocketAddr,
     ) {
         let own = self.directory.own().id();
-        if about.addr != own.addr {
-            if from.addr == origin && about.addr != origin {
+        if target.addr != own.addr {
+            if from.addr == origin && target.addr != origin {
                 let query = Message::AliveQuery {
-                    target: about,
+                    target,
                     gone,
                     origin,
                 };
-                self.send(about.addr, TrafficKind::Probe, query);
+                self.send(target.addr, TrafficKind::Probe, query);
             }
             return;
         }
-        let is_declared_gone = gone && own.incarnation == about.incarnation;
-        if own.incarnation < about.incarnation || is_declared_gone {
+        let is_declared_gone = gone && own.incarnation == target.incarnation;
+        if own.incarnation < target.incarnation || is_declared_gone {
             let above = Stamp {
-                incarnation: about.incarnation,
+                incarnation: target.incarnation,
                 version: u32::MAX,
             };
             self.republish_own(now, above);
--- a/wrenseam/src/fleet/members/periodic.rs
+++ b/wrenseam/src/fleet/members/periodic.rs
@@ -94,14 +94,14 @@
         }
     }
 
-    /// Asks `about` whether it is alive, directly and through `relays` random members.
-    fn send_alive_queries(&mut self, about: PeerId, gone: bool, relays: usize) {
-        let mut targets = self.pick_relays(about, relays);
-        targets.push(about.addr);
+    /// Asks `target` whether it is alive, directly and through `relays` random members.
+    fn send_alive_queries(&mut self, target: PeerId, gone: bool, relays: usize) {
+        let mut recipients = self.pick_relays(target, relays);
+        recipients.push(target.addr);
         let origin = self.directory.own().owner;
-        for to in targets {
+        for to in recipients {
             let query = Message::AliveQuery {
-                target: about,
+                target,
                 gone,
                 origin,
             };
@@ -109,13 +109,13 @@
         }
     }
 
-    /// At most `relays` random members through which `about` can be queried.
-    fn pick_relays(&mut self, about: PeerId, relays: usize) -> Vec<SocketAddr> {
+    /// At most `relays` random members through which `target` can be queried.
+    fn pick_relays(&mut self, target: PeerId, relays: usize) -> Vec<SocketAddr> {
         if relays == 0 {
             return Vec::new();
         }
         let alive = self.directory.alive().map(|other| other.addr);
-        let others = alive.filter(|&addr| addr != about.addr).collect();
+        let others = alive.filter(|&addr| addr != target.addr).collect();
         choose_random(&mut self.rng, others, relays)
     }
 
--- a/wrenseam/src/fleet/node.rs
+++ b/wrenseam/src/fleet/node.rs
@@ -27,7 +27,7 @@
 const MEMBER_LISTS_PER_PROBE: usize = 2;
 
 /// Time, in microseconds, for which received datagrams are dropped after the process did not run for longer than the
-/// suspicion time-out. The datagrams that waited in the socket are outdated and could declare down a peer that has
+/// suspicion timeout. The datagrams that waited in the socket are outdated and could declare down a peer that has
 /// returned since. Reading all of them takes this long.
 const BACKLOG_DROP_TIME: Micros = 20_000;
 
@@ -174,13 +174,13 @@
         self.members.set_metadata(now, metadata)
     }
 
-    /// Notifies the fleet that this front end leaves. It takes no further part in membership.
+    /// Notifies the fleet that this front end leaves. After this it no longer takes part in membership.
     pub fn leave(&mut self, now: Micros) {
         self.now = now;
         self.members.leave(now);
     }
 
-    /// To be called once per probe period. Publishes this front end's load, tries to rejoin unreachable peers, and
+    /// Must be called once per probe period. Publishes this front end's load, tries to rejoin unreachable peers, and
     /// returns the fleet's status.
     pub fn publish(&mut self, now: Micros, own: Summary) -> FleetStatus {
         self.now = now;
--- a/wrenseam/src/fleet/rumor.rs
+++ b/wrenseam/src/fleet/rumor.rs
@@ -13,10 +13,10 @@
 /// partition heals, repair is cheaper, since it sends no member a record that it has.
 const MAX_QUEUED: usize = 12;
 
-/// The members whose records are to be sent.
+/// The queue of members whose records are sent in the next rounds.
 #[derive(Debug, Default)]
 pub struct RumorQueue {
-    /// Rounds in which the record of each member is still to be sent.
+    /// The number of rounds in which the record of each member is still sent.
     rounds_left: BTreeMap<SocketAddr, u8>,
 }
 
@@ -36,7 +36,7 @@
         self.rounds_left.insert(owner, OWN_ROUNDS);
     }
 
-    /// Whether no record is to be sent.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.rounds_left.is_empty()
     }
--- a/wrenseam/src/fleet/status.rs
+++ b/wrenseam/src/fleet/status.rs
@@ -26,7 +26,7 @@
     /// Whether the fleet contains a front end of a version without averaging. The pressure is then the mean of load
     /// summaries.
     pub mixed: bool,
-    /// Lifeguard's local health multiplier: the factor by which this front end's probe and suspicion time-outs are
+    /// Lifeguard's local health multiplier: the factor by which this front end's probe and suspicion timeouts are
     /// longer than configured.
     pub health_multiplier: u32,
     /// Bytes sent, in the order of [`TrafficKind::ALL`].
--- a/wrenseam/src/fleet/summary.rs
+++ b/wrenseam/src/fleet/summary.rs
@@ -181,7 +181,7 @@
 /// The result of [`Summaries::insert`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InsertOutcome {
-    /// The summary is newer than the known one. It was stored and is to be gossiped on.
+    /// The summary is newer than the known one. It was stored and must be gossiped further.
     Updated,
     /// The summary is not newer than the known one (a duplicate, or reordered) and was dropped.
     Stale,
--- a/wrenseam/src/fleet/swim.rs
+++ b/wrenseam/src/fleet/swim.rs
@@ -44,7 +44,7 @@
     Down(PeerId),
     /// A peer announced that it leaves, and is now gone.
     Left(PeerId),
-    /// A live peer has taken a larger incarnation.
+    /// A live peer has adopted a larger incarnation.
     NewIncarnation(PeerId),
     /// This front end no longer counts any peer as alive.
     Isolated,
@@ -330,12 +330,13 @@
         }
     }
 
-    /// Takes the datagrams to send.
+    /// Removes and returns the datagrams to send.
     pub fn take_outbox(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.runtime.outbox)
     }
 
-    /// Takes the changes of membership since the last call, and drops the summaries of the peers that went down.
+    /// Removes and returns the changes of membership since the last call, and drops the summaries of the peers that
+    /// went down.
     pub fn take_events(&mut self) -> Vec<TimedPeerEvent> {
         let events = std::mem::take(&mut self.runtime.events);
         for timed in &events {
@@ -357,7 +358,7 @@
     }
 }
 
-/// The number of our probe that a message acknowledges; `None` if it is no acknowledgement.
+/// The number of our probe that a message acknowledges; `None` if it is not an acknowledgement.
 fn acknowledged_probe(message: &Message<PeerId>) -> Option<u8> {
     match message {
         Message::Ack(number)
--- a/wrenseam/src/fleet/swim/runtime.rs
+++ b/wrenseam/src/fleet/swim/runtime.rs
@@ -15,7 +15,7 @@
 /// The most member updates piggybacked on a probe message while the byte budget is low.
 const MAX_PROBE_UPDATES_LOW_BUDGET: u16 = 12;
 
-/// What foca has asked of its runtime since the caller last took it.
+/// The datagrams, timers and events that foca has produced, and the state that its callbacks use.
 #[derive(Default)]
 pub(super) struct FocaRuntime {
     pub(super) now: Micros,
--- a/wrenseam/src/fleet/traffic.rs
+++ b/wrenseam/src/fleet/traffic.rs
@@ -18,8 +18,8 @@
 /// What a datagram is for. Datagrams of one batch are sent in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficKind {
-    /// SWIM's direct and indirect probes and their acknowledgements, liveness queries and
-    /// replies, and leave notices. Always sent.
+    /// SWIM's direct and indirect probes and their acknowledgements, liveness queries and replies, and leave notices.
+    /// Always sent.
     Probe,
     /// Exchanges of the averaging. Always sent, as their number is bounded.
     Average,
--- a/wrenseam/src/front/admin/file.rs
+++ b/wrenseam/src/front/admin/file.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 /// Writes a new file and renames it to `path`, so that the other process never reads an incomplete file. A failure is
-/// logged; `content` says in the log line what was to be written.
+/// logged; `content` names the file's content in the log line.
 pub(super) fn write_atomically(path: &Path, text: &str, content: HandoverContent) {
     let new = path.with_extension("new");
     if let Err(error) = std::fs::write(&new, text).and_then(|()| std::fs::rename(&new, path)) {
--- a/wrenseam/src/front/fastcgi/partial.rs
+++ b/wrenseam/src/front/fastcgi/partial.rs
@@ -113,7 +113,7 @@
 
     fn reserve(&mut self, bytes: usize) -> Result<(), Rejection> {
         let reserved = self.reserved_bytes.as_mut();
-        if !reserved.is_some_and(|held| held.grow(bytes)) {
+        if !reserved.is_some_and(|reservation| reservation.grow(bytes)) {
             return Err(EarlyRejection::MemoryLimit.into());
         }
         Ok(())
--- a/wrenseam/src/front/fastcgi/records.rs
+++ b/wrenseam/src/front/fastcgi/records.rs
@@ -44,7 +44,7 @@
     /// A record was not complete within `Limits::request_read_timeout`.
     #[error("record timed out before it was complete")]
     RecordTimeout,
-    /// More than `Limits::max_discarded_bytes` had to be discarded, mostly records of requests that were rejected.
+    /// More than `Limits::max_discarded_bytes` were discarded, mostly records of requests that were rejected.
     #[error("too many bytes after a rejected request")]
     DiscardLimit,
 }
--- a/wrenseam/src/limits.rs
+++ b/wrenseam/src/limits.rs
@@ -10,8 +10,8 @@
 const KIB: usize = 1024;
 const MIB: usize = 1024 * KIB;
 
-/// A fleet with more front ends than this is large: so many share each worker that frequent keepalive probes cost more
-/// than they are worth, and requests to the discovery service are spread over time.
+/// A fleet with more front ends than this is large: each worker is shared by so many that frequent keepalive probes
+/// cost more than they gain, and requests to the discovery service are spread over time.
 const LARGE_FLEET_FRONT_ENDS: u32 = 16;
 
 /// Smallest supported limit of file descriptors; a lower one counts as this.
@@ -30,7 +30,7 @@
 /// Divisor of the descriptor limit that gives the share that clients leave to worker connections.
 const WORKER_DESCRIPTOR_DIVISOR: usize = 8;
 
-/// Each worker that speaks KServe v2 may have one connection for so many descriptors of the limit.
+/// Divisor of the descriptor limit that gives the number of connections to each worker that speaks KServe v2.
 const DESCRIPTORS_PER_V2_CONNECTION: usize = 128;
 /// Each worker that speaks KServe v2 may have this many connections at any descriptor limit.
 const V2_CONNECTIONS_MIN: usize = 2;
@@ -186,9 +186,9 @@
     pub drain_idle_timeout: Duration,
     /// Interval at which a client connection checks these timeouts.
     pub client_check_interval: Duration,
-    /// A client connection is read for so long after its half-close, unless the client closes sooner.
+    /// A client connection is read for this long after its half-close, unless the client closes sooner.
     pub linger_timeout: Duration,
-    /// A client connection is closed after so many discarded bytes of malformed requests.
+    /// A client connection is closed after this many discarded bytes of malformed requests.
     pub max_discarded_bytes: usize,
 
     // Connections to workers.
@@ -212,7 +212,7 @@
     pub write_check_interval: Duration,
     /// A response that has begun counts as incomplete if none of it arrives for this long.
     pub response_stall_timeout: Duration,
-    /// Responses to a call may arrive for so long after its client's timeout.
+    /// Responses to a call may arrive for this long after its client's timeout.
     pub late_response_grace: Duration,
     /// A load order times out if it is not answered within this time.
     pub load_order_timeout: Micros,
@@ -295,17 +295,17 @@
     }
 }
 
-/// A connection without any bytes for this long has ended: the discovery service sends a comment each second. What
-/// happens before a connection falls silent counts as reported to the front end 4 s after its last byte.
+/// A connection without any bytes for this long has ended: the discovery service sends a comment each second. A
+/// change that happens before the connection falls silent counts as reported to the front end 4 s after the last byte.
 const DISCOVERY_SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Shortest time after which a request to the discovery service is replaced by a new one.
 const DISCOVERY_EVENT_TIMEOUT_MIN: Duration = Duration::from_millis(3_000);
-/// Longest time after which a request to the discovery service is replaced by a new one. Whatever happens counts as
-/// reported to the front end 7 s later; this time leaves room for another request should the new one fail.
+/// Longest time after which a request to the discovery service is replaced by a new one. Any change counts as
+/// reported to the front end 7 s later; this time leaves room for another request if the new one fails.
 const DISCOVERY_EVENT_TIMEOUT_MAX: Duration = Duration::from_millis(4_500);
 
-/// A comment that arrives so long after the request comes after all pending events, as the service sends those well
+/// A comment that arrives this long after the request comes after all pending events, as the service sends those well
 /// before.
 const DISCOVERY_SETTLE_TIME: Duration = Duration::from_millis(250);
 
@@ -321,10 +321,10 @@
 /// over this time.
 const DISCOVERY_RECONNECT_JITTER_LARGE_FLEET: Duration = Duration::from_millis(300);
 
-/// Divisor of the process's memory that gives the maximum size of one event. Handling an event takes some 20 times its
-/// size (`tests/large_list.rs`), which is a third of the memory for the largest event.
+/// Divisor of the process's memory that gives the maximum size of one event. Handling an event needs about 20 times
+/// its size (`tests/large_list.rs`), which is a third of the memory for the largest event.
 const DISCOVERY_EVENT_MEMORY_DIVISOR: usize = 64;
-/// The maximum size of one event is not below this, however small the memory is.
+/// Lower bound of the maximum size of one event, for processes with little memory.
 const DISCOVERY_EVENT_BYTES_MIN: usize = MIB;
 
 /// Sizes and times of the connection to the discovery service.
@@ -339,7 +339,7 @@
     pub event_timeout_min: Duration,
     /// Longest event timeout that is drawn for a request.
     pub event_timeout_max: Duration,
-    /// A service that sends a comment so long after the request has sent all pending events.
+    /// A service that sends a comment this long after the request has sent all pending events.
     pub settle_time: Duration,
     /// Interval at which a waiting read checks whether the service's address has changed.
     pub address_check_interval: Duration,
--- a/wrenseam/src/net/failure.rs
+++ b/wrenseam/src/net/failure.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Whether a call failed only because it would have had to wait, or waited until its timeout, or was interrupted.
+/// Whether a call failed only because it would have blocked, reached its timeout or was interrupted.
 pub fn would_block(error: &io::Error) -> bool {
     ErrorAction::for_error(error) == ErrorAction::Retry
 }
@@ -46,9 +46,9 @@
 pub enum ReadOutcome {
     /// The peer has closed the connection.
     Closed,
-    /// Bytes came and are in the ring.
+    /// Bytes were received and are in the ring.
     Data,
-    /// Nothing came yet; the connection is still usable.
+    /// Nothing was received; the connection is still usable.
     NotReady,
 }
 
--- a/wrenseam/src/net/outbox.rs
+++ b/wrenseam/src/net/outbox.rs
@@ -13,10 +13,11 @@
 use std::sync::{Arc, Weak};
 use std::time::Instant;
 
-/// A lingering connection's reads time out after `Limits::linger` divided by this, so that the end of the linger is
-/// noticed soon.
+/// A lingering connection's reads time out after `Limits::linger_timeout` divided by this, so that the end of the
+/// linger is noticed soon.
 const LINGER_READ_DIVISOR: u32 = 32;
-/// A lingering connection checks whether its writer has ended each time `Limits::linger` divided by this has passed.
+/// A lingering connection checks whether its writer has ended each time `Limits::linger_timeout` divided by this has
+/// passed.
 const LINGER_CHECK_DIVISOR: u32 = 64;
 
 /// The stream of a client connection as its writer uses it.
@@ -138,15 +139,15 @@
         }
     }
 
-    /// Half-closes the connection once everything queued is written. Its reader goes on for a while, see
+    /// Half-closes the connection once everything queued is written. Its input is still read for a while, see
     /// [`Outbox::linger`].
     pub fn close(&self) {
         self.close_state.is_closing.store(true, Ordering::Release);
         let _ = self.commands.send(WriteCommand::HalfClose); // fails if the writer has ended: closed already
     }
 
-    /// Closes the connection once everything queued is written, without reading on. For connections without a pending
-    /// request, or whose client has left or does not read its responses.
+    /// Closes the connection once everything queued is written, without reading further. For connections without a
+    /// pending request, or whose client has left or does not read its responses.
     pub fn abort(&self) {
         self.close_state.is_aborted.store(true, Ordering::Release);
         let _ = self.commands.send(WriteCommand::Close); // fails if the writer has ended: closed already
@@ -187,7 +188,8 @@
         self.close();
         self.discard_input(stream, limits);
         while !self.has_writer_ended() {
-            sleep(limits.linger_timeout / LINGER_CHECK_DIVISOR); // `Limits::write_stall_timeout` bounds how long the writer takes
+            // Ends in any case, as `Limits::write_stall_timeout` bounds how long the writer takes.
+            sleep(limits.linger_timeout / LINGER_CHECK_DIVISOR);
         }
     }
 
--- a/wrenseam/src/net/slots.rs
+++ b/wrenseam/src/net/slots.rs
@@ -97,7 +97,7 @@
 
     /// Answers a request: `write` queues the response, and only after that the request counts as ended. In the other
     /// order the reader could close the connection as idle before the response is queued. `was_valid` tells whether the
-    /// request was one that workers could take.
+    /// request counts as valid, after which the connection gets the longer idle timeout.
     pub fn answer_request(&self, was_valid: bool, write: impl FnOnce()) {
         write();
         self.finish_request(was_valid);
--- a/wrenseam/src/worker/dispatch.rs
+++ b/wrenseam/src/worker/dispatch.rs
@@ -22,13 +22,14 @@
 /// | from | to | by |
 /// | --- | --- | --- |
 /// | `Waiting` | `Started` | the writer, right before the first byte |
-/// | `Started` | `Waiting` | the writer, when not a byte could be written |
+/// | `Started` | `Waiting` | the writer, when no byte could be written |
 /// | `Waiting` | `Reclaimed` | the core, on a cancel or a timeout |
-/// | `Waiting` | `Discarded` | the writer, when its client has gone or its time is up |
-/// | `Waiting`, `Started` | `Ended` | the connection: it was answered, withheld, or the connection ended |
+/// | `Waiting` | `Discarded` | the writer, when its client has gone or its start deadline has passed |
+/// | `Waiting`, `Started` | `Ended` | the connection, when it ends, reads the response, or removes the unwritten frame |
 ///
 /// `Reclaimed`, `Discarded` and `Ended` are final. Exactly one caller makes the transition into a final state, and that
-/// caller accounts for the end of the attempt. A dispatch that reaches `Reclaimed` or `Discarded` was never written.
+/// caller accounts for the end of the attempt. An unwritten frame is removed if its worker drains, if the core cancels
+/// it, or if its id is in use. A dispatch that reaches `Reclaimed` or `Discarded` was never written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum DispatchState {
@@ -38,9 +39,9 @@
     Started,
     /// The core took the dispatch back before it was started.
     Reclaimed,
-    /// The writer dropped it at its turn, as its client had left or its time was up.
+    /// The writer dropped it instead of starting it, as its client had gone or its start deadline had passed.
     Discarded,
-    /// The connection's side ended it: it was answered, withheld, or the connection ended.
+    /// The connection ended it: the response was read, its unwritten frame was removed, or the connection itself ended.
     Ended,
 }
 
--- a/wrenseam/src/worker/frames/exchange.rs
+++ b/wrenseam/src/worker/frames/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges: a frame that is sent and the response that is awaited to it.
+//! Exchanges: each is a frame sent to the worker and the response to it.
 use super::super::dispatch::Dispatch;
 use super::codec::EMPTY_FRAME_BYTES;
 use super::keepalive::OldestExchange;
@@ -28,7 +28,7 @@
     }
 }
 
-/// An exchange that is to be opened.
+/// An exchange to open.
 pub(super) struct NewExchange {
     pub(super) kind: ExchangeKind,
     /// The id that the worker sees.
@@ -40,7 +40,7 @@
     pub(super) dispatch: Arc<Dispatch>,
 }
 
-/// Something for the writer to write. The order of hand-over is kept.
+/// Something for the writer to write. It is written in the order in which it was handed over.
 pub(super) enum Outbound {
     /// The frame that opens an exchange.
     Open(NewExchange),
@@ -51,7 +51,7 @@
 }
 
 impl Outbound {
-    /// The most bytes that it takes in the ring.
+    /// The maximum number of bytes that it occupies in the ring.
     pub(super) fn len(&self) -> usize {
         match self {
             Outbound::Open(exchange) => exchange.frame.len(),
--- a/wrenseam/src/worker/frames/handle.rs
+++ b/wrenseam/src/worker/frames/handle.rs
@@ -99,7 +99,7 @@
         let _ = self.commands.send(Command::Write(outbound));
     }
 
-    /// Cancels an exchange. If it has been started, the writer does what is left to do.
+    /// Cancels an exchange. If it has been started, the writer completes the cancellation.
     pub(super) fn cancel(&mut self, kind: ExchangeKind) -> CancelOutcome {
         let Some(dispatch) = self.dispatches.remove(&kind) else {
             return CancelOutcome::Unknown;
--- a/wrenseam/src/worker/frames/keepalive.rs
+++ b/wrenseam/src/worker/frames/keepalive.rs
@@ -42,8 +42,8 @@
 pub(super) struct Keepalive {
     /// When the unanswered probe was sent; `None` if none is unanswered.
     probe_sent_at: Option<Instant>,
-    /// How long the probe has been unanswered. Only time counts in which checks were made and the writer had the probe,
-    /// as a busy machine may delay either.
+    /// How long the probe has been unanswered. Counts only time in which checks were made and the writer had received
+    /// the probe, as a busy machine may delay either.
     unanswered: Duration,
 }
 
--- a/wrenseam/src/worker/frames/mod.rs
+++ b/wrenseam/src/worker/frames/mod.rs
@@ -75,7 +75,7 @@
 
     /// Returns a connection with capacity for another exchange, a new one if there is none. A connection on which `id`
     /// is still reserved is not chosen: a late or duplicate response to the earlier exchange with this id would be
-    /// taken for the response to the new one.
+    /// matched to the new one.
     fn connection_for(&mut self, id: Option<u64>) -> &mut ConnectionHandle {
         let limits = &self.limits;
         let found = self.connections.iter().position(|connection| {
--- a/wrenseam/src/worker/frames/outgoing.rs
+++ b/wrenseam/src/worker/frames/outgoing.rs
@@ -13,7 +13,7 @@
 use std::time::Instant;
 use wrenseam_policy::Outcome;
 
-/// How far the frame of a cancelled exchange had come.
+/// Whether the frame of a cancelled exchange was already being written.
 enum Withdrawn {
     /// A byte of it is written: the worker must be notified, with this id.
     Written(u64),
@@ -122,7 +122,8 @@
         self.queue.is_past_write_deadline(written, Instant::now())
     }
 
-    /// The worker drains: ends the exchanges that are withheld then, if they wait or no byte of them is written.
+    /// Called while the worker drains: ends the exchanges that a draining worker must not get, except those of whose
+    /// frame a byte is written.
     pub(super) fn withhold_for_drain(&mut self) {
         for outbound in std::mem::take(&mut self.waiting) {
             match outbound {
--- a/wrenseam/src/worker/frames/progress.rs
+++ b/wrenseam/src/worker/frames/progress.rs
@@ -1,7 +1,7 @@
 //! Counts the bytes written to a connection, so that it is certain whether a frame was completely written.
 //!
-//! A write and the update of the count are one atomic step. Were they two, a reader that ends the connection between
-//! them would take a completely written frame for one that was never sent, and the call in it would run twice.
+//! A write and the update of the count are one atomic step. If they were two, a reader that ends the connection between
+//! them would treat a completely written frame as never sent, and the call in it would run twice.
 use may::sync::{Mutex, MutexGuard};
 use std::io;
 use std::sync::PoisonError;
--- a/wrenseam/src/worker/frames/reader.rs
+++ b/wrenseam/src/worker/frames/reader.rs
@@ -20,7 +20,7 @@
 /// Why reading from a connection ended.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// A frame has begun, and no more of it came within `Limits::frame_stall`.
+    /// A frame has begun, and no more of it arrived within `Limits::response_stall_timeout`.
     #[error("incomplete frame")]
     IncompleteFrame,
     /// A frame was invalid; nothing after it can be trusted.
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Guards against a response whose rest never comes. Only a read that waited counts, and only if no input is unread
-    /// now: input that came while the process was stopped is still unread.
+    /// Guards against a response whose rest never arrives. Only a read that waited counts, and only if no input is
+    /// unread now: input that arrived while the process was stopped is still unread.
     fn check_incomplete_frame(&self, read_started_at: Instant) -> Result<(), ReadError> {
         let has_waited = read_started_at.elapsed() >= self.limits.response_stall_timeout / 2;
         if has_waited && self.decoder.is_mid_frame() && has_no_unread_input(&self.stream) {
--- a/wrenseam/src/worker/frames/send_queue.rs
+++ b/wrenseam/src/worker/frames/send_queue.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// A frame that is to be written.
+/// A frame to write.
 #[derive(Debug, Default)]
 pub struct QueuedFrame {
     /// Length in bytes.
--- a/wrenseam/src/worker/frames/writer.rs
+++ b/wrenseam/src/worker/frames/writer.rs
@@ -23,13 +23,13 @@
     /// A keepalive probe was not answered.
     #[error("keepalive timed out")]
     KeepaliveTimedOut,
-    /// A write took no byte.
+    /// A write accepted no bytes.
     #[error("write returned 0 bytes")]
     WriteZero,
     /// A retry was written in part when its write deadline passed.
     #[error("write deadline of a retry passed")]
     WriteDeadlinePassed,
-    /// Writes made no progress for `Limits::write_stall`.
+    /// Writes made no progress for `Limits::write_stall_timeout`.
     #[error("write stalled")]
     WriteStalled,
     /// A frame of this many bytes does not fit into the empty ring.
@@ -205,8 +205,8 @@
         Ok(())
     }
 
-    /// Whether nothing has been received since `asked_at`. Unread input counts as received: it may have come while the
-    /// process was stopped.
+    /// Whether nothing has been received since `asked_at`. Unread input counts as received: it may have arrived while
+    /// the process was stopped.
     fn is_silent_since(&self, asked_at: Instant, stream: &TcpStream) -> bool {
         let last_response_at = self.state.last_response_at();
         last_response_at.is_none_or(|at| at < asked_at) && has_no_unread_input(stream)
--- a/wrenseam/src/worker/kserve/connection.rs
+++ b/wrenseam/src/worker/kserve/connection.rs
@@ -1,5 +1,5 @@
-//! One connection to a v2 worker: carries one exchange at a time, and determines what is known of it when the
-//! connection ends.
+//! One connection to a v2 worker: carries one exchange at a time, and determines its outcome when the connection
+//! ends.
 use super::super::dispatch::{StartResult, CLIENT_INPUT_WAIT};
 use super::super::log_lines;
 use super::super::socket::{has_no_unread_input, stalled_write_pause};
@@ -95,8 +95,8 @@
             .load_order_ended(order.number, report.outcome, report.replicas);
     }
 
-    /// Sends the request and reads the complete response. On failure, returns the outcome that follows from how far the
-    /// exchange came.
+    /// Sends the request and reads the complete response. On failure, returns the outcome, which depends on how
+    /// much of the exchange took place.
     fn send_and_receive(&mut self, exchange: &Exchange) -> Result<Response, Outcome> {
         if self.is_withheld(exchange) {
             return Err(Outcome::NotSent);
@@ -104,7 +104,7 @@
         let mut stream = match &exchange.kind {
             ExchangeKind::Call(_) => self.started_stream(exchange)?,
             // Responses to these carry no id. After a duplicate response, each later one on the connection would be
-            // taken for the response to the wrong exchange.
+            // matched to the wrong exchange.
             ExchangeKind::Order(_) | ExchangeKind::Unload => self.new_started_stream(exchange)?,
         };
         self.write(&stream, exchange)?;
@@ -114,7 +114,7 @@
                 if !exchange.is_cancelled() {
                     log_limited!("{}", log_lines::response_lost(self.address, &reason));
                 }
-                // The request was completely written and no complete response came: it may have run.
+                // The request was completely written and no complete response arrived: it may have run.
                 Outcome::Reset
             })?;
         let owner = match &exchange.kind {
@@ -132,8 +132,8 @@
     }
 
     /// Keeps the connection for the next call, if it can carry another. The caller makes sure that the response names
-    /// its call: otherwise a late duplicate would be taken for the response to the next call, whose own response would
-    /// go to the call after it, and a rejection among them would prove of the wrong call that it never ran.
+    /// its call: otherwise a late duplicate would be matched to the next call, whose own response would be matched to
+    /// the call after it, and a rejection among them would show of the wrong call that it never ran.
     fn keep_reusable(&mut self, stream: TcpStream, received: &ReceivedResponse) {
         if received.is_reusable && received.response.status == 200 {
             self.idle = Some(IdleStream {
@@ -173,7 +173,7 @@
                     self.idle = Some(idle);
                     return Err(Outcome::NotSent);
                 }
-                // Input that came while the exchange waited to be started is no response to it.
+                // Input that arrived while the exchange waited to be started is not the response to it.
                 if idle.is_usable(&self.limits) {
                     return Ok(idle.stream);
                 }
--- a/wrenseam/src/worker/kserve/exchange.rs
+++ b/wrenseam/src/worker/kserve/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges: a request to a v2 worker and the response that is awaited to it.
+//! Exchanges: each is a request to a v2 worker and the response to it.
 use super::super::dispatch::Dispatch;
 use crate::model::AttemptKey;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -44,7 +44,7 @@
     pub(super) drain_epoch: u64,
     /// Whether it is not started once the worker drains.
     pub(super) withheld_on_drain: bool,
-    /// If no response has come by then, the connection closes, so that a silent worker does not keep it.
+    /// If no response has arrived by then, the connection closes, so that a silent worker does not keep it open.
     pub(super) response_deadline: Instant,
 }
 
--- a/wrenseam/src/worker/kserve/mod.rs
+++ b/wrenseam/src/worker/kserve/mod.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// An exchange that is to be opened.
+/// An exchange to open.
 struct NewExchange {
     kind: ExchangeKind,
     request: Vec<u8>,
--- a/wrenseam/src/worker/kserve/response.rs
+++ b/wrenseam/src/worker/kserve/response.rs
@@ -30,7 +30,7 @@
     /// The head exceeds the limit.
     #[error("head too long")]
     HeadTooLong,
-    /// The response has begun, and no more of it came within `Limits::frame_stall`.
+    /// The response has begun, and no more of it arrived within `Limits::response_stall_timeout`.
     #[error("incomplete answer")]
     Incomplete,
     /// The exchange was cancelled, or its response deadline passed.
@@ -47,7 +47,7 @@
     Receive(#[source] io::Error),
 }
 
-/// A complete response.
+/// A complete response, and whether its connection can be reused.
 pub(super) struct ReceivedResponse {
     pub(super) response: Response,
     /// Whether the connection can carry another exchange.
@@ -137,7 +137,7 @@
         Ok(None)
     }
 
-    /// Parses the head as far as it has come. Interim responses are skipped.
+    /// Parses the head as far as it has been received. Interim responses are skipped.
     fn parse_head(&mut self) -> Result<(), ResponseError> {
         while self.head.is_none() && self.ring.take(1, &mut self.head_bytes) > 0 {
             if self.head_bytes.ends_with(HEAD_END) {
@@ -166,13 +166,13 @@
             .is_some_and(|head| !self.ring.is_empty() || head.length == Some(0))
     }
 
-    /// Nothing came for now: fails if there is no point in waiting on.
+    /// Called when no data has arrived. Fails if the exchange must not wait any longer.
     fn check_waiting(
         &self,
         last_received_at: Instant,
         exchange: &Exchange,
     ) -> Result<(), ResponseError> {
-        // Guards against a response whose rest never comes, as with frames.
+        // Guards against a response whose rest never arrives, as with frames.
         let has_begun = self.head.is_some() || !self.head_bytes.is_empty();
         if has_begun && last_received_at.elapsed() > self.limits.response_stall_timeout {
             return Err(ResponseError::Incomplete);
@@ -185,7 +185,7 @@
     }
 }
 
-/// Decodes the chunks that have come. Returns whether the last chunk has begun.
+/// Decodes the chunks that have been received. Returns whether the last chunk has begun.
 fn decode_chunks(
     chunks: &mut ChunkedDecoder,
     ring: &mut Ring,
--- a/wrenseam/src/worker/log_lines.rs
+++ b/wrenseam/src/worker/log_lines.rs
@@ -18,7 +18,7 @@
     fmt::from_fn(move |formatter| write!(formatter, "worker {address}: connection ended: {reason}"))
 }
 
-/// What came on a connection was invalid or incomplete, or reading it failed.
+/// The data received on a connection was invalid or incomplete, or a read failed.
 pub fn connection_closed(address: SocketAddr, reason: &dyn Display) -> impl Display + '_ {
     fmt::from_fn(move |formatter| {
         write!(formatter, "worker {address}: connection closed: {reason}")
--- a/wrenseam/src/worker/mod.rs
+++ b/wrenseam/src/worker/mod.rs
@@ -22,9 +22,10 @@
 /// What a transport knows about an attempt that it was told to cancel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// No byte of the attempt was or will be written, so it never runs. No report follows.
+    /// No byte of the attempt was or will be written, so it never runs. The transport sends no report for it.
     NeverStarted,
-    /// The attempt may run. A report follows once the worker has been notified, or the connection has ended.
+    /// The attempt may run. The transport sends a report once the worker has been notified, or the connection has
+    /// ended.
     PendingConfirmation,
     /// This transport has no such attempt open.
     Unknown,
@@ -65,15 +66,16 @@
 
 /// The connections to one worker address. No call blocks: coroutines do the work.
 pub trait Transport: Send {
-    /// Sends an attempt. Exactly one report follows, unless the attempt is cancelled before it is started.
+    /// Sends an attempt. The transport sends exactly one report, unless the attempt is cancelled before it is started.
     fn send(&mut self, key: AttemptKey, request: &Arc<Request>, limits: AttemptLimits);
     /// Cancels an attempt. If it has not been started, nothing of it is written.
     fn cancel(&mut self, key: AttemptKey) -> CancelOutcome;
     /// Stops waiting for the response to a load order. The worker is not notified and carries out the order.
     fn abandon_order(&mut self, order: u64);
-    /// Whether no connection is left, or nothing is open on those that close by themselves.
+    /// Whether no connection is left; in a transport whose connections close by themselves, whether no exchange is
+    /// open.
     fn is_idle(&self) -> bool;
-    /// Sends a load order: the worker is to hold this many replicas; 0 only asks how many it holds. The order is not
+    /// Sends a load order: the worker must hold this many replicas; 0 only asks how many it holds. The order is not
     /// started after `start_deadline`.
     fn order(
         &mut self,
@@ -82,7 +84,7 @@
         replicas: u32,
         start_deadline: Option<Instant>,
     );
-    /// Asks the worker whether it accepts new work. Sent whatever state the worker is in.
+    /// Asks the worker whether it accepts new work. Sent to workers in any state.
     fn check_health(&mut self, check: u64);
     /// Stops waiting for the response to a health check.
     fn abandon_health_check(&mut self, check: u64);
@@ -91,7 +93,7 @@
     /// The worker is draining or gone: attempts and load orders of which no byte is written yet are not written.
     fn drain(&mut self);
     /// Probes connections on which responses are overdue, and closes those that do not answer a probe. Called every
-    /// `Limits::link_check`.
+    /// `Limits::keepalive_check_interval`.
     fn check_keepalive(&mut self);
     /// Closes connections whose idle timeout has passed.
     fn sweep(&mut self);
@@ -130,7 +132,7 @@
 }
 
 /// The latest time at which a load order may be started. The worker counts each order against its rate limit for loads
-/// when the order arrives; several orders held back by a slow connect would all arrive within one period.
+/// when the order arrives; several orders delayed by a slow connect would all arrive within one period.
 fn order_start_deadline(limits: &Limits, latest: Option<Instant>) -> Instant {
     let deadline = Instant::now() + limits.connect_timeout + limits.write_check_interval;
     latest.map_or(deadline, |latest| latest.min(deadline))
