--- a/wrenseam/src/discovery/client.rs
+++ b/wrenseam/src/discovery/client.rs
@@ -48,7 +48,7 @@
 
 /// Receives the discovery service's events and never returns. Whenever a request ends, a new one asks for the events
 /// after the last one received.
-pub fn follow(
+pub fn run(
     service: &DiscoveryAddress,
     state: WatchState,
     seed: u64,
@@ -243,11 +243,11 @@
                 StreamItem::Comment => {
                     let age = connection.requested_at.elapsed();
                     connection.has_settled |= age >= self.limits.settle_time;
-                    self.state.comment()?
+                    self.state.handle_comment()?
                 }
                 StreamItem::Event(event) => {
                     connection.last_event_at = Instant::now();
-                    self.state.event(event.id.as_deref(), &event.data)?
+                    self.state.handle_event(event.id.as_deref(), &event.data)?
                 }
             };
             if let Some(update) = update {
--- a/wrenseam/src/discovery/watch.rs
+++ b/wrenseam/src/discovery/watch.rs
@@ -12,8 +12,8 @@
 use thiserror::Error;
 use wrenseam_policy::json::{list, object, parse, unsigned};
 
-/// How often an incomplete event is requested again before its faults are ignored. The request made as soon as a fault
-/// is received does not count.
+/// How often an incomplete event is requested again before its faults are ignored. The first repeated
+/// request, made as soon as a fault is received, does not count.
 const MAX_REPEATED_REQUESTS: u32 = 3;
 
 /// Number of comments without an event between them after which the service has sent all pending events. It sends one
@@ -215,7 +215,7 @@
     /// # Errors
     ///
     /// A [`WatchError`] if a new request must be made.
-    pub fn event(
+    pub fn handle_event(
         &mut self,
         id: Option<&str>,
         data: &str,
@@ -223,17 +223,18 @@
         self.request.comments_since_event = 0;
         let parsed = ParsedEvent::parse(id, data);
         let Some(number) = parsed.number else {
-            return self.unnumbered_event(id, parsed.event);
+            return self.handle_unnumbered_event(id, parsed.event);
         };
         if number <= self.last_event && !self.incomplete.contains_key(&number) {
-            self.older_event(number, parsed.event);
+            self.handle_older_event(number, parsed.event);
             return Ok(None);
         }
-        self.newer_or_repeated_event(number, parsed.event)
+        self.handle_newer_or_repeated_event(number, parsed.event)
     }
 
-    /// An event without a number has no place in the order: it is requested once more, then it counts as the newest.
-    fn unnumbered_event(
+    /// Handles an event without a number. It has no place in the order: it is requested once more, then it is treated
+    /// as the newest event.
+    fn handle_unnumbered_event(
         &mut self,
         id: Option<&str>,
         event: Result<EndpointEvent, EventError>,
@@ -252,7 +253,7 @@
         }))
     }
 
-    fn newer_or_repeated_event(
+    fn handle_newer_or_repeated_event(
         &mut self,
         number: u64,
         event: Result<EndpointEvent, EventError>,
@@ -307,7 +308,7 @@
     /// # Errors
     ///
     /// [`WatchError::NumbersRestarted`] if it has and did not send its complete list, which must then be requested.
-    pub fn comment(&mut self) -> Result<Option<EndpointListUpdate>, WatchError> {
+    pub fn handle_comment(&mut self) -> Result<Option<EndpointListUpdate>, WatchError> {
         self.request.comments_since_event += 1;
         if self.request.comments_since_event < COMMENTS_AFTER_ALL_EVENTS
             || !self.request.has_older_events
@@ -356,7 +357,7 @@
 
     /// Handles an event with a number received before: the service sent it twice, sent it again on request, or has
     /// restarted its event numbers.
-    fn older_event(&mut self, number: u64, event: Result<EndpointEvent, EventError>) {
+    fn handle_older_event(&mut self, number: u64, event: Result<EndpointEvent, EventError>) {
         if number == self.last_event {
             self.request.reached_last_event = true;
             self.request.restarted_list = None;
--- a/wrenseam/src/fleet/swim/settings.rs
+++ b/wrenseam/src/fleet/swim/settings.rs
@@ -28,7 +28,7 @@
     pub expected_members: usize,
     /// How many more times a member update is retransmitted than foca's 4 log10 of the expected size.
     pub extra_transmissions: u8,
-    /// How long a load summary is valid after its arrival.
+    /// How long a load summary is fresh after its arrival, and counts for the fleet's pressure.
     pub summary_ttl: Micros,
     /// The most peers whose load summaries are kept.
     pub max_summaries: usize,
--- a/wrenseam/src/fleet/swim/summaries.rs
+++ b/wrenseam/src/fleet/swim/summaries.rs
@@ -18,7 +18,7 @@
 pub(super) struct SharedSummaries(Arc<Mutex<SummaryTable>>);
 
 impl SharedSummaries {
-    /// An empty table for at most `capacity` peers; a summary is valid for `ttl` microseconds.
+    /// An empty table for at most `capacity` peers; a summary is fresh for `ttl` microseconds.
     pub(super) fn new(capacity: usize, ttl: Micros) -> SharedSummaries {
         let table = SummaryTable {
             summaries: Summaries::new(capacity, ttl),
@@ -117,7 +117,7 @@
         self.runtime.carries_summaries = false;
     }
 
-    /// Whether a valid summary is of a front end that does not support the averaging (see
+    /// Whether a fresh summary is of a front end that does not support the averaging (see
     /// [`Summary::supports_averaging`]).
     pub fn is_mixed(&self, now: Micros) -> bool {
         let table = self.summaries.table();
@@ -130,7 +130,7 @@
         self.summaries.table().summaries.pressure(now, own)
     }
 
-    /// The valid summaries of peers.
+    /// The fresh summaries of peers.
     pub fn summaries(&self, now: Micros) -> Vec<Summary> {
         let table = self.summaries.table();
         table.summaries.fresh(now).copied().collect()
--- a/wrenseam/src/front/listener.rs
+++ b/wrenseam/src/front/listener.rs
@@ -16,9 +16,9 @@
 use std::time::Duration;
 
 /// Maximum number of evictions for one new connection, after each of which the slots are checked again.
-const SLOT_ATTEMPTS: usize = 20;
+const MAX_EVICTIONS: usize = 20;
 /// Time that evicted connections have to close and free their slots before the slots are checked again.
-const SLOT_WAIT: Duration = Duration::from_millis(1);
+const EVICTION_WAIT: Duration = Duration::from_millis(1);
 /// Pause after a failed accept, which usually means that the process has no free file descriptors.
 pub(super) const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
@@ -152,11 +152,11 @@
 /// Takes a slot. If all are in use, idle connections are evicted; `None` if no slot becomes free even so.
 fn acquire_slot(context: &ListenerContext) -> Option<SlotGuard> {
     let mut guard = context.slots.acquire();
-    for _ in 0..SLOT_ATTEMPTS {
+    for _ in 0..MAX_EVICTIONS {
         if guard.is_some() || !context.slots.evict_idle() {
             break;
         }
-        sleep(SLOT_WAIT);
+        sleep(EVICTION_WAIT);
         guard = context.slots.acquire();
     }
     guard
--- a/wrenseam/src/gossip.rs
+++ b/wrenseam/src/gossip.rs
@@ -25,7 +25,7 @@
 
 /// Maximum number of peers whose summaries are kept, which bounds memory. Larger than any fleet in operation.
 const SUMMARY_CAPACITY: usize = 1024;
-/// How long a received summary is valid, in probe periods.
+/// How long a received summary is fresh, in probe periods.
 const SUMMARY_TTL_PROBES: u64 = 3;
 /// Microseconds in a millisecond.
 const MICROS_PER_MS: u64 = 1000;
--- a/wrenseam/src/server.rs
+++ b/wrenseam/src/server.rs
@@ -157,7 +157,7 @@
         let limits = self.limits.clone();
         let core = self.core.clone();
         spawn(self.limits.coroutine_stack_bytes, move || {
-            client::follow(&service, watch.state, seed, &limits.discovery, &core);
+            client::run(&service, watch.state, seed, &limits.discovery, &core);
         })
         .map_err(StartError::Discovery)?;
         Ok(address)
--- a/wrenseam/src/worker/frames/connection.rs
+++ b/wrenseam/src/worker/frames/connection.rs
@@ -51,7 +51,7 @@
         self.draining.load(Ordering::Acquire)
     }
 
-    /// Notes that the worker is draining or gone.
+    /// Records that the worker is draining or gone.
     pub(super) fn start_draining(&self) {
         self.draining.store(true, Ordering::Release);
     }
@@ -61,7 +61,7 @@
         self.refused.load(Ordering::Acquire)
     }
 
-    /// Notes that the worker's address refused the connection.
+    /// Records that the worker's address refused the connection.
     pub(super) fn set_refused(&self) {
         self.refused.store(true, Ordering::Release);
     }
--- a/wrenseam/src/worker/frames/handle.rs
+++ b/wrenseam/src/worker/frames/handle.rs
@@ -80,7 +80,7 @@
         self.reserved_ids.insert(id, until);
     }
 
-    /// Notes that it has been chosen to carry something.
+    /// Records that it has been chosen to carry something.
     pub(super) fn touch(&mut self) {
         self.last_used_at = Instant::now();
     }
@@ -112,7 +112,7 @@
         CancelOutcome::PendingConfirmation
     }
 
-    /// Notes that the worker is draining or gone.
+    /// Records that the worker is draining or gone.
     pub(super) fn start_draining(&self) {
         self.state.start_draining();
     }
--- a/wrenseam/src/worker/frames/keepalive.rs
+++ b/wrenseam/src/worker/frames/keepalive.rs
@@ -49,25 +49,25 @@
 
 impl Keepalive {
     /// Decides what to do. A probe that it asks for counts as sent.
-    pub(super) fn check(&mut self, seen: &Observation, limits: &Limits) -> KeepaliveAction {
+    pub(super) fn check(&mut self, observation: &Observation, limits: &Limits) -> KeepaliveAction {
         match self.probe_sent_at {
-            Some(sent_at) => self.check_probe(sent_at, seen, limits),
-            None => self.check_quiet(seen, limits),
+            Some(sent_at) => self.check_probe(sent_at, observation, limits),
+            None => self.check_quiet(observation, limits),
         }
     }
 
     fn check_probe(
         &mut self,
         sent_at: Instant,
-        seen: &Observation,
+        observation: &Observation,
         limits: &Limits,
     ) -> KeepaliveAction {
-        if seen.last_response_at.is_some_and(|at| at >= sent_at) {
+        if observation.last_response_at.is_some_and(|at| at >= sent_at) {
             self.probe_sent_at = None;
             return KeepaliveAction::None;
         }
-        if seen.writer_has_probe {
-            self.unanswered += seen.observed;
+        if observation.writer_has_probe {
+            self.unanswered += observation.observed;
         }
         if self.unanswered > limits.keepalive_timeout {
             return KeepaliveAction::CloseIfSilentSince(sent_at);
@@ -75,20 +75,20 @@
         KeepaliveAction::None
     }
 
-    fn check_quiet(&mut self, seen: &Observation, limits: &Limits) -> KeepaliveAction {
-        let Some(oldest) = seen.oldest else {
+    fn check_quiet(&mut self, observation: &Observation, limits: &Limits) -> KeepaliveAction {
+        let Some(oldest) = observation.oldest else {
             return KeepaliveAction::None;
         };
-        let quiet_since = match seen.last_response_at {
+        let quiet_since = match observation.last_response_at {
             Some(response_at) => response_at.max(oldest.opened_at),
             None => oldest.opened_at,
         };
-        let quiet = seen.now.saturating_duration_since(quiet_since);
-        let age = seen.now.saturating_duration_since(oldest.opened_at);
-        if !probe_due(seen.opened_since_response, quiet, age, limits) {
+        let quiet = observation.now.saturating_duration_since(quiet_since);
+        let age = observation.now.saturating_duration_since(oldest.opened_at);
+        if !probe_due(observation.opened_since_response, quiet, age, limits) {
             return KeepaliveAction::None;
         }
-        self.probe_sent_at = Some(seen.now);
+        self.probe_sent_at = Some(observation.now);
         self.unanswered = Duration::ZERO;
         KeepaliveAction::Probe(oldest.function)
     }
--- a/wrenseam/src/worker/frames/outgoing.rs
+++ b/wrenseam/src/worker/frames/outgoing.rs
@@ -103,8 +103,8 @@
         &front[..writable.min(front.len())]
     }
 
-    /// Notes that `count` more bytes have been written, `written` in total. Reports the attempts whose cancellation is
-    /// now complete.
+    /// Records that `count` more bytes have been written, `written` in total. Reports the attempts whose cancellation
+    /// is now complete.
     pub(super) fn advance(&mut self, count: usize, written: u64) {
         self.ring.consume(count);
         for key in self.queue.advance(written) {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Notes that no byte could be written, and reverts the claims.
+    /// Records that no byte could be written, and reverts the claims.
     pub(super) fn revert_claims(&mut self, written: u64) {
         self.queue.advance(written);
     }
--- a/wrenseam/src/worker/kserve/connection.rs
+++ b/wrenseam/src/worker/kserve/connection.rs
@@ -39,7 +39,7 @@
     pub(super) limits: Arc<Limits>,
     pub(super) reports: CoreHandle,
     pub(super) calls: Arc<dyn SystemCalls>,
-    pub(super) shared: Arc<WorkerConnections>,
+    pub(super) worker_connections: Arc<WorkerConnections>,
     pub(super) idle: Option<IdleStream>,
 }
 
@@ -52,7 +52,7 @@
             match next {
                 Ok(exchange) => {
                     self.run_exchange(&exchange);
-                    self.shared.count_ended();
+                    self.worker_connections.count_ended();
                 }
                 // Guards against an exchange that is sent while the worker closes the connection as idle.
                 Err(RecvTimeoutError::Timeout) => self.idle = None,
@@ -145,7 +145,7 @@
 
     /// Whether an exchange must not be started any more: it is cancelled, or its worker has begun to drain.
     fn is_withheld(&self, exchange: &Exchange) -> bool {
-        let has_drained = exchange.drain_epoch != self.shared.drain_epoch();
+        let has_drained = exchange.drain_epoch != self.worker_connections.drain_epoch();
         exchange.is_cancelled() || has_drained && exchange.withheld_on_drain
     }
 
--- a/wrenseam/src/worker/kserve/exchange.rs
+++ b/wrenseam/src/worker/kserve/exchange.rs
@@ -71,7 +71,7 @@
         self.drain_epoch.load(Ordering::Acquire)
     }
 
-    /// Notes that the worker is draining or gone.
+    /// Records that the worker is draining or gone.
     pub(super) fn start_draining(&self) {
         self.drain_epoch.fetch_add(1, Ordering::AcqRel);
     }
@@ -89,7 +89,8 @@
         self.open_exchanges.fetch_sub(1, Ordering::AcqRel);
     }
 
-    pub(super) fn connections(&self) -> usize {
+    /// The number of running connection coroutines.
+    pub(super) fn count(&self) -> usize {
         self.connections.load(Ordering::Acquire)
     }
 
--- a/wrenseam/src/worker/kserve/mod.rs
+++ b/wrenseam/src/worker/kserve/mod.rs
@@ -54,7 +54,7 @@
     limits: Arc<Limits>,
     reports: CoreHandle,
     calls: Arc<dyn SystemCalls>,
-    shared: Arc<WorkerConnections>,
+    worker_connections: Arc<WorkerConnections>,
     exchanges: Sender<Exchange>,
     queue: Receiver<Exchange>,
     open_attempts: Vec<OpenAttempt>,
@@ -69,7 +69,7 @@
             limits,
             reports,
             calls: Arc::new(DirectCalls),
-            shared: Arc::default(),
+            worker_connections: Arc::default(),
             exchanges,
             queue,
             open_attempts: Vec::new(),
@@ -110,9 +110,9 @@
                 cancelled: cancelled.clone(),
             });
         }
-        let drain_epoch = self.shared.drain_epoch();
+        let drain_epoch = self.worker_connections.drain_epoch();
         let response_deadline = Instant::now() + Duration::from_micros(exchange.response_timeout);
-        let open_exchanges = self.shared.count_opened();
+        let open_exchanges = self.worker_connections.count_opened();
         // If no connection takes it, the core's timer ends it.
         let _ = self.exchanges.send(Exchange {
             kind: exchange.kind,
@@ -123,27 +123,27 @@
             withheld_on_drain: exchange.withheld_on_drain,
             response_deadline,
         });
-        let connections = self.shared.connections();
+        let connections = self.worker_connections.count();
         if open_exchanges > connections && connections < self.limits.max_v2_connections_per_worker {
             self.add_connection();
         }
     }
 
     fn add_connection(&self) {
-        self.shared.count_connected();
+        self.worker_connections.count_connected();
         let connection = Connection {
             address: self.address,
             limits: self.limits.clone(),
             reports: self.reports.clone(),
             calls: self.calls.clone(),
-            shared: self.shared.clone(),
+            worker_connections: self.worker_connections.clone(),
             idle: None,
         };
         let queue = self.queue.clone();
         if let Err(error) = spawn(self.limits.coroutine_stack_bytes, move || {
             connection.run(&queue)
         }) {
-            self.shared.count_disconnected();
+            self.worker_connections.count_disconnected();
             log_limited!("{}", log_lines::coroutine_not_started(self.address, &error));
         }
     }
@@ -208,7 +208,7 @@
     fn abandon_order(&mut self, _order: u64) {}
 
     fn is_idle(&self) -> bool {
-        self.shared.open_exchanges() == 0
+        self.worker_connections.open_exchanges() == 0
     }
 
     fn order(
@@ -248,7 +248,7 @@
     }
 
     fn drain(&mut self) {
-        self.shared.start_draining();
+        self.worker_connections.start_draining();
     }
 
     /// Does nothing: a connection carries one exchange, whose deadline bounds the silence of the worker.
--- a/wrenseam/src/worker/pool.rs
+++ b/wrenseam/src/worker/pool.rs
@@ -8,12 +8,13 @@
 /// Descriptors of a connection to a client or a worker: one for each direction.
 pub const DESCRIPTORS_PER_CONNECTION: usize = 2;
 
-/// Workers may always use all descriptors divided by this, however many connections clients have.
-const RESERVED_PART: usize = 8;
+/// Divisor of the descriptor limit that gives the descriptors that are reserved for workers, however many connections
+/// clients have.
+const WORKER_RESERVE_DIVISOR: usize = 8;
 
-/// All descriptors divided by this stay free for clients that connect meanwhile and for connections that are being
-/// closed.
-const SPARE_PART: usize = 16;
+/// Divisor of the descriptor limit that gives the descriptors that stay free for clients that connect meanwhile and for
+/// connections that are being closed.
+const SPARE_DIVISOR: usize = 16;
 
 /// The limit on worker connections.
 #[derive(Clone, Copy, Debug)]
@@ -50,11 +51,11 @@
     /// The limit for a process with this many descriptors, of which `reserved_descriptors` are kept for other use.
     pub fn new(descriptors: usize, reserved_descriptors: usize) -> PoolLimit {
         let shared = descriptors.saturating_sub(reserved_descriptors);
-        let reserved = descriptors / RESERVED_PART / DESCRIPTORS_PER_CONNECTION;
+        let reserved = descriptors / WORKER_RESERVE_DIVISOR / DESCRIPTORS_PER_CONNECTION;
         PoolLimit {
             total: shared / DESCRIPTORS_PER_CONNECTION,
             reserved: reserved.max(1),
-            spare: descriptors / SPARE_PART / DESCRIPTORS_PER_CONNECTION,
+            spare: descriptors / SPARE_DIVISOR / DESCRIPTORS_PER_CONNECTION,
         }
     }
 
--- a/wrenseam/tests/discovery_watch.rs
+++ b/wrenseam/tests/discovery_watch.rs
@@ -57,9 +57,9 @@
     let mut requests = vec![watch.begin_request()];
     for step in steps {
         let result = match *step {
-            ";" => watch.comment().map_err(drop),
+            ";" => watch.handle_comment().map_err(drop),
             "request" => Err(()),
-            "garbage" => watch.event(Some("6"), "{\"rev\":6,").map_err(drop),
+            "garbage" => watch.handle_event(Some("6"), "{\"rev\":6,").map_err(drop),
             numbered => {
                 let (number, rest) = numbered.split_once(' ').expect("N instances");
                 let (complete, rest) = rest
@@ -67,7 +67,7 @@
                     .map_or((false, rest), |rest| (true, rest));
                 let id = Some(number).filter(|n| *n != "-");
                 watch
-                    .event(id, &event(number, complete, rest))
+                    .handle_event(id, &event(number, complete, rest))
                     .map_err(drop)
             }
         };
@@ -122,15 +122,15 @@
 fn an_event_without_an_id_is_not_lost() {
     let mut watch = WatchState::from_known_events(&Object::new()).state;
     assert!(watch
-        .event(Some("1"), &event("1", true, "a:r"))
+        .handle_event(Some("1"), &event("1", true, "a:r"))
         .expect("a valid event")
         .is_some());
     assert!(watch
-        .event(None, &event("2", false, "a:d"))
+        .handle_event(None, &event("2", false, "a:d"))
         .expect("a valid event")
         .is_some());
     assert!(watch
-        .event(Some("x"), &event("3", false, "a:g"))
+        .handle_event(Some("x"), &event("3", false, "a:g"))
         .expect("a valid event")
         .is_some());
     assert_eq!(watch.last_event(), 3);
