--- a/wrenseam/src/core/mod.rs
+++ b/wrenseam/src/core/mod.rs
@@ -64,7 +64,7 @@
     /// The last number given to a request, load order or health check. The ids that clients send cannot serve as
     /// numbers, as they are not unique over time.
     last_number: u64,
-    last_liveness_check: Micros,
+    last_keepalive_check: Micros,
     requests: RequestTable,
     load_orders: LoadOrders,
     workers: WorkerTable,
@@ -74,7 +74,7 @@
     health_checks: HealthChecks,
     leases_reviewed_at: Micros,
     timers: Timers,
-    /// Events that the policy is still to handle, oldest first.
+    /// Events that the policy has not handled yet, oldest first.
     events: VecDeque<Event>,
     request_counters: RequestCounters,
     tenant_counters: TenantCounters,
@@ -110,7 +110,7 @@
             reports,
             process_state,
             last_number: 0,
-            last_liveness_check: 0,
+            last_keepalive_check: 0,
             requests: RequestTable::default(),
             load_orders: LoadOrders::default(),
             workers: WorkerTable::default(),
@@ -168,14 +168,14 @@
             .set(now + IDLE_SWEEP_PERIOD, TimerEvent::IdleSweep);
         self.timers.set(
             now + self.limits.keepalive_check_interval,
-            TimerEvent::LivenessCheck,
+            TimerEvent::KeepaliveCheck,
         );
         self.timers
             .set(now + LEASE_REVIEW_PERIOD, TimerEvent::LeaseReview);
     }
 
-    /// Handles a message and up to [`MESSAGE_BATCH`] more that are already queued. No timer runs in between, so an
-    /// answer that has already arrived takes precedence over its timeout.
+    /// Handles a message and up to [`MESSAGE_BATCH`] more that are already queued. No timer runs in between, so a
+    /// response that is already queued takes precedence over its timeout.
     fn handle_batch(&mut self, first: Message) {
         self.review_overdue_leases();
         self.handle_message(first);
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Logs that timers are late. When answers came late, this line tells a machine without free processor time from a
+    /// Logs that timers are late. The line shows that late answers are due to a shortage of processor time and not to a
     /// fault of the program.
     fn report_overdue_timers(&self) {
         let overdue = self.timers.overdue(self.clock.now());
--- a/wrenseam/src/fleet/members.rs
+++ b/wrenseam/src/fleet/members.rs
@@ -68,7 +68,7 @@
     probe_period: Micros,
     /// How long no datagram may arrive before this front end considers itself cut off.
     isolation_timeout: Micros,
-    /// Silence counts from here on at the earliest: when this front end last had no live peer, or the process stalled.
+    /// The earliest time from which silence counts: when this front end last had no live peer, or the process stalled.
     silence_counts_from: Micros,
     /// When the next round of rumors is due.
     next_rumor_at: Micros,
@@ -78,7 +78,7 @@
     has_left: bool,
     outbox: Vec<Outgoing>,
     events: Vec<TimedPeerEvent>,
-    /// Whether members or records may have changed since [`Members::changed`] was last called.
+    /// Whether members or records may have changed since [`Members::take_changed`] was last called.
     changed: bool,
     /// Whether the byte budget is too low for a complete repair: no repair is begun or answered, and no rumor
     /// forwarded.
@@ -162,9 +162,9 @@
     }
 
     /// Whether members, or their records, may have changed since the last call.
-    pub fn changed(&mut self) -> bool {
+    pub fn take_changed(&mut self) -> bool {
         let own_change = std::mem::take(&mut self.changed);
-        let swim_change = self.swim.changed();
+        let swim_change = self.swim.take_changed();
         own_change || swim_change
     }
 
@@ -173,15 +173,15 @@
         self.view_digest
     }
 
-    /// Takes the datagrams to send.
-    pub fn outbox(&mut self) -> Vec<Outgoing> {
-        let mut out = self.swim.outbox();
+    /// Removes and returns the datagrams to send.
+    pub fn take_outbox(&mut self) -> Vec<Outgoing> {
+        let mut out = self.swim.take_outbox();
         out.append(&mut self.outbox);
         out
     }
 
-    /// Takes the changes of membership since the last call.
-    pub fn events(&mut self) -> Vec<TimedPeerEvent> {
+    /// Removes and returns the changes of membership since the last call.
+    pub fn take_events(&mut self) -> Vec<TimedPeerEvent> {
         std::mem::take(&mut self.events)
     }
 
@@ -205,8 +205,8 @@
         Ok(())
     }
 
-    /// Publishes our record with this metadata under a stamp larger than `above` and than our present one; a larger
-    /// incarnation is also taken by membership.
+    /// Publishes our record with this metadata under a stamp larger than `above` and than our present one; membership
+    /// also adopts a larger incarnation.
     fn publish_own(&mut self, now: Micros, metadata: Metadata, above: Stamp) {
         let Some(stamp) = above.max(self.directory.own().stamp).next() else {
             return;
@@ -290,7 +290,7 @@
     /// Applies the changes of membership to the directory, republishes our record if our incarnation was raised, and
     /// updates the view's digest.
     fn sync_directory(&mut self, now: Micros) {
-        for timed in self.swim.events() {
+        for timed in self.swim.take_events() {
             self.apply_event(now, timed);
         }
         let incarnation = self.swim.own().incarnation;
@@ -337,7 +337,7 @@
         self.events.push(TimedPeerEvent { at, event });
     }
 
-    /// Queues a message to another member. One that is too large, or that is to ourselves, is dropped.
+    /// Queues a message to another member. A message that is too large or addressed to this front end is dropped.
     fn send(&mut self, to: SocketAddr, kind: TrafficKind, message: Message) {
         let from = self.swim.own();
         if to == from.addr {
--- a/wrenseam/src/fleet/node.rs
+++ b/wrenseam/src/fleet/node.rs
@@ -27,7 +27,7 @@
 const MEMBER_LISTS_PER_PROBE: usize = 2;
 
 /// Time, in microseconds, for which received datagrams are dropped after the process did not run for longer than the
-/// suspicion time-out. The datagrams that waited in the socket are outdated and could declare down a peer that has
+/// suspicion timeout. The datagrams that waited in the socket are outdated and could declare down a peer that has
 /// returned since. Reading all of them takes this long.
 const BACKLOG_DROP_TIME: Micros = 20_000;
 
@@ -153,7 +153,7 @@
     /// Updates the neighbours of the averaging if members changed. Called once per turn of the averaging instead of for
     /// each datagram.
     fn update_neighbours(&mut self, now: Micros) {
-        if self.members.changed() {
+        if self.members.take_changed() {
             let ready = self.members.ready();
             self.average.set_members(now, ready.into_iter());
         }
@@ -174,13 +174,13 @@
         self.members.set_metadata(now, metadata)
     }
 
-    /// Notifies the fleet that this front end leaves. It takes no further part in membership.
+    /// Notifies the fleet that this front end leaves. After this it no longer takes part in membership.
     pub fn leave(&mut self, now: Micros) {
         self.now = now;
         self.members.leave(now);
     }
 
-    /// To be called once per probe period. Publishes this front end's load, tries to rejoin unreachable peers, and
+    /// Must be called once per probe period. Publishes this front end's load, tries to rejoin unreachable peers, and
     /// returns the fleet's status.
     pub fn publish(&mut self, now: Micros, own: Summary) -> FleetStatus {
         self.now = now;
@@ -309,9 +309,9 @@
 
     /// Removes and returns the datagrams to send, in the order of [`TrafficKind`](super::traffic::TrafficKind). Drops
     /// those that the byte budget does not admit.
-    pub fn outbox(&mut self) -> Vec<Outgoing> {
-        let mut datagrams = self.members.outbox();
-        datagrams.extend(self.average.outbox());
+    pub fn take_outbox(&mut self) -> Vec<Outgoing> {
+        let mut datagrams = self.members.take_outbox();
+        datagrams.extend(self.average.take_outbox());
         datagrams.sort_by_key(|datagram| datagram.kind.index());
         let now = self.now;
         let byte_budget = &mut self.byte_budget;
@@ -320,8 +320,8 @@
     }
 
     /// Removes and returns the changes of membership since the last call.
-    pub fn events(&mut self) -> Vec<TimedPeerEvent> {
-        let events = self.members.events();
+    pub fn take_events(&mut self) -> Vec<TimedPeerEvent> {
+        let events = self.members.take_events();
         for timed in &events {
             match timed.event {
                 PeerEvent::Up(_) => self.joined += 1,
--- a/wrenseam/src/fleet/swim.rs
+++ b/wrenseam/src/fleet/swim.rs
@@ -44,7 +44,7 @@
     Down(PeerId),
     /// A peer announced that it leaves, and is now gone.
     Left(PeerId),
-    /// A live peer has taken a larger incarnation.
+    /// A live peer has adopted a larger incarnation.
     NewIncarnation(PeerId),
     /// This front end no longer counts any peer as alive.
     Isolated,
@@ -284,7 +284,7 @@
     }
 
     /// Whether the live peers may have changed since the last call.
-    pub fn changed(&mut self) -> bool {
+    pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.runtime.changed)
     }
 
@@ -330,13 +330,14 @@
         }
     }
 
-    /// Takes the datagrams to send.
-    pub fn outbox(&mut self) -> Vec<Outgoing> {
+    /// Removes and returns the datagrams to send.
+    pub fn take_outbox(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.runtime.outbox)
     }
 
-    /// Takes the changes of membership since the last call, and drops the summaries of the peers that went down.
-    pub fn events(&mut self) -> Vec<TimedPeerEvent> {
+    /// Removes and returns the changes of membership since the last call, and drops the summaries of the peers that
+    /// went down.
+    pub fn take_events(&mut self) -> Vec<TimedPeerEvent> {
         let events = std::mem::take(&mut self.runtime.events);
         for timed in &events {
             if let PeerEvent::Down(id) = timed.event {
@@ -357,7 +358,7 @@
     }
 }
 
-/// The number of our probe that a message acknowledges; `None` if it is no acknowledgement.
+/// The number of our probe that a message acknowledges; `None` if it is not an acknowledgement.
 fn acknowledged_probe(message: &Message<PeerId>) -> Option<u8> {
     match message {
         Message::Ack(number)
--- a/wrenseam/src/worker/frames/connection.rs
+++ b/wrenseam/src/worker/frames/connection.rs
@@ -51,7 +51,7 @@
         self.draining.load(Ordering::Acquire)
     }
 
-    /// Notes that the worker is draining or gone.
+    /// Records that the worker is draining or gone.
     pub(super) fn start_draining(&self) {
         self.draining.store(true, Ordering::Release);
     }
@@ -61,7 +61,7 @@
         self.refused.load(Ordering::Acquire)
     }
 
-    /// Notes that the worker's address refused the connection.
+    /// Records that the worker's address refused the connection.
     pub(super) fn set_refused(&self) {
         self.refused.store(true, Ordering::Release);
     }
@@ -76,12 +76,12 @@
         self.writer_has_probe.store(has_probe, Ordering::Release);
     }
 
-    /// When an answer was last read; `None` if none was.
-    pub(super) fn last_answer_at(&self) -> Option<Instant> {
-        self.table.lock().ok()?.last_answer_at
+    /// When a response was last read; `None` if none was.
+    pub(super) fn last_response_at(&self) -> Option<Instant> {
+        self.table.lock().ok()?.last_response_at
     }
 
-    /// Reports that an exchange of this connection ended without an answer.
+    /// Reports that an exchange of this connection ended without a response.
     pub(super) fn report_end(&self, reports: &CoreHandle, kind: ExchangeKind, outcome: Outcome) {
         self.count_ended();
         match kind {
--- a/wrenseam/src/worker/frames/exchange.rs
+++ b/wrenseam/src/worker/frames/exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges: a frame that is sent and the answer that is awaited to it.
+//! Exchanges: each is a frame sent to the worker and the response to it.
 use super::super::dispatch::Dispatch;
 use super::codec::EMPTY_FRAME_BYTES;
 use super::keepalive::OldestExchange;
@@ -28,7 +28,7 @@
     }
 }
 
-/// An exchange that is to be opened.
+/// An exchange to open.
 pub(super) struct NewExchange {
     pub(super) kind: ExchangeKind,
     /// The id that the worker sees.
@@ -40,18 +40,18 @@
     pub(super) dispatch: Arc<Dispatch>,
 }
 
-/// Something for the writer to write. The order of hand-over is kept.
+/// Something for the writer to write. It is written in the order in which it was handed over.
 pub(super) enum Outbound {
     /// The frame that opens an exchange.
     Open(NewExchange),
     /// The cancellation of an exchange, sent only if the exchange has been written.
     Cancel(ExchangeKind),
-    /// A frame that gets no answer.
+    /// A frame that gets no response.
     OneWay(Vec<u8>),
 }
 
 impl Outbound {
-    /// The most bytes that it takes in the ring.
+    /// The maximum number of bytes that it occupies in the ring.
     pub(super) fn len(&self) -> usize {
         match self {
             Outbound::Open(exchange) => exchange.frame.len(),
@@ -69,7 +69,7 @@
     CloseIfSilentSince(Instant),
 }
 
-/// An exchange whose frame is in the ring or whose answer is awaited.
+/// An exchange whose frame is in the ring or whose response is awaited.
 pub(super) struct Exchange {
     pub(super) kind: ExchangeKind,
     /// Position in the stream right after its frame.
@@ -85,8 +85,8 @@
     pub(super) open: BTreeMap<u64, Exchange>,
     /// Whether the connection has ended: no further exchange is opened.
     pub(super) closed: bool,
-    /// When an answer was last read; `None` if none was.
-    pub(super) last_answer_at: Option<Instant>,
+    /// When a response was last read; `None` if none was.
+    pub(super) last_response_at: Option<Instant>,
 }
 
 impl ExchangeTable {
@@ -100,11 +100,11 @@
             })
     }
 
-    /// Whether an exchange other than a check was opened since the last answer.
-    pub(super) fn opened_since_answer(&self) -> bool {
+    /// Whether an exchange other than a check was opened since the last response.
+    pub(super) fn opened_since_response(&self) -> bool {
         self.without_checks().any(|exchange| {
-            self.last_answer_at
-                .is_none_or(|answer_at| exchange.opened_at > answer_at)
+            self.last_response_at
+                .is_none_or(|response_at| exchange.opened_at > response_at)
         })
     }
 
--- a/wrenseam/src/worker/frames/handle.rs
+++ b/wrenseam/src/worker/frames/handle.rs
@@ -51,11 +51,11 @@
         !self.state.is_closed() && self.state.open_exchanges() == 0
     }
 
-    /// Since when the connection has been quiet: when it was last chosen, or when an answer was last read if that was
+    /// Since when the connection has been quiet: when it was last chosen, or when a response was last read if that was
     /// later.
     pub(super) fn quiet_since(&self) -> Instant {
-        match self.state.last_answer_at() {
-            Some(answer_at) => answer_at.max(self.last_used_at),
+        match self.state.last_response_at() {
+            Some(response_at) => response_at.max(self.last_used_at),
             None => self.last_used_at,
         }
     }
@@ -80,7 +80,7 @@
         self.reserved_ids.insert(id, until);
     }
 
-    /// Notes that it has been chosen to carry something.
+    /// Records that it has been chosen to carry something.
     pub(super) fn touch(&mut self) {
         self.last_used_at = Instant::now();
     }
@@ -99,7 +99,7 @@
         let _ = self.commands.send(Command::Write(outbound));
     }
 
-    /// Cancels an exchange. If it has been started, the writer does what is left to do.
+    /// Cancels an exchange. If it has been started, the writer completes the cancellation.
     pub(super) fn cancel(&mut self, kind: ExchangeKind) -> CancelOutcome {
         let Some(dispatch) = self.dispatches.remove(&kind) else {
             return CancelOutcome::Unknown;
@@ -112,7 +112,7 @@
         CancelOutcome::PendingConfirmation
     }
 
-    /// Notes that the worker is draining or gone.
+    /// Records that the worker is draining or gone.
     pub(super) fn start_draining(&self) {
         self.state.start_draining();
     }
@@ -126,9 +126,9 @@
         let observation = Observation {
             now,
             observed,
-            last_answer_at: table.last_answer_at,
+            last_response_at: table.last_response_at,
             oldest: table.oldest(),
-            opened_since_answer: table.opened_since_answer(),
+            opened_since_response: table.opened_since_response(),
             writer_has_probe: self.state.writer_has_probe(),
         };
         drop(table);
--- a/wrenseam/src/worker/frames/outgoing.rs
+++ b/wrenseam/src/worker/frames/outgoing.rs
@@ -13,7 +13,7 @@
 use std::time::Instant;
 use wrenseam_policy::Outcome;
 
-/// How far the frame of a cancelled exchange had come.
+/// Whether the frame of a cancelled exchange was already being written.
 enum Withdrawn {
     /// A byte of it is written: the worker must be notified, with this id.
     Written(u64),
@@ -103,8 +103,8 @@
         &front[..writable.min(front.len())]
     }
 
-    /// Notes that `count` more bytes have been written, `written` in total. Reports the attempts whose cancellation is
-    /// now complete.
+    /// Records that `count` more bytes have been written, `written` in total. Reports the attempts whose cancellation
+    /// is now complete.
     pub(super) fn advance(&mut self, count: usize, written: u64) {
         self.ring.consume(count);
         for key in self.queue.advance(written) {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Notes that no byte could be written, and reverts the claims.
+    /// Records that no byte could be written, and reverts the claims.
     pub(super) fn revert_claims(&mut self, written: u64) {
         self.queue.advance(written);
     }
@@ -122,7 +122,8 @@
         self.queue.is_past_write_deadline(written, Instant::now())
     }
 
-    /// The worker drains: ends the exchanges that are withheld then, if they wait or no byte of them is written.
+    /// Called while the worker drains: ends the exchanges that a draining worker must not get, except those of whose
+    /// frame a byte is written.
     pub(super) fn withhold_for_drain(&mut self) {
         for outbound in std::mem::take(&mut self.waiting) {
             match outbound {
@@ -169,7 +170,7 @@
             return Err(WriteError::Poisoned);
         };
         if table.closed || table.open.contains_key(&exchange.id) {
-            // Answers to two exchanges with one id could not be told apart, so the later exchange is not sent.
+            // Responses to two exchanges with one id could not be told apart, so the later exchange is not sent.
             drop(table);
             self.end_unwritten(&exchange, Outcome::ConnectFailed);
             return Ok(());
@@ -193,7 +194,8 @@
         Ok(())
     }
 
-    /// Adds a frame that gets no answer to the ring. The attempt that it `cancels` has ended once the frame is written.
+    /// Adds a frame that gets no response to the ring. The attempt that it `cancels` has ended once the frame is
+    /// written.
     fn push_one_way(&mut self, frame: &[u8], cancels: Option<AttemptKey>) {
         self.queue.push(QueuedFrame {
             len: frame.len(),
@@ -204,7 +206,7 @@
     }
 
     /// Cancels an exchange. Only for an attempt is the worker notified: a load order is carried out whether or not its
-    /// answer is awaited.
+    /// response is awaited.
     fn cancel(&mut self, kind: ExchangeKind) {
         let withdrawn = self.withdraw(kind);
         let ExchangeKind::Attempt(key) = kind else {
