--- a/wrenseam/src/discovery/backoff.rs
+++ b/wrenseam/src/discovery/backoff.rs
@@ -48,8 +48,9 @@
         pause / 2 + self.random_up_to(pause / 2)
     }
 
-    /// How long a request may go on without an event, or once it is confirmed, before it is replaced by a new one.
-    /// Drawn for each request, so that the requests of many front ends are spread over time.
+    /// The event timeout of the next request: a confirmed request of this age, or one that has brought no event for
+    /// this long, is replaced by a new one. Drawn for each request, so that the requests of many front ends are spread
+    /// over time.
     pub fn event_timeout(&mut self) -> Duration {
         let shortest = self.limits.event_timeout_min;
         let range = self.limits.event_timeout_max.saturating_sub(shortest);
--- a/wrenseam/src/discovery/etcd.rs
+++ b/wrenseam/src/discovery/etcd.rs
@@ -17,7 +17,7 @@
     Endpoints(Vec<Endpoint>),
     /// Nothing has changed: the body is a progress notification, or repeats events received before.
     Unchanged,
-    /// The watch cannot go on: the whole prefix must be read again with a range request.
+    /// The watch cannot continue: the whole prefix must be read again with a range request.
     ResyncRequired(ResyncReason),
 }
 
--- a/wrenseam/src/fleet/liveness_check.rs
+++ b/wrenseam/src/fleet/liveness_check.rs
@@ -1,5 +1,5 @@
-//! Liveness checks: a member that is alive here but gone for another member is queried before it is declared down. No
-//! I/O; the caller passes the time.
+//! Liveness checks: a member that is alive here but gone according to another member is queried before it is declared
+//! down. No I/O; the caller passes the time.
 use super::identity::PeerId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/wrenseam/src/fleet/members/periodic.rs
+++ b/wrenseam/src/fleet/members/periodic.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Drops the view of the fleet if no datagram arrived for [`Members::isolation_timeout`], before it is spread: by
-    /// then it is out of date.
+    /// Drops the view of the fleet if no datagram arrived for `isolation_timeout`: it is out of date by then and must
+    /// not be spread.
     fn restart_if_isolated(&mut self, now: Micros) {
         if self.swim.alive() == 0 {
             self.silence_counts_from = now;
--- a/wrenseam/src/fleet/record.rs
+++ b/wrenseam/src/fleet/record.rs
@@ -195,7 +195,7 @@
     /// Decodes the bytes of [`Metadata::encode`] at the front of `rest`, and advances `rest` behind them.
     ///
     /// # Errors
-    /// [`RecordError`] for anything else.
+    /// [`RecordError`] if `rest` does not begin with valid metadata.
     pub fn decode(rest: &mut &[u8]) -> Result<Metadata, RecordError> {
         let [format] = take_bytes(rest)?;
         if format != RECORD_FORMAT {
@@ -252,7 +252,7 @@
     /// Decodes the bytes of [`Record::encode`], which must be all of `bytes`.
     ///
     /// # Errors
-    /// [`RecordError`] for anything else.
+    /// [`RecordError`] if `bytes` are not exactly one valid record.
     pub fn decode(bytes: &[u8]) -> Result<Record, RecordError> {
         if bytes.len() > MAX_RECORD_BYTES {
             return Err(RecordError::TooLarge(bytes.len()));
--- a/wrenseam/src/fleet/swim.rs
+++ b/wrenseam/src/fleet/swim.rs
@@ -179,12 +179,14 @@
         }
     }
 
-    /// Applies information from elsewhere that `id` is alive; with `disseminate`, gossips it as an update.
+    /// Applies the information, received outside of SWIM, that `id` is alive; with `disseminate`, gossips it as an
+    /// update.
     pub fn mark_alive(&mut self, now: Micros, id: PeerId, disseminate: bool) {
         self.apply_member(now, Member::alive(id), disseminate);
     }
 
-    /// Applies information from elsewhere that `id` is down or has left; with `disseminate`, gossips it as an update.
+    /// Applies the information, received outside of SWIM, that `id` is down or has left; with `disseminate`, gossips it
+    /// as an update.
     pub fn mark_down(&mut self, now: Micros, id: PeerId, disseminate: bool) {
         self.apply_member(now, Member::down(id), disseminate);
     }
--- a/wrenseam/src/front/kserve/connection.rs
+++ b/wrenseam/src/front/kserve/connection.rs
@@ -80,7 +80,7 @@
             }
             while let Some(decoded) = self.decode(&mut decoder, reader)? {
                 if self.handle(decoded)? == Flow::Ended {
-                    // No further request is read. Reading goes on only to notice that the client disconnects.
+                    // No further request is read. Input is still read, only to notice that the client disconnects.
                     reader.discard_until_closed();
                     return Ok(());
                 }
--- a/wrenseam/src/limits.rs
+++ b/wrenseam/src/limits.rs
@@ -139,7 +139,7 @@
 /// Stack size of a coroutine.
 const STACK_BYTES: usize = 64 * KIB;
 
-/// Time that the listeners stay open after SIGTERM, as clients go on sending to this front end for a while.
+/// Time that the listeners stay open after SIGTERM, as clients still send requests to this front end for a while.
 const LISTENER_CLOSE_DELAY: Duration = Duration::from_millis(700);
 
 /// Time by which the shutdown timeout exceeds the longest client wait of any class.
@@ -334,8 +334,8 @@
     pub connect_timeout: Duration,
     /// A connection on which nothing is received for this long has ended.
     pub silence_timeout: Duration,
-    /// Shortest event timeout, which is drawn for each request. A request that is that old once it is confirmed, or
-    /// that brings no event for that long, is replaced by a new one even if comments arrive.
+    /// Shortest event timeout, which is drawn for each request. A confirmed request of this age, or one that
+    /// has brought no event for this long, is replaced by a new one even if comments arrive.
     pub event_timeout_min: Duration,
     /// Longest event timeout that is drawn for a request.
     pub event_timeout_max: Duration,
--- a/wrenseam/src/net/outbox.rs
+++ b/wrenseam/src/net/outbox.rs
@@ -64,7 +64,7 @@
     unsent: UnsentBytes,
     close_state: Arc<CloseState>,
     budget: MemoryBudget,
-    /// Most bytes of responses that may wait on the connection.
+    /// Maximum number of unsent response bytes on the connection.
     unsent_limit: usize,
     client_probe: Arc<SocketProbe>,
     socket: Weak<ClientSocket>,
--- a/wrenseam/src/worker/frames/codec.rs
+++ b/wrenseam/src/worker/frames/codec.rs
@@ -212,7 +212,7 @@
     }
 }
 
-/// Encodes a call. The worker is told how long its response is awaited.
+/// Encodes a call, which tells the worker how long the front end waits for the response.
 pub(super) fn call(request: &Request, limits: AttemptLimits) -> Vec<u8> {
     let class = &request.class;
     let function = request.function;
--- a/wrenseam/src/worker/frames/handle.rs
+++ b/wrenseam/src/worker/frames/handle.rs
@@ -51,8 +51,8 @@
         !self.state.is_closed() && self.state.open_exchanges() == 0
     }
 
-    /// Since when the connection has been quiet: when it was last chosen, or when a response was last read if that was
-    /// later.
+    /// The time since which the connection has been quiet: when it was last used, or when a response was last read if
+    /// that was later.
     pub(super) fn quiet_since(&self) -> Instant {
         match self.state.last_response_at() {
             Some(response_at) => response_at.max(self.last_used_at),
@@ -80,7 +80,7 @@
         self.reserved_ids.insert(id, until);
     }
 
-    /// Records that it has been chosen to carry something.
+    /// Records that the connection is used now.
     pub(super) fn touch(&mut self) {
         self.last_used_at = Instant::now();
     }
--- a/wrenseam/src/worker/frames/outgoing.rs
+++ b/wrenseam/src/worker/frames/outgoing.rs
@@ -25,7 +25,7 @@
 pub(super) struct Outgoing {
     state: Arc<ConnectionState>,
     reports: CoreHandle,
-    /// What is not in the ring yet.
+    /// The frames and cancellations that are not in the ring yet, oldest first.
     waiting: VecDeque<Outbound>,
     /// The frames in the ring.
     queue: SendQueue,
@@ -140,8 +140,8 @@
         self.remove_cuts(cuts, Outcome::NotSent);
     }
 
-    /// The connection has ended. That cancels the attempts whose cancellation was in the ring; what waits was never
-    /// written.
+    /// Called once the connection has ended. That completes the cancellations that were in the ring; the frames that
+    /// wait were never written.
     pub(super) fn end_all(&mut self) {
         for key in self.queue.take_cancellations() {
             self.report_cancelled(key);
@@ -205,8 +205,8 @@
         self.ring.push(frame);
     }
 
-    /// Cancels an exchange. Only for an attempt is the worker notified: a load order is carried out whether or not its
-    /// response is awaited.
+    /// Cancels an exchange. The worker is notified only of a cancelled attempt: it carries out a load order whether or
+    /// not the front end waits for the response.
     fn cancel(&mut self, kind: ExchangeKind) {
         let withdrawn = self.withdraw(kind);
         let ExchangeKind::Attempt(key) = kind else {
--- a/wrenseam/src/worker/kserve/connection.rs
+++ b/wrenseam/src/worker/kserve/connection.rs
@@ -131,7 +131,7 @@
         Ok(received.response)
     }
 
-    /// Keeps the connection for the next call, if it can carry another. The caller makes sure that the response names
+    /// Keeps the connection for the next call, if it can carry another. The caller has checked that the response names
     /// its call: otherwise a late duplicate would be matched to the next call, whose own response would be matched to
     /// the call after it, and a rejection among them would show of the wrong call that it never ran.
     fn keep_reusable(&mut self, stream: TcpStream, received: &ReceivedResponse) {
