--- a/wrenseam/src/config/error.rs
+++ b/wrenseam/src/config/error.rs
@@ -75,7 +75,7 @@
     InvalidPeer {
         /// The file.
         file: String,
-        /// The peer as it is in the file.
+        /// The peer as written in the file.
         value: String,
         /// The parse error.
         source: AddrParseError,
--- a/wrenseam/src/core/timer_events.rs
+++ b/wrenseam/src/core/timer_events.rs
@@ -55,7 +55,7 @@
         self.timers.set(now + period, TimerEvent::KeepaliveCheck);
     }
 
-    /// Closes idle connections and removes the records of workers that are gone. Workers are replaced all the time, so
+    /// Closes idle connections and removes the records of workers that are gone. Workers are replaced continually, so
     /// their records would otherwise accumulate.
     fn sweep_idle(&mut self) {
         self.workers.close_idle_connections();
--- a/wrenseam/src/discovery/event_stream.rs
+++ b/wrenseam/src/discovery/event_stream.rs
@@ -37,8 +37,8 @@
 impl EventStreamParser {
     /// Parses the next byte.
     ///
-    /// Unlike in the HTML standard, an event without an id does not inherit the one before: it would be
-    /// treated as a repetition of that event.
+    /// Unlike in the HTML standard, an event without an id does not inherit the one before: it would be treated as a
+    /// repetition of that event.
     pub fn push(&mut self, byte: u8) -> StreamItem {
         if byte != b'\n' {
             self.line.push(byte);
--- a/wrenseam/src/discovery/watch.rs
+++ b/wrenseam/src/discovery/watch.rs
@@ -12,8 +12,8 @@
 use thiserror::Error;
 use wrenseam_policy::json::{list, object, parse, unsigned};
 
-/// How often an incomplete event is requested again before its faults are ignored. The first repeated
-/// request, made as soon as a fault is received, does not count.
+/// How often an incomplete event is requested again before its faults are ignored. The first repeated request, made as
+/// soon as a fault is received, does not count.
 const MAX_REPEATED_REQUESTS: u32 = 3;
 
 /// Number of comments without an event between them after which the service has sent all pending events. It sends one
@@ -81,7 +81,7 @@
     incomplete: BTreeMap<u64, u32>,
     /// While events are incomplete: the latest endpoint of each instance listed since, by id.
     latest: BTreeMap<String, LatestEndpoint>,
-    /// The event that the last request asked for again; if it is received the same way again it is used as it is.
+    /// The event that the last request asked for again. If it arrives with the same defect again, it is used as received.
     repeated: Option<RepeatedRequest>,
     /// Whether the next request must ask for the complete list.
     needs_complete_list: bool,
@@ -109,7 +109,7 @@
     reached_last_event: bool,
     /// Whether events with lower numbers have arrived before that.
     has_older_events: bool,
-    /// The list made up by these events, in case the service has restarted its event numbers.
+    /// The list that these events form, in case the service has restarted its event numbers.
     restarted_list: Option<RestartedList>,
     comments_since_event: u32,
 }
@@ -460,7 +460,7 @@
         }
     }
 
-    /// Without an incomplete event, none of the events received so far will be applied late.
+    /// Drops the latest endpoints if no event is incomplete: no event received so far can be applied late then.
     fn clear_latest_if_complete(&mut self) {
         if self.incomplete.is_empty() {
             self.latest.clear();
--- a/wrenseam/src/fleet/members/exchange.rs
+++ b/wrenseam/src/fleet/members/exchange.rs
@@ -57,8 +57,8 @@
     }
 
     /// Checks the sender of a record datagram and adds it as a live member if it, or its incarnation, is new. Returns
-    /// false if the datagram must be dropped: the sender has our own address, or its incarnation is outdated or
-    /// counted as gone, of which it is notified.
+    /// false if the datagram must be dropped: the sender has our own address, or its incarnation is outdated or counted
+    /// as gone, of which it is notified.
     fn accept_sender(&mut self, now: Micros, from: PeerId) -> bool {
         if from.addr == self.directory.own().owner {
             return false;
--- a/wrenseam/src/fleet/summary.rs
+++ b/wrenseam/src/fleet/summary.rs
@@ -190,8 +190,8 @@
 }
 
 impl Summaries {
-    /// An empty table for up to `capacity` peers, at least 1. A summary is fresh for `ttl` microseconds after it
-    /// was received.
+    /// An empty table for up to `capacity` peers, at least 1. A summary is fresh for `ttl` microseconds after it was
+    /// received.
     pub fn new(capacity: usize, ttl: Micros) -> Self {
         Summaries {
             capacity: capacity.max(1),
--- a/wrenseam/src/front/listener.rs
+++ b/wrenseam/src/front/listener.rs
@@ -149,7 +149,7 @@
     let _ = socket2::SockRef::from(listener.socket.inner()).shutdown(std::net::Shutdown::Both);
 }
 
-/// Takes a slot. If all are in use, idle connections are evicted; `None` if no slot becomes free even so.
+/// Acquires a slot. If all are in use, idle connections are evicted; `None` if no slot becomes free even so.
 fn acquire_slot(context: &ListenerContext) -> Option<SlotGuard> {
     let mut guard = context.slots.acquire();
     for _ in 0..MAX_EVICTIONS {
--- a/wrenseam/src/limits.rs
+++ b/wrenseam/src/limits.rs
@@ -295,14 +295,14 @@
     }
 }
 
-/// A connection without any bytes for this long has ended: the discovery service sends a comment each second. A
-/// change that happens before the connection falls silent counts as reported to the front end 4 s after the last byte.
+/// A connection without any bytes for this long has ended: the discovery service sends a comment each second. A change
+/// that happens before the connection falls silent counts as reported to the front end 4 s after the last byte.
 const DISCOVERY_SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// Shortest time after which a request to the discovery service is replaced by a new one.
 const DISCOVERY_EVENT_TIMEOUT_MIN: Duration = Duration::from_millis(3_000);
-/// Longest time after which a request to the discovery service is replaced by a new one. Any change counts as
-/// reported to the front end 7 s later; this time leaves room for another request if the new one fails.
+/// Longest time after which a request to the discovery service is replaced by a new one. Any change counts as reported
+/// to the front end 7 s later; this time leaves room for another request if the new one fails.
 const DISCOVERY_EVENT_TIMEOUT_MAX: Duration = Duration::from_millis(4_500);
 
 /// A comment that arrives this long after the request comes after all pending events, as the service sends those well
@@ -321,8 +321,8 @@
 /// over this time.
 const DISCOVERY_RECONNECT_JITTER_LARGE_FLEET: Duration = Duration::from_millis(300);
 
-/// Divisor of the process's memory that gives the maximum size of one event. Handling an event needs about 20 times
-/// its size (`tests/large_list.rs`), which is a third of the memory for the largest event.
+/// Divisor of the process's memory that gives the maximum size of one event. Handling an event needs about 20 times its
+/// size (`tests/large_list.rs`), which is a third of the memory for the largest event.
 const DISCOVERY_EVENT_MEMORY_DIVISOR: usize = 64;
 /// Lower bound of the maximum size of one event, for processes with little memory.
 const DISCOVERY_EVENT_BYTES_MIN: usize = MIB;
@@ -334,8 +334,8 @@
     pub connect_timeout: Duration,
     /// A connection on which nothing is received for this long has ended.
     pub silence_timeout: Duration,
-    /// Shortest event timeout, which is drawn for each request. A confirmed request of this age, or one that
-    /// has brought no event for this long, is replaced by a new one even if comments arrive.
+    /// Shortest event timeout, which is drawn for each request. A confirmed request of this age, or one that has
+    /// brought no event for this long, is replaced by a new one even if comments arrive.
     pub event_timeout_min: Duration,
     /// Longest event timeout that is drawn for a request.
     pub event_timeout_max: Duration,
--- a/wrenseam/src/net/slots.rs
+++ b/wrenseam/src/net/slots.rs
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Takes a slot; `None` if all are in use.
+    /// Acquires a slot; `None` if all are in use.
     pub fn acquire(&self) -> Option<SlotGuard> {
         let mut used = self.used.lock().ok()?;
         if used.len() >= self.limit {
--- a/wrenseam/src/server.rs
+++ b/wrenseam/src/server.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// Configures the coroutine scheduler. A front end runs on one processor core, where more scheduler threads would
-/// not run in parallel.
+/// Configures the coroutine scheduler. A front end runs on one processor core, where more scheduler threads would not
+/// run in parallel.
 fn configure_coroutines(limits: &Limits) {
     may::config()
         .set_workers(1)
--- a/wrenseam/src/shutdown.rs
+++ b/wrenseam/src/shutdown.rs
@@ -114,7 +114,7 @@
 /// Waits until all connections have closed, or until the shutdown's time limit. Each connection closes itself: it reads
 /// unread input, completes or ends a half-read request, answers pending requests, writes queued responses, closes, and
 /// then frees its slot. When no slot is in use and no accept loop runs, nothing is left. No connection is missed
-/// between the two counts, as an accept loop takes a connection's slot before it ends.
+/// between the two counts, as an accept loop acquires a connection's slot before it ends.
 fn close_connections(context: &ListenerContext) {
     context.shutting_down.store(true, Ordering::Release);
     let started_at = Instant::now();
--- a/wrenseam/src/worker/dispatch.rs
+++ b/wrenseam/src/worker/dispatch.rs
@@ -1,4 +1,4 @@
-//! Decides whether a queued attempt or load order is still written. No sockets and no clock of its own here.
+//! Decides whether a queued attempt or load order is still written. No sockets; the time is an argument.
 //!
 //! A frame or request may wait for its connection to be established, or behind a write that stalls. Meanwhile the core
 //! may cancel the attempt, its client may disconnect, its time may run out, its connection may end, or the writer may
@@ -113,7 +113,7 @@
     state: AtomicDispatchState,
     /// Set once the client has left.
     client_gone: Arc<AtomicBool>,
-    /// Tells the state of the client's connection even before its reader has run. `None` if there is no client.
+    /// Checks the state of the client's connection even before its reader has run. `None` if there is no client.
     client_probe: Option<Arc<dyn ClientProbe>>,
     /// How often the start has waited for the reader of the client's connection.
     client_input_waits: AtomicU32,
--- a/wrenseam/src/worker/frames/connection.rs
+++ b/wrenseam/src/worker/frames/connection.rs
@@ -1,5 +1,4 @@
-//! The state that the core's side, the writer and the reader of one connection share, and how everything open on it
-//! ends.
+//! The state that the core's side, the writer and the reader of one connection share, and how its open exchanges end.
 use super::exchange::{ExchangeKind, ExchangeTable};
 use super::progress::WriteProgress;
 use crate::model::AttemptReport;
--- a/wrenseam/src/worker/kserve/connection.rs
+++ b/wrenseam/src/worker/kserve/connection.rs
@@ -1,5 +1,4 @@
-//! One connection to a v2 worker: carries one exchange at a time, and determines its outcome when the connection
-//! ends.
+//! One connection to a v2 worker: carries one exchange at a time, and determines its outcome when the connection ends.
 use super::super::dispatch::{StartResult, CLIENT_INPUT_WAIT};
 use super::super::log_lines;
 use super::super::socket::{has_no_unread_input, stalled_write_pause};
@@ -95,8 +94,8 @@
             .load_order_ended(order.number, report.outcome, report.replicas);
     }
 
-    /// Sends the request and reads the complete response. On failure, returns the outcome, which depends on how
-    /// much of the exchange took place.
+    /// Sends the request and reads the complete response. On failure, returns the outcome, which depends on how much of
+    /// the exchange took place.
     fn send_and_receive(&mut self, exchange: &Exchange) -> Result<Response, Outcome> {
         if self.is_withheld(exchange) {
             return Err(Outcome::NotSent);
