--- a/wrenseam/src/gossip.rs
+++ b/wrenseam/src/gossip.rs
@@ -169,7 +169,7 @@
     fn leave(&mut self, now: Micros) {
         self.node.leave(now);
         self.send();
-        self.process_state.left.store(true, Ordering::Release);
+        self.process_state.has_left.store(true, Ordering::Release);
     }
 
     /// Publishes this front end's lifecycle and configuration digest if they changed.
@@ -254,7 +254,7 @@
 pub fn leave(process_state: &ProcessState) {
     process_state.leaving.store(true, Ordering::Release);
     let since = Instant::now();
-    while !process_state.left.load(Ordering::Acquire) && since.elapsed() < LEAVE_TIMEOUT {
+    while !process_state.has_left.load(Ordering::Acquire) && since.elapsed() < LEAVE_TIMEOUT {
         std::thread::sleep(LEAVE_POLL_INTERVAL);
     }
 }
--- a/wrenseam/src/process_state.rs
+++ b/wrenseam/src/process_state.rs
@@ -19,10 +19,10 @@
     pub client_connections: Arc<AtomicUsize>,
     /// A digest of the configuration in force. A reload changes it.
     pub config_digest: AtomicU64,
-    /// Set when the process is about to exit, so that gossip notifies the fleet.
+    /// Whether gossip must notify the fleet that this front end leaves, because the process is about to exit.
     pub leaving: AtomicBool,
-    /// Set by gossip once it has notified the fleet that this front end leaves.
-    pub left: AtomicBool,
+    /// Whether gossip has notified the fleet that this front end leaves.
+    pub has_left: AtomicBool,
     /// This front end's load summary for the fleet. The core updates it whenever gossip reports the fleet's status.
     pub summary: Mutex<Summary>,
 }
