--- a/wrenseam/src/discovery/watch.rs
+++ b/wrenseam/src/discovery/watch.rs
@@ -81,7 +81,7 @@
     incomplete: BTreeMap<u64, u32>,
     /// While events are incomplete: the latest endpoint of each instance listed since, by id.
     latest: BTreeMap<String, LatestEndpoint>,
-    /// The event that the last request asked for again. If it arrives with the same defect again, it is used as received.
+    /// The event that the last request asked for again. If it arrives with the same defect again, it is used as it is.
     repeated: Option<RepeatedRequest>,
     /// Whether the next request must ask for the complete list.
     needs_complete_list: bool,
--- a/wrenseam/src/worker/dispatch.rs
+++ b/wrenseam/src/worker/dispatch.rs
@@ -25,7 +25,7 @@
 /// | `Started` | `Waiting` | the writer, when no byte could be written |
 /// | `Waiting` | `Reclaimed` | the core, on a cancel or a timeout |
 /// | `Waiting` | `Discarded` | the writer, when its client has gone or its start deadline has passed |
-/// | `Waiting`, `Started` | `Ended` | the connection, when it ends, reads the response, or removes the unwritten frame |
+/// | `Waiting`, `Started` | `Ended` | the connection, when it ends, reads the response or removes the unwritten frame |
 ///
 /// `Reclaimed`, `Discarded` and `Ended` are final. Exactly one caller makes the transition into a final state, and that
 /// caller accounts for the end of the attempt. An unwritten frame is removed if its worker drains, if the core cancels
--- a/wrenseam/src/worker/frames/reader.rs
+++ b/wrenseam/src/worker/frames/reader.rs
@@ -127,7 +127,7 @@
         Ok(())
     }
 
-    /// Removes the exchange that this frame answers from the table; `None` if it has already ended.
+    /// Removes the exchange to which this frame responds from the table; `None` if it has already ended.
     fn take_exchange(
         &self,
         frame: &Frame,
@@ -173,7 +173,7 @@
     }
 }
 
-/// The report on an attempt that a response makes.
+/// The report on an attempt, from the worker's response.
 fn attempt_report(outcome: Outcome, frame: Frame) -> AttemptReport {
     let replica_loaded = replica_loaded(frame.field("detail"));
     let queue_depth = match outcome {
--- a/wrenseam/src/worker/kserve/messages.rs
+++ b/wrenseam/src/worker/kserve/messages.rs
@@ -7,7 +7,7 @@
 use wrenseam_policy::json::{as_text, list, nested_object, object, parse, text, unsigned};
 use wrenseam_policy::{FunctionId, Micros, Outcome};
 
-/// Larger numbers in a response count as this.
+/// Larger numbers in a response are clamped to this.
 const MAX_STATED_NUMBER: u64 = 1 << 16;
 
 /// Number of hexadecimal digits in an id that a front end chose.
@@ -157,13 +157,13 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-/// A number that a response states, reduced to at most `MAX_STATED_NUMBER`.
+/// A number that a response states, clamped to `MAX_STATED_NUMBER`.
 fn stated_number(fields: &Object, name: &str) -> Option<u32> {
     let number = unsigned(fields, name)?;
     Some(number.min(MAX_STATED_NUMBER) as u32)
 }
 
-/// The report on an attempt that a response makes. `is_wrapped` tells that the response carries a body of the
+/// The report on an attempt, from the worker's response. With `is_wrapped` the response carries a body of the
 /// platform's protocol.
 pub(super) fn attempt_report(response: Response, is_wrapped: bool) -> AttemptReport {
     let body = parse_body(&response.body);
@@ -188,7 +188,7 @@
     }
 }
 
-/// What the response to a load order says.
+/// The result of a load order, from the worker's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LoadReport {
     /// How the order ended.
