--- a/wrenseam/src/worker/dispatch.rs
+++ b/wrenseam/src/worker/dispatch.rs
@@ -1,4 +1,4 @@
-//! Decides whether a queued attempt or load order is still written. No sockets and no clock of its own here.
+//! Decides whether a queued attempt or load order is still written. No sockets; the time is an argument.
 //!
 //! A frame or request may wait for its connection to be established, or behind a write that stalls. Meanwhile the core
 //! may cancel the attempt, its client may disconnect, its time may run out, its connection may end, or the writer may
@@ -25,7 +25,7 @@
 /// | `Started` | `Waiting` | the writer, when no byte could be written |
 /// | `Waiting` | `Reclaimed` | the core, on a cancel or a timeout |
 /// | `Waiting` | `Discarded` | the writer, when its client has gone or its start deadline has passed |
-/// | `Waiting`, `Started` | `Ended` | the connection, when it ends, reads the response, or removes the unwritten frame |
+/// | `Waiting`, `Started` | `Ended` | the connection, when it ends, reads the response or removes the unwritten frame |
 ///
 /// `Reclaimed`, `Discarded` and `Ended` are final. Exactly one caller makes the transition into a final state, and that
 /// caller accounts for the end of the attempt. An unwritten frame is removed if its worker drains, if the core cancels
@@ -113,7 +113,7 @@
     state: AtomicDispatchState,
     /// Set once the client has left.
     client_gone: Arc<AtomicBool>,
-    /// Tells the state of the client's connection even before its reader has run. `None` if there is no client.
+    /// Checks the state of the client's connection even before its reader has run. `None` if there is no client.
     client_probe: Option<Arc<dyn ClientProbe>>,
     /// How often the start has waited for the reader of the client's connection.
     client_input_waits: AtomicU32,
