--- a/fleetlab/src/lab/front_end.rs
+++ b/fleetlab/src/lab/front_end.rs
@@ -123,8 +123,8 @@
         self.folder.join(format!("front-{index}.log"))
     }
 
-    /// Starts a front end, which joins the fleet through the gossip relay of `seed_front`. `None`: through that of
-    /// front end 0, which itself joins nobody.
+    /// Starts a front end, which joins the fleet through the gossip relay of `seed_front`. `None`: through the relay of
+    /// front end 0; front end 0 itself then starts without a seed.
     fn launch(
         &self,
         index: usize,
--- a/fleetlab/src/scenario.rs
+++ b/fleetlab/src/scenario.rs
@@ -68,7 +68,7 @@
     /// Maximum wait that each request allows, in ms (`wait_ms` in its KServe v2 parameters).
     pub wait_ms: u64,
     /// Maximum number of attempts per request, the first one included. An attempt that was not served is retried at
-    /// once at a front end chosen anew, as clients do in a retry storm.
+    /// once at a randomly selected front end, as clients do in a retry storm.
     pub client_attempts: u32,
     /// The faults, in any order of their times.
     pub faults: Vec<Fault>,
--- a/fleetlab/src/worker.rs
+++ b/fleetlab/src/worker.rs
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Runs a call, unless it is to be rejected as over capacity, and answers it as the active faults demand. An error
-    /// closes the connection.
+    /// Runs a call and answers it as the active faults demand; a call that the faults reject as over capacity does not
+    /// run. An error closes the connection.
     fn call(&mut self, stream: &mut TcpStream, body: &[u8]) -> Result<()> {
         self.settings.metrics.add(Counter::Calls);
         let CallFaults {
--- a/fleetlab/tests/lab.rs
+++ b/fleetlab/tests/lab.rs
@@ -7,7 +7,7 @@
 use std::process::{Command, Output};
 
 /// A retry storm: workers take 3 times as long for a call as before, close to the clients' maximum wait of 400 ms, and
-/// every client retries at a front end chosen anew.
+/// every client retries at a randomly selected front end.
 const STORM: &str = r#"{"name":"storm","seed":7,"seconds":5,"fronts":3,"workers":2,"fleet":true,
  "rate_per_s":40,"work_ms":120,"wait_ms":400,"client_attempts":3,
  "faults":[{"at_s":1,"kind":"slow","factor":3}]}"#;
--- a/policy/src/readiness_lease.rs
+++ b/policy/src/readiness_lease.rs
@@ -102,7 +102,7 @@
     Refused,
 }
 
-/// What the caller is to do about a worker.
+/// An action that the caller must take for a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseAction {
     /// Send the worker a health check.
--- a/policy/src/state.rs
+++ b/policy/src/state.rs
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Whether so many front ends share the workers that each one sees too little of them by itself.
+    /// Whether more than `MAX_SMALL_FLEET` front ends share the workers, so that each one by itself sees too little of
+    /// the workers' load and of the functions' replicas.
     pub(crate) fn is_large_fleet(&self) -> bool {
         self.settings.front_ends > MAX_SMALL_FLEET
     }
--- a/policy/tests/deadline_admission.rs
+++ b/policy/tests/deadline_admission.rs
@@ -4,8 +4,8 @@
 use rstest::rstest;
 use wrenseam_policy::*;
 
-/// One of so many front ends, with this latency objective for all classes, and enough workers that a single request in
-/// flight is no overload.
+/// One front end of a fleet of `front_ends`, with this latency objective for all classes, and enough workers that a
+/// single request in flight is no overload.
 fn harness(front_ends: u32, latency_objective: Micros) -> ControllerHarness {
     let mut settings = Settings {
         front_ends,
@@ -91,8 +91,8 @@
     (served, rejected)
 }
 
-/// Guards against wasted work: clients that waited for 63 ms retried again and again while answers took longer. What
-/// was sent for them filled the workers, and requests with time left were rejected, even long afterwards.
+/// Guards against wasted work: clients that waited for 63 ms retried repeatedly while answers took longer. The attempts
+/// for them filled the workers, and requests with enough time left were rejected, even long afterwards.
 #[rstest]
 fn requests_that_cannot_meet_their_deadline_are_rejected_at_once(
     #[values(17, 300)] front_ends: u32,
--- a/policy/tests/failures.rs
+++ b/policy/tests/failures.rs
@@ -236,7 +236,7 @@
     max_loads_per_front_end(1, result)
 }
 
-/// As `max_loads`, for one of so many front ends.
+/// As `max_loads`, for one front end of a fleet of `front_ends`.
 fn max_loads_per_front_end(
     front_ends: u32,
     result: impl Fn(u64, &str) -> (Outcome, Micros),
@@ -366,7 +366,7 @@
     }
 }
 
-/// Clients that give up early and retry would fill the workers with requests whose answers nobody waits for.
+/// Guards against workers full of abandoned requests, which clients that give up early and retry would cause.
 #[test]
 fn under_overload_requests_with_too_short_deadlines_are_rejected() {
     let is_rejected = |others: u64| {
@@ -601,8 +601,9 @@
     assert_eq!((1..5).map(loads).sum::<usize>(), 4);
 }
 
-/// Rule 5 counts only requests of the usual clients, but hundreds of requests of unknown tenants, or cancelled at once,
-/// earned load budget. Requests for functions that no worker knows stand for those of unknown tenants here.
+/// Guards against load budget earned by hundreds of requests of unknown tenants, or of requests cancelled at once: rule
+/// 5 counts only requests of the regular clients. Requests for functions that no worker knows stand for those of
+/// unknown tenants here.
 #[test]
 fn requests_for_unknown_functions_or_cancelled_ones_earn_no_load_budget() {
     let loads_after = |requests: fn(&mut ControllerHarness)| {
--- a/policy/tests/scale.rs
+++ b/policy/tests/scale.rs
@@ -136,8 +136,8 @@
 }
 
 /// Guards against a fault seen over real connections: a fifth of the requests of the third second were rejected
-/// although all were answered in time. The estimated rate of answers started at 0 and lagged behind the traffic, which
-/// was taken for a growing queue.
+/// although all were answered in time. The estimated rate of answers started at 0 and lagged behind the traffic, and
+/// the policy interpreted that as a growing queue.
 #[test]
 fn a_start_or_a_rise_of_traffic_is_no_overload_but_a_growing_queue_is() {
     let start: Vec<_> = (0..200u64).map(|n| (n * 20 * MS, tenant_of(n))).collect();
--- a/scalelab/src/simulated_workers/mod.rs
+++ b/scalelab/src/simulated_workers/mod.rs
@@ -15,7 +15,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Longest time between two checks whether the thread is to stop.
+/// Longest interval between two checks of the thread's stop flag.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Events that one wait takes from epoll at most.
 const EVENTS_PER_WAIT: usize = 256;
@@ -214,8 +214,7 @@
         }
     }
 
-    /// Time until the next reply is due, at most the interval of checks whether to stop, rounded up to epoll's unit of
-    /// a millisecond.
+    /// Time until the next reply is due, at most `STOP_POLL_INTERVAL`, rounded up to epoll's unit of a millisecond.
     fn timeout(&self) -> EpollTimeout {
         let mut wait = STOP_POLL_INTERVAL;
         if let Some(Reverse((at, _))) = self.due.peek() {
--- a/scalelab/src/worker_connections/clients.rs
+++ b/scalelab/src/worker_connections/clients.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Longest time between two checks of a waiting client whether it is to stop.
+/// Longest interval at which a waiting client checks the stop flag.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Cumulative shares of the functions, from which a uniform random number from 0 to 1 selects a function.
@@ -66,7 +66,7 @@
         Ok(clients)
     }
 
-    /// Runs one client until all are to stop. Its request times and functions are drawn from the seed.
+    /// Runs one client until the stop flag is set. Its request times and functions are drawn from the seed.
     fn run(&self, seed: u64) {
         let mut random = Pcg64::seed_from_u64(seed);
         let mut connection = None;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Waits until a request is due. Returns false if the clients are to stop.
+    /// Waits until a request is due. Returns false if the stop flag is set.
     fn wait(&self, due: Instant) -> bool {
         while let Some(wait) = due.checked_duration_since(Instant::now()) {
             std::thread::sleep(wait.min(STOP_POLL_INTERVAL));
--- a/scalelab/tests/gossip_convergence_time.rs
+++ b/scalelab/tests/gossip_convergence_time.rs
@@ -153,8 +153,8 @@
     );
 }
 
-/// All front ends of a small fleet but one crash. The last one hears nothing, so it first declares nobody down; later
-/// it must remove all others from its view.
+/// All front ends of a small fleet but one crash. The remaining one receives no gossip, so at first it declares no peer
+/// down; later it must remove all others from its view.
 #[rstest]
 fn the_last_front_end_removes_all_others_from_its_view(#[values(2, 3)] front_ends: usize) {
     let mut network = settled(front_ends, 1);
--- a/wrenseam/tests/discovery_outage.rs
+++ b/wrenseam/tests/discovery_outage.rs
@@ -16,7 +16,8 @@
 const CALL_TIME: Duration = Duration::from_millis(15);
 /// Time from the start of an outage until workers drain.
 const OUTAGE_BEFORE_DRAIN: Duration = Duration::from_millis(400);
-/// A change counts as notified to the front ends so long after it happened, in ms, even if they did not receive it.
+/// Time in ms from a change of the endpoint list until it counts as notified to the front ends, even to those that did
+/// not receive it.
 const NOTIFIED_AFTER_MS: u64 = 7_000;
 /// How long workers drain before they stop.
 const DRAIN: Duration = Duration::from_secs(14);
--- a/wrenseam/tests/eviction.rs
+++ b/wrenseam/tests/eviction.rs
@@ -72,11 +72,11 @@
     stream
 }
 
-/// All client connection slots are in use. While the program is stopped, a new client connects, and then a request of a
-/// class that must not run twice arrives on the connection that has been idle longest. Once the program continues, it
-/// accepts the new connection first and has to evict another one. It must not evict the connection with the unread
-/// request, which would be the first in order. Like the platform's clients, the client sends its request again if its
-/// connection is closed without a response.
+/// Guards against evicting a connection that has an unread request. All client connection slots are in use; while the
+/// program is stopped, a new client connects, and then a request of a class that must not run twice arrives on the
+/// connection that has been idle longest, the first candidate for eviction. Once the program continues, it accepts the
+/// new connection first and must evict another one. Like the platform's clients, the client sends its request again if
+/// its connection is closed without a response.
 #[rstest]
 fn a_request_that_arrives_during_an_eviction_runs_once(
     #[values(Protocol::Platform, Protocol::Kserve)] front: Protocol,
--- a/wrenseam/tests/kserve_proofs.rs
+++ b/wrenseam/tests/kserve_proofs.rs
@@ -184,7 +184,7 @@
     }
 }
 
-/// A duplicate of a rejection arrives after the next call was sent: it must not be taken for that call's answer.
+/// A duplicate of a rejection arrives after the next call was sent: it must not be read as that call's answer.
 /// Rejections carry no id, so a connection that carried one is not used again.
 #[test]
 fn a_second_rejection_is_not_taken_for_that_of_the_next_call() {
@@ -265,10 +265,10 @@
     assert_eq!(second.connection == first.connection, kept);
 }
 
-/// A duplicate answer arrives and a load order follows. The order must not use that connection: it would take the
-/// duplicate for its own answer, leave its own answer to the next call, and that call's answer to the one after it. A
-/// rejection of one call would then prove that another never ran; a schedule under load found this fault
-/// (`tests/schedules.rs`).
+/// Guards against a load order on a connection that carries calls. If a duplicate answer has arrived there, the order
+/// reads it as its own answer, the next call reads the order's answer, and the call after it reads that call's answer:
+/// a rejection of one call would then count as proof that another never ran. `tests/schedules.rs` found this fault
+/// under load.
 #[test]
 fn an_order_does_not_share_a_connection_with_calls() {
     let Served {
--- a/wrenseam/tests/platform/rules.rs
+++ b/wrenseam/tests/platform/rules.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A change of the endpoint list counts as notified to the front ends so long after it happened, even if they did not
+/// Time from a change of the endpoint list until it counts as notified to the front ends, even to those that did not
 /// receive it.
 pub(crate) const NOTIFIED_AFTER: Duration = Duration::from_secs(7);
 /// Added to each time limit that is checked on sockets.
--- a/wrenseam/tests/soak.rs
+++ b/wrenseam/tests/soak.rs
@@ -25,7 +25,7 @@
 /// Clients may send requests on open connections for this long after SIGTERM. Such a request does not count as lost if
 /// the process is killed before it has answered; a later one does.
 const ACCEPTED_AFTER_TERM: Duration = Duration::from_millis(700);
-/// A change of the endpoint list counts as notified to the front ends so long after it happened, even if they did not
+/// Time from a change of the endpoint list until it counts as notified to the front ends, even to those that did not
 /// receive it.
 const NOTIFIED_AFTER: Duration = Duration::from_secs(7);
 /// Longest request timeout that the platform waits for between SIGTERM and SIGKILL.
--- a/wrenseam/tests/transport.rs
+++ b/wrenseam/tests/transport.rs
@@ -119,7 +119,7 @@
 }
 
 /// A cancelled attempt is retried at the same worker, and then the answer to the first attempt arrives. It must not be
-/// taken for the answer to the second: whether the second runs would be unknown.
+/// assigned to the second attempt: whether that one runs would be unknown.
 #[test]
 fn a_late_answer_is_not_taken_for_that_of_the_next_attempt() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/wrenseam/tests/unresponsive.rs
+++ b/wrenseam/tests/unresponsive.rs
@@ -95,8 +95,8 @@
     }
 }
 
-/// A scheduler that is blocked for longer than a worker has time to answer must not be taken for a silent worker. A
-/// worker that does not answer has its connection closed.
+/// A worker must not count as unresponsive because our scheduler was blocked for longer than the worker has time to
+/// answer a probe. If the worker itself does not answer, its connection is closed.
 #[rstest]
 #[case::before_the_probe_is_written(Stall::BeforeProbeIsWritten, Outcome::Ok)]
 #[case::before_the_answer_is_read(Stall::BeforeAnswerIsRead, Outcome::Ok)]
