--- a/scalelab/tests/policy_scaling.rs
+++ b/scalelab/tests/policy_scaling.rs
@@ -129,7 +129,8 @@
     assert_eq!((output.status.code(), output.stdout.len()), (Some(2), 0));
     let stderr = String::from_utf8_lossy(&output.stderr);
     assert!(
-        stderr.contains("size 20001 is not within 1 to 20000"),
+        stderr
+            .contains("size 20001 is out of range: this experiment runs at sizes from 1 to 20000"),
         "{stderr}"
     );
 }
--- a/scalelab/tests/processes.rs
+++ b/scalelab/tests/processes.rs
@@ -183,7 +183,8 @@
         .expect("scalelab starts");
     assert_eq!(output.status.code(), Some(2));
     assert!(
-        String::from_utf8_lossy(&output.stderr).contains("size 100000 is not within"),
+        String::from_utf8_lossy(&output.stderr)
+            .contains("size 100000 is out of range: this experiment runs at sizes from 1 to 200"),
         "{output:?}"
     );
 }
